--- a/internal/core/routing/affinity.go
+++ b/internal/core/routing/affinity.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// affinityLoadFactor bounds how much busier than the mean a cell may be
-	// and still be kept for its prefixes (consistent hashing with bounded loads).
+	// affinityLoadFactor bounds a cell's load relative to the mean load
+	// (consistent hashing with bounded loads).
 	affinityLoadFactor = 1.25
-	// affinityIdleLoad is the load under which a cell always keeps its
-	// prefixes: there the mean is too small to say that one cell is crowded.
+	// affinityIdleLoad is the load up to which a cell is never overloaded,
+	// however low the mean is.
 	affinityIdleLoad = 0.5
 )
 
-// Affine returns the index of the cell that prompts with the key gather at, or
-// -1 when every cell is too crowded for that. A crowded cell hands its prefixes
-// to the next one in the key's own order, so a group moves as one.
-func Affine(cells []*Cell, prefixKey uint64) int {
+// AffinityIndex returns the index of the cell to which the prefix key hashes,
+// or -1 if every cell is overloaded. Prompts of an overloaded cell go to the next
+// cell in the key's rendezvous order, so prompts that share a key stay together.
+func AffinityIndex(cells []*Cell, prefixKey uint64) int {
 	bound := max(affinityIdleLoad, affinityLoadFactor*meanLoad(cells))
 	byName := make(map[string]int, len(cells))
 	names := make([]string, 0, len(cells))
@@ -34,8 +34,7 @@
 	if len(names) == 0 {
 		return -1
 	}
-	// Rendezvous order over the uncrowded cells is the order over all cells
-	// with the crowded ones left out.
+	// Leaving out the overloaded cells keeps the rendezvous order of the others.
 	table := rendezvous.New(names, xxhash.Sum64String)
 	return byName[table.Lookup(strconv.FormatUint(prefixKey, 16))]
 }
--- a/internal/core/routing/assign.go
+++ b/internal/core/routing/assign.go
@@ -10,17 +10,15 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// CellCount returns how many cells a pool of so many engines is cut into.
+// CellCount returns the number of cells for a pool of the given number of engines.
 func CellCount(engines int) int {
 	return (engines + message.CellSize - 1) / message.CellSize
 }
 
-// AssignCells cuts the engines of one pool in one zone into cells. Each engine
-// goes to its cell by rendezvous hashing, so a change in the number of cells
-// from n to n+1 moves about one engine in n+1, and a change that keeps the
-// number moves none. A cell holds CellSize engines on average at most, and may
-// hold a few more. Engine IDs within a cell are sorted; cells without engines
-// are left out.
+// AssignCells partitions the engines of one pool in one zone into cells by
+// rendezvous hashing: growing from n to n+1 cells moves about one engine in n+1.
+// Cells average at most CellSize engines; a single cell may exceed that. Engine
+// IDs within a cell are sorted; empty cells are omitted.
 func AssignCells(zone, pool string, engineIDs []string) map[message.CellID][]string {
 	cells := make(map[message.CellID][]string)
 	count := CellCount(len(engineIDs))
@@ -47,15 +45,15 @@
 }
 
 // CellOwner returns the member that runs the cell's dispatcher, by rendezvous
-// hashing: nodes that see the same members name the same owner, whatever the
-// order of the list. It returns "" when there is no member.
+// hashing. The result doesn't depend on the order of memberIDs; it is "" if
+// there are no members.
 func CellOwner(cell message.CellID, memberIDs []string) string {
 	sorted := slices.Sorted(slices.Values(memberIDs))
 	return rendezvous.New(sorted, xxhash.Sum64String).Lookup(cellName(cell))
 }
 
-// cellName is the name under which a cell is hashed. Zone and pool names
-// contain no slash, so two cells never share a name.
+// cellName returns the hash key of a cell. Zone and pool names contain no
+// slash, so the keys are unique.
 func cellName(cell message.CellID) string {
 	return cell.Zone + "/" + cell.Pool + "/" + strconv.Itoa(cell.Index)
 }
--- a/internal/core/routing/assign_test.go
+++ b/internal/core/routing/assign_test.go
@@ -18,7 +18,7 @@
 	return list
 }
 
-// cellOfEngine inverts an assignment and checks that each engine is in one cell.
+// cellOfEngine inverts an assignment and checks that each engine is in exactly one cell.
 func cellOfEngine(t *testing.T, cells map[message.CellID][]string) map[string]message.CellID {
 	t.Helper()
 	byEngine := make(map[string]message.CellID)
@@ -58,7 +58,7 @@
 	assert.Equal(t, len(AssignCells("tumwater", "valuation", nil)), 0)
 }
 
-func TestCellOwnerChangesOnlyWithItsOwner(t *testing.T) {
+func TestCellOwnerUnaffectedByOtherMembersLeaving(t *testing.T) {
 	members := names("node", 12)
 	for index := range 50 {
 		cell := message.CellID{Zone: "galway", Pool: "reply", Index: index}
--- a/internal/core/routing/avoid.go
+++ b/internal/core/routing/avoid.go
@@ -6,30 +6,30 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// AvoidList remembers for a while which cells cannot take a service's requests
-// for a reason that their digests do not show, such as the cell's part of the
-// service's cap. It is a hint: when no other cell is left, the avoided ones are
-// tried after all. It is not safe for concurrent use.
+// AvoidList is a temporary deny list of cells per service, for refusals that
+// digests do not reveal, such as a cell's part of the service's cap. It is
+// advisory: avoided cells are tried if no other cell is left. It is not safe for
+// concurrent use.
 type AvoidList struct {
-	until map[avoided]time.Time
+	until map[avoidKey]time.Time
 }
 
-type avoided struct {
+type avoidKey struct {
 	service string
 	cell    message.CellID
 }
 
-// NewAvoidList returns an empty list.
 func NewAvoidList() *AvoidList {
-	return &AvoidList{until: make(map[avoided]time.Time)}
+	return &AvoidList{until: make(map[avoidKey]time.Time)}
 }
 
-// Add avoids the cell for the service's requests until the time.
+// Add avoids the cell for the service's requests until the given time.
 func (a *AvoidList) Add(service string, cell message.CellID, until time.Time) {
-	a.until[avoided{service: service, cell: cell}] = until
+	a.until[avoidKey{service: service, cell: cell}] = until
 }
 
-// Cells returns the cells to avoid now, as a new set, and forgets old entries.
+// Cells returns the set of cells that the service avoids at time now and removes
+// expired entries.
 func (a *AvoidList) Cells(service string, now time.Time) map[message.CellID]struct{} {
 	cells := make(map[message.CellID]struct{})
 	for entry, until := range a.until {
--- a/internal/core/routing/choice_test.go
+++ b/internal/core/routing/choice_test.go
@@ -65,11 +65,11 @@
 	assert.DeepEqual(t, indexes(Nearest(pointers(cells), &locality)), []int{2})
 	cells[2].Digest.Queued = 4
 	assert.DeepEqual(t, indexes(Nearest(pointers(cells), &locality)), []int{0, 1, 2})
-	assert.Assert(t, Score(&cells[0], &locality) > Score(&cells[1], &locality), "equally full: the nearer one")
+	assert.Assert(t, Score(&cells[0], &locality) > Score(&cells[1], &locality), "equal load: nearer cell scores higher")
 	assert.Assert(t, Score(&cells[1], &locality) > Score(&cells[2], &locality))
 }
 
-func TestAffinityKeepsAGroupTogetherUnlessCrowded(t *testing.T) {
+func TestAffinityIndexSkipsOverloadedCells(t *testing.T) {
 	var cells []Cell
 	for index := range 8 {
 		cells = append(cells, testCell("a", index, 16, 2, 1))
@@ -80,18 +80,18 @@
 	assert.Assert(t, PrefixKey("other", prompt) != key)
 	assert.Equal(t, PrefixKey("model", "short"), uint64(0))
 
-	home := Affine(pointers(cells), key)
+	home := AffinityIndex(pointers(cells), key)
 	cells[(home+1)%8].Digest.Running = 5
-	assert.Equal(t, Affine(pointers(cells), key), home)
+	assert.Equal(t, AffinityIndex(pointers(cells), key), home)
 	cells[home].Digest.Running = 15
-	next := Affine(pointers(cells), key)
+	next := AffinityIndex(pointers(cells), key)
 	assert.Assert(t, next != home)
 	cells[home].Digest.Running = 2
-	assert.Equal(t, Affine(pointers(cells), key), home)
+	assert.Equal(t, AffinityIndex(pointers(cells), key), home)
 	for index := range cells {
 		cells[index].Digest.Running = 16
 	}
-	assert.Equal(t, Affine(pointers(cells), key), -1)
+	assert.Equal(t, AffinityIndex(pointers(cells), key), -1)
 }
 
 func TestPick(t *testing.T) {
@@ -109,7 +109,7 @@
 		counts[choice]++
 		assert.Equal(t, pick(StrategyLeastLoad, seed), 1)
 	}
-	assert.Equal(t, counts[0], 0, "the worst of three is never the better of two")
+	assert.Equal(t, counts[0], 0, "the most loaded of three cells is never the better of two")
 	assert.Equal(t, counts[3], 0, "nearer cells have free slots")
 	assert.Assert(t, counts[1] > counts[2])
 	picker := NewPicker(StrategyRoundRobin, locality, 1)
@@ -124,7 +124,7 @@
 	assert.Assert(t, !Strategy("fastest").Valid())
 }
 
-func TestTrackerCountsSubmissionsUntilTheNextDigest(t *testing.T) {
+func TestTrackerResetsPendingOnNewDigest(t *testing.T) {
 	tracker := NewTracker()
 	start := time.Unix(1000, 0)
 	digest := testCell("a", 0, 8, 1, 1).Digest
@@ -147,12 +147,12 @@
 	assert.Equal(t, cells[0].Pending, 0)
 }
 
-func TestVersionFloor(t *testing.T) {
+func TestTargetVersionAndMinVersion(t *testing.T) {
 	gone := testCell("a", 2, 8, 0, 40).Digest
 	gone.Models[0].Engines = 0
 	digests := []message.CellDigest{*testCell("a", 0, 8, 0, 7).Digest, *testCell("b", 1, 8, 0, 9).Digest, *gone}
 	row := policy.Row{Pool: "pool", Model: "model", Staleness: 2}
-	assert.Equal(t, WantedVersion(row, digests), uint64(9))
+	assert.Equal(t, TargetVersion(row, digests), uint64(9))
 	assert.Equal(t, MinVersion(row, digests), uint64(7))
 	row.Version = 8
 	assert.Equal(t, MinVersion(row, digests), uint64(6))
@@ -162,7 +162,7 @@
 	assert.Equal(t, MinVersion(policy.Row{Pool: "pool", Model: "unseen"}, digests), uint64(0))
 }
 
-func TestAvoidListForgets(t *testing.T) {
+func TestAvoidListExpiresEntries(t *testing.T) {
 	list := NewAvoidList()
 	start := time.Unix(1000, 0)
 	cell := message.CellID{Zone: "a", Pool: "pool"}
--- a/internal/core/routing/distance.go
+++ b/internal/core/routing/distance.go
@@ -1,26 +1,25 @@
 package routing
 
-// Distance is how far a zone is from this node.
+// Distance is the network proximity of a zone to this node.
 type Distance uint8
 
 // Distances, nearest first.
 const (
 	SameZone Distance = iota
 	SameRegion
-	Elsewhere
+	OtherRegion
 	distanceCount
 )
 
-// Locality is where this node stands.
+// Locality is the zone and region of this node.
 type Locality struct {
 	Zone   string
 	Region string
-	// Regions maps the known zones to their regions. A zone that is missing
-	// counts as being in another region.
+	// Regions maps zones to regions. A missing zone counts as being in another
+	// region.
 	Regions map[string]string
 }
 
-// Distance returns how far the zone is.
 func (l *Locality) Distance(zone string) Distance {
 	if zone == l.Zone {
 		return SameZone
@@ -29,11 +28,11 @@
 	if known && region == l.Region {
 		return SameRegion
 	}
-	return Elsewhere
+	return OtherRegion
 }
 
-// Nearest returns the cells of the nearest distance at which at least one cell
-// has a free slot, or all cells when none has one.
+// Nearest returns the cells at the smallest distance where at least one cell has
+// a free slot, or all cells if none has a free slot.
 func Nearest(cells []*Cell, locality *Locality) []*Cell {
 	var tiers [distanceCount][]*Cell
 	var hasFree [distanceCount]bool
@@ -51,10 +50,10 @@
 }
 
 var distanceNames = [distanceCount]string{
-	SameZone:   "zone",
-	SameRegion: "region",
-	Elsewhere:  "elsewhere",
+	SameZone:    "zone",
+	SameRegion:  "region",
+	OtherRegion: "elsewhere",
 }
 
-// String returns the distance's name for logs and metrics.
+// String returns the name used in logs and metrics.
 func (d Distance) String() string { return distanceNames[d] }
--- a/internal/core/routing/doc.go
+++ b/internal/core/routing/doc.go
@@ -1,8 +1,7 @@
-// Package routing decides which cell runs a request: it assigns engines to
-// cells, names each cell's owner, filters the cells that may run a request,
-// scores them and picks one. It has no input or output and reads no clock:
-// digests, times and random numbers come in as arguments.
+// Package routing selects the cell that runs a request: it assigns engines to
+// cells, determines each cell's owner, and filters, scores and picks cells. It
+// performs no I/O and reads no clock; digests, times and random seeds are arguments.
 //
-// Nothing here carries a promise. A wrong choice costs time: the dispatcher and
-// the engine check the version again and refuse what they may not run.
+// Routing decisions affect latency only, not correctness: the dispatcher and the
+// engine check the version again and reject requests that they may not run.
 package routing
--- a/internal/core/routing/pick.go
+++ b/internal/core/routing/pick.go
@@ -2,27 +2,26 @@
 
 import "math/rand/v2"
 
-// Strategy names a way to choose among the eligible cells.
+// Strategy selects among the eligible cells.
 type Strategy string
 
 // Strategies. The last three are baselines for experiments.
 const (
-	// StrategyDefault gathers prompts that share a prefix at one cell and
-	// falls back to StrategyPowerOfTwo.
+	// StrategyDefault uses prefix affinity and falls back to StrategyPowerOfTwo.
 	StrategyDefault Strategy = "default"
-	// StrategyPowerOfTwo takes the better of two random cells, so that nodes
-	// with the same late digests do not all run to the same cell.
+	// StrategyPowerOfTwo picks the better of two random cells, so that nodes
+	// with the same outdated digests do not all send to one cell.
 	StrategyPowerOfTwo Strategy = "power-of-two"
-	// StrategyLeastLoad takes the best score.
+	// StrategyLeastLoad picks the cell with the highest score.
 	StrategyLeastLoad Strategy = "least-load"
-	// StrategyRoundRobin takes the eligible cells in turn, near or far.
+	// StrategyRoundRobin cycles through the eligible cells regardless of distance.
 	StrategyRoundRobin Strategy = "round-robin"
-	// StrategyOneHop takes the best score, and the node's own dispatcher for
-	// every cell of its zone.
+	// StrategyOneHop picks the cell with the highest score and sends to the local
+	// dispatcher for every cell of the node's zone.
 	StrategyOneHop Strategy = "one-hop"
 )
 
-// Valid reports whether the strategy is one of the list.
+// Valid reports whether s is a known strategy.
 func (s Strategy) Valid() bool {
 	switch s {
 	case StrategyDefault, StrategyPowerOfTwo, StrategyLeastLoad, StrategyRoundRobin, StrategyOneHop:
@@ -32,17 +31,17 @@
 	}
 }
 
-// Picker chooses cells. Pickers with the same seed make the same choices. It is
-// not safe for concurrent use.
+// Picker picks cells by a strategy. Its choices are deterministic for a seed. It
+// is not safe for concurrent use.
 type Picker struct {
 	strategy Strategy
 	locality Locality
 	random   *rand.Rand
-	// turn counts the choices, for StrategyRoundRobin.
-	turn int
+	// picks counts the calls of Pick under StrategyRoundRobin.
+	picks int
 }
 
-// NewPicker returns a picker for a node that stands at the locality.
+// NewPicker returns a picker for a node at the locality.
 func NewPicker(strategy Strategy, locality Locality, seed uint64) *Picker {
 	return &Picker{
 		strategy: strategy,
@@ -51,35 +50,35 @@
 	}
 }
 
-// Pick chooses one of the eligible cells; false when there is none.
+// Pick returns one of the cells, which must be eligible; false if there are none.
 func (p *Picker) Pick(cells []*Cell, query Query) (*Cell, bool) {
 	if len(cells) == 0 {
 		return nil, false
 	}
 	if p.strategy == StrategyRoundRobin {
-		p.turn++
-		return cells[p.turn%len(cells)], true
+		p.picks++
+		return cells[p.picks%len(cells)], true
 	}
 	near := Nearest(cells, &p.locality)
 	switch p.strategy {
 	case StrategyLeastLoad, StrategyOneHop:
-		return best(near, &p.locality), true
+		return highestScore(near, &p.locality), true
 	case StrategyDefault:
-		if index := affineIndex(near, query.PrefixKey); index >= 0 {
+		if index := affinityIndexOrNone(near, query.PrefixKey); index >= 0 {
 			return near[index], true
 		}
 	}
-	return powerOfTwo(near, &p.locality, p.random), true
+	return betterOfTwo(near, &p.locality, p.random), true
 }
 
-func affineIndex(cells []*Cell, prefixKey uint64) int {
+func affinityIndexOrNone(cells []*Cell, prefixKey uint64) int {
 	if prefixKey == 0 {
 		return -1
 	}
-	return Affine(cells, prefixKey)
+	return AffinityIndex(cells, prefixKey)
 }
 
-func best(cells []*Cell, locality *Locality) *Cell {
+func highestScore(cells []*Cell, locality *Locality) *Cell {
 	chosen := 0
 	chosenScore := Score(cells[0], locality)
 	for index := 1; index < len(cells); index++ {
@@ -90,7 +89,7 @@
 	return cells[chosen]
 }
 
-func powerOfTwo(cells []*Cell, locality *Locality, random *rand.Rand) *Cell {
+func betterOfTwo(cells []*Cell, locality *Locality, random *rand.Rand) *Cell {
 	if len(cells) == 1 {
 		return cells[0]
 	}
--- a/internal/core/routing/query.go
+++ b/internal/core/routing/query.go
@@ -10,23 +10,23 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// affinityBlocks is the number of whole prompt blocks that name a prefix
-// group. Groups longer than that share a cell with their neighbours, which
-// costs little; a larger number would part prompts that share only a preamble.
-const affinityBlocks = 4
+// prefixKeyBlocks is the number of leading prompt blocks in a prefix key. More
+// blocks would separate prompts that share only a preamble.
+const prefixKeyBlocks = 4
 
-// Query is what one request asks of a cell.
+// Query describes the requirements of a request on the cell that runs it.
 type Query struct {
 	Pool  string
 	Model string
-	// MinVersion of Model; 0 accepts any version that is loaded.
+	// MinVersion is the lowest accepted version of Model; 0 accepts any loaded
+	// version.
 	MinVersion uint64
 	// Zones that may run the request; empty means any.
 	Zones []string
-	// PrefixKey is the same for prompts that share their first blocks; 0 when
-	// the prompt is too short for a prefix cache to matter.
+	// PrefixKey is equal for prompts that share their first blocks; 0 if the
+	// prompt is too short for prefix affinity.
 	PrefixKey uint64
-	// Excluded cells already refused the request.
+	// Excluded holds the cells that already refused the request.
 	Excluded map[message.CellID]struct{}
 }
 
@@ -44,7 +44,7 @@
 // PrefixKey hashes the model and the prompt's first whole blocks. It returns 0
 // for a prompt shorter than one block.
 func PrefixKey(model, prompt string) uint64 {
-	blocks := min(len(prompt)/engine.PrefixBlockBytes, affinityBlocks)
+	blocks := min(len(prompt)/engine.PrefixBlockBytes, prefixKeyBlocks)
 	if blocks == 0 {
 		return 0
 	}
@@ -55,11 +55,9 @@
 	return max(digest.Sum64(), 1)
 }
 
-// allowsZone reports whether the query's row lets the zone run it.
 func (q *Query) allowsZone(zone string) bool { return allowsZone(q.Zones, zone) }
 
-// allowsZone reports whether a list of zones holds the zone; the empty one
-// holds any.
+// allowsZone reports whether zones contains the zone; an empty list allows any.
 func allowsZone(zones []string, zone string) bool {
 	return len(zones) == 0 || slices.Contains(zones, zone)
 }
--- a/internal/core/routing/score.go
+++ b/internal/core/routing/score.go
@@ -1,21 +1,20 @@
 package routing
 
 const (
-	// regionPenalty and elsewherePenalty are the shares of a cell's slots that
-	// must be free there beyond those of a nearer cell to make up for the way.
-	regionPenalty    = 0.05
-	elsewherePenalty = 0.25
+	// A farther cell is preferred only if its free share of slots exceeds that
+	// of a nearer cell by more than the penalty.
+	sameRegionPenalty  = 0.05
+	otherRegionPenalty = 0.25
 )
 
 var distancePenalty = [distanceCount]float64{
-	SameZone:   0,
-	SameRegion: regionPenalty,
-	Elsewhere:  elsewherePenalty,
+	SameZone:    0,
+	SameRegion:  sameRegionPenalty,
+	OtherRegion: otherRegionPenalty,
 }
 
-// Score rates a cell for a request that any of the cells may run; higher is
-// better. It is the free share of the slots (1 idle, 0 full, below 0 when
-// requests wait) less a penalty for distance.
+// Score rates an eligible cell; higher is better. It is the free share of the
+// slots (1 idle, 0 full, negative if requests are queued) minus a distance penalty.
 func Score(cell *Cell, locality *Locality) float64 {
 	return 1 - cell.Load() - distancePenalty[locality.Distance(cell.Digest.Cell.Zone)]
 }
--- a/internal/core/routing/tracker.go
+++ b/internal/core/routing/tracker.go
@@ -6,8 +6,8 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// Tracker remembers for each cell when its last digest arrived and how many
-// submissions followed. It is not safe for concurrent use.
+// Tracker records, per cell, when the last digest arrived and how many requests
+// were submitted since. It is not safe for concurrent use.
 type Tracker struct {
 	cells map[message.CellID]*trackedCell
 }
@@ -19,13 +19,12 @@
 	pending   int
 }
 
-// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{cells: make(map[message.CellID]*trackedCell)}
 }
 
-// Update takes the digests known now and returns them as cells. A cell that is
-// no longer among the digests is forgotten. The result points to the digests.
+// Update returns a Cell per current digest and drops the state of all other
+// cells. The result references the digests.
 func (t *Tracker) Update(digests []*message.CellDigest, now time.Time) []Cell {
 	cells := make([]Cell, 0, len(digests))
 	for _, digest := range digests {
@@ -37,27 +36,27 @@
 		})
 	}
 	if len(t.cells) > len(digests) {
-		t.forget(digests)
+		t.removeMissing(digests)
 	}
 	return cells
 }
 
-// Submitted counts one submission to the cell until its next digest.
+// Submitted counts a submission to the cell as pending until its next digest.
 func (t *Tracker) Submitted(cell message.CellID) {
 	if tracked, known := t.cells[cell]; known {
 		tracked.pending++
 	}
 }
 
-// Refused takes back one submission that the cell did not take.
+// Refused removes a pending submission that the cell refused.
 func (t *Tracker) Refused(cell message.CellID) {
 	if tracked, known := t.cells[cell]; known && tracked.pending > 0 {
 		tracked.pending--
 	}
 }
 
-// track returns the entry of the digest's cell. A new digest resets the
-// submissions: the dispatcher's own count holds them from then on.
+// track returns the entry of the digest's cell. A new digest resets the pending
+// count, since the dispatcher's counts now include those requests.
 func (t *Tracker) track(digest *message.CellDigest, now time.Time) *trackedCell {
 	tracked, known := t.cells[digest.Cell]
 	if !known {
@@ -74,7 +73,7 @@
 	return tracked
 }
 
-func (t *Tracker) forget(digests []*message.CellDigest) {
+func (t *Tracker) removeMissing(digests []*message.CellDigest) {
 	present := make(map[message.CellID]struct{}, len(digests))
 	for _, digest := range digests {
 		present[digest.Cell] = struct{}{}
--- a/internal/core/routing/version.go
+++ b/internal/core/routing/version.go
@@ -5,8 +5,8 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// NewestVersion returns the newest version of the model that an engine in
-// service holds by the digests; 0 when none holds the model.
+// NewestVersion returns the newest version of the model on any engine in
+// service according to the digests; 0 if no engine has the model.
 func NewestVersion(model string, digests []message.CellDigest) uint64 {
 	newest := uint64(0)
 	for index := range digests {
@@ -19,9 +19,9 @@
 	return newest
 }
 
-// WantedVersion returns the version that the row asks for: the pinned one, or
-// the newest that the digests tell of (0 when they tell of none).
-func WantedVersion(row policy.Row, digests []message.CellDigest) uint64 {
+// TargetVersion returns the row's pinned version or, for VersionLatest, the
+// newest version in the digests (0 if there is none).
+func TargetVersion(row policy.Row, digests []message.CellDigest) uint64 {
 	if row.Version != policy.VersionLatest {
 		return row.Version
 	}
@@ -29,75 +29,73 @@
 }
 
 // MinVersion returns the lowest version that may run a request of a live row:
-// the one in force in the row's pool less the row's staleness. It returns 0,
-// which accepts any, when the row sets no bound or no version is known.
+// the effective version minus the row's staleness bound. It returns 0, which
+// accepts any version, if the row sets no bound or no version is known.
 func MinVersion(row policy.Row, digests []message.CellDigest) uint64 {
 	if row.Staleness < 0 {
 		return 0
 	}
-	inForce := VersionInForce(row, digests)
+	effective := EffectiveVersion(row, digests)
 	staleness := uint64(row.Staleness)
-	if staleness >= inForce {
+	if staleness >= effective {
 		return 0
 	}
-	return inForce - staleness
+	return effective - staleness
 }
 
-// VersionInForce returns the newest version, up to the wanted one, that enough
-// of the pool's engines hold or have passed: the row's floor, and at least one.
-// While weights change, the first engines at a new version would else get all
-// requests of a row without slack, and the others none. When no version has
-// enough engines, as most of them load or failed, it is the oldest one held; 0
-// when the digests tell of none.
-func VersionInForce(row policy.Row, digests []message.CellDigest) uint64 {
-	held := newHeldVersions(row, digests)
-	enough := max(1, (held.engines*row.Floor+wholePercent-1)/wholePercent)
-	wanted := WantedVersion(row, digests)
-	inForce, oldest := uint64(0), uint64(0)
-	for version := range held.enginesAt {
+// EffectiveVersion returns the newest version, up to the target, that the row's floor
+// of the pool's engines (at least one) have reached, so that the first engines updated
+// don't receive all requests of a row with zero staleness. If no version qualifies, it
+// returns the oldest loaded version up to the target; 0 if none is loaded.
+func EffectiveVersion(row policy.Row, digests []message.CellDigest) uint64 {
+	counts := countEngineVersions(row, digests)
+	quorum := max(1, (counts.engines*row.Floor+percentScale-1)/percentScale)
+	target := TargetVersion(row, digests)
+	effective, oldest := uint64(0), uint64(0)
+	for version := range counts.byVersion {
 		if oldest == 0 || version < oldest {
 			oldest = version
 		}
-		candidate := min(version, wanted)
-		if candidate > inForce && held.atLeast(candidate) >= enough {
-			inForce = candidate
+		candidate := min(version, target)
+		if candidate > effective && counts.enginesAtLeast(candidate) >= quorum {
+			effective = candidate
 		}
 	}
-	if inForce == 0 {
-		return min(oldest, wanted)
+	if effective == 0 {
+		return min(oldest, target)
 	}
-	return inForce
+	return effective
 }
 
-const wholePercent = 100
+const percentScale = 100
 
-// heldVersions counts the engines that may run a row.
-type heldVersions struct {
-	// engines counts those in service, with or without the model.
+// engineVersions counts the engines that may run a row.
+type engineVersions struct {
+	// engines counts all engines in service, with or without the model.
 	engines   int
-	enginesAt map[uint64]int
+	byVersion map[uint64]int
 }
 
-func newHeldVersions(row policy.Row, digests []message.CellDigest) heldVersions {
-	held := heldVersions{enginesAt: make(map[uint64]int)}
+func countEngineVersions(row policy.Row, digests []message.CellDigest) engineVersions {
+	counts := engineVersions{byVersion: make(map[uint64]int)}
 	for index := range digests {
 		digest := &digests[index]
 		if digest.Cell.Pool != row.Pool || !allowsZone(row.Zones, digest.Cell.Zone) {
 			continue
 		}
-		held.engines += digest.Engines
+		counts.engines += digest.Engines
 		for _, count := range digest.Models {
 			if count.Model == row.Model && count.Engines > 0 {
-				held.enginesAt[count.Version] += count.Engines
+				counts.byVersion[count.Version] += count.Engines
 			}
 		}
 	}
-	return held
+	return counts
 }
 
-func (h *heldVersions) atLeast(version uint64) int {
+func (h *engineVersions) enginesAtLeast(version uint64) int {
 	engines := 0
-	for at, count := range h.enginesAt {
+	for at, count := range h.byVersion {
 		if at >= version {
 			engines += count
 		}
