--- a/internal/core/policy/change.go
+++ b/internal/core/policy/change.go
@@ -1,7 +1,7 @@
 package policy
 
-// RowChange is one row that differs between two tables. Before is nil for an
-// added row, After for a removed one.
+// RowChange is the change of one row between two tables. Before is nil for an
+// added row, After is nil for a removed row.
 type RowChange struct {
 	Service string   `msgpack:"s" json:"service"`
 	Before  *Row     `msgpack:"b,omitempty" json:"before,omitempty"`
@@ -9,7 +9,8 @@
 	Columns []string `msgpack:"c,omitempty" json:"columns,omitempty"`
 }
 
-// Problem is one mistake in a CSV table. Line counts from 1 (the header).
+// Problem is a validation error in a CSV table. Line is 1-based; the header is
+// line 1.
 type Problem struct {
 	Line     int    `msgpack:"l" json:"line"`
 	Service  string `msgpack:"s,omitempty" json:"service,omitempty"`
--- a/internal/core/policy/csv_cell.go
+++ b/internal/core/policy/csv_cell.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Names of the columns, as in Columns.
+// Column names, as in Columns.
 const (
 	columnService    = "service"
 	columnKind       = "kind"
@@ -22,15 +22,14 @@
 	columnFloor      = "floor"
 )
 
-// cellParser turns the cells of one line into values and notes each mistake.
+// cellParser parses the cells of one line and collects the problems.
 type cellParser struct {
 	cells    map[string]string
 	problems []Problem
 }
 
-// parseRow parses the cells of one line, by column, and validates the row.
-// Cells that do not parse are reported once; the row's other values are still
-// validated.
+// parseRow parses the cells of one line, keyed by column, and validates the row.
+// A cell that fails to parse is reported once and not validated further.
 func parseRow(cells map[string]string) (Row, []Problem) {
 	parser := &cellParser{cells: cells}
 	row := Row{
@@ -41,7 +40,7 @@
 		Version:    parser.version(),
 		Priority:   parser.number(columnPriority),
 		Share:      parser.number(columnShare),
-		Staleness:  parser.optionalNumber(columnStaleness, unboundStaleness),
+		Staleness:  parser.optionalNumber(columnStaleness, unboundedStaleness),
 		Cap:        parser.optionalNumber(columnCap, uncapped),
 		Repeatable: parser.yesOrNo(columnRepeatable),
 		Zones:      parser.zones(),
@@ -75,7 +74,7 @@
 }
 
 func (p *cellParser) number(column string) int {
-	// Out of the range of int32 is out of every column's range.
+	// Every column's range fits in 32 bits.
 	value, err := strconv.ParseInt(p.cells[column], 10, 32)
 	if err != nil {
 		p.addProblem(column)
@@ -84,8 +83,8 @@
 	return int(value)
 }
 
-// optionalNumber parses a number of 0 or more, or "-" as the given value, so
-// that neither form can be written as the other.
+// optionalNumber parses a non-negative number, or "-" as none. It rejects none
+// written as a number, so that every value has one textual form.
 func (p *cellParser) optionalNumber(column string, none int) int {
 	if p.cells[column] == cellNone {
 		return none
@@ -138,7 +137,7 @@
 	return zones
 }
 
-// FormatCSV writes rows in the CSV form that ParseCSV reads, in their order.
+// FormatCSV encodes rows, in the given order, in the CSV form that ParseCSV reads.
 func FormatCSV(rows []Row) string {
 	var text strings.Builder
 	writer := csv.NewWriter(&text)
@@ -151,7 +150,7 @@
 	return text.String()
 }
 
-// Cells returns the row's cells in the CSV form, in the order of Columns.
+// Cells returns the row's CSV cells in the order of Columns.
 func (r Row) Cells() []string {
 	return []string{
 		r.Service,
@@ -161,7 +160,7 @@
 		formatVersion(r.Version),
 		strconv.Itoa(r.Priority),
 		strconv.Itoa(r.Share),
-		formatOptional(r.Staleness, unboundStaleness),
+		formatOptional(r.Staleness, unboundedStaleness),
 		formatOptional(r.Cap, uncapped),
 		formatYesOrNo(r.Repeatable),
 		formatZones(r.Zones),
@@ -197,8 +196,8 @@
 	return strings.Join(zones, zoneSeparator)
 }
 
-// FormatRevisionComment returns the line that ParseRevisionComment reads; it
-// goes before the header.
+// FormatRevisionComment returns the comment line that ParseRevisionComment reads;
+// it precedes the header.
 func FormatRevisionComment(revision int64) string {
 	return revisionComment + strconv.FormatInt(revision, 10) + "\n"
 }
--- a/internal/core/policy/csv_parse.go
+++ b/internal/core/policy/csv_parse.go
@@ -12,32 +12,32 @@
 	"github.com/go-faster/errors"
 )
 
-// MaxProblems bounds the mistakes that ParseCSV and Validate report at once.
+// MaxProblems bounds the problems that ParseCSV and Validate return.
 const MaxProblems = 1000
 
-// maxProblemValue bounds, in bytes, the value that a Problem repeats.
+// maxProblemValue bounds Problem.Value, in bytes.
 const maxProblemValue = 80
 
 const (
-	byteOrderMark    = "\uFEFF"
-	commentMark      = '#'
-	revisionComment  = "# revision "
-	zoneSeparator    = ";"
-	cellNone         = "-"
-	cellAnyZone      = "*"
-	cellLatest       = "latest"
-	cellYes          = "yes"
-	cellNo           = "no"
-	unboundStaleness = -1
-	uncapped         = 0
+	byteOrderMark      = "\uFEFF"
+	commentMark        = '#'
+	revisionComment    = "# revision "
+	zoneSeparator      = ";"
+	cellNone           = "-"
+	cellAnyZone        = "*"
+	cellLatest         = "latest"
+	cellYes            = "yes"
+	cellNo             = "no"
+	unboundedStaleness = -1
+	uncapped           = 0
 )
 
-// ParseCSV reads the CSV form of a table. It returns the rows sorted by
-// service, or every mistake that it finds (then the rows are not usable).
+// ParseCSV parses the CSV form of a table. It returns either the rows sorted by
+// service or all problems found, at most MaxProblems.
 //
-// What spreadsheets add is tolerated: a byte order mark, CRLF, blank lines,
-// lines of empty cells, spaces around cells and another order of columns.
-// Lines that start with '#' are comments.
+// Spreadsheet exports are accepted: a byte order mark, CRLF, blank lines, lines
+// of empty cells, spaces around cells and reordered columns. Lines that start
+// with '#' are comments.
 func ParseCSV(text string) ([]Row, []Problem) {
 	parser := &csvParser{reader: newCSVReader(text)}
 	parser.readHeader()
@@ -51,8 +51,8 @@
 	return parser.rows, nil
 }
 
-// ParseRevisionComment returns the revision named by a leading comment line
-// "# revision N", as "corkctl table show --csv" writes it.
+// ParseRevisionComment returns the revision in a leading comment line
+// "# revision N", as written by "corkctl table show --csv".
 func ParseRevisionComment(text string) (int64, bool) {
 	for line := range strings.Lines(strings.TrimPrefix(text, byteOrderMark)) {
 		line = strings.TrimSpace(line)
@@ -63,7 +63,7 @@
 		if !found {
 			return 0, false
 		}
-		// A spreadsheet pads the comment with empty cells.
+		// Spreadsheets pad the comment line with empty cells.
 		number = strings.TrimSpace(strings.TrimRight(number, ","))
 		revision, err := strconv.ParseInt(number, 10, 64)
 		return revision, err == nil && revision >= 0
@@ -78,23 +78,24 @@
 	return reader
 }
 
-// csvParser collects rows and problems while it reads line by line.
+// csvParser reads a table line by line and collects rows and problems.
 type csvParser struct {
 	reader   *csv.Reader
-	columns  []string // of each field, as the header names them
+	columns  []string // column names in header order
 	rows     []Row
-	lines    []int // of each row
+	lines    []int // line numbers, parallel to rows
 	problems []Problem
 }
 
 func (p *csvParser) addProblem(problem Problem) {
 	if len(p.problems) < MaxProblems {
-		problem.Value = shorten(problem.Value)
+		problem.Value = truncate(problem.Value)
 		p.problems = append(p.problems, problem)
 	}
 }
 
-// next returns the next line that is not blank; false at the end.
+// next returns the next non-blank line; more is false at the end of the input or
+// after MaxProblems problems.
 func (p *csvParser) next() (fields []string, line int, more bool) {
 	for len(p.problems) < MaxProblems {
 		fields, err := p.reader.Read()
@@ -132,7 +133,7 @@
 func (p *csvParser) readHeader() {
 	fields, line, more := p.next()
 	if len(p.problems) > 0 {
-		return // the line after a broken header is no header
+		return // the header is malformed; don't parse the following line as a header
 	}
 	if !more {
 		p.addProblem(Problem{Line: 1, Expected: "a header line: " + strings.Join(Columns, ",")})
@@ -155,7 +156,7 @@
 func (p *csvParser) addColumn(line int, column string) {
 	switch {
 	case column == "":
-		// A spreadsheet may add empty columns at the right.
+		// Spreadsheets may append empty columns.
 	case !slices.Contains(Columns, column):
 		p.addProblem(Problem{Line: line, Column: column, Value: column, Expected: "one of " + strings.Join(Columns, ",")})
 	case slices.Contains(p.columns, column):
@@ -176,7 +177,7 @@
 			return
 		}
 	}
-	p.findDuplicates()
+	p.reportDuplicates()
 }
 
 func (p *csvParser) addRow(fields []string, line int) {
@@ -195,14 +196,14 @@
 	row, problems := parseRow(cells)
 	for _, problem := range problems {
 		problem.Line = line
-		problem.Service = shorten(cells[columnService])
+		problem.Service = truncate(cells[columnService])
 		p.addProblem(problem)
 	}
 	p.rows = append(p.rows, row)
 	p.lines = append(p.lines, line)
 }
 
-func (p *csvParser) findDuplicates() {
+func (p *csvParser) reportDuplicates() {
 	first := make(map[string]int, len(p.rows))
 	for i, row := range p.rows {
 		line, seen := first[row.Service]
@@ -211,7 +212,7 @@
 			continue
 		}
 		if row.Service == "" {
-			continue // reported as an empty cell
+			continue // already reported as an invalid cell
 		}
 		p.addProblem(Problem{
 			Line: p.lines[i], Service: row.Service, Column: columnService, Value: row.Service,
@@ -220,8 +221,9 @@
 	}
 }
 
-// shorten bounds a value without cutting a character in two.
-func shorten(value string) string {
+// truncate shortens value to at most maxProblemValue bytes plus an ellipsis,
+// cutting at a rune boundary.
+func truncate(value string) string {
 	if len(value) <= maxProblemValue {
 		return value
 	}
--- a/internal/core/policy/csv_test.go
+++ b/internal/core/policy/csv_test.go
@@ -13,7 +13,7 @@
 
 const sampleHeader = "service,kind,pool,model,version,priority,share,staleness,cap,repeatable,zones,floor\n"
 
-func TestParseCSVToleratesSpreadsheets(t *testing.T) {
+func TestParseCSVAcceptsSpreadsheetExports(t *testing.T) {
 	text := "\uFEFF# revision 7,,,,,,,,,,,\r\n" +
 		"\r\n" +
 		"Kind,service,pool,model,version,priority,share,staleness,cap,repeatable,zones,floor,\r\n" +
@@ -37,7 +37,7 @@
 	assert.Equal(t, revision, int64(7))
 }
 
-func TestParseCSVReportsEveryMistakeAtOnce(t *testing.T) {
+func TestParseCSVReportsAllProblems(t *testing.T) {
 	text := sampleHeader +
 		"good,live,p,m,latest,0,1,-,-,yes,*,0\n" +
 		"Bad_Name,neither,,m,0,10,0,-2,0,maybe,a;a,101\n" +
@@ -56,9 +56,9 @@
 		// Line 3.
 		"iii:cap:0", "iii:floor:101", "iii:kind:neither", "iii:pool:", "iii:priority:10", "iii:repeatable:maybe",
 		"iii:service:Bad_Name", "iii:share:0", "iii:staleness:-2", "iii:version:0", "iii:zones:a;a",
-		// Line 4: a trainer needs a bound and repeats; the name stands twice.
+		// Line 4: a trainer must have a bound and be repeatable; duplicate service.
 		"iiii::extra", "iiii:repeatable:no", "iiii:service:good", "iiii:staleness:-", "iiii:zones:a;;b",
-		// Line 5 is no CSV; line 6 lacks ten cells.
+		// Line 5 is malformed CSV; line 6 lacks ten cells.
 		"iiiii::",
 		"iiiiii:cap:", "iiiiii:floor:", "iiiiii:model:", "iiiiii:pool:", "iiiiii:priority:", "iiiiii:repeatable:",
 		"iiiiii:share:", "iiiiii:staleness:", "iiiiii:version:", "iiiiii:zones:",
@@ -67,7 +67,7 @@
 	assert.DeepEqual(t, found, wanted)
 }
 
-func TestParseCSVChecksTheHeader(t *testing.T) {
+func TestParseCSVRejectsInvalidHeader(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty":      "\r\n\r\n",
 		"semicolons": strings.ReplaceAll(sampleHeader, ",", ";"),
@@ -93,7 +93,7 @@
 	})
 }
 
-// rowsGenerator draws valid tables of up to five services.
+// rowsGenerator generates valid tables of up to five services.
 func rowsGenerator() *rapid.Generator[[]Row] {
 	return rapid.SliceOfNDistinct(rowGenerator(), 0, 5, func(row Row) string { return row.Service })
 }
@@ -114,7 +114,7 @@
 			Floor:      rapid.IntRange(0, MaxFloor).Draw(t, "floor"),
 		}
 		row.Repeatable = row.Repeatable || row.Kind == KindTrainer
-		row.Staleness = rapid.IntRange(lowestStaleness(row.Kind), MaxStaleness).Draw(t, "staleness")
+		row.Staleness = rapid.IntRange(minStaleness(row.Kind), MaxStaleness).Draw(t, "staleness")
 		return row
 	})
 }
--- a/internal/core/policy/diff.go
+++ b/internal/core/policy/diff.go
@@ -7,16 +7,17 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrChangeMismatch: a change does not fit the rows that it is applied to.
+// ErrChangeMismatch is returned when a change is inconsistent with the rows that
+// it is applied to.
 var ErrChangeMismatch = errors.New("policy: change does not fit the table")
 
-// Equal reports whether two rows have the same values.
+// Equal reports whether all columns of the two rows are equal.
 func (r Row) Equal(other Row) bool {
 	return len(changedColumns(r, other)) == 0
 }
 
-// Diff returns the rows that differ between two tables, sorted by service.
-// Each table has at most one row for a service.
+// Diff returns the row changes from before to after, sorted by service. Each
+// table must have at most one row per service.
 func Diff(before, after []Row) []RowChange {
 	old := rowsByService(before)
 	var changes []RowChange
@@ -37,8 +38,8 @@
 	return changes
 }
 
-// Compact returns the changes without what ApplyChanges does not need: the
-// rows before and the names of the columns.
+// Compact returns the changes without Before and Columns, which ApplyChanges
+// doesn't need.
 func Compact(changes []RowChange) []RowChange {
 	compact := make([]RowChange, len(changes))
 	for i, change := range changes {
@@ -47,10 +48,10 @@
 	return compact
 }
 
-// ApplyChanges returns the rows, sorted by service, after the changes. A
-// change without After removes its row. The given rows are not touched. The
-// error is ErrChangeMismatch: a service is changed twice, a removed row does
-// not exist, or a row is not as Before says.
+// ApplyChanges returns the rows with the changes applied, sorted by service. A
+// change without After removes its row. The input rows are not modified. It
+// returns ErrChangeMismatch if a service is changed twice, a removed row does
+// not exist, After names another service, or a row differs from Before.
 func ApplyChanges(rows []Row, changes []RowChange) ([]Row, error) {
 	result := rowsByService(rows)
 	seen := make(map[string]bool, len(changes))
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// Conflicts returns the rows that were changed by others between base and
-// current and that the proposed table would set back or set to something else.
+// Conflicts returns the changes between base and current that the proposed table
+// would revert or overwrite.
 func Conflicts(base, current, proposed []Row) []RowChange {
 	wanted := rowsByService(proposed)
 	var conflicts []RowChange
@@ -97,8 +98,8 @@
 	return conflicts
 }
 
-// reverse returns the changes that undo the given ones.
-func reverse(changes []RowChange) []RowChange {
+// invertChanges returns the changes that undo the given ones.
+func invertChanges(changes []RowChange) []RowChange {
 	reversed := make([]RowChange, len(changes))
 	for i, change := range changes {
 		reversed[i] = RowChange{Service: change.Service, Before: change.After, After: change.Before}
@@ -115,7 +116,7 @@
 	}
 }
 
-// changedColumns compares rows cell by cell, in the order of Columns.
+// changedColumns returns the columns whose cells differ, in the order of Columns.
 func changedColumns(before, after Row) []string {
 	old, current := before.Cells(), after.Cells()
 	var columns []string
@@ -134,8 +135,8 @@
 	return a.Equal(*b)
 }
 
-// copyRow returns a row that shares nothing with the original. No zones are
-// always stored as nil, so that equal rows have one encoding.
+// copyRow returns a deep copy. Empty zones become nil, so that equal rows have
+// equal encodings.
 func copyRow(row *Row) *Row {
 	duplicate := *row
 	duplicate.Zones = append([]string(nil), row.Zones...)
--- a/internal/core/policy/diff_test.go
+++ b/internal/core/policy/diff_test.go
@@ -18,22 +18,22 @@
 			assert.NilError(t, err)
 			assert.Equal(t, len(Diff(rows, after)), 0)
 		}
-		rows, err := ApplyChanges(after, reverse(changes))
+		rows, err := ApplyChanges(after, invertChanges(changes))
 		assert.NilError(t, err)
 		assert.Equal(t, len(Diff(rows, before)), 0)
 	})
 }
 
-func TestApplyChangesRefusesWhatDoesNotFit(t *testing.T) {
+func TestApplyChangesRejectsMismatch(t *testing.T) {
 	row := Row{Service: "a", Pool: "p"}
 	other := Row{Service: "a", Pool: "q"}
 	for name, changes := range map[string][]RowChange{
 		"twice":        {{Service: "a", After: &row}, {Service: "a", After: &other}},
 		"absent":       {{Service: "b"}},
 		"misplaced":    {{Service: "b", After: &row}},
-		"moved on":     {{Service: "a", Before: &other, After: &row}},
-		"not there":    {{Service: "b", Before: &Row{Service: "b"}, After: &Row{Service: "b"}}},
-		"removed late": {{Service: "a", Before: &other}},
+		"row changed":  {{Service: "a", Before: &other, After: &row}},
+		"row missing":  {{Service: "b", Before: &Row{Service: "b"}, After: &Row{Service: "b"}}},
+		"stale remove": {{Service: "a", Before: &other}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ApplyChanges([]Row{row}, changes)
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestConflictsNameWhatOthersChanged(t *testing.T) {
+func TestConflictsListsConcurrentChanges(t *testing.T) {
 	row := func(service, pool string) Row { return Row{Service: service, Pool: pool} }
 	base := []Row{row("same", "1"), row("theirs", "1"), row("both", "1"), row("agreed", "1"), row("gone", "1")}
 	current := []Row{row("same", "1"), row("theirs", "2"), row("both", "2"), row("agreed", "2"), row("new", "1")}
--- a/internal/core/policy/proposal.go
+++ b/internal/core/policy/proposal.go
@@ -8,10 +8,10 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// KindProposal is the kind of the config stream's records.
+// KindProposal is the record kind of a Proposal in the config stream.
 const KindProposal logrecord.Kind = "proposal"
 
-// Bounds, in bytes, of the texts of a proposal.
+// Length limits of a proposal's strings, in bytes.
 const (
 	MaxProposalID = 128
 	MaxOperator   = 128
@@ -22,30 +22,31 @@
 
 // Proposal is the body of KindProposal: an edit of the table.
 type Proposal struct {
-	// ProposalID names the edit, 1..MaxProposalID bytes. Of several records
-	// with the same ID only the first is judged.
+	// ProposalID identifies the edit, 1..MaxProposalID bytes. Of several records
+	// with the same ID only the first is evaluated.
 	ProposalID string `msgpack:"id"`
-	// BaseRevision is the revision that the edit started from.
+	// BaseRevision is the revision that the edit is based on.
 	BaseRevision int64 `msgpack:"b"`
-	// Changes from the base, at most one for a service, each with a row
-	// before, after or both. Compact is enough.
+	// Changes relative to the base, at most one per service, each with Before,
+	// After or both. The form that Compact returns is sufficient.
 	Changes RowChanges `msgpack:"c"`
-	// Operator and UnixMS tell who proposed it, and when by the clock of the
-	// proposing node; neither has an influence on the verdict.
+	// Operator and UnixMS record who proposed the edit and when, by the clock of
+	// the proposing node. They don't affect the verdict.
 	Operator string `msgpack:"o,omitempty"`
 	UnixMS   int64  `msgpack:"t,omitempty"`
 }
 
-// RowChanges is the list of a proposal's changes. It decodes itself: msgpack
-// would allocate whatever length a damaged record announces.
+// RowChanges is the list of a proposal's changes. Its custom decoder bounds the
+// allocation: msgpack would trust the length field of a corrupted record.
 type RowChanges []RowChange
 
 var _ msgpack.CustomDecoder = (*RowChanges)(nil)
 
-// maxChanges: all rows of one table go and all rows of another come.
+// maxChanges allows for replacing every row of a full table.
 const maxChanges = 2 * MaxRows
 
-// DecodeMsgpack decodes at most maxChanges changes.
+// DecodeMsgpack implements msgpack.CustomDecoder. It fails on more than
+// maxChanges changes.
 func (c *RowChanges) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	length, err := decoder.DecodeArrayLen()
 	if err != nil {
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// DecodeProposal decodes the body of a record and checks its bounds. It does
-// not judge the rows.
+// DecodeProposal decodes the body of a record and checks its limits. It does not
+// validate the rows. Errors wrap ErrMalformedProposal.
 func DecodeProposal(record logrecord.Record) (Proposal, error) {
 	var proposal Proposal
 	if err := logrecord.DecodeBody(record, &proposal); err != nil {
@@ -78,8 +79,8 @@
 	return proposal, nil
 }
 
-// Check returns an error that wraps ErrMalformedProposal when the proposal is
-// outside its bounds, so that no replica would judge it.
+// Check returns an error that wraps ErrMalformedProposal if the proposal exceeds
+// its limits; replicas reject such a proposal without evaluating it.
 func (p *Proposal) Check() error {
 	switch {
 	case p.ProposalID == "" || len(p.ProposalID) > MaxProposalID:
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// Fingerprint identifies what is proposed (base and changes), whoever proposes
-// it and when. Two edits under one ProposalID are told apart by it.
+// Fingerprint hashes the content of the proposal (base and changes). It
+// distinguishes different edits submitted under the same ProposalID.
 func (p *Proposal) Fingerprint() (uint64, error) {
 	content := Proposal{BaseRevision: p.BaseRevision, Changes: Compact(p.Changes)}
 	sortChanges(content.Changes)
--- a/internal/core/policy/reducer.go
+++ b/internal/core/policy/reducer.go
@@ -9,21 +9,21 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// SnapshotFormat is the version of the encoding that Reducer.Snapshot gives.
+// SnapshotFormat is the version of the encoding returned by Reducer.Snapshot.
 const SnapshotFormat = 1
 
-// Bounds of what a Reducer remembers.
+// Limits of the state retained by a Reducer.
 const (
-	// MaxHistory bounds the accepted revisions that are kept.
+	// MaxHistory bounds the retained accepted revisions.
 	MaxHistory = 1000
-	// maxHistoryChanges bounds the row changes over all kept revisions, so
-	// that a snapshot stays small when whole tables are replaced.
+	// maxHistoryChanges bounds the row changes over all retained revisions, to
+	// limit the snapshot size when whole tables are replaced.
 	maxHistoryChanges = 20_000
-	// maxDecisions bounds the verdicts that are kept for repeated proposals.
+	// maxDecisions bounds the decisions retained to answer repeated proposals.
 	maxDecisions = 2000
 )
 
-// Accepted is one accepted revision.
+// Accepted is an accepted revision of the table.
 type Accepted struct {
 	Revision   int64       `msgpack:"rev"`
 	Base       int64       `msgpack:"b"`
@@ -33,56 +33,58 @@
 	Changes    []RowChange `msgpack:"c"`
 }
 
-// Judgement is what the reducer decided about a proposal.
+// Judgement is the outcome of evaluating a proposal.
 type Judgement uint8
 
-// The judgements of a proposal.
+// Outcomes of a proposal.
 const (
-	// JudgedAccepted: the proposal is a revision of the table.
+	// JudgedAccepted means that the proposal became a revision of the table.
 	JudgedAccepted Judgement = iota + 1
-	// JudgedStale: its base was not the revision in force.
+	// JudgedStale means that its base was not the current revision.
 	JudgedStale
-	// JudgedInvalid: its changes do not fit the base, or give an invalid table.
+	// JudgedInvalid means that its changes are inconsistent with the base or
+	// result in an invalid table.
 	JudgedInvalid
 )
 
-// Decision is the judgement of the first record with a ProposalID.
+// Decision is the outcome of the first record with a given ProposalID.
 type Decision struct {
 	ProposalID string    `msgpack:"id"`
 	Judgement  Judgement `msgpack:"j"`
-	// Revision is the new revision when accepted, else the one in force then.
+	// Revision is the new revision if accepted, otherwise the revision that was
+	// current when the proposal was evaluated.
 	Revision    int64  `msgpack:"rev"`
 	Fingerprint uint64 `msgpack:"f"`
-	// Problems, at most maxDecisionProblems, when the table was invalid.
+	// Problems has at most maxDecisionProblems entries; JudgedInvalid only.
 	Problems []Problem `msgpack:"p,omitempty"`
 }
 
-// maxDecisionProblems bounds the mistakes kept with a decision; the node that
-// proposes reports all of them before it appends anything.
+// maxDecisionProblems bounds the problems retained per decision. The proposing
+// node validates first and reports all of them to the operator.
 const maxDecisionProblems = 20
 
-// Reducer is the state machine of the config stream (logstream.Reducer). The
-// first valid proposal that names the revision in force wins; its revision is
-// its offset + 1. The zero value is ready.
+// Reducer is the state machine of the config stream and implements
+// logstream.Reducer. The first valid proposal based on the current revision is
+// accepted; the new revision is its offset + 1. The zero value is ready to use.
 //
-// Invariants: the revision only rises; the state depends on the records alone;
-// no edit is accepted twice, whatever is forgotten, since the base of an
-// accepted one is never in force again. So the bounds on decisions and writers
-// cost at worst the exact wording of a refusal.
+// Invariants: the revision only increases; the state depends only on the records;
+// no edit is accepted twice, even after its decision was evicted, since the base
+// of an accepted edit is never the current revision again. Evicting decisions
+// and writers therefore affects only the reported reason of a rejection.
 type Reducer struct {
 	table     *Table
 	sequences logrecord.Sequences
-	history   []Accepted // rising revisions
-	decisions []Decision // in the order of judgement, one for an ID
+	history   []Accepted // ascending revisions
+	decisions []Decision // oldest first, one per ProposalID
 }
 
-// emptyTable is in force before any proposal was accepted.
+// emptyTable is the table before the first accepted proposal.
 var emptyTable = &Table{}
 
-// Apply applies one record.
+// Apply applies the record at the offset and returns its verdict.
 func (r *Reducer) Apply(offset int64, record logrecord.Record) logrecord.Verdict {
 	if record.Kind == logrecord.KindSnapshot {
-		// A snapshot only repeats the state; it must not change it.
+		// A snapshot record repeats the state and must not change it.
 		return logrecord.Accepted
 	}
 	if verdict := r.sequences.Admit(offset, record); verdict != logrecord.Accepted {
@@ -97,8 +99,8 @@
 	}
 	decision, known := r.Decision(proposal.ProposalID)
 	if !known {
-		decision = r.judge(offset, proposal)
-		r.remember(decision)
+		decision = r.evaluate(offset, proposal)
+		r.recordDecision(decision)
 	}
 	if decision.Judgement != JudgedAccepted {
 		return logrecord.Invalid
@@ -106,7 +108,7 @@
 	return logrecord.Accepted
 }
 
-// Table returns the revision in force as of the last applied record.
+// Table returns the current revision as of the last applied record.
 func (r *Reducer) Table() *Table {
 	if r.table == nil {
 		return emptyTable
@@ -114,7 +116,8 @@
 	return r.table
 }
 
-// Decision returns the judgement of a proposal, as long as it is remembered.
+// Decision returns the decision on a proposal; false if there is none or it was
+// evicted.
 func (r *Reducer) Decision(proposalID string) (Decision, bool) {
 	for i := len(r.decisions) - 1; i >= 0; i-- {
 		if r.decisions[i].ProposalID == proposalID {
@@ -124,7 +127,7 @@
 	return Decision{}, false
 }
 
-// History returns up to limit accepted revisions, the newest first.
+// History returns up to limit accepted revisions, newest first.
 func (r *Reducer) History(limit int) []Accepted {
 	limit = max(0, min(limit, len(r.history)))
 	newest := make([]Accepted, 0, limit)
@@ -134,7 +137,7 @@
 	return newest
 }
 
-// Accepted returns one accepted revision, as long as it is remembered.
+// Accepted returns an accepted revision; false if it is unknown or was evicted.
 func (r *Reducer) Accepted(revision int64) (Accepted, bool) {
 	for i := len(r.history) - 1; i >= 0; i-- {
 		if r.history[i].Revision == revision {
@@ -144,8 +147,8 @@
 	return Accepted{}, false
 }
 
-// TableAt returns the table of an earlier revision, as long as the history
-// reaches back to it.
+// TableAt reconstructs the table of an earlier revision; false if the retained
+// history doesn't reach back to it.
 func (r *Reducer) TableAt(revision int64) (*Table, bool) {
 	table := r.Table()
 	if revision == table.Revision {
@@ -153,7 +156,7 @@
 	}
 	rows := table.Rows
 	for i := len(r.history) - 1; i >= 0; i-- {
-		earlier, err := ApplyChanges(rows, reverse(r.history[i].Changes))
+		earlier, err := ApplyChanges(rows, invertChanges(r.history[i].Changes))
 		if err != nil {
 			return nil, false
 		}
@@ -165,7 +168,7 @@
 	return nil, false
 }
 
-func (r *Reducer) judge(offset int64, proposal Proposal) Decision {
+func (r *Reducer) evaluate(offset int64, proposal Proposal) Decision {
 	current := r.Table()
 	decision := Decision{ProposalID: proposal.ProposalID, Revision: current.Revision}
 	fingerprint, err := proposal.Fingerprint()
@@ -178,7 +181,7 @@
 		decision.Judgement = JudgedStale
 		return decision
 	}
-	rows, problems := Propose(current.Rows, proposal.Changes)
+	rows, problems := ApplyAndValidate(current.Rows, proposal.Changes)
 	if len(problems) > 0 {
 		decision.Judgement = JudgedInvalid
 		decision.Problems = problems[:min(len(problems), maxDecisionProblems)]
@@ -190,9 +193,10 @@
 	return decision
 }
 
-// Propose returns the table that the changes make of the rows, or why they
-// cannot. Every replica judges a proposal by it.
-func Propose(rows []Row, changes []RowChange) ([]Row, []Problem) {
+// ApplyAndValidate applies the changes and validates the resulting table. It
+// returns either the new rows or the problems. Every replica evaluates proposals
+// with it, so its result must be deterministic.
+func ApplyAndValidate(rows []Row, changes []RowChange) ([]Row, []Problem) {
 	result, err := ApplyChanges(rows, changes)
 	if err != nil {
 		return nil, []Problem{{Expected: "changes that fit the base revision: " + err.Error()}}
@@ -226,12 +230,12 @@
 		kept++
 	}
 	if kept < len(r.history) {
-		// A copy, so that what was cut off is freed.
+		// Clone releases the backing array with the evicted entries.
 		r.history = slices.Clone(r.history[len(r.history)-kept:])
 	}
 }
 
-func (r *Reducer) remember(decision Decision) {
+func (r *Reducer) recordDecision(decision Decision) {
 	r.decisions = append(r.decisions, decision)
 	if len(r.decisions) > maxDecisions {
 		r.decisions = slices.Clone(r.decisions[len(r.decisions)-maxDecisions:])
@@ -246,7 +250,7 @@
 	Decisions []Decision           `msgpack:"d"`
 }
 
-// Snapshot encodes the state. Equal states have equal bytes.
+// Snapshot encodes the state. Equal states have equal encodings.
 func (r *Reducer) Snapshot() ([]byte, error) {
 	encoded, err := msgpack.Marshal(&reducerSnapshot{
 		Table:     r.Table(),
@@ -260,7 +264,7 @@
 	return encoded, nil
 }
 
-// Restore replaces the state by a snapshot's; after an error it is unchanged.
+// Restore replaces the state with a snapshot. On error the state is unchanged.
 func (r *Reducer) Restore(snapshot []byte) error {
 	restored := reducerSnapshot{Sequences: &logrecord.Sequences{}}
 	if err := msgpack.Unmarshal(snapshot, &restored); err != nil {
--- a/internal/core/policy/reducer_test.go
+++ b/internal/core/policy/reducer_test.go
@@ -12,37 +12,37 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// TestReducerProperties appends records as several writers do that know
-// different revisions, repeat what they are not sure of and send junk.
+// Checks the reducer's invariants under writers that use outdated revisions,
+// retry appends with unknown outcome and send malformed records.
 func TestReducerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		history := &streamHistory{first: make(map[string]logrecord.Verdict)}
+		history := &streamHistory{firstVerdict: make(map[string]logrecord.Verdict)}
 		t.Repeat(map[string]func(*rapid.T){
 			"propose": history.propose,
 			"repeat":  history.repeat,
-			"reuse":   history.reuse,
-			"junk":    history.junk,
-			"restart": history.restart,
-			"":        history.check,
+			"reuse":   history.repropose,
+			"junk":    history.appendMalformed,
+			"restart": history.restoreReplica,
+			"":        history.checkReplicasEqual,
 		})
 	})
 }
 
-// streamHistory is a stream with two replicas: one reads each record, the
-// other is restored from a snapshot now and then.
+// streamHistory is a stream with two replicas that apply each record; the second is
+// also restored from snapshots of the first.
 type streamHistory struct {
 	records   []logrecord.Record
 	proposals []Proposal
 	sequences [3]uint64
-	// known are the revisions that were in force so far.
-	known           []int64
-	steady, snapped Reducer
-	// first is the first verdict for each proposal ID.
-	first map[string]logrecord.Verdict
+	// revisions are all revisions that were current so far.
+	revisions            []int64
+	continuous, restored Reducer
+	// firstVerdict holds the first verdict for each proposal ID.
+	firstVerdict map[string]logrecord.Verdict
 }
 
 func (h *streamHistory) propose(t *rapid.T) {
-	base := rapid.SampledFrom(append([]int64{0, h.steady.Table().Revision, 1 << 40}, h.known...)).Draw(t, "base")
+	base := rapid.SampledFrom(append([]int64{0, h.continuous.Table().Revision, 1 << 40}, h.revisions...)).Draw(t, "base")
 	rows := rowsGenerator().Draw(t, "rows")
 	if rapid.Bool().Draw(t, "invalid") && len(rows) > 0 {
 		rows[0].Share = 0
@@ -50,59 +50,59 @@
 	h.proposals = append(h.proposals, Proposal{
 		ProposalID:   fmt.Sprintf("proposal-%d", len(h.proposals)),
 		BaseRevision: base,
-		Changes:      Compact(Diff(h.steady.Table().Rows, rows)),
+		Changes:      Compact(Diff(h.continuous.Table().Rows, rows)),
 	})
-	h.write(t, h.proposals[len(h.proposals)-1])
+	h.appendProposal(t, h.proposals[len(h.proposals)-1])
 }
 
-// repeat appends a record again: its first append had an unknown outcome.
+// repeat appends a record again, as after an append with unknown outcome.
 func (h *streamHistory) repeat(t *rapid.T) {
 	if len(h.records) == 0 {
 		t.Skip("nothing to repeat")
 	}
-	before := h.steady.Table()
+	before := h.continuous.Table()
 	verdict := h.append(t, rapid.SampledFrom(h.records).Draw(t, "record"))
 	assert.Equal(t, verdict, logrecord.Repeated)
-	assert.Equal(t, h.steady.Table(), before)
+	assert.Equal(t, h.continuous.Table(), before)
 }
 
-// reuse proposes an edit again through another node, maybe with other content.
-func (h *streamHistory) reuse(t *rapid.T) {
+// repropose submits a ProposalID again through another writer, possibly with
+// different content.
+func (h *streamHistory) repropose(t *rapid.T) {
 	if len(h.proposals) == 0 {
 		t.Skip("nothing to propose again")
 	}
 	proposal := rapid.SampledFrom(h.proposals).Draw(t, "proposal")
 	if rapid.Bool().Draw(t, "changed") {
-		proposal.BaseRevision = h.steady.Table().Revision
+		proposal.BaseRevision = h.continuous.Table().Revision
 		proposal.Changes = nil
 	}
-	before := h.steady.Table()
-	h.write(t, proposal)
-	assert.Equal(t, h.steady.Table(), before)
+	before := h.continuous.Table()
+	h.appendProposal(t, proposal)
+	assert.Equal(t, h.continuous.Table(), before)
 }
 
-func (h *streamHistory) junk(t *rapid.T) {
+func (h *streamHistory) appendMalformed(t *rapid.T) {
 	kind := rapid.SampledFrom([]logrecord.Kind{KindProposal, "other", logrecord.KindClaim}).Draw(t, "kind")
 	body := rapid.SliceOf(rapid.Byte()).Draw(t, "body")
 	verdict := h.append(t, h.record(t, kind, body))
 	assert.Equal(t, verdict, logrecord.Invalid)
 }
 
-func (h *streamHistory) restart(t *rapid.T) {
-	snapshot, err := h.steady.Snapshot()
+func (h *streamHistory) restoreReplica(t *rapid.T) {
+	snapshot, err := h.continuous.Snapshot()
 	assert.NilError(t, err)
-	h.snapped = Reducer{}
-	assert.NilError(t, h.snapped.Restore(snapshot))
-	assert.Assert(t, h.snapped.Restore([]byte("junk")) != nil)
+	h.restored = Reducer{}
+	assert.NilError(t, h.restored.Restore(snapshot))
+	assert.Assert(t, h.restored.Restore([]byte("junk")) != nil)
 }
 
-// check: both replicas agree, on all that a snapshot holds.
-func (h *streamHistory) check(t *rapid.T) {
-	steady, err := h.steady.Snapshot()
+func (h *streamHistory) checkReplicasEqual(t *rapid.T) {
+	continuous, err := h.continuous.Snapshot()
 	assert.NilError(t, err)
-	snapped, err := h.snapped.Snapshot()
+	restored, err := h.restored.Snapshot()
 	assert.NilError(t, err)
-	assert.Assert(t, bytes.Equal(steady, snapped))
+	assert.Assert(t, bytes.Equal(continuous, restored))
 }
 
 func (h *streamHistory) record(t *rapid.T, kind logrecord.Kind, body []byte) logrecord.Record {
@@ -117,18 +117,18 @@
 	}
 }
 
-func (h *streamHistory) write(t *rapid.T, proposal Proposal) {
+func (h *streamHistory) appendProposal(t *rapid.T, proposal Proposal) {
 	body, err := logrecord.EncodeBody(&proposal)
 	assert.NilError(t, err)
-	before := h.steady.Table()
-	rows, problems := Propose(before.Rows, proposal.Changes)
+	before := h.continuous.Table()
+	rows, problems := ApplyAndValidate(before.Rows, proposal.Changes)
 	verdict := h.append(t, h.record(t, KindProposal, body))
-	after := h.steady.Table()
+	after := h.continuous.Table()
 
-	first, repeated := h.first[proposal.ProposalID]
+	firstVerdict, repeated := h.firstVerdict[proposal.ProposalID]
 	switch {
 	case repeated:
-		assert.Equal(t, verdict, first)
+		assert.Equal(t, verdict, firstVerdict)
 	case proposal.BaseRevision == before.Revision && len(problems) == 0:
 		assert.Equal(t, verdict, logrecord.Accepted)
 		assert.Equal(t, after.Revision, int64(len(h.records)))
@@ -139,34 +139,34 @@
 		assert.Equal(t, after, before)
 	}
 	if !repeated {
-		h.first[proposal.ProposalID] = verdict
+		h.firstVerdict[proposal.ProposalID] = verdict
 	}
 }
 
 func (h *streamHistory) checkHistory(t *rapid.T, before *Table) {
-	earlier, known := h.steady.TableAt(before.Revision)
+	earlier, known := h.continuous.TableAt(before.Revision)
 	assert.Assert(t, known)
 	assert.Equal(t, len(Diff(earlier.Rows, before.Rows)), 0)
-	newest := h.steady.History(1)[0]
+	newest := h.continuous.History(1)[0]
 	assert.Equal(t, newest.Base, before.Revision)
-	accepted, known := h.steady.Accepted(h.steady.Table().Revision)
+	accepted, known := h.continuous.Accepted(h.continuous.Table().Revision)
 	assert.Assert(t, known)
 	assert.DeepEqual(t, accepted, newest)
 }
 
 func (h *streamHistory) append(t *rapid.T, record logrecord.Record) logrecord.Verdict {
 	offset := int64(len(h.records))
-	before := h.steady.Table().Revision
+	before := h.continuous.Table().Revision
 	h.records = append(h.records, record)
-	verdict := h.steady.Apply(offset, record)
-	assert.Equal(t, h.snapped.Apply(offset, record), verdict)
-	after := h.steady.Table().Revision
+	verdict := h.continuous.Apply(offset, record)
+	assert.Equal(t, h.restored.Apply(offset, record), verdict)
+	after := h.continuous.Table().Revision
 	assert.Assert(t, after == before || (after > before && after == offset+1))
-	h.known = append(h.known, after)
+	h.revisions = append(h.revisions, after)
 	return verdict
 }
 
-func TestReducerBoundsWhatItRemembers(t *testing.T) {
+func TestReducerEvictsHistoryAndDecisions(t *testing.T) {
 	var reducer Reducer
 	row := Row{Service: "a", Kind: KindLive, Pool: "p", Model: "m", Share: 1}
 	const proposals = maxDecisions + 10
--- a/internal/core/policy/validate.go
+++ b/internal/core/policy/validate.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Limits of a table. They bound the record that carries a proposal.
+// Limits of a table. They bound the size of a proposal record.
 const (
 	// MaxRows bounds the rows of a table.
 	MaxRows = 2000
@@ -18,7 +18,7 @@
 	MaxNameLength = 63
 )
 
-// Ranges of the numeric columns, both ends included.
+// Inclusive ranges of the numeric columns.
 const (
 	MaxPriority  = 9
 	MinShare     = 1
@@ -35,7 +35,7 @@
 
 const expectedName = "letters, digits, '.', '_' and '-', at most 63, a letter or digit first"
 
-// expectedCell tells for each column what its cells may hold.
+// expectedCell describes the valid cells of each column, for Problem.Expected.
 var expectedCell = map[string]string{
 	columnService:    "lower-case letters, digits and inner '-', at most 63",
 	columnKind:       "live or trainer",
@@ -51,11 +51,11 @@
 	columnFloor:      "a number from 0 to 100 (percent)",
 }
 
-// Validate returns every mistake of a table that was not parsed from CSV, in
-// the order of its rows. Problem.Line is the line that FormatCSV gives the row.
+// Validate returns the problems of a table, at most MaxProblems, in row order.
+// Problem.Line is the row's line in the output of FormatCSV.
 //
-// The reducer of the config stream runs it on every replica, so a change of
-// these rules is a change of the stream's format.
+// Every replica of the config stream's reducer runs it, so a change to these rules
+// is a change to the stream format.
 func Validate(rows []Row) []Problem {
 	if len(rows) > MaxRows {
 		return []Problem{{Line: MaxRows + 2, Expected: fmt.Sprintf("at most %d rows", MaxRows)}}
@@ -70,8 +70,8 @@
 		seen[row.Service] = true
 		for _, problem := range found {
 			problem.Line = i + 2
-			problem.Service = shorten(row.Service)
-			problem.Value = shorten(problem.Value)
+			problem.Service = truncate(row.Service)
+			problem.Value = truncate(problem.Value)
 			problems = append(problems, problem)
 		}
 		if len(problems) >= MaxProblems {
@@ -81,7 +81,7 @@
 	return problems
 }
 
-// validateRow checks one row by itself; it leaves Line and Service empty.
+// validateRow validates a single row. It leaves Problem.Line and Service empty.
 func validateRow(row Row) []Problem {
 	var problems []Problem
 	check := func(valid bool, column, value string) {
@@ -98,19 +98,20 @@
 	check(namePattern.MatchString(row.Model), columnModel, row.Model)
 	checkRange(row.Priority, 0, MaxPriority, columnPriority)
 	checkRange(row.Share, MinShare, MaxShare, columnShare)
-	checkRange(row.Staleness, lowestStaleness(row.Kind), MaxStaleness, columnStaleness)
+	checkRange(row.Staleness, minStaleness(row.Kind), MaxStaleness, columnStaleness)
 	checkRange(row.Cap, uncapped, MaxCap, columnCap)
-	// A discarded or lost sample is drawn again, so a trainer's requests repeat.
+	// Discarded or lost samples are generated again.
 	check(row.Repeatable || row.Kind != KindTrainer, columnRepeatable, formatYesOrNo(row.Repeatable))
 	check(validZones(row.Zones), columnZones, formatZones(row.Zones))
 	checkRange(row.Floor, 0, MaxFloor, columnFloor)
 	return problems
 }
 
-// lowestStaleness: only a live service may go without a bound.
-func lowestStaleness(kind ServiceKind) int {
+// minStaleness returns the lowest valid staleness; only live services may be
+// unbounded.
+func minStaleness(kind ServiceKind) int {
 	if kind == KindLive {
-		return unboundStaleness
+		return unboundedStaleness
 	}
 	return 0
 }
