--- a/internal/core/weights/contest_test.go
+++ b/internal/core/weights/claim_backoff_test.go
@@ -7,9 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestContestEndsInFewClaims lets two nodes that can't see each other claim one
-// stream whenever they may, for an hour.
-func TestContestEndsInFewClaims(t *testing.T) {
+// Guards against ownership flapping between two partitioned nodes.
+func TestContestLimitsAlternatingClaims(t *testing.T) {
 	var nodes [2]Contest
 	owner, claims := 0, 0
 	start := time.Unix(1_000_000, 0)
@@ -25,15 +24,15 @@
 	assert.Assert(t, claims < 40, "%d claims in an hour", claims)
 }
 
-func TestContestForgetsOldLosses(t *testing.T) {
+func TestContestResetsAfterLossRetention(t *testing.T) {
 	var contest Contest
 	now := time.Unix(1_000_000, 0)
 	assert.Assert(t, contest.MayClaim(now))
 	for range 10 {
 		contest.Lost(now)
 	}
-	assert.Assert(t, !contest.MayClaim(now.Add(longestContestDelay-time.Second)))
-	now = now.Add(contestMemory + time.Second)
+	assert.Assert(t, !contest.MayClaim(now.Add(maxClaimDelay-time.Second)))
+	now = now.Add(lossRetention + time.Second)
 	contest.Lost(now)
-	assert.Assert(t, contest.MayClaim(now.Add(firstContestDelay)))
+	assert.Assert(t, contest.MayClaim(now.Add(minClaimDelay)))
 }
--- a/internal/core/weights/floor.go
+++ b/internal/core/weights/floor.go
@@ -1,12 +1,12 @@
 package weights
 
-// FloorEngines returns how many of some engines (a pool, or a cell) must stay in
-// service during a rollout, when percent (0 to 100) of them must: rounded up to
-// whole engines. A floor below 100 % always leaves one engine free to load, as a
-// small pool would otherwise never get new weights; with no engines, that is -1.
+// FloorEngines returns how many of the engines of a pool or cell must stay in
+// service during a rollout, given the floor in percent (0 to 100), rounded up. A
+// floor below 100 % always allows one engine to load, since a small pool could not
+// be updated otherwise; the result is then -1 for 0 engines.
 //
-// The coordinator applies it to a pool and the dispatcher to its cell; as each is
-// rounded by itself, the cell may order fewer loads at once than it was allotted.
+// The coordinator applies it per pool and the dispatcher per cell. Because each
+// rounds separately, a cell may start fewer loads than its allotment.
 func FloorEngines(engines, percent int) int {
 	const whole = 100
 	floor := (engines*percent + whole - 1) / whole
--- a/internal/core/weights/floor_test.go
+++ b/internal/core/weights/floor_test.go
@@ -8,7 +8,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/weights"
 )
 
-func TestFloorEnginesRoundsUpAndLeavesOneFree(t *testing.T) {
+func TestFloorEnginesRoundsUpAndLeavesOneEngine(t *testing.T) {
 	for _, c := range []struct{ engines, percent, floor int }{
 		{engines: 10, percent: 75, floor: 8},
 		{engines: 10, percent: 99, floor: 9},
--- a/internal/core/weights/plan.go
+++ b/internal/core/weights/plan.go
@@ -1,14 +1,14 @@
-// Package weights plans how the engines of a model move to a weight version in
-// waves. It has no input or output and no clock: counts, limits and the time
-// come in, the number of loads that each cell may run at once goes out.
+// Package weights plans the rollout of a weight version to the engines of a model
+// in waves. It performs no I/O and reads no clock: from counts, limits and the time
+// it computes each cell's allotment, the number of loads it may run concurrently.
 //
-// Invariants, for what the planner was told:
+// Invariants, as far as the reported counts are accurate:
 //   - the loads that cells may run add up to at most Limits.MaxConcurrent;
 //   - of the healthy engines, at least the floor stays in service.
 //
-// Both hold although a cell may act at any time on any allotment that it may
-// have received: what was granted counts as running until a cell confirms less.
-// They serve load and latency; no promise to a caller rests on them.
+// Both hold even if a cell acts late on an earlier allotment: granted loads count
+// as running until the cell confirms a lower allotment. They bound load and latency;
+// correctness of requests doesn't depend on them.
 package weights
 
 import (
@@ -19,87 +19,87 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// Cell is what is known of one cell and the wanted version.
+// Cell is the state of one cell with respect to the target version.
 type Cell struct {
 	ID message.CellID
 	// Engines counts all engines of the cell, AtVersion those that need no load:
-	// at exactly the wanted version when it is pinned, else at it or above.
+	// exactly at the target version if it is pinned, otherwise at it or above.
 	// Loading, Broken (a load failed) and Absent (out of service for the model
-	// otherwise) count disjoint sets of the others. The rest are in service, at
-	// an older version or above a pinned one.
+	// for another reason) count disjoint sets of the others. The remaining engines
+	// are in service at an older version, or above a pinned one.
 	Engines, AtVersion, Loading, Broken, Absent int
 	// Granted is the largest allotment that the cell may still act on.
 	Granted int
-	// FloorPercent of the pool's engines must stay in service, 0..100; rounded
-	// up, but below 100 one engine of the pool may always load.
+	// FloorPercent is the percentage of the pool's engines, 0..100, that must stay
+	// in service; see FloorEngines.
 	FloorPercent int
 }
 
-// need counts the engines that are not at the wanted version.
-func (c Cell) need() int { return max(0, c.Engines-c.AtVersion) }
+// behind returns the number of engines that are not at the target version.
+func (c Cell) behind() int { return max(0, c.Engines-c.AtVersion) }
 
-// outstanding is the largest number of loads that may run in the cell now.
-func (c Cell) outstanding() int { return max(c.Loading, c.Granted) }
+// maxLoading returns the maximum number of loads that may be running in the cell.
+func (c Cell) maxLoading() int { return max(c.Loading, c.Granted) }
 
-// idle counts the engines that are out of service and do not load; to load them
-// costs no service.
-func (c Cell) idle() int { return c.Broken + c.Absent }
+// unavailable returns the number of engines that are out of service and not loading.
+// Loading them doesn't reduce capacity.
+func (c Cell) unavailable() int { return c.Broken + c.Absent }
 
-// out is the largest number of engines that may be out of service now. A
-// dispatcher loads its idle engines first.
-func (c Cell) out() int { return max(c.Loading+c.idle(), c.Granted) }
+// maxUnavailable returns the maximum number of engines that may be out of service.
+// A dispatcher loads its unavailable engines first.
+func (c Cell) maxUnavailable() int { return max(c.Loading+c.unavailable(), c.Granted) }
 
 // Limits bound the loads of one model.
 type Limits struct {
-	// MaxConcurrent bounds the loads that run at once, 1 or more.
+	// MaxConcurrent bounds the concurrent loads, 1 or more.
 	MaxConcurrent int
-	// StoreRate is the number of downloads a second that the store allows, and
-	// LoadDuration the usual time of a load; zero when not known. Together they
-	// bound the loads that the store can feed (Little's law).
+	// StoreRate is the store's throughput in downloads per second and LoadDuration
+	// the typical duration of a load; zero if unknown. Their product bounds the
+	// concurrent loads (Little's law).
 	StoreRate    float64
 	LoadDuration time.Duration
 }
 
-// concurrency returns the loads that may run at once, at least 1.
+// concurrency returns the maximum number of concurrent loads, at least 1.
 func (l Limits) concurrency() int {
 	limit := max(1, l.MaxConcurrent)
 	if l.StoreRate <= 0 || l.LoadDuration <= 0 {
 		return limit
 	}
-	fed := int(l.StoreRate * l.LoadDuration.Seconds())
-	return min(limit, max(1, fed))
+	byStore := int(l.StoreRate * l.LoadDuration.Seconds())
+	return min(limit, max(1, byStore))
 }
 
-// Plan is the planner's decision.
+// Plan is the result of Planner.Plan.
 type Plan struct {
-	// Allotments gives for each cell how many loads it may run at once.
+	// Allotments maps each cell to the number of loads it may run concurrently.
 	Allotments map[message.CellID]int
-	// Blocked lists the pools whose floor leaves no engine to load, though
-	// some are below the version and nothing else holds them back.
+	// Blocked lists the pools that can't progress toward the target version only
+	// because of their floor.
 	Blocked []string
 }
 
-// Planner plans wave after wave. It remembers failures, to back off after them.
-// The zero value is ready. It is not safe for concurrent use.
+// Planner plans successive waves and keeps the backoff state of cells with failed
+// or stalled loads. The zero value is ready to use. It is not safe for concurrent use.
 type Planner struct {
-	failures map[message.CellID]failure
+	backoffs map[message.CellID]cellBackoff
 }
 
-// Plan decides the allotments. The cells must have different IDs.
+// Plan computes the allotments. The cells must have distinct IDs.
 func (p *Planner) Plan(now time.Time, cells []Cell, limits Limits) Plan {
 	p.observe(now, cells)
 	ordered := slices.Clone(cells)
 	slices.SortFunc(ordered, mostBehindFirst)
 	wave := newWave(ordered, limits.concurrency())
-	wave.keep(func(cell Cell) bool { return p.waits(now, cell.ID) })
-	wave.grow(func(cell Cell) bool { return p.waits(now, cell.ID) })
+	wave.retain(func(cell Cell) bool { return p.backingOff(now, cell.ID) })
+	wave.allocate(func(cell Cell) bool { return p.backingOff(now, cell.ID) })
 	return Plan{Allotments: wave.allotments, Blocked: wave.blocked()}
 }
 
-// mostBehindFirst orders cells by the number of engines not at the version.
+// mostBehindFirst orders cells by descending number of engines behind, then by ID.
 func mostBehindFirst(a, b Cell) int {
 	return cmp.Or(
-		cmp.Compare(b.need(), a.need()),
+		cmp.Compare(b.behind(), a.behind()),
 		cmp.Compare(a.ID.Zone, b.ID.Zone),
 		cmp.Compare(a.ID.Pool, b.ID.Pool),
 		cmp.Compare(a.ID.Index, b.ID.Index),
@@ -110,19 +110,19 @@
 type wave struct {
 	cells      []Cell
 	allotments map[message.CellID]int
-	// free is the number of loads that may be added; negative when too many run.
-	free int
-	// spare is, for each pool, the number of healthy engines that may still
-	// leave service; negative when the floor is broken from outside.
-	spare map[string]int
+	// freeLoads is the number of additional loads allowed; negative if too many run.
+	freeLoads int
+	// headroom is, per pool, the number of healthy engines that may still leave
+	// service; negative if failures outside the rollout violate the floor.
+	headroom map[string]int
 }
 
 func newWave(cells []Cell, concurrency int) *wave {
 	w := &wave{
 		cells:      cells,
 		allotments: make(map[message.CellID]int, len(cells)),
-		free:       concurrency,
-		spare:      make(map[string]int),
+		freeLoads:  concurrency,
+		headroom:   make(map[string]int),
 	}
 	engines := make(map[string]int)
 	floor := make(map[string]int)
@@ -130,73 +130,74 @@
 		pool := cell.ID.Pool
 		engines[pool] += cell.Engines
 		floor[pool] = max(floor[pool], cell.FloorPercent)
-		w.free -= cell.outstanding()
-		w.spare[pool] -= cell.out()
+		w.freeLoads -= cell.maxLoading()
+		w.headroom[pool] -= cell.maxUnavailable()
 	}
 	for pool, total := range engines {
-		w.spare[pool] += total - FloorEngines(total, floor[pool])
+		w.headroom[pool] += total - FloorEngines(total, floor[pool])
 	}
 	return w
 }
 
-// keep decides what stays of earlier allotments. What a cell loses becomes free
-// only once the cell confirms it, in a later plan.
-func (w *wave) keep(waits func(Cell) bool) {
+// retain sets each cell's allotment to the part of its earlier one that it keeps.
+// The rest becomes free in a later plan, once the cell has confirmed the reduction.
+func (w *wave) retain(backingOff func(Cell) bool) {
 	for _, cell := range w.cells {
-		kept := min(cell.outstanding(), cell.need())
-		if waits(cell) {
+		kept := min(cell.maxLoading(), cell.behind())
+		if backingOff(cell) {
 			kept = 0
 		}
-		if w.free < 0 || w.spare[cell.ID.Pool] < 0 {
+		if w.freeLoads < 0 || w.headroom[cell.ID.Pool] < 0 {
 			kept = min(kept, cell.Loading)
 		}
 		w.allotments[cell.ID] = kept
 	}
 }
 
-// grow hands out free loads one at a time, round after round over the cells, so
-// that no cell of a pool is emptied while others stand still.
-func (w *wave) grow(waits func(Cell) bool) {
-	for grown := true; grown && w.free > 0; {
+// allocate distributes free loads round-robin over the cells, so that the engines
+// out of service are spread over the cells of a pool.
+func (w *wave) allocate(backingOff func(Cell) bool) {
+	for grown := true; grown && w.freeLoads > 0; {
 		grown = false
 		for _, cell := range w.cells {
-			if !waits(cell) && w.growCell(cell) {
+			if !backingOff(cell) && w.allocateOne(cell) {
 				grown = true
 			}
 		}
 	}
 }
 
-// growCell adds one load to a cell, if it needs one and the limits allow it.
-func (w *wave) growCell(cell Cell) bool {
+// allocateOne adds one load to the cell's allotment if the cell needs it and the
+// limits allow it.
+func (w *wave) allocateOne(cell Cell) bool {
 	allotted := w.allotments[cell.ID]
-	if w.free < 1 || allotted >= cell.need() || allotted < cell.outstanding() {
+	if w.freeLoads < 1 || allotted >= cell.behind() || allotted < cell.maxLoading() {
 		return false
 	}
-	takesIdle := allotted-cell.Loading < cell.idle()
-	if !takesIdle {
-		if w.spare[cell.ID.Pool] < 1 {
+	usesUnavailable := allotted-cell.Loading < cell.unavailable()
+	if !usesUnavailable {
+		if w.headroom[cell.ID.Pool] < 1 {
 			return false
 		}
-		w.spare[cell.ID.Pool]--
+		w.headroom[cell.ID.Pool]--
 	}
-	w.free--
+	w.freeLoads--
 	w.allotments[cell.ID]++
 	return true
 }
 
-// blocked returns the pools that the floor alone holds back, sorted.
+// blocked returns the sorted names of the pools blocked only by their floor.
 func (w *wave) blocked() []string {
-	needs := make(map[string]bool)
-	moves := make(map[string]bool)
+	needsLoad := make(map[string]bool)
+	progressing := make(map[string]bool)
 	for _, cell := range w.cells {
 		pool := cell.ID.Pool
-		needs[pool] = needs[pool] || cell.need() > 0
-		moves[pool] = moves[pool] || w.allotments[cell.ID] > 0 || cell.outstanding() > 0 || cell.idle() > 0
+		needsLoad[pool] = needsLoad[pool] || cell.behind() > 0
+		progressing[pool] = progressing[pool] || w.allotments[cell.ID] > 0 || cell.maxLoading() > 0 || cell.unavailable() > 0
 	}
 	var pools []string
-	for pool := range needs {
-		if needs[pool] && !moves[pool] && w.free > 0 && w.spare[pool] < 1 {
+	for pool := range needsLoad {
+		if needsLoad[pool] && !progressing[pool] && w.freeLoads > 0 && w.headroom[pool] < 1 {
 			pools = append(pools, pool)
 		}
 	}
--- a/internal/core/weights/plan_test.go
+++ b/internal/core/weights/plan_test.go
@@ -12,25 +12,25 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-var began = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-// simulatedCell is a dispatcher that starts loads whenever its allotment allows.
+// simulatedCell is a dispatcher that starts as many loads as its allotment allows.
 type simulatedCell struct {
-	told                           message.CellID
+	id                             message.CellID
 	engines, done, loading, broken int
 	allotment                      int
-	// granted is what the coordinator knows of the allotment.
+	// granted is the largest allotment that the coordinator knows may be in effect.
 	granted, floor int
 }
 
-func (s *simulatedCell) view() weights.Cell {
+func (s *simulatedCell) report() weights.Cell {
 	return weights.Cell{
-		ID: s.told, Engines: s.engines, AtVersion: s.done, Loading: s.loading, Broken: s.broken,
+		ID: s.id, Engines: s.engines, AtVersion: s.done, Loading: s.loading, Broken: s.broken,
 		Granted: s.granted, FloorPercent: s.floor,
 	}
 }
 
-// startLoads repairs broken engines first.
+// startLoads starts up to most loads, on broken engines first.
 func (s *simulatedCell) startLoads(most int) {
 	for range most {
 		if s.loading >= s.allotment || s.done+s.loading == s.engines {
@@ -59,7 +59,7 @@
 	cells := make([]*simulatedCell, count)
 	for index := range cells {
 		cells[index] = &simulatedCell{
-			told:    message.CellID{Zone: "z", Pool: "p", Index: index},
+			id:      message.CellID{Zone: "z", Pool: "p", Index: index},
 			engines: rapid.IntRange(1, message.CellSize).Draw(t, "engines"),
 			floor:   floor,
 		}
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestWavesKeepTheBoundsAndConverge(t *testing.T) {
+func TestPlannerKeepsLimitsAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		floor := rapid.IntRange(0, 100).Draw(t, "floor")
 		cells := drawCells(t, floor)
@@ -95,15 +95,15 @@
 			allowedOut = max(allowedOut, 1)
 		}
 		var planner weights.Planner
-		now := began
+		now := startTime
 		round := func(deliver func(string) bool, fail func() bool) {
 			views := make([]weights.Cell, len(cells))
 			for index, cell := range cells {
-				views[index] = cell.view()
+				views[index] = cell.report()
 			}
 			plan := planner.Plan(now, views, weights.Limits{MaxConcurrent: maxConcurrent})
 			for _, cell := range cells {
-				allotment := plan.Allotments[cell.told]
+				allotment := plan.Allotments[cell.id]
 				cell.granted = max(cell.granted, allotment)
 				if deliver("request") {
 					cell.allotment = allotment
@@ -139,27 +139,27 @@
 	return weights.Cell{ID: message.CellID{Pool: "p", Index: index}, Engines: engines, FloorPercent: 50}
 }
 
-func TestTheFloorThatLeavesNoEngineIsReported(t *testing.T) {
+func TestPlanReportsPoolsBlockedByFloor(t *testing.T) {
 	var planner weights.Planner
 	full := cell(0, 2)
 	full.FloorPercent = 100
-	plan := planner.Plan(began, []weights.Cell{full}, weights.Limits{MaxConcurrent: 4})
+	plan := planner.Plan(startTime, []weights.Cell{full}, weights.Limits{MaxConcurrent: 4})
 	assert.Equal(t, plan.Allotments[full.ID], 0)
 	assert.DeepEqual(t, plan.Blocked, []string{"p"})
-	// Engines out of service anyway are loaded all the same.
+	// Engines that are already out of service may be loaded.
 	full.Absent = 1
-	plan = planner.Plan(began, []weights.Cell{full}, weights.Limits{MaxConcurrent: 4})
+	plan = planner.Plan(startTime, []weights.Cell{full}, weights.Limits{MaxConcurrent: 4})
 	assert.Equal(t, plan.Allotments[full.ID], 1)
 	assert.Equal(t, len(plan.Blocked), 0)
 }
 
-func TestFailuresBackOff(t *testing.T) {
+func TestPlanBacksOffAfterFailedLoads(t *testing.T) {
 	var planner weights.Planner
 	failed := cell(0, 8)
 	failed.Broken = 1
 	limits := weights.Limits{MaxConcurrent: 4}
 	allotted := func(after time.Duration) int {
-		return planner.Plan(began.Add(after), []weights.Cell{failed}, limits).Allotments[failed.ID]
+		return planner.Plan(startTime.Add(after), []weights.Cell{failed}, limits).Allotments[failed.ID]
 	}
 	assert.Equal(t, allotted(0), 0)
 	assert.Equal(t, allotted(time.Second), 4)
@@ -169,25 +169,25 @@
 	assert.Equal(t, allotted(4*time.Second), 4)
 }
 
-func TestTheStoreRateBoundsTheLoads(t *testing.T) {
+func TestPlanLimitsLoadsToStoreRate(t *testing.T) {
 	var planner weights.Planner
-	plan := planner.Plan(began, []weights.Cell{cell(0, 16), cell(1, 16)},
+	plan := planner.Plan(startTime, []weights.Cell{cell(0, 16), cell(1, 16)},
 		weights.Limits{MaxConcurrent: 100, StoreRate: 0.5, LoadDuration: 6 * time.Second})
 	assert.Equal(t, plan.Allotments[message.CellID{Pool: "p", Index: 0}], 2)
 	assert.Equal(t, plan.Allotments[message.CellID{Pool: "p", Index: 1}], 1)
 }
 
-func TestUnusedAllotmentsGoToOtherCells(t *testing.T) {
+func TestPlanReassignsUnusedAllotments(t *testing.T) {
 	var planner weights.Planner
 	limits := weights.Limits{MaxConcurrent: 2}
 	silent, other := cell(0, 8), cell(1, 2)
 	silent.Granted = 2
-	plan := planner.Plan(began, []weights.Cell{silent, other}, limits)
+	plan := planner.Plan(startTime, []weights.Cell{silent, other}, limits)
 	assert.Equal(t, plan.Allotments[silent.ID], 2)
-	plan = planner.Plan(began.Add(10*time.Second), []weights.Cell{silent, other}, limits)
+	plan = planner.Plan(startTime.Add(10*time.Second), []weights.Cell{silent, other}, limits)
 	assert.Equal(t, plan.Allotments[silent.ID], 0)
-	assert.Equal(t, plan.Allotments[other.ID], 0, "what the silent cell may still use is not free yet")
+	assert.Equal(t, plan.Allotments[other.ID], 0, "the stalled cell has not confirmed the reduction")
 	silent.Granted = 0
-	plan = planner.Plan(began.Add(10500*time.Millisecond), []weights.Cell{silent, other}, limits)
+	plan = planner.Plan(startTime.Add(10500*time.Millisecond), []weights.Cell{silent, other}, limits)
 	assert.Equal(t, plan.Allotments[other.ID], 2)
 }
--- a/internal/core/weights/pace_test.go
+++ b/internal/core/weights/store_rate_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// simulateRollout loads the engines through a store that feeds so many a
-// second (0: any number), a look a second, under the limits of the pace. It
-// returns the seconds until all were loaded and the most loads at once.
+// simulateRollout loads the engines from a store that serves storeRate loads per
+// second (0: unlimited), observed once per second. It returns the rollout's duration
+// in seconds and the peak number of concurrent loads.
 func simulateRollout(p *Pace, version uint64, engines, maxConcurrent, storeRate, loadSeconds int) (seconds, peak int) {
 	start := time.Unix(1_000_000*int64(version), 0)
 	var ends []int // second at which each running load ends
@@ -40,25 +40,25 @@
 	return seconds, peak
 }
 
-func TestPaceTakesAllOfAFastStore(t *testing.T) {
+func TestPaceUsesFastStoreFully(t *testing.T) {
 	var pace Pace
 	first, peak := simulateRollout(&pace, 2, 6100, 10_000, 0, 5)
-	assert.Assert(t, peak >= 6100/firstShare && first <= 16, "%d s, peak %d", first, peak)
+	assert.Assert(t, peak >= 6100/initialLoadDivisor && first <= 16, "%d s, peak %d", first, peak)
 	again, _ := simulateRollout(&pace, 3, 6100, 3050, 0, 5)
 	assert.Assert(t, again <= 12, "%d s", again)
 }
 
-func TestPaceLearnsWhatTheStoreFeeds(t *testing.T) {
+func TestPaceEstimatesStoreRate(t *testing.T) {
 	var pace Pace
 	_, _ = simulateRollout(&pace, 2, 1000, 10_000, 20, 5)
 	learnt := pace.Limits(10_000, 1000).concurrency()
-	// 20 a second for 5 s each: 100 keep the store busy.
+	// 20 loads per second of 5 s each saturate the store at 100 concurrent loads.
 	assert.Assert(t, learnt >= 90 && learnt <= 200, "%d", learnt)
 	seconds, _ := simulateRollout(&pace, 3, 1000, 10_000, 20, 5)
-	assert.Assert(t, seconds <= 60, "a busy store takes 50 s + 5 s, this took %d s", seconds)
+	assert.Assert(t, seconds <= 60, "a saturated store takes 50 s + 5 s, this took %d s", seconds)
 }
 
-func TestPaceNoticesAFasterStore(t *testing.T) {
+func TestPaceDetectsFasterStore(t *testing.T) {
 	var pace Pace
 	_, _ = simulateRollout(&pace, 2, 1000, 10_000, 20, 5)
 	slow, _ := simulateRollout(&pace, 3, 1000, 10_000, 0, 5)
@@ -66,7 +66,7 @@
 	assert.Assert(t, fast <= slow && fast <= 20, "%d s, then %d s", slow, fast)
 }
 
-func TestPaceKeepsTheSettingsBound(t *testing.T) {
+func TestPaceKeepsConfiguredBound(t *testing.T) {
 	var pace Pace
 	_, peak := simulateRollout(&pace, 2, 500, 8, 0, 5)
 	assert.Equal(t, peak, 8)
