--- a/internal/core/scheduler/cell.go
+++ b/internal/core/scheduler/cell.go
@@ -12,49 +12,48 @@
 
 // Cell is the scheduler of one cell. It is not safe for concurrent use.
 //
-// Invariant: an item that was enqueued is in exactly one place: queued,
-// running, or handed back by Expire, Remove, Finished or Returned.
+// Invariant: an enqueued item is in exactly one state: queued, running, or ended by
+// Expire, Remove, Finished or Returned.
 type Cell struct {
 	config Config
-	// classes are sorted by priority, the highest first.
+	// classes are sorted by descending priority.
 	classes   []*class
 	deadlines deadlineHeap
 	queued    map[string]*entry
 	running   map[string]*entry
-	// queuedOf and runningOf count items by service.
-	queuedOf  map[string]int
-	runningOf map[string]int
+	// queuedByService and runningByService count items.
+	queuedByService  map[string]int
+	runningByService map[string]int
 	// engines are sorted by ID.
 	engines     []*engineState
 	liveReserve float64
 	sequence    uint64
 	lastPicked  string
 	drain       drainRate
-	choice      candidates
+	eligible    candidates
 	scores      []float64
 }
 
 // NewCell returns a cell without engines.
 func NewCell(config Config) *Cell {
 	return &Cell{
-		config:    config.withDefaults(),
-		queued:    make(map[string]*entry),
-		running:   make(map[string]*entry),
-		queuedOf:  make(map[string]int),
-		runningOf: make(map[string]int),
+		config:           config.withDefaults(),
+		queued:           make(map[string]*entry),
+		running:          make(map[string]*entry),
+		queuedByService:  make(map[string]int),
+		runningByService: make(map[string]int),
 	}
 }
 
-// SetLiveReserve sets the share [0, 1) of the slots that trainers leave free
-// for live services.
+// SetLiveReserve sets the share of the slots, in [0, 1), reserved for live services.
 func (c *Cell) SetLiveReserve(share float64) { c.liveReserve = share }
 
-// Enqueue takes an item into the queue. Errors are *errkind.Error, all not
-// executed: QueueFull, CapReached, QueueTimeout (the deadline has passed), and
-// InvalidRequest (the ID is in use).
+// Enqueue adds an item to the queue. On error the item was not executed; errors are
+// *errkind.Error of kind QueueFull, CapReached, QueueTimeout (the deadline has
+// passed) or InvalidRequest (the ID is in use).
 func (c *Cell) Enqueue(now time.Time, item Item) error {
 	if c.queued[item.ID] != nil || c.running[item.ID] != nil {
-		return errkind.New(errkind.InvalidRequest, "request %s is already here", item.ID)
+		return errkind.New(errkind.InvalidRequest, "request %s is already queued or running in this cell", item.ID)
 	}
 	if !item.Deadline.After(now) {
 		return c.timeout(now, &item)
@@ -70,32 +69,33 @@
 	into.push(now, c.flowName(&item), queued, c.config.Policy.firstInFirstOut())
 	heap.Push(&c.deadlines, queued)
 	c.queued[item.ID] = queued
-	c.queuedOf[item.Service]++
+	c.queuedByService[item.Service]++
 	return nil
 }
 
-// admit refuses what would only wait in vain.
+// admit returns an error if the queue of the class is full or if too many items of
+// the service are queued behind its cap.
 func (c *Cell) admit(now time.Time, into *class, item *Item) error {
 	if into.queued >= c.config.QueueLimit {
 		err := errkind.New(errkind.QueueFull, "queue of priority %d is full (%d)", item.Priority, into.queued)
-		err.RetryAfter = c.drain.retryAfter(now, c.config.QueueLimit/fullQueueFraction)
+		err.RetryAfter = c.drain.retryAfter(now, c.config.QueueLimit/retryDrainDivisor)
 		return err
 	}
 	behindCap := max(capQueueFactor*item.Cap, capQueueMinimum)
-	if c.atCap(item) && c.queuedOf[item.Service] >= behindCap {
+	if c.atCap(item) && c.queuedByService[item.Service] >= behindCap {
 		err := errkind.New(errkind.CapReached,
-			"service %s has %d requests in flight here and %d queued", item.Service, item.Cap, behindCap)
-		err.RetryAfter = c.drain.retryAfter(now, c.queuedOf[item.Service])
+			"service %s has %d requests in flight in this cell and %d queued", item.Service, item.Cap, behindCap)
+		err.RetryAfter = c.drain.retryAfter(now, c.queuedByService[item.Service])
 		return err
 	}
 	return nil
 }
 
 func (c *Cell) atCap(item *Item) bool {
-	return item.Cap > 0 && c.runningOf[item.Service] >= item.Cap
+	return item.Cap > 0 && c.runningByService[item.Service] >= item.Cap
 }
 
-// Remove takes a queued item out; false when it is not queued.
+// Remove removes a queued item; false if it is not queued.
 func (c *Cell) Remove(id string) bool {
 	queued, ok := c.queued[id]
 	if ok {
@@ -104,7 +104,7 @@
 	return ok
 }
 
-// Expire gives up on the queued items whose deadline has passed.
+// Expire removes and returns the queued items whose deadline has passed.
 func (c *Cell) Expire(now time.Time) []Expired {
 	var expired []Expired
 	for len(c.deadlines) > 0 && !c.deadlines[0].item.Deadline.After(now) {
@@ -122,7 +122,7 @@
 	return err
 }
 
-// queuedAhead counts the queued items of a priority and those above.
+// queuedAhead counts the queued items of the given or a higher priority.
 func (c *Cell) queuedAhead(priority int) int {
 	ahead := 0
 	for _, other := range c.classes {
@@ -133,19 +133,19 @@
 	return ahead
 }
 
-// Progressed tells how many tokens of a running item have been generated.
+// Progressed records the total number of tokens generated for a running item.
 func (c *Cell) Progressed(id string, generated int) {
 	running, ok := c.running[id]
 	if !ok {
 		return
 	}
-	if on := c.engine(running.engineID); on != nil && on.running[id] == running {
-		on.progressed(running, generated)
+	if host := c.engine(running.engineID); host != nil && host.running[id] == running {
+		host.progressed(running, generated)
 	}
 }
 
-// Finished tells that an assigned item ended on its engine; false when it was
-// not running.
+// Finished records that an assigned item ended on its engine; false if it was not
+// running.
 func (c *Cell) Finished(now time.Time, id string) bool {
 	if !c.Returned(id) {
 		return false
@@ -154,22 +154,22 @@
 	return true
 }
 
-// Returned tells that an assigned item did not run after all; false when it
-// was not assigned. Unlike Finished it does not count as work drained.
+// Returned records that an assigned item was not executed; false if it was not
+// assigned. Unlike Finished, it doesn't count toward the drain rate.
 func (c *Cell) Returned(id string) bool {
 	finished, ok := c.running[id]
 	if !ok {
 		return false
 	}
 	delete(c.running, id)
-	decrement(c.runningOf, finished.item.Service)
-	if on := c.engine(finished.engineID); on != nil && on.running[id] == finished {
-		on.finish(finished)
+	decrement(c.runningByService, finished.item.Service)
+	if host := c.engine(finished.engineID); host != nil && host.running[id] == finished {
+		host.finish(finished)
 	}
 	return true
 }
 
-// UpdateEngine adds an engine or takes in what changed about it.
+// UpdateEngine adds an engine or updates its state.
 func (c *Cell) UpdateEngine(update EngineUpdate) {
 	position, found := c.search(update.ID)
 	if !found {
@@ -178,8 +178,8 @@
 	c.engines[position].update(&update)
 }
 
-// RemoveEngine forgets an engine. Items that run there still count until
-// Finished.
+// RemoveEngine removes an engine. Items running on it count as running until
+// Finished or Returned.
 func (c *Cell) RemoveEngine(id string) {
 	position, found := c.search(id)
 	if !found {
@@ -205,8 +205,8 @@
 	return c.engines[position]
 }
 
-// class returns the class of a priority. Under the first-in-first-out policies
-// there is one class for all.
+// class returns the class of a priority and creates it if needed. Under the
+// first-in-first-out policies there is a single class.
 func (c *Cell) class(priority int) *class {
 	if c.config.Policy.firstInFirstOut() {
 		priority = 0
@@ -231,10 +231,11 @@
 	c.class(queued.item.Priority).remove(queued)
 	heap.Remove(&c.deadlines, queued.deadlineIndex)
 	delete(c.queued, queued.item.ID)
-	decrement(c.queuedOf, queued.item.Service)
+	decrement(c.queuedByService, queued.item.Service)
 }
 
-// reservedSlots is the number of slots that trainers may not take.
+// reservedSlots returns the number of slots reserved for live services. At least
+// one slot stays available to trainers.
 func (c *Cell) reservedSlots(slots int) int {
 	if c.liveReserve <= 0 || slots == 0 {
 		return 0
--- a/internal/core/scheduler/cell_test.go
+++ b/internal/core/scheduler/cell_test.go
@@ -96,7 +96,7 @@
 	mustEnqueue(t, cell, requeued)
 }
 
-func TestExpiryAnswersWithDrainEstimate(t *testing.T) {
+func TestExpireSetsRetryAfterFromDrainRate(t *testing.T) {
 	cell := NewCell(Config{})
 	addEngine(cell, "a", 1)
 	mustEnqueue(t, cell, liveItem("first"), liveItem("second"))
@@ -111,7 +111,7 @@
 	assert.Equal(t, errkind.KindOf(cell.Enqueue(start.Add(time.Hour), liveItem("late"))), errkind.QueueTimeout)
 }
 
-func TestTrainersLeaveTheLiveReserve(t *testing.T) {
+func TestTrainersKeepLiveReserveFree(t *testing.T) {
 	cell := NewCell(Config{})
 	cell.SetLiveReserve(0.25)
 	addEngine(cell, "a", 4)
@@ -123,7 +123,7 @@
 	assert.DeepEqual(t, dispatched(cell, start), []string{"live"})
 }
 
-func TestBlockedVersionDoesNotBlockTheRest(t *testing.T) {
+func TestItemWithoutEligibleEngineDoesNotBlockOthers(t *testing.T) {
 	cell := NewCell(Config{})
 	addEngine(cell, "a", 4)
 	blocked := trainerItem("blocked", "train", 900)
@@ -147,7 +147,7 @@
 	oneHop := NewCell(Config{Policy: PolicyOneHop})
 	addEngine(oneHop, "a", 4)
 	oneHop.engines[0].status.Running = 3
-	assert.Equal(t, oneHop.Digest().Running, 3, "the requests of other nodes count")
+	assert.Equal(t, oneHop.Digest().Running, 3, "the digest counts requests of other nodes")
 	_, err := ParsePolicy("best")
 	assert.ErrorContains(t, err, "unknown scheduler policy")
 }
--- a/internal/core/scheduler/config.go
+++ b/internal/core/scheduler/config.go
@@ -8,38 +8,39 @@
 
 // Defaults of Config.
 const (
-	// DefaultQueueLimit is the number of queued items per class.
+	// DefaultQueueLimit is the maximum number of queued items per class.
 	DefaultQueueLimit = 2048
-	// DefaultStarvationBound is how long a class may wait before it gets a turn.
+	// DefaultStarvationBound is how long a class may go unserved before it gets the
+	// next free slot.
 	DefaultStarvationBound = 2 * time.Second
-	// DefaultLiveReserve is the share of the slots that trainers leave free
-	// while live services use the pool. Measured: docs/design/scheduling.md.
+	// DefaultLiveReserve is the share of the slots reserved for live services while
+	// they use the pool; see docs/design/scheduling.md.
 	DefaultLiveReserve = 0.15
 )
 
 const (
-	// capQueueFactor and capQueueMinimum bound the items that a service may
-	// queue behind its cap: factor times the cap, or the minimum if larger.
+	// A service at its cap may queue up to capQueueFactor times the cap, and at
+	// least capQueueMinimum items.
 	capQueueFactor  = 8
 	capQueueMinimum = 64
-	// fullQueueFraction: a caller refused by a full queue is told to come back
-	// when this part of the queue has drained.
-	fullQueueFraction = 10
+	// The RetryAfter of a full queue is the estimated time until one part in
+	// retryDrainDivisor of the queue has drained.
+	retryDrainDivisor = 10
 )
 
 // Config are the settings of a Cell; zero values take the defaults.
 type Config struct {
 	Policy Policy
-	// Seed decides between engines of equal score.
+	// Seed breaks ties between engines of equal score.
 	Seed uint64
-	// QueueLimit bounds the queued items of each class (1 or more).
+	// QueueLimit bounds the queued items per class (1 or more).
 	QueueLimit int
-	// StarvationBound: a class that waited longer gets the next free slot.
+	// StarvationBound is how long a class may go unserved before it gets the next
+	// free slot.
 	StarvationBound time.Duration
-	// Weights of the engine scores.
-	Weights Weights
-	// Prefixes is the index of cached prefixes; nil for none. The cell records
-	// what it sends there.
+	Weights         Weights
+	// Prefixes is the index of cached prefixes, or nil. The cell updates it with
+	// each assignment.
 	Prefixes *prefixcache.Index
 }
 
--- a/internal/core/scheduler/digest.go
+++ b/internal/core/scheduler/digest.go
@@ -10,17 +10,18 @@
 
 // Digest is a summary of a cell's state.
 type Digest struct {
-	// Engines counts the engines in service; Slots their batch slots.
+	// Engines is the number of engines in service, Slots that of their batch slots.
 	Engines int
 	Slots   int
 	// Running and Queued count items.
 	Running int
 	Queued  int
-	// Models counts the engines in service at each version, sorted.
+	// Models counts the engines in service per model version, sorted by model and
+	// version.
 	Models []message.ModelCount
 }
 
-// Digest returns the cell's state now.
+// Digest returns a summary of the current state.
 func (c *Cell) Digest() Digest {
 	digest := Digest{Running: len(c.running), Queued: len(c.queued)}
 	counts := make(map[engine.ModelVersion]int)
@@ -37,7 +38,7 @@
 		}
 	}
 	if c.config.Policy == PolicyOneHop {
-		// Other nodes send to the same engines: only the engines know of all.
+		// Other nodes send to the same engines, so only reported load is complete.
 		digest.Running = reported
 	}
 	for held, engines := range counts {
@@ -51,9 +52,9 @@
 
 // RunningOn returns the number of items that run on an engine.
 func (c *Cell) RunningOn(engineID string) int {
-	on := c.engine(engineID)
-	if on == nil {
+	host := c.engine(engineID)
+	if host == nil {
 		return 0
 	}
-	return len(on.running)
+	return len(host.running)
 }
--- a/internal/core/scheduler/dispatch.go
+++ b/internal/core/scheduler/dispatch.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Dispatch assigns queued items to engines while any may run. The caller sends
-// each at once and calls Finished for each later.
+// Dispatch assigns queued items to engines until no further item can run. The caller
+// must send each item immediately and later call Finished or Returned for it.
 func (c *Cell) Dispatch(now time.Time) []Assignment {
 	var assignments []Assignment
 	for len(c.queued) > 0 {
-		assignment, ok := c.next(now)
+		assignment, ok := c.dispatchNext(now)
 		if !ok {
 			break
 		}
@@ -19,28 +19,28 @@
 	return assignments
 }
 
-// next assigns one item: first from a starved class, the longest waiting one
-// first, then from the highest class that has an item that may run.
-func (c *Cell) next(now time.Time) (Assignment, bool) {
-	if !c.anyRoom() {
+// dispatchNext assigns one item: from the starved classes, longest unserved first,
+// otherwise from the highest class with an item that can run.
+func (c *Cell) dispatchNext(now time.Time) (Assignment, bool) {
+	if !c.mayHaveCapacity() {
 		return Assignment{}, false
 	}
 	for _, starved := range c.starvedClasses(now) {
-		if assignment, ok := c.nextOf(now, starved, true); ok {
+		if assignment, ok := c.dispatchFrom(now, starved, true); ok {
 			return assignment, true
 		}
 	}
 	for _, from := range c.classes {
-		if assignment, ok := c.nextOf(now, from, false); ok {
+		if assignment, ok := c.dispatchFrom(now, from, false); ok {
 			return assignment, true
 		}
 	}
 	return Assignment{}, false
 }
 
-// anyRoom is a quick check that some engine could take something.
-func (c *Cell) anyRoom() bool {
-	if c.config.Policy.byReport() {
+// mayHaveCapacity is a cheap pre-check; false means that no engine can take an item.
+func (c *Cell) mayHaveCapacity() bool {
+	if c.config.Policy.usesReportedLoad() {
 		return true
 	}
 	for _, candidate := range c.engines {
@@ -64,8 +64,8 @@
 	return starved
 }
 
-// nextOf assigns one item of a class, in the order of the fair shares.
-func (c *Cell) nextOf(now time.Time, from *class, starvedTurn bool) (Assignment, bool) {
+// dispatchFrom assigns one item of a class, in fair-queuing order of its flows.
+func (c *Cell) dispatchFrom(now time.Time, from *class, starvedTurn bool) (Assignment, bool) {
 	if from.queued == 0 {
 		return Assignment{}, false
 	}
@@ -76,17 +76,17 @@
 			if c.atCap(&head.item) || (!head.item.Live && !trainersMayRun) {
 				continue
 			}
-			if on := c.choose(head); on != nil {
-				return c.assign(now, from, head, on), true
+			if host := c.selectEngine(head); host != nil {
+				return c.assign(now, from, head, host), true
 			}
 		}
 	}
 	return Assignment{}, false
 }
 
-// trainersMayRun keeps the live reserve: trainers leave its slots free, so that
-// a live request finds one at once. In the turn of a starved class it is enough
-// that trainers do not hold more than all other slots.
+// trainersMayRun reports whether a trainer item may take a slot without using the
+// live reserve. Normally the reserved slots must stay free; on the turn of a starved
+// class it is sufficient that trainers hold fewer than the unreserved slots.
 func (c *Cell) trainersMayRun(starvedTurn bool) bool {
 	if c.config.Policy.firstInFirstOut() || c.liveReserve <= 0 {
 		return true
@@ -106,62 +106,62 @@
 	return free > reserved
 }
 
-// choose filters, scores and picks the engine for an entry; nil for none.
-func (c *Cell) choose(queued *entry) *engineState {
+// selectEngine filters, scores and picks an engine for the entry; nil if none can run it.
+func (c *Cell) selectEngine(queued *entry) *engineState {
 	c.filter(queued)
-	if len(c.choice.engines) == 0 {
+	if len(c.eligible.engines) == 0 {
 		return nil
 	}
 	switch c.config.Policy {
 	case PolicyRoundRobin:
-		return pickNext(c.choice.engines, c.lastPicked)
+		return pickNext(c.eligible.engines, c.lastPicked)
 	case PolicyLeastLoad, PolicyOneHop:
-		return pickLeastReported(c.choice.engines)
+		return pickLeastReported(c.eligible.engines)
 	default:
 		return c.pickByScore(queued)
 	}
 }
 
-// filter leaves in c.choice the engines that may run the entry.
+// filter sets c.eligible.engines to the engines that may run the entry.
 func (c *Cell) filter(queued *entry) {
 	slot := filter(filterFreeSlot)
-	if c.config.Policy.byReport() {
+	if c.config.Policy.usesReportedLoad() {
 		slot = filterReportedSlot
 	}
-	c.choice.engines = c.choice.engines[:0]
+	c.eligible.engines = c.eligible.engines[:0]
 	for _, candidate := range c.engines {
-		if slot(&queued.item, candidate) && admits(eligibility, &queued.item, candidate) {
-			c.choice.engines = append(c.choice.engines, candidate)
+		if slot(&queued.item, candidate) && passes(eligibilityFilters, &queued.item, candidate) {
+			c.eligible.engines = append(c.eligible.engines, candidate)
 		}
 	}
 }
 
 func (c *Cell) pickByScore(queued *entry) *engineState {
-	c.choice.measure(queued.item.Model)
+	c.eligible.computeRanges(queued.item.Model)
 	c.scores = c.scores[:0]
-	for _, candidate := range c.choice.engines {
-		score := c.config.Weights.score(queued, candidate, &c.choice, c.config.Prefixes)
+	for _, candidate := range c.eligible.engines {
+		score := c.config.Weights.score(queued, candidate, &c.eligible, c.config.Prefixes)
 		c.scores = append(c.scores, score)
 	}
-	return pickHighest(c.choice.engines, c.scores, c.config.Seed, queued.item.ID)
+	return pickHighest(c.eligible.engines, c.scores, c.config.Seed, queued.item.ID)
 }
 
-// assign moves an entry from the queue to an engine.
-func (c *Cell) assign(now time.Time, from *class, queued *entry, on *engineState) Assignment {
-	from.served(now, queued)
+// assign moves an entry from the queue to the engine.
+func (c *Cell) assign(now time.Time, from *class, queued *entry, host *engineState) Assignment {
+	from.recordDispatch(now, queued)
 	c.dequeue(queued)
-	on.start(queued)
+	host.start(queued)
 	c.running[queued.item.ID] = queued
-	c.runningOf[queued.item.Service]++
-	c.lastPicked = on.id
-	version, _ := on.version(queued.item.Model)
+	c.runningByService[queued.item.Service]++
+	c.lastPicked = host.id
+	version, _ := host.version(queued.item.Model)
 	if c.config.Prefixes != nil {
-		c.config.Prefixes.Sent(on.id, queued.prefixHashes(version))
+		c.config.Prefixes.Sent(host.id, queued.prefixHashes(version))
 	}
 	queued.hashes = nil
 	return Assignment{
 		Item:     queued.item,
-		EngineID: on.id,
+		EngineID: host.id,
 		Version:  version,
 		Waited:   now.Sub(queued.enqueued),
 	}
--- a/internal/core/scheduler/drainrate.go
+++ b/internal/core/scheduler/drainrate.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// drainWindow is the time constant of the estimate of the drain rate.
+	// drainWindow is the time constant of the exponential decay.
 	drainWindow = 10 * time.Second
-	// Bounds of a suggested retry delay.
+	// Bounds of RetryAfter.
 	minimumRetryAfter = 100 * time.Millisecond
 	maximumRetryAfter = 30 * time.Second
 )
 
-// drainRate estimates how many requests finish per second, by a count that
-// decays exponentially.
+// drainRate estimates the rate of finished requests by an exponentially decaying
+// count.
 type drainRate struct {
 	count float64
 	at    time.Time
@@ -27,14 +27,13 @@
 	}
 }
 
-// finished counts one request that finished.
 func (r *drainRate) finished(now time.Time) {
 	r.decay(now)
 	r.count++
 }
 
-// retryAfter estimates how long it takes until so many requests have
-// finished; 0 when nothing finished of late.
+// retryAfter estimates the time until the given number of requests have finished;
+// 0 if there is no estimate because none finished recently.
 func (r *drainRate) retryAfter(now time.Time, requests int) time.Duration {
 	r.decay(now)
 	perSecond := r.count / drainWindow.Seconds()
--- a/internal/core/scheduler/engine.go
+++ b/internal/core/scheduler/engine.go
@@ -4,39 +4,39 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// reportsRemembered is how many load reports back the engine's own figures may
-// lag behind what this cell sent.
-const reportsRemembered = 4
+// peakHistory is the number of report intervals over which peaks are kept; an
+// engine's load reports may lag behind this cell's assignments by that much.
+const peakHistory = 4
 
-// EngineUpdate is what the caller knows of an engine.
+// EngineUpdate is the current state of an engine as known to the caller.
 type EngineUpdate struct {
 	ID     string
 	Status engine.Status
-	// Leaving: the machine list names the engine as leaving.
+	// Leaving reports whether the machine list marks the engine as leaving.
 	Leaving bool
-	// Reachable: its watch stream is up.
+	// Reachable reports whether the engine's watch stream is connected.
 	Reachable bool
-	// Reported: Status is a new report rather than the last one again.
+	// Reported is true if Status is a new report, not the previous one repeated.
 	Reported bool
 }
 
-// engineState is one engine of the cell.
+// engineState is the cell's state of one engine.
 type engineState struct {
 	id        string
 	status    engine.Status
 	leaving   bool
 	reachable bool
-	// running are the entries that this cell sent, exact.
+	// running are the entries that this cell assigned, by item ID.
 	running map[string]*entry
-	// trainers counts the running entries of trainers; work sums the expected
-	// remaining tokens of all of them.
-	trainers int
-	work     int
-	// peaks are the highest numbers of running entries in the last report
-	// intervals, the current one first.
-	peaks [reportsRemembered]int
-	// foreign is the number of requests that others seem to have there: what
-	// the engine reports beyond anything this cell had there of late.
+	// trainers counts the running entries of trainers; totalRemaining is the sum of
+	// remainingTokens over all running entries.
+	trainers       int
+	totalRemaining int
+	// peaks are the maximum numbers of running entries in the last report
+	// intervals, newest first.
+	peaks [peakHistory]int
+	// foreign is the estimated number of requests from other senders: the reported
+	// load in excess of the recent peaks.
 	foreign int
 }
 
@@ -49,13 +49,13 @@
 	s.leaving = update.Leaving
 	s.reachable = update.Reachable
 	if update.Reported {
-		s.correct()
+		s.updateForeign()
 	}
 }
 
-// correct takes in a lagging load report. A report can only show requests of
-// others when it exceeds all that this cell had there while it may have been made.
-func (s *engineState) correct() {
+// updateForeign updates foreign from a load report. Because reports lag, only load
+// above every recent peak is attributed to other senders.
+func (s *engineState) updateForeign() {
 	highest := 0
 	for _, peak := range s.peaks {
 		highest = max(highest, peak)
@@ -67,17 +67,17 @@
 
 func (s *engineState) reportedLoad() int { return s.status.Running + s.status.Waiting }
 
-// inService tells whether the engine takes new work at all.
+// inService reports whether the engine accepts new requests.
 func (s *engineState) inService() bool {
 	return s.reachable && !s.leaving && s.status.State == engine.StateServing
 }
 
-// free returns the batch slots that are not in use.
+// free returns the number of unused batch slots.
 func (s *engineState) free() int {
 	return max(0, s.status.MaxBatch-len(s.running)-s.foreign)
 }
 
-// version returns the version of a model on the engine.
+// version returns the version of a model on the engine; false if it is not loaded.
 func (s *engineState) version(model string) (uint64, bool) {
 	for _, held := range s.status.Models {
 		if held.Model == model {
@@ -89,9 +89,9 @@
 
 func (s *engineState) start(started *entry) {
 	started.engineID = s.id
-	started.remaining = started.expectedTokens()
+	started.remainingTokens = started.expectedTokens()
 	s.running[started.item.ID] = started
-	s.work += started.remaining
+	s.totalRemaining += started.remainingTokens
 	if !started.item.Live {
 		s.trainers++
 	}
@@ -99,14 +99,14 @@
 }
 
 func (s *engineState) progressed(running *entry, generated int) {
-	s.work -= running.remaining
-	running.remaining = running.remainingAfter(generated)
-	s.work += running.remaining
+	s.totalRemaining -= running.remainingTokens
+	running.remainingTokens = running.remainingAfter(generated)
+	s.totalRemaining += running.remainingTokens
 }
 
 func (s *engineState) finish(finished *entry) {
 	delete(s.running, finished.item.ID)
-	s.work -= finished.remaining
+	s.totalRemaining -= finished.remainingTokens
 	if !finished.item.Live {
 		s.trainers--
 	}
--- a/internal/core/scheduler/filter.go
+++ b/internal/core/scheduler/filter.go
@@ -6,11 +6,11 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// filter tells whether an engine may run an item.
+// filter reports whether an engine may run an item.
 type filter func(item *Item, candidate *engineState) bool
 
-// eligibility are the filters that hold under every policy.
-var eligibility = []filter{
+// eligibilityFilters apply under every policy.
+var eligibilityFilters = []filter{
 	filterServing,
 	filterNotLeaving,
 	filterNotExcluded,
@@ -18,45 +18,45 @@
 	filterNotLoading,
 }
 
-// filterServing keeps engines that are reachable and neither draining nor broken.
+// filterServing accepts engines that are reachable and neither draining nor broken.
 func filterServing(_ *Item, candidate *engineState) bool {
 	return candidate.reachable && candidate.status.State == engine.StateServing
 }
 
-// filterNotLeaving drops engines that the machine list names as leaving.
+// filterNotLeaving rejects engines that the machine list marks as leaving.
 func filterNotLeaving(_ *Item, candidate *engineState) bool {
 	return !candidate.leaving
 }
 
-// filterNotExcluded drops engines that refused the item before.
+// filterNotExcluded rejects engines that refused the item before.
 func filterNotExcluded(item *Item, candidate *engineState) bool {
 	return !slices.Contains(item.Excluded, candidate.id)
 }
 
-// filterVersion keeps engines that hold the model at MinVersion or higher.
+// filterVersion accepts engines that have the model at MinVersion or higher.
 func filterVersion(item *Item, candidate *engineState) bool {
 	version, ok := candidate.version(item.Model)
 	return ok && version >= item.MinVersion
 }
 
-// filterNotLoading drops engines that are swapping in the item's model.
+// filterNotLoading rejects engines that are loading a version of the item's model.
 func filterNotLoading(item *Item, candidate *engineState) bool {
 	loading := candidate.status.Loading
 	return loading == nil || loading.Model != item.Model
 }
 
-// filterFreeSlot keeps engines with a free slot by this cell's exact count.
+// filterFreeSlot accepts engines with a free slot by this cell's own count.
 func filterFreeSlot(_ *Item, candidate *engineState) bool {
 	return candidate.free() > 0
 }
 
-// filterReportedSlot keeps engines with a free slot by their own lagging report.
+// filterReportedSlot accepts engines with a free slot by their last load report.
 func filterReportedSlot(_ *Item, candidate *engineState) bool {
 	return candidate.reportedLoad() < candidate.status.MaxBatch
 }
 
-// admits applies the filters in order.
-func admits(filters []filter, item *Item, candidate *engineState) bool {
+// passes reports whether all filters accept the engine.
+func passes(filters []filter, item *Item, candidate *engineState) bool {
 	for _, keep := range filters {
 		if !keep(item, candidate) {
 			return false
--- a/internal/core/scheduler/filter_test.go
+++ b/internal/core/scheduler/filter_test.go
@@ -10,7 +10,7 @@
 
 const testModel = "valuation"
 
-// servingEngine returns an engine that takes any item of testModel.
+// servingEngine returns an engine that may run any item of testModel.
 func servingEngine(id string, version uint64, slots int) *engineState {
 	state := newEngineState(id)
 	state.reachable = true
@@ -27,7 +27,7 @@
 	tests := []struct {
 		name   string
 		filter filter
-		spoil  func(item *Item, candidate *engineState)
+		mutate func(item *Item, candidate *engineState)
 	}{
 		{"unreachable", filterServing, func(_ *Item, e *engineState) { e.reachable = false }},
 		{"draining", filterServing, func(_ *Item, e *engineState) { e.status.State = engine.StateDraining }},
@@ -48,15 +48,15 @@
 			item := &Item{ID: "r", Model: testModel, MinVersion: 3}
 			candidate := servingEngine("a", 3, 2)
 			assert.Assert(t, test.filter(item, candidate))
-			test.spoil(item, candidate)
+			test.mutate(item, candidate)
 			assert.Assert(t, !test.filter(item, candidate))
 		})
 	}
 }
 
-func TestReportsShowTheRequestsOfOthers(t *testing.T) {
+func TestUpdateEstimatesForeignRequests(t *testing.T) {
 	candidate := servingEngine("a", 1, 8)
-	for range reportsRemembered {
+	for range peakHistory {
 		candidate.update(&EngineUpdate{ID: "a", Status: candidate.status, Reachable: true, Reported: true})
 	}
 	candidate.status.Running = 3
--- a/internal/core/scheduler/flow.go
+++ b/internal/core/scheduler/flow.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// flow is the queue of one service inside a class. Start-time fair queuing
-// (Goyal, Vin, Cheng 1996): the flow with the lowest start tag goes next, and
-// each item moves the tag on by its expected tokens divided by the share.
+// flow is the queue of one service within a class. Flows are served by start-time
+// fair queuing (Goyal, Vin, Cheng 1996): the flow with the lowest start tag is next,
+// and each dispatched item advances the tag by its expected tokens / share.
 type flow struct {
-	service string
-	start   float64
-	queued  int
-	lanes   map[laneKey]*lane
-	// ordered is scratch space of lanesInOrder.
+	service  string
+	startTag float64
+	queued   int
+	lanes    map[laneKey]*lane
+	// ordered is the reused result buffer of lanesInOrder.
 	ordered []*lane
 }
 
@@ -39,15 +39,15 @@
 	f.queued--
 }
 
-// lanesInOrder returns the lanes, the one with the first entry first. The
-// result is valid until the next call.
+// lanesInOrder returns the lanes ordered by their head entries. The result is valid
+// until the next call.
 func (f *flow) lanesInOrder(firstInFirstOut bool) []*lane {
 	f.ordered = f.ordered[:0]
 	for _, candidate := range f.lanes {
 		f.ordered = append(f.ordered, candidate)
 	}
 	slices.SortFunc(f.ordered, func(a, b *lane) int {
-		if before(a.head(), b.head(), firstInFirstOut) {
+		if entryBefore(a.head(), b.head(), firstInFirstOut) {
 			return -1
 		}
 		return 1
@@ -59,13 +59,13 @@
 type class struct {
 	priority int
 	queued   int
-	// virtualTime is the start tag of the item that was last dispatched.
+	// virtualTime is the highest start tag of the items dispatched so far.
 	virtualTime float64
 	flows       map[string]*flow
-	// waitingSince is when the class was last served, or when it last became
-	// non-empty if that is later.
+	// waitingSince is when the class was last served or last became non-empty,
+	// whichever is later.
 	waitingSince time.Time
-	// ordered is scratch space of flowsInOrder.
+	// ordered is the reused result buffer of flowsInOrder.
 	ordered []*flow
 }
 
@@ -83,8 +83,8 @@
 		c.flows[flowName] = into
 	}
 	if into.queued == 0 {
-		// An idle service gains no credit for the time it was idle.
-		into.start = max(into.start, c.virtualTime)
+		// An idle service accumulates no credit.
+		into.startTag = max(into.startTag, c.virtualTime)
 	}
 	into.push(queued, firstInFirstOut)
 	c.queued++
@@ -95,16 +95,16 @@
 	c.queued--
 }
 
-// served accounts for a dispatched entry.
-func (c *class) served(now time.Time, queued *entry) {
+// recordDispatch updates the tags and waitingSince for a dispatched entry.
+func (c *class) recordDispatch(now time.Time, queued *entry) {
 	from := queued.flow
-	c.virtualTime = max(c.virtualTime, from.start)
-	from.start += float64(queued.expectedTokens()) / float64(max(queued.item.Share, 1))
+	c.virtualTime = max(c.virtualTime, from.startTag)
+	from.startTag += float64(queued.expectedTokens()) / float64(max(queued.item.Share, 1))
 	c.waitingSince = now
 }
 
-// flowsInOrder returns the flows with queued items, the lowest start tag
-// first. The result is valid until the next call.
+// flowsInOrder returns the flows with queued items by ascending start tag. The
+// result is valid until the next call.
 func (c *class) flowsInOrder() []*flow {
 	c.ordered = c.ordered[:0]
 	for _, candidate := range c.flows {
@@ -114,9 +114,9 @@
 	}
 	slices.SortFunc(c.ordered, func(a, b *flow) int {
 		switch {
-		case a.start < b.start:
+		case a.startTag < b.startTag:
 			return -1
-		case a.start > b.start:
+		case a.startTag > b.startTag:
 			return 1
 		default:
 			return strings.Compare(a.service, b.service)
@@ -125,7 +125,7 @@
 	return c.ordered
 }
 
-// starved tells whether the class waited beyond the bound.
+// starved reports whether the class has queued items and was not served for bound.
 func (c *class) starved(now time.Time, bound time.Duration) bool {
 	return c.queued > 0 && now.Sub(c.waitingSince) >= bound
 }
--- a/internal/core/scheduler/item.go
+++ b/internal/core/scheduler/item.go
@@ -8,59 +8,58 @@
 )
 
 const (
-	// defaultExpectedTokens stands in for an unknown answer length.
+	// defaultExpectedTokens is used if the expected length is unknown.
 	defaultExpectedTokens = 256
-	// minimumRemainingTokens is the least work that a running request counts for.
+	// minimumRemainingTokens is the lower bound of a running request's estimate.
 	minimumRemainingTokens = 16
-	// overrunFraction: an answer that outgrew its expected length is expected
-	// to go on for this part of what it has (lengths have a heavy tail).
-	overrunFraction = 4
+	// A request beyond its expected length is estimated to generate another
+	// 1/overrunDivisor of its tokens so far, as lengths are heavy-tailed.
+	overrunDivisor = 4
 )
 
-// Item is one request that waits for an engine.
+// Item is a request to be scheduled on an engine.
 type Item struct {
 	// ID is unique among the queued and running items of a cell.
 	ID      string
 	Service string
 	Model   string
-	// MinVersion of Model that may run the item; 0 accepts any.
+	// MinVersion is the lowest version of Model that may run the item; 0 accepts any.
 	MinVersion uint64
-	// Prompt is read for its prefix hashes only.
+	// Prompt is used only to compute prefix hashes.
 	Prompt string
-	// Live marks a live service; others are trainers, which may not take the
+	// Live marks an item of a live service. Items of trainers may not use the
 	// reserved slots.
 	Live bool
-	// Priority 0..9; a higher class is served first.
+	// Priority is the priority class, 0..9; higher classes are served first.
 	Priority int
-	// Share 1..1000 is the weight of the service inside its class.
+	// Share is the weight of the service within its class, 1..1000.
 	Share int
 	// Cap bounds the service's requests in flight in this cell; 0 for no cap.
 	Cap int
-	// ExpectedTokens still to be generated; 0 when unknown.
+	// ExpectedTokens is the number of tokens still to be generated; 0 if unknown.
 	ExpectedTokens int
-	// Urgent raises the item among those of its own service.
+	// Urgent moves the item ahead of others of its service.
 	Urgent bool
-	// Deadline ends the wait in the queue.
+	// Deadline is when the item expires if it is still queued.
 	Deadline time.Time
-	// Requeued marks an item that waits again after its engine or its former
-	// dispatcher failed: it goes first in its service and a full queue does not
-	// refuse it.
+	// Requeued marks an item queued again after its engine or previous dispatcher
+	// failed. It precedes others of its service and is exempt from queue limits.
 	Requeued bool
-	// Excluded engines refused the item before; they are not asked again.
+	// Excluded lists the IDs of engines that refused the item.
 	Excluded []string
 }
 
-// Assignment tells the caller to send an item to an engine now.
+// Assignment is an item that the caller must send to an engine.
 type Assignment struct {
 	Item     Item
 	EngineID string
-	// Version of the item's model that the engine last reported.
+	// Version is the version of the item's model last reported by the engine.
 	Version uint64
 	// Waited is the time that the item spent in the queue.
 	Waited time.Duration
 }
 
-// Expired is an item that was given up on while it was queued.
+// Expired is an item whose deadline passed while it was queued.
 type Expired struct {
 	Item Item
 	Err  *errkind.Error
@@ -73,17 +72,17 @@
 	enqueued time.Time
 	flow     *flow
 	lane     *lane
-	// laneIndex and deadlineIndex are positions in the two heaps while queued.
+	// laneIndex and deadlineIndex are the heap positions of a queued entry.
 	laneIndex     int
 	deadlineIndex int
 	// hashes caches the prompt's prefix hashes by version.
 	hashes map[uint64][]uint64
-	// engineID and remaining are set while running.
-	engineID  string
-	remaining int
+	// engineID and remainingTokens are set while running.
+	engineID        string
+	remainingTokens int
 }
 
-// expectedTokens returns the expected length, never below 1.
+// expectedTokens returns the expected length, at least 1.
 func (e *entry) expectedTokens() int {
 	if e.item.ExpectedTokens > 0 {
 		return e.item.ExpectedTokens
@@ -91,7 +90,7 @@
 	return defaultExpectedTokens
 }
 
-// prefixHashes returns the prompt's prefix hashes under a version.
+// prefixHashes returns the prompt's prefix hashes for a model version.
 func (e *entry) prefixHashes(version uint64) []uint64 {
 	if hashes, ok := e.hashes[version]; ok {
 		return hashes
@@ -104,8 +103,8 @@
 	return hashes
 }
 
-// remainingAfter returns the expected work left once so many tokens came.
+// remainingAfter returns the expected remaining tokens after generated tokens.
 func (e *entry) remainingAfter(generated int) int {
 	remaining := e.expectedTokens() - generated
-	return max(remaining, generated/overrunFraction, minimumRemainingTokens)
+	return max(remaining, generated/overrunDivisor, minimumRemainingTokens)
 }
--- a/internal/core/scheduler/lane.go
+++ b/internal/core/scheduler/lane.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// laneKey holds all that decides which engines may run an item, so that a lane
-// whose head finds no engine holds only items that would find none either.
+// laneKey is the set of item properties that determine its eligible engines. If no
+// engine can run the head of a lane, none can run the rest of the lane.
 type laneKey struct {
 	service    string
 	model      string
@@ -52,7 +52,7 @@
 func (h *laneHeap) Len() int { return len(h.list) }
 
 func (h *laneHeap) Less(i, j int) bool {
-	return before(h.list[i], h.list[j], h.firstInFirstOut)
+	return entryBefore(h.list[i], h.list[j], h.firstInFirstOut)
 }
 
 func (h *laneHeap) Swap(i, j int) {
@@ -75,10 +75,10 @@
 	return queued
 }
 
-// before orders the entries of a service: continued ones, then urgent ones,
-// then for trainers the longest expected (a long answer started late leaves the
-// trainer idle), then the order of arrival.
-func before(a, b *entry, firstInFirstOut bool) bool {
+// entryBefore orders the entries of a service: requeued first, then urgent, then for
+// trainers by descending expected length (a long request started late leaves the
+// trainer idle), then by arrival.
+func entryBefore(a, b *entry, firstInFirstOut bool) bool {
 	if firstInFirstOut {
 		return a.sequence < b.sequence
 	}
@@ -94,7 +94,7 @@
 	return a.sequence < b.sequence
 }
 
-// deadlineHeap orders queued entries by deadline; it implements heap.Interface.
+// deadlineHeap orders queued entries by deadline. It implements heap.Interface.
 type deadlineHeap []*entry
 
 func (h deadlineHeap) Len() int { return len(h) }
--- a/internal/core/scheduler/pick.go
+++ b/internal/core/scheduler/pick.go
@@ -6,9 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// pickHighest returns the engine with the highest score. Equal scores are
-// decided by a hash of seed, item and engine: deterministic, and spread over
-// the engines.
+// pickHighest returns the engine with the highest score. Ties are broken by a hash
+// of seed, item and engine, which is deterministic and spreads items over engines.
 func pickHighest(engines []*engineState, scores []float64, seed uint64, itemID string) *engineState {
 	best := 0
 	var bestHash uint64
@@ -20,10 +19,10 @@
 			hashed = false
 		case scores[position] == scores[best]:
 			if !hashed {
-				bestHash = tieHash(seed, itemID, engines[best].id)
+				bestHash = tieBreakHash(seed, itemID, engines[best].id)
 				hashed = true
 			}
-			if hash := tieHash(seed, itemID, engines[position].id); hash > bestHash {
+			if hash := tieBreakHash(seed, itemID, engines[position].id); hash > bestHash {
 				best = position
 				bestHash = hash
 			}
@@ -32,7 +31,7 @@
 	return engines[best]
 }
 
-func tieHash(seed uint64, itemID, engineID string) uint64 {
+func tieBreakHash(seed uint64, itemID, engineID string) uint64 {
 	var prefix [8]byte
 	binary.LittleEndian.PutUint64(prefix[:], seed)
 	var digest xxhash.Digest
@@ -44,8 +43,8 @@
 	return digest.Sum64()
 }
 
-// pickNext returns the first engine after the last picked one in the order of
-// IDs, round and round. Engines are sorted by ID.
+// pickNext returns the engine that follows last in ID order, wrapping around.
+// Engines must be sorted by ID.
 func pickNext(engines []*engineState, last string) *engineState {
 	for _, candidate := range engines {
 		if candidate.id > last {
@@ -55,18 +54,18 @@
 	return engines[0]
 }
 
-// pickLeastReported returns the engine with the lowest reported load per slot.
-// Engines are sorted by ID; the first of equals wins.
+// pickLeastReported returns the engine with the lowest reported load per slot, the
+// first of equals.
 func pickLeastReported(engines []*engineState) *engineState {
 	best := engines[0]
 	for _, candidate := range engines[1:] {
-		if reportedShare(candidate) < reportedShare(best) {
+		if reportedLoadPerSlot(candidate) < reportedLoadPerSlot(best) {
 			best = candidate
 		}
 	}
 	return best
 }
 
-func reportedShare(candidate *engineState) float64 {
+func reportedLoadPerSlot(candidate *engineState) float64 {
 	return float64(candidate.reportedLoad()) / float64(max(candidate.status.MaxBatch, 1))
 }
--- a/internal/core/scheduler/policy.go
+++ b/internal/core/scheduler/policy.go
@@ -1,30 +1,30 @@
 // Package scheduler decides, for one cell of engines, which queued request runs
-// next and on which engine. It has no input, output, clock or goroutines.
+// next and on which engine. It performs no I/O, reads no clock and starts no
+// goroutines.
 package scheduler
 
 import "github.com/go-faster/errors"
 
-// Policy names how a cell orders its queue and picks engines.
+// Policy determines how a cell orders its queue and picks engines.
 type Policy string
 
-// The policies. The three baselines exist for experiments.
+// Policies. All but PolicyDefault are baselines for experiments.
 const (
-	// PolicyDefault: priority classes, fair shares, filter-score-pick.
+	// PolicyDefault uses priority classes, fair shares and scored engines.
 	PolicyDefault Policy = "default"
-	// PolicyRoundRobin: first in, first out; engines in turn.
+	// PolicyRoundRobin is first in, first out and cycles through the engines.
 	PolicyRoundRobin Policy = "round-robin"
-	// PolicyLeastLoad: first in, first out; the engine with the lowest load
-	// that it last reported, which lags.
+	// PolicyLeastLoad is first in, first out and picks the engine with the lowest
+	// last reported load.
 	PolicyLeastLoad Policy = "least-load"
-	// PolicyOneHop: each gateway picks engines itself, without a queue that it
-	// shares with others: the router sends the requests for cells of its zone to
-	// the dispatcher of its own node, which orders and picks as PolicyLeastLoad.
-	// Cells of other zones stay with their dispatchers, since a node knows the
-	// engines of its own zone only. A cap holds for each node by itself.
+	// PolicyOneHop behaves like PolicyLeastLoad, but nodes share no queue: for cells
+	// of its own zone a router sends to the local node's dispatcher. Cells of other
+	// zones keep their dispatchers, since a node knows only the engines of its own
+	// zone. Caps apply per node.
 	PolicyOneHop Policy = "one-hop"
 )
 
-// ParsePolicy returns the policy of a name; the empty name is PolicyDefault.
+// ParsePolicy returns the policy with the name; the empty name is PolicyDefault.
 func ParsePolicy(name string) (Policy, error) {
 	switch policy := Policy(name); policy {
 	case "":
@@ -37,8 +37,9 @@
 	}
 }
 
-// firstInFirstOut tells whether the policy ignores classes, shares and lengths.
+// firstInFirstOut reports whether the policy ignores classes, shares and lengths.
 func (p Policy) firstInFirstOut() bool { return p != PolicyDefault }
 
-// byReport tells whether the policy goes by the load that engines report.
-func (p Policy) byReport() bool { return p == PolicyLeastLoad || p == PolicyOneHop }
+// usesReportedLoad reports whether the policy uses the load reported by engines
+// instead of the cell's own counts.
+func (p Policy) usesReportedLoad() bool { return p == PolicyLeastLoad || p == PolicyOneHop }
--- a/internal/core/scheduler/property_test.go
+++ b/internal/core/scheduler/property_test.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// cellModel drives a cell and keeps its own account of every item.
+// cellModel drives a cell and tracks the expected state of every item.
 type cellModel struct {
 	cell    *Cell
 	now     time.Time
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestNoItemIsLostDoubledOrMisplaced(t *testing.T) {
+func TestCellRunsEachItemAtMostOnceOnEligibleEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := rapid.SampledFrom([]Policy{PolicyDefault, PolicyRoundRobin}).Draw(t, "policy")
 		model := &cellModel{
@@ -141,9 +141,9 @@
 	})
 }
 
-// TestStarvationGuardBound: however much work of a higher class there is, a
-// lower class gets a slot at the first slot that frees after the bound.
-func TestStarvationGuardBound(t *testing.T) {
+// Guards against starvation of a lower class: under constant load of a higher class
+// it must get the first slot that becomes free after the starvation bound.
+func TestStarvationBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(2, 6).Draw(t, "slots")
 		hold := time.Duration(rapid.IntRange(50, 900).Draw(t, "hold ms")) * time.Millisecond
--- a/internal/core/scheduler/score.go
+++ b/internal/core/scheduler/score.go
@@ -4,37 +4,37 @@
 	"github.com/corkpulley/corkpulley/internal/core/prefixcache"
 )
 
-// Weights scale the scores of an engine; each score is in [0, 1].
+// Weights are the factors of an engine's scores, each of which is in [0, 1].
 type Weights struct {
-	// Prefix weighs the part of the prompt that the engine's cache holds.
+	// Prefix is the factor for the share of the prompt in the engine's cache.
 	Prefix float64
-	// Load weighs the room left by the work in flight.
+	// Load is the factor for free capacity.
 	Load float64
-	// Freshness weighs the newness of the engine's weight version.
+	// Freshness is the factor for the recency of the engine's weight version.
 	Freshness float64
 }
 
-// DefaultWeights are the weights of a zero Config.Weights.
+// DefaultWeights replaces a zero Config.Weights.
 var DefaultWeights = Weights{Prefix: 0.8, Load: 1, Freshness: 0.3}
 
-// candidates are the engines left after filtering, with the ranges that scores
-// are taken against.
+// candidates are the engines left after filtering and the value ranges by which
+// scores are normalized.
 type candidates struct {
 	engines []*engineState
-	// mostWork is the highest expected remaining work, in tokens.
-	mostWork int
-	// lowestVersion and highestVersion are of the item's model.
+	// maxRemainingTokens is the maximum of the engines' totalRemaining.
+	maxRemainingTokens int
+	// lowestVersion and highestVersion are versions of the item's model.
 	lowestVersion  uint64
 	highestVersion uint64
 }
 
-// measure fills in the ranges for an item's model.
-func (c *candidates) measure(model string) {
-	c.mostWork = 0
+// computeRanges sets the ranges for an item of the model.
+func (c *candidates) computeRanges(model string) {
+	c.maxRemainingTokens = 0
 	c.lowestVersion = 0
 	c.highestVersion = 0
 	for position, candidate := range c.engines {
-		c.mostWork = max(c.mostWork, candidate.work)
+		c.maxRemainingTokens = max(c.maxRemainingTokens, candidate.totalRemaining)
 		version, _ := candidate.version(model)
 		c.highestVersion = max(c.highestVersion, version)
 		if position == 0 || version < c.lowestVersion {
@@ -43,7 +43,7 @@
 	}
 }
 
-// score returns the weighted sum of all scores of an engine for an entry.
+// score returns the weighted sum of an engine's scores for an entry.
 func (w Weights) score(
 	queued *entry, candidate *engineState, among *candidates, prefixes *prefixcache.Index,
 ) float64 {
@@ -52,8 +52,8 @@
 		w.Freshness*scoreFreshness(queued, candidate, among)
 }
 
-// scorePrefix is the part of the prompt's blocks that the engine is believed
-// to hold, scaled by how far that belief is trusted.
+// scorePrefix is the share of the prompt's blocks that the engine is expected to
+// have cached, scaled by the confidence in that estimate.
 func scorePrefix(queued *entry, candidate *engineState, prefixes *prefixcache.Index) float64 {
 	if prefixes == nil {
 		return 0
@@ -67,19 +67,19 @@
 	return match.Trust * float64(match.Blocks) / float64(len(hashes))
 }
 
-// scoreLoad is 1 for an idle engine and falls with the expected remaining
-// tokens of its work in flight, as a part of the busiest candidate's, and with
-// the slots in use.
+// scoreLoad is 1 for an idle engine and decreases with the slots in use and with
+// the expected remaining tokens relative to the busiest candidate.
 func scoreLoad(candidate *engineState, among *candidates) float64 {
-	slotsFree := float64(candidate.free()) / float64(max(candidate.status.MaxBatch, 1))
-	if among.mostWork == 0 {
-		return slotsFree
+	freeSlots := float64(candidate.free()) / float64(max(candidate.status.MaxBatch, 1))
+	if among.maxRemainingTokens == 0 {
+		return freeSlots
 	}
-	workFree := 1 - float64(candidate.work)/float64(among.mostWork)
-	return (slotsFree + workFree) / 2
+	freeTokens := 1 - float64(candidate.totalRemaining)/float64(among.maxRemainingTokens)
+	return (freeSlots + freeTokens) / 2
 }
 
-// scoreFreshness is 1 for the newest version among the candidates and 0 for the oldest.
+// scoreFreshness is 1 for the newest version among the candidates, 0 for the oldest,
+// and 0 for all if their versions are equal.
 func scoreFreshness(queued *entry, candidate *engineState, among *candidates) float64 {
 	if among.highestVersion == among.lowestVersion {
 		return 0
--- a/internal/core/scheduler/score_test.go
+++ b/internal/core/scheduler/score_test.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/prefixcache"
 )
 
-func TestScorePrefixFollowsTheMatch(t *testing.T) {
+func TestScorePrefixIsShareOfMatchedBlocks(t *testing.T) {
 	prefixes := prefixcache.New(64)
 	queued := &entry{item: Item{Model: testModel, Prompt: strings.Repeat("a", 256)}}
 	candidate := servingEngine("a", 3, 2)
@@ -26,7 +26,7 @@
 	busy := servingEngine("b", 5, 2)
 	busy.start(&entry{item: Item{ID: "r", ExpectedTokens: 100}})
 	among := &candidates{engines: []*engineState{idle, busy}}
-	among.measure(testModel)
+	among.computeRanges(testModel)
 	queued := &entry{item: Item{Model: testModel}}
 	assert.Equal(t, scoreLoad(idle, among), 1.0)
 	assert.Equal(t, scoreLoad(busy, among), 0.25)
@@ -34,7 +34,7 @@
 	assert.Equal(t, scoreFreshness(queued, busy, among), 1.0)
 }
 
-func TestRemainingWorkFollowsProgress(t *testing.T) {
+func TestRemainingAfter(t *testing.T) {
 	running := &entry{item: Item{ExpectedTokens: 100}}
 	assert.Equal(t, running.remainingAfter(60), 40)
 	assert.Equal(t, running.remainingAfter(400), 100)
