--- a/internal/core/ledger/abandon.go
+++ b/internal/core/ledger/abandon.go
@@ -1,12 +1,12 @@
 package ledger
 
-// abandonedListed is how many of the last finished steps are looked through for
-// abandoned ones when they are listed.
-const abandonedListed = ReceiptSteps
+// abandonedLookback is the number of most recently finished steps that
+// AbandonedCounts considers.
+const abandonedLookback = ReceiptSteps
 
-// abandon ends an unfinished step: its open slots are wanted no more, and its
-// samples that are not acknowledged can neither be delivered nor acknowledged.
-// A step that is unknown or finished is left as it is.
+// abandon finishes an open step: its open slots are no longer filled, and its
+// unacknowledged samples can no longer be delivered or acknowledged. It has no
+// effect on an unknown or finished step.
 func (l *Ledger) abandon(body *StepAbandoned) bool {
 	step := l.stepByID[body.Step]
 	if step == nil {
@@ -19,11 +19,11 @@
 // StepOpen reports whether the step is known and not finished.
 func (l *Ledger) StepOpen(step string) bool { return l.stepByID[step] != nil }
 
-// AbandonedCounts returns the counts of the abandoned ones among the last
-// finished steps, oldest first.
+// AbandonedCounts returns the counts of the abandoned steps among the last
+// ReceiptSteps finished ones, oldest first.
 func (l *Ledger) AbandonedCounts() []Counts {
 	var counts []Counts
-	for _, finished := range l.finished[max(0, len(l.finished)-abandonedListed):] {
+	for _, finished := range l.finished[max(0, len(l.finished)-abandonedLookback):] {
 		if finished.Abandoned {
 			counts = append(counts, finished.counts())
 		}
--- a/internal/core/ledger/abandon_test.go
+++ b/internal/core/ledger/abandon_test.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// stream applies records of one writer, which owns the ledger, in order.
+// stream is a ledger with a single writer, which owns it.
 type stream struct {
 	t      *testing.T
 	ledger *Ledger
@@ -34,7 +34,7 @@
 	return verdict
 }
 
-func (s *stream) owned(kind logrecord.Kind, body any) logrecord.Verdict {
+func (s *stream) applyAsOwner(kind logrecord.Kind, body any) logrecord.Verdict {
 	s.t.Helper()
 	return s.apply(1, kind, body)
 }
@@ -42,24 +42,24 @@
 func (s *stream) fill(key SampleKey) logrecord.Verdict {
 	s.t.Helper()
 	spans := []api.VersionSpan{{Version: 1, From: 0, To: 2}}
-	return s.owned(KindSampleFilled, SampleFilled{Sample: key, Versions: spans, Tokens: 2})
+	return s.applyAsOwner(KindSampleFilled, SampleFilled{Sample: key, Versions: spans, Tokens: 2})
 }
 
-func TestAnAbandonedStepEndsAndKeepsItsReceipts(t *testing.T) {
+func TestAbandonedStepIsFinishedAndKeepsReceipts(t *testing.T) {
 	s := newStream(t)
 	step := StepSubmitted{Step: "s", Prompts: make([]Prompt, 3), SamplesPerPrompt: 1, TrainerVersion: 1}
-	assert.Equal(t, s.owned(KindStepSubmitted, step), logrecord.Accepted)
+	assert.Equal(t, s.applyAsOwner(KindStepSubmitted, step), logrecord.Accepted)
 	used, held := SampleKey{Step: "s", Slot: 0, Attempt: 1}, SampleKey{Step: "s", Slot: 1, Attempt: 1}
 	assert.Equal(t, s.fill(used), logrecord.Accepted)
 	assert.Equal(t, s.fill(held), logrecord.Accepted)
 	token := TokenOf(s.offset)
-	assert.Equal(t, s.owned(KindDelivered, Delivered{Samples: []SampleKey{used, held}}), logrecord.Accepted)
-	assert.Equal(t, s.owned(KindAcknowledged, Acknowledged{Token: token, Samples: []SampleKey{used}}), logrecord.Accepted)
+	assert.Equal(t, s.applyAsOwner(KindDelivered, Delivered{Samples: []SampleKey{used, held}}), logrecord.Accepted)
+	assert.Equal(t, s.applyAsOwner(KindAcknowledged, Acknowledged{Token: token, Samples: []SampleKey{used}}), logrecord.Accepted)
 
 	assert.Equal(t, s.apply(9, KindStepAbandoned, StepAbandoned{Step: "s"}), logrecord.Fenced)
-	assert.Equal(t, s.owned(KindStepAbandoned, StepAbandoned{Step: "other"}), logrecord.Invalid)
-	assert.Equal(t, s.owned(KindStepAbandoned, StepAbandoned{Step: "s"}), logrecord.Accepted)
-	assert.Equal(t, s.owned(KindStepAbandoned, StepAbandoned{Step: "s"}), logrecord.Invalid, "it has an effect once")
+	assert.Equal(t, s.applyAsOwner(KindStepAbandoned, StepAbandoned{Step: "other"}), logrecord.Invalid)
+	assert.Equal(t, s.applyAsOwner(KindStepAbandoned, StepAbandoned{Step: "s"}), logrecord.Accepted)
+	assert.Equal(t, s.applyAsOwner(KindStepAbandoned, StepAbandoned{Step: "s"}), logrecord.Invalid, "a repeat has no effect")
 
 	wanted := Counts{Step: "s", Wanted: 3, Acknowledged: 1, Abandoned: true}
 	check := func(l *Ledger) {
@@ -80,10 +80,10 @@
 	assert.NilError(t, restored.Restore(data))
 	check(restored)
 
-	// What comes late has no effect, and the ID stays taken.
+	// Later records have no effect, and the ID can't be reused.
 	assert.Equal(t, s.fill(SampleKey{Step: "s", Slot: 2, Attempt: 1}), logrecord.Invalid)
 	late := Acknowledged{Token: token, Samples: []SampleKey{held}}
-	assert.Equal(t, s.owned(KindAcknowledged, late), logrecord.Invalid)
-	assert.Equal(t, s.owned(KindStepSubmitted, step), logrecord.Invalid)
+	assert.Equal(t, s.applyAsOwner(KindAcknowledged, late), logrecord.Invalid)
+	assert.Equal(t, s.applyAsOwner(KindStepSubmitted, step), logrecord.Invalid)
 	check(s.ledger)
 }
--- a/internal/core/ledger/apply.go
+++ b/internal/core/ledger/apply.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// submit adds a step. A known step ID has no effect, whatever its request is.
+// submit adds a step. It has no effect if the step ID is known, even if the request
+// differs.
 func (l *Ledger) submit(offset int64, body *StepSubmitted) bool {
 	if !body.valid() || len(l.steps) >= MaxOpenSteps {
 		return false
@@ -23,16 +24,16 @@
 		len(body.Prompts) >= 1 && len(body.Prompts) <= MaxSlots/body.SamplesPerPrompt
 }
 
-// fill records a sample for an open slot; the first one for the current
-// attempt wins.
+// fill records a sample for an open slot. Only the first sample for the current
+// attempt is accepted.
 func (l *Ledger) fill(offset int64, body *SampleFilled) bool {
 	step := l.stepByID[body.Sample.Step]
 	if step == nil {
 		return false
 	}
 	slot := step.slot(body.Sample)
-	oldest, whole := OldestVersion(body.Versions, body.Tokens)
-	if slot == nil || slot.State != SlotOpen || !whole {
+	oldest, complete := OldestVersion(body.Versions, body.Tokens)
+	if slot == nil || slot.State != SlotOpen || !complete {
 		return false
 	}
 	slot.State = SlotFilled
@@ -42,9 +43,9 @@
 	return true
 }
 
-// discard reopens the slots of samples that are too old under the terms.
+// discard reopens the slots of samples that are stale under the terms.
 func (l *Ledger) discard(body *SamplesDiscarded) bool {
-	if body.Reason != DiscardStale || !l.allowed(body.Terms) {
+	if body.Reason != DiscardStale || !l.acceptsTerms(body.Terms) {
 		return false
 	}
 	effect := false
@@ -55,13 +56,13 @@
 			effect = true
 		}
 	}
-	return effect && l.note(body.Terms)
+	return effect && l.recordTerms(body.Terms)
 }
 
-// deliver gives each fresh, unacknowledged sample the record's token; the
-// token supersedes that of an earlier delivery.
+// deliver assigns the record's token to each fresh, unacknowledged sample. It
+// replaces the token of an earlier delivery.
 func (l *Ledger) deliver(offset int64, body *Delivered) bool {
-	if !l.allowed(body.Terms) {
+	if !l.acceptsTerms(body.Terms) {
 		return false
 	}
 	effect := false
@@ -72,25 +73,25 @@
 			effect = true
 		}
 	}
-	return effect && l.note(body.Terms)
+	return effect && l.recordTerms(body.Terms)
 }
 
-// acknowledge marks samples as used by the trainer. One that is no longer
-// fresh at the trainer's version is discarded instead. A repeat is accepted
-// again and changes nothing.
+// acknowledge marks samples as used by the trainer. A sample that is no longer
+// fresh at the trainer's version is discarded instead. A repeated acknowledgement
+// is accepted and has no effect.
 func (l *Ledger) acknowledge(body *Acknowledged) bool {
-	if body.Token <= 0 || !l.allowed(body.Terms) {
+	if body.Token <= 0 || !l.acceptsTerms(body.Terms) {
 		return false
 	}
 	repeated, effect := false, false
 	for _, key := range body.Samples {
-		if l.receipted(body.Token, key) {
+		if l.hasReceipt(body.Token, key) {
 			repeated = true
 		} else if l.acknowledgeOne(key, body) {
 			effect = true
 		}
 	}
-	return effect && l.note(body.Terms) || repeated
+	return effect && l.recordTerms(body.Terms) || repeated
 }
 
 func (l *Ledger) acknowledgeOne(key SampleKey, body *Acknowledged) bool {
@@ -110,7 +111,8 @@
 	return true
 }
 
-// finishStep replaces a step by its summary and forgets the oldest summaries.
+// finishStep replaces a step with its summary and evicts the oldest receipts and
+// summaries beyond their limits.
 func (l *Ledger) finishStep(step *Step) {
 	l.steps = slices.DeleteFunc(l.steps, func(other *Step) bool { return other == step })
 	delete(l.stepByID, step.ID)
@@ -126,14 +128,14 @@
 	}
 }
 
-// allowed refuses terms from a table revision older than one already used:
-// a bound once tightened is never loosened by a node that lags.
-func (l *Ledger) allowed(terms Terms) bool {
+// acceptsTerms rejects terms from a table revision older than one already used, so
+// that a lagging node can't relax a tightened bound.
+func (l *Ledger) acceptsTerms(terms Terms) bool {
 	return terms.Bound >= 0 && terms.TableRevision >= l.tableRevision
 }
 
-// note remembers the terms of a record that had an effect; it returns true.
-func (l *Ledger) note(terms Terms) bool {
+// recordTerms stores the terms of a record that had an effect. It returns true.
+func (l *Ledger) recordTerms(terms Terms) bool {
 	l.tableRevision = terms.TableRevision
 	l.trainerVersion = terms.TrainerVersion
 	return true
@@ -148,13 +150,13 @@
 	if step == nil {
 		return nil, nil
 	}
-	return step, step.filled(key)
+	return step, step.unacknowledgedSlot(key)
 }
 
-// receipted reports whether the sample was acknowledged under the token.
-func (l *Ledger) receipted(token int64, key SampleKey) bool {
+// hasReceipt reports whether the sample was acknowledged under the token.
+func (l *Ledger) hasReceipt(token int64, key SampleKey) bool {
 	if finished := l.finishedByID[key.Step]; finished != nil {
-		return finished.receipted(token, key)
+		return finished.hasReceipt(token, key)
 	}
 	step := l.stepByID[key.Step]
 	if step == nil {
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -1,51 +1,50 @@
-// Package ledger is the pure reducer of a trainer's stream steps/<trainer>: who
-// owns the ledger, which steps were submitted, and which sample filled, left or
-// was acknowledged for each wanted slot. It has no input or output.
+// Package ledger is the reducer of a trainer's stream steps/<trainer>: it tracks the
+// owner of the stream, the submitted steps and, per slot, the sample that was filled,
+// discarded, delivered or acknowledged. It performs no I/O.
 //
 // Invariants, after every record: a slot is acknowledged at most once; a sample
-// is acknowledged only under its current delivery's token and within the bound
-// that the acknowledgement names; a record of an epoch that is not in force, or
-// that was read from an older table revision than one seen before, has no effect.
+// is acknowledged only under its current delivery's token and within the staleness
+// bound of the acknowledgement; a record has no effect if its epoch is not the
+// current one or if its terms are from an older table revision than earlier terms.
 package ledger
 
 import (
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// Limits of one ledger; a record beyond them is Invalid.
+// Limits of one ledger. Records that exceed them are Invalid.
 const (
-	// MaxOpenSteps bounds the steps that are not finished.
+	// MaxOpenSteps bounds the unfinished steps.
 	MaxOpenSteps = 64
 	// MaxSamplesPerPrompt bounds StepSubmitted.SamplesPerPrompt.
 	MaxSamplesPerPrompt = 1024
-	// MaxSlots bounds prompts times samples for each prompt.
+	// MaxSlots bounds the slots of a step, prompts times samples per prompt.
 	MaxSlots = 1 << 16
-	// FinishedSteps is how many finished steps are remembered; an older step
-	// ID is forgotten and would be taken for a new one.
+	// FinishedSteps is the number of finished steps retained. The ID of an evicted
+	// step is treated as new.
 	FinishedSteps = 1024
-	// ReceiptSteps is how many of the last finished steps keep receipts.
+	// ReceiptSteps is the number of most recently finished steps that keep receipts.
 	ReceiptSteps = 16
 )
 
-// Ledger is the state of one trainer's stream. The zero value is not ready;
-// use New. It implements logstream.Reducer and is not safe for concurrent use.
+// Ledger is the state of one trainer's stream. Use New to create one. It implements
+// logstream.Reducer and is not safe for concurrent use.
 type Ledger struct {
 	sequences logrecord.Sequences
 	fence     logrecord.Fence
-	// tableRevision is the highest that an effective record named.
+	// tableRevision is the highest table revision of any effective record.
 	tableRevision int64
-	// trainerVersion is the one that the last effective record named.
+	// trainerVersion is the trainer version of the last effective record.
 	trainerVersion uint64
-	// steps are the unfinished ones, in order of submission.
+	// steps are the unfinished steps in order of submission.
 	steps []*Step
-	// finished are the finished ones, oldest first.
+	// finished are the finished steps, oldest first.
 	finished []*FinishedStep
 
 	stepByID     map[string]*Step
 	finishedByID map[string]*FinishedStep
 }
 
-// New returns an empty ledger.
 func New() *Ledger {
 	return &Ledger{
 		stepByID:     make(map[string]*Step),
@@ -53,7 +52,7 @@
 	}
 }
 
-// Apply applies the record at the offset and returns the verdict.
+// Apply applies the record at the offset and returns its verdict.
 func (l *Ledger) Apply(offset int64, record logrecord.Record) logrecord.Verdict {
 	if verdict := l.sequences.Admit(offset, record); verdict != logrecord.Accepted {
 		return verdict
@@ -67,8 +66,8 @@
 	return logrecord.Invalid
 }
 
-// applyBody reports whether the record had an effect; a record without one
-// leaves the state as it was.
+// applyBody applies the record's body and reports whether it is accepted. A record
+// that is not accepted leaves the state unchanged.
 func (l *Ledger) applyBody(offset int64, record logrecord.Record) bool {
 	switch record.Kind {
 	case logrecord.KindClaim, logrecord.KindRelease:
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -10,21 +10,21 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// owned is a ledger with one owner, for tests of single rules.
-type owned struct {
+// ownedLedger is a ledger with a single owner.
+type ownedLedger struct {
 	*testing.T
 	ledger *Ledger
 	offset int64
 }
 
-func newOwned(t *testing.T) *owned {
-	o := &owned{T: t, ledger: New()}
+func newOwnedLedger(t *testing.T) *ownedLedger {
+	o := &ownedLedger{T: t, ledger: New()}
 	o.append(logrecord.KindClaim, logrecord.Claim{Node: "n", Address: "a"})
 	return o
 }
 
 // append applies one record and returns its token and whether it was accepted.
-func (o *owned) append(kind logrecord.Kind, body any) (int64, bool) {
+func (o *ownedLedger) append(kind logrecord.Kind, body any) (int64, bool) {
 	o.Helper()
 	raw, err := logrecord.EncodeBody(body)
 	assert.NilError(o, err)
@@ -37,12 +37,12 @@
 	return o.offset, verdict == logrecord.Accepted
 }
 
-func (o *owned) submit(step string, samples int) bool {
+func (o *ownedLedger) submit(step string, samples int) bool {
 	_, ok := o.append(KindStepSubmitted, StepSubmitted{Step: step, Prompts: make([]Prompt, 1), SamplesPerPrompt: samples})
 	return ok
 }
 
-func (o *owned) fill(key SampleKey, version uint64) bool {
+func (o *ownedLedger) fill(key SampleKey, version uint64) bool {
 	spans := []api.VersionSpan{{Version: version, To: 3}}
 	_, ok := o.append(KindSampleFilled, SampleFilled{Sample: key, Versions: spans, Tokens: 3, Text: "abc"})
 	return ok
@@ -53,15 +53,15 @@
 }
 
 func TestDeliveryAndAcknowledgement(t *testing.T) {
-	o := newOwned(t)
+	o := newOwnedLedger(t)
 	sample := key("s", 0, 1)
 	assert.Assert(t, o.submit("s", 2))
 	assert.Assert(t, o.fill(sample, 4))
-	assert.Assert(t, !o.fill(sample, 5), "the first fill wins")
+	assert.Assert(t, !o.fill(sample, 5), "only the first fill is accepted")
 	terms := Terms{TrainerVersion: 5, Bound: 1}
 	first, ok := o.append(KindDelivered, Delivered{Samples: []SampleKey{sample}, Terms: terms})
 	assert.Assert(t, ok)
-	assert.Equal(t, len(o.ledger.Deliverable("", terms, map[SampleKey]bool{sample: true}, 9)), 0, "held by the trainer")
+	assert.Equal(t, len(o.ledger.Deliverable("", terms, map[SampleKey]bool{sample: true}, 9)), 0, "already held by the trainer")
 	second, ok := o.append(KindDelivered, Delivered{Samples: []SampleKey{sample}, Terms: terms})
 	assert.Assert(t, ok)
 	_, ok = o.append(KindAcknowledged, Acknowledged{Token: first, Samples: []SampleKey{sample}, Terms: terms})
@@ -77,8 +77,8 @@
 	assert.Equal(t, counts, Counts{Step: "s", Wanted: 2, Open: 1, Acknowledged: 1})
 }
 
-func TestStaleSampleIsDiscardedByAcknowledgement(t *testing.T) {
-	o := newOwned(t)
+func TestAcknowledgeDiscardsStaleSample(t *testing.T) {
+	o := newOwnedLedger(t)
 	sample := key("s", 0, 1)
 	o.submit("s", 1)
 	o.fill(sample, 4)
@@ -91,12 +91,12 @@
 	open := o.ledger.OpenSlots()
 	assert.Equal(t, len(open), 1)
 	assert.Equal(t, open[0].Sample, key("s", 0, 2))
-	assert.Assert(t, !o.fill(sample, 6), "a late answer of the discarded attempt")
+	assert.Assert(t, !o.fill(sample, 6), "late sample of the discarded attempt")
 	assert.Assert(t, o.fill(open[0].Sample, 6))
 }
 
-func TestDiscardNeedsStaleness(t *testing.T) {
-	o := newOwned(t)
+func TestDiscardRejectsFreshSample(t *testing.T) {
+	o := newOwnedLedger(t)
 	sample := key("s", 0, 1)
 	o.submit("s", 1)
 	o.fill(sample, 4)
@@ -110,11 +110,11 @@
 	_, ok = o.append(KindDelivered, Delivered{
 		Samples: []SampleKey{key("s", 0, 2)}, Terms: Terms{TrainerVersion: 5, Bound: 1, TableRevision: 6},
 	})
-	assert.Assert(t, !ok, "judged under an older table revision than one before")
+	assert.Assert(t, !ok, "terms of an older table revision than earlier terms")
 }
 
 func TestInvalidFillsAndSteps(t *testing.T) {
-	o := newOwned(t)
+	o := newOwnedLedger(t)
 	assert.Assert(t, o.submit("s", 1))
 	assert.Assert(t, !o.submit("s", 1), "known step")
 	assert.Assert(t, !o.submit("bad/id", 1))
@@ -136,7 +136,7 @@
 }
 
 func TestFinishedStepsAreBounded(t *testing.T) {
-	o := newOwned(t)
+	o := newOwnedLedger(t)
 	var tokens []int64
 	const steps = FinishedSteps + 5
 	for i := range steps {
@@ -165,7 +165,7 @@
 	assert.Equal(t, len(accepted), 0)
 }
 
-func TestSampleKeyText(t *testing.T) {
+func TestParseSampleKey(t *testing.T) {
 	parsed, err := ParseSampleKey("step-1.a/17/3")
 	assert.NilError(t, err)
 	assert.Equal(t, parsed, key("step-1.a", 17, 3))
@@ -189,7 +189,7 @@
 		f.Add([]byte(raw))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		o := newOwned(t)
+		o := newOwnedLedger(t)
 		o.submit("s", 1)
 		for i, kind := range []logrecord.Kind{
 			KindStepSubmitted, KindSampleFilled, KindDelivered, KindAcknowledged, KindSamplesDiscarded,
--- a/internal/core/ledger/property_test.go
+++ b/internal/core/ledger/property_test.go
@@ -13,19 +13,20 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// history builds a random stream, applies it to a ledger and judges each
-// verdict on its own knowledge of the records, not the ledger's.
+// history builds a random stream, applies it to a ledger and checks each verdict
+// against a model that is independent of the ledger's state.
 type history struct {
-	t       *rapid.T
-	ledger  *Ledger
-	records []logrecord.Record
-	next    map[string]uint64
-	// oldest, delivered and acknowledged are what accepted records said.
+	t            *rapid.T
+	ledger       *Ledger
+	records      []logrecord.Record
+	nextSequence map[string]uint64
+	// oldest, delivered, acknowledged and filledOnce are the model, updated from
+	// accepted records.
 	oldest       map[SampleKey]uint64
 	delivered    map[SampleKey]int64
 	acknowledged map[string]SampleKey
 	filledOnce   map[SampleKey]bool
-	// revision is the table revision that the records before were judged under.
+	// revision is the highest table revision of the accepted terms.
 	revision int64
 }
 
@@ -35,10 +36,10 @@
 	versions = rapid.Uint64Range(1, 5)
 )
 
-func TestRandomHistories(t *testing.T) {
+func TestLedgerInvariantsUnderRandomRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{
-			t: t, ledger: New(), next: make(map[string]uint64),
+			t: t, ledger: New(), nextSequence: make(map[string]uint64),
 			oldest: make(map[SampleKey]uint64), delivered: make(map[SampleKey]int64),
 			acknowledged: make(map[string]SampleKey), filledOnce: make(map[SampleKey]bool),
 		}
@@ -71,8 +72,8 @@
 	return data
 }
 
-// effects encodes all of the state but the writers' sequences.
-func effects(t assert.TestingT, l *Ledger) []byte {
+// stateWithoutSequences encodes the state except for the writers' sequences.
+func stateWithoutSequences(t assert.TestingT, l *Ledger) []byte {
 	data, err := msgpack.Marshal([]any{l.fence, l.tableRevision, l.trainerVersion, l.steps, l.finished})
 	assert.NilError(t, err)
 	return data
@@ -83,16 +84,16 @@
 	offset := int64(len(h.records))
 	h.records = append(h.records, record)
 	fence := h.ledger.Fence()
-	before := effects(h.t, h.ledger)
+	before := stateWithoutSequences(h.t, h.ledger)
 	verdict := h.ledger.Apply(offset, record)
 	if verdict != logrecord.Accepted {
-		assert.Assert(h.t, bytes.Equal(before, effects(h.t, h.ledger)), "%v had an effect", verdict)
+		assert.Assert(h.t, bytes.Equal(before, stateWithoutSequences(h.t, h.ledger)), "%v had an effect", verdict)
 		return
 	}
 	if record.Kind != logrecord.KindClaim {
-		assert.Assert(h.t, fence.OwnedBy(record.Writer, record.Epoch), "accepted outside the epoch in force")
+		assert.Assert(h.t, fence.OwnedBy(record.Writer, record.Epoch), "accepted outside the current epoch")
 	}
-	h.note(offset, record)
+	h.recordAccepted(offset, record)
 	assert.Equal(h.t, h.acknowledgedSlots(), len(h.acknowledged), "acknowledged under another token")
 }
 
@@ -105,8 +106,8 @@
 	return count
 }
 
-// note checks an accepted record and remembers what it said.
-func (h *history) note(offset int64, record logrecord.Record) {
+// recordAccepted checks an accepted record and updates the model.
+func (h *history) recordAccepted(offset int64, record logrecord.Record) {
 	switch record.Kind {
 	case KindSampleFilled:
 		body := decode[SampleFilled](h.t, record)
@@ -119,29 +120,29 @@
 			h.oldest[body.Sample] = min(h.oldest[body.Sample], span.Version)
 		}
 	case KindSamplesDiscarded:
-		h.noteTerms(decode[SamplesDiscarded](h.t, record).Terms)
+		h.checkTerms(decode[SamplesDiscarded](h.t, record).Terms)
 	case KindDelivered:
 		body := decode[Delivered](h.t, record)
-		h.noteTerms(body.Terms)
+		h.checkTerms(body.Terms)
 		for _, stored := range h.ledger.DeliveredUnder(offset+1, len(body.Samples)) {
-			assert.Assert(h.t, h.within(stored.Sample, body.Terms), "stale delivery")
+			assert.Assert(h.t, h.isFresh(stored.Sample, body.Terms), "stale delivery")
 			h.delivered[stored.Sample] = offset + 1
 		}
 	case KindStepAbandoned:
 		counts, _ := h.ledger.Counts(decode[StepAbandoned](h.t, record).Step)
 		assert.Assert(h.t, counts.Abandoned && counts.Open == 0 && counts.Filled == 0)
 	case KindAcknowledged:
-		h.noteTerms(decode[Acknowledged](h.t, record).Terms)
-		h.noteAcknowledged(decode[Acknowledged](h.t, record))
+		h.checkTerms(decode[Acknowledged](h.t, record).Terms)
+		h.checkAcknowledged(decode[Acknowledged](h.t, record))
 	}
 }
 
-func (h *history) noteTerms(terms Terms) {
-	assert.Assert(h.t, terms.TableRevision >= h.revision, "judged under an older table revision")
+func (h *history) checkTerms(terms Terms) {
+	assert.Assert(h.t, terms.TableRevision >= h.revision, "terms of an older table revision")
 	h.revision = h.ledger.TableRevision()
 }
 
-func (h *history) noteAcknowledged(body Acknowledged) {
+func (h *history) checkAcknowledged(body Acknowledged) {
 	accepted, _ := h.ledger.AcknowledgedUnder(body.Token, body.Samples)
 	for _, key := range accepted {
 		slot := SampleKey{Step: key.Step, Slot: key.Slot}.String()
@@ -150,12 +151,12 @@
 			continue
 		}
 		assert.Equal(h.t, h.delivered[key], body.Token, "not the current delivery")
-		assert.Assert(h.t, h.within(key, body.Terms), "stale acknowledgement")
+		assert.Assert(h.t, h.isFresh(key, body.Terms), "stale acknowledgement")
 		h.acknowledged[slot] = key
 	}
 }
 
-func (h *history) within(key SampleKey, terms Terms) bool {
+func (h *history) isFresh(key SampleKey, terms Terms) bool {
 	return int64(terms.TrainerVersion)-int64(h.oldest[key]) <= int64(terms.Bound)
 }
 
@@ -165,7 +166,7 @@
 	return body
 }
 
-// draw returns a new record, or (an append whose answer was lost) a repeat.
+// draw returns a new record, or a repeat as after an append with unknown outcome.
 func (h *history) draw() logrecord.Record {
 	if len(h.records) > 0 && rapid.IntRange(0, 7).Draw(h.t, "repeat") == 0 {
 		return h.records[rapid.IntRange(0, len(h.records)-1).Draw(h.t, "of")]
@@ -177,10 +178,10 @@
 		epoch = rapid.Int64Range(0, fence.Epoch).Draw(h.t, "epoch")
 	}
 	kind, body := h.drawBody(fence)
-	h.next[writer]++
+	h.nextSequence[writer]++
 	raw, err := logrecord.EncodeBody(body)
 	assert.NilError(h.t, err)
-	return logrecord.Record{Writer: writer, Sequence: h.next[writer], Epoch: epoch, Kind: kind, Body: raw}
+	return logrecord.Record{Writer: writer, Sequence: h.nextSequence[writer], Epoch: epoch, Kind: kind, Body: raw}
 }
 
 func (h *history) drawBody(fence logrecord.Fence) (logrecord.Kind, any) {
--- a/internal/core/ledger/query.go
+++ b/internal/core/ledger/query.go
@@ -2,19 +2,20 @@
 
 import "github.com/corkpulley/corkpulley/internal/core/logrecord"
 
-// Fence returns a copy of the ownership state.
+// Fence returns the ownership state.
 func (l *Ledger) Fence() logrecord.Fence { return l.fence }
 
-// TrainerVersion returns the trainer's version as the last effective record named it.
+// TrainerVersion returns the trainer version of the last effective record.
 func (l *Ledger) TrainerVersion() uint64 { return l.trainerVersion }
 
-// TableRevision returns the highest table revision that an effective record named.
+// TableRevision returns the highest table revision of any effective record.
 func (l *Ledger) TableRevision() int64 { return l.tableRevision }
 
-// OpenStepCount returns the number of unfinished steps.
+// OpenStepCount returns the number of open (unfinished) steps.
 func (l *Ledger) OpenStepCount() int { return len(l.steps) }
 
-// Fingerprint returns the fingerprint of a known step, finished or not.
+// Fingerprint returns the fingerprint of a retained step, finished or not; false if
+// the step is unknown.
 func (l *Ledger) Fingerprint(step string) (uint64, bool) {
 	if open := l.stepByID[step]; open != nil {
 		return open.Fingerprint, true
@@ -25,7 +26,7 @@
 	return 0, false
 }
 
-// StepsBefore counts the unfinished steps that were submitted before a step.
+// StepsBefore returns the number of open steps that were submitted before the step.
 func (l *Ledger) StepsBefore(step string) int {
 	for before, other := range l.steps {
 		if other.ID == step {
@@ -35,8 +36,8 @@
 	return len(l.steps)
 }
 
-// Counts summarizes one step. Wanted = Open + Filled + Acknowledged, but for an
-// abandoned step, of which nothing is open or filled any more.
+// Counts summarizes the slots of a step. Wanted = Open + Filled + Acknowledged,
+// except for an abandoned step, which has no open or filled slots.
 type Counts struct {
 	Step         string
 	Wanted       int
@@ -47,7 +48,8 @@
 	Abandoned    bool
 }
 
-// Counts returns the counts of a known step, finished or not.
+// Counts returns the counts of a retained step, finished or not; false if the step
+// is unknown.
 func (l *Ledger) Counts(step string) (Counts, bool) {
 	if open := l.stepByID[step]; open != nil {
 		return open.counts(), true
@@ -58,7 +60,7 @@
 	return Counts{}, false
 }
 
-// OpenCounts returns the counts of all unfinished steps, in order of submission.
+// OpenCounts returns the counts of all open steps in order of submission.
 func (l *Ledger) OpenCounts() []Counts {
 	counts := make([]Counts, 0, len(l.steps))
 	for _, step := range l.steps {
@@ -87,20 +89,20 @@
 	return counts
 }
 
-// OpenSlot is a wanted sample that has no recorded answer.
+// OpenSlot is a slot without a recorded sample.
 type OpenSlot struct {
 	Sample SampleKey
-	// Prompt is the index of the slot's prompt in the step's request.
+	// Prompt is the index of the slot's prompt in the step.
 	Prompt int
-	// StepOffset is the offset of the record that holds the step's request.
+	// StepOffset is the offset of the step's StepSubmitted record.
 	StepOffset int64
-	// StepOpen counts the open slots of the step.
+	// StepOpen is the number of open slots of the step.
 	StepOpen int
-	// StepWanted counts all slots of the step.
+	// StepWanted is the number of all slots of the step.
 	StepWanted int
 }
 
-// OpenSlots returns all open slots, in order of step and slot.
+// OpenSlots returns all open slots, ordered by step and slot.
 func (l *Ledger) OpenSlots() []OpenSlot {
 	var open []OpenSlot
 	for _, step := range l.steps {
@@ -126,7 +128,7 @@
 	}
 }
 
-// IsOpen reports whether the slot still waits for this attempt's answer.
+// IsOpen reports whether the slot is open and key.Attempt is its current attempt.
 func (l *Ledger) IsOpen(key SampleKey) bool {
 	step := l.stepByID[key.Step]
 	if step == nil {
@@ -136,19 +138,22 @@
 	return slot != nil && slot.State == SlotOpen
 }
 
-// StoredSample tells where a recorded sample stands in the stream.
+// StoredSample locates a recorded sample in the stream.
 type StoredSample struct {
-	Sample     SampleKey
+	Sample SampleKey
+	// FillOffset is the offset of the sample's SampleFilled record.
 	FillOffset int64
-	// Prompt is the index of the prompt, Index that of the sample among the prompt's.
+	// Prompt is the index of the prompt in the step, Index that of the sample among
+	// the prompt's samples.
 	Prompt int
 	Index  int
-	Bytes  int
+	// Bytes is the length of the sample's text.
+	Bytes int
 }
 
-// filledWhere returns the recorded, unacknowledged samples of a step (empty for all
-// steps) that keep accepts, in order, at most limit of them.
-func (l *Ledger) filledWhere(stepID string, limit int, keep func(*Slot, SampleKey) bool) []StoredSample {
+// filledSamples returns the first limit recorded, unacknowledged samples of a step
+// (empty for all steps) for which keep returns true, ordered by step and slot.
+func (l *Ledger) filledSamples(stepID string, limit int, keep func(*Slot, SampleKey) bool) []StoredSample {
 	var found []StoredSample
 	for _, step := range l.steps {
 		if stepID != "" && step.ID != stepID {
@@ -179,29 +184,31 @@
 	}
 }
 
-// Deliverable returns samples that a delivery under the terms could carry, of
-// one step (empty for any), without those that the trainer holds.
+// Deliverable returns up to limit samples of a step (empty for any step) that may be
+// delivered under the terms, without delivered samples that the trainer still holds.
 func (l *Ledger) Deliverable(step string, terms Terms, holding map[SampleKey]bool, limit int) []StoredSample {
-	return l.filledWhere(step, limit, func(slot *Slot, key SampleKey) bool {
+	return l.filledSamples(step, limit, func(slot *Slot, key SampleKey) bool {
 		held := slot.Token != 0 && holding[key]
 		return !held && terms.fresh(slot)
 	})
 }
 
-// Stale returns samples that are too old under the terms.
+// Stale returns up to limit samples that are stale under the terms.
 func (l *Ledger) Stale(terms Terms, limit int) []StoredSample {
-	return l.filledWhere("", limit, func(slot *Slot, _ SampleKey) bool { return !terms.fresh(slot) })
+	return l.filledSamples("", limit, func(slot *Slot, _ SampleKey) bool { return !terms.fresh(slot) })
 }
 
-// DeliveredUnder returns the samples whose current delivery has the token.
+// DeliveredUnder returns up to limit unacknowledged samples whose current delivery
+// has the token.
 func (l *Ledger) DeliveredUnder(token int64, limit int) []StoredSample {
-	return l.filledWhere("", limit, func(slot *Slot, _ SampleKey) bool { return slot.Token == token })
+	return l.filledSamples("", limit, func(slot *Slot, _ SampleKey) bool { return slot.Token == token })
 }
 
-// AcknowledgedUnder splits samples into those acknowledged under the token and the others.
+// AcknowledgedUnder partitions samples into those acknowledged under the token and
+// the others.
 func (l *Ledger) AcknowledgedUnder(token int64, keys []SampleKey) (accepted, rejected []SampleKey) {
 	for _, key := range keys {
-		if l.receipted(token, key) {
+		if l.hasReceipt(token, key) {
 			accepted = append(accepted, key)
 		} else {
 			rejected = append(rejected, key)
--- a/internal/core/ledger/record.go
+++ b/internal/core/ledger/record.go
@@ -5,13 +5,14 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// StreamPrefix is followed by the trainer's service name in a ledger's stream name.
+// StreamPrefix is the prefix of ledger stream names; the trainer's service name
+// follows.
 const StreamPrefix = "steps/"
 
-// StreamName returns the name of a trainer's ledger stream.
+// StreamName returns the ledger stream name of a trainer.
 func StreamName(trainer string) string { return StreamPrefix + trainer }
 
-// Record kinds of a ledger stream, beside those of the fence.
+// Record kinds of a ledger stream, in addition to those of logrecord.Fence.
 const (
 	KindStepSubmitted    logrecord.Kind = "step-submitted"
 	KindSampleFilled     logrecord.Kind = "sample-filled"
@@ -27,11 +28,12 @@
 	Text  string `msgpack:"t"`
 }
 
-// StepSubmitted is the body of KindStepSubmitted. The state keeps only the
-// record's offset and the counts, so that snapshots hold no prompt text.
+// StepSubmitted is the body of KindStepSubmitted. Snapshots don't contain the
+// prompts, only the offset of this record.
 type StepSubmitted struct {
 	Step string `msgpack:"s"`
-	// Fingerprint identifies the request, to tell a repeat from another one.
+	// Fingerprint identifies the request, to distinguish a repeat from a different
+	// request with the same ID.
 	Fingerprint      uint64   `msgpack:"f"`
 	Prompts          []Prompt `msgpack:"p"`
 	SamplesPerPrompt int      `msgpack:"n"`
@@ -44,7 +46,7 @@
 // SampleFilled is the body of KindSampleFilled: a finished, scored attempt.
 type SampleFilled struct {
 	Sample SampleKey `msgpack:"k"`
-	// Versions must cover [0, Tokens) without a gap, each with a version above zero.
+	// Versions must cover [0, Tokens) in order and without gaps; versions are positive.
 	Versions     []api.VersionSpan `msgpack:"v"`
 	Tokens       int               `msgpack:"n"`
 	Score        float64           `msgpack:"sc"`
@@ -52,20 +54,21 @@
 	Text         string            `msgpack:"t"`
 }
 
-// Terms are the facts under which a record's freshness is judged.
+// Terms are the inputs of the freshness check of a record's samples.
 type Terms struct {
-	// TrainerVersion is the weight version that the trainer said it is at.
+	// TrainerVersion is the weight version reported by the trainer.
 	TrainerVersion uint64 `msgpack:"v"`
 	// Bound is the staleness bound of the trainer's row, in versions.
 	Bound int `msgpack:"b"`
-	// TableRevision is the revision that Bound was read from.
+	// TableRevision is the policy table revision from which Bound was read.
 	TableRevision int64 `msgpack:"r"`
 }
 
-// DiscardReason tells why samples were discarded.
+// DiscardReason is the reason for which samples were discarded.
 type DiscardReason string
 
-// DiscardStale: the samples are older than the bound at the trainer's version.
+// DiscardStale means that the samples lag behind the trainer's version by more than
+// the bound.
 const DiscardStale DiscardReason = "stale"
 
 // SamplesDiscarded is the body of KindSamplesDiscarded.
@@ -75,7 +78,7 @@
 	Terms   Terms         `msgpack:"t"`
 }
 
-// Delivered is the body of KindDelivered. Its token is the record's offset + 1.
+// Delivered is the body of KindDelivered. TokenOf gives its token.
 type Delivered struct {
 	Samples []SampleKey `msgpack:"k"`
 	Terms   Terms       `msgpack:"t"`
@@ -88,15 +91,15 @@
 	Terms   Terms       `msgpack:"t"`
 }
 
-// StepAbandoned is the body of KindStepAbandoned: the trainer wants no more
-// samples of the step.
+// StepAbandoned is the body of KindStepAbandoned: the trainer needs no more samples
+// of the step.
 type StepAbandoned struct {
 	Step string `msgpack:"s"`
 }
 
-// Fresh reports whether a sample whose oldest span has the given version may
-// be used by a trainer at trainerVersion. Newer spans than the trainer's own
-// version are fresh.
+// Fresh reports whether a sample whose oldest span has version oldest is within the
+// staleness bound, in versions, at trainerVersion. Versions newer than
+// trainerVersion are fresh under any bound.
 func Fresh(oldest, trainerVersion uint64, bound int) bool {
 	if oldest >= trainerVersion {
 		return true
@@ -104,8 +107,8 @@
 	return bound >= 0 && trainerVersion-oldest <= uint64(bound)
 }
 
-// OldestVersion returns the lowest version of the spans, and false unless they
-// cover [0, tokens) in order, without a gap and with a named version each.
+// OldestVersion returns the lowest version of the spans. It returns false unless the
+// spans cover [0, tokens) in order and without gaps, with positive versions.
 func OldestVersion(spans []api.VersionSpan, tokens int) (uint64, bool) {
 	if tokens <= 0 || len(spans) == 0 {
 		return 0, false
--- a/internal/core/ledger/sample.go
+++ b/internal/core/ledger/sample.go
@@ -8,9 +8,9 @@
 	"github.com/go-faster/errors"
 )
 
-// SampleKey identifies one sample: the slot of a step and the attempt that
-// filled it. A slot reopened after a discard has the next attempt, so a late
-// answer with the discarded sample can never be taken for the new one.
+// SampleKey identifies a sample by the slot of a step and the attempt. A discard
+// reopens the slot with the next attempt number, so a late sample of the discarded
+// attempt is never mistaken for the new one.
 type SampleKey struct {
 	Step    string `msgpack:"s"`
 	Slot    int    `msgpack:"i"`
@@ -22,18 +22,18 @@
 
 var stepIDPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// ValidStepID reports whether a step ID consists of 1..MaxStepIDLength letters,
-// digits, dots, underscores and hyphens and starts with a letter or digit.
+// ValidStepID reports whether a step ID has 1..MaxStepIDLength letters, digits, dots,
+// underscores and hyphens and starts with a letter or digit.
 func ValidStepID(step string) bool {
 	return len(step) <= MaxStepIDLength && stepIDPattern.MatchString(step)
 }
 
-// String returns the sample ID that trainers see: "step/slot/attempt".
+// String returns the sample ID in the trainer API, "step/slot/attempt".
 func (k SampleKey) String() string {
 	return k.Step + "/" + strconv.Itoa(k.Slot) + "/" + strconv.FormatUint(uint64(k.Attempt), 10)
 }
 
-// ParseSampleKey is the inverse of SampleKey.String.
+// ParseSampleKey parses a sample ID as returned by SampleKey.String.
 func ParseSampleKey(id string) (SampleKey, error) {
 	parts := strings.Split(id, "/")
 	if len(parts) != 3 || !ValidStepID(parts[0]) {
--- a/internal/core/ledger/snapshot.go
+++ b/internal/core/ledger/snapshot.go
@@ -7,9 +7,9 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// snapshot is the encoded state. It holds no prompts and no sample texts, only
-// the offsets of the records that do. Slices keep their order, so that equal
-// states have equal bytes.
+// snapshot is the encoded state. It contains the offsets of prompts and samples
+// instead of their texts. Slices keep their order, so that equal states have equal
+// encodings.
 type snapshot struct {
 	Sequences      *logrecord.Sequences `msgpack:"q"`
 	Fence          logrecord.Fence      `msgpack:"f"`
@@ -26,29 +26,28 @@
 		Fence:          l.fence,
 		TableRevision:  l.tableRevision,
 		TrainerVersion: l.trainerVersion,
-		Steps:          emptyAsNil(l.steps),
-		Finished:       emptyAsNil(l.finished),
+		Steps:          nilIfEmpty(l.steps),
+		Finished:       nilIfEmpty(l.finished),
 	})
 }
 
-// emptyAsNil gives both forms of an empty slice the same encoding.
-func emptyAsNil[Element any](slice []Element) []Element {
+// nilIfEmpty makes nil and empty slices encode equally.
+func nilIfEmpty[Element any](slice []Element) []Element {
 	if len(slice) == 0 {
 		return nil
 	}
 	return slice
 }
 
-// Restore replaces the state with a snapshot's. It fails, and leaves the state
-// as it was, when the bytes are not those of a snapshot.
+// Restore replaces the state with a snapshot. On error the state is unchanged.
 func (l *Ledger) Restore(data []byte) error {
 	restored := New()
 	state := snapshot{Sequences: &restored.sequences}
 	if err := msgpack.Unmarshal(data, &state); err != nil {
-		return errors.Wrap(err, "ledger snapshot")
+		return errors.Wrap(err, "decode ledger snapshot")
 	}
 	if state.Sequences == nil {
-		return errors.New("ledger snapshot: no writer sequences")
+		return errors.New("decode ledger snapshot: no writer sequences")
 	}
 	restored.sequences = *state.Sequences
 	restored.fence = state.Fence
@@ -64,14 +63,14 @@
 func (l *Ledger) restoreSteps(state *snapshot) error {
 	for _, step := range state.Steps {
 		if step == nil || step.SamplesPerPrompt < 1 || len(step.Slots) == 0 {
-			return errors.New("ledger snapshot: step without slots")
+			return errors.New("decode ledger snapshot: step without slots")
 		}
 		l.steps = append(l.steps, step)
 		l.stepByID[step.ID] = step
 	}
 	for _, finished := range state.Finished {
 		if finished == nil {
-			return errors.New("ledger snapshot: empty finished step")
+			return errors.New("decode ledger snapshot: finished step is nil")
 		}
 		l.finished = append(l.finished, finished)
 		l.finishedByID[finished.ID] = finished
--- a/internal/core/ledger/snapshot_test.go
+++ b/internal/core/ledger/snapshot_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEqualStatesHaveEqualBytes: a ledger whose last open step ended encodes
-// like one that was restored from its snapshot.
-func TestEqualStatesHaveEqualBytes(t *testing.T) {
+// Guards against different encodings of nil and empty slices, which a ledger has
+// after its last open step finished.
+func TestSnapshotOfRestoredLedgerIsEqual(t *testing.T) {
 	original := New()
 	assert.Assert(t, original.submit(0, &StepSubmitted{Step: "s1", Prompts: make([]Prompt, 1), SamplesPerPrompt: 1}))
 	assert.Assert(t, original.abandon(&StepAbandoned{Step: "s1"}))
--- a/internal/core/ledger/step.go
+++ b/internal/core/ledger/step.go
@@ -2,36 +2,36 @@
 
 import "slices"
 
-// SlotState is the state of one wanted sample.
+// SlotState is the state of a slot.
 type SlotState uint8
 
-// Slot states. A slot goes from open to filled to acknowledged; a discard
-// brings a filled slot back to open under the next attempt.
+// Slot states. A slot goes from open to filled to acknowledged; discarding the sample
+// of a filled slot reopens it with the next attempt number.
 const (
 	SlotOpen SlotState = iota
 	SlotFilled
 	SlotAcknowledged
 )
 
-// Slot is one wanted sample of a step.
+// Slot holds one of the samples requested by a step.
 type Slot struct {
 	State SlotState `msgpack:"s,omitempty"`
-	// Attempt is the current attempt, from 1.
+	// Attempt is the current attempt, starting at 1.
 	Attempt uint32 `msgpack:"a"`
-	// FillOffset is the offset of the record that holds the sample; filled slots only.
+	// FillOffset is the offset of the sample's record; not set for open slots.
 	FillOffset int64 `msgpack:"f,omitempty"`
 	// Oldest is the lowest weight version of the sample.
 	Oldest uint64 `msgpack:"v,omitempty"`
 	// Bytes is the length of the sample's text.
 	Bytes int `msgpack:"b,omitempty"`
-	// Token is the token of the sample's current delivery; 0 when none.
+	// Token is the token of the sample's current delivery; 0 if not delivered.
 	Token int64 `msgpack:"t,omitempty"`
 }
 
-// Step is one step that is not finished.
+// Step is an unfinished step.
 type Step struct {
 	ID string `msgpack:"i"`
-	// Offset of the record that holds the request.
+	// Offset is the offset of the StepSubmitted record.
 	Offset           int64  `msgpack:"o"`
 	Fingerprint      uint64 `msgpack:"f"`
 	SamplesPerPrompt int    `msgpack:"n"`
@@ -65,8 +65,8 @@
 	return count
 }
 
-// filled returns the slot of a sample that is recorded and not acknowledged.
-func (s *Step) filled(key SampleKey) *Slot {
+// unacknowledgedSlot returns the slot of a recorded, unacknowledged sample, or nil.
+func (s *Step) unacknowledgedSlot(key SampleKey) *Slot {
 	slot := s.slot(key)
 	if slot == nil || slot.State != SlotFilled {
 		return nil
@@ -74,7 +74,7 @@
 	return slot
 }
 
-// slot returns the slot of a sample if the attempt is the current one.
+// slot returns the slot of a sample, or nil if the attempt is not the current one.
 func (s *Step) slot(key SampleKey) *Slot {
 	if key.Slot < 0 || key.Slot >= len(s.Slots) || s.Slots[key.Slot].Attempt != key.Attempt {
 		return nil
@@ -93,18 +93,18 @@
 	Token   int64  `msgpack:"t"`
 }
 
-// FinishedStep is what remains of a step once all its slots are acknowledged, or
-// once it was abandoned.
+// FinishedStep is the summary of a step whose slots are all acknowledged or that was
+// abandoned.
 type FinishedStep struct {
 	ID          string `msgpack:"i"`
 	Fingerprint uint64 `msgpack:"f"`
 	Wanted      int    `msgpack:"w"`
 	Discarded   int    `msgpack:"d"`
-	// Receipts has one entry for each slot, so that a repeated acknowledgement
-	// gets the same answer; only the last finished steps keep them.
+	// Receipts has one entry per slot, used to answer repeated acknowledgements. Only
+	// the last ReceiptSteps finished steps keep them.
 	Receipts []Receipt `msgpack:"r,omitempty"`
-	// Abandoned steps ended with Acknowledged of the wanted samples; all others
-	// with each of them, and Acknowledged is 0.
+	// Acknowledged is the number of acknowledged samples of an abandoned step. It is
+	// 0 for other steps, whose samples are all acknowledged.
 	Abandoned    bool `msgpack:"x,omitempty"`
 	Acknowledged int  `msgpack:"a,omitempty"`
 }
@@ -112,8 +112,8 @@
 func (s *Step) finish() *FinishedStep {
 	receipts := make([]Receipt, len(s.Slots))
 	for i := range s.Slots {
-		// A slot of an abandoned step may be delivered and not acknowledged; its
-		// empty receipt matches no token.
+		// An unacknowledged slot of an abandoned step gets an empty receipt, which
+		// matches no token.
 		if s.Slots[i].State == SlotAcknowledged {
 			receipts[i] = Receipt{Attempt: s.Slots[i].Attempt, Token: s.Slots[i].Token}
 		}
@@ -132,8 +132,8 @@
 	return finished
 }
 
-// receipted reports whether the sample was acknowledged under the token.
-func (f *FinishedStep) receipted(token int64, key SampleKey) bool {
+// hasReceipt reports whether the sample was acknowledged under the token.
+func (f *FinishedStep) hasReceipt(token int64, key SampleKey) bool {
 	if key.Slot < 0 || key.Slot >= len(f.Receipts) {
 		return false
 	}
