--- a/internal/core/batchplan/order.go
+++ b/internal/core/batchplan/order.go
@@ -5,87 +5,85 @@
 	"time"
 )
 
-// longShare is the part of a job's items of known length that start before those of
-// unknown length: the longest quarter. An item of unknown length is as likely as any
-// other to be one of the few that decide when the job ends, so it goes before the
-// items that are known not to be.
-const longShare = 0.25
+// longestFraction is the fraction of a job's items of known length, its longest, that start before
+// those of unknown length. An item of unknown length may be one of the few that determine when the
+// job ends, so it starts before the items known to be shorter.
+const longestFraction = 0.25
 
-// Job is what the order of starts depends on.
+// Job holds the properties of a job that determine when its items start.
 type Job struct {
 	ID    string
 	Model string
-	// Priority is the job's rank, 0 first.
+	// Priority is the job's priority; 0 is the highest.
 	Priority int
-	// Step is the submitter's number of the job, which rises; zero when it has none.
+	// Step is the submitter's increasing number of the job; zero if it has none.
 	Step int64
-	// Lengths are the expected outputs of all items, zero for unknown ones.
+	// Lengths are the expected output lengths of all items in tokens; zero when unknown.
 	Lengths []int
 }
 
-// jobRank is a job's place in the order of starts.
+// jobRank is a job's position in the start order.
 type jobRank struct {
 	id       string
 	model    string
 	priority int
 	step     int64
-	// place is the job's index in the order.
-	place int
-	// long is the length from which an item counts as one of the job's longest.
-	long int
+	// position is the job's index in Plan.order.
+	position int
+	// longThreshold is the length from which an item counts as one of the job's longest; zero if no length is known.
+	longThreshold int
 }
 
-// AddJob tells the plan of a job before its items. Jobs start in the order of their
-// priorities; those of one priority in the order in which they are added, but none before
-// one of the same model and an earlier step: a new leader hears of all open jobs at once,
-// in any order.
+// AddJob adds a job; it must be called before the job's items are added. Jobs start by priority, then
+// in the order in which they are added, except that a job precedes those of later steps of its model:
+// a new leader adds all open jobs at once, in any order.
 func (p *Plan) AddJob(job Job) {
 	rank := &jobRank{
-		id: job.ID, model: job.Model, priority: job.Priority, step: job.Step, long: longFrom(job.Lengths),
+		id: job.ID, model: job.Model, priority: job.Priority, step: job.Step, longThreshold: longThresholdOf(job.Lengths),
 	}
-	place := slices.IndexFunc(p.order, func(other *jobRank) bool {
+	position := slices.IndexFunc(p.order, func(other *jobRank) bool {
 		if other.priority != rank.priority {
 			return other.priority > rank.priority
 		}
 		return other.model == rank.model && other.step > rank.step
 	})
-	if place < 0 {
-		place = len(p.order)
+	if position < 0 {
+		position = len(p.order)
 	}
 	p.jobs[rank.id] = rank
-	p.order = slices.Insert(p.order, place, rank)
+	p.order = slices.Insert(p.order, position, rank)
 	p.renumber()
 }
 
-// ForgetJob drops what is kept of a job without items.
+// ForgetJob removes a job that has no items left.
 func (p *Plan) ForgetJob(job string) {
 	rank, found := p.jobs[job]
 	if !found {
 		return
 	}
 	delete(p.jobs, job)
-	p.order = slices.Delete(p.order, rank.place, rank.place+1)
+	p.order = slices.Delete(p.order, rank.position, rank.position+1)
 	p.renumber()
 }
 
 func (p *Plan) renumber() {
-	for place, rank := range p.order {
-		rank.place = place
+	for position, rank := range p.order {
+		rank.position = position
 	}
 }
 
-// longFrom returns the length from which an item counts as one of the longest;
-// zero when no length is known.
-func longFrom(lengths []int) int {
+// longThresholdOf returns the length from which an item counts as one of the longest; zero if no
+// length is known.
+func longThresholdOf(lengths []int) int {
 	known := slices.DeleteFunc(slices.Clone(lengths), func(length int) bool { return length <= 0 })
 	if len(known) == 0 {
 		return 0
 	}
 	slices.Sort(known)
-	return known[int(float64(len(known))*(1-longShare))]
+	return known[int(float64(len(known))*(1-longestFraction))]
 }
 
-// queue returns the items that may start, in the order in which they should.
+// queue returns the waiting items that may start now, in start order.
 func (p *Plan) queue(now time.Time) []Item {
 	queue := make([]Item, 0, len(p.waiting))
 	for _, item := range p.waiting {
@@ -97,11 +95,11 @@
 	return queue
 }
 
-// compare orders two items by when they should start.
+// compare compares two items by start order.
 func (p *Plan) compare(a, b Item) int {
 	rank := p.jobs[a.Key.Job]
 	if a.Key.Job != b.Key.Job {
-		return rank.place - p.jobs[b.Key.Job].place
+		return rank.position - p.jobs[b.Key.Job].position
 	}
 	if lengthA, lengthB := rank.assumedLength(a), rank.assumedLength(b); lengthA != lengthB {
 		return lengthB - lengthA
@@ -109,10 +107,10 @@
 	return a.Key.Item - b.Key.Item
 }
 
-// assumedLength is the output that decides about the item's place in its job.
+// assumedLength returns the length by which the item is ordered within its job.
 func (r *jobRank) assumedLength(item Item) int {
 	if item.Length > 0 {
 		return item.Length
 	}
-	return r.long
+	return r.longThreshold
 }
--- a/internal/core/batchplan/pass.go
+++ b/internal/core/batchplan/pass.go
@@ -8,62 +8,62 @@
 )
 
 const (
-	// occupancyCost is the share by which each running item slows an engine.
+	// occupancyCost is the relative slowdown of an engine per running item.
 	occupancyCost = 0.006
-	// homeBonus is the share of its score that a group's engine is spared.
-	homeBonus = 0.05
-	// memoryCost is the share by which an engine is expected to be slower for each time
-	// that its memory is given away beyond the part memoryRoom of it: an engine whose
-	// memory runs out interrupts an item, for a second or more, until others have ended.
+	// groupBonus is subtracted from the score of the engine that runs the item's group.
+	groupBonus = 0.05
+	// memoryCost is the relative slowdown expected of an engine per unit of reserved share above
+	// memoryRoom: an engine that runs out of memory interrupts an item until others have ended.
 	memoryCost = 0.5
+	// memoryRoom is the share of an engine's memory that can be reserved without a slowdown.
 	memoryRoom = 0.75
-	// memoryOvercommit is how often an engine's memory may be given away: items grow
-	// into theirs, end at different times, and their lengths are estimates.
+	// memoryOvercommit is the multiple of an engine's memory that may be reserved: items grow
+	// into their reservations, end at different times, and their lengths are estimates.
 	memoryOvercommit = 2
 )
 
-// pass is one look at the whole queue. While it lasts engines only fill up: their
-// scores only rise, and what found no engine once finds none later. So each class
-// of items keeps its engines in a heap, whose top is looked at anew before use.
+// pass is one assignment pass over the queue. During a pass engines only fill up: their scores
+// only rise, and an item for which there is no engine will not get one later in the pass. The
+// engines of each class are therefore kept in a heap whose top is rescored before use.
 type pass struct {
 	plan    *Plan
 	now     time.Time
 	engines []Engine
-	// byID holds the places of the engines in the slice.
+	// byID holds the indices of the engines in the slice.
 	byID map[incarnation.ID]int
-	// starts is how many items each engine may still be given in this pass.
-	starts  []int
-	typical time.Duration
-	// bestPace is the pace of the fast engines, turnover the time that a running item is
-	// expected to take there; both are zero when unknown.
-	bestPace time.Duration
-	turnover time.Duration
-	classes  map[class]*candidates
+	// starts is the number of items that each engine may still be assigned in this pass.
+	starts     []int
+	medianPace time.Duration
+	// bestPace is the pace of the fast engines, expectedRunTime the mean time that the running items
+	// are expected to take there; both are zero when unknown.
+	bestPace        time.Duration
+	expectedRunTime time.Duration
+	classes         map[class]*candidates
 }
 
-// class is what decides which engines may run an item at all.
+// class holds the properties of an item that determine which engines are eligible for it.
 type class struct {
 	service    string
 	model      string
 	minVersion int64
 }
 
-// candidates are the engines that may run items of a class, the best first. It
-// implements heap.Interface.
+// candidates are the engines that may run items of a class, as a heap with the lowest score on
+// top. It implements heap.Interface.
 type candidates struct {
 	entries []candidate
-	// blocked is true once an item found no engine; then freeTokens is the most
-	// memory that one of them had left.
+	// blocked is true once no engine could take an item without constraints of its own; freeTokens
+	// is then the largest free memory of an engine.
 	blocked    bool
 	freeTokens int
-	// fastRunning counts the items at fast engines of the class when the pass began,
-	// left those that were left to wait for one of them.
+	// fastRunning is the number of items that run at fast engines of the class when the class is first
+	// looked up, deferred the number of items that wait for one of them.
 	fastRunning int
-	left        int
+	deferred    int
 }
 
 type candidate struct {
-	// engine is the place in the pass's slice, which decides between equal scores.
+	// engine is the index in the pass's slice, which breaks ties between equal scores.
 	engine int
 	score  float64
 }
@@ -92,10 +92,11 @@
 }
 
 func newPass(plan *Plan, engines []Engine, now time.Time) *pass {
-	typical, best := plan.typicalAndBestPace()
+	medianPace, best := plan.medianAndBestPace()
 	p := &pass{
-		plan: plan, now: now, engines: engines, typical: typical, bestPace: best, turnover: plan.turnover(best),
-		byID: make(map[incarnation.ID]int, len(engines)), classes: make(map[class]*candidates),
+		plan: plan, now: now, engines: engines, medianPace: medianPace, bestPace: best,
+		expectedRunTime: plan.expectedRunTime(best),
+		byID:            make(map[incarnation.ID]int, len(engines)), classes: make(map[class]*candidates),
 		starts: make([]int, len(engines)),
 	}
 	for i := range engines {
@@ -108,8 +109,8 @@
 	return p
 }
 
-// classOf returns the engines that may run an item.
-func (p *pass) classOf(item Item) *candidates {
+// candidatesFor returns the engines that may run items of the item's class.
+func (p *pass) candidatesFor(item Item) *candidates {
 	key := class{item.Service, item.Model, item.MinVersion}
 	known, found := p.classes[key]
 	if found {
@@ -121,8 +122,8 @@
 		if !p.eligible(engine, key) {
 			continue
 		}
-		if p.turnover > 0 && p.isFast(engine) {
-			known.fastRunning += p.plan.count[engine.ID]
+		if p.expectedRunTime > 0 && p.isFast(engine) {
+			known.fastRunning += p.plan.runningCount[engine.ID]
 		}
 		if p.hasSlot(engine) {
 			known.entries = append(known.entries, candidate{i, p.score(engine)})
@@ -133,12 +134,12 @@
 	return known
 }
 
-// serves tells whether an engine may run items of a class now.
-func (p *pass) serves(engine *Engine, key class) bool {
+// canServe reports whether an engine can start items of a class now.
+func (p *pass) canServe(engine *Engine, key class) bool {
 	return p.eligible(engine, key) && p.hasSlot(engine)
 }
 
-// eligible tells whether an engine may run items of a class while it has room.
+// eligible reports whether an engine may run items of a class, regardless of free slots.
 func (p *pass) eligible(engine *Engine, key class) bool {
 	if !engine.Usable || engine.Service != key.service || engine.Loading != "" && engine.Loading == key.model {
 		return false
@@ -147,72 +148,71 @@
 }
 
 func (p *pass) hasSlot(engine *Engine) bool {
-	return p.plan.count[engine.ID] < engine.Slots && p.starts[p.byID[engine.ID]] > 0 && !p.isolated(engine)
+	return p.plan.runningCount[engine.ID] < engine.Slots && p.starts[p.byID[engine.ID]] > 0 && !p.isolated(engine)
 }
 
-// began notes that the pass gave an item to an engine.
-func (p *pass) began(engine incarnation.ID) { p.starts[p.byID[engine]]-- }
+// countStart counts an item that was assigned to an engine in this pass.
+func (p *pass) countStart(engine incarnation.ID) { p.starts[p.byID[engine]]-- }
 
-// isolated tells whether an engine takes nothing beside a suspect item. Most of the time there
-// is none.
+// isolated reports whether an engine takes no further items because of a suspect one.
 func (p *pass) isolated(engine *Engine) bool {
 	return len(p.plan.isolatedUntil) > 0 && p.now.Before(p.plan.isolatedUntil[engine.ID])
 }
 
-// score is the time between events expected at the engine with one item more, in
-// units of the typical one.
+// score returns the pace expected at the engine with one more item, relative to the median pace;
+// lower is better.
 func (p *pass) score(engine *Engine) float64 {
 	score := 1.0
-	if pace, found := p.plan.paces[engine.ID]; found && p.typical > 0 {
-		score = float64(pace) / float64(p.typical)
+	if pace, found := p.plan.paces[engine.ID]; found && p.medianPace > 0 {
+		score = float64(pace) / float64(p.medianPace)
 	}
-	return score * (1 + occupancyCost*float64(p.plan.count[engine.ID])) * p.memoryPressure(engine)
+	return score * (1 + occupancyCost*float64(p.plan.runningCount[engine.ID])) * p.memoryPressure(engine)
 }
 
-// memoryPressure is the factor by which an engine is expected to be slower for what was
-// given away of its memory.
+// memoryPressure returns the factor by which an engine is expected to slow down due to its
+// reserved memory.
 func (p *pass) memoryPressure(engine *Engine) float64 {
 	if engine.Tokens <= 0 {
 		return 1
 	}
-	given := float64(p.plan.tokens[engine.ID]) / float64(engine.Tokens)
-	return 1 + memoryCost*max(0, given-memoryRoom)
+	reserved := float64(p.plan.reservedTokens[engine.ID]) / float64(engine.Tokens)
+	return 1 + memoryCost*max(0, reserved-memoryRoom)
 }
 
-// choose returns the best engine for an item.
+// choose returns the best engine for an item; false if none can take it or it should wait for a faster one.
 func (p *pass) choose(item Item) (incarnation.ID, bool) {
 	if item.Suspect {
-		return p.chooseApart(item)
+		return p.chooseIsolated(item)
 	}
-	of := p.classOf(item)
+	of := p.candidatesFor(item)
 	if of.blocked && item.Tokens > of.freeTokens {
 		return incarnation.ID{}, false
 	}
 	best, found := p.best(item, of)
-	if home, isHome := p.home(item, of); isHome && (!found || home.before(best)) {
-		best, found = home, true
+	if groupEngine, isGroupEngine := p.groupEngine(item, of); isGroupEngine && (!found || groupEngine.before(best)) {
+		best, found = groupEngine, true
 	}
 	if !found {
 		if item.Avoid.IsZero() && item.SameVersion == 0 {
-			p.block(of)
+			p.markBlocked(of)
 		}
 		return incarnation.ID{}, false
 	}
 	if p.worthWaiting(item, &p.engines[best.engine], of) {
-		of.left++
+		of.deferred++
 		return incarnation.ID{}, false
 	}
 	return p.engines[best.engine].ID, true
 }
 
-// chooseApart returns the engine for a suspect item: the one where the last item began
-// longest ago, since whatever ends engines does so soon after it begins.
-func (p *pass) chooseApart(item Item) (incarnation.ID, bool) {
+// chooseIsolated returns the engine for a suspect item: the one whose latest start is the longest
+// ago, since items that crash engines do so soon after they start.
+func (p *pass) chooseIsolated(item Item) (incarnation.ID, bool) {
 	key := class{item.Service, item.Model, item.MinVersion}
 	var best *Engine
 	for i := range p.engines {
 		engine := &p.engines[i]
-		if !p.serves(engine, key) || !p.fits(item, engine) {
+		if !p.canServe(engine, key) || !p.fits(item, engine) {
 			continue
 		}
 		if best == nil || p.plan.startedAt[engine.ID].Before(p.plan.startedAt[best.ID]) {
@@ -225,7 +225,7 @@
 	return best.ID, true
 }
 
-// best returns the candidate with the lowest score that fits the item itself.
+// best returns the candidate with the lowest score that fits the item.
 func (p *pass) best(item Item, of *candidates) (candidate, bool) {
 	var unfit []candidate
 	defer func() {
@@ -253,21 +253,21 @@
 	return candidate{}, false
 }
 
-// home returns the engine of the item's group with its bonus, if it can take the
-// item.
-func (p *pass) home(item Item, of *candidates) (candidate, bool) {
-	place, known := p.byID[p.plan.homes[item.Group]]
+// groupEngine returns the engine of the latest item of the item's group, with groupBonus applied,
+// if it can take the item.
+func (p *pass) groupEngine(item Item, of *candidates) (candidate, bool) {
+	index, known := p.byID[p.plan.groupEngines[item.Group]]
 	if !known {
 		return candidate{}, false
 	}
-	engine := &p.engines[place]
-	if !p.serves(engine, class{item.Service, item.Model, item.MinVersion}) || !p.fits(item, engine) {
+	engine := &p.engines[index]
+	if !p.canServe(engine, class{item.Service, item.Model, item.MinVersion}) || !p.fits(item, engine) {
 		return candidate{}, false
 	}
-	return candidate{place, p.score(engine) - homeBonus}, true
+	return candidate{index, p.score(engine) - groupBonus}, true
 }
 
-// fits tells whether an engine that serves the item's class suits the item itself.
+// fits reports whether an engine that serves the item's class meets the item's own constraints.
 func (p *pass) fits(item Item, engine *Engine) bool {
 	if engine.ID == item.Avoid && len(p.plan.paces) > 1 {
 		return false
@@ -278,21 +278,20 @@
 	return item.Tokens <= p.freeTokens(engine)
 }
 
-// unbounded is the memory left at an engine that takes any item, and the starts at one that is not cold.
+// unbounded stands for no limit: of the memory of an engine, or of the starts at one that is not cold.
 const unbounded = int(^uint(0) >> 1)
 
-// freeTokens is the memory that an engine may still give away. One that runs
-// nothing takes any item.
+// freeTokens returns the memory, in tokens, that can still be reserved at an engine. An idle
+// engine takes an item of any size.
 func (p *pass) freeTokens(engine *Engine) int {
-	if engine.Tokens <= 0 || p.plan.count[engine.ID] == 0 {
+	if engine.Tokens <= 0 || p.plan.runningCount[engine.ID] == 0 {
 		return unbounded
 	}
-	return memoryOvercommit*engine.Tokens - p.plan.tokens[engine.ID]
+	return memoryOvercommit*engine.Tokens - p.plan.reservedTokens[engine.ID]
 }
 
-// block notes that no engine of a class takes what an item without wishes of its
-// own asks.
-func (p *pass) block(of *candidates) {
+// markBlocked records that no engine of a class could take an item without constraints of its own.
+func (p *pass) markBlocked(of *candidates) {
 	of.blocked, of.freeTokens = true, -1
 	for _, entry := range of.entries {
 		of.freeTokens = max(of.freeTokens, p.freeTokens(&p.engines[entry.engine]))
--- a/internal/core/batchplan/plan.go
+++ b/internal/core/batchplan/plan.go
@@ -1,11 +1,10 @@
-// Package batchplan decides which item of a batch job runs at which engine, and
-// when. It has no input, output or clock; every event comes with its time.
+// Package batchplan schedules the items of batch jobs on engines. It performs no I/O and reads no
+// clock; callers pass the current time.
 //
-// The order in which items start decides when the last group of a job is whole:
-// older jobs come first, in a job the items that are expected to be long, then those
-// of unknown length, then those known to be short. An item goes to the engine that is expected to make its tokens
-// fastest; the items of a group stay together while there is room, since they
-// share their prompt.
+// Start order determines when the last group of a job is complete: older jobs come first; within a
+// job, items expected to be long, then items of unknown length, then items known to be short. An
+// item is assigned to the engine that is expected to generate its tokens fastest. The items of a
+// group share a prompt, so they are preferably assigned to the same engine.
 package batchplan
 
 import (
@@ -16,133 +15,133 @@
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
 )
 
-// Key names an item of a job.
+// Key identifies an item: the job's ID and the item's index in it.
 type Key struct {
 	Job  string
 	Item int
 }
 
-// Item is one item to run.
+// Item is an item to run.
 type Item struct {
 	Key     Key
 	Service string
 	Model   string
-	// MinVersion is the oldest weight version that may make its tokens.
+	// MinVersion is the oldest weight version that may generate its tokens.
 	MinVersion int64
 	// SameVersion is the only version that may continue the item; zero for any.
 	SameVersion int64
 	Group       string
-	// Length is the expected output; zero when unknown.
+	// Length is the expected output length in tokens; zero when unknown.
 	Length int
-	// Tokens is the memory that it is expected to take at an engine.
+	// Tokens is the memory that it is expected to need at an engine, in tokens.
 	Tokens int
-	// NotBefore holds the item back after a failure.
+	// NotBefore is the earliest start after a failure.
 	NotBefore time.Time
-	// Avoid is the engine that failed it last.
+	// Avoid is the engine of the latest failed run.
 	Avoid incarnation.ID
-	// Suspect: engines have ended while they ran the item among others. It begins apart, so
-	// that the next end tells whether it was this one; see IsolationTime.
+	// Suspect is true if engines have crashed while running the item among others. It starts in
+	// isolation, so that another crash shows whether it is the cause; see IsolationTime.
 	Suspect bool
 }
 
-// Engine is an engine as the plan sees it.
+// Engine is the state of an engine.
 type Engine struct {
 	ID      incarnation.ID
 	Service string
 	Slots   int
-	// Tokens is its memory; zero when unknown.
+	// Tokens is its memory in tokens; zero when unknown.
 	Tokens   int
 	Versions map[string]int64
-	// Loading names the model whose weights the engine is changing; empty for none.
+	// Loading is the model whose weights are being loaded; empty for none.
 	Loading string
-	// Usable is false for engines that leave or failed just now.
+	// Usable is false for engines that leave or have recently failed.
 	Usable bool
-	// Cold is true for one that takes only so many items now, Starts, since it started just now.
+	// Cold is true for an engine that started recently and may be assigned at most Starts items now.
 	Cold   bool
 	Starts int
 }
 
-// Assignment sends an item to an engine.
+// Assignment is an item that starts at an engine.
 type Assignment struct {
 	Item   Item
 	Engine incarnation.ID
-	// Running is the number of items at the engine before this one.
+	// Running is the number of items that the engine already runs.
 	Running int
-	// Pace is the time between events expected there; zero when unknown.
+	// Pace is the engine's mean time between events; zero when unknown.
 	Pace time.Duration
 }
 
-// paceWeight is the weight of a new observation in an engine's moving mean.
+// paceWeight is the weight of a new observation in the moving average of an engine's pace.
 const paceWeight = 0.1
 
-// IsolationTime is how long after a suspect item has begun its engine takes no other item.
-// What ends engines does so soon after it begins.
+// IsolationTime is the time after the start of a suspect item during which its engine takes no
+// other items. Items that crash engines do so soon after they start.
 const IsolationTime = 2 * time.Second
 
 // Plan holds the waiting and the running items.
 type Plan struct {
-	// jobs holds the known jobs, order the same in the order in which their items start.
+	// jobs holds the jobs by ID, order in start order.
 	jobs    map[string]*jobRank
 	order   []*jobRank
 	waiting map[Key]Item
-	running map[Key]placed
-	// count is the number of running items of each engine.
-	count map[incarnation.ID]int
-	// tokens is the memory expected of the running items of each engine.
-	tokens map[incarnation.ID]int
-	// startedAt is when an item began last at each engine, isolatedUntil the time until which
-	// an engine takes no item beside a suspect one.
+	running map[Key]placement
+	// runningCount is the number of running items of each engine; idle engines have no entry.
+	runningCount map[incarnation.ID]int
+	// reservedTokens is the memory that the running items of each engine are expected to need.
+	reservedTokens map[incarnation.ID]int
+	// startedAt is the time of the latest start at each engine, isolatedUntil the time until which
+	// an engine takes no items besides a suspect one.
 	startedAt     map[incarnation.ID]time.Time
 	isolatedUntil map[incarnation.ID]time.Time
-	// paces is the moving mean of the time between events of each engine.
+	// paces is the moving average of the time between events of each engine.
 	paces map[incarnation.ID]time.Duration
-	// homes is the engine of each group's latest item.
-	homes map[string]incarnation.ID
-	// lengths and events sum up the lengths that were expected of whole items and the
-	// events that they came to have.
-	lengths float64
-	events  float64
-	// runningLength is the sum of the lengths expected of the running items.
+	// groupEngines is the engine of the latest started item of each group.
+	groupEngines map[string]incarnation.ID
+	// lengthSum and eventCount are decaying sums of the expected lengths of completed items and of
+	// their actual numbers of events.
+	lengthSum  float64
+	eventCount float64
+	// runningLength is the sum of the expected lengths of the running items.
 	runningLength int
 }
 
-// lengthMemory is what a new observation leaves of the older ones.
-const lengthMemory = 0.995
+// lengthDecay is the factor applied to older observations at each new one.
+const lengthDecay = 0.995
 
-// ObserveLength notes how many events an item of an expected length came to have.
-func (p *Plan) ObserveLength(length int, events int64) {
-	if length <= 0 || events <= 0 {
+// ObserveLength records the number of events of a completed item of the given expected length.
+func (p *Plan) ObserveLength(length int, eventCount int64) {
+	if length <= 0 || eventCount <= 0 {
 		return
 	}
-	p.lengths = lengthMemory*p.lengths + float64(length)
-	p.events = lengthMemory*p.events + float64(events)
+	p.lengthSum = lengthDecay*p.lengthSum + float64(length)
+	p.eventCount = lengthDecay*p.eventCount + float64(eventCount)
 }
 
-// expectedEvents is the number of events that an item of the length is expected to
-// have; zero when nothing is known.
+// expectedEvents returns the expected number of events of an item of the given expected length;
+// zero when nothing was observed.
 func (p *Plan) expectedEvents(length int) float64 {
-	if p.lengths == 0 {
+	if p.lengthSum == 0 {
 		return 0
 	}
-	return float64(length) * p.events / p.lengths
+	return float64(length) * p.eventCount / p.lengthSum
 }
 
 // New returns an empty plan.
 func New() *Plan {
 	return &Plan{
-		jobs:          make(map[string]*jobRank),
-		waiting:       make(map[Key]Item),
-		running:       make(map[Key]placed),
-		tokens:        make(map[incarnation.ID]int),
-		count:         make(map[incarnation.ID]int),
-		startedAt:     make(map[incarnation.ID]time.Time),
-		isolatedUntil: make(map[incarnation.ID]time.Time),
-		paces:         make(map[incarnation.ID]time.Duration),
-		homes:         make(map[string]incarnation.ID),
+		jobs:           make(map[string]*jobRank),
+		waiting:        make(map[Key]Item),
+		running:        make(map[Key]placement),
+		reservedTokens: make(map[incarnation.ID]int),
+		runningCount:   make(map[incarnation.ID]int),
+		startedAt:      make(map[incarnation.ID]time.Time),
+		isolatedUntil:  make(map[incarnation.ID]time.Time),
+		paces:          make(map[incarnation.ID]time.Duration),
+		groupEngines:   make(map[string]incarnation.ID),
 	}
 }
 
-// Add puts an item into the queue, for the first time or again.
+// Add adds an item to the queue, initially or after a failed run.
 func (p *Plan) Add(item Item) {
 	if _, found := p.jobs[item.Key.Job]; !found {
 		p.AddJob(Job{ID: item.Key.Job, Model: item.Model})
@@ -150,56 +149,52 @@
 	p.waiting[item.Key] = item
 }
 
-// Remove takes an item out, whether it waits or runs.
+// Remove removes an item, whether it waits or runs.
 func (p *Plan) Remove(key Key) {
 	delete(p.waiting, key)
 	p.Ended(key)
 }
 
-// Ended notes that an item no longer runs.
+// Ended records that an item no longer runs.
 func (p *Plan) Ended(key Key) {
-	place, found := p.running[key]
+	placed, found := p.running[key]
 	if !found {
 		return
 	}
 	delete(p.running, key)
-	p.runningLength -= place.length
-	p.count[place.engine]--
-	p.tokens[place.engine] -= place.tokens
-	if place.suspect {
-		delete(p.isolatedUntil, place.engine)
+	p.runningLength -= placed.length
+	p.runningCount[placed.engine]--
+	p.reservedTokens[placed.engine] -= placed.reservedTokens
+	if placed.suspect {
+		delete(p.isolatedUntil, placed.engine)
 	}
-	if p.count[place.engine] == 0 {
-		delete(p.count, place.engine)
-		delete(p.tokens, place.engine)
+	if p.runningCount[placed.engine] == 0 {
+		delete(p.runningCount, placed.engine)
+		delete(p.reservedTokens, placed.engine)
 	}
 }
 
-// placed is where an item runs.
-type placed struct {
-	service string
-	engine  incarnation.ID
-	tokens  int
-	length  int
-	suspect bool
+// placement is the engine of a running item and what the item takes up there.
+type placement struct {
+	service        string
+	engine         incarnation.ID
+	reservedTokens int
+	length         int
+	suspect        bool
 }
 
-// Running returns the number of items at the engine.
-func (p *Plan) Running(engine incarnation.ID) int { return p.count[engine] }
+// Running returns the number of items that the engine runs.
+func (p *Plan) Running(engine incarnation.ID) int { return p.runningCount[engine] }
 
-// Crowded tells whether the running items of an engine are expected to need more than its memory together, though
-// the named one fits by itself.
-//
-// What items need is estimated: prompts are known, outputs are what the submitter expects, or half of the most.
-// So the sum errs either way, by up to a third for a few items and less for many; items that run longer than
-// expected make it too small.
+// Crowded reports whether the items that an engine runs are together expected to exceed its memory, in tokens,
+// although the given one alone fits. The memory of items is estimated from their expected output lengths.
 func (p *Plan) Crowded(key Key, engine incarnation.ID, memory int) bool {
-	place, found := p.running[key]
-	return found && memory > 0 && place.tokens <= memory && p.tokens[engine] > memory
+	placed, found := p.running[key]
+	return found && memory > 0 && placed.reservedTokens <= memory && p.reservedTokens[engine] > memory
 }
 
-// AllRunning returns the number of items at each engine, where some run.
-func (p *Plan) AllRunning() map[incarnation.ID]int { return maps.Clone(p.count) }
+// AllRunning returns the number of running items of each engine that runs any.
+func (p *Plan) AllRunning() map[incarnation.ID]int { return maps.Clone(p.runningCount) }
 
 // Waiting returns the number of waiting items.
 func (p *Plan) Waiting() int { return len(p.waiting) }
@@ -210,8 +205,8 @@
 	for _, item := range p.waiting {
 		items[item.Service]++
 	}
-	for _, place := range p.running {
-		items[place.service]++
+	for _, placed := range p.running {
+		items[placed.service]++
 	}
 	return items
 }
@@ -225,29 +220,28 @@
 	return waiting
 }
 
-// ObservePace notes the time between two events of an item at the engine.
-func (p *Plan) ObservePace(engine incarnation.ID, pause time.Duration) {
+// ObservePace records the time between two events of an item at the engine.
+func (p *Plan) ObservePace(engine incarnation.ID, interval time.Duration) {
 	known, found := p.paces[engine]
 	if !found {
-		p.paces[engine] = pause
+		p.paces[engine] = interval
 		return
 	}
-	p.paces[engine] = known + time.Duration(paceWeight*float64(pause-known))
+	p.paces[engine] = known + time.Duration(paceWeight*float64(interval-known))
 }
 
-// Pace returns the engine's time between events; zero when unknown.
+// Pace returns the engine's mean time between events; zero when unknown.
 func (p *Plan) Pace(engine incarnation.ID) time.Duration { return p.paces[engine] }
 
-// BestPace is the lower quartile over all engines, which one engine that was
-// measured wrongly does not move; zero when unknown.
+// BestPace returns the lower quartile of the engines' paces, which is robust to single outliers;
+// zero when unknown.
 func (p *Plan) BestPace() time.Duration {
-	_, best := p.typicalAndBestPace()
+	_, best := p.medianAndBestPace()
 	return best
 }
 
-// typicalAndBestPace returns the median over all engines and the lower quartile;
-// zero when unknown.
-func (p *Plan) typicalAndBestPace() (typical, best time.Duration) {
+// medianAndBestPace returns the median and the lower quartile of the engines' paces; zero when unknown.
+func (p *Plan) medianAndBestPace() (median, best time.Duration) {
 	if len(p.paces) == 0 {
 		return 0, 0
 	}
@@ -255,13 +249,13 @@
 	return paces[len(paces)/2], paces[len(paces)/4]
 }
 
-// ForgetEngines drops what is known of engines that are gone.
+// ForgetEngines drops the observations of engines that are gone.
 func (p *Plan) ForgetEngines(gone func(engine incarnation.ID) bool) {
 	maps.DeleteFunc(p.paces, func(engine incarnation.ID, _ time.Duration) bool { return gone(engine) })
 	maps.DeleteFunc(p.startedAt, func(engine incarnation.ID, _ time.Time) bool { return gone(engine) })
 }
 
-// Assign starts waiting items at engines with room and returns what it started.
+// Assign assigns waiting items to engines with free slots, records that they run, and returns the assignments.
 func (p *Plan) Assign(now time.Time, engines []Engine) []Assignment {
 	if len(p.waiting) == 0 {
 		return nil
@@ -275,23 +269,23 @@
 		}
 		delete(p.waiting, item.Key)
 		assigned = append(assigned, Assignment{
-			Item: item, Engine: engine, Running: p.count[engine], Pace: p.paces[engine],
+			Item: item, Engine: engine, Running: p.runningCount[engine], Pace: p.paces[engine],
 		})
-		p.place(item, engine, now)
-		pass.began(engine)
+		p.recordStart(item, engine, now)
+		pass.countStart(engine)
 	}
 	return assigned
 }
 
-// place notes that an item runs at an engine.
-func (p *Plan) place(item Item, engine incarnation.ID, now time.Time) {
-	p.running[item.Key] = placed{item.Service, engine, item.Tokens, item.Length, item.Suspect}
+// recordStart records that an item runs at an engine.
+func (p *Plan) recordStart(item Item, engine incarnation.ID, now time.Time) {
+	p.running[item.Key] = placement{item.Service, engine, item.Tokens, item.Length, item.Suspect}
 	p.startedAt[engine] = now
 	if item.Suspect {
 		p.isolatedUntil[engine] = now.Add(IsolationTime)
 	}
 	p.runningLength += item.Length
-	p.count[engine]++
-	p.tokens[engine] += item.Tokens
-	p.homes[item.Group] = engine
+	p.runningCount[engine]++
+	p.reservedTokens[engine] += item.Tokens
+	p.groupEngines[item.Group] = engine
 }
--- a/internal/core/batchplan/plan_bench_test.go
+++ b/internal/core/batchplan/plan_bench_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// manyEngines returns engines that each hold all models, all at version 1.
+// manyEngines returns engines that each hold all models at version 1.
 func manyEngines(count, slots int) []Engine {
 	engines := make([]Engine, count)
 	for i := range engines {
 		engines[i] = Engine{
-			ID: named(fmt.Sprintf("engine-%d", i)), Service: "s", Slots: slots, Usable: true,
+			ID: engineID(fmt.Sprintf("engine-%d", i)), Service: "s", Slots: slots, Usable: true,
 			Versions: map[string]int64{"m0": 1, "m1": 1, "m2": 1},
 		}
 	}
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkAssignBlocked looks for engines while all are too old for what waits.
+// BenchmarkAssignBlocked measures a pass in which all engines are too old for the waiting items.
 func BenchmarkAssignBlocked(b *testing.B) {
 	engines := manyEngines(3000, 8)
 	plan := New()
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkAssignStarts starts one item with 3000 engines to choose from.
+// BenchmarkAssignStarts measures a pass that starts 64 items at 3000 engines.
 func BenchmarkAssignStarts(b *testing.B) {
 	engines := manyEngines(3000, 8)
 	now := time.Unix(1000, 0)
--- a/internal/core/batchplan/plan_test.go
+++ b/internal/core/batchplan/plan_test.go
@@ -21,10 +21,10 @@
 }
 
 func engine(id string, slots int, version int64) Engine {
-	return Engine{ID: named(id), Service: "s", Slots: slots, Versions: map[string]int64{"m": version}, Usable: true}
+	return Engine{ID: engineID(id), Service: "s", Slots: slots, Versions: map[string]int64{"m": version}, Usable: true}
 }
 
-func started(assigned []Assignment) []Key {
+func startedKeys(assigned []Assignment) []Key {
 	var keys []Key
 	for _, each := range assigned {
 		keys = append(keys, each.Item.Key)
@@ -38,13 +38,12 @@
 	plan.Add(item("second", 0, 1000))
 	plan.Add(item("first", 1, 500))
 	assigned := plan.Assign(now, []Engine{engine("e", 2, 3)})
-	assert.DeepEqual(t, started(assigned), []Key{{"first", 1}, {"first", 0}})
+	assert.DeepEqual(t, startedKeys(assigned), []Key{{"first", 1}, {"first", 0}})
 	assert.Equal(t, plan.Waiting(), 1)
 }
 
-// TestItemsOfUnknownLengthStartBeforeThoseKnownToBeShort: any of them may be the one
-// that the job waits for.
-func TestItemsOfUnknownLengthStartBeforeThoseKnownToBeShort(t *testing.T) {
+// Guards against a job that ends late because an item of unknown length started last and turned out long.
+func TestItemsOfUnknownLengthStartBeforeShortOnes(t *testing.T) {
 	plan := New()
 	lengths := []int{10, 0, 900, 20, 30, 0, 40, 50}
 	plan.AddJob(Job{ID: "j", Model: "m", Lengths: lengths})
@@ -52,15 +51,14 @@
 		plan.Add(item("j", index, length))
 	}
 	assigned := plan.Assign(now, []Engine{engine("e", 4, 3)})
-	assert.DeepEqual(t, started(assigned), []Key{{"j", 2}, {"j", 1}, {"j", 5}, {"j", 7}})
-	// Those that have started do not change the place of the others.
+	assert.DeepEqual(t, startedKeys(assigned), []Key{{"j", 2}, {"j", 1}, {"j", 5}, {"j", 7}})
+	// Started items do not change the order of the remaining ones.
 	assigned = plan.Assign(now, []Engine{engine("e", 8, 3)})
-	assert.DeepEqual(t, started(assigned), []Key{{"j", 6}, {"j", 4}, {"j", 3}, {"j", 0}})
+	assert.DeepEqual(t, startedKeys(assigned), []Key{{"j", 6}, {"j", 4}, {"j", 3}, {"j", 0}})
 }
 
-// TestEarlierStepsStartFirstInWhateverOrderTheyAreHeardOf: a new leader hears of all
-// open jobs at once.
-func TestEarlierStepsStartFirstInWhateverOrderTheyAreHeardOf(t *testing.T) {
+// Guards against a start order that depends on the order in which a new leader adds the open jobs.
+func TestEarlierStepsStartFirstRegardlessOfAddOrder(t *testing.T) {
 	plan := New()
 	plan.AddJob(Job{ID: "step-5", Model: "m", Step: 5})
 	plan.AddJob(Job{ID: "other", Model: "n", Step: 1})
@@ -69,16 +67,16 @@
 		plan.Add(item(job, 0, 10))
 	}
 	assigned := plan.Assign(now, []Engine{engine("e", 4, 3)})
-	assert.DeepEqual(t, started(assigned), []Key{{"step-4", 0}, {"step-5", 0}, {"other", 0}})
+	assert.DeepEqual(t, startedKeys(assigned), []Key{{"step-4", 0}, {"step-5", 0}, {"other", 0}})
 	plan.ForgetJob("step-5")
 	plan.AddJob(Job{ID: "step-6", Model: "m", Step: 6})
 	plan.Add(item("step-6", 0, 10))
 	plan.Add(item("other", 1, 1))
 	assigned = plan.Assign(now, []Engine{engine("e", 8, 3)})
-	assert.DeepEqual(t, started(assigned), []Key{{"other", 1}, {"step-6", 0}})
+	assert.DeepEqual(t, startedKeys(assigned), []Key{{"other", 1}, {"step-6", 0}})
 }
 
-func TestOnlyFittingEnginesGetItems(t *testing.T) {
+func TestOnlyEligibleEnginesGetItems(t *testing.T) {
 	loading := engine("loading", 1, 3)
 	loading.Loading = "m"
 	unusable := engine("unusable", 1, 3)
@@ -98,7 +96,7 @@
 	assert.Equal(t, len(plan.Assign(now.Add(time.Second), []Engine{engine("e", 1, 3)})), 1)
 }
 
-func TestMemoryOfAnEngineBoundsItsItems(t *testing.T) {
+func TestReservedMemoryIsBounded(t *testing.T) {
 	plan := New()
 	for i := range 4 {
 		large := item("j", i, 1)
@@ -114,10 +112,11 @@
 	huge.Tokens = 1000
 	alone := New()
 	alone.Add(huge)
-	assert.Equal(t, len(alone.Assign(now, []Engine{small})), 1, "an item above the estimate must not wait for ever")
+	assert.Equal(t, len(alone.Assign(now, []Engine{small})), 1,
+		"an item larger than an engine's memory must start at an idle engine")
 }
 
-func TestItemOfOneVersionContinuesOnlyUnderIt(t *testing.T) {
+func TestSameVersionRestrictsEngines(t *testing.T) {
 	plan := New()
 	single := item("j", 0, 1)
 	single.SameVersion = 3
@@ -128,8 +127,8 @@
 
 func TestFasterEnginesAreFilledFirst(t *testing.T) {
 	plan := New()
-	plan.ObservePace(named("slow"), 60*time.Millisecond)
-	plan.ObservePace(named("fast"), 40*time.Millisecond)
+	plan.ObservePace(engineID("slow"), 60*time.Millisecond)
+	plan.ObservePace(engineID("fast"), 40*time.Millisecond)
 	plan.Add(item("j", 0, 1))
 	plan.Add(item("j", 1, 1))
 	plan.Add(item("j", 2, 1))
@@ -137,26 +136,26 @@
 	for _, each := range plan.Assign(now, []Engine{engine("slow", 4, 3), engine("fast", 2, 3)}) {
 		counts[each.Engine]++
 	}
-	assert.DeepEqual(t, counts, map[incarnation.ID]int{named("fast"): 2, named("slow"): 1})
+	assert.DeepEqual(t, counts, map[incarnation.ID]int{engineID("fast"): 2, engineID("slow"): 1})
 }
 
-func TestItemsOfAGroupStayTogether(t *testing.T) {
+func TestItemsOfAGroupShareAnEngine(t *testing.T) {
 	plan := New()
 	for i := range 8 {
 		plan.Add(item("j", i, 1))
 	}
-	homes := map[string]incarnation.ID{}
+	groupEngines := map[string]incarnation.ID{}
 	engines := []Engine{engine("a", 16, 3), engine("b", 16, 3), engine("c", 16, 3)}
 	for _, each := range plan.Assign(now, engines) {
-		if home, found := homes[each.Item.Group]; found {
-			assert.Equal(t, each.Engine, home)
+		if previous, found := groupEngines[each.Item.Group]; found {
+			assert.Equal(t, each.Engine, previous)
 		}
-		homes[each.Item.Group] = each.Engine
+		groupEngines[each.Item.Group] = each.Engine
 	}
 }
 
-// TestPlacesAreNeverExceededNorLost drives the plan with random events.
-func TestPlacesAreNeverExceededNorLost(t *testing.T) {
+// Guards against slots that are exceeded or leaked, under random events.
+func TestRunningCountsMatchAssignments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plan := New()
 		engines := []Engine{engine("a", 2, 3), engine("b", 3, 3)}
@@ -182,25 +181,26 @@
 			}
 			for _, each := range engines {
 				if counts[each.ID] > each.Slots || plan.Running(each.ID) != counts[each.ID] {
-					t.Fatalf("%s runs %d, the plan says %d of %d", each.ID, counts[each.ID], plan.Running(each.ID), each.Slots)
+					t.Fatalf("engine %s runs %d items, the plan counts %d of %d slots",
+						each.ID, counts[each.ID], plan.Running(each.ID), each.Slots)
 				}
 			}
 		}
 	})
 }
 
-// bestOfAll is the choice that looks at every engine for every item.
-func bestOfAll(plan *Plan, item Item, engines []Engine) (incarnation.ID, bool) {
-	look := newPass(plan, engines, now)
+// chooseExhaustively chooses the engine for an item by scoring all engines.
+func chooseExhaustively(plan *Plan, item Item, engines []Engine) (incarnation.ID, bool) {
+	pass := newPass(plan, engines, now)
 	best, bestScore := incarnation.ID{}, 0.0
 	for i := range engines {
 		engine := &engines[i]
-		if !look.serves(engine, class{item.Service, item.Model, item.MinVersion}) || !look.fits(item, engine) {
+		if !pass.canServe(engine, class{item.Service, item.Model, item.MinVersion}) || !pass.fits(item, engine) {
 			continue
 		}
-		score := look.score(engine)
-		if plan.homes[item.Group] == engine.ID {
-			score -= homeBonus
+		score := pass.score(engine)
+		if plan.groupEngines[item.Group] == engine.ID {
+			score -= groupBonus
 		}
 		if best.IsZero() || score < bestScore {
 			best, bestScore = engine.ID, score
@@ -209,9 +209,8 @@
 	return best, !best.IsZero()
 }
 
-// TestChoiceIsTheBestOfAllEngines compares each choice of a pass with one that
-// looks at every engine anew.
-func TestChoiceIsTheBestOfAllEngines(t *testing.T) {
+// Guards against heaps that yield a different engine than a search over all engines.
+func TestChooseMatchesExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plan := New()
 		var engines []Engine
@@ -229,25 +228,24 @@
 			each.Tokens = rapid.IntRange(1, 150).Draw(t, "tokens")
 			each.MinVersion = rapid.Int64Range(2, 4).Draw(t, "least")
 			each.SameVersion = rapid.SampledFrom([]int64{0, 0, 0, 3}).Draw(t, "same")
-			each.Avoid = rapid.SampledFrom([]incarnation.ID{{}, {}, named("e0"), named("e1")}).Draw(t, "avoid")
+			each.Avoid = rapid.SampledFrom([]incarnation.ID{{}, {}, engineID("e0"), engineID("e1")}).Draw(t, "avoid")
 			plan.Add(each)
 		}
 		pass := newPass(plan, engines, now)
 		for _, each := range plan.queue(now) {
-			want, wantFound := bestOfAll(plan, each, engines)
+			want, wantFound := chooseExhaustively(plan, each, engines)
 			got, found := pass.choose(each)
 			if found != wantFound || got != want {
-				t.Fatalf("item %+v: %s %t, the best of all is %s %t", each, got, found, want, wantFound)
+				t.Fatalf("item %+v: got engine %s %t, want %s %t", each, got, found, want, wantFound)
 			}
 			if found {
-				plan.place(each, got, now)
+				plan.recordStart(each, got, now)
 			}
 		}
 	})
 }
 
-// TestJobsOfAHigherPriorityStartFirst: whenever they come.
-func TestJobsOfAHigherPriorityStartFirst(t *testing.T) {
+func TestJobsOfHigherPriorityStartFirst(t *testing.T) {
 	plan := New()
 	for _, job := range []Job{
 		{ID: "late", Model: "m", Priority: 2, Step: 1}, {ID: "plain", Model: "m", Priority: 1, Step: 9},
@@ -257,15 +255,15 @@
 		plan.Add(item(job.ID, 0, 10))
 	}
 	assigned := plan.Assign(now, []Engine{engine("e", 8, 3)})
-	assert.DeepEqual(t, started(assigned), []Key{{"urgent", 0}, {"earlier", 0}, {"plain", 0}, {"late", 0}})
+	assert.DeepEqual(t, startedKeys(assigned), []Key{{"urgent", 0}, {"earlier", 0}, {"plain", 0}, {"late", 0}})
 }
 
-// TestItemsKeepAwayFromEnginesWhoseMemoryIsGivenAway: such an engine would interrupt one
-// of them. Where nothing else is free they start there all the same.
-func TestItemsKeepAwayFromEnginesWhoseMemoryIsGivenAway(t *testing.T) {
+// Guards against assigning items to an engine short of memory, which would interrupt one, while a slower one has
+// room.
+func TestEnginesShortOfMemoryAreChosenLast(t *testing.T) {
 	plan := New()
-	plan.ObservePace(named("fast"), 50*time.Millisecond)
-	plan.ObservePace(named("slowish"), 54*time.Millisecond)
+	plan.ObservePace(engineID("fast"), 50*time.Millisecond)
+	plan.ObservePace(engineID("slowish"), 54*time.Millisecond)
 	fast, slowish := engine("fast", 8, 3), engine("slowish", 8, 3)
 	fast.Tokens, slowish.Tokens = 100, 100
 	large := func(index int) {
@@ -289,8 +287,8 @@
 	assert.DeepEqual(t, placed(fast), []string{"fast"})
 }
 
-// TestNothingBeginsBesideASuspectItem: for a while, or until it has ended.
-func TestNothingBeginsBesideASuspectItem(t *testing.T) {
+// Guards against an item that starts next to a suspect one within IsolationTime.
+func TestSuspectItemIsIsolatedUntilItEndsOrTheTimePasses(t *testing.T) {
 	plan := New()
 	for i := range 3 {
 		suspect := item("j", i, 100-i)
@@ -300,16 +298,16 @@
 	plan.Add(item("j", 3, 1))
 	engines := []Engine{engine("a", 8, 3), engine("b", 8, 3)}
 	assigned := plan.Assign(now, engines)
-	assert.DeepEqual(t, started(assigned), []Key{{"j", 0}, {"j", 1}})
+	assert.DeepEqual(t, startedKeys(assigned), []Key{{"j", 0}, {"j", 1}})
 	assert.Assert(t, assigned[0].Engine != assigned[1].Engine)
 	assert.Equal(t, len(plan.Assign(now.Add(IsolationTime-1), engines)), 0)
 	plan.Ended(Key{"j", 1})
-	assert.DeepEqual(t, started(plan.Assign(now, engines)), []Key{{"j", 2}})
-	assert.DeepEqual(t, started(plan.Assign(now.Add(IsolationTime), engines)), []Key{{"j", 3}})
+	assert.DeepEqual(t, startedKeys(plan.Assign(now, engines)), []Key{{"j", 2}})
+	assert.DeepEqual(t, startedKeys(plan.Assign(now.Add(IsolationTime), engines)), []Key{{"j", 3}})
 }
 
-// TestASuspectItemBeginsWhereNothingBeganJustNow: another that ends engines may have.
-func TestASuspectItemBeginsWhereNothingBeganJustNow(t *testing.T) {
+// Guards against crashes that cannot be attributed because another item had just started at the engine.
+func TestSuspectItemStartsAtTheEngineWithTheOldestLatestStart(t *testing.T) {
 	plan := New()
 	engines := []Engine{engine("a", 8, 3), engine("b", 8, 3)}
 	plan.Add(item("j", 0, 1))
@@ -322,16 +320,18 @@
 	suspect.Suspect = true
 	plan.Add(suspect)
 	assigned := plan.Assign(now.Add(time.Second), engines)
-	assert.Equal(t, assigned[0].Engine, named("a"))
+	assert.Equal(t, assigned[0].Engine, engineID("a"))
 }
 
-func named(engine string) incarnation.ID { return incarnation.ID{Engine: engine} }
+func engineID(engine string) incarnation.ID { return incarnation.ID{Engine: engine} }
 
-// TestTheNextStartOfAnEngineHasAllItsPlaces: items of the start before have not been told of as ended yet, one
-// of them ran apart, and its pace was measured.
-func TestTheNextStartOfAnEngineHasAllItsPlaces(t *testing.T) {
+// Guards against a restarted engine that inherits running items, isolation or pace from its previous incarnation.
+func TestRestartedEngineStartsWithoutState(t *testing.T) {
 	plan := New()
-	first := Engine{ID: incarnation.ID{Engine: "e", Born: 1000}, Service: "s", Slots: 1, Versions: map[string]int64{"m": 1}, Usable: true}
+	first := Engine{
+		ID: incarnation.ID{Engine: "e", Born: 1000}, Service: "s", Slots: 1,
+		Versions: map[string]int64{"m": 1}, Usable: true,
+	}
 	second := first
 	second.ID.Born = 2000
 	item := func(index int, suspect bool) Item {
--- a/internal/core/batchplan/cold_test.go
+++ b/internal/core/batchplan/slowstart_test.go
@@ -18,7 +18,7 @@
 	return cold
 }
 
-func perEngine(assigned []Assignment) map[string]int {
+func countByEngine(assigned []Assignment) map[string]int {
 	count := make(map[string]int)
 	for _, each := range assigned {
 		count[each.Engine.Engine]++
@@ -26,47 +26,50 @@
 	return count
 }
 
-func TestAColdEngineGetsNoMoreItemsThanMayStart(t *testing.T) {
+func TestColdEngineGetsAtMostItsStarts(t *testing.T) {
 	plan := New()
 	for i := range 20 {
 		plan.Add(item("j", i, 10))
 	}
-	got := perEngine(plan.Assign(now, []Engine{coldEngine("a", 8, 2), engine("b", 8, 3), coldEngine("c", 8, 0)}))
+	got := countByEngine(plan.Assign(now, []Engine{coldEngine("a", 8, 2), engine("b", 8, 3), coldEngine("c", 8, 0)}))
 	assert.DeepEqual(t, got, map[string]int{"a": 2, "b": 8})
 }
 
-// TestTheHomeOfAGroupAndASuspectItemCountAsWell: both choose an engine past the best one.
-func TestTheHomeOfAGroupAndASuspectItemCountAsWell(t *testing.T) {
+// Guards against starts that are not counted because the engine was chosen for a group or a suspect item.
+func TestStartsOfGroupAndSuspectItemsCountTowardsTheLimit(t *testing.T) {
 	plan := New()
 	for i := range 6 {
 		each := item("j", i, 10)
 		each.Group, each.Suspect = "one", i > 3
 		plan.Add(each)
 	}
-	assert.DeepEqual(t, perEngine(plan.Assign(now, []Engine{coldEngine("a", 8, 1)})), map[string]int{"a": 1})
-	assert.DeepEqual(t, perEngine(plan.Assign(now, []Engine{coldEngine("a", 8, 2)})), map[string]int{"a": 2})
+	assert.DeepEqual(t, countByEngine(plan.Assign(now, []Engine{coldEngine("a", 8, 1)})), map[string]int{"a": 1})
+	assert.DeepEqual(t, countByEngine(plan.Assign(now, []Engine{coldEngine("a", 8, 2)})), map[string]int{"a": 2})
 }
 
-// zone is twelve engines that came back cold together, and the rest of the fleet.
+// zone simulates zoneSize engines that restart at the same time, besides the warm engines of the fleet.
 type zone struct {
 	plan  *Plan
 	pacer *slowstart.Pacer
 	warm  []Engine
 	cold  []Engine
-	// began holds the starts at each cold engine.
-	began map[incarnation.ID][]time.Time
-	next  int
+	// startTimes holds the times of the startTimes at each cold engine.
+	startTimes map[incarnation.ID][]time.Time
+	next       int
 }
 
 const (
-	coldRate   = 7.9
-	zoneSize   = 12
-	fleetSlots = 8
-	lookPeriod = 50 * time.Millisecond
+	coldRate       = 7.9
+	zoneSize       = 12
+	fleetSlots     = 8
+	assignInterval = 50 * time.Millisecond
 )
 
 func newZone(warm int) *zone {
-	z := &zone{plan: New(), pacer: slowstart.New(now.Add(-slowstart.TakeoverPause)), began: make(map[incarnation.ID][]time.Time)}
+	z := &zone{
+		plan: New(), pacer: slowstart.New(now.Add(-slowstart.TakeoverPause)),
+		startTimes: make(map[incarnation.ID][]time.Time),
+	}
 	for i := range warm {
 		z.warm = append(z.warm, engine(fmt.Sprint("w", i), fleetSlots, 3))
 	}
@@ -76,8 +79,8 @@
 	return z
 }
 
-// look keeps items waiting and gives them to the engines, as the runner does.
-func (z *zone) look(at time.Time) []Assignment {
+// assign refills the queue and assigns items to the engines, as the runner does.
+func (z *zone) assign(at time.Time) []Assignment {
 	for z.plan.Waiting() < 1000 {
 		z.plan.Add(item("j", z.next, 10))
 		z.next++
@@ -90,29 +93,29 @@
 	assigned := z.plan.Assign(at, engines)
 	for _, each := range assigned {
 		if each.Engine.Engine[0] == 'c' && z.pacer.Admit(each.Engine, coldRate, at) == 0 {
-			z.began[each.Engine] = append(z.began[each.Engine], at)
+			z.startTimes[each.Engine] = append(z.startTimes[each.Engine], at)
 		}
 	}
 	return assigned
 }
 
-// TestAZoneThatReturnsColdFillsAtItsRateBesideTheOthers: no place at a warm engine stays free, and
-// each cold one gets its rate, even where it gives all of them back at once.
-func TestAZoneThatReturnsColdFillsAtItsRateBesideTheOthers(t *testing.T) {
+// Guards against cold engines that exceed or miss their start rate, even if they reject every item, and against
+// free slots at warm engines meanwhile.
+func TestColdEnginesFillAtTheirRateWhileWarmOnesStayFull(t *testing.T) {
 	z := newZone(36)
-	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(lookPeriod) {
-		for _, each := range z.look(at) {
+	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(assignInterval) {
+		for _, each := range z.assign(at) {
 			if each.Engine.Engine[0] == 'c' {
-				z.plan.Ended(each.Item.Key) // refused
+				z.plan.Ended(each.Item.Key) // rejected
 			}
 		}
 		for _, each := range z.warm {
 			assert.Equal(t, z.plan.Running(each.ID), fleetSlots)
 		}
 	}
-	assert.Equal(t, len(z.began), zoneSize)
-	for engine, starts := range z.began {
-		assert.Assert(t, len(starts) >= 23, "%s: %d starts in 3 s", engine, len(starts))
+	assert.Equal(t, len(z.startTimes), zoneSize)
+	for engine, starts := range z.startTimes {
+		assert.Assert(t, len(starts) >= 23, "engine %s: %d starts in 3 s", engine, len(starts))
 		for i := range starts {
 			inSecond := 0
 			for _, other := range starts[i:] {
@@ -120,24 +123,24 @@
 					inSecond++
 				}
 			}
-			assert.Assert(t, inSecond <= 8+slowstart.Burst, "%s: %d in a second", engine, inSecond)
+			assert.Assert(t, inSecond <= 8+slowstart.Burst, "engine %s: %d starts in 1 s", engine, inSecond)
 		}
 	}
 }
 
-func TestAFleetOfColdEnginesServesTheSumOfTheirRates(t *testing.T) {
+func TestColdFleetStartsItemsAtTheSumOfItsRates(t *testing.T) {
 	z := newZone(0)
-	begun := 0
-	for at := now; at.Before(now.Add(2 * time.Second)); at = at.Add(lookPeriod) {
-		for _, each := range z.look(at) {
-			begun++
+	starts := 0
+	for at := now; at.Before(now.Add(2 * time.Second)); at = at.Add(assignInterval) {
+		for _, each := range z.assign(at) {
+			starts++
 			z.plan.Ended(each.Item.Key)
 		}
 	}
-	assert.Assert(t, begun >= 2*zoneSize*7, "%d", begun)
+	assert.Assert(t, starts >= 2*zoneSize*7, "%d", starts)
 }
 
-func TestNoPassStartsMoreThanAnEngineHasPlacesAndStarts(t *testing.T) {
+func TestPassExceedsNeitherSlotsNorStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plan := New()
 		var engines []Engine
@@ -152,14 +155,14 @@
 			each.Suspect = rapid.IntRange(0, 9).Draw(t, "suspect") == 0
 			plan.Add(each)
 		}
-		got := perEngine(plan.Assign(now, engines))
+		got := countByEngine(plan.Assign(now, engines))
 		for _, each := range engines {
 			most := each.Slots
 			if each.Cold {
 				most = min(most, each.Starts)
 			}
 			if got[each.ID.Engine] > most {
-				t.Fatalf("%d items at %+v", got[each.ID.Engine], each)
+				t.Fatalf("%d items assigned to %+v", got[each.ID.Engine], each)
 			}
 		}
 	})
