--- a/internal/core/batchitem/batchitem_test.go
+++ b/internal/core/batchitem/batchitem_test.go
@@ -13,17 +13,17 @@
 	return Event{Number: number, Data: fmt.Appendf(nil, "e%d", number), Version: version}
 }
 
-func TestOutputTakesEventsInOrder(t *testing.T) {
+func TestOutputAcceptsEventsOnlyInOrder(t *testing.T) {
 	var o Output
-	assert.Equal(t, o.Add(event(1, 3), Limits{}), Taken)
+	assert.Equal(t, o.Add(event(1, 3), Limits{}), Accepted)
 	assert.Equal(t, o.Add(event(3, 3), Limits{}), OutOfOrder)
 	assert.Equal(t, o.Add(event(1, 3), Limits{}), OutOfOrder)
-	assert.Equal(t, o.Add(event(2, 4), Limits{}), Taken)
+	assert.Equal(t, o.Add(event(2, 4), Limits{}), Accepted)
 	assert.Equal(t, string(o.Text()), "e1\ne2")
 	assert.DeepEqual(t, o.Versions(), []int64{3, 4})
 }
 
-func TestOutputBeginsAnewWhereTheLimitsForbidAnEvent(t *testing.T) {
+func TestOutputIsResetByEventBeyondLimits(t *testing.T) {
 	var old, second Output
 	old.Add(event(1, 3), Limits{MinVersion: 3})
 	assert.Equal(t, old.Add(event(2, 2), Limits{MinVersion: 3}), TooOld)
@@ -40,7 +40,7 @@
 	assert.Assert(t, !o.Fits(Limits{Single: true}))
 }
 
-func TestStagesLeadToAnEndThatStands(t *testing.T) {
+func TestStagesNeverGoBack(t *testing.T) {
 	var item Item
 	assert.Equal(t, item.Stage(), Open)
 	item.Output.Add(event(1, 1), Limits{})
@@ -53,37 +53,36 @@
 	assert.Equal(t, item.Stage(), Ended)
 }
 
-func TestDroppedItemIsNotCompletedAndAListedOneIs(t *testing.T) {
+func TestListedItemIsCompletedButDroppedOneIsNot(t *testing.T) {
 	var dropped, listed Item
 	dropped.Drop()
 	listed.Listed()
 	assert.Assert(t, dropped.Ended() && !dropped.Completed())
 	assert.Assert(t, listed.Ended() && listed.Completed())
-	assert.Assert(t, !listed.Output.IsWhole(), "the text of another node's result is not known here")
+	assert.Assert(t, !listed.Output.IsWhole(), "output of another node's result is unknown")
 }
 
-func TestAttemptsAreUsedUp(t *testing.T) {
+func TestAttemptsAreLimitedPerKindOfFailure(t *testing.T) {
 	var item Item
 	assert.Assert(t, !item.RunFailed(2))
 	assert.Assert(t, item.RunFailed(2))
-	assert.Assert(t, !item.ScoreFailed(1, 2), "failed runs counted as failed scoring calls")
+	assert.Assert(t, !item.ScoreFailed(1, 2), "failed runs must not count as failed scoring calls")
 	assert.Assert(t, !item.ScoreFailed(0, 2))
 	assert.Assert(t, item.ScoreFailed(1, 2))
 }
 
-// TestPartsInTheLogMakeTheOutput writes parts at random moments, some of which the
-// log does not take, and restores what the log has.
-func TestPartsInTheLogMakeTheOutput(t *testing.T) {
+// Guards against saved parts that overlap or leave gaps, if some writes to the log fail.
+func TestSavedPartsAddUpToTheOutput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Output
 		var texts []string
 		var last, number int64
-		whole, chains := false, 0
+		complete, chains := false, 0
 		newChain := func() string { chains++; return fmt.Sprint("chain", chains) }
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "event") {
 				number++
-				assert.Equal(t, o.Add(event(number, 1), Limits{}), Taken)
+				assert.Equal(t, o.Add(event(number, 1), Limits{}), Accepted)
 				continue
 			}
 			if !o.Unkept() {
@@ -92,27 +91,27 @@
 			part := o.NextPart(newChain)
 			if rapid.Bool().Draw(t, "taken") {
 				assert.Equal(t, part.From, last)
-				texts, last, whole = append(texts, string(part.Text)), part.To, part.Whole
+				texts, last, complete = append(texts, string(part.Text)), part.To, part.Whole
 				o.MarkKept(part)
 			}
 		}
-		o.whole = true
+		o.complete = true
 		if o.Unkept() {
 			part := o.NextPart(newChain)
 			if part.To > part.From {
 				texts = append(texts, string(part.Text))
 			}
-			last, whole = part.To, part.Whole
+			last, complete = part.To, part.Whole
 			o.MarkKept(part)
 		}
-		assert.Assert(t, whole && !o.Unkept())
+		assert.Assert(t, complete && !o.Unkept())
 		assert.Equal(t, last, number)
 		assert.Equal(t, strings.Join(texts, "\n"), string(o.Text()))
 	})
 }
 
-// TestPartOfAnOutputThatBeganAnewIsNotMarked: the write was under way meanwhile.
-func TestPartOfAnOutputThatBeganAnewIsNotMarked(t *testing.T) {
+// Guards against an output that is reset while a part is written, and then loses its first events.
+func TestMarkKeptIgnoresPartsFromBeforeAReset(t *testing.T) {
 	var o Output
 	o.Add(event(1, 1), Limits{})
 	part := o.NextPart(func() string { return "a" })
--- a/internal/core/batchitem/item.go
+++ b/internal/core/batchitem/item.go
@@ -1,78 +1,77 @@
-// Package batchitem is the life of one item of a batch job at the node that runs
-// it: open, scoring, ended. Whether an open item waits for an engine or runs is the
-// plan's to know. It has no input, output or clock.
+// Package batchitem implements the life cycle of a batch job's item at the node that runs it:
+// open, scoring, ended. Whether an open item waits or runs is tracked by package batchplan. The
+// package performs no I/O and reads no clock.
 //
-// Invariants: stages only go forward, so an item is scored only once its output is
-// whole, and one that has ended changes no more.
+// Invariants: stages never go back, so an item is scored only once its output is complete, and an
+// ended item never changes.
 package batchitem
 
-// Stage is how far an item has come.
+// Stage is a stage in the life cycle of an item.
 type Stage uint8
 
-// The stages, in their order; none is left backwards.
+// The stages, in order.
 const (
-	// Open: an engine makes its output, or is to make it.
+	// Open items wait for an engine or run.
 	Open Stage = iota
-	// Scoring: its output is whole, its score is still to come.
+	// Scoring items have their complete output and wait for its score.
 	Scoring
-	// Ended: it has a result, or nobody wants one any more.
+	// Ended items have a result or were dropped.
 	Ended
 )
 
-// Item is one item.
+// Item is the state of an item.
 type Item struct {
-	// Output is what there is of its output.
+	// Output is the output so far.
 	Output Output
-	// Moves counts how often it was moved to a faster engine.
+	// Moves is the number of moves to a faster engine.
 	Moves int
 
 	stage     Stage
 	completed bool
-	// runFailures and scoreFailures count attempts that an engine itself failed.
+	// runFailures and scoreFailures count failures caused by the engine or the scoring service.
 	runFailures   int
 	scoreFailures int
 }
 
-// Stage returns how far the item has come.
 func (i *Item) Stage() Stage { return i.stage }
 
-// Ended tells whether nothing more is done for the item.
+// Ended reports whether the item has reached its last stage.
 func (i *Item) Ended() bool { return i.stage == Ended }
 
-// Completed tells whether the item has a result with its whole output, made here
-// or listed by another node, whose text is not known here.
+// Completed reports whether the item has a result with its complete output: from this node, or
+// recorded in the log by another node, in which case Output is not complete.
 func (i *Item) Completed() bool { return i.completed }
 
-// Whole notes that the output is whole; the score is still to come.
+// Whole marks the output as complete and moves an open item to Scoring.
 func (i *Item) Whole() {
 	if i.stage != Open {
 		return
 	}
-	i.Output.whole = true
+	i.Output.complete = true
 	i.stage = Scoring
 }
 
-// Complete ends the item with its whole output and returns its text.
+// Complete ends the item with a complete output and returns its text.
 func (i *Item) Complete() []byte {
 	i.completed, i.stage = true, Ended
-	return i.Output.seal()
+	return i.Output.finish()
 }
 
-// Drop ends the item without a result of this node.
+// Drop ends the item without a result from this node.
 func (i *Item) Drop() { i.stage = Ended }
 
-// Listed ends the item since a result of it stands in the log.
+// Listed ends the item because the log has a result for it.
 func (i *Item) Listed() { i.completed, i.stage = true, Ended }
 
-// RunFailed counts a run that the engine itself failed and tells whether the item
-// is to be given up.
+// RunFailed counts a run that failed because of the engine, and reports whether the item has no
+// attempts left.
 func (i *Item) RunFailed(maxAttempts int) bool {
 	i.runFailures++
 	return i.runFailures >= max(1, maxAttempts)
 }
 
-// ScoreFailed counts answers of a scoring service that failed the call itself and
-// tells whether the item is to be given up.
+// ScoreFailed counts scoring calls that failed because of the scoring service, and reports whether
+// the item has no attempts left.
 func (i *Item) ScoreFailed(failures, maxAttempts int) bool {
 	i.scoreFailures += failures
 	return i.scoreFailures >= max(1, maxAttempts)
--- a/internal/core/batchitem/output.go
+++ b/internal/core/batchitem/output.go
@@ -7,60 +7,59 @@
 
 // Event is one event of an item's output.
 type Event struct {
-	// Number counts the events of an item from 1 without gaps.
+	// Number is the event's sequence number within the item, from 1 and without gaps.
 	Number int64
 	Data   []byte
-	// Version is the weight version that made it.
+	// Version is the weight version that generated it.
 	Version int64
 }
 
-// Limits bound the weight versions that may make an item's output.
+// Limits restrict the weight versions that may generate an item's output.
 type Limits struct {
 	// MinVersion is the oldest version allowed.
 	MinVersion int64
-	// Single is true when one version must make all of it.
+	// Single is true if a single version must generate the whole output.
 	Single bool
 }
 
-// Verdict says whether an event was taken.
+// Verdict is the outcome of Output.Add.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Taken: the event is part of the output now.
-	Taken Verdict = iota
-	// OutOfOrder: an event is missing or stands twice; the output is unchanged.
+	// Accepted: the event was appended to the output.
+	Accepted Verdict = iota
+	// OutOfOrder: the event is a duplicate, or events before it are missing; the output is unchanged.
 	OutOfOrder
-	// TooOld: weights older than allowed made it; the output begins anew.
+	// TooOld: the event is from a version below Limits.MinVersion; the output was reset.
 	TooOld
-	// SecondVersion: another version made the events before it, and the output
-	// must be of one; it begins anew.
+	// SecondVersion: the event is from another version than its predecessors, although
+	// Limits.Single is set; the output was reset.
 	SecondVersion
 )
 
-// Output is what an item has of its output.
+// Output is the output of an item so far, together with the position up to which the log has it.
 type Output struct {
-	// events holds the data of events; that of several may stand in one, separated
-	// by line feeds.
-	events [][]byte
+	// chunks hold the data of one or more events each, separated by line feeds.
+	chunks [][]byte
 	// last is the number of the last event.
 	last     int64
 	versions []int64
-	// whole is true once events are the whole output.
-	whole bool
+	// complete is true once no further events follow.
+	complete bool
 
-	// chain names this sequence of runs in the log, continues the one that it
-	// took up there; both are empty until the first write.
+	// chain identifies this sequence of runs in the log; empty until the first part. continues is the
+	// chain from which the output was restored; empty if there is none or a part of this chain was saved.
 	chain     string
 	continues string
-	// keptTo is the last event that is in the log, keptEvents counts events up to
-	// it; keptWhole is true once the log says that the output is whole.
-	keptTo     int64
-	keptEvents int
-	keptWhole  bool
+	// savedTo is the last event that is in the log, savedChunks the number of chunks up to it;
+	// savedComplete is true once the log has the output marked as complete.
+	savedTo       int64
+	savedChunks   int
+	savedComplete bool
 }
 
-// Kept is an output as another leader left it in the log.
+// Kept is an output as saved in the log by a previous leader.
 type Kept struct {
 	Chain    string
 	Last     int64
@@ -69,15 +68,15 @@
 	Whole    bool
 }
 
-// Restore returns the output that another leader left.
-func Restore(kept Kept) Output {
+// Restore returns the output that a previous leader saved.
+func Restore(saved Kept) Output {
 	return Output{
-		events: [][]byte{kept.Text}, last: kept.Last, versions: slices.Clone(kept.Versions), whole: kept.Whole,
-		continues: kept.Chain, keptTo: kept.Last, keptEvents: 1, keptWhole: kept.Whole,
+		chunks: [][]byte{saved.Text}, last: saved.Last, versions: slices.Clone(saved.Versions), complete: saved.Whole,
+		continues: saved.Chain, savedTo: saved.Last, savedChunks: 1, savedComplete: saved.Whole,
 	}
 }
 
-// Add takes the next event unless it is out of order or the limits forbid it.
+// Add appends the next event, unless it is out of order or violates the limits.
 func (o *Output) Add(event Event, limits Limits) Verdict {
 	switch {
 	case o.last != 0 && event.Number != o.last+1:
@@ -89,38 +88,38 @@
 		*o = Output{}
 		return SecondVersion
 	}
-	o.events = append(o.events, event.Data)
+	o.chunks = append(o.chunks, event.Data)
 	o.last = event.Number
 	if !slices.Contains(o.versions, event.Version) {
 		o.versions = append(o.versions, event.Version)
 	}
-	return Taken
+	return Accepted
 }
 
-// Last is the number of the last event; zero when there is none.
+// Last returns the number of the last event; zero if there is none.
 func (o *Output) Last() int64 { return o.last }
 
-// Empty tells whether there is no event.
-func (o *Output) Empty() bool { return len(o.events) == 0 }
+// Empty reports whether there are no events.
+func (o *Output) Empty() bool { return len(o.chunks) == 0 }
 
-// IsWhole tells whether nothing is missing.
-func (o *Output) IsWhole() bool { return o.whole }
+// IsWhole reports whether the output is complete.
+func (o *Output) IsWhole() bool { return o.complete }
 
-// Versions are the weight versions that made the events.
+// Versions returns the weight versions of the events, in order of first use.
 func (o *Output) Versions() []int64 { return o.versions }
 
-// Text is the data of all events, separated by line feeds.
-func (o *Output) Text() []byte { return bytes.Join(o.events, []byte{'\n'}) }
+// Text returns the data of all events, separated by line feeds.
+func (o *Output) Text() []byte { return bytes.Join(o.chunks, []byte{'\n'}) }
 
-// seal makes one piece of many. Nothing is written to the log any more.
-func (o *Output) seal() []byte {
-	o.whole = true
+// finish marks the output as complete, merges its chunks and returns the text. Parts must not be taken afterwards.
+func (o *Output) finish() []byte {
+	o.complete = true
 	text := o.Text()
-	o.events = [][]byte{text}
+	o.chunks = [][]byte{text}
 	return text
 }
 
-// Fits tells whether all versions are within the limits.
+// Fits reports whether the versions of all events are within the limits.
 func (o *Output) Fits(limits Limits) bool {
 	for _, version := range o.versions {
 		if version < limits.MinVersion {
@@ -130,46 +129,46 @@
 	return !limits.Single || len(o.versions) <= 1
 }
 
-// Detached returns the output without its place in the log, for another job.
+// Detached returns the output for use in another job: without its chain and position in the log.
 func (o *Output) Detached() Output {
-	return Output{events: o.events, last: o.last, versions: o.versions, whole: o.whole}
+	return Output{chunks: o.chunks, last: o.last, versions: o.versions, complete: o.complete}
 }
 
-// Part is what an output has beyond what is in the log.
+// Part is the part of an output that is not in the log yet.
 type Part struct {
 	Chain     string
 	Continues string
-	// From and To are the numbers of the last event before and in the part.
+	// From and To are the numbers of the last event before the part and in it.
 	From     int64
 	To       int64
 	Versions []int64
 	Text     []byte
-	// Whole is true when nothing follows the part.
+	// Whole is true if the output ends with this part.
 	Whole bool
-	// events is the number of pieces up to its end.
-	events int
+	// chunks is the number of the output's chunks up to the end of the part.
+	chunks int
 }
 
-// Unkept tells whether the log lacks something of the output.
-func (o *Output) Unkept() bool { return o.last != o.keptTo || o.whole && !o.keptWhole }
+// Unkept reports whether part of the output, or its completion, is not in the log yet.
+func (o *Output) Unkept() bool { return o.last != o.savedTo || o.complete && !o.savedComplete }
 
-// NextPart returns what the log lacks; newChain names a chain if there is none yet.
+// NextPart returns the part that is not in the log yet; newChain generates the chain's ID before the first part.
 func (o *Output) NextPart(newChain func() string) Part {
 	if o.chain == "" {
 		o.chain = newChain()
 	}
 	return Part{
-		Chain: o.chain, Continues: o.continues, From: o.keptTo, To: o.last,
-		Versions: slices.Clone(o.versions), Whole: o.whole,
-		Text: bytes.Join(o.events[o.keptEvents:], []byte{'\n'}), events: len(o.events),
+		Chain: o.chain, Continues: o.continues, From: o.savedTo, To: o.last,
+		Versions: slices.Clone(o.versions), Whole: o.complete,
+		Text: bytes.Join(o.chunks[o.savedChunks:], []byte{'\n'}), chunks: len(o.chunks),
 	}
 }
 
-// MarkKept notes that a part is in the log, unless the output began anew meanwhile.
+// MarkKept records that a part is in the log, unless the output was reset since NextPart.
 func (o *Output) MarkKept(part Part) {
 	if o.chain != part.Chain {
 		return
 	}
-	o.keptTo, o.keptEvents, o.keptWhole = part.To, part.events, part.Whole
+	o.savedTo, o.savedChunks, o.savedComplete = part.To, part.chunks, part.Whole
 	o.continues = ""
 }
