--- a/internal/core/batch/golden_test.go
+++ b/internal/core/batch/golden_test.go
@@ -6,7 +6,7 @@
 	"github.com/corkpulley/corkpulley/internal/goldenrecord"
 )
 
-// Guards against a record or message that an earlier build misreads, or whose earlier form this build does.
+// Guards against records and payloads that earlier builds cannot decode, or whose earlier form this build cannot.
 func TestRecordsOfEarlierBuilds(t *testing.T) {
 	goldenrecord.Check(t,
 		goldenrecord.Sample{Name: "record", Value: &Record{}, Added: map[string][]string{"843b092": {"j.cv", "j.hm"}}},
@@ -14,7 +14,7 @@
 	)
 }
 
-// Guards against numbers that another build takes for another outcome.
+// Guards against outcome numbers that mean something else in another build.
 func TestNumbersOfEarlierBuilds(t *testing.T) {
 	goldenrecord.CheckNumbers(t, "numbers", map[string]int64{"completed": int64(Completed), "expired": int64(Expired)})
 }
--- a/internal/core/batch/groups.go
+++ b/internal/core/batch/groups.go
@@ -1,60 +1,60 @@
 package batch
 
-// groups determines when the submitter of a job may have everything that it waits for:
-// as many complete groups as it wants, and all groups that return from an earlier job.
-// Returned groups come first and are at most half as many as wanted. If their number is
-// unknown, each of the first groups that completes late may be the last one.
+// groups determines when the submitter of a job may have all results that it waits for: the
+// wanted number of complete groups, and all groups that return from an earlier job. Returned
+// groups are the first ones of the job and at most half of the wanted number. If their number is
+// unknown, each of these first groups that completes late may be the last one awaited.
 type groups struct {
 	wanted int
-	// left counts the items without a result by group.
-	left map[string]int
-	// awaited holds the incomplete groups that return from an earlier job, or may;
-	// exact is true when they are known to.
-	awaited map[string]bool
-	exact   bool
-	// complete counts the groups without missing results.
+	// missing is the number of items without a result, by group.
+	missing map[string]int
+	// awaited holds the incomplete groups that return from an earlier job; without returnedKnown,
+	// those that may.
+	awaited       map[string]bool
+	returnedKnown bool
+	// complete is the number of groups without missing results.
 	complete int
-	// milestone is the number of results when the submitter last may have had everything.
+	// milestone is the number of results when the submitter last may have had all it waits for.
 	milestone int
 }
 
-// maxReturnedDivisor: at most wanted/maxReturnedDivisor groups return from earlier jobs.
+// maxReturnedDivisor bounds the groups that return from earlier jobs to wanted/maxReturnedDivisor.
 const maxReturnedDivisor = 2
 
 func newGroups(record JobRecord) groups {
 	g := groups{
-		wanted: record.Wanted, left: make(map[string]int), awaited: make(map[string]bool), exact: record.ReturnedKnown,
+		wanted: record.Wanted, missing: make(map[string]int), awaited: make(map[string]bool),
+		returnedKnown: record.ReturnedKnown,
 	}
 	returned := record.Wanted / maxReturnedDivisor
 	if record.ReturnedKnown {
 		returned = record.Returned
 	}
 	for _, item := range record.Items {
-		if g.left[item.Group] == 0 && len(g.awaited) < returned {
+		if g.missing[item.Group] == 0 && len(g.awaited) < returned {
 			g.awaited[item.Group] = true
 		}
-		g.left[item.Group]++
+		g.missing[item.Group]++
 	}
 	return g
 }
 
-// addResult counts a result of the group; results is the job's number of results with it.
+// addResult counts a result of the group; results is the job's number of results, this one included.
 func (g *groups) addResult(group string, results int) {
-	g.left[group]--
-	if g.left[group] > 0 {
+	g.missing[group]--
+	if g.missing[group] > 0 {
 		return
 	}
 	g.complete++
 	late := g.awaited[group]
 	delete(g.awaited, group)
-	enough := g.complete >= g.wanted && (!g.exact || len(g.awaited) == 0)
-	if enough && (g.complete == g.wanted || late || g.complete == len(g.left)) {
+	enough := g.complete >= g.wanted && (!g.returnedKnown || len(g.awaited) == 0)
+	if enough && (g.complete == g.wanted || late || g.complete == len(g.missing)) {
 		g.milestone = results
 	}
 }
 
-// leadingGroups returns the names of the job's first groups in the order of their items,
-// at most the given number.
+// leadingGroups returns the names of at most limit groups, in the order of their first items.
 func (j *JobRecord) leadingGroups(limit int) []string {
 	var names []string
 	seen := make(map[string]bool)
@@ -70,22 +70,22 @@
 	return names
 }
 
-// EarlierJob is a job of an earlier step with its groups.
+// EarlierJob is a job of an earlier step.
 type EarlierJob struct {
 	Step   int64
 	Groups map[string]bool
 }
 
 const (
-	// requiredSteps is the number of preceding steps that must be known to determine the
-	// returned groups: submitters run one step ahead, so groups return two steps later.
+	// requiredSteps is the number of preceding steps whose jobs must be known to count returned
+	// groups: submitters run one step ahead, so groups return two steps later.
 	requiredSteps = 2
 	// comparedSteps is the number of preceding steps whose groups are compared.
 	comparedSteps = 4
 )
 
-// CountReturned sets how many leading groups of the job return from one of the earlier
-// jobs of its model, if these are known.
+// CountReturned sets ReturnedKnown and Returned: how many leading groups of the job return from the
+// given earlier jobs. They stay unset unless the jobs of the preceding requiredSteps are among these.
 func (j *JobRecord) CountReturned(earlier []EarlierJob) {
 	steps := make(map[int64]bool)
 	for _, job := range earlier {
--- a/internal/core/batch/groups_test.go
+++ b/internal/core/batch/groups_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// groupedJob is a job of groups of two items each: item i is of group i/2.
+// groupedJob returns a job with two items per group: item i belongs to group i/2.
 func groupedJob(groups, wanted int) Record {
 	record := jobRecord("j", 2*groups)
 	record.Job.Wanted = wanted
@@ -17,25 +17,25 @@
 	return record
 }
 
-func TestMilestonesAreWhereTheSubmitterMayHaveAll(t *testing.T) {
+func TestMilestoneIsSetWhenTheAwaitedGroupsMayBeComplete(t *testing.T) {
 	p := NewPartition()
 	// Groups 0 and 1 may return from an earlier job.
 	p.Apply(groupedJob(6, 4), at)
 	for _, step := range []struct{ item, milestone int }{
-		{4, 0}, {5, 0}, // group 2 is complete
-		{6, 0}, {7, 0}, // 3
-		{8, 0}, {9, 0}, // 4
+		{4, 0}, {5, 0}, // group 2 complete
+		{6, 0}, {7, 0}, // group 3
+		{8, 0}, {9, 0}, // group 4
 		{0, 0},
-		{10, 0}, {11, 9}, // 5: as many as wanted
-		{2, 9}, {3, 11}, // 1 may have been the last to wait for
-		{1, 12}, // 0 as well, and nothing is missing
+		{10, 0}, {11, 9}, // group 5: the wanted number of groups is complete
+		{2, 9}, {3, 11}, // group 1 may have been the last one awaited
+		{1, 12}, // group 0 may have been too, and all results are present
 	} {
 		p.Apply(result("j", step.item, Completed), at)
 		assert.Equal(t, p.Job("j").Milestone(), step.milestone, "after item %d", step.item)
 	}
 }
 
-func TestGroupsBehindTheFirstAreNotWaitedForOnceEnoughAreWhole(t *testing.T) {
+func TestMilestoneIgnoresTrailingGroupsOnceEnoughAreComplete(t *testing.T) {
 	p := NewPartition()
 	p.Apply(groupedJob(6, 2), at)
 	for _, item := range []int{0, 1, 2, 3} {
@@ -48,13 +48,13 @@
 	assert.Equal(t, p.Job("j").Milestone(), 4)
 }
 
-func TestMilestoneWaitsForAllThatCameAgainWhereTheyAreKnown(t *testing.T) {
+func TestMilestoneWaitsForAllKnownReturnedGroups(t *testing.T) {
 	p := NewPartition()
 	job := groupedJob(6, 4)
 	job.Job.ReturnedKnown, job.Job.Returned = true, 2
 	p.Apply(job, at)
 	for _, step := range []struct{ item, milestone int }{
-		{4, 0}, {5, 0}, {6, 0}, {7, 0}, {8, 0}, {9, 0}, {10, 0}, {11, 0}, // 2 to 5 are complete, enough except for 0 and 1
+		{4, 0}, {5, 0}, {6, 0}, {7, 0}, {8, 0}, {9, 0}, {10, 0}, {11, 0}, // groups 2 to 5; 0 and 1 are still awaited
 		{2, 0}, {3, 0},
 		{0, 0}, {1, 12},
 	} {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestMilestoneComesWithEnoughGroupsWhereNoneCameAgain(t *testing.T) {
+func TestMilestoneIsSetByEnoughGroupsIfNoneReturned(t *testing.T) {
 	p := NewPartition()
 	job := groupedJob(6, 2)
 	job.Job.ReturnedKnown = true
@@ -74,7 +74,7 @@
 	assert.Equal(t, p.Job("j").Milestone(), 4)
 }
 
-// stepOf returns a job of a step with groups of one item each.
+// stepOf returns a job of the given step with one item per group.
 func stepOf(step int64, groups ...string) JobRecord {
 	record := JobRecord{ID: fmt.Sprint("job", step), Model: "m", Host: "h", Step: step, Wanted: 4}
 	for i, group := range groups {
@@ -83,7 +83,7 @@
 	return record
 }
 
-func TestGroupsThatCameAgainAreCountedWhereTheStepsBeforeAreKnown(t *testing.T) {
+func TestReturnedGroupsAreCountedIfPrecedingStepsAreKnown(t *testing.T) {
 	p := NewPartition()
 	for _, record := range []JobRecord{stepOf(4, "a", "b"), stepOf(5, "c")} {
 		p.Apply(Record{Job: &record}, at)
@@ -93,11 +93,11 @@
 		known bool
 		count int
 	}{
-		"two of the step before last": {stepOf(6, "a", "b", "x"), true, 2},
-		"leading ones only":           {stepOf(6, "x", "a"), true, 0},
-		"half of the wanted at most":  {stepOf(6, "a", "b", "c"), true, 2},
-		"a step before is not known":  {stepOf(7, "a"), false, 0},
-		"the first step":              {stepOf(0, "a"), true, 0},
+		"two from the step before last": {stepOf(6, "a", "b", "x"), true, 2},
+		"only leading groups count":     {stepOf(6, "x", "a"), true, 0},
+		"at most half of the wanted":    {stepOf(6, "a", "b", "c"), true, 2},
+		"unknown preceding step":        {stepOf(7, "a"), false, 0},
+		"first step":                    {stepOf(0, "a"), true, 0},
 	} {
 		check.job.CountReturned(p.Earlier(&check.job))
 		assert.Equal(t, check.job.ReturnedKnown, check.known, name)
--- a/internal/core/batch/partition.go
+++ b/internal/core/batch/partition.go
@@ -16,49 +16,49 @@
 	Score string
 }
 
-// Job is one batch job.
+// Job is a batch job with its results.
 type Job struct {
 	JobRecord
-	// Results holds the results by position.
+	// Results are indexed by position.
 	Results []Result
 	// Ended is true once the submitter has ended the job.
 	Ended bool
-	// SeenAt is when this process read the job's record.
+	// SeenAt is the time at which this process read the job's record.
 	SeenAt time.Time
-	// Incomplete: results may be in records that were skipped, so the positions of later results
-	// are unknown, and so is whether the job has ended.
+	// Incomplete is true if skipped records may hold results of the job, or its end. The positions
+	// of later results are then unknown.
 	Incomplete bool
-	listed     []bool
+	hasResult  []bool
 	byID       map[string]int
 	groups     groups
-	// progress holds the kept partial output of items without a result.
+	// progress holds the saved partial output of items without a result, by item.
 	progress map[int]Progress
 }
 
-// Progress is the kept partial output of an item without a result.
+// Progress is the saved partial output of an item without a result.
 type Progress struct {
 	// Chain identifies the run that produced the last part.
 	Chain string
 	// To is the number of the last event.
 	To       int64
 	Versions []int64
-	// Parts hold the text; the events of all parts are separated by line feeds.
+	// Parts refer to the text of the parts, in order. Events are separated by line feeds, also across parts.
 	Parts     []Span
 	TextBytes int
-	// Whole is true when no event is missing.
+	// Whole is true if the output is complete.
 	Whole bool
 }
 
-// Progress returns the kept partial output of an item.
+// Progress returns the saved partial output of an item, and whether there is any.
 func (j *Job) Progress(item int) (Progress, bool) {
 	progress, found := j.progress[item]
 	return progress, found
 }
 
 // Listed reports whether the item has a result.
-func (j *Job) Listed(item int) bool { return j.listed[item] }
+func (j *Job) Listed(item int) bool { return j.hasResult[item] }
 
-// ItemIndex returns the index of an item by its ID.
+// ItemIndex returns the index of the item with the given ID, and whether it exists.
 func (j *Job) ItemIndex(id string) (int, bool) {
 	index, found := j.byID[id]
 	return index, found
@@ -68,10 +68,10 @@
 func (j *Job) Open() bool { return !j.Ended && len(j.Results) < len(j.Items) }
 
 // Milestone returns the number of results when the submitter last may have had everything
-// that it waits for; zero if it never had.
+// that it waits for; zero if that has not happened.
 func (j *Job) Milestone() int { return j.groups.milestone }
 
-// PayloadOffset returns the offset of the item's payload.
+// PayloadOffset returns the offset of the item's payload in the data topic; -1 if the item has none.
 func (j *Job) PayloadOffset(item int) int64 {
 	for _, span := range j.Payloads {
 		if item < span.Count {
@@ -82,25 +82,25 @@
 	return -1
 }
 
-// Observer is notified of changes in the order of the records. It must not block.
+// Observer is notified of changes in record order. Its methods must not block.
 type Observer interface {
 	JobAdded(job *Job)
 	ItemListed(job *Job, item int)
 	JobEnded(job *Job)
 }
 
-// Partition is the state after the records before Next.
+// Partition is the state of a partition after the records before offset Next.
 type Partition struct {
 	Next int64
 	jobs map[string]*Job
-	// observers are notified in the order of their registration.
+	// observers are notified in order of registration.
 	observers []Observer
 }
 
 // NewPartition returns the state before the first record.
 func NewPartition() *Partition { return &Partition{jobs: make(map[string]*Job)} }
 
-// Job returns a job by ID, nil if there is none.
+// Job returns the job with the given ID, or nil.
 func (p *Partition) Job(id string) *Job { return p.jobs[id] }
 
 // Earlier returns the known jobs of the same model and host in the comparedSteps before
@@ -112,8 +112,8 @@
 		if !same || job.Step >= than.Step || job.Step < than.Step-comparedSteps {
 			continue
 		}
-		names := make(map[string]bool, len(job.groups.left))
-		for name := range job.groups.left {
+		names := make(map[string]bool, len(job.groups.missing))
+		for name := range job.groups.missing {
 			names[name] = true
 		}
 		earlier = append(earlier, EarlierJob{Step: job.Step, Groups: names})
@@ -121,8 +121,7 @@
 	return earlier
 }
 
-// Observe notifies the observer of all open jobs and from then on of changes. An observer that is
-// already registered is notified of all open jobs again.
+// Observe registers an observer, if it is not registered yet, and notifies it of all open jobs.
 func (p *Partition) Observe(observer Observer) {
 	if !slices.Contains(p.observers, observer) {
 		p.observers = append(p.observers, observer)
@@ -142,12 +141,12 @@
 // Observed reports whether an observer is registered.
 func (p *Partition) Observed() bool { return len(p.observers) > 0 }
 
-// Skip skips an unreadable record.
+// Skip skips one unreadable record.
 func (p *Partition) Skip() { p.Next++ }
 
 // SkipTo skips records that the log has dropped, up to the given offset. Jobs with missing results
-// become incomplete. They stay open, since their runner must continue: a result that it records a
-// second time has no effect.
+// become incomplete but stay open, so that their runner continues: a result that is recorded
+// twice has no effect.
 func (p *Partition) SkipTo(first int64) {
 	p.Next = max(p.Next, first)
 	for _, job := range p.jobs {
@@ -174,37 +173,37 @@
 	}
 }
 
-// addProgress keeps a part of an item's output. A part from the start begins a new
-// chain. Any other part must continue the kept chain; otherwise it comes from a run that
+// addProgress adds a part to an item's saved output. A part from the first event begins a new
+// chain. Any other part must continue the saved chain; otherwise it comes from a run that
 // did not know the chain, and is dropped.
 func (p *Partition) addProgress(record ProgressRecord) {
 	job, found := p.jobs[record.Job]
-	if !found || record.Item < 0 || record.Item >= len(job.Items) || job.listed[record.Item] || job.Ended {
+	if !found || record.Item < 0 || record.Item >= len(job.Items) || job.hasResult[record.Item] || job.Ended {
 		return
 	}
-	kept := job.progress[record.Item]
+	saved := job.progress[record.Item]
 	switch {
-	case record.From == 0 && record.Continues == "" && record.Chain != kept.Chain:
-		kept = Progress{}
-	case record.From != kept.To || record.Chain != kept.Chain && record.Continues != kept.Chain:
+	case record.From == 0 && record.Continues == "" && record.Chain != saved.Chain:
+		saved = Progress{}
+	case record.From != saved.To || record.Chain != saved.Chain && record.Continues != saved.Chain:
 		return
 	}
-	// The slices are copied on append, since copies of the job share them.
-	kept.Chain, kept.To, kept.Whole = record.Chain, record.To, record.Whole
+	// Clipped, so that append copies the slices, which copies of the job share.
+	saved.Chain, saved.To, saved.Whole = record.Chain, record.To, record.Whole
 	if record.To > record.From {
-		kept.Parts = append(slices.Clip(kept.Parts), record.Text)
-		kept.TextBytes += record.TextBytes
+		saved.Parts = append(slices.Clip(saved.Parts), record.Text)
+		saved.TextBytes += record.TextBytes
 	}
-	kept.Versions = slices.Clip(kept.Versions)
+	saved.Versions = slices.Clip(saved.Versions)
 	for _, version := range record.Versions {
-		if !slices.Contains(kept.Versions, version) {
-			kept.Versions = append(kept.Versions, version)
+		if !slices.Contains(saved.Versions, version) {
+			saved.Versions = append(saved.Versions, version)
 		}
 	}
 	if job.progress == nil {
 		job.progress = make(map[int]Progress)
 	}
-	job.progress[record.Item] = kept
+	job.progress[record.Item] = saved
 }
 
 func (p *Partition) addJob(record JobRecord, at time.Time) {
@@ -214,7 +213,7 @@
 	job := &Job{
 		JobRecord: record,
 		SeenAt:    at,
-		listed:    make([]bool, len(record.Items)),
+		hasResult: make([]bool, len(record.Items)),
 		byID:      make(map[string]int, len(record.Items)),
 		groups:    newGroups(record),
 	}
@@ -239,13 +238,13 @@
 	}
 }
 
-// addResult adds a result unless the item has one: the first record wins.
+// addResult adds a result unless the item already has one.
 func (p *Partition) addResult(record ResultRecord) {
 	job, found := p.jobs[record.Job]
-	if !found || record.Item < 0 || record.Item >= len(job.Items) || job.listed[record.Item] {
+	if !found || record.Item < 0 || record.Item >= len(job.Items) || job.hasResult[record.Item] {
 		return
 	}
-	job.listed[record.Item] = true
+	job.hasResult[record.Item] = true
 	delete(job.progress, record.Item)
 	job.Results = append(job.Results, Result{
 		Item: record.Item, Outcome: record.Outcome, Versions: record.Versions,
@@ -257,7 +256,7 @@
 	}
 }
 
-// Forget drops jobs that were read before the given time and are not open, and returns
+// Forget removes jobs that were read before the given time and are not open, and returns
 // their number.
 func (p *Partition) Forget(before time.Time) int {
 	dropped := 0
--- a/internal/core/batch/partition_test.go
+++ b/internal/core/batch/partition_test.go
@@ -30,7 +30,7 @@
 	}}}
 }
 
-func TestJobIsTakenOnceAndItsFirstResultsStand(t *testing.T) {
+func TestFirstRecordOfAJobAndOfAResultWins(t *testing.T) {
 	p := NewPartition()
 	p.Apply(jobRecord("j", 2), at)
 	p.Apply(result("j", 1, Completed), at)
@@ -57,28 +57,28 @@
 		to     int64
 	}{
 		{progressOf("a", "", 0, 3), "a", 3},
-		{progressOf("a", "", 0, 3), "a", 3},  // written twice
-		{progressOf("a", "", 3, 5), "a", 5},  // the same run goes on
-		{progressOf("b", "x", 5, 8), "a", 5}, // continues a chain that is not kept
-		{progressOf("b", "a", 3, 8), "a", 5}, // was asked to continue an earlier event
-		{progressOf("c", "a", 5, 9), "c", 9}, // continues here
-		{progressOf("a", "", 5, 7), "c", 9},  // the previous run resumes
-		{progressOf("a", "", 9, 11), "c", 9}, // and has reached the same event
-		{progressOf("d", "", 0, 2), "d", 2},  // begins again
+		{progressOf("a", "", 0, 3), "a", 3},  // duplicate
+		{progressOf("a", "", 3, 5), "a", 5},  // same run continues
+		{progressOf("b", "x", 5, 8), "a", 5}, // continues an unknown chain
+		{progressOf("b", "a", 3, 8), "a", 5}, // continues from an outdated event
+		{progressOf("c", "a", 5, 9), "c", 9}, // continues the chain from its last event
+		{progressOf("a", "", 5, 7), "c", 9},  // superseded run continues
+		{progressOf("a", "", 9, 11), "c", 9}, // superseded run has reached the same event
+		{progressOf("d", "", 0, 2), "d", 2},  // restarts from the first event
 	} {
 		p.Apply(step.record, at)
-		kept, _ := p.Job("j").Progress(0)
-		assert.Equal(t, kept.Chain, step.chain)
-		assert.Equal(t, kept.To, step.to)
+		saved, _ := p.Job("j").Progress(0)
+		assert.Equal(t, saved.Chain, step.chain)
+		assert.Equal(t, saved.To, step.to)
 	}
-	kept, _ := p.Job("j").Progress(0)
-	assert.DeepEqual(t, kept.Versions, []int64{2})
+	saved, _ := p.Job("j").Progress(0)
+	assert.DeepEqual(t, saved.Versions, []int64{2})
 	p.Apply(result("j", 0, Completed), at)
 	_, found := p.Job("j").Progress(0)
 	assert.Assert(t, !found)
 }
 
-func TestPartWithoutEventsSaysThatNothingIsMissing(t *testing.T) {
+func TestPartWithoutEventsMarksOutputComplete(t *testing.T) {
 	p := NewPartition()
 	p.Apply(jobRecord("j", 1), at)
 	p.Apply(progressOf("a", "", 0, 3), at)
@@ -86,12 +86,12 @@
 	end.Progress[0].Whole = true
 	end.Progress[0].Text = Span{}
 	p.Apply(end, at)
-	kept, _ := p.Job("j").Progress(0)
-	assert.Assert(t, kept.Whole)
-	assert.DeepEqual(t, kept.Parts, []Span{{First: 3, Count: 1}})
+	saved, _ := p.Job("j").Progress(0)
+	assert.Assert(t, saved.Whole)
+	assert.DeepEqual(t, saved.Parts, []Span{{First: 3, Count: 1}})
 }
 
-func TestResultBearsItsScore(t *testing.T) {
+func TestResultKeepsTheFirstScore(t *testing.T) {
 	p := NewPartition()
 	p.Apply(jobRecord("j", 1), at)
 	for _, score := range []string{"first", "second"} {
@@ -102,14 +102,14 @@
 	assert.Equal(t, p.Job("j").Results[0].Score, "first")
 }
 
-func TestPayloadsAreFoundAcrossSpans(t *testing.T) {
+func TestPayloadOffsetAcrossSpans(t *testing.T) {
 	job := Job{JobRecord: JobRecord{Payloads: []Span{{First: 10, Count: 2}, {First: 40, Count: 1}}}}
 	assert.Equal(t, job.PayloadOffset(1), int64(11))
 	assert.Equal(t, job.PayloadOffset(2), int64(40))
 	assert.Equal(t, job.PayloadOffset(3), int64(-1))
 }
 
-func TestOnlyClosedJobsAreForgotten(t *testing.T) {
+func TestForgetDropsOnlyOldJobsThatAreNotOpen(t *testing.T) {
 	p := NewPartition()
 	p.Apply(jobRecord("open", 1), at)
 	p.Apply(jobRecord("ended", 1), at)
@@ -120,14 +120,14 @@
 	assert.Assert(t, p.Job("open") != nil && p.Job("young") != nil && p.Job("ended") == nil)
 }
 
-// recorder records an observer's notifications.
+// recorder is an Observer that records its notifications.
 type recorder struct{ added, listed, ended []string }
 
 func (r *recorder) JobAdded(job *Job)          { r.added = append(r.added, job.ID) }
 func (r *recorder) ItemListed(job *Job, _ int) { r.listed = append(r.listed, job.ID) }
 func (r *recorder) JobEnded(job *Job)          { r.ended = append(r.ended, job.ID) }
 
-func TestObserverHearsOfOpenJobsAndChanges(t *testing.T) {
+func TestObserverIsNotifiedOfOpenJobsAndChanges(t *testing.T) {
 	p := NewPartition()
 	p.Apply(jobRecord("old", 1), at)
 	p.Apply(Record{End: "old"}, at)
@@ -145,9 +145,8 @@
 	assert.DeepEqual(t, seen.ended, []string{"new"})
 }
 
-// TestReadersAgreeAndPositionsStand applies random records, each to two readers,
-// and checks that positions once seen never change.
-func TestReadersAgreeAndPositionsStand(t *testing.T) {
+// Guards against readers that disagree on the results, and against result positions that change.
+func TestReadersAgreeAndPositionsNeverChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, two := NewPartition(), NewPartition()
 		seen := map[string][]Result{}
@@ -166,18 +165,18 @@
 			for id, job := range one.jobs {
 				for position, before := range seen[id] {
 					if job.Results[position].Item != before.Item || job.Results[position].Outcome != before.Outcome {
-						t.Fatalf("position %d of %s changed", position, id)
+						t.Fatalf("result at position %d of job %s changed", position, id)
 					}
 				}
 				seen[id] = append([]Result(nil), job.Results...)
 				other := two.Job(id)
 				if other == nil || len(other.Results) != len(job.Results) || other.Ended != job.Ended {
-					t.Fatalf("the readers differ on %s", id)
+					t.Fatalf("readers disagree on job %s", id)
 				}
 				items := map[int]bool{}
 				for _, each := range job.Results {
 					if items[each.Item] {
-						t.Fatalf("item %d of %s stands at two positions", each.Item, id)
+						t.Fatalf("item %d of job %s has two result positions", each.Item, id)
 					}
 					items[each.Item] = true
 				}
@@ -215,7 +214,7 @@
 	})
 }
 
-// BenchmarkApply measures the reducer on the records of one job of 100 items.
+// BenchmarkApply decodes and applies the records of one job of 100 items.
 func BenchmarkApply(b *testing.B) {
 	const items = 100
 	var encoded [][]byte
@@ -243,9 +242,8 @@
 	}
 }
 
-// TestJobsThatLackResultsAreIncompleteBehindAGap: jobs after the gap and jobs with all results are
-// complete. All open jobs stay open.
-func TestJobsThatLackResultsAreIncompleteBehindAGap(t *testing.T) {
+// Guards against a gap in the log that closes open jobs, or that marks jobs incomplete which it cannot have affected.
+func TestSkippedRecordsMakeOnlyJobsWithMissingResultsIncomplete(t *testing.T) {
 	p := NewPartition()
 	p.Apply(jobRecord("whole", 1), at)
 	p.Apply(result("whole", 0, Completed), at)
--- a/internal/core/batch/record.go
+++ b/internal/core/batch/record.go
@@ -1,6 +1,6 @@
-// Package batch determines, from the records of one partition applied in order, which
-// batch jobs exist, which result is at which position, and which jobs have ended.
-// Every reader reaches the same result. It has no input or output.
+// Package batch reduces the records of one partition of the index topic, applied in order, to
+// the batch jobs, the position of each result, and whether a job has ended. All readers of the
+// same records reach the same state. The package performs no I/O.
 //
 // Invariants: the first record of a job and the first result record of an item win;
 // positions are the order of winning result records and never change.
@@ -22,23 +22,23 @@
 const (
 	// Completed items have their complete output.
 	Completed Outcome = iota + 1
-	// Expired items were abandoned.
+	// Expired items were abandoned before their output was complete.
 	Expired
 )
 
-// Span refers to records of the data topic, in the partition of the same number.
+// Span refers to Count consecutive records of the data topic from offset First, in the partition of the same number.
 type Span struct {
 	First int64 `msgpack:"f"`
 	Count int   `msgpack:"c"`
 }
 
-// JobRecord accepts a batch job.
+// JobRecord records an accepted batch job.
 type JobRecord struct {
 	// ID is unique among all jobs; see QualifiedID.
 	ID string `msgpack:"i"`
-	// Tenant is the tenant that submitted the job; empty for none.
+	// Tenant is the submitting tenant; empty for none.
 	Tenant string `msgpack:"o,omitempty"`
-	// Priority is that of the job's tenant, or else of its route; 0 is first.
+	// Priority is that of the job's tenant, or else of its route; 0 is the highest.
 	Priority int `msgpack:"pr,omitempty"`
 	// Host and Path are those of the submission. They select the job's route in each
 	// version of the configuration.
@@ -55,14 +55,14 @@
 	// is then the number of leading groups that return from them.
 	ReturnedKnown bool `msgpack:"rk,omitempty"`
 	Returned      int  `msgpack:"rn,omitempty"`
-	// Homes are the only regions that may serve and store the job, by the configuration version Config that
-	// was in force at the accepting node; empty for all.
+	// Homes are the only regions that may serve and store the job; empty for all. They come from the
+	// configuration version Config, which was in force at the accepting node.
 	Homes  []string `msgpack:"hm,omitempty"`
 	Config int64    `msgpack:"cv,omitempty"`
 }
 
-// QualifiedID returns the unique ID of a tenant's job. Each tenant has a namespace of its
-// own; IDs chosen by tenants contain no slash.
+// QualifiedID returns the unique ID of a tenant's job. Each tenant has its own namespace;
+// IDs chosen by tenants contain no slash.
 func QualifiedID(tenant, id string) string {
 	if tenant == "" {
 		return id
@@ -88,17 +88,17 @@
 	Item     int     `msgpack:"n"`
 	Outcome  Outcome `msgpack:"o"`
 	Versions []int64 `msgpack:"v,omitempty"`
-	// Text refers to the output, in one or more records.
+	// Text refers to the records that hold the output.
 	Text Span `msgpack:"d"`
-	// TextBytes is the length of the output.
+	// TextBytes is the length of the output in bytes.
 	TextBytes int `msgpack:"b"`
 	// Score is the result of the item's scoring call; empty if it has none.
 	Score string `msgpack:"s,omitempty"`
 }
 
-// ProgressRecord keeps partial output of a running item, so that another leader can
+// ProgressRecord saves a part of a running item's output, so that another leader can
 // continue it. Parts form a chain: each begins where its predecessor ended, and comes
-// from the same run or from a run that was started to continue there.
+// from the same run or from one that was started to continue there.
 type ProgressRecord struct {
 	Job  string `msgpack:"j"`
 	Item int    `msgpack:"n"`
@@ -113,7 +113,7 @@
 	Versions  []int64 `msgpack:"v"`
 	Text      Span    `msgpack:"d"`
 	TextBytes int     `msgpack:"b"`
-	// Whole is true when no event follows. Such a part may have no event itself.
+	// Whole is true if the output ends with this part, which may then have no events.
 	Whole bool `msgpack:"w,omitempty"`
 }
 
@@ -126,7 +126,7 @@
 	End string `msgpack:"e,omitempty"`
 }
 
-// Encode returns the record's bytes.
+// Encode returns the msgpack encoding of the record.
 func (r Record) Encode() ([]byte, error) {
 	raw, err := msgpack.Marshal(&r)
 	if err != nil {
@@ -135,7 +135,7 @@
 	return raw, nil
 }
 
-// Decode reads a record's bytes.
+// Decode decodes a record.
 func Decode(raw []byte) (Record, error) {
 	var record Record
 	if err := msgpack.Unmarshal(raw, &record); err != nil {
@@ -144,12 +144,13 @@
 	return record, nil
 }
 
-// IsEmpty reports whether the record says nothing that this build knows.
+// IsEmpty reports whether the record has none of the fields that this build knows.
 func (r Record) IsEmpty() bool {
 	return r.Job == nil && len(r.Results) == 0 && len(r.Progress) == 0 && r.End == ""
 }
 
-// KindOf returns the names of a record's fields, which tell its kind.
+// KindOf returns the comma-separated field names of an encoded record, which identify its kind; empty if it
+// cannot be decoded.
 func KindOf(raw []byte) string {
 	var fields map[string]msgpack.RawMessage
 	if err := msgpack.Unmarshal(raw, &fields); err != nil {
@@ -158,13 +159,13 @@
 	return strings.Join(slices.Sorted(maps.Keys(fields)), ",")
 }
 
-// Header is one header of an item.
+// Header is an HTTP header of an item's request.
 type Header struct {
 	Name  string `msgpack:"n"`
 	Value string `msgpack:"v"`
 }
 
-// Payload is the engine request of an item, one record of the data topic.
+// Payload is the engine request of an item, stored as one record of the data topic.
 type Payload struct {
 	Path    string   `msgpack:"p"`
 	Headers []Header `msgpack:"h"`
@@ -182,7 +183,7 @@
 	Body []byte `msgpack:"b"`
 }
 
-// Encode returns the payload's bytes.
+// Encode returns the msgpack encoding of the payload.
 func (p Payload) Encode() ([]byte, error) {
 	raw, err := msgpack.Marshal(&p)
 	if err != nil {
@@ -191,7 +192,7 @@
 	return raw, nil
 }
 
-// DecodePayload reads a payload's bytes.
+// DecodePayload decodes a payload.
 func DecodePayload(raw []byte) (Payload, error) {
 	var payload Payload
 	if err := msgpack.Unmarshal(raw, &payload); err != nil {
