--- a/internal/core/weightplan/limiter.go
+++ b/internal/core/weightplan/limiter.go
@@ -3,33 +3,33 @@
 import "time"
 
 const (
-	// MinLoadsAtOnce is the number of loads that are always permitted concurrently.
-	MinLoadsAtOnce = 2
-	// maxLoadingDivisor: above MinLoadsAtOnce at most engines/maxLoadingDivisor of a service load
-	// concurrently, so that the others keep serving.
+	// MinConcurrentLoads is the number of concurrent loads that are always permitted.
+	MinConcurrentLoads = 2
+	// maxLoadingDivisor bounds concurrent loads above MinConcurrentLoads to engines/maxLoadingDivisor of
+	// a service, so that the other engines keep serving.
 	maxLoadingDivisor = 4
-	// startDivisor: the initial limit is engines/startDivisor, which should be below what the
-	// source sustains. Each leader starts to learn anew.
-	startDivisor = 8
-	// maxStart bounds the initial limit. The duration of an unimpeded load is learned from the first
-	// loads, so these must not saturate the source.
-	maxStart = 16
+	// initialLimitDivisor sets the initial limit of each leader to engines/initialLimitDivisor, which
+	// should be below what the source sustains.
+	initialLimitDivisor = 8
+	// maxInitialLimit bounds the initial limit. The duration of an unimpeded load is learned from the
+	// first loads, which therefore must not saturate the source.
+	maxInitialLimit = 16
 	// slowRatio is the ratio to the fastest load above which a load counts as slowed down by
 	// concurrent ones.
 	slowRatio = 1.35
-	// probeStep is the increase of the limit by a fast load once a slow one was seen.
+	// probeStep is the increase of the limit per fast load once a slow one was observed.
 	probeStep = 0.15
 )
 
 // Limiter learns how many concurrent loads the source of the weights sustains at full
-// speed. The limit starts at a share of the engines and doubles with each batch of fast
+// speed. The limit starts at a share of the engines and doubles with each round of fast
 // loads until the first slow one. It then falls to the observed throughput: if n concurrent
 // loads take r times as long as one, the source sustains n/r of them.
 type Limiter struct {
 	limit float64
-	// fastest is the shortest load seen.
+	// fastest is the shortest duration of a load.
 	fastest time.Duration
-	// saturated is true once a slow load was seen.
+	// saturated is true once a slow load was observed.
 	saturated bool
 	// loweredAt is when the limit was last lowered. Loads that began before do not count
 	// for the new limit.
@@ -37,44 +37,43 @@
 }
 
 // NewLimiter returns a limiter without observations.
-func NewLimiter() *Limiter { return &Limiter{limit: MinLoadsAtOnce} }
+func NewLimiter() *Limiter { return &Limiter{limit: MinConcurrentLoads} }
 
 // Limit returns the number of concurrent loads that the source sustains.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// LimitOf returns the number of concurrent loads for a service with the given number of
-// engines.
+// LimitOf returns the permitted number of concurrent loads of a service with the given number of engines.
 func (l *Limiter) LimitOf(engines int) int {
 	if !l.saturated {
-		l.limit = max(l.limit, float64(min(engines/startDivisor, maxStart)))
+		l.limit = max(l.limit, float64(min(engines/initialLimitDivisor, maxInitialLimit)))
 	}
-	return min(l.Limit(), max(MinLoadsAtOnce, engines/maxLoadingDivisor))
+	return min(l.Limit(), max(MinConcurrentLoads, engines/maxLoadingDivisor))
 }
 
-// Ended records a load; together is the maximum number of concurrent loads during it, itself included.
-func (l *Limiter) Ended(began, ended time.Time, together int) {
-	took := ended.Sub(began)
-	if l.fastest == 0 || took < l.fastest {
-		l.fastest = took
+// Ended records a finished load; concurrent is the maximum number of concurrent loads during it, itself included.
+func (l *Limiter) Ended(began, ended time.Time, concurrent int) {
+	duration := ended.Sub(began)
+	if l.fastest == 0 || duration < l.fastest {
+		l.fastest = duration
 	}
-	ratio := float64(took) / float64(l.fastest)
+	ratio := float64(duration) / float64(l.fastest)
 	if ratio > slowRatio {
 		if began.After(l.loweredAt) {
-			l.lower(float64(together)/ratio, ended)
+			l.lower(float64(concurrent)/ratio, ended)
 		}
 		return
 	}
 	switch {
-	case l.saturated && together >= l.Limit():
+	case l.saturated && concurrent >= l.Limit():
 		l.limit += probeStep
-	case !l.saturated && 2*together > l.Limit():
+	case !l.saturated && 2*concurrent > l.Limit():
 		l.limit++
 	}
 }
 
-// lower lowers the limit to the number of sustained loads.
+// lower lowers the limit to the number of loads that the source sustains, but not below MinConcurrentLoads.
 func (l *Limiter) lower(sustained float64, at time.Time) {
-	l.limit = min(l.limit, max(sustained, MinLoadsAtOnce))
+	l.limit = min(l.limit, max(sustained, MinConcurrentLoads))
 	l.saturated = true
 	l.loweredAt = at
 }
--- a/internal/core/weightplan/limiter_test.go
+++ b/internal/core/weightplan/limiter_test.go
@@ -7,25 +7,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// source sustains a number of loads at full speed and divides its bandwidth among more.
+// source sustains a number of concurrent loads at full speed and divides its bandwidth among more.
 type source struct {
-	feeds int
-	alone time.Duration
+	sustained int
+	alone     time.Duration
 }
 
-func (s source) took(together int) time.Duration {
-	return max(s.alone, s.alone*time.Duration(together)/time.Duration(s.feeds))
+func (s source) duration(concurrent int) time.Duration {
+	return max(s.alone, s.alone*time.Duration(concurrent)/time.Duration(s.sustained))
 }
 
-// play runs batches of as many loads as the limiter allows, from a time on, and
-// returns when they have ended.
-func play(limiter *Limiter, from source, rounds int, now time.Time) time.Time {
+// runRounds runs rounds of as many concurrent loads as the limiter permits, and returns the time when they end.
+func runRounds(limiter *Limiter, from source, rounds int, now time.Time) time.Time {
 	for range rounds {
-		together := limiter.Limit()
+		concurrent := limiter.Limit()
 		began := now.Add(time.Millisecond)
-		now = began.Add(from.took(together))
-		for range together {
-			limiter.Ended(began, now, together)
+		now = began.Add(from.duration(concurrent))
+		for range concurrent {
+			limiter.Ended(began, now, concurrent)
 		}
 	}
 	return now
@@ -33,90 +32,86 @@
 
 var start = time.Unix(1000, 0)
 
-func TestLimitFindsWhatTheSourceFeeds(t *testing.T) {
-	for _, feeds := range []int{2, 4, 10, 60} {
+func TestLimitConvergesToWhatTheSourceSustains(t *testing.T) {
+	for _, sustained := range []int{2, 4, 10, 60} {
 		limiter := NewLimiter()
-		from := source{feeds: feeds, alone: time.Second}
-		play(limiter, from, 60, start)
-		assert.Assert(t, limiter.Limit() >= feeds*9/10 && float64(limiter.Limit()) <= float64(feeds)*slowRatio+1,
-			"%d loads together where the source feeds %d", limiter.Limit(), feeds)
+		from := source{sustained: sustained, alone: time.Second}
+		runRounds(limiter, from, 60, start)
+		assert.Assert(t, limiter.Limit() >= sustained*9/10 && float64(limiter.Limit()) <= float64(sustained)*slowRatio+1,
+			"limit is %d, but the source sustains %d concurrent loads", limiter.Limit(), sustained)
 	}
 }
 
 func TestLimitDoublesUntilTheFirstSlowLoad(t *testing.T) {
 	limiter := NewLimiter()
-	play(limiter, source{feeds: 100, alone: time.Second}, 3, start)
-	assert.Equal(t, limiter.Limit(), 8*MinLoadsAtOnce)
+	runRounds(limiter, source{sustained: 100, alone: time.Second}, 3, start)
+	assert.Equal(t, limiter.Limit(), 8*MinConcurrentLoads)
 }
 
-func TestLimitFollowsASourceThatFeedsLess(t *testing.T) {
+func TestLimitFallsWhenTheSourceSlowsDown(t *testing.T) {
 	limiter := NewLimiter()
-	now := play(limiter, source{feeds: 20, alone: time.Second}, 10, start)
-	play(limiter, source{feeds: 5, alone: time.Second}, 3, now)
+	now := runRounds(limiter, source{sustained: 20, alone: time.Second}, 10, start)
+	runRounds(limiter, source{sustained: 5, alone: time.Second}, 3, now)
 	assert.Assert(t, limiter.Limit() <= 7, "%d", limiter.Limit())
 }
 
-func TestOneSlowEngineNeverEndsAllLoading(t *testing.T) {
+func TestSlowLoadNeverLowersTheLimitBelowTheMinimum(t *testing.T) {
 	limiter := NewLimiter()
 	limiter.Ended(start, start.Add(time.Second), 1)
 	limiter.Ended(start, start.Add(30*time.Second), 2)
-	assert.Equal(t, limiter.Limit(), MinLoadsAtOnce)
+	assert.Equal(t, limiter.Limit(), MinConcurrentLoads)
 }
 
-// TestLoadsBelowTheLimitSayNothingOfIt: they must not raise it.
-func TestLoadsBelowTheLimitSayNothingOfIt(t *testing.T) {
+// Guards against a limit raised by loads that did not use it up.
+func TestFastLoadsBelowTheLimitDoNotRaiseIt(t *testing.T) {
 	limiter := NewLimiter()
 	for range 10 {
 		limiter.Ended(start, start.Add(time.Second), 1)
 	}
-	assert.Equal(t, limiter.Limit(), MinLoadsAtOnce)
+	assert.Equal(t, limiter.Limit(), MinConcurrentLoads)
 }
 
-// TestLoadsOfOneRoundLowerTheLimitOnce: loads that began before the limit was lowered
-// were slow for the same reason.
-func TestLoadsOfOneRoundLowerTheLimitOnce(t *testing.T) {
+// Guards against lowering the limit again for loads that began before it was lowered.
+func TestConcurrentSlowLoadsLowerTheLimitOnce(t *testing.T) {
 	limiter := NewLimiter()
-	now := play(limiter, source{feeds: 100, alone: time.Second}, 3, start)
-	for _, took := range []time.Duration{1500, 1800, 2500, 3000} {
-		limiter.Ended(now, now.Add(took*time.Millisecond), 15)
+	now := runRounds(limiter, source{sustained: 100, alone: time.Second}, 3, start)
+	for _, duration := range []time.Duration{1500, 1800, 2500, 3000} {
+		limiter.Ended(now, now.Add(duration*time.Millisecond), 15)
 	}
 	assert.Equal(t, limiter.Limit(), 10)
 }
 
-// TestMostEnginesOfAServiceGoOnServing: even if the source sustains any number of loads,
-// most engines of a small service keep serving.
-func TestMostEnginesOfAServiceGoOnServing(t *testing.T) {
+// Guards against interrupting most engines of a small service at once when the source sustains many loads.
+func TestLimitLeavesMostEnginesServing(t *testing.T) {
 	limiter := NewLimiter()
-	play(limiter, source{feeds: 100, alone: time.Second}, 4, start)
-	assert.Equal(t, limiter.LimitOf(3), MinLoadsAtOnce)
-	assert.Equal(t, limiter.LimitOf(9), MinLoadsAtOnce)
+	runRounds(limiter, source{sustained: 100, alone: time.Second}, 4, start)
+	assert.Equal(t, limiter.LimitOf(3), MinConcurrentLoads)
+	assert.Equal(t, limiter.LimitOf(9), MinConcurrentLoads)
 	assert.Equal(t, limiter.LimitOf(48), 12)
 	assert.Equal(t, limiter.LimitOf(3000), limiter.Limit())
 }
 
-// TestALargeServiceBeginsWithManyLoads: doubling from two would take five batches for a
-// hundred engines. A limit lowered by a slow load is kept.
-func TestALargeServiceBeginsWithManyLoads(t *testing.T) {
+// Guards against a slow start in a large service, and against an initial limit that overrides a lowered one.
+func TestInitialLimitScalesWithTheServiceUntilASlowLoad(t *testing.T) {
 	limiter := NewLimiter()
-	assert.Equal(t, limiter.LimitOf(11), MinLoadsAtOnce)
+	assert.Equal(t, limiter.LimitOf(11), MinConcurrentLoads)
 	assert.Equal(t, limiter.LimitOf(122), 15)
 	limiter.Ended(start, start.Add(time.Second), 1)
 	limiter.Ended(start, start.Add(3*time.Second), 15)
 	assert.Equal(t, limiter.LimitOf(122), 5)
 }
 
-// TestALargeFleetDoesNotDrownASourceThatFeedsFew: the first loads must end soon, so that the limiter learns
-// what the source sustains.
-func TestALargeFleetDoesNotDrownASourceThatFeedsFew(t *testing.T) {
+// Guards against first loads that saturate the source, so that the limiter learns too late what it sustains.
+func TestInitialLimitOfALargeFleetDoesNotSaturateASlowSource(t *testing.T) {
 	const engines = 2880
 	limiter := NewLimiter()
-	from := source{feeds: 10, alone: 900 * time.Millisecond}
+	from := source{sustained: 10, alone: 900 * time.Millisecond}
 	now, loaded := start, 0
 	for now.Before(start.Add(10 * time.Second)) {
-		together := limiter.LimitOf(engines)
-		now = play(limiter, from, 1, now)
-		loaded += together
+		concurrent := limiter.LimitOf(engines)
+		now = runRounds(limiter, from, 1, now)
+		loaded += concurrent
 	}
-	assert.Assert(t, loaded >= 90, "%d engines loaded in ten seconds, the source feeds 110", loaded)
-	assert.Assert(t, limiter.LimitOf(engines) <= 2*from.feeds, "%d at once", limiter.LimitOf(engines))
+	assert.Assert(t, loaded >= 90, "%d engines loaded in 10 s, but the source sustains 110", loaded)
+	assert.Assert(t, limiter.LimitOf(engines) <= 2*from.sustained, "limit is %d", limiter.LimitOf(engines))
 }
--- a/internal/core/weightplan/weightplan.go
+++ b/internal/core/weightplan/weightplan.go
@@ -1,10 +1,10 @@
 // Package weightplan determines which engines follow which model, and which of them
-// load new weights next. It has no input, output or clock.
+// load new weights next. It performs no I/O and reads no clock.
 //
 // Each engine holds a version of every model, but loads interrupt its service, so an
 // engine follows the versions of one model only. Engines are divided between models by
 // demand; an engine is reassigned only when the shares have shifted by a full engine.
-// Engines that the items of all models do not need follow no model and load nothing.
+// Engines beyond what the items of all models need follow no model and load nothing.
 package weightplan
 
 import (
@@ -18,17 +18,16 @@
 
 const (
 	// slotsPerItem is the number of slots of a model's engines for each of its items at their peak. With a
-	// third of the engines lost and a third loading, each item still has a slot. More engines would only
-	// cost the leader an order, a load and a report each for every version.
+	// third of the engines lost and a third loading, each item still has a slot.
 	slotsPerItem = 3
-	// defaultEngines is the number of engines that follow a model without any items seen.
+	// defaultEngines is the number of engines that follow a model whose number of items is unknown.
 	defaultEngines = 32
 )
 
 // Engine is the state of an engine.
 type Engine struct {
 	ID incarnation.ID
-	// Slots is the number of items that it runs concurrently.
+	// Slots is the number of items that it can run concurrently.
 	Slots    int
 	Versions map[string]int64
 	// Running is the number of items that it runs.
@@ -47,12 +46,12 @@
 	MinVersion int64
 	// Demand is a moving average of the model's requested work; zero when unknown.
 	Demand float64
-	// Items is the recent peak of open items; zero when none were seen.
+	// Items is the recent peak of open items; zero when unknown.
 	Items int
 	// Waiting is the number of items that wait for an engine.
 	Waiting int
-	// Interrupts is true when a load delays or fails running items, so that it must wait
-	// for them.
+	// Interrupts is true if a load delays or fails running items. It then waits for them, unless
+	// the engine is below MinVersion.
 	Interrupts bool
 }
 
@@ -88,8 +87,8 @@
 	return a.models
 }
 
-// assign assigns free engines to a model until it has as many as wanted, and returns the remaining ones.
-// Engines with the model's newest weights come first: after a change of leader, they followed it before.
+// assign assigns free engines to a model until it has as many as wanted, and returns the remaining ones. Engines
+// with the model's newest weights come first, so that a new leader restores the previous allocation.
 func (a *Allocator) assign(free []Engine, model string, counts, wanted map[string]int) []Engine {
 	missing := min(wanted[model]-counts[model], len(free))
 	if missing <= 0 {
@@ -133,8 +132,8 @@
 	})
 }
 
-// wantedEngines returns the number of engines for each model: its share, or fewer if these have
-// slotsPerItem slots for its items.
+// wantedEngines returns the number of engines for each model: its share, or fewer if these suffice for
+// slotsPerItem slots per item.
 func wantedEngines(engines []Engine, targets []Target) map[string]int {
 	wanted := shares(len(engines), targets)
 	slots := 0
@@ -164,20 +163,20 @@
 	}
 }
 
-// shares divides the engines between the models by demand, with at least one for each
-// if there are enough.
+// shares divides the engines between the models by demand, with at least one for each model if there are
+// enough. Engines left over by rounding go to the largest remainders.
 func shares(engines int, targets []Target) map[string]int {
 	total := 0.0
 	for _, target := range targets {
 		total += target.Demand
 	}
 	wanted := make(map[string]int, len(targets))
-	type rest struct {
-		model string
-		part  float64
+	type remainder struct {
+		model    string
+		fraction float64
 	}
-	var rests []rest
-	given := 0
+	var remainders []remainder
+	allocated := 0
 	for _, target := range targets {
 		exact := float64(engines) / float64(len(targets))
 		if total > 0 {
@@ -185,24 +184,24 @@
 		}
 		count := max(int(exact), min(1, engines/len(targets)))
 		wanted[target.Model] = count
-		given += count
-		rests = append(rests, rest{target.Model, exact - float64(count)})
+		allocated += count
+		remainders = append(remainders, remainder{target.Model, exact - float64(count)})
 	}
-	sort.SliceStable(rests, func(i, j int) bool { return rests[i].part > rests[j].part })
-	for i := 0; given < engines && len(rests) > 0; i, given = i+1, given+1 {
-		wanted[rests[i%len(rests)].model]++
+	sort.SliceStable(remainders, func(i, j int) bool { return remainders[i].fraction > remainders[j].fraction })
+	for i := 0; allocated < engines && len(remainders) > 0; i, allocated = i+1, allocated+1 {
+		wanted[remainders[i%len(remainders)].model]++
 	}
 	return wanted
 }
 
-// Load is a load to order.
+// Load orders an engine to load a version of a model.
 type Load struct {
 	Engine  incarnation.ID
 	Model   string
 	Version int64
 }
 
-// NextLoads returns the loads to order now, with at most atOnce in progress.
+// NextLoads returns the loads to order now, so that at most atOnce are in progress.
 //
 // The source of the weights sustains a bounded number of loads, which all models share.
 // The next load is therefore that of the model with the smallest share of its engines at the
@@ -240,7 +239,7 @@
 	}
 	var loads []Load
 	for loading+len(loads) < atOnce {
-		model, found := scarcest(candidates, current, counts)
+		model, found := leastCovered(candidates, current, counts)
 		if !found {
 			break
 		}
@@ -252,9 +251,9 @@
 	return loads
 }
 
-// scarcest returns the model, among those with a candidate, with the smallest share of its
+// leastCovered returns the model, among those with a candidate, with the smallest share of its
 // engines at the named version. Ties are broken by the first candidates, then by name.
-func scarcest(candidates map[string][]candidate, current, counts map[string]int) (string, bool) {
+func leastCovered(candidates map[string][]candidate, current, counts map[string]int) (string, bool) {
 	best, found := "", false
 	share := func(model string) float64 { return float64(current[model]) / float64(counts[model]) }
 	for model, of := range candidates {
@@ -279,11 +278,11 @@
 	return best, found
 }
 
-// candidate is an engine that may load now.
+// candidate is an engine that may start a load now.
 type candidate struct {
 	engine Engine
 	target Target
-	// lag is the number of versions between the engine's and the target's.
+	// lag is the difference between the target's version and the engine's.
 	lag int64
 }
 
@@ -302,7 +301,7 @@
 	return engine.Versions[target.Model] < target.MinVersion
 }
 
-// due reports whether a load of the engine may begin now.
+// due reports whether the engine may start a load now.
 func due(engine Engine, target Target) bool {
 	if tooOld(engine, target) {
 		return true
--- a/internal/core/weightplan/weightplan_test.go
+++ b/internal/core/weightplan/weightplan_test.go
@@ -12,7 +12,7 @@
 func engines(count int, versions map[string]int64) []Engine {
 	all := make([]Engine, count)
 	for i := range all {
-		all[i] = Engine{ID: named(fmt.Sprintf("e%d", i)), Versions: versions, Usable: true}
+		all[i] = Engine{ID: engineID(fmt.Sprintf("e%d", i)), Versions: versions, Usable: true}
 	}
 	return all
 }
@@ -25,7 +25,7 @@
 	return counts
 }
 
-func TestEnginesAreSharedByDemand(t *testing.T) {
+func TestEnginesAreDividedByDemand(t *testing.T) {
 	all := engines(9, map[string]int64{"a": 1, "b": 1})
 	even := []Target{{Model: "a", Version: 1}, {Model: "b", Version: 1}}
 	counts := countModels(NewAllocator().Allocate(all, even))
@@ -39,35 +39,39 @@
 
 func TestNewLeaderKeepsTheModelThatAnEngineFollows(t *testing.T) {
 	all := []Engine{
-		{ID: named("e0"), Versions: map[string]int64{"a": 9, "b": 1}}, {ID: named("e1"), Versions: map[string]int64{"a": 1, "b": 7}},
-		{ID: named("e2"), Versions: map[string]int64{"a": 9, "b": 2}}, {ID: named("e3"), Versions: map[string]int64{"a": 1, "b": 7}},
+		{ID: engineID("e0"), Versions: map[string]int64{"a": 9, "b": 1}},
+		{ID: engineID("e1"), Versions: map[string]int64{"a": 1, "b": 7}},
+		{ID: engineID("e2"), Versions: map[string]int64{"a": 9, "b": 2}},
+		{ID: engineID("e3"), Versions: map[string]int64{"a": 1, "b": 7}},
 	}
 	models := NewAllocator().Allocate(all, []Target{{Model: "a", Version: 9}, {Model: "b", Version: 7}})
-	assert.DeepEqual(t, models, map[incarnation.ID]string{named("e0"): "a", named("e1"): "b", named("e2"): "a", named("e3"): "b"})
+	assert.DeepEqual(t, models, map[incarnation.ID]string{
+		engineID("e0"): "a", engineID("e1"): "b", engineID("e2"): "a", engineID("e3"): "b",
+	})
 }
 
-func TestOneEngineServesOneOfTwoModels(t *testing.T) {
+func TestSingleEngineFollowsOneOfTwoModels(t *testing.T) {
 	all := engines(1, map[string]int64{"a": 1, "b": 1})
 	models := NewAllocator().Allocate(all, []Target{{Model: "a", Version: 1}, {Model: "b", Version: 1}})
 	assert.Equal(t, len(models), 1)
 }
 
-func TestLoadsAreBoundedAndIdleEnginesComeFirst(t *testing.T) {
+func TestLoadsAreBoundedAndIdleEnginesLoadFirst(t *testing.T) {
 	all := engines(4, map[string]int64{"a": 1})
 	all[0].Running = 5
 	all[1].Loading = true
-	models := map[incarnation.ID]string{named("e0"): "a", named("e1"): "a", named("e2"): "a", named("e3"): "a"}
+	models := map[incarnation.ID]string{engineID("e0"): "a", engineID("e1"): "a", engineID("e2"): "a", engineID("e3"): "a"}
 	loads := NextLoads(all, models, []Target{{Model: "a", Version: 2}}, 2)
-	assert.DeepEqual(t, loads, []Load{{Engine: named("e2"), Model: "a", Version: 2}})
+	assert.DeepEqual(t, loads, []Load{{Engine: engineID("e2"), Model: "a", Version: 2}})
 }
 
-func TestEnginesThatWaitingItemsCanUseAreLeftToThem(t *testing.T) {
+func TestEnginesUsableByWaitingItemsDoNotLoad(t *testing.T) {
 	all := engines(1, map[string]int64{"a": 1})
-	models := map[incarnation.ID]string{named("e0"): "a"}
+	models := map[incarnation.ID]string{engineID("e0"): "a"}
 	busy := Target{Model: "a", Version: 2, MinVersion: 1, Waiting: 3}
 	assert.Equal(t, len(NextLoads(all, models, []Target{busy}, 2)), 0)
 	busy.MinVersion = 2
-	assert.Equal(t, len(NextLoads(all, models, []Target{busy}, 2)), 1, "too old for what waits")
+	assert.Equal(t, len(NextLoads(all, models, []Target{busy}, 2)), 1, "engine below the waiting items' MinVersion")
 	busy.MinVersion, busy.Waiting = 1, 0
 	assert.Equal(t, len(NextLoads(all, models, []Target{busy}, 2)), 1)
 }
@@ -75,7 +79,7 @@
 func TestLoadsThatInterruptWaitForRunningItems(t *testing.T) {
 	all := engines(1, map[string]int64{"a": 1})
 	all[0].Running = 5
-	models := map[incarnation.ID]string{named("e0"): "a"}
+	models := map[incarnation.ID]string{engineID("e0"): "a"}
 	calm := Target{Model: "a", Version: 2, MinVersion: 1, Interrupts: true}
 	assert.Equal(t, len(NextLoads(all, models, []Target{calm}, 2)), 0)
 	calm.Interrupts = false
@@ -84,34 +88,33 @@
 	assert.Equal(t, len(NextLoads(all, models, []Target{needed}, 2)), 1)
 }
 
-func TestTooOldEnginesLoadFirstThenThoseFurthestBehind(t *testing.T) {
+func TestEnginesBelowMinVersionLoadFirstThenThoseWithLargestLag(t *testing.T) {
 	all := []Engine{
-		{ID: named("near"), Versions: map[string]int64{"a": 8}, Usable: true},
-		{ID: named("far"), Versions: map[string]int64{"a": 7}, Usable: true},
-		{ID: named("old"), Versions: map[string]int64{"b": 1}, Usable: true, Running: 9},
+		{ID: engineID("near"), Versions: map[string]int64{"a": 8}, Usable: true},
+		{ID: engineID("far"), Versions: map[string]int64{"a": 7}, Usable: true},
+		{ID: engineID("old"), Versions: map[string]int64{"b": 1}, Usable: true, Running: 9},
 	}
-	models := map[incarnation.ID]string{named("near"): "a", named("far"): "a", named("old"): "b"}
+	models := map[incarnation.ID]string{engineID("near"): "a", engineID("far"): "a", engineID("old"): "b"}
 	targets := []Target{{Model: "a", Version: 9, MinVersion: 7}, {Model: "b", Version: 3, MinVersion: 2}}
 	assert.DeepEqual(t, NextLoads(all, models, targets, 2), []Load{
-		{Engine: named("old"), Model: "b", Version: 3}, {Engine: named("far"), Model: "a", Version: 9},
+		{Engine: engineID("old"), Model: "b", Version: 3}, {Engine: engineID("far"), Model: "a", Version: 9},
 	})
 }
 
-func TestUnusableAndCurrentEnginesAreLeftAlone(t *testing.T) {
+func TestUnusableAndCurrentEnginesDoNotLoad(t *testing.T) {
 	all := engines(2, map[string]int64{"a": 2})
 	all[1].Versions = map[string]int64{"a": 1}
 	all[1].Usable = false
-	models := map[incarnation.ID]string{named("e0"): "a", named("e1"): "a"}
+	models := map[incarnation.ID]string{engineID("e0"): "a", engineID("e1"): "a"}
 	assert.Equal(t, len(NextLoads(all, models, []Target{{Model: "a", Version: 2}}, 2)), 0)
 }
 
-// TestEachModelGetsEnginesForItsNextJob: engines that are too old for the open job of one
-// model do not block the loads for another model's next job.
-func TestEachModelGetsEnginesForItsNextJob(t *testing.T) {
+// Guards against engines of one model that are too old for its open job and block all loads of another model.
+func TestModelWithFewestCurrentEnginesLoadsFirst(t *testing.T) {
 	var all []Engine
 	models := map[incarnation.ID]string{}
 	for i := range 12 {
-		engine := Engine{ID: named(fmt.Sprintf("a%02d", i)), Versions: map[string]int64{"a": 1}, Usable: true}
+		engine := Engine{ID: engineID(fmt.Sprintf("a%02d", i)), Versions: map[string]int64{"a": 1}, Usable: true}
 		if i < 6 {
 			engine.Versions["a"] = 3
 		}
@@ -119,7 +122,7 @@
 		all = append(all, engine)
 	}
 	for i := range 12 {
-		engine := Engine{ID: named(fmt.Sprintf("b%02d", i)), Versions: map[string]int64{"b": 2}, Usable: true}
+		engine := Engine{ID: engineID(fmt.Sprintf("b%02d", i)), Versions: map[string]int64{"b": 2}, Usable: true}
 		models[engine.ID] = "b"
 		all = append(all, engine)
 	}
@@ -128,17 +131,19 @@
 	for _, load := range NextLoads(all, models, targets, 8) {
 		count[load.Model]++
 	}
-	// Half of the first model's engines have the version; the other model catches up first.
+	// Half of model a's engines have the named version, none of model b's.
 	assert.DeepEqual(t, count, map[string]int{"a": 1, "b": 7})
 }
 
-func named(engine string) incarnation.ID { return incarnation.ID{Engine: engine} }
+func engineID(engine string) incarnation.ID { return incarnation.ID{Engine: engine} }
 
-// TestTheNextStartOfAnEngineFollowsTheModelThatItHas: not the one that its earlier incarnation followed.
-func TestTheNextStartOfAnEngineFollowsTheModelThatItHas(t *testing.T) {
+// Guards against a restarted engine that inherits the model of its previous incarnation.
+func TestRestartedEngineFollowsTheModelItHolds(t *testing.T) {
 	targets := []Target{{Model: "a", Version: 9}, {Model: "b", Version: 9}}
 	start := func(engine string, born, a, b int64) Engine {
-		return Engine{ID: incarnation.ID{Engine: engine, Born: born}, Versions: map[string]int64{"a": a, "b": b}, Usable: true}
+		return Engine{
+			ID: incarnation.ID{Engine: engine, Born: born}, Versions: map[string]int64{"a": a, "b": b}, Usable: true,
+		}
 	}
 	allocator := NewAllocator()
 	before := []Engine{start("e0", 1000, 9, 1), start("e1", 1000, 1, 9)}
@@ -156,8 +161,8 @@
 	return all
 }
 
-// TestEnginesBeyondWhatItemsNeedFollowNoModel: the number of loads does not depend on the size of the fleet.
-func TestEnginesBeyondWhatItemsNeedFollowNoModel(t *testing.T) {
+// Guards against a number of loads that grows with the fleet rather than with the items.
+func TestSurplusEnginesFollowNoModel(t *testing.T) {
 	targets := []Target{{Model: "a", Version: 2, Items: 100}, {Model: "b", Version: 2, Items: 40}}
 	for _, fleet := range []int{1_000, 2_000} {
 		all := fleetOf(fleet)
@@ -167,14 +172,13 @@
 	}
 }
 
-// TestASmallFleetIsSharedWhole: all engines are needed.
-func TestASmallFleetIsSharedWhole(t *testing.T) {
+func TestSmallFleetIsFullyAllocated(t *testing.T) {
 	targets := []Target{{Model: "a", Version: 2, Items: 100}, {Model: "b", Version: 2, Items: 100}}
 	assert.DeepEqual(t, countModels(NewAllocator().Allocate(fleetOf(20), targets)), map[string]int{"a": 10, "b": 10})
 }
 
-// TestMoreItemsBringMoreEngines: earlier engines are kept, and fewer items release none.
-func TestMoreItemsBringMoreEngines(t *testing.T) {
+// Guards against reassigning engines when the number of items changes.
+func TestAllocationGrowsWithItemsAndNeverShrinks(t *testing.T) {
 	all := fleetOf(1_000)
 	allocator := NewAllocator()
 	target := Target{Model: "a", Version: 2}
@@ -187,8 +191,7 @@
 	assert.Equal(t, allocator.models[all[0].ID], before)
 }
 
-// TestAnEngineThatEndsIsReplaced: an engine that followed no model replaces it.
-func TestAnEngineThatEndsIsReplaced(t *testing.T) {
+func TestLostEnginesAreReplacedBySurplusOnes(t *testing.T) {
 	all := fleetOf(1_000)
 	allocator := NewAllocator()
 	targets := []Target{{Model: "a", Version: 2, Items: 100}}
@@ -207,8 +210,8 @@
 	assert.Equal(t, len(allocator.Allocate(left, targets)), 50)
 }
 
-// TestANewLeaderFindsTheEnginesOfEachModel: by the versions that they hold.
-func TestANewLeaderFindsTheEnginesOfEachModel(t *testing.T) {
+// Guards against a leader change that reassigns engines, although their versions tell which model they followed.
+func TestNewLeaderDerivesTheAllocationFromVersions(t *testing.T) {
 	all := fleetOf(1_000)
 	followed := make(map[incarnation.ID]string)
 	for i := 300; i < 370; i++ {
