--- a/internal/core/idempotency/idempotency_test.go
+++ b/internal/core/idempotency/idempotency_test.go
@@ -10,27 +10,26 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// record returns a record as the runtime would send it.
+// record returns a record with an encoded body.
 func record(t assert.TestingT, writer string, sequence uint64, base int64, kind logrecord.Kind, body any) logrecord.Record {
 	data, err := logrecord.EncodeBody(body)
 	assert.NilError(t, err)
 	return logrecord.Record{Writer: writer, Sequence: sequence, Base: base, Kind: kind, Body: data}
 }
 
-// model is a plain account of what the reducer should hold: the open intent or
-// the result of each key, by the offsets of accepted records.
+// model is the expected state of the reducer: open intents by key with their offsets, keys with a result, and
+// the writer of each accepted intent by its offset.
 type model struct {
 	open    map[string]int64
 	results map[string]bool
 	writers map[int64]string
 }
 
-// TestAtMostOneOpenIntent draws interleavings of three writers with repeats,
-// late copies and snapshots.
+// Guards against two accepted intents for a key, under interleaved writers, duplicate records and snapshots.
 func TestAtMostOneOpenIntent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reducer := NewReducer()
-		seen := model{open: map[string]int64{}, results: map[string]bool{}, writers: map[int64]string{}}
+		want := model{open: map[string]int64{}, results: map[string]bool{}, writers: map[int64]string{}}
 		sequences := map[string]uint64{}
 		var sent []logrecord.Record
 		for offset := range int64(rapid.IntRange(1, 80).Draw(t, "records")) {
@@ -43,12 +42,12 @@
 			}
 			verdict := reducer.Apply(offset, next)
 			if verdict == logrecord.Accepted {
-				seen.accept(t, offset, next)
+				want.accept(t, offset, next)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "snapshot") == 0 {
 				reducer = restored(t, reducer)
 			}
-			seen.compare(t, reducer)
+			want.compare(t, reducer)
 		}
 	})
 }
@@ -71,7 +70,7 @@
 	}
 }
 
-// accept checks that an accepted record keeps the invariant.
+// accept applies an accepted record to the model and checks the invariant.
 func (m *model) accept(t *rapid.T, offset int64, accepted logrecord.Record) {
 	switch accepted.Kind {
 	case KindIntent:
@@ -125,12 +124,12 @@
 	return copied
 }
 
-func TestKeysExpireByTimeAndAge(t *testing.T) {
+func TestKeysExpireAfterBothRetentionBounds(t *testing.T) {
 	reducer := NewReducer()
 	first := record(t, "a", 1, 0, KindIntent, Intent{Key: "k", Fingerprint: "f", UnixMS: 1000})
 	assert.Equal(t, reducer.Apply(0, first), logrecord.Accepted)
 
-	// Enough records in too short a time: the key stays.
+	// Enough records in too short a time: the key is retained.
 	filler := func(offset, unixMS int64) {
 		body := Release{Key: "none", UnixMS: unixMS}
 		reducer.Apply(offset, record(t, "b", uint64(offset), offset, KindRelease, body))
@@ -139,7 +138,7 @@
 	_, known := reducer.Lookup("k")
 	assert.Assert(t, known)
 
-	// One record far in the future moves the stream's time by one step only.
+	// One timestamp far in the future advances the stream clock by only one step.
 	filler(RetentionRecords+2, 1000*RetentionMS)
 	_, known = reducer.Lookup("k")
 	assert.Assert(t, known)
@@ -150,13 +149,13 @@
 	_, known = reducer.Lookup("k")
 	assert.Assert(t, !known)
 
-	// Contiguous records cross a sweep, which frees the memory.
+	// Contiguous offsets trigger a sweep, which removes the entry.
 	for offset := int64(RetentionRecords + 400); offset <= RetentionRecords+400+sweepEvery; offset++ {
 		filler(offset, 1000*RetentionMS)
 	}
 	assert.Equal(t, reducer.Len(), 0)
 
-	// A late copy of the forgotten intent has no effect, a new intent has.
+	// A late duplicate of the expired intent is rejected; a new intent for the key is accepted.
 	late := int64(RetentionRecords + 2000)
 	assert.Equal(t, reducer.Apply(late, first), logrecord.Expired)
 	again := record(t, "c", 1, late, KindIntent, Intent{Key: "k", Fingerprint: "f", UnixMS: 1})
--- a/internal/core/idempotency/reducer.go
+++ b/internal/core/idempotency/reducer.go
@@ -4,33 +4,31 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// Retention of keys. A key is forgotten only when both bounds have passed since
-// its latest record; a caller that repeats a request later than that runs it again.
+// Retention of keys. A key expires only when both bounds have passed since its latest record. A
+// request that is repeated later runs again.
 const (
-	// RetentionMS is the time by the records' own timestamps: 24 hours. A
-	// process that is paused for longer between its intent and its submission
-	// is outside the promise.
+	// RetentionMS is the retention by the stream clock: 24 hours. There is no guarantee for a
+	// process that is paused for longer between its intent and the submission of its request.
 	RetentionMS = 24 * 60 * 60 * 1000
-	// RetentionRecords is the age in offsets. It is not below
-	// logrecord.ForgetAfter, so a late copy of an intent is Expired before its
-	// key can be forgotten. It also keeps a node with a wrong clock from
-	// making the others forget keys at once.
+	// RetentionRecords is the retention in offsets. It must be at least logrecord.ForgetAfter, so
+	// that a late duplicate of an intent is Expired before its key can expire. It also prevents a
+	// node with a wrong clock from expiring keys at once.
 	RetentionRecords = logrecord.ForgetAfter
-	// maxClockStepMS bounds how far one record moves the stream's time.
+	// maxClockStepMS bounds how far a single record advances the stream clock.
 	maxClockStepMS = 5 * 60 * 1000
-	// MaxKeys bounds the remembered keys; intents over it are Invalid.
+	// MaxKeys bounds the number of keys; further intents are Invalid.
 	MaxKeys = 1 << 20
 	// sweepEvery is the number of offsets between removals of expired keys.
 	sweepEvery = 1 << 10
 )
 
-// NoResult is Entry.ResultOffset while no result is recorded.
+// NoResult is the value of Entry.ResultOffset until a result is recorded.
 const NoResult int64 = -1
 
-// Entry is what the stream has decided about one key.
+// Entry is the state of a key.
 type Entry struct {
 	Fingerprint string `msgpack:"f"`
-	// Writer appended the intent; only it may record its result or release it.
+	// Writer is the writer of the intent, which alone may record a result or release it.
 	Writer       string `msgpack:"w"`
 	IntentOffset int64  `msgpack:"i"`
 	// ResultOffset is the offset of the Result record, or NoResult.
@@ -42,33 +40,33 @@
 
 // Reducer holds the keys of one stream. It implements logstream.Reducer.
 //
-// Invariant: each key has at most one entry, thus at most one intent that was
-// accepted and not released.
+// Invariant: each key has at most one entry, and so at most one intent that was accepted and not
+// released.
 type Reducer struct {
 	sequences logrecord.Sequences
 	entries   map[string]Entry
-	// clockMS is the stream's time: it never falls, and follows the records'
-	// timestamps by steps of at most maxClockStepMS.
+	// clockMS is the stream clock. It never goes back, and follows the records' timestamps in steps
+	// of at most maxClockStepMS.
 	clockMS int64
 	// next is the offset after the last applied record.
 	next int64
 }
 
-// NewReducer returns a Reducer of an empty stream.
+// NewReducer returns a Reducer for an empty stream.
 func NewReducer() *Reducer {
 	return &Reducer{entries: make(map[string]Entry)}
 }
 
-// Lookup returns the entry of a key; false when none is remembered.
+// Lookup returns the entry of a key, and whether there is one that has not expired.
 func (r *Reducer) Lookup(key string) (Entry, bool) { return r.lookup(key, r.next) }
 
-// Len returns the number of keys in memory.
+// Len returns the number of keys in memory, including expired ones that were not swept yet.
 func (r *Reducer) Len() int { return len(r.entries) }
 
 // Apply implements logstream.Reducer. An intent for a key that has an entry is
 // Invalid, as is a result or a release from another writer than the intent's.
 func (r *Reducer) Apply(offset int64, record logrecord.Record) logrecord.Verdict {
-	r.advance(offset)
+	r.advanceOffset(offset)
 	if verdict := r.sequences.Admit(offset, record); verdict != logrecord.Accepted {
 		return verdict
 	}
@@ -89,7 +87,7 @@
 	if logrecord.DecodeBody(record, &intent) != nil || intent.Validate() != nil {
 		return logrecord.Invalid
 	}
-	r.tick(intent.UnixMS)
+	r.advanceClock(intent.UnixMS)
 	if _, taken := r.lookup(intent.Key, offset); taken {
 		return logrecord.Invalid
 	}
@@ -113,7 +111,7 @@
 	if logrecord.DecodeBody(record, &result) != nil || result.Validate() != nil {
 		return logrecord.Invalid
 	}
-	r.tick(result.UnixMS)
+	r.advanceClock(result.UnixMS)
 	entry, open := r.openIntent(offset, record.Writer, result.Key, result.IntentOffset)
 	if !open {
 		return logrecord.Invalid
@@ -130,7 +128,7 @@
 	if logrecord.DecodeBody(record, &release) != nil || release.Validate() != nil {
 		return logrecord.Invalid
 	}
-	r.tick(release.UnixMS)
+	r.advanceClock(release.UnixMS)
 	if _, open := r.openIntent(offset, record.Writer, release.Key, release.IntentOffset); !open {
 		return logrecord.Invalid
 	}
@@ -138,8 +136,8 @@
 	return logrecord.Accepted
 }
 
-// openIntent returns the key's entry when it is the named intent of the writer
-// and has no result yet.
+// openIntent returns the key's entry, and whether it is the given intent of the writer without a
+// result.
 func (r *Reducer) openIntent(offset int64, writer, key string, intentOffset int64) (Entry, bool) {
 	entry, known := r.lookup(key, offset)
 	open := known &&
@@ -149,8 +147,8 @@
 	return entry, open
 }
 
-// lookup leaves out expired entries, whether they were swept yet or not, so
-// that sweeping has no visible effect.
+// lookup ignores expired entries even if they were not swept yet, so that sweeping has no visible
+// effect.
 func (r *Reducer) lookup(key string, offset int64) (Entry, bool) {
 	entry, known := r.entries[key]
 	if !known || r.expired(entry, offset) {
@@ -163,8 +161,8 @@
 	return offset-entry.LastOffset > RetentionRecords && r.clockMS-entry.LastMS > RetentionMS
 }
 
-// tick moves the stream's time towards a record's timestamp, never back.
-func (r *Reducer) tick(unixMS int64) {
+// advanceClock advances the stream clock towards a record's timestamp.
+func (r *Reducer) advanceClock(unixMS int64) {
 	if r.clockMS == 0 {
 		r.clockMS = max(unixMS, 0)
 		return
@@ -174,8 +172,8 @@
 	}
 }
 
-// advance notes the offset and sweeps now and then.
-func (r *Reducer) advance(offset int64) {
+// advanceOffset sets the next offset, and sweeps once every sweepEvery offsets.
+func (r *Reducer) advanceOffset(offset int64) {
 	if offset/sweepEvery != (r.next-1)/sweepEvery {
 		r.sweep(offset)
 	}
--- a/internal/core/idempotency/snapshot.go
+++ b/internal/core/idempotency/snapshot.go
@@ -10,10 +10,10 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// SnapshotFormat is the version of the snapshot's encoding.
+// SnapshotFormat is the version of the snapshot encoding.
 const SnapshotFormat = 1
 
-// snapshot is the encoded state, sorted so that equal states have equal bytes.
+// snapshot is the encoded state. Entries are sorted by key, so that equal states have equal encodings.
 type snapshot struct {
 	Sequences logrecord.Sequences `msgpack:"s"`
 	Entries   []keyedEntry        `msgpack:"e"`
@@ -26,8 +26,8 @@
 	Entry Entry  `msgpack:"e"`
 }
 
-// Snapshot implements logstream.Reducer. Expired entries that were not swept yet
-// are part of it: they count towards MaxKeys, so readers must agree on them.
+// Snapshot implements logstream.Reducer. It includes expired entries that were not swept yet: they
+// count towards MaxKeys, so all readers must agree on them.
 func (r *Reducer) Snapshot() ([]byte, error) {
 	state := snapshot{Sequences: r.sequences, ClockMS: r.clockMS, Next: r.next}
 	for key, entry := range r.entries {
