--- a/internal/core/replicaset/replicaset.go
+++ b/internal/core/replicaset/replicaset.go
@@ -1,6 +1,6 @@
 // Package replicaset selects the nodes of a large cluster that follow the log's compacted
 // topics directly, the replicas, and the replicas that each other node reads from. It
-// has no input, output or clock.
+// performs no I/O and reads no clock.
 //
 // If every node of a large cluster followed the topics, one configuration change would
 // saturate the log's read bandwidth and delay all other reads. A few nodes of each zone
@@ -20,12 +20,12 @@
 const (
 	// MinNodes is the cluster size from which there are replicas.
 	MinNodes = 100
-	// readersPerReplica is the number of nodes of a zone for each replica.
+	// readersPerReplica is the number of nodes of a zone per replica.
 	readersPerReplica = 16
 	// maxReplicas bounds the replicas of a zone, and with them the readers of the log, whatever the cluster size.
 	maxReplicas = 3
-	// zoneSources bounds the replicas of its own zone that a node reads from, otherSources
-	// those of other zones after them: the replicas of one zone may fail together.
+	// zoneSources bounds the replicas of its own zone that a node reads from, otherSources the
+	// subsequent ones of other zones: the replicas of one zone may fail together.
 	zoneSources  = 2
 	otherSources = 2
 )
@@ -37,7 +37,7 @@
 	// Region is empty when unknown.
 	Region  string
 	Address string
-	// Processors is its share of processors; zero when unknown, which is treated as one.
+	// Processors is the number of processors available to it; zero when unknown, which counts as one.
 	Processors float64
 }
 
@@ -74,11 +74,11 @@
 }
 
 // Sources returns the replicas within the regions that a node reads from, in order of preference: its
-// zone, its region, other regions. It is empty when the node reads the log itself. A node outside
-// the regions does so only when no node inside them is known, since a read also returns records of other jobs.
+// zone, its region, other regions. It is empty if the node reads the log itself. A node outside
+// the regions does so only if no node inside them is known, since a read also returns records of other jobs.
 func Sources(members []Member, self Member, within homes.Set) []Member {
 	if !within.Allows(self.Region) {
-		return preferred(answering(members), self, otherSources, within)
+		return preferred(answeringNodes(members), self, otherSources, within)
 	}
 	sameZone := Replicas(members, self.Zone)
 	isSelf := func(member Member) bool { return member.Node == self.Node }
@@ -99,8 +99,8 @@
 	return append(preferred(sameZone, self, zoneSources, within), others[:min(len(others), otherSources)]...)
 }
 
-// answering returns the nodes that answer on behalf of others: the replicas, or every node of a small cluster.
-func answering(members []Member) []Member {
+// answeringNodes returns the nodes that serve reads of other nodes: the replicas, or all nodes of a small cluster.
+func answeringNodes(members []Member) []Member {
 	if len(members) < MinNodes {
 		return slices.Clone(members)
 	}
@@ -111,18 +111,18 @@
 	return replicas
 }
 
-// Answers reports whether a node of a small cluster answers on behalf of nodes outside the regions.
+// Answers reports whether a node of a small cluster, which has no replicas, serves reads of nodes outside the regions.
 func Answers(members []Member, self Member, within homes.Set) bool {
 	return within.Bound() && within.Allows(self.Region) && len(members) < MinNodes
 }
 
 func (m Member) place() topology.Place { return topology.Place{Zone: m.Zone, Region: m.Region} }
 
-// preferred returns at most the given number of replicas within the regions, in an order that differs between nodes.
-func preferred(replicas []Member, self Member, most int, within homes.Set) []Member {
+// preferred returns at most limit replicas within the regions, in an order that differs between nodes.
+func preferred(replicas []Member, self Member, limit int, within homes.Set) []Member {
 	replicas = slices.DeleteFunc(replicas, func(replica Member) bool { return !within.Allows(replica.Region) })
 	slices.SortFunc(replicas, func(a, b Member) int { return compareHashes(a.Node, b.Node, self.Node) })
-	return replicas[:min(len(replicas), most)]
+	return replicas[:min(len(replicas), limit)]
 }
 
 func otherZones(members []Member, own string) []string {
@@ -135,7 +135,7 @@
 	return zones
 }
 
-// compareHashes orders two nodes by the hash of the seed and their names.
+// compareHashes compares two nodes by the hash of the seed and their name.
 func compareHashes(a, b, seed string) int {
 	hashA, hashB := xxhash.Sum64String(seed+"/"+a), xxhash.Sum64String(seed+"/"+b)
 	switch {
--- a/internal/core/replicaset/replicaset_test.go
+++ b/internal/core/replicaset/replicaset_test.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/homes"
 )
 
-// cluster returns nodes of two zones; each eighth node has four times the processors.
+// cluster returns nodes in two zones; every eighth node has four times the processors of the others.
 func cluster(nodes int) []Member {
 	members := make([]Member, nodes)
 	for i := range members {
@@ -29,7 +29,7 @@
 	assert.Equal(t, len(Sources(members, members[5], homes.Set{})), 0)
 }
 
-func TestReplicasAreAbleNodesOfTheZone(t *testing.T) {
+func TestReplicasAreTheLargestNodesOfTheZone(t *testing.T) {
 	replicas := Replicas(cluster(320), "z1")
 	assert.Equal(t, len(replicas), maxReplicas)
 	for _, replica := range replicas {
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestReadersAreSpreadOverTheReplicas(t *testing.T) {
+func TestReadersAreSpreadAcrossReplicas(t *testing.T) {
 	members := cluster(320)
 	readers := make(map[string]int)
 	for _, member := range members {
@@ -48,20 +48,20 @@
 			continue
 		}
 		assert.Equal(t, len(sources), zoneSources+otherSources)
-		for place, source := range sources {
-			assert.Equal(t, source.Zone == member.Zone, place < zoneSources)
+		for position, source := range sources {
+			assert.Equal(t, source.Zone == member.Zone, position < zoneSources)
 		}
 		readers[sources[0].Node]++
 	}
 	assert.Equal(t, len(readers), 2*maxReplicas)
 	evenShare := len(members) / len(readers)
 	for node, count := range readers {
-		assert.Assert(t, count <= 2*evenShare, "%s has %d readers", node, count)
+		assert.Assert(t, count <= 2*evenShare, "replica %s has %d readers", node, count)
 	}
 }
 
-// TestReadersOfTheLogDoNotGrowWithTheCluster: with twice the nodes, as many read the log.
-func TestReadersOfTheLogDoNotGrowWithTheCluster(t *testing.T) {
+// Guards against a number of log readers that grows with the cluster.
+func TestLogReadersDoNotGrowWithTheCluster(t *testing.T) {
 	readersOf := func(nodes int) (readers int) {
 		members := cluster(nodes)
 		for _, member := range members {
@@ -75,33 +75,33 @@
 	assert.Equal(t, readersOf(1000), 2*maxReplicas)
 }
 
-// TestOneNodeMoreOrLessChangesOneReplica checks any order of members and any node.
-func TestOneNodeMoreOrLessChangesOneReplica(t *testing.T) {
+// Guards against a selection that depends on the order of members, or changes more than one replica per node removed.
+func TestRemovingANodeChangesAtMostOneReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := cluster(rapid.IntRange(MinNodes+1, 300).Draw(t, "nodes"))
 		before := Replicas(members, "z0")
-		gone := rapid.IntRange(0, len(members)-1).Draw(t, "gone")
-		left := rapid.Permutation(slices.Delete(slices.Clone(members), gone, gone+1)).Draw(t, "order")
-		after := Replicas(left, "z0")
+		removed := rapid.IntRange(0, len(members)-1).Draw(t, "gone")
+		remaining := rapid.Permutation(slices.Delete(slices.Clone(members), removed, removed+1)).Draw(t, "order")
+		after := Replicas(remaining, "z0")
 		kept := 0
 		for _, replica := range after {
 			if slices.Contains(before, replica) {
 				kept++
 			}
 		}
-		assert.Assert(t, kept >= len(before)-1, "%d of %d", kept, len(before))
+		assert.Assert(t, kept >= len(before)-1, "%d of %d replicas kept", kept, len(before))
 	})
 }
 
-// TestALoneNodeOfAZoneIsItsReplica: a zone's only node reads the log, not a replica of another zone.
-func TestALoneNodeOfAZoneIsItsReplica(t *testing.T) {
+// Guards against a zone's only node that reads from replicas of other zones rather than the log.
+func TestOnlyNodeOfAZoneIsItsReplica(t *testing.T) {
 	members := cluster(200)
 	assert.Equal(t, len(Replicas(members, "elsewhere")), 0)
 	alone := Member{Node: "alone", Zone: "elsewhere"}
 	assert.Equal(t, len(Sources(append(members, alone), alone, homes.Set{})), 0)
 }
 
-// regions returns nodes of four zones, two of them in each of two regions.
+// regions returns nodes in two regions of two zones each.
 func regions(nodes int) []Member {
 	members := make([]Member, nodes)
 	for i := range members {
@@ -113,24 +113,24 @@
 	return members
 }
 
-func TestReplicasOfTheOwnRegionAreAskedBeforeOthers(t *testing.T) {
+func TestSourcesOfTheOwnRegionComeFirst(t *testing.T) {
 	members := regions(320)
 	for _, member := range members {
 		sources := Sources(members, member, homes.Set{})
-		for place, source := range sources {
-			assert.Equal(t, source.Zone == member.Zone, place < zoneSources)
+		for position, source := range sources {
+			assert.Equal(t, source.Zone == member.Zone, position < zoneSources)
 			assert.Equal(t, source.Region, member.Region)
 		}
 	}
 }
 
-func TestOnlyReplicasWithinTheRegionsAreAsked(t *testing.T) {
+func TestSourcesLieWithinTheRegions(t *testing.T) {
 	members := regions(320)
 	for _, member := range members {
 		inside := Sources(members, member, homes.Of([]string{member.Region}))
 		assert.Equal(t, len(inside), len(Sources(members, member, homes.Set{})))
 		if len(inside) == 0 {
-			continue // a replica itself
+			continue // the member is a replica
 		}
 		other := "r0"
 		if member.Region == other {
@@ -145,16 +145,16 @@
 	}
 }
 
-// TestANodeOutsideAsksNodesAtHomeInASmallClusterToo: it reads no bound jobs itself while a node at home is known.
-func TestANodeOutsideAsksNodesAtHomeInASmallClusterToo(t *testing.T) {
+// Guards against a node outside a job's regions that reads it from the log of a small cluster.
+func TestNodesOutsideTheRegionsReadFromNodesInsideInASmallCluster(t *testing.T) {
 	members := regions(MinNodes - 1)
-	home := homes.Of([]string{"r0"})
+	within := homes.Of([]string{"r0"})
 	for _, member := range members {
-		sources := Sources(members, member, home)
-		assert.Equal(t, Answers(members, member, home), member.Region == "r0")
+		sources := Sources(members, member, within)
+		assert.Equal(t, Answers(members, member, within), member.Region == "r0")
 		assert.Assert(t, !Answers(members, member, homes.Set{}))
 		if member.Region == "r0" {
-			assert.Equal(t, len(sources), 0, "it answers itself")
+			assert.Equal(t, len(sources), 0, "nodes inside the regions read the log")
 			continue
 		}
 		assert.Equal(t, len(sources), otherSources)
@@ -162,11 +162,11 @@
 			assert.Equal(t, source.Region, "r0")
 		}
 	}
-	assert.Assert(t, !Answers(regions(MinNodes), members[0], home), "a large one has replicas")
+	assert.Assert(t, !Answers(regions(MinNodes), members[0], within), "large clusters have replicas")
 }
 
-// TestAReplicaOutsideAsksReplicasAtHome: being a replica does not permit it to read bound jobs.
-func TestAReplicaOutsideAsksReplicasAtHome(t *testing.T) {
+// Guards against a replica outside a job's regions that reads it from the log.
+func TestReplicasOutsideTheRegionsReadFromReplicasInside(t *testing.T) {
 	members := regions(320)
 	for _, zone := range otherZones(members, "") {
 		for _, replica := range Replicas(members, zone) {
