--- a/internal/core/msgpackguard/msgpackguard.go
+++ b/internal/core/msgpackguard/msgpackguard.go
@@ -1,9 +1,8 @@
-// Package msgpackguard checks an encoded msgpack value before it is decoded.
+// Package msgpackguard validates an encoded msgpack value before it is decoded.
 //
-// The decoder in use allocates a slice by the length that the input claims, and
-// skips unknown values by recursion. A few bytes from a faulty peer or a
-// damaged record could so take all memory, or all of the stack. Check refuses
-// such input by reading it once, without allocation.
+// The msgpack decoder allocates slices by the length declared in the input, and skips unknown values
+// recursively. A few bytes from a faulty peer or a corrupt record could therefore exhaust the memory
+// or the stack. Check rejects such input in one pass without allocations.
 package msgpackguard
 
 import (
@@ -13,25 +12,24 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// MaxDepth is how deep arrays and maps may be nested.
+// MaxDepth is the maximum nesting depth of arrays and maps.
 const MaxDepth = 64
 
-// Errors of Check.
+// Errors returned by Check.
 var (
-	// ErrLength: a value claims more elements or bytes than the input holds.
-	ErrLength = errors.New("msgpack: claimed length is over the remaining bytes")
+	// ErrLength: a value declares more elements or bytes than remain in the input.
+	ErrLength = errors.New("msgpack: declared length exceeds the remaining input")
 	// ErrDepth: arrays and maps are nested deeper than MaxDepth.
-	ErrDepth = errors.New("msgpack: nested too deep")
-	// ErrCode: a byte that begins no value.
-	ErrCode = errors.New("msgpack: unknown code")
+	ErrDepth = errors.New("msgpack: arrays or maps nested too deeply")
+	// ErrCode: a byte that is not a valid type code.
+	ErrCode = errors.New("msgpack: invalid type code")
 )
 
-// Check reports whether the first value of the data is whole: each claimed
-// length fits into the bytes that remain, at one byte for an element at least.
-// Bytes after the value are not looked at.
+// Check returns an error unless the data starts with a complete value whose declared lengths fit into
+// the remaining bytes, with at least one byte per element. Bytes after the value are ignored.
 func Check(data []byte) error {
 	s := scanner{rest: data}
-	var open [MaxDepth]int // elements still to be read, for each container around
+	var open [MaxDepth]int // remaining elements of each enclosing container
 	depth := 0
 	for {
 		elements, err := s.next()
@@ -59,11 +57,11 @@
 	}
 }
 
-// scanner reads values one after another; a container counts as its header.
+// scanner reads consecutive values; of a container it reads only the header.
 type scanner struct{ rest []byte }
 
-// next reads one value and returns the number of elements that it begins: of
-// an array, or keys and values of a map.
+// next reads one value and returns the number of elements that follow it: those of an array, or the
+// keys and values of a map.
 func (s *scanner) next() (elements int, err error) {
 	if len(s.rest) == 0 {
 		return 0, ErrLength
@@ -80,12 +78,12 @@
 	case msgpcode.IsFixedString(code):
 		return 0, s.skip(uint64(code & msgpcode.FixedStrMask))
 	default:
-		return s.sized(code)
+		return s.readFixedSize(code)
 	}
 }
 
-// sized reads the rest of a value whose code stands for a size of its own.
-func (s *scanner) sized(code byte) (elements int, err error) {
+// readFixedSize reads the rest of a value whose type code implies its size, or else that of a length-prefixed one.
+func (s *scanner) readFixedSize(code byte) (elements int, err error) {
 	switch code {
 	case msgpcode.Nil, msgpcode.False, msgpcode.True:
 		return 0, nil
@@ -100,41 +98,41 @@
 	case msgpcode.FixExt1, msgpcode.FixExt2, msgpcode.FixExt4, msgpcode.FixExt8, msgpcode.FixExt16:
 		return 0, s.skip(extensionType + 1<<(code-msgpcode.FixExt1))
 	}
-	return s.claimed(code)
+	return s.readLengthPrefixed(code)
 }
 
-// extensionType is the byte before an extension's content.
+// extensionType is the size in bytes of an extension's type, which precedes its content.
 const extensionType = 1
 
-// claimed reads the rest of a value that is preceded by its length.
-func (s *scanner) claimed(code byte) (elements int, err error) {
+// readLengthPrefixed reads the rest of a value whose type code is followed by its length.
+func (s *scanner) readLengthPrefixed(code byte) (elements int, err error) {
 	switch code {
 	case msgpcode.Str8, msgpcode.Bin8:
-		return 0, s.skipClaimed(1, 0)
+		return 0, s.skipLengthPrefixed(1, 0)
 	case msgpcode.Str16, msgpcode.Bin16:
-		return 0, s.skipClaimed(2, 0)
+		return 0, s.skipLengthPrefixed(2, 0)
 	case msgpcode.Str32, msgpcode.Bin32:
-		return 0, s.skipClaimed(4, 0)
+		return 0, s.skipLengthPrefixed(4, 0)
 	case msgpcode.Ext8:
-		return 0, s.skipClaimed(1, extensionType)
+		return 0, s.skipLengthPrefixed(1, extensionType)
 	case msgpcode.Ext16:
-		return 0, s.skipClaimed(2, extensionType)
+		return 0, s.skipLengthPrefixed(2, extensionType)
 	case msgpcode.Ext32:
-		return 0, s.skipClaimed(4, extensionType)
+		return 0, s.skipLengthPrefixed(4, extensionType)
 	case msgpcode.Array16:
-		return s.claimedElements(2, 1)
+		return s.containerElements(2, 1)
 	case msgpcode.Array32:
-		return s.claimedElements(4, 1)
+		return s.containerElements(4, 1)
 	case msgpcode.Map16:
-		return s.claimedElements(2, 2)
+		return s.containerElements(2, 2)
 	case msgpcode.Map32:
-		return s.claimedElements(4, 2)
+		return s.containerElements(4, 2)
 	default:
 		return 0, errors.Wrapf(ErrCode, "%#x", code)
 	}
 }
 
-// length reads a big-endian number of 1, 2 or 4 bytes.
+// length reads a big-endian length of 1, 2 or 4 bytes.
 func (s *scanner) length(width int) (uint64, error) {
 	if len(s.rest) < width {
 		return 0, ErrLength
@@ -153,7 +151,7 @@
 	return nil
 }
 
-func (s *scanner) skipClaimed(width int, extra uint64) error {
+func (s *scanner) skipLengthPrefixed(width int, extra uint64) error {
 	length, err := s.length(width)
 	if err != nil {
 		return err
@@ -161,7 +159,7 @@
 	return s.skip(length + extra)
 }
 
-func (s *scanner) claimedElements(width int, each uint64) (int, error) {
+func (s *scanner) containerElements(width int, each uint64) (int, error) {
 	length, err := s.length(width)
 	if err != nil {
 		return 0, err
