--- a/internal/core/prefixcache/index.go
+++ b/internal/core/prefixcache/index.go
@@ -1,9 +1,8 @@
-// Package prefixcache keeps, for each engine of a cell, an estimate of the
-// prompt prefixes that its cache holds. The estimate is updated when a request
-// is sent and corrected by the engine's cache events, which come late and with
-// gaps. It has no input, output, clock or goroutines; the caller locks.
+// Package prefixcache estimates, for each engine of a cell, which prompt prefixes its cache holds. The
+// estimate is updated when a request is sent, and corrected by the engine's cache events, which may
+// be late or lost. It performs no I/O, reads no clock and is not safe for concurrent use.
 //
-// The index is a hint: a wrong entry costs a computed prefix, never a promise.
+// The index is a hint: a wrong entry costs the recomputation of a prefix, never correctness.
 package prefixcache
 
 import (
@@ -11,14 +10,14 @@
 )
 
 const (
-	// DefaultCapacity is the number of prefix hashes kept for each engine.
+	// DefaultCapacity is the default number of prefix hashes kept per engine.
 	DefaultCapacity = 16384
-	// gapTrustFactor scales an engine's trust at each gap in its events.
+	// gapTrustFactor is the factor applied to an engine's trust at each gap in its events.
 	gapTrustFactor = 0.5
-	// clearTrust is the trust below which an engine's entries are dropped: an
-	// empty index is only incomplete, a distrusted one is misleading.
+	// clearTrust is the trust below which an engine's entries are dropped: an empty index is only
+	// incomplete, an outdated one is misleading.
 	clearTrust = 0.2
-	// trustRecovery is the part of the lost trust that an event in sequence restores.
+	// trustRecovery is the fraction of the lost trust that each event in sequence restores.
 	trustRecovery = 0.05
 )
 
@@ -31,23 +30,23 @@
 // engineIndex is the estimate for one engine.
 type engineIndex struct {
 	prefixes *lru.Cache[uint64, struct{}]
-	// sequence is the number of the last cache event; valid once seen is set.
+	// sequence is the number of the last cache event; valid only if seen is true.
 	sequence uint64
 	seen     bool
-	// trust is in (0, 1]: how far the entries are believed.
+	// trust is the confidence in the entries, in (0, 1].
 	trust float64
 }
 
-// Match tells how much of a prompt an engine is believed to hold.
+// Match is the estimate of how much of a prompt an engine's cache holds.
 type Match struct {
-	// Blocks counts the leading prompt blocks that are indexed.
+	// Blocks is the number of leading prompt blocks in the index.
 	Blocks int
-	// Trust is how far the index of this engine is believed, in (0, 1].
+	// Trust is the confidence in the engine's index, in (0, 1].
 	Trust float64
 }
 
-// New returns an empty index that keeps at most capacity hashes for each
-// engine; a capacity below 1 takes DefaultCapacity.
+// New returns an empty index that keeps at most capacity hashes per engine; a capacity below 1
+// selects DefaultCapacity.
 func New(capacity int) *Index {
 	if capacity < 1 {
 		capacity = DefaultCapacity
@@ -55,34 +54,33 @@
 	return &Index{capacity: capacity, engines: make(map[string]*engineIndex)}
 }
 
-// Sent records that a prompt with these prefix hashes was sent to the engine,
-// which will hold them once it has read the prompt.
+// Sent records that a prompt with these prefix hashes was sent to the engine, which will cache them
+// once it has processed the prompt.
 func (x *Index) Sent(engineID string, hashes []uint64) {
 	x.engine(engineID).add(hashes)
 }
 
-// Stored records a cache event: the engine stored the prefixes. Sequence is
-// the event's number.
+// Stored records a cache event: the engine stored the prefixes. The sequence is the event's number.
 func (x *Index) Stored(engineID string, sequence uint64, hashes []uint64) {
 	entry := x.engine(engineID)
-	entry.follow(sequence)
+	entry.observeSequence(sequence)
 	entry.add(hashes)
 }
 
-// Evicted records a cache event: the engine dropped the prefixes.
+// Evicted records a cache event: the engine evicted the prefixes.
 func (x *Index) Evicted(engineID string, sequence uint64, hashes []uint64) {
 	entry := x.engine(engineID)
-	entry.follow(sequence)
+	entry.observeSequence(sequence)
 	for _, hash := range hashes {
 		entry.prefixes.Remove(hash)
 	}
 }
 
-// Remove forgets an engine: it left, or it started anew with an empty cache.
+// Remove drops an engine that left or restarted with an empty cache.
 func (x *Index) Remove(engineID string) { delete(x.engines, engineID) }
 
-// Match returns how many leading blocks of a prompt the engine is believed to
-// hold. The hashes are those of engine.PrefixHashes, in order.
+// Match returns how many leading blocks of a prompt the engine's cache is estimated to hold. The
+// hashes are those of engine.PrefixHashes, in order.
 func (x *Index) Match(engineID string, hashes []uint64) Match {
 	entry, ok := x.engines[engineID]
 	if !ok {
@@ -116,23 +114,23 @@
 func newEngineIndex(capacity int) *engineIndex {
 	prefixes, err := lru.New[uint64, struct{}](capacity)
 	if err != nil {
-		// The library fails only for a size below 1, which New excludes.
+		// lru.New fails only for a size below 1, which New excludes.
 		panic(err)
 	}
 	return &engineIndex{prefixes: prefixes, trust: 1}
 }
 
-// add inserts the hashes last block first, so that the least recently used
-// entry is always the deepest one: a prefix outlives what extends it.
+// add inserts the hashes in reverse order, so that a prefix is always used more recently than its
+// extensions, which are evicted first.
 func (e *engineIndex) add(hashes []uint64) {
 	for block := len(hashes) - 1; block >= 0; block-- {
 		e.prefixes.Add(hashes[block], struct{}{})
 	}
 }
 
-// follow checks an event's number against the last one. A number that does not
-// rise tells of a restarted event stream, a jump tells of lost events.
-func (e *engineIndex) follow(sequence uint64) {
+// observeSequence compares an event's number with the last one. A number that does not increase
+// indicates a restarted event stream, a gap indicates lost events.
+func (e *engineIndex) observeSequence(sequence uint64) {
 	inOrder := !e.seen || sequence == e.sequence+1
 	restarted := e.seen && sequence <= e.sequence
 	e.seen = true
--- a/internal/core/prefixcache/index_test.go
+++ b/internal/core/prefixcache/index_test.go
@@ -18,7 +18,7 @@
 	assert.DeepEqual(t, index.Match("other", []uint64{1}), Match{Trust: 1})
 }
 
-func TestEvictionCorrectsTheEstimate(t *testing.T) {
+func TestCacheEventsCorrectTheEstimate(t *testing.T) {
 	index := New(16)
 	index.Sent(engineID, []uint64{1, 2, 3})
 	index.Evicted(engineID, 1, []uint64{2})
@@ -27,7 +27,7 @@
 	assert.Equal(t, index.Match(engineID, []uint64{1, 2, 3}).Blocks, 3)
 }
 
-func TestGapLowersTrustAndThenClears(t *testing.T) {
+func TestEventGapsLowerTrustThenClearTheIndex(t *testing.T) {
 	index := New(16)
 	index.Stored(engineID, 1, []uint64{1})
 	index.Stored(engineID, 3, []uint64{2})
@@ -40,7 +40,7 @@
 	assert.Equal(t, index.Match(engineID, []uint64{5}).Blocks, 1)
 }
 
-func TestRestartedEventsClear(t *testing.T) {
+func TestRestartedEventStreamClearsTheIndex(t *testing.T) {
 	index := New(16)
 	index.Stored(engineID, 7, []uint64{1})
 	index.Stored(engineID, 1, []uint64{2})
@@ -50,7 +50,7 @@
 	assert.Equal(t, index.Len(engineID), 0)
 }
 
-func TestMemoryIsBoundedAndKeepsPrefixesLongest(t *testing.T) {
+func TestCapacityBoundsEntriesAndKeepsLeadingBlocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 8).Draw(t, "capacity")
 		index := New(capacity)
