--- a/internal/batchrun/cold.go
+++ b/internal/batchrun/cold.go
@@ -9,8 +9,8 @@
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
 )
 
-// coldStarts tells whether an engine counts as cold, and how many items may start there now.
-func (r *Runner) coldStarts(engine incarnation.ID, now time.Time) (cold bool, starts int) {
+// coldStartLimit reports whether an engine is cold and how many items may start on it now.
+func (r *Runner) coldStartLimit(engine incarnation.ID, now time.Time) (cold bool, starts int) {
 	coldness, cold := r.options.Fleet.Cold(engine, now)
 	if !cold {
 		return false, 0
@@ -18,8 +18,8 @@
 	return true, r.options.ColdStarts.Room(engine, coldness)
 }
 
-// admit asks for leave to start an item at an engine. MayLeave is nil where the engine is not cold;
-// the item still counts then, should the engine turn out to be.
+// admit requests permission to start an item on an engine. mayLeave is nil if the engine is not known to be cold;
+// the item is counted anyway, in case it turns out to be.
 func (r *Runner) admit(engine fleet.Engine) (mayLeave func() bool, admitted bool) {
 	slowStart, bounded := r.options.Fleet.SlowStart(engine.Service)
 	if !bounded {
@@ -38,8 +38,8 @@
 	return permit.Open, true
 }
 
-// roomAt is how many items more may start at an engine now.
-func roomAt(engine batchplan.Engine, running int) int {
+// freeSlots returns how many more items may start on an engine now.
+func freeSlots(engine batchplan.Engine, running int) int {
 	free := engine.Slots - running
 	if engine.Cold {
 		return min(free, engine.Starts)
@@ -47,8 +47,8 @@
 	return free
 }
 
-// wantColdStarts tells which cold engines could run more items, were they admitted.
-func (r *Runner) wantColdStarts(engines []batchplan.Engine) {
+// requestColdStarts requests permits for the cold engines that could run waiting items but have none left.
+func (r *Runner) requestColdStarts(engines []batchplan.Engine) {
 	for _, engine := range engines {
 		if engine.Cold && engine.Usable && engine.Starts == 0 {
 			r.options.ColdStarts.Want(engine.ID)
--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -15,25 +15,24 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// scriptedStarts admits what it is told to, and says that there is room unless it is full.
-type scriptedStarts struct {
-	mu       sync.Mutex
-	full     bool
-	wanted   []incarnation.ID
-	left     int
-	admitted int
-	denied   int
-	noted    int
+// fakeColdStarts admits a set number of items, and reports free starts unless it is full.
+type fakeColdStarts struct {
+	mu        sync.Mutex
+	full      bool
+	requested []incarnation.ID
+	remaining int
+	admitted  int
+	denied    int
+	noted     int
 }
 
-// Want implements ColdStarts.
-func (s *scriptedStarts) Want(to incarnation.ID) {
+func (s *fakeColdStarts) Want(to incarnation.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wanted = append(s.wanted, to)
+	s.requested = append(s.requested, to)
 }
 
-func (s *scriptedStarts) Room(incarnation.ID, fleet.Coldness) int {
+func (s *fakeColdStarts) Room(incarnation.ID, fleet.Coldness) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.full {
@@ -42,135 +41,135 @@
 	return 8
 }
 
-func (s *scriptedStarts) Admit(
+func (s *fakeColdStarts) Admit(
 	_ coldpermits.Sender, to incarnation.ID, _ fleet.Coldness,
 ) (coldpermits.Permit, time.Duration, coldpermits.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.left == 0 {
+	if s.remaining == 0 {
 		s.denied++
 		return coldpermits.Permit{}, time.Second, coldpermits.Paced
 	}
-	s.left--
+	s.remaining--
 	s.admitted++
 	return coldpermits.Permit{Engine: to}, 0, coldpermits.Granted
 }
 
-func (s *scriptedStarts) Note(incarnation.ID, float64) {
+func (s *fakeColdStarts) Note(incarnation.ID, float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.noted++
 }
 
-func (s *scriptedStarts) admit(count int) {
+func (s *fakeColdStarts) admit(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left += count
+	s.remaining += count
 }
 
-func (s *scriptedStarts) counts() (admitted, denied, noted int) {
+func (s *fakeColdStarts) counts() (admitted, denied, noted int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.admitted, s.denied, s.noted
 }
 
-// newColdWorld is a world whose service has a slow start, with one engine.
-func newColdWorld(t *testing.T, coldUntil time.Time) *world {
-	w := newWorld(t)
-	w.starts = &scriptedStarts{}
-	w.fleet.SetSlowStarts(map[string]routes.SlowStart{"s": {Period: time.Hour, RatePerSecond: 5}})
+// newColdEnv returns an environment with one engine, whose service has a slow start.
+func newColdEnv(t *testing.T, coldUntil time.Time) *testEnv {
+	env := newTestEnv(t)
+	env.coldStarts = &fakeColdStarts{}
+	env.fleet.SetSlowStarts(map[string]routes.SlowStart{"s": {Period: time.Hour, RatePerSecond: 5}})
 	engine := engineOf("e")
 	engine.ColdUntil = coldUntil
-	w.engines.version["e"] = 1
-	w.fleet.Put(engine)
-	return w
+	env.engines.version["e"] = 1
+	env.fleet.Put(engine)
+	return env
 }
 
-func itemNames(w *world, count int) []string {
+func addItemNames(env *testEnv, count int) []string {
 	var names []string
 	for i := range count {
 		names = append(names, fmt.Sprint("item", i))
-		w.engines.events[names[i]] = 1
+		env.engines.events[names[i]] = 1
 	}
 	return names
 }
 
-// TestItemsThatAreNotAdmittedWait though the plan saw room: live requests may have taken it meanwhile.
-func TestItemsThatAreNotAdmittedWait(t *testing.T) {
-	w := newColdWorld(t, time.Now().Add(time.Hour))
-	w.submit("j", 1, itemNames(w, 6)...)
-	w.starts.admit(2)
-	w.lead()
-	w.awaitResults(2)
+// The plan's view of the free starts may be outdated, since live requests use them as well.
+func TestItemsWaitUntilAdmitted(t *testing.T) {
+	env := newColdEnv(t, time.Now().Add(time.Hour))
+	env.submit("j", 1, addItemNames(env, 6)...)
+	env.coldStarts.admit(2)
+	env.startRunner()
+	env.awaitResults(2)
 	testwait.Until(t, "others are denied", func() bool {
-		_, denied, _ := w.starts.counts()
+		_, denied, _ := env.coldStarts.counts()
 		return denied > 0
 	})
-	assert.Equal(t, len(w.jobs.results()), 2)
-	w.starts.admit(4)
-	w.awaitResults(6)
-	admitted, _, noted := w.starts.counts()
+	assert.Equal(t, len(env.jobs.results()), 2)
+	env.coldStarts.admit(4)
+	env.awaitResults(6)
+	admitted, _, noted := env.coldStarts.counts()
 	assert.Equal(t, admitted, 6)
 	assert.Equal(t, noted, 0)
 }
 
-// TestAWarmEngineThatRefusesAnItemIsPaced until it runs one: it may have gone cold.
-func TestAWarmEngineThatRefusesAnItemIsPaced(t *testing.T) {
-	w := newColdWorld(t, time.Time{})
+// A warm engine that refuses an item may have become cold, so its starts are limited until it runs one.
+func TestWarmEngineIsPacedAfterRefusal(t *testing.T) {
+	env := newColdEnv(t, time.Time{})
 	refused := 0
-	w.engines.refuse = func(string, Call) *RefusedError {
+	env.engines.refuse = func(string, Call) *RefusedError {
 		refused++
 		if refused <= 3 {
 			return &RefusedError{Refusal: NotExecuted, Detail: "full"}
 		}
 		return nil
 	}
-	w.submit("j", 1, itemNames(w, 1)...)
-	w.starts.admit(2)
-	w.lead()
+	env.submit("j", 1, addItemNames(env, 1)...)
+	env.coldStarts.admit(2)
+	env.startRunner()
 	testwait.Until(t, "three are refused and the next is denied", func() bool {
-		admitted, denied, noted := w.starts.counts()
+		admitted, denied, noted := env.coldStarts.counts()
 		return admitted == 2 && noted == 1 && denied > 0
 	})
-	w.starts.admit(1)
-	w.awaitResults(1)
-	_, cold := w.fleet.Cold(incarnation.ID{Engine: "e"}, time.Now())
+	env.coldStarts.admit(1)
+	env.awaitResults(1)
+	_, cold := env.fleet.Cold(incarnation.ID{Engine: "e"}, time.Now())
 	assert.Assert(t, !cold)
 }
 
-// TestAnEngineWhoseOutputIsNotWantedIsNotPaced: it ran the item.
-func TestAnEngineWhoseOutputIsNotWantedIsNotPaced(t *testing.T) {
-	w := newColdWorld(t, time.Time{})
-	w.engines.version["e"] = 0
-	w.submit("j", 1, itemNames(w, 1)...)
-	w.lead()
-	testwait.Until(t, "it is started again", func() bool {
-		_, denied, noted := w.starts.counts()
+// An engine that executes an item is not cold, even if its output is rejected.
+func TestEngineIsNotPacedAfterRejectedOutput(t *testing.T) {
+	env := newColdEnv(t, time.Time{})
+	env.engines.version["e"] = 0
+	env.submit("j", 1, addItemNames(env, 1)...)
+	env.startRunner()
+	testwait.Until(t, "the item is retried", func() bool {
+		_, denied, noted := env.coldStarts.counts()
 		return denied > 0 || noted > 1
 	})
-	_, denied, _ := w.starts.counts()
+	_, denied, _ := env.coldStarts.counts()
 	assert.Equal(t, denied, 0)
 }
 
-// TestAnEngineThatFailsAnItemIsPaced: it may have started again.
-func TestAnEngineThatFailsAnItemIsPaced(t *testing.T) {
-	w := newColdWorld(t, time.Time{})
-	w.engines.refuse = func(string, Call) *RefusedError {
+// An engine that loses a connection may have restarted and be cold.
+func TestEngineIsPacedAfterLostConnection(t *testing.T) {
+	env := newColdEnv(t, time.Time{})
+	env.engines.refuse = func(string, Call) *RefusedError {
 		return &RefusedError{Refusal: Broken, ConnectionLost: true, Detail: "reset"}
 	}
-	w.submit("j", 1, itemNames(w, 1)...)
-	w.lead()
+	env.submit("j", 1, addItemNames(env, 1)...)
+	env.startRunner()
 	testwait.Until(t, "the next try is denied", func() bool {
-		_, denied, noted := w.starts.counts()
+		_, denied, noted := env.coldStarts.counts()
 		return noted == 1 && denied > 0
 	})
 }
 
-// TestAnItemWhosePermitEndedIsSentAgain, and says nothing of its engine.
-func TestAnItemWhosePermitEndedIsSentAgain(t *testing.T) {
-	w := newColdWorld(t, time.Now().Add(time.Hour))
+// An expired permit is no evidence against the engine, so the item is retried there.
+func TestItemIsRetriedAfterExpiredPermit(t *testing.T) {
+	env := newColdEnv(t, time.Now().Add(time.Hour))
 	sent := 0
-	w.engines.refuse = func(_ string, call Call) *RefusedError {
+	env.engines.refuse = func(_ string, call Call) *RefusedError {
 		sent++
 		if call.MayLeave == nil {
 			return &RefusedError{Refusal: Impossible, Detail: "no permit"}
@@ -180,33 +179,33 @@
 		}
 		return nil
 	}
-	w.submit("j", 1, itemNames(w, 1)...)
-	w.starts.admit(2)
-	w.lead()
-	w.awaitResults(1)
-	assert.Equal(t, len(w.jobs.results()), 1)
-	assert.Assert(t, !w.fleet.Suspected(incarnation.ID{Engine: "e"}, time.Now()))
-	admitted, _, _ := w.starts.counts()
+	env.submit("j", 1, addItemNames(env, 1)...)
+	env.coldStarts.admit(2)
+	env.startRunner()
+	env.awaitResults(1)
+	assert.Equal(t, len(env.jobs.results()), 1)
+	assert.Assert(t, !env.fleet.Suspected(incarnation.ID{Engine: "e"}, time.Now()))
+	admitted, _, _ := env.coldStarts.counts()
 	assert.Equal(t, admitted, 2)
 }
 
-// TestMoreIsWantedOfAColdEngineThatCouldRunWhatWaits, and of no other.
-func TestMoreIsWantedOfAColdEngineThatCouldRunWhatWaits(t *testing.T) {
-	w := newColdWorld(t, time.Now().Add(time.Hour))
-	w.starts.full = true
-	leaving := engineOf("leaving")
-	leaving.ColdUntil, leaving.Draining = time.Now().Add(time.Hour), true
-	w.fleet.Put(leaving)
-	w.submit("j", 1, itemNames(w, 1)...)
-	w.lead()
-	testwait.Until(t, "the cold engine is wanted", func() bool {
-		w.starts.mu.Lock()
-		defer w.starts.mu.Unlock()
-		return len(w.starts.wanted) > 2
+// Permits must not be requested for an engine that drains.
+func TestPermitsAreRequestedOnlyForUsableColdEngines(t *testing.T) {
+	env := newColdEnv(t, time.Now().Add(time.Hour))
+	env.coldStarts.full = true
+	draining := engineOf("leaving")
+	draining.ColdUntil, draining.Draining = time.Now().Add(time.Hour), true
+	env.fleet.Put(draining)
+	env.submit("j", 1, addItemNames(env, 1)...)
+	env.startRunner()
+	testwait.Until(t, "permits are requested", func() bool {
+		env.coldStarts.mu.Lock()
+		defer env.coldStarts.mu.Unlock()
+		return len(env.coldStarts.requested) > 2
 	})
-	w.starts.mu.Lock()
-	defer w.starts.mu.Unlock()
-	for _, wanted := range w.starts.wanted {
-		assert.Equal(t, wanted.Engine, "e")
+	env.coldStarts.mu.Lock()
+	defer env.coldStarts.mu.Unlock()
+	for _, requested := range env.coldStarts.requested {
+		assert.Equal(t, requested.Engine, "e")
 	}
 }
--- a/internal/batchrun/demand.go
+++ b/internal/batchrun/demand.go
@@ -2,33 +2,33 @@
 
 import "github.com/corkpulley/corkpulley/internal/core/incarnation"
 
-// AllRunning returns the number of items that run at each engine, where some do.
+// AllRunning returns the number of running items per engine, omitting engines without any.
 func (r *Runner) AllRunning() map[incarnation.ID]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.plan.AllRunning()
 }
 
-// Running returns the number of items that run at the engine.
+// Running returns the number of items running on the engine.
 func (r *Runner) Running(engine incarnation.ID) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.plan.Running(engine)
 }
 
-// Demand is what open jobs ask of a model.
+// Demand is the work that open jobs have for a model.
 type Demand struct {
-	// Tokens is the expected output of all items of its open jobs.
+	// Tokens is the total size of the items of the model's open jobs.
 	Tokens int
-	// MinVersion is the newest of the versions that its open jobs want at least.
+	// MinVersion is the highest minimum weight version among the model's open jobs.
 	MinVersion int64
-	// Items is the number of items of its open jobs without a result.
+	// Items is the number of items without a result.
 	Items int
-	// Waiting is the number of its items that wait for an engine.
+	// Waiting is the number of items waiting for an engine.
 	Waiting int
 }
 
-// Demands returns the demand for each model, of the jobs of all runners.
+// Demands returns the demand per model over the jobs of all runners.
 func (r *Runner) Demands() map[string]Demand {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,15 +37,15 @@
 		demand := demands[job.record.Model]
 		demand.MinVersion = max(demand.MinVersion, job.record.MinVersion)
 		demand.Tokens += job.tokens
-		demand.Items += job.left
+		demand.Items += job.remaining
 		demands[job.record.Model] = demand
 	}
-	// The jobs that other runners run ask for weights as well; which of their items wait is not known.
-	for _, job := range r.others {
+	// Jobs of other runners need weights as well; how many of their items are waiting is not known here.
+	for _, job := range r.otherJobs {
 		demand := demands[job.record.Model]
 		demand.MinVersion = max(demand.MinVersion, job.record.MinVersion)
 		demand.Tokens += job.tokens
-		demand.Items += job.left
+		demand.Items += job.remaining
 		demands[job.record.Model] = demand
 	}
 	for model, waiting := range r.plan.WaitingByModel() {
@@ -56,14 +56,14 @@
 	return demands
 }
 
-// Items returns the number of items of each service that run or wait, here or at other runners.
+// Items returns the number of unfinished items per service, over the jobs of all runners.
 func (r *Runner) Items() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	items := r.plan.Items()
-	for _, job := range r.others {
+	for _, job := range r.otherJobs {
 		if route, found := r.options.RouteOf(job.record.Host, job.record.Path); found {
-			items[route.Service] += job.left
+			items[route.Service] += job.remaining
 		}
 	}
 	return items
--- a/internal/batchrun/evacuation.go
+++ b/internal/batchrun/evacuation.go
@@ -6,13 +6,13 @@
 	"github.com/corkpulley/corkpulley/internal/core/batchplan"
 )
 
-// evacuatedTellPeriod is the time between two lines that say that items wait for evacuated zones.
-const evacuatedTellPeriod = 10 * time.Second
+// evacuationLogInterval is the minimum time between two log lines about items waiting for evacuated zones.
+const evacuationLogInterval = 10 * time.Second
 
-// tellEvacuated logs that items wait because no engine of their service is left outside evacuated zones;
-// mu is held.
-func (r *Runner) tellEvacuated(now time.Time, views []batchplan.Engine) {
-	if now.Sub(r.evacuatedToldAt) < evacuatedTellPeriod || len(r.options.Fleet.EvacuatedZones()) == 0 {
+// logEvacuationWait logs services whose items wait because all usable engines are in evacuated zones. Must be
+// called with mu held.
+func (r *Runner) logEvacuationWait(now time.Time, views []batchplan.Engine) {
+	if now.Sub(r.evacuationLoggedAt) < evacuationLogInterval || len(r.options.Fleet.EvacuatedZones()) == 0 {
 		return
 	}
 	usable, listed := make(map[string]bool), make(map[string]bool)
@@ -25,7 +25,7 @@
 		if usable[service] || items[service] == 0 || r.options.Fleet.Evacuated(service) == 0 {
 			continue
 		}
-		r.evacuatedToldAt = now
+		r.evacuationLoggedAt = now
 		r.options.Logger.Warn().Str("service", service).Int("items", items[service]).
 			Int("evacuated", r.options.Fleet.Evacuated(service)).Msg("items wait for evacuated zones")
 	}
--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -15,126 +15,123 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// heldEngines ask for the permission to send after a dial that may be held.
-type heldEngines struct {
+// gatedEngines checks MayLeave after connecting; connecting to zone za blocks until release.
+type gatedEngines struct {
 	*fakeEngines
 	dialling chan string
 	release  chan struct{}
 	mu       sync.Mutex
-	held     int
+	heldBack int
 }
 
-func (e *heldEngines) Stream(ctx context.Context, engine fleet.Engine, call Call) (Stream, error) {
+func (e *gatedEngines) Stream(ctx context.Context, engine fleet.Engine, call Call) (Stream, error) {
 	if engine.Zone == "za" {
 		e.dialling <- engine.ID
 		<-e.release
 	}
 	if !call.MayLeave() {
 		e.mu.Lock()
-		e.held++
+		e.heldBack++
 		e.mu.Unlock()
 		return nil, &RefusedError{Refusal: HeldBack, Detail: "not permitted"}
 	}
 	return e.fakeEngines.Stream(ctx, engine, call)
 }
 
-// inZones puts two engines into zones za and zb.
-func inZones(t *testing.T) *world {
-	w := newWorld(t)
+// newZonedEnv returns an environment with one engine in each of the zones za and zb.
+func newZonedEnv(t *testing.T) *testEnv {
+	env := newTestEnv(t)
 	for id, zone := range map[string]string{"a": "za", "b": "zb"} {
 		engine := engineOf(id)
 		engine.Zone = zone
-		w.engines.version[id] = 1
-		w.fleet.Put(engine)
+		env.engines.version[id] = 1
+		env.fleet.Put(engine)
 	}
-	return w
+	return env
 }
 
-// TestAnItemChosenBeforeAnEvacuationRunsElsewhere: the dial to its engine ended after it.
-func TestAnItemChosenBeforeAnEvacuationRunsElsewhere(t *testing.T) {
+// Guards against sending an item to a zone that was evacuated while the call was connecting.
+func TestItemAssignedBeforeEvacuationRunsElsewhere(t *testing.T) {
 	t.Parallel()
-	w := inZones(t)
-	engines := &heldEngines{fakeEngines: w.engines, dialling: make(chan string, 16), release: make(chan struct{})}
+	env := newZonedEnv(t)
+	engines := &gatedEngines{fakeEngines: env.engines, dialling: make(chan string, 16), release: make(chan struct{})}
 	items := []string{"i0", "i1", "i2", "i3", "i4", "i5", "i6", "i7"}
 	for _, item := range items {
-		w.engines.events[item] = 3
+		env.engines.events[item] = 3
 	}
-	w.leadWith(engines)
-	w.submit("job", 1, items...)
+	env.startRunnerWith(engines)
+	env.submit("job", 1, items...)
 	<-engines.dialling
-	w.fleet.Evacuate("za", time.Now(), 1)
+	env.fleet.Evacuate("za", time.Now(), 1)
 	close(engines.release)
-	for _, result := range w.awaitResults(len(items)) {
+	for _, result := range env.awaitResults(len(items)) {
 		assert.Equal(t, result.Outcome, batch.Completed)
 	}
-	assert.Assert(t, engines.held > 0)
+	assert.Assert(t, engines.heldBack > 0)
 	for _, item := range items {
-		_, at := w.engines.callsOf(item)
+		_, at := env.engines.callsOf(item)
 		assert.DeepEqual(t, at, []string{"b"})
 	}
 }
 
-// TestItemsInAnEvacuatedZoneFinishThere: where they would be moved if their engine left; see
-// TestItemsMoveFromAnEngineThatLeaves.
-func TestItemsInAnEvacuatedZoneFinishThere(t *testing.T) {
+// Evacuation must not move running items as draining does; see TestItemsMoveFromDrainingEngine.
+func TestRunningItemsFinishInEvacuatedZone(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	env := newTestEnv(t)
 	engineA, engineB := engineOf("a"), engineOf("b")
 	engineA.Zone, engineB.Zone = "za", "zb"
-	w.engines.events["x"], w.engines.events["y"] = 100, 100
-	w.engines.pause["a"], w.engines.pause["b"] = 20*time.Millisecond, 20*time.Millisecond
-	w.engines.setVersion("a", 1)
-	w.fleet.Put(engineA)
-	r, _ := w.lead()
-	w.submit("j", 1, "x")
-	testwait.Until(t, "x runs", func() bool { calls, _ := w.engines.callsOf("x"); return len(calls) == 1 })
-	w.engines.setVersion("b", 1)
-	w.fleet.Put(engineB)
-	w.submit("j2", 1, "y")
+	env.engines.events["x"], env.engines.events["y"] = 100, 100
+	env.engines.pause["a"], env.engines.pause["b"] = 20*time.Millisecond, 20*time.Millisecond
+	env.engines.setVersion("a", 1)
+	env.fleet.Put(engineA)
+	r, _ := env.startRunner()
+	env.submit("j", 1, "x")
+	testwait.Until(t, "x runs", func() bool { calls, _ := env.engines.callsOf("x"); return len(calls) == 1 })
+	env.engines.setVersion("b", 1)
+	env.fleet.Put(engineB)
+	env.submit("j2", 1, "y")
 	testwait.Until(t, "the pace of b is known", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return r.plan.Pace(engineB.Incarnation()) > 0
 	})
-	w.fleet.Evacuate("za", time.Now(), 1)
-	results := w.awaitResults(2)
-	assert.Equal(t, string(results["j/0"].Text), wholeText("x", 100))
-	_, at := w.engines.callsOf("x")
+	env.fleet.Evacuate("za", time.Now(), 1)
+	results := env.awaitResults(2)
+	assert.Equal(t, string(results["j/0"].Text), fullText("x", 100))
+	_, at := env.engines.callsOf("x")
 	assert.DeepEqual(t, at, []string{"a"})
 }
 
-// TestItemsWaitWhileAllZonesAreEvacuated: none is given up.
 func TestItemsWaitWhileAllZonesAreEvacuated(t *testing.T) {
 	t.Parallel()
-	w := inZones(t)
-	w.engines.events["i0"] = 3
-	w.fleet.Evacuate("za", time.Now(), 1)
-	w.fleet.Evacuate("zb", time.Now(), 2)
-	r, _ := w.lead()
-	w.submit("job", 1, "i0")
+	env := newZonedEnv(t)
+	env.engines.events["i0"] = 3
+	env.fleet.Evacuate("za", time.Now(), 1)
+	env.fleet.Evacuate("zb", time.Now(), 2)
+	r, _ := env.startRunner()
+	env.submit("job", 1, "i0")
 	testwait.Until(t, "the item waits", func() bool { return r.Demands()["m"].Waiting == 1 })
-	assert.Equal(t, len(w.jobs.results()), 0)
-	w.fleet.TakeBack("zb", time.Now(), 3)
-	for _, result := range w.awaitResults(1) {
+	assert.Equal(t, len(env.jobs.results()), 0)
+	env.fleet.TakeBack("zb", time.Now(), 3)
+	for _, result := range env.awaitResults(1) {
 		assert.Equal(t, result.Outcome, batch.Completed)
 	}
 }
 
-// TestNoItemIsChosenWhileTheEvacuationsAreNotKnown: it would be held back and chosen again without an end.
-// It runs once they are known.
-func TestNoItemIsChosenWhileTheEvacuationsAreNotKnown(t *testing.T) {
+// Guards against a busy loop of items that are assigned and held back again.
+func TestNoItemIsAssignedWhileEvacuationsAreUnknown(t *testing.T) {
 	t.Parallel()
-	w := inZones(t)
-	w.engines.events["i0"] = 3
+	env := newZonedEnv(t)
+	env.engines.events["i0"] = 3
 	var known atomic.Bool
-	w.gate = sendgate.New(sendgate.Options{Fleet: w.fleet, Known: known.Load})
-	r, _ := w.lead()
-	w.submit("job", 1, "i0")
+	env.gate = sendgate.New(sendgate.Options{Fleet: env.fleet, Known: known.Load})
+	r, _ := env.startRunner()
+	env.submit("job", 1, "i0")
 	testwait.Until(t, "the item waits", func() bool { return r.Demands()["m"].Waiting == 1 })
 	r.assign()
 	assert.Equal(t, r.Demands()["m"].Waiting, 1)
 	known.Store(true)
-	for _, result := range w.awaitResults(1) {
+	for _, result := range env.awaitResults(1) {
 		assert.Equal(t, result.Outcome, batch.Completed)
 	}
 }
--- a/internal/batchrun/fakes_test.go
+++ b/internal/batchrun/fakes_test.go
@@ -23,22 +23,22 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// fakeJobs keeps jobs in a reducer of its own.
+// fakeJobs stores jobs in memory.
 type fakeJobs struct {
 	mu       sync.Mutex
 	state    *batch.Partition
 	recorded []batchjobs.FinishedItem
 	kept     []batchjobs.RunningItem
-	// texts holds kept texts by the offset of their span.
-	texts map[int64][]byte
-	down  bool
-	// scored: each item has a scoring call.
+	// texts holds saved texts by the offset of their span.
+	texts       map[int64][]byte
+	unavailable bool
+	// scored adds a scoring call to each item.
 	scored bool
-	// readers are the homes of the calls that read the payloads of each job; unreadable jobs have none.
+	// readers holds, by job, the homes of the calls that read its payloads; reading an unreadable job fails.
 	readers    map[string][]homes.Set
 	unreadable map[string]bool
-	// holdKept, where it is set, is waited for before kept texts are read.
-	holdKept chan struct{}
+	// blockKeptTexts, if set, blocks reads of saved texts until it is closed.
+	blockKeptTexts chan struct{}
 }
 
 func newFakeJobs() *fakeJobs {
@@ -72,7 +72,7 @@
 	unreadable := f.unreadable[job.ID]
 	f.mu.Unlock()
 	if unreadable {
-		return nil, fmt.Errorf("the log is away")
+		return nil, fmt.Errorf("log unavailable")
 	}
 	payloads := make([]batch.Payload, len(job.Items))
 	for i, item := range job.Items {
@@ -87,8 +87,8 @@
 func (f *fakeJobs) Record(_ context.Context, _ int, finished []batchjobs.FinishedItem) (int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.down {
-		return 0, fmt.Errorf("the log is away")
+	if f.unavailable {
+		return 0, fmt.Errorf("log unavailable")
 	}
 	f.recorded = append(f.recorded, finished...)
 	for _, item := range finished {
@@ -114,9 +114,9 @@
 func (f *fakeJobs) KeptTexts(
 	ctx context.Context, _ batch.JobRecord, kept map[int]batch.Progress,
 ) (map[int][]byte, error) {
-	if f.holdKept != nil {
+	if f.blockKeptTexts != nil {
 		select {
-		case <-f.holdKept:
+		case <-f.blockKeptTexts:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -150,14 +150,14 @@
 	return append([]batchjobs.FinishedItem(nil), f.recorded...)
 }
 
-// fakeEngines makes events of "ITEM-NUMBER".
+// fakeEngines streams events with data of the form ITEM-NUMBER.
 type fakeEngines struct {
 	mu sync.Mutex
-	// events is the length of each item, pause the time between events at an engine.
+	// events is the number of events by item, pause the time between events by engine.
 	events  map[string]int
 	pause   map[string]time.Duration
 	version map[string]int64
-	// refuse decides for each call; nil for none.
+	// refuse, if set, returns the error of each call; nil to serve it.
 	refuse func(engine string, call Call) *RefusedError
 	calls  []Call
 	at     []string
@@ -220,36 +220,36 @@
 
 func (s *fakeStream) Close() {}
 
-// noCrashes stands in for the guard where no engine ends.
-type noCrashes struct{}
+// noopGuard is a Guard for engines that do not crash.
+type noopGuard struct{}
 
-func (noCrashes) ConnectionLost(context.Context, crashes.Loss) bool { return false }
+func (noopGuard) ConnectionLost(context.Context, crashes.Loss) bool { return false }
 
-func (noCrashes) Standing(func() quarantine.Fingerprint) quarantine.Standing {
+func (noopGuard) Standing(func() quarantine.Fingerprint) quarantine.Standing {
 	return quarantine.Standing{}
 }
 
-func (noCrashes) Answered(func() quarantine.Fingerprint) {}
+func (noopGuard) Answered(func() quarantine.Fingerprint) {}
 
-// fakeScorer scores with the name of the call, once it is let to.
+// fakeScorer returns a score derived from the call's ID.
 type fakeScorer struct {
 	mu     sync.Mutex
 	places admission.Places
-	// fate decides for each call; nil for a score.
-	fate func(call batch.ScoringCall) Scoring
-	// hold, where it is set, is waited for before a call ends.
-	hold     chan struct{}
-	underWay int
-	most     int
-	calls    []string
+	// respond, if set, returns the result of each call.
+	respond func(call batch.ScoringCall) Scoring
+	// hold, if set, blocks calls until it is closed.
+	hold        chan struct{}
+	underWay    int
+	maxUnderWay int
+	calls       []string
 }
 
 func (f *fakeScorer) Score(ctx context.Context, _ string, call batch.ScoringCall) Scoring {
 	f.mu.Lock()
 	f.underWay++
-	f.most = max(f.most, f.underWay)
+	f.maxUnderWay = max(f.maxUnderWay, f.underWay)
 	f.calls = append(f.calls, call.ID)
-	hold, fate := f.hold, f.fate
+	hold, respond := f.hold, f.respond
 	f.mu.Unlock()
 	if hold != nil {
 		select {
@@ -263,8 +263,8 @@
 	switch {
 	case ctx.Err() != nil:
 		return Scoring{Detail: "canceled"}
-	case fate != nil:
-		return fate(call)
+	case respond != nil:
+		return respond(call)
 	}
 	return Scoring{Score: "stamp of " + call.ID}
 }
@@ -275,67 +275,69 @@
 	return "scoring", admission.Places{Slots: f.places.Slots, Busy: f.places.Busy + f.underWay}
 }
 
-func (f *fakeScorer) made() []string {
+func (f *fakeScorer) callIDs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.calls...)
 }
 
-// world is a runner with what it works with.
-type world struct {
-	t       *testing.T
-	jobs    *fakeJobs
-	engines *fakeEngines
-	fleet   *fleet.Fleet
-	scorer  *fakeScorer
-	guard   Guard
-	starts  *scriptedStarts
-	route   Route
-	terms   int
-	// gate is asked before calls leave; nil for one that asks fleet.
+// testEnv holds the fake dependencies of runners.
+type testEnv struct {
+	t          *testing.T
+	jobs       *fakeJobs
+	engines    *fakeEngines
+	fleet      *fleet.Fleet
+	scorer     *fakeScorer
+	guard      Guard
+	coldStarts *fakeColdStarts
+	route      Route
+	terms      int
+	// gate is the runners' Options.Gate.
 	gate *sendgate.Gate
 
-	// homes holds the homes of each job, config the version of the configuration that says so.
+	// mu guards route, homes (by job) and config, the version of the configuration.
 	mu     sync.Mutex
 	homes  map[string]homes.Set
 	config int64
 }
 
-// engineOf is an engine with the first version of the model.
+// engineOf returns an engine with version 1 of the model.
 func engineOf(id string) fleet.Engine {
 	return fleet.Engine{ID: id, Service: "s", Slots: 8, Versions: map[string]int64{"m": 1}}
 }
 
-func newWorld(t *testing.T, engineIDs ...string) *world {
-	w := &world{
+func newTestEnv(t *testing.T, engineIDs ...string) *testEnv {
+	env := &testEnv{
 		t: t, jobs: newFakeJobs(), fleet: fleet.New(), scorer: &fakeScorer{places: admission.Places{Slots: 100}},
 		engines: &fakeEngines{events: map[string]int{}, pause: map[string]time.Duration{}, version: map[string]int64{}},
-		guard:   noCrashes{}, homes: make(map[string]homes.Set),
+		guard:   noopGuard{}, homes: make(map[string]homes.Set),
 		route: Route{Service: "s", MaxAttempts: 2, Retention: time.Minute},
 	}
 	for _, id := range engineIDs {
-		w.engines.version[id] = 1
-		w.fleet.Put(engineOf(id))
+		env.engines.version[id] = 1
+		env.fleet.Put(engineOf(id))
 	}
-	return w
+	return env
 }
 
-// lead runs a runner of the jobs without homes until the returned function is called.
-func (w *world) lead() (*Runner, func()) { return w.leadWith(w.engines) }
+// startRunner starts a runner of unbound jobs and returns it with a function that stops it.
+func (env *testEnv) startRunner() (*Runner, func()) { return env.startRunnerWith(env.engines) }
 
-// run runs a runner of the jobs that are bound to the regions until the returned function is called.
-func (w *world) run(regions ...string) (*Runner, func()) { return w.leadWith(w.engines, regions...) }
+// startBoundRunner starts a runner of the jobs bound to the regions.
+func (env *testEnv) startBoundRunner(regions ...string) (*Runner, func()) {
+	return env.startRunnerWith(env.engines, regions...)
+}
 
-// leadWith is run with other engines.
-func (w *world) leadWith(engines Engines, regions ...string) (*Runner, func()) {
-	w.terms++
+// startRunnerWith is startBoundRunner with other engines.
+func (env *testEnv) startRunnerWith(engines Engines, regions ...string) (*Runner, func()) {
+	env.terms++
 	r := New(Options{
-		Jobs: w.jobs, Engines: engines, Fleet: w.fleet, Scorer: w.scorer, Guard: w.guard, ColdStarts: w.starts,
-		Gate:    w.gate,
-		RouteOf: w.routeOf,
-		Within:  homes.Of(regions), HomesOf: w.homesOf, Config: w.configVersion,
+		Jobs: env.jobs, Engines: engines, Fleet: env.fleet, Scorer: env.scorer, Guard: env.guard, ColdStarts: env.coldStarts,
+		Gate:    env.gate,
+		RouteOf: env.routeOf,
+		Within:  homes.Of(regions), HomesOf: env.homesOf, Config: env.configVersion,
 		Loading: func(incarnation.ID) string { return "" }, AllLoading: func() map[incarnation.ID]string { return nil },
-		Term: fmt.Sprint(w.terms), Logger: zerolog.Nop(),
+		Term: fmt.Sprint(env.terms), Logger: zerolog.Nop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -347,37 +349,37 @@
 		cancel()
 		<-done
 	})
-	w.t.Cleanup(stop)
+	env.t.Cleanup(stop)
 	return r, stop
 }
 
-func (w *world) submit(id string, minVersion int64, items ...string) {
-	w.submitRecord(batch.JobRecord{ID: id, Model: "m", MinVersion: minVersion}, items)
+func (env *testEnv) submit(id string, minVersion int64, items ...string) {
+	env.submitRecord(batch.JobRecord{ID: id, Model: "m", MinVersion: minVersion}, items)
 }
 
-func (w *world) submitStep(id string, step int64, items ...string) {
-	w.submitRecord(batch.JobRecord{ID: id, Model: "m", MinVersion: 1, Step: step}, items)
+func (env *testEnv) submitStep(id string, step int64, items ...string) {
+	env.submitRecord(batch.JobRecord{ID: id, Model: "m", MinVersion: 1, Step: step}, items)
 }
 
-func (w *world) submitRecord(record batch.JobRecord, items []string) {
+func (env *testEnv) submitRecord(record batch.JobRecord, items []string) {
 	for _, item := range items {
 		record.Items = append(record.Items, batch.ItemRecord{ID: item, Group: "group of " + record.ID})
 	}
-	w.jobs.apply(batch.Record{Job: &record})
+	env.jobs.apply(batch.Record{Job: &record})
 }
 
-func (w *world) awaitResults(count int) map[string]batchjobs.FinishedItem {
-	w.t.Helper()
-	testwait.Until(w.t, fmt.Sprintf("%d results", count), func() bool { return len(w.jobs.results()) >= count })
+func (env *testEnv) awaitResults(count int) map[string]batchjobs.FinishedItem {
+	env.t.Helper()
+	testwait.Until(env.t, fmt.Sprintf("%d results", count), func() bool { return len(env.jobs.results()) >= count })
 	byItem := map[string]batchjobs.FinishedItem{}
-	for _, result := range w.jobs.results() {
+	for _, result := range env.jobs.results() {
 		byItem[fmt.Sprint(result.JobID, "/", result.Item)] = result
 	}
 	return byItem
 }
 
-// wholeText is the output of an item.
-func wholeText(item string, events int) string {
+// fullText returns the complete output of an item.
+func fullText(item string, events int) string {
 	text := ""
 	for number := 1; number <= events; number++ {
 		if number > 1 {
--- a/internal/batchrun/move.go
+++ b/internal/batchrun/move.go
@@ -9,23 +9,22 @@
 )
 
 const (
-	// slowFactor is how much slower than the best engine one must be for its items
-	// to be moved, slowishFactor for its long items.
-	slowFactor    = 1.8
-	slowishFactor = 1.2
-	// minMovedAge spares items that have only just begun, minLongAge is the age
-	// from which an item counts as a long one.
-	minMovedAge = 250 * time.Millisecond
-	minLongAge  = time.Second
+	// slowFactor is how many times slower than the fastest engine an engine must be for its items to be moved,
+	// longItemSlowFactor the same for long items only.
+	slowFactor         = 1.8
+	longItemSlowFactor = 1.2
+	// minMoveAge is the minimum age of an item that is moved, longItemAge that of a long item.
+	minMoveAge  = 250 * time.Millisecond
+	longItemAge = time.Second
 	never       = time.Duration(1<<63 - 1)
-	// maxMoves bounds how often one item is moved.
+	// maxMoves is the maximum number of times one item is moved.
 	maxMoves = 3
 )
 
-// moveStragglers ends runs at engines that are slower than others with room, so
-// that their items continue there. An engine that leaves or has become slow loses
-// all its items, one that always was slower only those that have run for long. Items in an
-// evacuated zone finish there: its engines serve on, and moving an item has its prompt read again.
+// moveStragglers stops runs on engines that are slower than others with free slots, so that their items continue
+// there. An engine that drains or is much slower loses all its items, one that is slightly slower only the long
+// ones. Items in an evacuated zone finish there: its engines keep serving, and a move repeats the prompt
+// processing.
 func (r *Runner) moveStragglers() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,9 +37,9 @@
 		return !known
 	}
 	r.plan.ForgetEngines(gone)
-	maps.DeleteFunc(r.crowded, func(engine incarnation.ID, _ crowding) bool { return gone(engine) })
+	maps.DeleteFunc(r.overcommitted, func(engine incarnation.ID, _ overcommitCheck) bool { return gone(engine) })
 	maps.DeleteFunc(r.pausedUntil, func(engine incarnation.ID, _ time.Time) bool { return gone(engine) })
-	room := r.roomAtFast(best)
+	room := r.fastFreeSlots(best)
 	now := time.Now()
 	for key, each := range r.runs {
 		job := r.jobs[key.Job]
@@ -48,7 +47,7 @@
 			continue
 		}
 		state := &job.items[key.Item]
-		wanted := moveAge(float64(r.plan.Pace(each.engine)) / float64(best))
+		wanted := minAgeToMove(float64(r.plan.Pace(each.engine)) / float64(best))
 		if engine, known := r.options.Fleet.Find(each.engine); known && engine.Draining {
 			wanted = 0
 		}
@@ -61,22 +60,22 @@
 	}
 }
 
-// moveAge is how long an item must have run to be moved from an engine that is
-// slower than the best by the factor.
-func moveAge(factor float64) time.Duration {
+// minAgeToMove returns how long an item must have run to be moved from an engine that is slower than the fastest
+// by the factor.
+func minAgeToMove(factor float64) time.Duration {
 	switch {
 	case factor >= slowFactor:
-		return minMovedAge
-	case factor >= slowishFactor:
-		return minLongAge
+		return minMoveAge
+	case factor >= longItemSlowFactor:
+		return longItemAge
 	default:
 		return never
 	}
 }
 
-// roomAtFast counts free places for each model at engines that are about as fast
-// as the best; mu is held.
-func (r *Runner) roomAtFast(best time.Duration) map[string]int {
+// fastFreeSlots returns the number of free slots per model on engines about as fast as the best. Must be called
+// with mu held.
+func (r *Runner) fastFreeSlots(best time.Duration) map[string]int {
 	room := make(map[string]int)
 	for _, engine := range r.engineViews(time.Now()) {
 		pace := r.plan.Pace(engine.ID)
@@ -85,14 +84,14 @@
 		}
 		for model, version := range engine.Versions {
 			if engine.Loading != model && version >= r.minVersion(model) {
-				room[model] += roomAt(engine, r.plan.Running(engine.ID))
+				room[model] += freeSlots(engine, r.plan.Running(engine.ID))
 			}
 		}
 	}
 	return room
 }
 
-// minVersion returns the newest version that open jobs of the model want at least; mu is held.
+// minVersion returns the highest minimum weight version of the model's open jobs. Must be called with mu held.
 func (r *Runner) minVersion(model string) int64 {
 	newest := int64(0)
 	for _, job := range r.jobs {
@@ -103,17 +102,17 @@
 	return newest
 }
 
-// stopAtEnded ends the runs at engines that have started again, so that their items go on elsewhere: what
-// such a run still hears comes from a start that knows nothing of it, or never. Nobody is blamed for the end
-// of an engine here, since the item may have begun after it; a connection that the engine ended tells.
-func (r *Runner) stopAtEnded() {
-	starts := r.options.Fleet.Starts()
+// stopRunsAtRestarted stops the runs on engines that have restarted, so that their items continue elsewhere: the
+// new incarnation does not know them. The crash is not attributed to the items, which may have started after it;
+// reportOutcome handles those whose connection was lost.
+func (r *Runner) stopRunsAtRestarted() {
+	engineStarts := r.options.Fleet.Starts()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.starts == starts {
+	if r.engineStarts == engineStarts {
 		return
 	}
-	r.starts = starts
+	r.engineStarts = engineStarts
 	for _, each := range r.runs {
 		if r.options.Fleet.Followed(each.engine) {
 			each.stop(stopEngineEnded)
--- a/internal/batchrun/observe.go
+++ b/internal/batchrun/observe.go
@@ -19,44 +19,44 @@
 		return
 	}
 	if !r.owns(&job.JobRecord) {
-		if r.others[job.ID] == nil {
-			r.others[job.ID] = newOtherJob(job)
+		if r.otherJobs[job.ID] == nil {
+			r.otherJobs[job.ID] = newOtherJob(job)
 		}
 		return
 	}
-	delete(r.others, job.ID)
-	loading, stopLoading := context.WithCancel(r.ctx)
+	delete(r.otherJobs, job.ID)
+	loading, cancelLoad := context.WithCancel(r.ctx)
 	added := &openJob{
-		record:  job.JobRecord,
-		items:   make([]batchitem.Item, len(job.Items)),
-		addedAt: time.Now(),
-		kept:    make(map[int]batch.Progress),
-		left:    len(job.Items) - len(job.Results),
+		record:        job.JobRecord,
+		items:         make([]batchitem.Item, len(job.Items)),
+		addedAt:       time.Now(),
+		savedProgress: make(map[int]batch.Progress),
+		remaining:     len(job.Items) - len(job.Results),
 
-		stopLoading: stopLoading,
+		cancelLoad: cancelLoad,
 	}
 	for i := range added.items {
 		added.tokens += job.Items[i].Tokens
 		if job.Listed(i) {
 			added.items[i].Listed()
 		}
-		if kept, found := job.Progress(i); found {
-			added.kept[i] = kept
+		if savedProgress, found := job.Progress(i); found {
+			added.savedProgress[i] = savedProgress
 		}
 	}
 	r.jobs[job.ID] = added
-	r.plan.AddJob(planned(&added.record))
-	if len(added.kept) > 0 {
-		r.restoring++
+	r.plan.AddJob(planJob(&added.record))
+	if len(added.savedProgress) > 0 {
+		r.pendingRestores++
 	}
 	r.wait.Go(func() {
 		r.load(loading, added)
-		r.restored(added)
+		r.loadFinished(added)
 	})
 }
 
-// planned is what the plan is told of a job.
-func planned(record *batch.JobRecord) batchplan.Job {
+// planJob returns the job as the plan needs it.
+func planJob(record *batch.JobRecord) batchplan.Job {
 	lengths := make([]int, len(record.Items))
 	for i := range record.Items {
 		lengths[i] = record.Items[i].Length
@@ -66,51 +66,51 @@
 	}
 }
 
-// restored notes that a job is loaded, or will not be.
-func (r *Runner) restored(job *openJob) {
-	if len(job.kept) == 0 {
+// loadFinished records that the job's saved progress is loaded, or that loading was canceled.
+func (r *Runner) loadFinished(job *openJob) {
+	if len(job.savedProgress) == 0 {
 		return
 	}
 	r.mu.Lock()
-	r.restoring--
+	r.pendingRestores--
 	r.mu.Unlock()
 	r.Wake()
 }
 
-// load reads what the engines are sent and queues the items.
+// load reads the job's payloads and queues its items, retrying until ctx ends.
 func (r *Runner) load(ctx context.Context, job *openJob) {
 	for ctx.Err() == nil {
-		if r.awaitsRoute(&job.record) {
+		if r.routePending(&job.record) {
 			retry.Sleep(ctx, loadDelay)
 			continue
 		}
 		payloads, err := r.options.Jobs.Payloads(ctx, job.record)
 		if err == nil && len(payloads) == len(job.items) {
-			r.queueJob(job, payloads, r.loadKept(ctx, job))
+			r.queueJob(job, payloads, r.loadSavedOutput(ctx, job))
 			return
 		}
 		r.options.Logger.Warn().Err(err).Str("job", job.record.ID).Int("payloads", len(payloads)).
-			Msg("payloads not read")
+			Msg("failed to read job payloads; retrying")
 		retry.Sleep(ctx, loadDelay)
 	}
 }
 
-// loadKept reads the output that other leaders left. What cannot be read is made
-// again.
-func (r *Runner) loadKept(ctx context.Context, job *openJob) map[int]batchitem.Output {
-	if len(job.kept) == 0 {
+// loadSavedOutput reads the output saved by earlier runners. Items whose output cannot be read start over.
+func (r *Runner) loadSavedOutput(ctx context.Context, job *openJob) map[int]batchitem.Output {
+	if len(job.savedProgress) == 0 {
 		return nil
 	}
-	texts, err := r.options.Jobs.KeptTexts(ctx, job.record, job.kept)
+	texts, err := r.options.Jobs.KeptTexts(ctx, job.record, job.savedProgress)
 	if err != nil {
-		r.options.Logger.Warn().Err(err).Str("job", job.record.ID).Int("items", len(job.kept)).
-			Int("read", len(texts)).Msg("kept progress not read")
+		r.options.Logger.Warn().Err(err).Str("job", job.record.ID).Int("items", len(job.savedProgress)).
+			Int("read", len(texts)).Msg("failed to read saved progress")
 	}
 	found := make(map[int]batchitem.Output, len(texts))
 	for item, text := range texts {
-		kept := job.kept[item]
+		savedProgress := job.savedProgress[item]
 		found[item] = batchitem.Restore(batchitem.Kept{
-			Chain: kept.Chain, Last: kept.To, Versions: kept.Versions, Text: text, Whole: kept.Whole,
+			Chain: savedProgress.Chain, Last: savedProgress.To, Versions: savedProgress.Versions,
+			Text: text, Whole: savedProgress.Whole,
 		})
 	}
 	return found
@@ -124,7 +124,7 @@
 	}
 	job.payloads = payloads
 	route, _ := r.options.RouteOf(job.record.Host, job.record.Path)
-	job.single = route.SingleVersion
+	job.singleVersion = route.SingleVersion
 	queued, continued := 0, 0
 	limits := job.limits()
 	for i := range job.items {
@@ -136,9 +136,9 @@
 			item.Output = left
 			continued++
 		}
-		r.takeCarried(job, i)
+		r.reuseCarriedOver(job, i)
 		if item.Output.IsWhole() {
-			r.textWhole(job, i, "whole before")
+			r.outputComplete(job, i, "output already complete")
 			continue
 		}
 		r.queueItem(job, i, incarnation.ID{}, time.Time{})
@@ -150,7 +150,7 @@
 	r.Wake()
 }
 
-// queueItem puts an item into the plan; mu is held.
+// queueItem adds an item to the plan, unless it is quarantined or has no route. Must be called with mu held.
 func (r *Runner) queueItem(job *openJob, index int, avoid incarnation.ID, notBefore time.Time) {
 	route, found := r.options.RouteOf(job.record.Host, job.record.Path)
 	if !found {
@@ -179,14 +179,14 @@
 	r.plan.Add(item)
 }
 
-// expectedTokens is the memory that an item will take at an engine: its prompt
-// and its expected output, half of the most where none is told.
+// expectedTokens returns the estimated memory use of an item on an engine in tokens: its prompt and its expected
+// output, or half of the maximum output if none is given.
 func expectedTokens(record batch.ItemRecord) int {
-	most := max(record.Tokens-record.Prompt, 0)
+	maxOutput := max(record.Tokens-record.Prompt, 0)
 	if record.Length == 0 {
-		return record.Prompt + most/2
+		return record.Prompt + maxOutput/2
 	}
-	return record.Prompt + min(record.Length, most)
+	return record.Prompt + min(record.Length, maxOutput)
 }
 
 // ItemListed implements batch.Observer.
@@ -195,14 +195,14 @@
 	defer r.mu.Unlock()
 	known, found := r.jobs[job.ID]
 	if !found {
-		r.otherListed(job.ID, item)
+		r.otherItemRecorded(job.ID, item)
 		return
 	}
-	r.drop(known, item)
+	r.dropItem(known, item)
 	known.items[item].Listed()
-	known.left--
-	if known.left <= 0 {
-		r.forget(known)
+	known.remaining--
+	if known.remaining <= 0 {
+		r.removeJob(known)
 	}
 }
 
@@ -210,37 +210,37 @@
 func (r *Runner) JobEnded(job *batch.Job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.others, job.ID)
+	delete(r.otherJobs, job.ID)
 	known, found := r.jobs[job.ID]
 	if !found {
 		return
 	}
 	stopped := 0
-	r.carry(known)
+	r.carryOver(known)
 	for i := range known.items {
 		if !known.items[i].Ended() {
 			stopped++
-			r.drop(known, i)
+			r.dropItem(known, i)
 		}
 	}
-	r.forget(known)
+	r.removeJob(known)
 	r.options.Logger.Info().Str("job", job.ID).Int64("step", known.record.Step).
 		Dur("after_ms", time.Since(known.addedAt)).Int("unfinished", stopped).Msg("job ended")
 }
 
-// drop takes an item out of the plan and ends its run or scoring call; mu is held.
-func (r *Runner) drop(job *openJob, index int) {
+// dropItem removes an item from the plan and cancels its run or scoring call. Must be called with mu held.
+func (r *Runner) dropItem(job *openJob, index int) {
 	key := batchplan.Key{Job: job.record.ID, Item: index}
 	job.items[index].Drop()
 	r.plan.Remove(key)
-	delete(r.quarantined, key)
-	delete(r.crowdedEnds, key)
+	delete(r.quarantinedUntil, key)
+	delete(r.overcommitLosses, key)
 	r.stopWork(key)
 }
 
-// forget drops a job; mu is held.
-func (r *Runner) forget(job *openJob) {
-	job.stopLoading()
+// removeJob cancels loading of a job and forgets it. Must be called with mu held.
+func (r *Runner) removeJob(job *openJob) {
+	job.cancelLoad()
 	delete(r.jobs, job.record.ID)
 	r.plan.ForgetJob(job.record.ID)
 }
--- a/internal/batchrun/progress.go
+++ b/internal/batchrun/progress.go
@@ -14,73 +14,71 @@
 )
 
 const (
-	// keepPeriod is the time between two writes of what running items have.
-	keepPeriod = 500 * time.Millisecond
-	// keepAge spares items that will have ended before a write is of use.
-	keepAge = 400 * time.Millisecond
-	// keepTimeout bounds one write, finalKeepTimeout the one at the end of a term.
-	keepTimeout      = 1500 * time.Millisecond
-	finalKeepTimeout = 500 * time.Millisecond
-	// carryTime is how long the text of an item that its job did not use is kept
-	// for a later job.
-	carryTime = 20 * time.Second
+	// saveInterval is the time between two writes of the progress of running items.
+	saveInterval = 500 * time.Millisecond
+	// minSaveAge is the minimum age of runs whose progress is saved: shorter runs usually finish first.
+	minSaveAge = 400 * time.Millisecond
+	// saveTimeout bounds one write, finalSaveTimeout the last one of a term.
+	saveTimeout      = 1500 * time.Millisecond
+	finalSaveTimeout = 500 * time.Millisecond
+	// carryOverRetention is how long unused output of an ended job is kept for a later job.
+	carryOverRetention = 20 * time.Second
 )
 
-// keepLoop writes what running items have, for the next leader.
-func (r *Runner) keepLoop(ctx context.Context) {
-	ticker := time.NewTicker(keepPeriod)
+// saveLoop periodically writes the progress of running items, so that the next leader can continue them.
+func (r *Runner) saveLoop(ctx context.Context) {
+	ticker := time.NewTicker(saveInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			final, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalKeepTimeout)
+			final, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalSaveTimeout)
 			defer cancel()
-			r.keep(final, 0)
+			r.saveProgress(final, 0)
 			return
 		case <-ticker.C:
 		}
-		writing, cancel := context.WithTimeout(ctx, keepTimeout)
-		r.keep(writing, keepAge)
+		writing, cancel := context.WithTimeout(ctx, saveTimeout)
+		r.saveProgress(writing, minSaveAge)
 		cancel()
 	}
 }
 
-// kept is a part of a progress that is being written.
-type kept struct {
+// pendingSave is a part of an item's output that is being written.
+type pendingSave struct {
 	key  batchplan.Key
 	part batchitem.Part
 }
 
-// keep writes what items that have run for at least minAge have beyond what is
-// in the log.
-func (r *Runner) keep(ctx context.Context, minAge time.Duration) {
-	writes, marks := r.unkept(minAge)
+// saveProgress writes the output that is not in the log yet, of items that have run for at least minAge.
+func (r *Runner) saveProgress(ctx context.Context, minAge time.Duration) {
+	writes, marks := r.unsavedProgress(minAge)
 	var group errgroup.Group
 	for partition, running := range writes {
 		group.Go(func() error {
 			written, err := r.options.Jobs.Keep(ctx, partition, running)
 			if err != nil {
 				r.options.Logger.Warn().Err(err).Int("partition", partition).Int("items", len(running)-written).
-					Msg("progress not kept")
+					Msg("failed to save progress")
 			}
-			r.markKept(marks[partition][:written])
+			r.markSaved(marks[partition][:written])
 			return nil
 		})
 	}
 	_ = group.Wait()
 }
 
-// unkept collects by partition what is to be written.
-func (r *Runner) unkept(minAge time.Duration) (map[int][]batchjobs.RunningItem, map[int][]kept) {
+// unsavedProgress returns the output to write by partition.
+func (r *Runner) unsavedProgress(minAge time.Duration) (map[int][]batchjobs.RunningItem, map[int][]pendingSave) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	writes := make(map[int][]batchjobs.RunningItem)
-	marks := make(map[int][]kept)
+	marks := make(map[int][]pendingSave)
 	now := time.Now()
 	for _, job := range r.jobs {
 		partition := r.options.Jobs.PartitionOf(job.record.ID)
 		for index := range job.items {
-			running, mark, found := r.unkeptItem(job, index, now, minAge)
+			running, mark, found := r.unsavedItemProgress(job, index, now, minAge)
 			if found {
 				writes[partition] = append(writes[partition], running)
 				marks[partition] = append(marks[partition], mark)
@@ -90,28 +88,28 @@
 	return writes, marks
 }
 
-// unkeptItem returns what an item has beyond what is in the log, unless it runs
-// and has not run for minAge; mu is held.
-func (r *Runner) unkeptItem(
+// unsavedItemProgress returns the output of an item that is not in the log yet, unless the item has run for less
+// than minAge. Must be called with mu held.
+func (r *Runner) unsavedItemProgress(
 	job *openJob, index int, now time.Time, minAge time.Duration,
-) (batchjobs.RunningItem, kept, bool) {
+) (batchjobs.RunningItem, pendingSave, bool) {
 	item := &job.items[index]
 	if item.Ended() || !item.Output.Unkept() {
-		return batchjobs.RunningItem{}, kept{}, false
+		return batchjobs.RunningItem{}, pendingSave{}, false
 	}
 	key := batchplan.Key{Job: job.record.ID, Item: index}
 	if since, busy := r.workingSince(key); busy && now.Sub(since) < minAge {
-		return batchjobs.RunningItem{}, kept{}, false
+		return batchjobs.RunningItem{}, pendingSave{}, false
 	}
-	part := item.Output.NextPart(r.newChain)
+	part := item.Output.NextPart(r.newChainID)
 	record := batch.ProgressRecord{
 		Job: key.Job, Item: index, Chain: part.Chain, Continues: part.Continues,
 		From: part.From, To: part.To, Versions: part.Versions, Whole: part.Whole,
 	}
-	return batchjobs.RunningItem{Homes: job.record.Homes, Record: record, Text: part.Text}, kept{key, part}, true
+	return batchjobs.RunningItem{Homes: job.record.Homes, Record: record, Text: part.Text}, pendingSave{key, part}, true
 }
 
-// workingSince tells since when an item runs or waits for its score; mu is held.
+// workingSince returns since when an item has been running or waiting for its score. Must be called with mu held.
 func (r *Runner) workingSince(key batchplan.Key) (time.Time, bool) {
 	if running, runs := r.runs[key]; runs {
 		return running.started, true
@@ -119,14 +117,15 @@
 	return r.scoring.since(key)
 }
 
-// newChain names a chain of this term; mu is held.
-func (r *Runner) newChain() string {
-	r.chains++
-	return r.options.Term + "." + strconv.Itoa(r.chains)
+// newChainID returns an ID for a chain of progress records that is unique across terms. Must be called with mu
+// held.
+func (r *Runner) newChainID() string {
+	r.chainCount++
+	return r.options.Term + "." + strconv.Itoa(r.chainCount)
 }
 
-// markKept notes what is in the log now.
-func (r *Runner) markKept(marks []kept) {
+// markSaved records that the parts have been written to the log.
+func (r *Runner) markSaved(marks []pendingSave) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, mark := range marks {
@@ -138,16 +137,15 @@
 	}
 }
 
-// carried is the output of an item whose job ended without using it. Its group
-// may come again in a later job.
-type carried struct {
+// carriedOutput is the output of an item whose job ended without using it. A later job may contain the item's
+// group again.
+type carriedOutput struct {
 	output batchitem.Output
 	at     time.Time
 }
 
-// carry keeps the output of the groups of an ended job that were not whole; mu
-// is held.
-func (r *Runner) carry(job *openJob) {
+// carryOver keeps the output of an ended job's incomplete groups for later jobs. Must be called with mu held.
+func (r *Runner) carryOver(job *openJob) {
 	broken := make(map[string]bool)
 	for i := range job.items {
 		if !job.items[i].Completed() {
@@ -158,19 +156,21 @@
 	for i := range job.items {
 		state, record := &job.items[i], job.record.Items[i]
 		if broken[record.Group] && !state.Output.Empty() {
-			r.carriedOver[batch.QualifiedID(job.record.Tenant, record.ID)] = carried{output: state.Output.Detached(), at: now}
+			r.carriedOver[batch.QualifiedID(job.record.Tenant, record.ID)] = carriedOutput{
+				output: state.Output.Detached(), at: now,
+			}
 		}
 	}
 	for id, each := range r.carriedOver {
-		if now.Sub(each.at) > carryTime {
+		if now.Sub(each.at) > carryOverRetention {
 			delete(r.carriedOver, id)
 		}
 	}
 }
 
-// takeCarried gives an item of a new job the output that an earlier job left, if
-// its versions fit; mu is held.
-func (r *Runner) takeCarried(job *openJob, index int) {
+// reuseCarriedOver gives an item of a new job the output left by an earlier job, if its weight versions are
+// allowed. Must be called with mu held.
+func (r *Runner) reuseCarriedOver(job *openJob, index int) {
 	record, item := job.record.Items[index], &job.items[index]
 	id := batch.QualifiedID(job.record.Tenant, record.ID)
 	left, found := r.carriedOver[id]
--- a/internal/batchrun/quarantine_test.go
+++ b/internal/batchrun/quarantine_test.go
@@ -13,9 +13,9 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// fakeGuard knows what a test says of each item, by the path of its request.
+// fakeGuard returns preset standings by fingerprint and records the lost connections.
 type fakeGuard struct {
-	noCrashes
+	noopGuard
 	mu       sync.Mutex
 	standing map[quarantine.Fingerprint]quarantine.Standing
 	losses   []crashes.Loss
@@ -28,7 +28,6 @@
 	return true
 }
 
-// lost returns the connections that were lost.
 func (g *fakeGuard) lost() []crashes.Loss {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -41,59 +40,57 @@
 	return g.standing[fingerprint()]
 }
 
-// itemFingerprint is that of an item of a fake job.
+// itemFingerprint returns the fingerprint of an item of fakeJobs.
 func itemFingerprint(item string) quarantine.Fingerprint {
 	return quarantine.Request{Method: "POST", Target: "/" + item}.Fingerprint()
 }
 
-// TestAnItemIsKeptAwayFromEnginesUntilItsHoldIsOver: others of its job run meanwhile.
-func TestAnItemIsKeptAwayFromEnginesUntilItsHoldIsOver(t *testing.T) {
-	w := newWorld(t, "a", "b")
-	w.engines.events["x"], w.engines.events["y"] = 2, 2
+// Other items of the job must run meanwhile.
+func TestQuarantinedItemWaitsUntilReleased(t *testing.T) {
+	env := newTestEnv(t, "a", "b")
+	env.engines.events["x"], env.engines.events["y"] = 2, 2
 	until := time.Now().Add(time.Second)
-	w.guard = &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{
+	env.guard = &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{
 		itemFingerprint("x"): {Crashes: quarantine.ItemLimit, Isolated: 1, HeldUntil: until},
 	}}
-	w.lead()
-	w.submit("j", 1, "x", "y")
-	testwait.Until(t, "the other item's result", func() bool { return len(w.jobs.results()) == 1 })
-	calls, _ := w.engines.callsOf("x")
-	assert.Assert(t, len(calls) == 0 || !time.Now().Before(until), "the item ran while it was held")
-	result := w.awaitResults(2)["j/0"]
-	assert.Equal(t, string(result.Text), wholeText("x", 2))
+	env.startRunner()
+	env.submit("j", 1, "x", "y")
+	testwait.Until(t, "the other item's result", func() bool { return len(env.jobs.results()) == 1 })
+	calls, _ := env.engines.callsOf("x")
+	assert.Assert(t, len(calls) == 0 || !time.Now().Before(until), "the item ran during its quarantine")
+	result := env.awaitResults(2)["j/0"]
+	assert.Equal(t, string(result.Text), fullText("x", 2))
 	assert.Assert(t, !time.Now().Before(until))
 }
 
-// TestAnItemThatWasNeverApartRuns: engines that crash by themselves, or under others, take
-// items with them.
-func TestAnItemThatWasNeverApartRuns(t *testing.T) {
-	w := newWorld(t, "a")
-	w.engines.events["x"] = 2
-	w.guard = &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{
+// Below the shared limit, crashes may be due to the engine or to other items on it.
+func TestItemWithoutIsolatedCrashRuns(t *testing.T) {
+	env := newTestEnv(t, "a")
+	env.engines.events["x"] = 2
+	env.guard = &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{
 		itemFingerprint("x"): {Crashes: quarantine.SharedItemLimit - 1, HeldUntil: time.Now().Add(time.Hour)},
 	}}
-	w.lead()
-	w.submit("j", 1, "x")
-	assert.Equal(t, string(w.awaitResults(1)["j/0"].Text), wholeText("x", 2))
+	env.startRunner()
+	env.submit("j", 1, "x")
+	assert.Equal(t, string(env.awaitResults(1)["j/0"].Text), fullText("x", 2))
 }
 
-// TestOnlyAnEndOfAnItemThatBeganApartIsTold: of an item that is suspect, soon after it began.
-func TestOnlyAnEndOfAnItemThatBeganApartIsTold(t *testing.T) {
+func TestCrashIsReportedAsIsolatedForSuspectItemsOnly(t *testing.T) {
 	for name, ended := range map[string]int{"suspect": quarantine.ItemLimit - 1, "not suspect": 1} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, "a", "b")
-			w.engines.events["x"] = 2
+			env := newTestEnv(t, "a", "b")
+			env.engines.events["x"] = 2
 			guard := &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{itemFingerprint("x"): {Crashes: ended}}}
-			w.guard = guard
-			w.engines.refuse = func(_ string, call Call) *RefusedError {
+			env.guard = guard
+			env.engines.refuse = func(_ string, call Call) *RefusedError {
 				if calls := guard.lost(); len(calls) == 0 {
 					return &RefusedError{Refusal: Broken, ConnectionLost: true, Detail: "EOF"}
 				}
 				return nil
 			}
-			w.lead()
-			w.submit("j", 1, "x")
-			w.awaitResults(1)
+			env.startRunner()
+			env.submit("j", 1, "x")
+			env.awaitResults(1)
 			assert.Equal(t, len(guard.lost()), 1)
 			assert.Equal(t, guard.lost()[0].Isolated, ended >= quarantine.ItemLimit-1)
 		})
--- a/internal/batchrun/recorder.go
+++ b/internal/batchrun/recorder.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// collectTime is how long ends of items are collected into one record.
-	collectTime = 20 * time.Millisecond
-	// recordTimeout bounds one try to record.
-	recordTimeout = 2 * time.Second
-	recordDelay   = 100 * time.Millisecond
-	// finalRecordTimeout bounds what is written after the end of a term.
+	// batchDelay is how long finished items are collected into one record.
+	batchDelay = 20 * time.Millisecond
+	// recordTimeout bounds one attempt to write a record.
+	recordTimeout    = 2 * time.Second
+	recordRetryDelay = 100 * time.Millisecond
+	// finalRecordTimeout bounds the writes after the end of a term.
 	finalRecordTimeout = 600 * time.Millisecond
 )
 
-// recorder writes the ends of items to the log, one writer a partition.
+// recorder writes finished items to the log, with one writer per partition.
 type recorder struct {
 	jobs   Jobs
 	logger zerolog.Logger
@@ -54,8 +54,8 @@
 	}
 }
 
-// run starts a writer for each partition that has something to write. When ctx
-// ends, what is pending gets a last chance.
+// run starts a writer for each partition with pending items. After ctx ends, pending items are still written for
+// up to finalRecordTimeout.
 func (r *recorder) run(ctx context.Context) {
 	lasting, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -84,10 +84,10 @@
 	}
 }
 
-// write records until nothing is pending.
+// write records items of a partition until none are pending.
 func (r *recorder) write(ctx context.Context, partition int) {
 	for {
-		retry.Sleep(ctx, collectTime)
+		retry.Sleep(ctx, batchDelay)
 		r.mu.Lock()
 		finished := r.pending[partition]
 		r.pending[partition] = nil
@@ -103,7 +103,7 @@
 	}
 }
 
-// record repeats until the log has taken it; false when ctx ended before.
+// record retries until all items are written; it returns false if ctx ended first.
 func (r *recorder) record(ctx context.Context, partition int, finished []batchjobs.FinishedItem) bool {
 	for ctx.Err() == nil {
 		tryContext, cancel := context.WithTimeout(ctx, recordTimeout)
@@ -114,7 +114,7 @@
 		}
 		finished = finished[recorded:]
 		r.logger.Warn().Err(err).Int("partition", partition).Int("items", len(finished)).Msg("results not recorded")
-		retry.Sleep(ctx, recordDelay)
+		retry.Sleep(ctx, recordRetryDelay)
 	}
 	return false
 }
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -17,30 +17,28 @@
 )
 
 const (
-	// stallTimeout ends a run whose stream has been silent for so long,
-	// loadingTimeout one at an engine that changes its weights, which keeps it
-	// silent for a second or two.
+	// stallTimeout is the maximum time between two events of a stream, loadingTimeout the same for an engine that
+	// is loading weights, which sends nothing for a second or two.
 	stallTimeout   = 1300 * time.Millisecond
 	loadingTimeout = 3500 * time.Millisecond
-	// stoodStill is the time between two ticks after which this process itself
-	// must have stood still.
-	stoodStill = 4 * tickPeriod
-	// measuredEvents is how many events one measurement of an engine's pace takes.
-	measuredEvents = 4
+	// maxTickGap is the time between two ticks above which this process is assumed to have been paused.
+	maxTickGap = 4 * tickPeriod
+	// paceSampleEvents is the number of events over which an engine's pace is sampled.
+	paceSampleEvents = 4
 )
 
-// stopReason is why a run was ended from outside.
+// stopReason is why the runner stopped a run.
 type stopReason uint8
 
 const (
 	notStopped stopReason = iota
-	// stopDropped: the item needs no run any more.
+	// stopDropped: the item no longer needs a run.
 	stopDropped
-	// stopMoved: the item continues at another engine.
+	// stopMoved: the item continues on another engine.
 	stopMoved
-	// stopStalled: the stream fell silent.
+	// stopStalled: the stream sent nothing for too long.
 	stopStalled
-	// stopEngineEnded: the list tells of another start of the engine.
+	// stopEngineEnded: the engine has restarted.
 	stopEngineEnded
 )
 
@@ -49,33 +47,33 @@
 	stopEngineEnded: "engine_ended",
 }
 
-// String returns the reason as it stands in logs; empty for none.
+// String returns the reason's name in logs; empty for none.
 func (r stopReason) String() string { return stopReasonNames[r] }
 
-// run is one item at one engine.
+// run is one item running on one engine.
 type run struct {
 	engine  incarnation.ID
 	started time.Time
-	// apart is true where nothing else begins at the engine for batchplan.IsolationTime.
-	apart  bool
-	cancel context.CancelFunc
-	// look is the last look at the call before it leaves.
-	look *sendgate.Look
+	// isolated reports whether no other item starts on the engine for batchplan.IsolationTime.
+	isolated bool
+	cancel   context.CancelFunc
+	// sendCheck is the final check before the call is sent.
+	sendCheck *sendgate.Look
 	// reason is guarded by the runner's mu.
 	reason stopReason
-	// heardAt is when the stream was heard last, in nanoseconds since 1970; stall
-	// looks at it when it may have fallen silent.
-	heardAt atomic.Int64
-	stall   atomic.Pointer[time.Timer]
-	// began is true once the engine has sent an event; guarded by the runner's mu.
-	began bool
-	// measured counts the events since measuredFrom; the runner's mu guards both.
-	measured     int
-	measuredFrom time.Time
+	// lastEventAt is when the stream last sent an event, as Unix time in nanoseconds; stallTimer fires when it may
+	// have stalled.
+	lastEventAt atomic.Int64
+	stallTimer  atomic.Pointer[time.Timer]
+	// hasEvents is set once the engine has sent an event; guarded by the runner's mu.
+	hasEvents bool
+	// sampleEvents is the number of events since sampleStart; both are guarded by the runner's mu.
+	sampleEvents int
+	sampleStart  time.Time
 }
 
-// checkStall stops a run whose stream is silent, or looks again later. A process
-// that stood still itself gives its streams time to be heard.
+// checkStall stops a run whose stream has stalled, or checks again later. After a pause of this process, streams
+// get time to deliver what has arrived meanwhile.
 func (r *Runner) checkStall(own *run) {
 	timeout := stallTimeout
 	if r.options.Loading(own.engine) != "" {
@@ -84,20 +82,20 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	left := timeout - now.Sub(time.Unix(0, own.heardAt.Load()))
-	if stood := now.Sub(r.tickedAt); stood > stoodStill {
-		left = max(left, stoodStill)
+	left := timeout - now.Sub(time.Unix(0, own.lastEventAt.Load()))
+	if gap := now.Sub(r.lastTickAt); gap > maxTickGap {
+		left = max(left, maxTickGap)
 	}
 	if left <= 0 {
 		own.stop(stopStalled)
 		return
 	}
-	if timer := own.stall.Load(); timer != nil {
+	if timer := own.stallTimer.Load(); timer != nil {
 		timer.Reset(left)
 	}
 }
 
-// stop ends the run; the first reason stands. The runner's mu is held.
+// stop cancels the run; the first reason is kept. Must be called with the runner's mu held.
 func (r *run) stop(reason stopReason) {
 	if r.reason == notStopped {
 		r.reason = reason
@@ -105,7 +103,7 @@
 	r.cancel()
 }
 
-// start begins an assigned item; mu is held.
+// start starts an assigned item, or queues it again if the engine may not run it now. Must be called with mu held.
 func (r *Runner) start(assignment batchplan.Assignment) {
 	key := assignment.Item.Key
 	job := r.jobs[key.Job]
@@ -125,32 +123,31 @@
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
 	started := &run{
-		engine: engine.Incarnation(), started: time.Now(), apart: assignment.Item.Suspect, cancel: cancel,
-		look: r.options.Gate.Look(engine.Incarnation(), mayLeave),
+		engine: engine.Incarnation(), started: time.Now(), isolated: assignment.Item.Suspect, cancel: cancel,
+		sendCheck: r.options.Gate.Look(engine.Incarnation(), mayLeave),
 	}
 	r.runs[key] = started
 	state := &job.items[key.Item]
 	record := job.record.Items[key.Item]
 	call := job.call(key.Item)
 	call.After, call.Started = state.Output.Last(), !state.Output.Empty()
-	call.MayLeave = started.look.MayLeave
-	r.options.Logger.Info().Str("job", key.Job).Str("item", record.ID).Str("group", record.Group).Stringer("engine", started.engine).
-		Int("running", assignment.Running).Bool("cold", mayLeave != nil).Dur("pace_ms", assignment.Pace).
+	call.MayLeave = started.sendCheck.MayLeave
+	r.options.Logger.Info().Str("job", key.Job).Str("item", record.ID).Str("group", record.Group).
+		Stringer("engine", started.engine).Int("running", assignment.Running).Bool("cold", mayLeave != nil).Dur("pace_ms", assignment.Pace).
 		Int64("version", engine.Versions[job.record.Model]).Int64("after_event", call.After).
 		Int("length", record.Length).Int("tokens", record.Tokens).
 		Dur("waited_ms", time.Since(job.addedAt)).Msg("item started")
 	r.options.Fleet.Began(engine.Incarnation())
 	r.wait.Go(func() {
 		defer cancel()
-		err := r.follow(ctx, job, key, engine, started, call)
-		r.observeCrash(key, engine, started, call, err)
-		r.ended(job, key, started, err)
+		err := r.readStream(ctx, job, key, engine, started, call)
+		r.reportOutcome(key, engine, started, call, err)
+		r.runEnded(job, key, started, err)
 	})
 }
 
-// observeCrash finds out what became of an engine that ended an item's stream, and
-// remembers which items gave a whole one.
-func (r *Runner) observeCrash(key batchplan.Key, engine fleet.Engine, own *run, call Call, err error) {
+// reportOutcome reports a completed run or a lost connection to the crash guard. Must be called without mu held.
+func (r *Runner) reportOutcome(key batchplan.Key, engine fleet.Engine, own *run, call Call, err error) {
 	if errors.Is(err, io.EOF) {
 		r.options.Guard.Answered(call.fingerprint)
 		return
@@ -159,25 +156,25 @@
 	if !errors.As(err, &refused) || !refused.ConnectionLost {
 		return
 	}
-	if r.endedCrowded(key, engine, time.Now()) {
+	if r.endedOvercommitted(key, engine, time.Now()) {
 		r.options.Logger.Warn().Str("job", key.Job).Str("item", call.ItemID).Stringer("engine", engine.Incarnation()).
-			Msg("engine ended with more items than its memory holds")
+			Msg("overcommitted engine lost its connections")
 		return
 	}
 	r.options.Guard.ConnectionLost(r.ctx, crashes.Loss{
 		Engine: engine, RequestID: call.ItemID, Fingerprint: call.fingerprint(),
-		Isolated: own.apart && time.Since(own.started) < batchplan.IsolationTime,
+		Isolated: own.isolated && time.Since(own.started) < batchplan.IsolationTime,
 	})
 }
 
-// follow starts the stream and takes its events until it ends.
-func (r *Runner) follow(
+// readStream starts the stream and adds its events to the output until it ends.
+func (r *Runner) readStream(
 	ctx context.Context, job *openJob, key batchplan.Key, engine fleet.Engine, own *run, call Call,
 ) error {
-	own.heardAt.Store(time.Now().UnixNano())
-	stall := time.AfterFunc(stallTimeout, func() { r.checkStall(own) })
-	own.stall.Store(stall)
-	defer stall.Stop()
+	own.lastEventAt.Store(time.Now().UnixNano())
+	stallTimer := time.AfterFunc(stallTimeout, func() { r.checkStall(own) })
+	own.stallTimer.Store(stallTimer)
+	defer stallTimer.Stop()
 	stream, err := r.options.Engines.Stream(ctx, engine, call)
 	if err != nil {
 		return err
@@ -189,62 +186,62 @@
 			return err
 		}
 		now := time.Now()
-		own.heardAt.Store(now.UnixNano())
-		if err := r.take(job, key, own, event, now); err != nil {
+		own.lastEventAt.Store(now.UnixNano())
+		if err := r.addEvent(job, key, own, event, now); err != nil {
 			return err
 		}
 	}
 }
 
-// errNotWanted ends a run whose item has ended meanwhile.
-var errNotWanted = errors.New("the item is not wanted any more")
+// errItemDone ends a run that has been stopped, or whose item has ended, meanwhile.
+var errItemDone = errors.New("item already ended or run stopped")
 
-// take adds an event to the item's output.
-func (r *Runner) take(
+// addEvent adds an event to the item's output.
+func (r *Runner) addEvent(
 	job *openJob, key batchplan.Key, own *run, event Event, now time.Time,
 ) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	item := &job.items[key.Item]
 	if item.Ended() || r.runs[key] != own || own.reason != notStopped {
-		return errNotWanted
+		return errItemDone
 	}
-	if !own.began {
-		own.began = true
+	if !own.hasEvents {
+		own.hasEvents = true
 		r.options.Fleet.Heard(own.engine, now)
 	}
 	switch item.Output.Add(event, job.limits()) {
 	case batchitem.OutOfOrder:
-		return &RefusedError{Refusal: Broken, Detail: "an event is missing or stands twice"}
+		return &RefusedError{Refusal: Broken, Detail: "event number out of sequence"}
 	case batchitem.TooOld:
-		return &RefusedError{Refusal: NotExecuted, Detail: "made by weights older than the job allows"}
+		return &RefusedError{Refusal: NotExecuted, Detail: "event from a weight version below the job's minimum"}
 	case batchitem.SecondVersion:
-		return &RefusedError{Refusal: NotExecuted, Detail: "the weights changed, and the route wants one version"}
+		return &RefusedError{Refusal: NotExecuted, Detail: "weight version changed, but the route requires a single version"}
 	}
 	r.observePace(own, now)
 	return nil
 }
 
-// observePace measures the time between events over some of them, since those
-// that had to wait in this process come together; mu is held.
+// observePace measures the time between events over several of them, since events delayed within this process
+// arrive together. Must be called with mu held.
 func (r *Runner) observePace(own *run, now time.Time) {
-	if own.measuredFrom.IsZero() {
-		own.measuredFrom = now
+	if own.sampleStart.IsZero() {
+		own.sampleStart = now
 		return
 	}
-	own.measured++
-	if own.measured < measuredEvents {
+	own.sampleEvents++
+	if own.sampleEvents < paceSampleEvents {
 		return
 	}
-	r.options.Fleet.Continues(own.engine, own.started, own.measuredFrom)
+	r.options.Fleet.Continues(own.engine, own.started, own.sampleStart)
 	if r.options.Loading(own.engine) == "" {
-		r.plan.ObservePace(own.engine, now.Sub(own.measuredFrom)/measuredEvents)
+		r.plan.ObservePace(own.engine, now.Sub(own.sampleStart)/paceSampleEvents)
 	}
-	own.measuredFrom, own.measured = now, 0
+	own.sampleStart, own.sampleEvents = now, 0
 }
 
-// ended takes the end of a run: it finishes the item or queues it again.
-func (r *Runner) ended(job *openJob, key batchplan.Key, own *run, err error) {
+// runEnded handles the end of a run: it completes the item or queues it again.
+func (r *Runner) runEnded(job *openJob, key batchplan.Key, own *run, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	whole := errors.Is(err, io.EOF)
@@ -257,7 +254,7 @@
 	if own.reason == notStopped && !whole && r.ctx.Err() == nil {
 		outcome.Failed = refusal == Broken
 		outcome.Unreached = refusal == Broken
-		outcome.RefusedItem = refusal == NotExecuted && !own.began
+		outcome.RefusedItem = refusal == NotExecuted && !own.hasEvents
 		outcome.Gone = refusal == WrongEngine
 	}
 	if own.reason == stopStalled {
@@ -265,7 +262,7 @@
 	}
 	r.options.Fleet.Ended(own.engine, outcome)
 	if refusal == NotExecuted && own.reason == notStopped {
-		r.pausedUntil[own.engine] = outcome.At.Add(refusedPause)
+		r.pausedUntil[own.engine] = outcome.At.Add(refusalPause)
 	}
 	if r.runs[key] == own {
 		delete(r.runs, key)
@@ -277,26 +274,26 @@
 	whole = whole && own.reason == notStopped
 	switch {
 	case r.ctx.Err() != nil && whole:
-		// The term is over: the next leader finds in the log that nothing is missing.
+		// Marked as complete so that the final save, if still due, tells the next leader.
 		job.items[key.Item].Whole()
 		return
 	case r.ctx.Err() != nil:
 		return
 	case whole:
-		r.textWhole(job, key.Item, "whole")
+		r.outputComplete(job, key.Item, "whole")
 		r.Wake()
 		return
 	}
-	r.tryAgain(job, key, own, refusal, err)
+	r.retryOrExpire(job, key, own, refusal, err)
 }
 
-// tryAgain queues an item whose run did not end well, or gives it up; mu is held.
-func (r *Runner) tryAgain(job *openJob, key batchplan.Key, own *run, refusal Refusal, err error) {
+// retryOrExpire queues an item whose run did not complete, or expires it. Must be called with mu held.
+func (r *Runner) retryOrExpire(job *openJob, key batchplan.Key, own *run, refusal Refusal, err error) {
 	state := &job.items[key.Item]
 	route, _ := r.options.RouteOf(job.record.Host, job.record.Path)
 	r.options.Logger.Warn().Err(err).Str("job", key.Job).Str("item", job.record.Items[key.Item].ID).
 		Stringer("engine", own.engine).Stringer("refusal", refusal).Stringer("stop_reason", own.reason).
-		Stringer("held_back", own.look.Held()).
+		Stringer("held_back", own.sendCheck.Held()).
 		Int64("after_event", state.Output.Last()).Dur("ran_ms", time.Since(own.started)).Msg("run ended early")
 	notBefore := time.Now().Add(retryDelay)
 	if own.reason != notStopped {
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -21,54 +21,53 @@
 )
 
 const (
-	// tickPeriod is the longest time between two looks at the plan.
+	// tickPeriod is the maximum time between two scheduling rounds.
 	tickPeriod = 50 * time.Millisecond
-	// refusedPause holds an engine back after it did not run an item: it is full or
-	// changes its weights, and would refuse the next one as well.
-	refusedPause = 250 * time.Millisecond
-	// retryDelay holds an item back after an engine did not run it.
+	// refusalPause is how long an engine gets no items after it refused one: it is full or loading weights and
+	// would refuse the next one too.
+	refusalPause = 250 * time.Millisecond
+	// retryDelay is the wait before an item is retried after an engine did not run it.
 	retryDelay = 60 * time.Millisecond
-	// assignShare, scoreShare and moveShare are the most of its time that the runner
-	// spends on looking for engines, for scoring calls to make and for items to move.
+	// assignShare, scoreShare and moveShare are the maximum shares of the runner's time spent on assigning items,
+	// starting scoring calls and moving items.
 	assignShare = 0.25
 	scoreShare  = 0.1
 	moveShare   = 0.05
-	// loadDelay is the wait between two tries to read a job's payloads.
+	// loadDelay is the wait between two attempts to read a job's payloads.
 	loadDelay = 100 * time.Millisecond
-	// restoreWait is the longest time from the start of a term for which no item starts
-	// while interrupted ones are being read: those go first. A read of all of them takes
-	// 0.1 to 0.2 s.
+	// restoreWait bounds how long after the start of a term no item is started while saved progress is being read,
+	// since interrupted items take precedence.
 	restoreWait = 400 * time.Millisecond
 )
 
-// Options are the parts that a runner works with.
+// Options are the dependencies of a runner.
 type Options struct {
 	Jobs    Jobs
 	Engines Engines
 	Fleet   *fleet.Fleet
 	Scorer  Scorer
 	Guard   Guard
-	// Gate is asked before calls leave; nil for one that asks Fleet.
+	// Gate is checked before calls are sent; nil for one that checks Fleet only.
 	Gate *sendgate.Gate
-	// ColdStarts is asked for the engines of services that have a slow start only.
+	// ColdStarts is used only for engines of services with a slow start.
 	ColdStarts ColdStarts
 	RouteOf    RouteOf
-	// Within are the home regions of the jobs that this runner runs: just those that are bound to them,
-	// or, where it bounds nothing, those that are bound to none. HomesOf tells those of a job by the
-	// configuration in force, whose version is Config.
+	// Within are the home regions whose jobs this runner runs: jobs bound to exactly these regions or, if it is
+	// unbound, jobs bound to none. HomesOf returns the homes of a job in the current configuration, whose version
+	// is Config.
 	Within  homes.Set
 	HomesOf func(job *batch.JobRecord) homes.Set
 	Config  func() int64
-	// Loading tells which model's weights an engine is changing, empty for none; AllLoading tells it of all
-	// engines that change some.
+	// Loading returns the model whose weights an engine is loading, empty for none; AllLoading returns it for all
+	// engines that are loading.
 	Loading    func(engine incarnation.ID) string
 	AllLoading func() map[incarnation.ID]string
-	// Term names this term of leading among all terms.
+	// Term identifies this leadership term among all terms.
 	Term   string
 	Logger zerolog.Logger
 }
 
-// Runner runs items while it leads.
+// Runner runs items during one leadership term.
 type Runner struct {
 	options  Options
 	recorder *recorder
@@ -78,37 +77,33 @@
 	ctx  context.Context
 	plan *batchplan.Plan
 	jobs map[string]*openJob
-	// others are the open jobs that other runners run; scopedBy is the version of the configuration
-	// by which that was decided.
-	others   map[string]*otherJob
-	scopedBy int64
-	runs     map[batchplan.Key]*run
-	// restoring counts the jobs whose kept outputs are being read; began is the start
-	// of the term.
-	restoring int
-	began     time.Time
-	// scoring holds the items whose output is whole and whose score is not there.
+	// otherJobs are the open jobs of other runners; homesVersion is the configuration version by which jobs were
+	// last divided among the runners.
+	otherJobs    map[string]*otherJob
+	homesVersion int64
+	runs         map[batchplan.Key]*run
+	// pendingRestores is the number of jobs whose saved output is being read; startedAt is the start of the term.
+	pendingRestores int
+	startedAt       time.Time
+	// scoring holds the items whose output is complete but not scored yet.
 	scoring *scoringQueue
-	// pausedUntil holds until when engines that refused an item get none.
+	// pausedUntil holds, by engine, the end of the pause after it refused an item.
 	pausedUntil map[incarnation.ID]time.Time
-	// crowded tells of engines that lost a connection whether they had been given more than their memory holds.
-	crowded map[incarnation.ID]crowding
-	// crowdedEnds counts the engines that ended under an item because they were crowded.
-	crowdedEnds map[batchplan.Key]int
-	// starts is how many starts of engines were listed when the runs were looked through last.
-	starts int64
-	// tickedAt is when the runner last looked round.
-	tickedAt time.Time
-	// quarantined holds until when items are kept away from engines, because engines ended
-	// under them.
-	quarantined map[batchplan.Key]time.Time
-	// evacuatedToldAt is when it was last told that items wait for evacuated zones.
-	evacuatedToldAt time.Time
-	// chains counts the chains of this term.
-	chains int
-	// carriedOver holds output left by ended jobs, by item ID qualified by its tenant.
-	carriedOver map[string]carried
-	// wait counts the goroutines of runs and loads.
+	// overcommitted holds, for engines that lost a connection, whether they had been assigned more than their
+	// memory holds.
+	overcommitted map[incarnation.ID]overcommitCheck
+	// overcommitLosses counts the overcommitted engines that crashed while running an item.
+	overcommitLosses map[batchplan.Key]int
+	// engineStarts is the fleet's number of engine starts when the runs were last checked for restarts.
+	engineStarts int64
+	lastTickAt   time.Time
+	// quarantinedUntil holds the quarantined items and the end of their quarantine.
+	quarantinedUntil   map[batchplan.Key]time.Time
+	evacuationLoggedAt time.Time
+	chainCount         int
+	// carriedOver holds the output of ended jobs by the item's ID qualified by its tenant.
+	carriedOver map[string]carriedOutput
+	// wait counts the goroutines of runs, scoring calls and loads.
 	wait sync.WaitGroup
 }
 
@@ -118,51 +113,50 @@
 	payloads []batch.Payload
 	items    []batchitem.Item
 	addedAt  time.Time
-	// single is true when a result may bear one weight version only.
-	single bool
-	// kept holds the progress that other leaders left in the log.
-	kept map[int]batch.Progress
-	// stopLoading ends the reading of what the engines are sent.
-	stopLoading context.CancelFunc
-	// left counts the items without a recorded result.
-	left int
-	// tokens is the size of all items.
+	// singleVersion reports whether a result may come from one weight version only.
+	singleVersion bool
+	// savedProgress holds the progress in the log when the job was added, by item.
+	savedProgress map[int]batch.Progress
+	cancelLoad    context.CancelFunc
+	// remaining is the number of items without a recorded result.
+	remaining int
+	// tokens is the total size of all items.
 	tokens int
 }
 
-// limits are the weight versions that may make the job's items.
+// limits returns the weight versions that may produce the job's output.
 func (j *openJob) limits() batchitem.Limits {
-	return batchitem.Limits{MinVersion: j.record.MinVersion, Single: j.single}
+	return batchitem.Limits{MinVersion: j.record.MinVersion, Single: j.singleVersion}
 }
 
-// New returns a runner for one term of leading.
+// New returns a runner for one leadership term.
 func New(options Options) *Runner {
 	options.Gate = sendgate.OrNew(options.Gate, options.Fleet)
 	r := &Runner{
-		options: options,
-		wake:    make(chan struct{}, 1),
-		plan:    batchplan.New(),
-		jobs:    make(map[string]*openJob),
-		others:  make(map[string]*otherJob),
-		runs:    make(map[batchplan.Key]*run),
-		scoring: newScoringQueue(),
+		options:   options,
+		wake:      make(chan struct{}, 1),
+		plan:      batchplan.New(),
+		jobs:      make(map[string]*openJob),
+		otherJobs: make(map[string]*otherJob),
+		runs:      make(map[batchplan.Key]*run),
+		scoring:   newScoringQueue(),
 
-		pausedUntil: make(map[incarnation.ID]time.Time),
-		crowded:     make(map[incarnation.ID]crowding),
-		crowdedEnds: make(map[batchplan.Key]int),
-		quarantined: make(map[batchplan.Key]time.Time),
-		carriedOver: make(map[string]carried),
+		pausedUntil:      make(map[incarnation.ID]time.Time),
+		overcommitted:    make(map[incarnation.ID]overcommitCheck),
+		overcommitLosses: make(map[batchplan.Key]int),
+		quarantinedUntil: make(map[batchplan.Key]time.Time),
+		carriedOver:      make(map[string]carriedOutput),
 	}
 	r.recorder = newRecorder(options.Jobs, options.Logger)
 	return r
 }
 
-// Run runs items until ctx ends. What it reads and writes of their bodies and texts goes by way of no
-// node outside of their homes.
+// Run runs items until ctx ends. Reads and writes of payloads and outputs go only through nodes within the
+// runner's home regions.
 func (r *Runner) Run(ctx context.Context) {
 	ctx = homes.NewContext(ctx, r.options.Within)
 	r.mu.Lock()
-	r.ctx, r.began = ctx, time.Now()
+	r.ctx, r.startedAt = ctx, time.Now()
 	r.mu.Unlock()
 	var group errgroup.Group
 	group.Go(func() error {
@@ -170,7 +164,7 @@
 		return nil
 	})
 	group.Go(func() error {
-		r.keepLoop(ctx)
+		r.saveLoop(ctx)
 		return nil
 	})
 	r.options.Jobs.Observe(r)
@@ -185,15 +179,15 @@
 		case <-r.wake:
 		case now := <-ticker.C:
 			r.tick(now)
-			r.stopAtEnded()
-			r.rescope()
-			r.giveUpOld()
-			r.giveUpOthers(now)
-			r.queueReleased(now)
-			rounds(moving, r.moveStragglers)
+			r.stopRunsAtRestarted()
+			r.applyHomes()
+			r.expireOverdue()
+			r.expireOverdueOthers(now)
+			r.requeueReleased(now)
+			runIfDue(moving, r.moveStragglers)
 		}
-		rounds(scoring, r.startScoring)
-		rounds(assigning, r.assign)
+		runIfDue(scoring, r.startScoring)
+		runIfDue(assigning, r.assign)
 		retry.Sleep(ctx, assigning.Wait(time.Now()))
 	}
 	r.options.Jobs.Unobserve(r)
@@ -201,8 +195,8 @@
 	_ = group.Wait()
 }
 
-// rounds does a round of repeated work if one is due.
-func rounds(cycle *dutycycle.Cycle, work func()) {
+// runIfDue does one round of periodic work if the duty cycle allows it.
+func runIfDue(cycle *dutycycle.Cycle, work func()) {
 	began := time.Now()
 	if !cycle.Due(began) {
 		return
@@ -214,10 +208,10 @@
 func (r *Runner) tick(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tickedAt = now
+	r.lastTickAt = now
 }
 
-// Wake makes the runner look at the plan now.
+// Wake triggers a scheduling round.
 func (r *Runner) Wake() {
 	select {
 	case r.wake <- struct{}{}:
@@ -225,7 +219,7 @@
 	}
 }
 
-// complete hands an item's output and score to the recorder; mu is held.
+// complete passes an item's output and score to the recorder. Must be called with mu held.
 func (r *Runner) complete(job *openJob, index int, score, reason string) {
 	item := &job.items[index]
 	if item.Ended() {
@@ -239,7 +233,7 @@
 	})
 }
 
-// expire gives an item up; mu is held.
+// expire ends an item without a result. Must be called with mu held.
 func (r *Runner) expire(job *openJob, index int, reason string) {
 	item := &job.items[index]
 	if item.Ended() {
@@ -250,12 +244,12 @@
 	r.record(job, reason, batchjobs.FinishedItem{JobID: job.record.ID, Item: index, Outcome: batch.Expired})
 }
 
-// record hands the end of an item to the recorder; mu is held.
+// record removes an ended item from the plan and passes it to the recorder. Must be called with mu held.
 func (r *Runner) record(job *openJob, reason string, finished batchjobs.FinishedItem) {
 	key := batchplan.Key{Job: job.record.ID, Item: finished.Item}
 	r.plan.Remove(key)
-	delete(r.quarantined, key)
-	delete(r.crowdedEnds, key)
+	delete(r.quarantinedUntil, key)
+	delete(r.overcommitLosses, key)
 	item := &job.items[finished.Item]
 	r.options.Logger.Info().Str("job", job.record.ID).Str("item", job.record.Items[finished.Item].ID).
 		Int("index", finished.Item).Bool("completed", finished.Outcome == batch.Completed).Str("reason", reason).
@@ -264,7 +258,7 @@
 	r.recorder.add(finished)
 }
 
-// stopWork ends the run or the scoring call of an item; mu is held.
+// stopWork cancels the run or the scoring call of an item. Must be called with mu held.
 func (r *Runner) stopWork(key batchplan.Key) {
 	if running, found := r.runs[key]; found {
 		running.stop(stopDropped)
@@ -272,7 +266,7 @@
 	r.scoring.cancel(key)
 }
 
-// assign starts what the plan assigns.
+// assign starts the items that the plan assigns to engines.
 func (r *Runner) assign() {
 	now := time.Now()
 	r.mu.Lock()
@@ -280,21 +274,21 @@
 	if r.plan.Waiting() == 0 || r.ctx.Err() != nil || !r.options.Gate.Known() {
 		return
 	}
-	if r.restoring > 0 && now.Sub(r.began) < restoreWait {
+	if r.pendingRestores > 0 && now.Sub(r.startedAt) < restoreWait {
 		return
 	}
 	views := r.engineViews(now)
-	r.tellEvacuated(now, views)
+	r.logEvacuationWait(now, views)
 	for _, assignment := range r.plan.Assign(now, views) {
 		r.start(assignment)
 	}
 	if r.plan.Waiting() > 0 {
-		r.wantColdStarts(views)
+		r.requestColdStarts(views)
 	}
 }
 
-// giveUpOld ends items whose time is over or whose route is gone.
-func (r *Runner) giveUpOld() {
+// expireOverdue expires the items of jobs whose retention has passed or whose route is gone.
+func (r *Runner) expireOverdue() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, job := range r.jobs {
@@ -306,7 +300,7 @@
 			continue
 		}
 		for i := range job.items {
-			r.expire(job, i, "time over or route gone")
+			r.expire(job, i, "retention expired or route removed")
 		}
 	}
 }
--- a/internal/batchrun/scope.go
+++ b/internal/batchrun/scope.go
@@ -8,78 +8,79 @@
 	"github.com/corkpulley/corkpulley/internal/core/fleet"
 )
 
-// otherGrace is how much later than its own runner another one gives up the items of a job whose time
-// is over: longer than a new runner takes to be elected.
-const otherGrace = 5 * time.Second
+// otherRunnerGrace is how much later than a job's own runner another one expires its items. It is longer than the
+// election of a new runner takes.
+const otherRunnerGrace = 5 * time.Second
 
-// otherJob is an open job that another runner runs. Nothing of its bodies and texts is read here.
+// otherJob is an open job of another runner. Its payloads and outputs are not read here.
 type otherJob struct {
-	record batch.JobRecord
-	listed []bool
-	// left counts the items without a recorded result.
-	left   int
-	tokens int
-	seenAt time.Time
+	record   batch.JobRecord
+	recorded []bool
+	// remaining is the number of items without a recorded result.
+	remaining int
+	tokens    int
+	seenAt    time.Time
 }
 
 func newOtherJob(job *batch.Job) *otherJob {
 	other := &otherJob{
-		record: job.JobRecord, listed: make([]bool, len(job.Items)),
-		left: len(job.Items) - len(job.Results), seenAt: time.Now(),
+		record: job.JobRecord, recorded: make([]bool, len(job.Items)),
+		remaining: len(job.Items) - len(job.Results), seenAt: time.Now(),
 	}
 	for i := range job.Items {
-		other.listed[i] = job.Listed(i)
+		other.recorded[i] = job.Listed(i)
 		other.tokens += job.Items[i].Tokens
 	}
 	return other
 }
 
-// owns tells whether this runner runs a job by the configuration in force.
+// owns reports whether this runner runs the job in the current configuration.
 func (r *Runner) owns(job *batch.JobRecord) bool { return r.options.HomesOf(job) == r.options.Within }
 
-// awaitsRoute tells whether a job's route may only not be known yet: the node that took the job knew a newer
-// configuration.
-func (r *Runner) awaitsRoute(job *batch.JobRecord) bool {
+// routePending reports whether the job's route may appear with a newer configuration: the node that accepted the
+// job had a newer one.
+func (r *Runner) routePending(job *batch.JobRecord) bool {
 	_, found := r.options.RouteOf(job.Host, job.Path)
 	return !found && job.Config > r.options.Config()
 }
 
-// mayRun tells whether an item of the job may be sent to the engine: the last look before it is.
+// mayRun reports whether an item of the job may be sent to the engine. It is the final check of homes before the
+// send.
 func (r *Runner) mayRun(job *openJob, engine fleet.Engine) bool {
 	return r.owns(&job.record) && r.options.Within.Allows(engine.Region)
 }
 
-// otherListed notes the result of an item of a job that another runner runs; mu is held.
-func (r *Runner) otherListed(jobID string, item int) {
-	other, found := r.others[jobID]
-	if !found || other.listed[item] {
+// otherItemRecorded records that an item of another runner's job has a result. Must be called with mu held.
+func (r *Runner) otherItemRecorded(jobID string, item int) {
+	other, found := r.otherJobs[jobID]
+	if !found || other.recorded[item] {
 		return
 	}
-	other.listed[item] = true
-	other.left--
-	if other.left <= 0 {
-		delete(r.others, jobID)
+	other.recorded[item] = true
+	other.remaining--
+	if other.remaining <= 0 {
+		delete(r.otherJobs, jobID)
 	}
 }
 
-// rescope hands jobs over to other runners and takes jobs from them, as a new configuration asks.
-func (r *Runner) rescope() {
-	if r.releaseForeign() {
-		// Jobs that are known are passed over; the others are told as they stand in the log now.
+// applyHomes hands jobs over to other runners, and takes over theirs, after a change of the configuration.
+func (r *Runner) applyHomes() {
+	if r.releaseUnowned() {
+		// Known jobs are ignored; the others are added in their current state in the log.
 		r.options.Jobs.Observe(r)
 	}
 }
 
-// releaseForeign drops the jobs that are not this runner's any more, and tells whether any job has
-// changed its runner.
-func (r *Runner) releaseForeign() bool {
+// releaseUnowned drops the jobs that no longer belong to this runner, and reports whether any job changed its
+// runner.
+func (r *Runner) releaseUnowned() bool {
 	version := r.options.Config()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.scopedBy == version {
+	if r.homesVersion == version {
 		return false
 	}
-	r.scopedBy = version
+	r.homesVersion = version
 	changed := false
 	for _, job := range r.jobs {
 		if !r.owns(&job.record) {
@@ -87,40 +88,40 @@
 			changed = true
 		}
 	}
-	for _, other := range r.others {
+	for _, other := range r.otherJobs {
 		changed = changed || r.owns(&other.record)
 	}
 	return changed
 }
 
-// release ends all work at a job that another runner takes up; mu is held. What was kept of its items
-// stands in the log.
+// release cancels all work on a job that another runner takes over. The progress saved so far is in the log. Must
+// be called with mu held.
 func (r *Runner) release(job *openJob) {
 	running := 0
 	for i := range job.items {
 		if !job.items[i].Ended() {
 			running++
 		}
-		r.drop(job, i)
+		r.dropItem(job, i)
 	}
-	r.forget(job)
+	r.removeJob(job)
 	r.options.Logger.Info().Str("job", job.record.ID).Stringer("homes", r.options.HomesOf(&job.record)).
-		Stringer("runner_homes", r.options.Within).Int("unfinished", running).Msg("job left to another runner")
+		Stringer("runner_homes", r.options.Within).Int("unfinished", running).Msg("job handed over to another runner")
 }
 
-// giveUpOthers ends items of jobs that no runner ends in time: there may be no node in their homes, or
-// their route may be gone. Only the runner of jobs without homes does; that needs nothing of the bodies.
-func (r *Runner) giveUpOthers(now time.Time) {
+// expireOverdueOthers expires items that their own runner has not ended in time, for example because no node is in
+// its home regions or the route is gone. Only the unbound runner does so; it needs none of the payloads.
+func (r *Runner) expireOverdueOthers(now time.Time) {
 	if r.options.Within.Bound() {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, job := range r.others {
+	for _, job := range r.otherJobs {
 		route, found := r.options.RouteOf(job.record.Host, job.record.Path)
-		limit := otherGrace
+		limit := otherRunnerGrace
 		switch {
-		case found && route.Retention <= 0, r.awaitsRoute(&job.record):
+		case found && route.Retention <= 0, r.routePending(&job.record):
 			continue
 		case found:
 			limit += route.Retention
@@ -131,14 +132,14 @@
 	}
 }
 
-// expireOther gives up what is left of a job that another runner should have ended; mu is held.
+// expireOther expires the remaining items of another runner's job. Must be called with mu held.
 func (r *Runner) expireOther(job *otherJob) {
 	r.options.Logger.Warn().Str("job", job.record.ID).Stringer("homes", r.options.HomesOf(&job.record)).
-		Int("items", job.left).Msg("items of another runner given up")
-	for item, listed := range job.listed {
-		if !listed {
+		Int("items", job.remaining).Msg("expired overdue items of another runner")
+	for item, recorded := range job.recorded {
+		if !recorded {
 			r.recorder.add(batchjobs.FinishedItem{JobID: job.record.ID, Item: item, Outcome: batch.Expired})
 		}
 	}
-	delete(r.others, job.record.ID)
+	delete(r.otherJobs, job.record.ID)
 }
--- a/internal/batchrun/scoring.go
+++ b/internal/batchrun/scoring.go
@@ -11,31 +11,31 @@
 	"github.com/corkpulley/corkpulley/internal/core/batchplan"
 )
 
-// scoringRetries are the delays between tries of a scoring call.
-var scoringRetries = retry.Policy{First: 50 * time.Millisecond, Longest: time.Second}
+// scoringBackoff sets the delays between attempts at a scoring call.
+var scoringBackoff = retry.Policy{First: 50 * time.Millisecond, Longest: time.Second}
 
-// scoringItem is an item whose output is whole and whose score is not there yet.
+// scoringItem is an item whose output is complete but not scored yet.
 type scoringItem struct {
 	key    batchplan.Key
 	tenant string
 	call   batch.ScoringCall
-	// jobSince is when its job was taken up, since when its output was whole.
-	jobSince time.Time
-	since    time.Time
-	// notBefore holds the call back after a failure; delays are the pauses to come.
+	// jobAddedAt is when its job was added, since is when its output was complete.
+	jobAddedAt time.Time
+	since      time.Time
+	// notBefore delays the next attempt after a failure.
 	notBefore time.Time
-	delays    *retry.Delays
+	backoff   *retry.Delays
 	tries     int
-	// service answers the call under way.
+	// service is the service of the call in progress.
 	service string
-	// cancel ends the call under way; nil when there is none.
+	// cancel cancels the call in progress; nil when there is none.
 	cancel context.CancelFunc
 }
 
-// scoringQueue holds the items that wait for their score. The runner's mu guards it.
+// scoringQueue holds the items waiting for their score. It is guarded by the runner's mu.
 type scoringQueue struct {
 	items map[batchplan.Key]*scoringItem
-	// windows bound the calls under way at each service.
+	// windows limit the concurrent calls per service.
 	windows map[string]*admission.Window
 }
 
@@ -46,7 +46,6 @@
 	}
 }
 
-// window returns the service's window.
 func (q *scoringQueue) window(service string) *admission.Window {
 	window, found := q.windows[service]
 	if !found {
@@ -56,7 +55,7 @@
 	return window
 }
 
-// cancel ends the scoring of an item, if it is there.
+// cancel removes an item and cancels its call, if it is queued.
 func (q *scoringQueue) cancel(key batchplan.Key) {
 	item, found := q.items[key]
 	if !found {
@@ -68,7 +67,7 @@
 	}
 }
 
-// since tells since when an item waits for its score.
+// since returns since when an item has been waiting for its score.
 func (q *scoringQueue) since(key batchplan.Key) (time.Time, bool) {
 	item, found := q.items[key]
 	if !found {
@@ -77,8 +76,8 @@
 	return item.since, true
 }
 
-// due returns the items whose call may begin, those of older jobs first, then
-// those that have waited longest.
+// due returns the items whose call may start, ordered by the age of their job, then by how long they have been
+// waiting.
 func (q *scoringQueue) due(now time.Time) []*scoringItem {
 	var due []*scoringItem
 	for _, item := range q.items {
@@ -87,7 +86,7 @@
 		}
 	}
 	slices.SortFunc(due, func(a, b *scoringItem) int {
-		if order := a.jobSince.Compare(b.jobSince); order != 0 {
+		if order := a.jobAddedAt.Compare(b.jobAddedAt); order != 0 {
 			return order
 		}
 		return a.since.Compare(b.since)
@@ -95,9 +94,9 @@
 	return due
 }
 
-// textWhole takes an item whose output is whole: it is scored first if it wants a
-// score, and completed otherwise; mu is held.
-func (r *Runner) textWhole(job *openJob, index int, reason string) {
+// outputComplete handles an item whose output is complete: it is queued for scoring if it has a scoring call, and
+// recorded otherwise. Must be called with mu held.
+func (r *Runner) outputComplete(job *openJob, index int, reason string) {
 	item := &job.items[index]
 	call := job.payloads[index].Scoring
 	if call == nil {
@@ -108,12 +107,13 @@
 	item.Whole()
 	r.plan.Remove(key)
 	r.scoring.items[key] = &scoringItem{
-		key: key, tenant: job.record.Tenant, call: *call, jobSince: job.addedAt, since: time.Now(), delays: scoringRetries.Delays(),
+		key: key, tenant: job.record.Tenant, call: *call,
+		jobAddedAt: job.addedAt, since: time.Now(), backoff: scoringBackoff.Delays(),
 	}
 	r.Wake()
 }
 
-// startScoring begins as many scoring calls as the service has room for.
+// startScoring starts as many scoring calls as the services have capacity for.
 func (r *Runner) startScoring() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// score begins the scoring call of an item; mu is held.
+// score starts the scoring call of an item. Must be called with mu held.
 func (r *Runner) score(item *scoringItem) {
 	ctx, cancel := context.WithCancel(r.ctx)
 	item.cancel = cancel
@@ -149,13 +149,12 @@
 	})
 }
 
-// scored takes the end of a scoring call: it completes the item, gives it up or
-// has the call made again.
+// scored handles the end of a scoring call: it completes the item, expires it or schedules a retry.
 func (r *Runner) scored(item *scoringItem, scoring Scoring, took time.Duration, canceled bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	window := r.scoring.window(item.service)
-	countScoring(window, scoring, canceled)
+	updateWindow(window, scoring, canceled)
 	job := r.jobs[item.key.Job]
 	if r.scoring.items[item.key] != item || job == nil {
 		return
@@ -173,13 +172,13 @@
 		delete(r.scoring.items, item.key)
 		r.expire(job, item.key.Item, "scoring attempts used up")
 	default:
-		item.notBefore = time.Now().Add(item.delays.NextBackOff())
+		item.notBefore = time.Now().Add(item.backoff.NextBackOff())
 	}
 	r.Wake()
 }
 
-// countScoring tells a window how a call ended.
-func countScoring(window *admission.Window, scoring Scoring, canceled bool) {
+// updateWindow records the result of a call in the service's window.
+func updateWindow(window *admission.Window, scoring Scoring, canceled bool) {
 	switch {
 	case scoring.Score != "":
 		window.Answered()
--- a/internal/batchrun/scoring_test.go
+++ b/internal/batchrun/scoring_test.go
@@ -13,29 +13,29 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// scoredWorld is a world whose items are short and have scoring calls.
-func scoredWorld(t *testing.T, items ...string) *world {
-	w := newWorld(t, "a")
-	w.jobs.scored = true
+// newScoringEnv returns an environment whose items have two events and a scoring call.
+func newScoringEnv(t *testing.T, items ...string) *testEnv {
+	env := newTestEnv(t, "a")
+	env.jobs.scored = true
 	for _, item := range items {
-		w.engines.events[item] = 2
+		env.engines.events[item] = 2
 	}
-	return w
+	return env
 }
 
 func TestItemIsRecordedWithItsScore(t *testing.T) {
-	w := scoredWorld(t, "x")
-	w.lead()
-	w.submit("j", 1, "x")
-	result := w.awaitResults(1)["j/0"]
+	env := newScoringEnv(t, "x")
+	env.startRunner()
+	env.submit("j", 1, "x")
+	result := env.awaitResults(1)["j/0"]
 	assert.Equal(t, result.Score, "stamp of score of x")
-	assert.Equal(t, string(result.Text), wholeText("x", 2))
+	assert.Equal(t, string(result.Text), fullText("x", 2))
 }
 
 func TestOnlyFailuresOfTheServiceUseUpAttempts(t *testing.T) {
-	w := scoredWorld(t, "x", "y")
+	env := newScoringEnv(t, "x", "y")
 	tries := map[string]int{}
-	w.scorer.fate = func(call batch.ScoringCall) Scoring {
+	env.scorer.respond = func(call batch.ScoringCall) Scoring {
 		tries[call.ID]++
 		switch {
 		case call.ID == "score of y" && tries[call.ID] <= 3:
@@ -46,39 +46,39 @@
 			return Scoring{Failures: 1, MaxAttempts: 2}
 		}
 	}
-	w.lead()
-	w.submit("j", 1, "x", "y")
-	results := w.awaitResults(2)
+	env.startRunner()
+	env.submit("j", 1, "x", "y")
+	results := env.awaitResults(2)
 	assert.Equal(t, results["j/0"].Outcome, batch.Expired)
 	assert.Equal(t, results["j/1"].Outcome, batch.Completed)
-	w.scorer.mu.Lock()
-	defer w.scorer.mu.Unlock()
+	env.scorer.mu.Lock()
+	defer env.scorer.mu.Unlock()
 	assert.Equal(t, tries["score of x"], 2)
 }
 
-func TestHalfOfTheScoringPlacesStayFree(t *testing.T) {
+func TestScoringUsesAtMostHalfOfTheSlots(t *testing.T) {
 	var items []string
 	for i := range 8 {
 		items = append(items, fmt.Sprint("x", i))
 	}
-	w := scoredWorld(t, items...)
-	w.scorer.places = admission.Places{Slots: 6}
-	w.scorer.hold = make(chan struct{})
-	w.lead()
-	w.submit("j", 1, items...)
-	testwait.Until(t, "three calls", func() bool { return len(w.scorer.made()) == 3 })
-	close(w.scorer.hold)
-	w.awaitResults(len(items))
-	assert.Assert(t, w.scorer.most <= 3, "%d calls together at 6 places", w.scorer.most)
+	env := newScoringEnv(t, items...)
+	env.scorer.places = admission.Places{Slots: 6}
+	env.scorer.hold = make(chan struct{})
+	env.startRunner()
+	env.submit("j", 1, items...)
+	testwait.Until(t, "three calls", func() bool { return len(env.scorer.callIDs()) == 3 })
+	close(env.scorer.hold)
+	env.awaitResults(len(items))
+	assert.Assert(t, env.scorer.maxUnderWay <= 3, "%d concurrent calls with 6 slots", env.scorer.maxUnderWay)
 }
 
-func TestCallsOfOlderJobsGoFirst(t *testing.T) {
+func TestScoringPrefersOlderJobs(t *testing.T) {
 	q := newScoringQueue()
 	at := time.Unix(1000, 0)
-	add := func(job string, jobSince, since int) {
+	add := func(job string, jobAddedAt, since int) {
 		key := batchplan.Key{Job: job}
 		q.items[key] = &scoringItem{
-			key: key, jobSince: at.Add(time.Duration(jobSince)), since: at.Add(time.Duration(since)),
+			key: key, jobAddedAt: at.Add(time.Duration(jobAddedAt)), since: at.Add(time.Duration(since)),
 		}
 	}
 	add("newer", 2, 3)
@@ -95,38 +95,37 @@
 	assert.DeepEqual(t, order, []string{"older, sooner", "older, later", "newer"})
 }
 
-// leadWithCallUnderWay leads until the scoring call of the item "x" of the job "j"
-// is under way; it is held there.
-func leadWithCallUnderWay(t *testing.T) (*world, *Runner, func()) {
+// startWithPendingScore starts a runner and blocks the scoring call of the item x of the job j.
+func startWithPendingScore(t *testing.T) (*testEnv, *Runner, func()) {
 	t.Helper()
-	w := scoredWorld(t, "x")
-	w.scorer.hold = make(chan struct{})
-	r, stop := w.lead()
-	w.submit("j", 1, "x")
-	testwait.Until(t, "a call", func() bool { return len(w.scorer.made()) == 1 })
-	return w, r, stop
+	env := newScoringEnv(t, "x")
+	env.scorer.hold = make(chan struct{})
+	r, stop := env.startRunner()
+	env.submit("j", 1, "x")
+	testwait.Until(t, "a call", func() bool { return len(env.scorer.callIDs()) == 1 })
+	return env, r, stop
 }
 
-// TestNextTermOnlyScores: the term ends while the call is under way.
-func TestNextTermOnlyScores(t *testing.T) {
-	w, _, stop := leadWithCallUnderWay(t)
+// The term ends during the scoring call; the next one must not run the item again.
+func TestNextTermScoresSavedOutput(t *testing.T) {
+	env, _, stop := startWithPendingScore(t)
 	stop()
-	assert.Equal(t, len(w.jobs.results()), 0)
-	w.scorer.hold = nil
-	w.lead()
-	result := w.awaitResults(1)["j/0"]
-	assert.Equal(t, string(result.Text), wholeText("x", 2))
-	calls, _ := w.engines.callsOf("x")
-	assert.Equal(t, len(calls), 1, "the text was made again")
+	assert.Equal(t, len(env.jobs.results()), 0)
+	env.scorer.hold = nil
+	env.startRunner()
+	result := env.awaitResults(1)["j/0"]
+	assert.Equal(t, string(result.Text), fullText("x", 2))
+	calls, _ := env.engines.callsOf("x")
+	assert.Equal(t, len(calls), 1, "the item ran again")
 }
 
-func TestNoCallForAnItemWhoseJobEnded(t *testing.T) {
-	w, r, _ := leadWithCallUnderWay(t)
-	w.jobs.apply(batch.Record{End: "j"})
-	testwait.Until(t, "the call is ended", func() bool {
-		w.scorer.mu.Lock()
-		defer w.scorer.mu.Unlock()
-		return w.scorer.underWay == 0
+func TestScoringIsCanceledWhenJobEnds(t *testing.T) {
+	env, r, _ := startWithPendingScore(t)
+	env.jobs.apply(batch.Record{End: "j"})
+	testwait.Until(t, "the call is canceled", func() bool {
+		env.scorer.mu.Lock()
+		defer env.scorer.mu.Unlock()
+		return env.scorer.underWay == 0
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batchrun/views.go
+++ b/internal/batchrun/views.go
@@ -6,23 +6,23 @@
 	"github.com/corkpulley/corkpulley/internal/core/batchplan"
 )
 
-// engineViews returns the engines of all services that open jobs run at, but for those whose weights are too old
-// for each job; mu is held. In a large fleet those are most.
+// engineViews returns the engines of all services that open jobs use, without those whose weights are too old for
+// every job, which in a large fleet are most. Must be called with mu held.
 func (r *Runner) engineViews(now time.Time) []batchplan.Engine {
 	var views []batchplan.Engine
 	loading := r.options.AllLoading()
-	for service, asked := range r.asked() {
+	for service, required := range r.required() {
 		for _, listed := range r.options.Fleet.List(service, now) {
 			engine := listed.Engine
-			if !r.options.Within.Allows(engine.Region) || !asked.servedBy(engine.Versions) {
+			if !r.options.Within.Allows(engine.Region) || !required.satisfiedBy(engine.Versions) {
 				continue
 			}
 			id := engine.Incarnation()
-			cold, starts := r.coldStarts(id, now)
+			cold, starts := r.coldStartLimit(id, now)
 			views = append(views, batchplan.Engine{
 				Cold: cold, Starts: starts,
 				ID: id, Service: engine.Service, Slots: engine.Slots, Versions: engine.Versions,
-				Tokens: asked.tokens, Loading: loading[id],
+				Tokens: required.engineTokens, Loading: loading[id],
 				Usable: listed.TakesWork && !listed.Suspected && !now.Before(r.pausedUntil[id]),
 			})
 		}
@@ -30,40 +30,40 @@
 	return views
 }
 
-// askedOf is what open jobs ask of the engines of a service.
-type askedOf struct {
-	// tokens is the memory of one engine.
-	tokens int
-	// oldest holds the oldest weights of each model that one of its jobs allows.
-	oldest map[string]int64
+// requirements are what open jobs need of the engines of a service.
+type requirements struct {
+	// engineTokens is the memory of one engine in tokens.
+	engineTokens int
+	// minVersion holds, by model, the lowest minimum weight version of the open jobs.
+	minVersion map[string]int64
 }
 
-// servedBy tells whether an engine with these weights may run an item of some job.
-func (a askedOf) servedBy(versions map[string]int64) bool {
-	for model, oldest := range a.oldest {
-		if versions[model] >= oldest {
+// satisfiedBy reports whether an engine with these weight versions may run an item of some job.
+func (r requirements) satisfiedBy(versions map[string]int64) bool {
+	for model, minVersion := range r.minVersion {
+		if versions[model] >= minVersion {
 			return true
 		}
 	}
 	return false
 }
 
-// asked returns what open jobs ask of each service; mu is held.
-func (r *Runner) asked() map[string]askedOf {
-	services := make(map[string]askedOf)
+// required returns the requirements of open jobs by service. Must be called with mu held.
+func (r *Runner) required() map[string]requirements {
+	services := make(map[string]requirements)
 	for _, job := range r.jobs {
 		route, found := r.options.RouteOf(job.record.Host, job.record.Path)
 		if !found {
 			continue
 		}
-		asked, known := services[route.Service]
+		required, known := services[route.Service]
 		if !known {
-			asked = askedOf{tokens: route.EngineTokens, oldest: make(map[string]int64)}
-			services[route.Service] = asked
+			required = requirements{engineTokens: route.EngineTokens, minVersion: make(map[string]int64)}
+			services[route.Service] = required
 		}
-		oldest, wanted := asked.oldest[job.record.Model]
-		if !wanted || job.record.MinVersion < oldest {
-			asked.oldest[job.record.Model] = job.record.MinVersion
+		minVersion, wanted := required.minVersion[job.record.Model]
+		if !wanted || job.record.MinVersion < minVersion {
+			required.minVersion[job.record.Model] = job.record.MinVersion
 		}
 	}
 	return services
