--- a/internal/jobrelay/golden_test.go
+++ b/internal/jobrelay/golden_test.go
@@ -6,7 +6,7 @@
 	"github.com/corkpulley/corkpulley/internal/goldenrecord"
 )
 
-// Guards against a record or message that an earlier build misreads, or whose earlier form this build does.
+// Guards against changes of the encoding that break the exchange with earlier builds.
 func TestRecordsOfEarlierBuilds(t *testing.T) {
 	goldenrecord.Check(t,
 		goldenrecord.Sample{Name: "request", Value: &request{}, Added: map[string][]string{"843b092": {"h"}}},
@@ -14,7 +14,7 @@
 	)
 }
 
-// Guards against numbers that another build takes for another question.
+// Guards against renumbering: nodes of different builds would execute different operations.
 func TestNumbersOfEarlierBuilds(t *testing.T) {
 	goldenrecord.CheckNumbers(t, "numbers", map[string]int64{
 		"results": int64(opResults), "body": int64(opBody), "end": int64(opEnd),
--- a/internal/jobrelay/homes_test.go
+++ b/internal/jobrelay/homes_test.go
@@ -13,41 +13,42 @@
 	"github.com/corkpulley/corkpulley/internal/core/homes"
 )
 
-// boundJobs records the homes of each query that it answers.
-type boundJobs struct {
+// homesRecorder records the homes of each query.
+type homesRecorder struct {
 	fakeJobs
 	within []homes.Set
 }
 
-func (b *boundJobs) Results(
+func (h *homesRecorder) Results(
 	ctx context.Context, jobID string, from int, wait time.Duration,
 ) (batchjobs.Results, error) {
-	b.within = append(b.within, homes.FromContext(ctx))
-	return b.fakeJobs.Results(ctx, jobID, from, wait)
+	h.within = append(h.within, homes.FromContext(ctx))
+	return h.fakeJobs.Results(ctx, jobID, from, wait)
 }
 
-func (b *boundJobs) Body(ctx context.Context, jobID, itemID string) ([]byte, error) {
-	b.within = append(b.within, homes.FromContext(ctx))
-	return b.fakeJobs.Body(ctx, jobID, itemID)
+func (h *homesRecorder) Body(ctx context.Context, jobID, itemID string) ([]byte, error) {
+	h.within = append(h.within, homes.FromContext(ctx))
+	return h.fakeJobs.Body(ctx, jobID, itemID)
 }
 
-// TestBoundQuestionsAreAskedOnlyOfReplicasAtHome: the nearest replica is outside the homes.
-func TestBoundQuestionsAreAskedOnlyOfReplicasAtHome(t *testing.T) {
+// Guards against sending a bound query to a nearer replica outside the home regions.
+func TestBoundQueriesGoOnlyToReplicasInHomes(t *testing.T) {
 	north := homes.Of([]string{"north"})
-	own := &boundJobs{fakeJobs: fakeJobs{name: "own"}}
-	outside, atHome := &boundJobs{fakeJobs: fakeJobs{name: "outside"}}, &boundJobs{fakeJobs: fakeJobs{name: "home"}}
-	places := map[string]string{"south": serving(t, outside, always), "north": serving(t, atHome, always)}
-	known := make(chan struct{})
-	close(known)
+	own := &homesRecorder{fakeJobs: fakeJobs{name: "own"}}
+	outside, atHome := &homesRecorder{fakeJobs: fakeJobs{name: "outside"}},
+		&homesRecorder{fakeJobs: fakeJobs{name: "home"}}
+	addressOf := map[string]string{"south": startServer(t, outside, always), "north": startServer(t, atHome, always)}
+	directoryRead := make(chan struct{})
+	close(directoryRead)
 	relay := NewRelay(own, func(within homes.Set) []string {
 		var addresses []string
 		for _, region := range []string{"south", "north"} {
 			if within.Allows(region) {
-				addresses = append(addresses, places[region])
+				addresses = append(addresses, addressOf[region])
 			}
 		}
 		return addresses
-	}, known, &http.Client{}, zerolog.Nop())
+	}, directoryRead, &http.Client{}, zerolog.Nop())
 
 	bound := homes.NewContext(t.Context(), north)
 	body, err := relay.Body(bound, "job", "item")
@@ -58,17 +59,17 @@
 	assert.Equal(t, string(results.Results[0].Text), "home")
 	assert.Equal(t, len(atHome.within), 2)
 	for _, within := range atHome.within {
-		assert.Equal(t, within, north, "the replica's own reads of the log are bound as well")
+		assert.Equal(t, within, north, "the replica's own reads of the log are bound to the homes as well")
 	}
 
-	// Without a replica at home the node reads the log itself.
+	// Without a replica in the home regions, the node answers locally.
 	nowhere := homes.NewContext(t.Context(), homes.Of([]string{"west"}))
 	body, err = relay.Body(nowhere, "job", "item")
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "own")
-	assert.Equal(t, outside.asked.Load(), int64(0))
+	assert.Equal(t, outside.queries.Load(), int64(0))
 
 	body, err = relay.Body(t.Context(), "job", "item")
 	assert.NilError(t, err)
-	assert.Equal(t, string(body), "outside", "the first choice where nothing binds")
+	assert.Equal(t, string(body), "outside", "the preferred replica of an unbound query")
 }
--- a/internal/jobrelay/jobrelay.go
+++ b/internal/jobrelay/jobrelay.go
@@ -54,7 +54,6 @@
 	Body    []byte   `msgpack:"b,omitempty"`
 }
 
-// result is one result of a job.
 type result struct {
 	Item     string        `msgpack:"i"`
 	Outcome  batch.Outcome `msgpack:"o"`
@@ -83,8 +82,8 @@
 	return decoded
 }
 
-// failed returns the response that carries an error.
-func failed(err error) response { return response{Error: errkind.From(err)} }
+// errorResponse returns a response that carries the error.
+func errorResponse(err error) response { return response{Error: errkind.From(err)} }
 
 // err returns the error that the response carries, if any.
 func (r response) err() error {
--- a/internal/jobrelay/relay.go
+++ b/internal/jobrelay/relay.go
@@ -18,8 +18,8 @@
 	// answerTimeout bounds how long a response may take beyond the requested wait. It is
 	// shorter than the margin that callers allow.
 	answerTimeout = 1300 * time.Millisecond
-	// unresponsivePause is how long a replica that did not answer is skipped,
-	// notReplicaPause how long a peer that is not a replica is.
+	// unresponsivePause is how long a replica is skipped after it did not answer, notReplicaPause how long a peer
+	// that is not a replica.
 	unresponsivePause = 3 * time.Second
 	notReplicaPause   = time.Second
 	// directoryTimeout bounds how long a query waits for the first read of the node directory.
@@ -28,30 +28,32 @@
 	maxResponseBytes = 4 << 20
 )
 
-// Relay queries replicas about jobs, or the local node when there are no replicas. It
-// implements Jobs. When replicas exist but none answers, the query fails as retryable
-// instead of falling back to the local node: all nodes reading the index would overload
-// the log.
+// Relay queries replicas about jobs, or the local node if there are no replicas. It implements Jobs. If replicas
+// exist but none answers, queries fail with a retryable error instead of falling back to the local node: all nodes
+// reading the index would overload the log.
 type Relay struct {
 	local Jobs
-	// sources returns the replicas within the regions in order of preference; known is
-	// closed after the first read of the node directory.
-	sources func(within homes.Set) []string
-	known   <-chan struct{}
-	client  *http.Client
-	logger  zerolog.Logger
-	paused  *pauses.Pauses
+	// replicaAddresses returns the replicas within the regions in order of preference; directoryRead is closed
+	// after the first read of the node directory.
+	replicaAddresses func(within homes.Set) []string
+	directoryRead    <-chan struct{}
+	client           *http.Client
+	logger           zerolog.Logger
+	paused           *pauses.Pauses
 }
 
 var _ Jobs = (*Relay)(nil)
 
-// NewRelay returns a relay that queries the sources over the client. A query whose context names homes
-// goes only to replicas there; without any, the local node answers.
+// NewRelay returns a relay that queries the replicas over the client. replicaAddresses returns the replicas within
+// the regions in order of preference; directoryRead is closed after the first read of the node directory. A query
+// whose context names home regions goes only to replicas there.
 func NewRelay(
-	local Jobs, sources func(within homes.Set) []string, known <-chan struct{}, client *http.Client, logger zerolog.Logger,
+	local Jobs, replicaAddresses func(within homes.Set) []string, directoryRead <-chan struct{}, client *http.Client,
+	logger zerolog.Logger,
 ) *Relay {
 	return &Relay{
-		local: local, sources: sources, known: known, client: client, logger: logger, paused: pauses.New(),
+		local: local, replicaAddresses: replicaAddresses, directoryRead: directoryRead,
+		client: client, logger: logger, paused: pauses.New(),
 	}
 }
 
@@ -67,7 +69,9 @@
 	if len(replicas) == 0 {
 		return r.local.Results(ctx, jobID, from, wait)
 	}
-	answer, err := r.ask(ctx, replicas, request{Operation: opResults, Job: jobID, From: from, Wait: wait, Homes: within.Regions()})
+	answer, err := r.ask(ctx, replicas, request{
+		Operation: opResults, Job: jobID, From: from, Wait: wait, Homes: within.Regions(),
+	})
 	if err != nil {
 		return batchjobs.Results{}, err
 	}
@@ -88,8 +92,7 @@
 	return answer.Body, err
 }
 
-// End implements Jobs. Ending a job is idempotent, so it is retried at the next replica
-// after a lost answer.
+// End implements Jobs. Ending a job is idempotent, so the next replica is tried after a lost answer.
 func (r *Relay) End(ctx context.Context, jobID string) error {
 	// The request carries none of the job's data, so the homes do not apply.
 	replicas, err := r.replicas(ctx, homes.Set{})
@@ -103,27 +106,27 @@
 	return err
 }
 
-// replicas returns the replicas within the regions; none when this node is a replica or the cluster is
-// small. It waits for the first read of the node directory.
+// replicas returns the replicas within the regions; none if this node is a replica or the cluster is small. It
+// waits for the first read of the node directory.
 func (r *Relay) replicas(ctx context.Context, within homes.Set) ([]string, error) {
-	// Checked first without ctx: select picks at random among ready channels.
+	// Checked first without ctx, since select chooses at random among ready channels.
 	select {
-	case <-r.known:
-		return r.sources(within), nil
+	case <-r.directoryRead:
+		return r.replicaAddresses(within), nil
 	default:
 	}
 	timer := time.NewTimer(directoryTimeout)
 	defer timer.Stop()
 	select {
-	case <-r.known:
-		return r.sources(within), nil
+	case <-r.directoryRead:
+		return r.replicaAddresses(within), nil
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	return nil, errkind.New(errkind.LogUnavailable, "this node has just started and has not read of the others yet")
+	return nil, errkind.New(errkind.LogUnavailable, "the node directory has not been read yet")
 }
 
-// ask queries the replicas in turn until one gives a definite answer.
+// ask queries the replicas in order until one gives a definite answer.
 func (r *Relay) ask(ctx context.Context, replicas []string, query request) (response, error) {
 	unanswered := false
 	var historyLost error
@@ -135,7 +138,7 @@
 		switch {
 		case ctx.Err() != nil:
 			// The caller canceled; the replica has not failed.
-			return response{}, errkind.New(errkind.Canceled, "the caller has left")
+			return response{}, errkind.New(errkind.Canceled, "request canceled by the caller")
 		case err != nil:
 			r.logger.Warn().Err(err).Str("replica", address).Str("job", query.Job).Msg("replica did not answer")
 			r.paused.Begin(address, unresponsivePause)
@@ -147,16 +150,16 @@
 		default:
 			return answer, answer.err()
 		}
-		// The caller's wait was spent on the first replica.
+		// The requested wait was spent on the first replica.
 		query.Wait = 0
 	}
 	if unanswered && query.Operation == opEnd {
-		return response{}, errkind.New(errkind.OutcomeUnknownRepeatable, "no replica told how the end was taken")
+		return response{}, errkind.New(errkind.OutcomeUnknownRepeatable, "no replica confirmed the end of the job")
 	}
 	if historyLost != nil {
 		return response{}, historyLost
 	}
-	return response{}, errkind.New(errkind.LogUnavailable, "none of %d replicas answers", len(replicas))
+	return response{}, errkind.New(errkind.LogUnavailable, "none of %d replicas answered", len(replicas))
 }
 
 func (r *Relay) call(ctx context.Context, address string, query request) (response, error) {
--- a/internal/jobrelay/server.go
+++ b/internal/jobrelay/server.go
@@ -10,16 +10,15 @@
 )
 
 const (
-	// Path is the endpoint for queries of other nodes.
-	Path = "/jobs"
-	// maxRequestBytes bounds a request.
+	// Path is the HTTP path of queries by other nodes.
+	Path            = "/jobs"
 	maxRequestBytes = 16 << 10
-	// maxWait bounds a long poll for results.
+	// maxWait bounds the wait for results of one query.
 	maxWait = 5 * time.Second
 )
 
-// NewHandler serves queries of other nodes. answers reports whether this node answers on behalf of
-// others for jobs that are bound to the regions.
+// NewHandler serves queries by other nodes. answers reports whether this node is a replica for jobs bound to the
+// regions.
 func NewHandler(jobs Jobs, answers func(within homes.Set) bool) http.Handler {
 	return msgpackhttp.Handle(maxRequestBytes, func(ctx context.Context, query request) response {
 		within := homes.Of(query.Homes)
@@ -35,18 +34,18 @@
 	case opResults:
 		results, err := jobs.Results(ctx, query.Job, query.From, min(query.Wait, maxWait))
 		if err != nil {
-			return failed(err)
+			return errorResponse(err)
 		}
 		return encodeResults(results)
 	case opBody:
 		body, err := jobs.Body(ctx, query.Job, query.Item)
 		if err != nil {
-			return failed(err)
+			return errorResponse(err)
 		}
 		return response{Body: body}
 	case opEnd:
 		if err := jobs.End(ctx, query.Job); err != nil {
-			return failed(err)
+			return errorResponse(err)
 		}
 		return response{}
 	default:
