--- a/internal/core/fleet/choose.go
+++ b/internal/core/fleet/choose.go
@@ -8,55 +8,55 @@
 	"github.com/corkpulley/corkpulley/internal/core/topology"
 )
 
-// Query asks for an engine for one request.
+// Query describes the request for which an engine is chosen.
 type Query struct {
 	Service string
-	// Zone and Region are those of the asking node.
+	// Zone and Region locate the querying node.
 	Zone   string
 	Region string
-	// Model and MinVersion are set for requests that want certain weights.
+	// Model and MinVersion, if set, require an engine that has at least this weight version.
 	Model      string
 	MinVersion int64
-	// Regions are those whose engines may run the request.
+	// Regions restricts the engines to these regions.
 	Regions homes.Set
-	// Tried lists engines that this request was already sent to.
+	// Tried holds the IDs of engines that this request was already sent to.
 	Tried []string
-	// WithoutCold leaves out engines that count as cold.
+	// WithoutCold excludes cold engines.
 	WithoutCold bool
 	Now         time.Time
 }
 
-// Choice is the engine chosen, with the figures that decided it.
+// Choice is the chosen engine with the values that led to the choice.
 type Choice struct {
 	Engine   Engine
 	InFlight int
-	// LoadAge is the age of the load that the engine reported; negative when unknown.
+	// LoadAge is the age of the load that the engine reported; negative if unknown.
 	LoadAge time.Duration
-	// Expected is the time in which the answer is expected, by the engine's load and distance.
+	// Expected is the estimated response time, from the engine's load and distance.
 	Expected time.Duration
-	// Distance is how far the engine is from the asking node.
+	// Distance is that between the engine and the querying node.
 	Distance topology.Distance
 	// Candidates is the number of engines that passed the filters.
 	Candidates int
-	// Cold is true where the engine counts as cold: it may be sent nothing without a permit.
+	// Cold reports whether the engine is cold; requests to it then need a permit.
 	Cold bool
 }
 
 const (
-	// coldCost is what a cold engine adds to its occupancy (1 = all slots taken).
-	coldCost = 0.5
-	// reportedLoadLife is how long a reported load is believed, slowdownLife how long a reported slowdown is: that
-	// changes several times a second.
-	reportedLoadLife = 500 * time.Millisecond
-	slowdownLife     = 150 * time.Millisecond
-	// assumedAnswerTime stands in for the time of a service's answers until the first ones: that of a
-	// small request, so that a near engine goes first unless it is full.
-	assumedAnswerTime = 50 * time.Millisecond
+	// coldPenalty is added to the occupancy of a cold engine (1 = all slots taken).
+	coldPenalty = 0.5
+	// reportedLoadTTL and slowdownTTL are how long a reported load and a reported slowdown are used.
+	// The slowdown changes several times a second.
+	reportedLoadTTL = 500 * time.Millisecond
+	slowdownTTL     = 150 * time.Millisecond
+	// defaultAnswerTime is the response time assumed before a service's first answer. It is that of a
+	// small request, so that near engines are preferred unless they are full.
+	defaultAnswerTime = 50 * time.Millisecond
 )
 
-// Choose returns the engine that is expected to answer first. Engines that failed recently
-// are chosen only when no other is left; found is false when none is. One that counts as cold is
-// chosen only where all others are full, or to find out whether it is in reach again.
+// Choose returns the engine with the lowest expected response time, and false if there is none.
+// Recently failed engines are chosen only if no other is left; cold engines only if all others
+// are full, or to probe whether a previously unreachable one is back.
 func (f *Fleet) Choose(query Query) (Choice, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,21 +68,22 @@
 		return Choice{}, false
 	}
 	if _, bounded := f.cold.services[query.Service]; bounded {
-		if warm, cold := f.byColdness(candidates, query.Now); len(cold) > 0 {
+		if warm, cold := f.splitByCold(candidates, query.Now); len(cold) > 0 {
 			return f.pickWarmFirst(warm, cold, query), true
 		}
 	}
 	return f.pick(candidates, query), true
 }
 
-func (f *Fleet) filter(query Query, suspectsToo bool) []*member {
+// filter returns the engines that may run the request. Must be called with mu held.
+func (f *Fleet) filter(query Query, includeSuspected bool) []*member {
 	var candidates []*member
 	for _, id := range f.byService[query.Service] {
 		candidate := f.members[id]
 		if !f.takesWork(candidate.engine) || !query.Regions.Allows(candidate.engine.Region) || contains(query.Tried, id) {
 			continue
 		}
-		if !suspectsToo && query.Now.Before(candidate.suspectUntil) {
+		if !includeSuspected && query.Now.Before(candidate.suspectUntil) {
 			continue
 		}
 		if query.Model != "" && candidate.engine.Versions[query.Model] < query.MinVersion {
@@ -105,18 +106,19 @@
 	return false
 }
 
-// pick returns the candidate that is expected to answer first; mu is held.
+// pick returns the candidate with the lowest expected response time, a random one among equals. Must be
+// called with mu held.
 func (f *Fleet) pick(candidates []*member, query Query) Choice {
 	answerTime := f.answerTime(query.Service)
 	var best *member
-	var soonest time.Duration
+	var bestExpected time.Duration
 	ties := 0
 	for _, candidate := range candidates {
 		expected := expectedTime(candidate, query, answerTime)
 		switch {
-		case best == nil || expected < soonest:
-			best, soonest, ties = candidate, expected, 1
-		case expected == soonest:
+		case best == nil || expected < bestExpected:
+			best, bestExpected, ties = candidate, expected, 1
+		case expected == bestExpected:
 			ties++
 			if rand.IntN(ties) == 0 {
 				best = candidate
@@ -124,7 +126,7 @@
 		}
 	}
 	choice := Choice{
-		Engine: best.engine, InFlight: best.inFlight, LoadAge: -1, Expected: soonest,
+		Engine: best.engine, InFlight: best.inFlight, LoadAge: -1, Expected: bestExpected,
 		Distance: distanceOf(best, query), Candidates: len(candidates),
 	}
 	if !best.loadAt.IsZero() {
@@ -133,16 +135,16 @@
 	return choice
 }
 
-// expectedTime is the time in which an engine is expected to answer: that of the service's answers, in
-// proportion to the engine's occupancy after this request, and the way there and back. So the way
-// decides between engines that are about as busy, and the more the shorter the answers are.
+// expectedTime estimates an engine's response time: the service's mean, scaled by the engine's occupancy
+// including this request, plus the round trip. Distance therefore decides between engines of similar
+// occupancy, and weighs more the shorter the answers are.
 func expectedTime(candidate *member, query Query, answerTime time.Duration) time.Duration {
-	share := float64(candidate.busy(query.Now)+1) / float64(max(1, candidate.engine.Slots))
-	// An engine that took a second longer lately counts as twice as full: engines of a service differ.
+	share := float64(candidate.occupied(query.Now)+1) / float64(max(1, candidate.engine.Slots))
+	// An additional second of recent latency counts like double occupancy: engines of a service differ.
 	share *= 1 + candidate.latency.Seconds()
 	share *= candidate.slowdown(query.Now)
 	if query.Now.Before(candidate.engine.ColdUntil) {
-		share += coldCost
+		share += coldPenalty
 	}
 	return time.Duration(share*float64(answerTime)) + distanceOf(candidate, query).RoundTrip()
 }
@@ -152,33 +154,32 @@
 	return topology.Between(own, topology.Place{Zone: candidate.engine.Zone, Region: candidate.engine.Region})
 }
 
-// answerTime is the time of the service's answers, as lately seen; mu is held.
+// answerTime returns the service's mean response time. Must be called with mu held.
 func (f *Fleet) answerTime(service string) time.Duration {
 	if seen, found := f.answerTimes[service]; found {
 		return seen
 	}
-	return assumedAnswerTime
+	return defaultAnswerTime
 }
 
-// observeAnswer notes the time of a whole answer of the service; mu is held.
-func (f *Fleet) observeAnswer(service string, took time.Duration) {
+// observeAnswerTime adds the duration of a complete answer to the service's mean. Must be called with mu held.
+func (f *Fleet) observeAnswerTime(service string, took time.Duration) {
 	known := f.answerTime(service)
 	f.answerTimes[service] = known + time.Duration(latencyWeight*float64(took-known))
 }
 
-// slowdown is how much longer than usual work is expected to take at the engine: as it said just now, or else
-// as usual.
+// slowdown returns the engine's reported slowdown factor, or 1 if none was reported recently.
 func (m *member) slowdown(now time.Time) float64 {
-	if m.load.Slowdown <= 0 || now.Sub(m.loadAt) >= slowdownLife {
+	if m.load.Slowdown <= 0 || now.Sub(m.loadAt) >= slowdownTTL {
 		return 1
 	}
 	return m.load.Slowdown
 }
 
-// busy is the number of requests at the engine: those of this process, or what
-// the engine said of itself lately if that is more.
-func (m *member) busy(now time.Time) int {
-	if now.Sub(m.loadAt) >= reportedLoadLife {
+// occupied returns the number of requests at the engine: those of this process, or the recently reported load
+// if that is higher.
+func (m *member) occupied(now time.Time) int {
+	if now.Sub(m.loadAt) >= reportedLoadTTL {
 		return m.inFlight
 	}
 	return max(m.inFlight, m.load.Running+m.load.Waiting)
--- a/internal/core/fleet/choosecold.go
+++ b/internal/core/fleet/choosecold.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// isCold tells whether a member counts as cold; mu is held.
+// isCold reports whether a member is cold. Must be called with mu held.
 func (f *Fleet) isCold(of *member, now time.Time) bool {
 	_, cold := f.coldnessOf(of, now)
 	return cold
 }
 
-// isDueForTrial tells whether an engine counts as cold only because nothing was heard of it since it was
-// out of reach, and that for the period of its slow start. It would never be heard if none were sent there
-// while others have places. mu is held.
-func (f *Fleet) isDueForTrial(of *member, now time.Time) bool {
+// isDueForProbe reports whether an engine is cold only since it was unreachable and has not responded for its
+// slow start period. Without a probe it would stay cold while other engines have free slots. Must be called
+// with mu held.
+func (f *Fleet) isDueForProbe(of *member, now time.Time) bool {
 	if now.Before(of.engine.ColdUntil) {
 		return false
 	}
-	known := f.cold.doubts[of.engine.Incarnation()]
+	known := f.cold.marks[of.engine.Incarnation()]
 	period := f.cold.services[of.engine.Service].Period
-	return known.reason == Unreached && known.heardAt.IsZero() && !now.Before(known.at.Add(period))
+	return known.reason == Unreached && known.respondedAt.IsZero() && !now.Before(known.at.Add(period))
 }
 
-// byColdness splits candidates; mu is held.
-func (f *Fleet) byColdness(candidates []*member, now time.Time) (warm, cold []*member) {
+// splitByCold splits candidates into warm and cold ones. Must be called with mu held.
+func (f *Fleet) splitByCold(candidates []*member, now time.Time) (warm, cold []*member) {
 	for _, candidate := range candidates {
 		if f.isCold(candidate, now) {
 			cold = append(cold, candidate)
@@ -36,15 +36,15 @@
 	return warm, cold
 }
 
-// pickWarmFirst picks a cold engine only where each warm one has all its places taken, or where it is
-// due to be tried again; mu is held.
+// pickWarmFirst picks a cold engine only if no warm one has a free slot, or if it is due for a probe. Must be
+// called with mu held.
 func (f *Fleet) pickWarmFirst(warm, cold []*member, query Query) Choice {
-	hasPlace := func(candidate *member) bool { return candidate.busy(query.Now) < max(1, candidate.engine.Slots) }
+	hasFreeSlot := func(candidate *member) bool { return candidate.occupied(query.Now) < max(1, candidate.engine.Slots) }
 	candidates := cold
-	if slices.ContainsFunc(warm, hasPlace) {
+	if slices.ContainsFunc(warm, hasFreeSlot) {
 		candidates = warm
 		for _, each := range cold {
-			if f.isDueForTrial(each, query.Now) {
+			if f.isDueForProbe(each, query.Now) {
 				candidates = append(candidates, each)
 			}
 		}
@@ -54,14 +54,13 @@
 	return choice
 }
 
-// ColdCandidates returns the cold engines that a query may be answered by, the best first, at most
-// as many as asked for.
+// ColdCandidates returns up to limit cold engines that match the query, lowest expected response time first.
 func (f *Fleet) ColdCandidates(query Query, limit int) []Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, cold := f.byColdness(f.filter(query, false), query.Now)
+	_, cold := f.splitByCold(f.filter(query, false), query.Now)
 	if len(cold) == 0 {
-		_, cold = f.byColdness(f.filter(query, true), query.Now)
+		_, cold = f.splitByCold(f.filter(query, true), query.Now)
 	}
 	answerTime := f.answerTime(query.Service)
 	expected := make(map[*member]time.Duration, len(cold))
@@ -76,7 +75,7 @@
 	return engines
 }
 
-// ChoiceOf returns an engine as a choice, for one that was not picked by its expected time alone.
+// ChoiceOf returns the Choice for a cold engine that the caller selected; false if it is not available any more.
 func (f *Fleet) ChoiceOf(engine Engine, query Query, candidates int) (Choice, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/core/fleet/cold.go
+++ b/internal/core/fleet/cold.go
@@ -7,106 +7,105 @@
 	"github.com/corkpulley/corkpulley/internal/core/routes"
 )
 
-// ColdReason is why an engine counts as cold.
+// ColdReason is why an engine is treated as cold: one that is slow or overloads easily, as after a start.
 type ColdReason uint8
 
-// The reasons.
+// Reasons for treating an engine as cold.
 const (
-	// ToldCold: its list entry says so.
-	ToldCold ColdReason = iota + 1
-	// FirstSeen: it was listed just now, so it may have started just now.
+	// ReportedCold: its list entry says so.
+	ReportedCold ColdReason = iota + 1
+	// FirstSeen: it was just listed, so it may have just started.
 	FirstSeen
-	// ZoneReturned: its zone gets work again after an evacuation, and engines may have been
-	// started anew meanwhile.
+	// ZoneReturned: the evacuation of its zone ended, and its engines may have been restarted meanwhile.
 	ZoneReturned
-	// Unreached: a connection to it was refused, lost or silent, so it may have started again.
+	// Unreached: a connection to it was refused, lost or timed out, so it may have restarted.
 	Unreached
-	// RefusedItem: it did not run an item though it had a place as far as was known.
+	// RefusedItem: it rejected a batch item although it appeared to have a free slot.
 	RefusedItem
 )
 
 var coldReasonNames = [...]string{
-	ToldCold: "told_cold", FirstSeen: "first_seen", ZoneReturned: "zone_returned", Unreached: "unreached",
+	ReportedCold: "told_cold", FirstSeen: "first_seen", ZoneReturned: "zone_returned", Unreached: "unreached",
 	RefusedItem: "refused_item",
 }
 
-// String returns the reason as it stands in logs; empty for none.
+// String returns the reason's name in logs; empty for none.
 func (r ColdReason) String() string { return coldReasonNames[r] }
 
-// heardEnds tells whether an answer of the engine says something of the doubt: one that was out of
-// reach stays in doubt until it is heard, one that refused an item until it runs one.
-func (r ColdReason) heardEnds() bool { return r == Unreached || r == RefusedItem }
+// clearedByResponse reports whether a response of the engine ends the mark, at once or after the slow start
+// period. Other marks end by time only.
+func (r ColdReason) clearedByResponse() bool { return r == Unreached || r == RefusedItem }
 
-// doubt is why an engine that does not say that it is cold may be.
-type doubt struct {
+// coldMark records why an engine may be cold although its entry does not say so.
+type coldMark struct {
 	reason ColdReason
 	at     time.Time
-	// heardAt is when the engine was heard first after an Unreached.
-	heardAt time.Time
-	// other is a doubt beside an Unreached, which answers of the engine do not end; nil for none.
-	other *doubt
+	// respondedAt is the time of the first response after an Unreached.
+	respondedAt time.Time
+	// other is a second mark beside an Unreached, which responses do not clear; nil for none.
+	other *coldMark
 }
 
-// lasts tells whether the doubt still counts. An engine may have started at any moment until it
-// was heard again.
-func (d doubt) lasts(period time.Duration, now time.Time) bool {
-	if d.reason != Unreached {
-		return now.Before(d.at.Add(period))
+// active reports whether the mark still applies. An unreachable engine may have restarted at any time
+// before its first response.
+func (m coldMark) active(period time.Duration, now time.Time) bool {
+	if m.reason != Unreached {
+		return now.Before(m.at.Add(period))
 	}
-	return d.heardAt.IsZero() || now.Before(d.heardAt.Add(period))
+	return m.respondedAt.IsZero() || now.Before(m.respondedAt.Add(period))
 }
 
-// Coldness is how an engine counts as cold.
+// Coldness describes a cold engine.
 type Coldness struct {
 	Reason ColdReason
-	// RatePerSecond is what the engine takes meanwhile from all nodes together.
+	// RatePerSecond is the engine's limit on requests from all nodes together while it is cold.
 	RatePerSecond float64
 }
 
-// coldness is what the fleet keeps of slow starts.
-type coldness struct {
-	// services holds the slow start of the services that have one.
+// coldTracker holds slow start settings and cold marks.
+type coldTracker struct {
+	// services holds the slow start of each service that has one.
 	services map[string]routes.SlowStart
-	doubts   map[incarnation.ID]doubt
+	marks    map[incarnation.ID]coldMark
 }
 
-func newColdness() coldness {
-	return coldness{services: make(map[string]routes.SlowStart), doubts: make(map[incarnation.ID]doubt)}
+func newColdTracker() coldTracker {
+	return coldTracker{services: make(map[string]routes.SlowStart), marks: make(map[incarnation.ID]coldMark)}
 }
 
-// add notes a doubt. An Unreached and one of another reason stand side by side: each ends by itself.
-func (c *coldness) add(of incarnation.ID, added doubt) {
-	known, found := c.doubts[of]
+// add records a mark. An Unreached and a mark of another reason are kept side by side, since each ends on its own.
+func (c *coldTracker) add(of incarnation.ID, added coldMark) {
+	known, found := c.marks[of]
 	switch {
 	case found && known.reason == Unreached && added.reason != Unreached:
 		known.other = &added
-		c.doubts[of] = known
+		c.marks[of] = known
 		return
 	case found && known.reason == Unreached:
 		added.other = known.other
-	case found && added.reason == Unreached && !known.reason.heardEnds():
+	case found && added.reason == Unreached && !known.reason.clearedByResponse():
 		added.other = &known
 	}
-	c.doubts[of] = added
+	c.marks[of] = added
 }
 
-// end drops a doubt, and leaves the one beside it.
-func (c *coldness) end(of incarnation.ID) {
-	if other := c.doubts[of].other; other != nil {
-		c.doubts[of] = *other
+// end removes the current mark and restores the one beside it.
+func (c *coldTracker) end(of incarnation.ID) {
+	if other := c.marks[of].other; other != nil {
+		c.marks[of] = *other
 		return
 	}
-	delete(c.doubts, of)
+	delete(c.marks, of)
 }
 
-// SetSlowStarts sets the services whose engines take a bounded rate while they are cold.
+// SetSlowStarts sets the services whose cold engines are rate limited.
 func (f *Fleet) SetSlowStarts(services map[string]routes.SlowStart) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cold.services = services
 }
 
-// SlowStart returns the slow start of a service; bounded is false where it has none.
+// SlowStart returns the slow start of a service; bounded is false if it has none.
 func (f *Fleet) SlowStart(service string) (slowStart routes.SlowStart, bounded bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,82 +113,82 @@
 	return slowStart, bounded
 }
 
-// MarkDoubtful notes that an engine may be cold though its entry does not say so. It may come
-// before Put, so that no request finds the engine between the two.
+// MarkDoubtful records that an engine may be cold although its entry does not say so. It may be called
+// before Put, so that no request finds the engine unmarked.
 func (f *Fleet) MarkDoubtful(of incarnation.ID, reason ColdReason, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cold.add(of, doubt{reason: reason, at: at})
+	f.cold.add(of, coldMark{reason: reason, at: at})
 }
 
-// MarkZoneDoubtful is MarkDoubtful for all engines of a zone.
+// MarkZoneDoubtful calls MarkDoubtful for all engines of a zone.
 func (f *Fleet) MarkZoneDoubtful(zone string, reason ColdReason, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, each := range f.members {
 		if each.engine.Zone == zone {
-			f.cold.add(each.engine.Incarnation(), doubt{reason: reason, at: at})
+			f.cold.add(each.engine.Incarnation(), coldMark{reason: reason, at: at})
 		}
 	}
 }
 
-// Heard notes that an engine works on a request, or has answered one.
+// Heard records that an engine is working on a request or has answered one.
 func (f *Fleet) Heard(of incarnation.ID, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard(of, at)
+	f.recordResponse(of, at)
 }
 
-// sameLifeMargin is how long before a lost connection was noticed an engine may have ended, and how
-// long after it events that it had made before may still be read.
-const sameLifeMargin = 300 * time.Millisecond
+// sameIncarnationMargin bounds the delay between the end of an engine and the detection of the lost connection,
+// and the delay with which events sent before that are still read.
+const sameIncarnationMargin = 300 * time.Millisecond
 
-// Continues notes that an engine goes on with a stream that began before, as its events from one time
-// on show. It ends with all its streams, so it has not started again since the stream began.
+// Continues records that a stream opened at began delivered events made after eventsFrom. An engine loses all
+// streams when it ends, so an engine whose stream outlasts an Unreached has not restarted.
 func (f *Fleet) Continues(of incarnation.ID, began, eventsFrom time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.cold.doubts[of]
+	known, found := f.cold.marks[of]
 	if !found || known.reason != Unreached {
 		return
 	}
-	if began.Before(known.at.Add(-sameLifeMargin)) && eventsFrom.After(known.at.Add(sameLifeMargin)) {
+	if began.Before(known.at.Add(-sameIncarnationMargin)) && eventsFrom.After(known.at.Add(sameIncarnationMargin)) {
 		f.cold.end(of)
 	}
 }
 
-// heard is Heard; mu is held.
-func (f *Fleet) heard(of incarnation.ID, at time.Time) {
-	known, found := f.cold.doubts[of]
-	if !found || !known.reason.heardEnds() || at.Before(known.at) {
+// recordResponse implements Heard. Must be called with mu held.
+func (f *Fleet) recordResponse(of incarnation.ID, at time.Time) {
+	known, found := f.cold.marks[of]
+	if !found || !known.reason.clearedByResponse() || at.Before(known.at) {
 		return
 	}
 	if known.reason == RefusedItem {
-		delete(f.cold.doubts, of)
+		delete(f.cold.marks, of)
 		return
 	}
-	if known.heardAt.IsZero() {
-		known.heardAt = at
-		f.cold.doubts[of] = known
+	if known.respondedAt.IsZero() {
+		known.respondedAt = at
+		f.cold.marks[of] = known
 	}
 }
 
-// noteOutcome takes what a request's end says of whether the engine is cold; mu is held.
-func (f *Fleet) noteOutcome(of incarnation.ID, outcome Outcome) {
+// updateColdMark applies the outcome of a request to the engine's cold mark. Must be called with mu held.
+func (f *Fleet) updateColdMark(of incarnation.ID, outcome Outcome) {
 	switch {
 	case outcome.Unreached:
-		f.cold.add(of, doubt{reason: Unreached, at: outcome.At})
+		f.cold.add(of, coldMark{reason: Unreached, at: outcome.At})
 	case outcome.RefusedItem:
-		if _, doubtful := f.cold.doubts[of]; !doubtful {
-			f.cold.doubts[of] = doubt{reason: RefusedItem, at: outcome.At}
+		if _, marked := f.cold.marks[of]; !marked {
+			f.cold.marks[of] = coldMark{reason: RefusedItem, at: outcome.At}
 		}
 	case outcome.Latency > 0:
-		f.heard(of, outcome.At)
+		f.recordResponse(of, outcome.At)
 	}
 }
 
-// Cold tells whether an engine counts as cold, and at which rate it takes requests then. Those of
-// services without a bound never do.
+// Cold reports whether an engine is cold, and its request rate limit. Engines of services without a slow
+// start never are.
 func (f *Fleet) Cold(of incarnation.ID, now time.Time) (Coldness, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -200,35 +199,35 @@
 	return f.coldnessOf(known, now)
 }
 
-// coldnessOf is Cold of a member; mu is held.
+// coldnessOf implements Cold. Must be called with mu held.
 func (f *Fleet) coldnessOf(of *member, now time.Time) (Coldness, bool) {
 	slowStart, bounded := f.cold.services[of.engine.Service]
 	if !bounded {
 		return Coldness{}, false
 	}
 	if now.Before(of.engine.ColdUntil) {
-		return Coldness{Reason: ToldCold, RatePerSecond: slowStart.RatePerSecond}, true
+		return Coldness{Reason: ReportedCold, RatePerSecond: slowStart.RatePerSecond}, true
 	}
 	id := of.engine.Incarnation()
 	for {
-		known, doubtful := f.cold.doubts[id]
-		if !doubtful {
+		known, marked := f.cold.marks[id]
+		if !marked {
 			return Coldness{}, false
 		}
-		if known.lasts(slowStart.Period, now) {
+		if known.active(slowStart.Period, now) {
 			return Coldness{Reason: known.reason, RatePerSecond: slowStart.RatePerSecond}, true
 		}
 		f.cold.end(id)
 	}
 }
 
-// ColdEngine is an engine that counts as cold.
+// ColdEngine is an engine that is cold.
 type ColdEngine struct {
 	Engine Engine
 	Coldness
 }
 
-// ColdEngines returns all engines that count as cold.
+// ColdEngines returns all cold engines.
 func (f *Fleet) ColdEngines(now time.Time) []ColdEngine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -238,18 +237,18 @@
 			cold = append(cold, ColdEngine{Engine: each.engine, Coldness: found})
 		}
 	}
-	f.forgetDoubts(now)
+	f.pruneColdMarks(now)
 	return cold
 }
 
-// markLead is how long before its entry is put an engine may be marked as doubtful.
-const markLead = time.Second
+// unlistedMarkTTL is how long a mark of an engine without an entry is kept, since MarkDoubtful may precede Put.
+const unlistedMarkTTL = time.Second
 
-// forgetDoubts drops what is kept of engines that are not listed any more; mu is held.
-func (f *Fleet) forgetDoubts(now time.Time) {
-	for of, each := range f.cold.doubts {
-		if _, listed := f.lookUp(of); !listed && now.Sub(each.at) > markLead {
-			delete(f.cold.doubts, of)
+// pruneColdMarks drops the marks of engines that are no longer listed. Must be called with mu held.
+func (f *Fleet) pruneColdMarks(now time.Time) {
+	for of, each := range f.cold.marks {
+		if _, listed := f.lookUp(of); !listed && now.Sub(each.at) > unlistedMarkTTL {
+			delete(f.cold.marks, of)
 		}
 	}
 }
--- a/internal/core/fleet/cold_test.go
+++ b/internal/core/fleet/cold_test.go
@@ -10,137 +10,135 @@
 	"github.com/corkpulley/corkpulley/internal/core/routes"
 )
 
-var slow = routes.SlowStart{Period: 3 * time.Second, RatePerSecond: 7.9}
+var slowStart = routes.SlowStart{Period: 3 * time.Second, RatePerSecond: 7.9}
 
-// pacedFleet is a fleet whose service has a slow start.
-func pacedFleet(engines ...Engine) *Fleet {
+// slowStartFleet returns a fleet whose service has a slow start.
+func slowStartFleet(engines ...Engine) *Fleet {
 	f := fleetOf(engines...)
-	f.SetSlowStarts(map[string]routes.SlowStart{"s": slow})
+	f.SetSlowStarts(map[string]routes.SlowStart{"s": slowStart})
 	return f
 }
 
 func coldReason(f *Fleet, engine string, at time.Time) string {
-	found, _ := f.Cold(named(engine), at)
+	found, _ := f.Cold(incarnationOf(engine), at)
 	return found.Reason.String()
 }
 
-func toldCold(id string) Engine {
-	engine := listed(id, "z")
+func coldEngine(id string) Engine {
+	engine := testEngine(id, "z")
 	engine.ColdUntil = now.Add(time.Second)
 	return engine
 }
 
-func TestAnEngineIsColdForAsLongAsItsEntrySays(t *testing.T) {
-	f := pacedFleet(toldCold("a"))
+func TestEngineIsColdUntilTheTimeInItsEntry(t *testing.T) {
+	f := slowStartFleet(coldEngine("a"))
 	assert.Equal(t, coldReason(f, "a", now), "told_cold")
 	assert.Equal(t, coldReason(f, "a", now.Add(time.Second)), "")
 	f.SetSlowStarts(nil)
-	assert.Equal(t, coldReason(f, "a", now), "", "a service without a bound")
+	assert.Equal(t, coldReason(f, "a", now), "", "no slow start configured")
 }
 
-func TestADoubtfulEngineIsColdForThePeriod(t *testing.T) {
-	f := pacedFleet()
-	f.MarkDoubtful(named("a"), FirstSeen, now)
-	f.Put(listed("a", "z"))
-	assert.Equal(t, coldReason(f, "a", now.Add(slow.Period-1)), "first_seen")
-	assert.Equal(t, coldReason(f, "a", now.Add(slow.Period)), "")
+func TestMarkedEngineIsColdForSlowStartPeriod(t *testing.T) {
+	f := slowStartFleet()
+	f.MarkDoubtful(incarnationOf("a"), FirstSeen, now)
+	f.Put(testEngine("a", "z"))
+	assert.Equal(t, coldReason(f, "a", now.Add(slowStart.Period-1)), "first_seen")
+	assert.Equal(t, coldReason(f, "a", now.Add(slowStart.Period)), "")
 }
 
-func TestTheEnginesOfAZoneThatReturnsAreInDoubt(t *testing.T) {
-	f := pacedFleet(listed("a", "z1"), listed("b", "z2"))
+func TestMarkZoneDoubtfulMarksOnlyEnginesOfZone(t *testing.T) {
+	f := slowStartFleet(testEngine("a", "z1"), testEngine("b", "z2"))
 	f.MarkZoneDoubtful("z2", ZoneReturned, now)
 	assert.Equal(t, coldReason(f, "a", now), "")
 	assert.Equal(t, coldReason(f, "b", now), "zone_returned")
 }
 
-// TestAnEngineOutOfReachIsColdForThePeriodAfterItWasHeardAgain: it may have started at any moment
-// until then.
-func TestAnEngineOutOfReachIsColdForThePeriodAfterItWasHeardAgain(t *testing.T) {
-	f := pacedFleet(listed("a", "z"))
-	f.Began(named("a"))
-	f.Ended(named("a"), Outcome{At: now, Failed: true, Unreached: true})
+// The engine may have restarted at any time before its first response.
+func TestUnreachedEngineIsColdForSlowStartPeriodAfterFirstResponse(t *testing.T) {
+	f := slowStartFleet(testEngine("a", "z"))
+	f.Began(incarnationOf("a"))
+	f.Ended(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
 	later := now.Add(time.Minute)
 	assert.Equal(t, coldReason(f, "a", later), "unreached")
-	f.Heard(named("a"), later)
-	f.Heard(named("a"), later.Add(time.Second))
-	assert.Equal(t, coldReason(f, "a", later.Add(slow.Period-1)), "unreached")
-	assert.Equal(t, coldReason(f, "a", later.Add(slow.Period)), "")
-}
-
-// TestAnEngineThatGoesOnWithItsOtherStreamsHasNotStartedAgain, but one that was sent something after the
-// loss may have, and so may one whose last events are only read late.
-func TestAnEngineThatGoesOnWithItsOtherStreamsHasNotStartedAgain(t *testing.T) {
-	f := pacedFleet(listed("a", "z"))
-	f.Began(named("a"))
-	f.Ended(named("a"), Outcome{At: now, Failed: true, Unreached: true})
+	f.Heard(incarnationOf("a"), later)
+	f.Heard(incarnationOf("a"), later.Add(time.Second))
+	assert.Equal(t, coldReason(f, "a", later.Add(slowStart.Period-1)), "unreached")
+	assert.Equal(t, coldReason(f, "a", later.Add(slowStart.Period)), "")
+}
+
+// A stream opened after the loss, or events read late, do not rule out a restart.
+func TestContinuesClearsUnreachedOnlyForStreamsSpanningTheLoss(t *testing.T) {
+	f := slowStartFleet(testEngine("a", "z"))
+	f.Began(incarnationOf("a"))
+	f.Ended(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
 	before, after := now.Add(-time.Second), now.Add(time.Second)
-	f.Continues(named("a"), now, after)
-	f.Continues(named("a"), before, now)
+	f.Continues(incarnationOf("a"), now, after)
+	f.Continues(incarnationOf("a"), before, now)
 	assert.Equal(t, coldReason(f, "a", after), "unreached")
-	f.Continues(named("a"), before, after)
+	f.Continues(incarnationOf("a"), before, after)
 	assert.Equal(t, coldReason(f, "a", after), "")
-	f.MarkDoubtful(named("a"), ZoneReturned, now)
-	f.Continues(named("a"), before, after)
-	assert.Equal(t, coldReason(f, "a", after), "zone_returned", "it may be cold without a start")
+	f.MarkDoubtful(incarnationOf("a"), ZoneReturned, now)
+	f.Continues(incarnationOf("a"), before, after)
+	assert.Equal(t, coldReason(f, "a", after), "zone_returned", "the mark does not depend on a restart")
 }
 
-func TestAnEngineThatRefusedAnItemIsColdUntilItRunsOne(t *testing.T) {
-	f := pacedFleet(listed("a", "z"))
-	f.Began(named("a"))
-	f.Ended(named("a"), Outcome{At: now, RefusedItem: true})
+func TestRefusedItemIsClearedByResponse(t *testing.T) {
+	f := slowStartFleet(testEngine("a", "z"))
+	f.Began(incarnationOf("a"))
+	f.Ended(incarnationOf("a"), Outcome{At: now, RefusedItem: true})
 	assert.Equal(t, coldReason(f, "a", now), "refused_item")
-	f.Heard(named("a"), now.Add(time.Millisecond))
+	f.Heard(incarnationOf("a"), now.Add(time.Millisecond))
 	assert.Equal(t, coldReason(f, "a", now.Add(time.Millisecond)), "")
 }
 
-func TestARefusalDoesNotHideAnotherDoubt(t *testing.T) {
-	f := pacedFleet(listed("a", "z"))
-	f.MarkDoubtful(named("a"), FirstSeen, now)
-	f.Began(named("a"))
-	f.Ended(named("a"), Outcome{At: now, RefusedItem: true})
-	f.Heard(named("a"), now)
+func TestRefusedItemDoesNotReplaceOtherMark(t *testing.T) {
+	f := slowStartFleet(testEngine("a", "z"))
+	f.MarkDoubtful(incarnationOf("a"), FirstSeen, now)
+	f.Began(incarnationOf("a"))
+	f.Ended(incarnationOf("a"), Outcome{At: now, RefusedItem: true})
+	f.Heard(incarnationOf("a"), now)
 	assert.Equal(t, coldReason(f, "a", now), "first_seen")
 }
 
-func TestWarmEnginesArePreferredUnlessAllAreFull(t *testing.T) {
-	f := pacedFleet(listed("a", "z"), toldCold("b"))
+func TestChoosePrefersWarmEnginesUnlessAllAreFull(t *testing.T) {
+	f := slowStartFleet(testEngine("a", "z"), coldEngine("b"))
 	for range 4 {
 		choice, _ := f.Choose(Query{Service: "s", Now: now})
 		assert.Equal(t, choice.Engine.ID, "a")
 		assert.Assert(t, !choice.Cold)
-		f.Began(named("a"))
+		f.Began(incarnationOf("a"))
 	}
 	choice, _ := f.Choose(Query{Service: "s", Now: now})
 	assert.Equal(t, choice.Engine.ID, "b")
 	assert.Assert(t, choice.Cold)
 	choice, _ = f.Choose(Query{Service: "s", Now: now, WithoutCold: true})
-	assert.Equal(t, choice.Engine.ID, "a", "what the cold one may not take")
+	assert.Equal(t, choice.Engine.ID, "a", "cold engines are excluded")
 	_, found := f.Choose(Query{Service: "s", Now: now, WithoutCold: true, Tried: []string{"a"}})
 	assert.Assert(t, !found)
 }
 
-// TestAnEngineThatWasOutOfReachIsTriedAgain though others have places: it would count as cold for good.
-func TestAnEngineThatWasOutOfReachIsTriedAgain(t *testing.T) {
-	f := pacedFleet(listed("a", "z"), listed("b", "z"))
-	f.Began(named("a"))
-	f.Began(named("b"))
-	f.Ended(named("b"), Outcome{At: now, Failed: true, Unreached: true})
+// Guards against an engine that stays cold because it is never tried while others have free slots.
+func TestChooseProbesUnreachedEngineAfterSlowStartPeriod(t *testing.T) {
+	f := slowStartFleet(testEngine("a", "z"), testEngine("b", "z"))
+	f.Began(incarnationOf("a"))
+	f.Began(incarnationOf("b"))
+	f.Ended(incarnationOf("b"), Outcome{At: now, Failed: true, Unreached: true})
 	choose := func(at time.Time) Choice {
 		choice, _ := f.Choose(Query{Service: "s", Now: at})
 		return choice
 	}
-	assert.Equal(t, choose(now.Add(slow.Period-1)).Engine.ID, "a")
-	due := choose(now.Add(slow.Period))
+	assert.Equal(t, choose(now.Add(slowStart.Period-1)).Engine.ID, "a")
+	due := choose(now.Add(slowStart.Period))
 	assert.Equal(t, due.Engine.ID, "b")
 	assert.Assert(t, due.Cold)
-	f.Heard(named("b"), now.Add(slow.Period))
-	assert.Equal(t, choose(now.Add(slow.Period)).Engine.ID, "a")
-	assert.Assert(t, !choose(now.Add(2*slow.Period)).Cold)
+	f.Heard(incarnationOf("b"), now.Add(slowStart.Period))
+	assert.Equal(t, choose(now.Add(slowStart.Period)).Engine.ID, "a")
+	assert.Assert(t, !choose(now.Add(2*slowStart.Period)).Cold)
 }
 
-func TestColdCandidatesComeBestFirst(t *testing.T) {
-	f := pacedFleet(toldCold("a"), toldCold("b"), toldCold("c"), listed("d", "z"))
-	f.Began(named("a"))
+func TestColdCandidatesAreSortedByExpectedTime(t *testing.T) {
+	f := slowStartFleet(coldEngine("a"), coldEngine("b"), coldEngine("c"), testEngine("d", "z"))
+	f.Began(incarnationOf("a"))
 	query := Query{Service: "s", Now: now, Tried: []string{"c"}}
 	engines := f.ColdCandidates(query, 5)
 	assert.Equal(t, len(engines), 2)
@@ -154,22 +152,22 @@
 	assert.Assert(t, !found)
 }
 
-func TestDoubtsOfEnginesThatAreGoneAreForgotten(t *testing.T) {
-	f := pacedFleet(listed("a", "z"))
-	f.MarkDoubtful(named("a"), ZoneReturned, now)
+func TestColdMarksOfUnlistedEnginesArePruned(t *testing.T) {
+	f := slowStartFleet(testEngine("a", "z"))
+	f.MarkDoubtful(incarnationOf("a"), ZoneReturned, now)
 	assert.Equal(t, len(f.ColdEngines(now)), 1)
 	f.Remove("a")
-	assert.Equal(t, len(f.ColdEngines(now.Add(markLead))), 0)
-	assert.Equal(t, len(f.cold.doubts), 1, "it may be put back the next moment")
-	f.ColdEngines(now.Add(markLead + 1))
-	assert.Equal(t, len(f.cold.doubts), 0)
+	assert.Equal(t, len(f.ColdEngines(now.Add(unlistedMarkTTL))), 0)
+	assert.Equal(t, len(f.cold.marks), 1, "the engine may be listed again")
+	f.ColdEngines(now.Add(unlistedMarkTTL + 1))
+	assert.Equal(t, len(f.cold.marks), 0)
 }
 
-// TestAServiceWithoutSlowStartIsChosenForAsBefore: each request of every service goes this way.
-func TestAServiceWithoutSlowStartIsChosenForAsBefore(t *testing.T) {
+// Guards the request path of services without a slow start against allocations for cold engines.
+func TestChooseWithoutSlowStartAllocatesNoMoreThanFilter(t *testing.T) {
 	var engines []Engine
 	for i := range 64 {
-		engines = append(engines, listed(strconv.Itoa(i), "z"))
+		engines = append(engines, testEngine(strconv.Itoa(i), "z"))
 	}
 	f := fleetOf(engines...)
 	query := Query{Service: "s", Now: now}
@@ -177,41 +175,39 @@
 	assert.Equal(t, testing.AllocsPerRun(100, func() { f.Choose(query) }), filtered)
 }
 
-// TestADoubtOutlastsALossOfContact: that the engine goes on says nothing of whether it is cold without a start.
-func TestADoubtOutlastsALossOfContact(t *testing.T) {
-	f := pacedFleet(listed("a", "z"))
+// A continued stream rules out a restart, but not the reason of another mark.
+func TestZoneReturnedMarkSurvivesClearedUnreached(t *testing.T) {
+	f := slowStartFleet(testEngine("a", "z"))
 	began, lost := now.Add(time.Millisecond), now.Add(time.Second)
-	f.MarkDoubtful(named("a"), ZoneReturned, now)
-	f.Began(named("a"))
-	f.Ended(named("a"), Outcome{At: lost, Failed: true, Unreached: true})
+	f.MarkDoubtful(incarnationOf("a"), ZoneReturned, now)
+	f.Began(incarnationOf("a"))
+	f.Ended(incarnationOf("a"), Outcome{At: lost, Failed: true, Unreached: true})
 	assert.Equal(t, coldReason(f, "a", lost), "unreached")
-	f.Continues(named("a"), began, lost.Add(time.Second))
-	assert.Equal(t, coldReason(f, "a", now.Add(slow.Period-1)), "zone_returned")
-	assert.Equal(t, coldReason(f, "a", now.Add(slow.Period)), "")
+	f.Continues(incarnationOf("a"), began, lost.Add(time.Second))
+	assert.Equal(t, coldReason(f, "a", now.Add(slowStart.Period-1)), "zone_returned")
+	assert.Equal(t, coldReason(f, "a", now.Add(slowStart.Period)), "")
 }
 
-// TestAnEngineOutOfReachStaysInDoubtThoughItsZoneReturns: nothing was heard of it by then.
-func TestAnEngineOutOfReachStaysInDoubtThoughItsZoneReturns(t *testing.T) {
+func TestUnreachedMarkSurvivesLaterMarks(t *testing.T) {
 	for _, mark := range []func(*Fleet){
 		func(f *Fleet) { f.MarkZoneDoubtful("z", ZoneReturned, now.Add(time.Second)) },
-		func(f *Fleet) { f.MarkDoubtful(named("a"), FirstSeen, now.Add(time.Second)) },
+		func(f *Fleet) { f.MarkDoubtful(incarnationOf("a"), FirstSeen, now.Add(time.Second)) },
 	} {
-		f := pacedFleet(listed("a", "z"))
-		f.Began(named("a"))
-		f.Ended(named("a"), Outcome{At: now, Failed: true, Unreached: true})
+		f := slowStartFleet(testEngine("a", "z"))
+		f.Began(incarnationOf("a"))
+		f.Ended(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
 		mark(f)
 		assert.Equal(t, coldReason(f, "a", now.Add(time.Minute)), "unreached")
 	}
 }
 
-// TestTheLaterEndOfTwoDoubtsHolds where the engine was heard before its zone returned.
-func TestTheLaterEndOfTwoDoubtsHolds(t *testing.T) {
-	f := pacedFleet(listed("a", "z"))
-	f.Began(named("a"))
-	f.Ended(named("a"), Outcome{At: now, Failed: true, Unreached: true})
-	f.Heard(named("a"), now)
+func TestEngineIsColdUntilLastOfTwoMarksEnds(t *testing.T) {
+	f := slowStartFleet(testEngine("a", "z"))
+	f.Began(incarnationOf("a"))
+	f.Ended(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
+	f.Heard(incarnationOf("a"), now)
 	returned := now.Add(time.Second)
 	f.MarkZoneDoubtful("z", ZoneReturned, returned)
-	assert.Equal(t, coldReason(f, "a", now.Add(slow.Period)), "zone_returned")
-	assert.Equal(t, coldReason(f, "a", returned.Add(slow.Period)), "")
+	assert.Equal(t, coldReason(f, "a", now.Add(slowStart.Period)), "zone_returned")
+	assert.Equal(t, coldReason(f, "a", returned.Add(slowStart.Period)), "")
 }
--- a/internal/core/fleet/evacuation.go
+++ b/internal/core/fleet/evacuation.go
@@ -12,23 +12,22 @@
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
 )
 
-// Hold is why an engine may be sent nothing new at the moment.
+// Hold is why an engine is currently sent no new requests.
 type Hold uint8
 
-// The reasons.
+// Reasons for a hold.
 const (
 	// NotHeld: the engine may be sent requests.
 	NotHeld Hold = iota
-	// HeldDraining: the engine has said that it leaves.
+	// HeldDraining: the engine is draining.
 	HeldDraining
-	// HeldEvacuated: an operator has its zone evacuated.
+	// HeldEvacuated: an operator evacuated its zone.
 	HeldEvacuated
-	// HeldGone: this incarnation of the engine is not listed any more.
+	// HeldGone: this incarnation is no longer listed.
 	HeldGone
-	// HeldUnknown: what this process knows of evacuations and engines is from before a standstill, and is read again
-	// shortly.
+	// HeldUnknown: this process was paused, so its evacuation and engine state is stale and is being read again.
 	HeldUnknown
-	// HeldPaced: the engine is cold, and there is no permit to send to it, or it has ended.
+	// HeldPaced: the engine is cold and no permit is available, or the engine has ended.
 	HeldPaced
 )
 
@@ -37,27 +36,27 @@
 	HeldPaced: "paced",
 }
 
-// String returns the reason as it stands in logs and metrics.
+// String returns the reason's name in logs and metrics.
 func (h Hold) String() string { return holdNames[h] }
 
-// Holds returns every reason for which an engine is sent nothing.
+// Holds returns every reason for a hold.
 func Holds() []Hold { return []Hold{HeldDraining, HeldEvacuated, HeldGone, HeldUnknown, HeldPaced} }
 
-// zoneState is what was last said of a zone's evacuation.
+// zoneState is the newest evacuation state of a zone.
 type zoneState struct {
 	evacuated bool
-	// since is when that came into force here, offset the place of its record in the log.
+	// since is when the state took effect in this process, offset that of its record in the log.
 	since  time.Time
 	offset int64
 }
 
-// Evacuate keeps new work from the engines of a zone, those that are listed later included. It
-// tells whether that is new.
+// Evacuate stops new requests to the engines of a zone, including engines listed later. It reports whether
+// the zone was not evacuated before.
 func (f *Fleet) Evacuate(zone string, now time.Time, offset int64) bool {
 	return f.setZone(zone, zoneState{evacuated: true, since: now, offset: offset})
 }
 
-// TakeBack ends the evacuation of a zone. It tells whether there was one.
+// TakeBack ends the evacuation of a zone. It reports whether the zone was evacuated.
 func (f *Fleet) TakeBack(zone string, now time.Time, offset int64) bool {
 	return f.setZone(zone, zoneState{since: now, offset: offset})
 }
@@ -77,14 +76,14 @@
 	return true
 }
 
-// IsEvacuated tells whether a zone is evacuated.
+// IsEvacuated reports whether a zone is evacuated.
 func (f *Fleet) IsEvacuated(zone string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.zones[zone].evacuated
 }
 
-// EvacuatedZones returns the zones that are evacuated, in order.
+// EvacuatedZones returns the evacuated zones, sorted.
 func (f *Fleet) EvacuatedZones() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,8 +97,8 @@
 	return zones
 }
 
-// Hold tells why an incarnation of an engine may be sent nothing new; NotHeld when it may. It is asked when
-// an engine is chosen, and once more right before the bytes of a request leave.
+// Hold returns why an incarnation may not be sent new requests, or NotHeld. Callers check it when choosing an
+// engine and again right before sending.
 func (f *Fleet) Hold(of incarnation.ID) Hold {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,7 +109,7 @@
 	return f.hold(known.engine)
 }
 
-// hold tells why an engine of the list is sent nothing new; mu is held.
+// hold returns the hold of a listed engine. Must be called with mu held.
 func (f *Fleet) hold(engine Engine) Hold {
 	switch {
 	case engine.Draining:
@@ -122,7 +121,7 @@
 	}
 }
 
-// Evacuated returns how many engines of a service get no work because of an evacuation.
+// Evacuated returns the number of a service's engines that are held by an evacuation.
 func (f *Fleet) Evacuated(service string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,22 +134,22 @@
 	return count
 }
 
-// Zone is what is known of one zone.
+// Zone is the state of one zone.
 type Zone struct {
 	Name      string
 	Evacuated bool
-	// Since is when the evacuation came into force or was taken back here, and Offset the place of its
-	// record in the log; both are zero where there never was one.
+	// Since is when the newest evacuation state took effect in this process, and Offset that of its record in the
+	// log; both are zero if the zone was never evacuated.
 	Since  time.Time
 	Offset int64
-	// Engines is the number of engines listed there, InFlight that of this process's requests at them.
+	// Engines is the number of engines listed in the zone, InFlight the number of this process's requests at them.
 	Engines  int
 	InFlight int
-	// Incarnations are these engines.
+	// Incarnations identifies these engines.
 	Incarnations []incarnation.ID
 }
 
-// Zones returns all zones that have engines or of which an evacuation is known, in order.
+// Zones returns all zones that have engines or an evacuation state, sorted by name.
 func (f *Fleet) Zones() []Zone {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -179,21 +178,21 @@
 	return zones
 }
 
-// maxZoneName bounds the name of a zone, in bytes.
+// maxZoneName is the maximum length of a zone name, in bytes.
 const maxZoneName = 128
 
-// ZoneNameError says that a text names no zone.
+// ZoneNameError is returned for an invalid zone name.
 type ZoneNameError struct {
 	Name   string
 	Reason string
 }
 
-// Error implements the error interface. A long name stands in it in part.
+// Error implements the error interface. Long names are truncated.
 func (e *ZoneNameError) Error() string {
 	return fmt.Sprintf("%.*q names no zone: %s", maxZoneName, e.Name, e.Reason)
 }
 
-// CheckZoneName returns a *ZoneNameError for a text that no zone can have as its name.
+// CheckZoneName returns a *ZoneNameError if the name is not a valid zone name.
 func CheckZoneName(name string) error {
 	switch {
 	case name == "":
@@ -203,7 +202,7 @@
 	case !utf8.ValidString(name):
 		return &ZoneNameError{Name: name, Reason: "it is not valid UTF-8"}
 	case strings.ContainsFunc(name, func(r rune) bool { return r == '/' || !unicode.IsGraphic(r) || unicode.IsSpace(r) }):
-		return &ZoneNameError{Name: name, Reason: "it has a slash, a blank or a sign that cannot be printed"}
+		return &ZoneNameError{Name: name, Reason: "it has a slash, white space or a non-printable character"}
 	default:
 		return nil
 	}
--- a/internal/core/fleet/evacuation_test.go
+++ b/internal/core/fleet/evacuation_test.go
@@ -12,35 +12,34 @@
 )
 
 func TestEnginesOfAnEvacuatedZoneAreNotChosen(t *testing.T) {
-	f := fleetOf(listed("a", "z1"), listed("b", "z2"))
+	f := fleetOf(testEngine("a", "z1"), testEngine("b", "z2"))
 	assert.Assert(t, f.Evacuate("z1", now, 7))
-	assert.Equal(t, chosen(f, Query{Zone: "z1"}), "b")
-	assert.Equal(t, chosen(f, Query{Tried: []string{"b"}}), "")
-	assert.Equal(t, f.Hold(named("a")), HeldEvacuated)
+	assert.Equal(t, chooseID(f, Query{Zone: "z1"}), "b")
+	assert.Equal(t, chooseID(f, Query{Tried: []string{"b"}}), "")
+	assert.Equal(t, f.Hold(incarnationOf("a")), HeldEvacuated)
 	assert.Equal(t, f.Evacuated("s"), 1)
 	slots, _ := f.Places("s", now)
 	assert.Equal(t, slots, 4)
-	// One that is listed later is in the zone as well.
-	f.Put(listed("c", "z1"))
-	assert.Assert(t, !f.TakesWork(listed("c", "z1")))
+	// An engine that is listed later is evacuated as well.
+	f.Put(testEngine("c", "z1"))
+	assert.Assert(t, !f.TakesWork(testEngine("c", "z1")))
 	assert.Assert(t, f.TakeBack("z1", now.Add(time.Second), 8))
-	assert.Equal(t, f.Hold(named("a")), NotHeld)
+	assert.Equal(t, f.Hold(incarnationOf("a")), NotHeld)
 }
 
-func TestEvacuationsStandApart(t *testing.T) {
-	f := fleetOf(listed("a", "z1"), listed("b", "z2"))
+func TestEvacuationsOfZonesAreIndependent(t *testing.T) {
+	f := fleetOf(testEngine("a", "z1"), testEngine("b", "z2"))
 	f.Evacuate("z1", now, 7)
 	f.Evacuate("z2", now, 8)
 	assert.DeepEqual(t, f.EvacuatedZones(), []string{"z1", "z2"})
 	f.TakeBack("z1", now, 9)
-	assert.Equal(t, chosen(f, Query{}), "a")
+	assert.Equal(t, chooseID(f, Query{}), "a")
 	assert.Assert(t, f.IsEvacuated("z2"))
 }
 
-// TestARecordThatSaysNothingNewChangesNothing: an evacuation that is written again goes on from when it
-// came into force, and a zone that was never evacuated has not returned.
-func TestARecordThatSaysNothingNewChangesNothing(t *testing.T) {
-	f := fleetOf(listed("a", "z1"))
+// A repeated record must not reset Since, and a zone that was never evacuated must not be reported as returned.
+func TestRepeatedEvacuationRecordKeepsSince(t *testing.T) {
+	f := fleetOf(testEngine("a", "z1"))
 	assert.Assert(t, !f.TakeBack("z1", now, 1))
 	f.Evacuate("z1", now, 2)
 	assert.Assert(t, !f.Evacuate("z1", now.Add(time.Minute), 3))
@@ -48,20 +47,20 @@
 	assert.Equal(t, f.Zones()[0].Offset, int64(3))
 }
 
-func TestALifeThatIsNotListedAnyMoreIsHeld(t *testing.T) {
-	f := fleetOf(listed("a", "z1"))
+func TestHoldOfDrainingAndUnlistedIncarnations(t *testing.T) {
+	f := fleetOf(testEngine("a", "z1"))
 	assert.Equal(t, f.Hold(incarnation.ID{Engine: "a", Born: 5}), HeldGone)
-	draining := listed("a", "z1")
+	draining := testEngine("a", "z1")
 	draining.Draining = true
 	f.Put(draining)
-	assert.Equal(t, f.Hold(named("a")), HeldDraining)
+	assert.Equal(t, f.Hold(incarnationOf("a")), HeldDraining)
 	f.Remove("a")
-	assert.Equal(t, f.Hold(named("a")), HeldGone)
+	assert.Equal(t, f.Hold(incarnationOf("a")), HeldGone)
 }
 
-func TestZonesTellWhatIsThere(t *testing.T) {
-	f := fleetOf(listed("a", "z1"), listed("b", "z2"), listed("c", "z2"))
-	f.Began(named("c"))
+func TestZonesCountsEnginesAndRequests(t *testing.T) {
+	f := fleetOf(testEngine("a", "z1"), testEngine("b", "z2"), testEngine("c", "z2"))
+	f.Began(incarnationOf("c"))
 	f.Evacuate("unknown", now, 4)
 	zones := f.Zones()
 	assert.Equal(t, len(zones), 3)
@@ -72,7 +71,7 @@
 	assert.Equal(t, zones[2].InFlight, 1)
 }
 
-func TestNamesThatNoZoneCanHave(t *testing.T) {
+func TestCheckZoneName(t *testing.T) {
 	for _, name := range []string{"wcape-a", "Z_1", "zone.münchen"} {
 		assert.NilError(t, CheckZoneName(name))
 	}
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet keeps what is believed of the engines and chooses one for a
-// request: filter, score, pick. It has no input, output or clock; every event
-// comes with its time.
+// Package fleet tracks the state of the engines and chooses one for a request: filter, score, pick.
+// It has no input, output or clock; the time of each event is passed in.
 package fleet
 
 import (
@@ -11,90 +10,88 @@
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
 )
 
-// Engine is one incarnation of an engine as its list entry describes it.
+// Engine is one incarnation of an engine as described by its list entry.
 type Engine struct {
-	// ID names the engine in the list. An engine may start again under its ID.
+	// ID identifies the engine in the list. A restarted engine may keep its ID.
 	ID string
-	// Born is when the engine started, in milliseconds since 1970 by its own clock; zero where it does
-	// not tell.
+	// Born is the engine's start time in milliseconds since 1970 by its own clock; zero if not reported.
 	Born    int64
 	Service string
 	// Address is ip:port.
 	Address string
 	Zone    string
-	// Region is that of the zone; empty where it is not known.
+	// Region is that of the zone; empty if unknown.
 	Region   string
 	Slots    int
 	Draining bool
 	// Versions holds the weight version of each model.
 	Versions map[string]int64
-	// ColdUntil is the time until which the engine stays slow after its start.
+	// ColdUntil is when the engine reaches its full speed after its start.
 	ColdUntil time.Time
 	// ReadAt is when the entry was read from the list.
 	ReadAt time.Time
 }
 
-// Incarnation names the engine since its start.
+// Incarnation returns the engine's incarnation ID.
 func (e Engine) Incarnation() incarnation.ID { return incarnation.ID{Engine: e.ID, Born: e.Born} }
 
-// Load is what an engine said of itself with an answer.
+// Load is the load that an engine reported with an answer.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Slowdown is how long work takes at the engine at that moment in proportion to what is usual there; zero
-	// where it does not tell. Engines share their machines with others.
+	// Slowdown is the current duration of work relative to the engine's usual one, since engines share machines
+	// with other processes; zero if not reported.
 	Slowdown float64
 }
 
-// member is an engine with what this process has seen of it.
+// member is an engine with its state as observed by this process.
 type member struct {
 	engine Engine
 	// inFlight counts this process's own requests at the engine.
 	inFlight int
 	load     Load
 	loadAt   time.Time
-	// failures counts failures in a row; suspectUntil follows from it.
+	// failures counts consecutive failures; suspectUntil follows from it.
 	failures     int
 	suspectUntil time.Time
 	latency      time.Duration
-	// previous is the incarnation that this one followed, as its last entry described it; empty for none.
-	previous Engine
-	// earlier is an entry of an incarnation that began before this one, read after it; nil for none.
-	earlier *Engine
-	// placed orders the members by when they were listed at their addresses.
-	placed int64
+	// predecessor is the last entry of the incarnation that this one replaced; empty for none.
+	predecessor Engine
+	// deferred is an entry of an earlier incarnation that was read after this one's; nil for none.
+	deferred *Engine
+	// claimed is the sequence number of the claim to its current address; later claims are higher.
+	claimed int64
 }
 
-// Fleet is the set of engines that may be sent requests. It is safe for
-// concurrent use.
+// Fleet is the set of known engines. It is safe for concurrent use.
 type Fleet struct {
 	mu      sync.Mutex
 	members map[string]*member
-	// byService holds the IDs of each service's engines in order.
+	// byService holds the IDs of each service's engines, sorted.
 	byService map[string][]string
 	// starts counts the incarnations that were listed.
 	starts int64
-	// zones holds what was last said of the evacuation of each zone.
+	// zones holds the newest evacuation state of each zone.
 	zones map[string]zoneState
-	cold  coldness
-	// answerTimes holds the moving mean of the time of each service's whole answers.
+	cold  coldTracker
+	// answerTimes holds the moving mean of each service's response time.
 	answerTimes map[string]time.Duration
-	// placements counts the listings of engines at an address where they were not listed before.
-	placements int64
+	// lastClaim is the newest sequence number of a claim to an address.
+	lastClaim int64
 }
 
 // New returns an empty fleet.
 func New() *Fleet {
 	return &Fleet{
 		members: make(map[string]*member), byService: make(map[string][]string), zones: make(map[string]zoneState),
-		cold:        newColdness(),
+		cold:        newColdTracker(),
 		answerTimes: make(map[string]time.Duration),
 	}
 }
 
-// Observe notes that an engine has at least a version of a model. Versions of
-// one incarnation only rise.
+// Observe records that an engine has at least the given version of a model. Versions of an incarnation never
+// decrease.
 func (f *Fleet) Observe(of incarnation.ID, model string, version int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,23 +99,23 @@
 	if !found || known.engine.Versions[model] >= version {
 		return
 	}
-	known.engine.Versions = newest(known.engine.Versions, map[string]int64{model: version})
+	known.engine.Versions = mergeVersions(known.engine.Versions, map[string]int64{model: version})
 }
 
-// newest returns a new map with the higher version of each model: maps that
-// were handed out are never changed.
-func newest(known, told map[string]int64) map[string]int64 {
-	merged := make(map[string]int64, len(told))
+// mergeVersions returns a new map with the higher version of each model. Maps returned to callers are never
+// modified.
+func mergeVersions(known, reported map[string]int64) map[string]int64 {
+	merged := make(map[string]int64, len(reported))
 	for model, version := range known {
 		merged[model] = version
 	}
-	for model, version := range told {
+	for model, version := range reported {
 		merged[model] = max(merged[model], version)
 	}
 	return merged
 }
 
-// lookUp returns an incarnation, unless another one took its place; mu is held.
+// lookUp returns the member if it is still of the given incarnation. Must be called with mu held.
 func (f *Fleet) lookUp(of incarnation.ID) (*member, bool) {
 	known, found := f.members[of.Engine]
 	if !found || known.engine.Born != of.Born {
@@ -127,15 +124,15 @@
 	return known, true
 }
 
-// TakesWork tells whether an engine may be sent anything new, however it is chosen: it has not said
-// that it leaves, and its zone is not evacuated. What failed recently still does.
+// TakesWork reports whether an engine may be sent new requests: it is not draining and its zone is not
+// evacuated. Recent failures do not matter.
 func (f *Fleet) TakesWork(engine Engine) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.takesWork(engine)
 }
 
-// takesWork is TakesWork; mu is held.
+// takesWork implements TakesWork. Must be called with mu held.
 func (f *Fleet) takesWork(engine Engine) bool { return f.hold(engine) == NotHeld }
 
 // Get returns the current incarnation of an engine.
@@ -149,7 +146,7 @@
 	return known.engine, true
 }
 
-// Find returns an incarnation of an engine; found is false once another one took its place.
+// Find returns an incarnation of an engine; found is false if it is not listed or was replaced by another one.
 func (f *Fleet) Find(of incarnation.ID) (engine Engine, found bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -160,7 +157,7 @@
 	return known.engine, true
 }
 
-// Engines returns the engines of a service in the order of their IDs.
+// Engines returns the engines of a service sorted by ID.
 func (f *Fleet) Engines(service string) []Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,17 +168,17 @@
 	return engines
 }
 
-// Listed is an engine of a service with what is believed of it at a moment.
+// Listed is an engine of a service with its state at a given time.
 type Listed struct {
 	Engine Engine
-	// TakesWork is false for one that has said that it leaves, or whose zone is evacuated.
+	// TakesWork is false if the engine is draining or its zone is evacuated.
 	TakesWork bool
-	// Suspected: recent failures keep new requests from it.
+	// Suspected: it is avoided because of recent failures.
 	Suspected bool
 }
 
-// List returns the engines of a service in the order of their IDs, with what is believed of each: whoever looks
-// at thousands of them many times a second asks once.
+// List returns the engines of a service sorted by ID, each with its state, under a single lock acquisition:
+// schedulers call it many times a second for thousands of engines.
 func (f *Fleet) List(service string, now time.Time) []Listed {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -196,8 +193,8 @@
 	return listed
 }
 
-// Serves tells whether a service has an engine in one of the regions, be its zone evacuated now, that has not
-// said that it leaves.
+// Serves reports whether a service has an engine in one of the regions that is not draining, regardless of
+// evacuations.
 func (f *Fleet) Serves(service string, regions homes.Set) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -209,10 +206,9 @@
 	return false
 }
 
-// Places returns how many requests the engines of a service work on at once, and
-// how many they have as far as this process knows. Engines that leave or failed
-// recently do not count.
-func (f *Fleet) Places(service string, now time.Time) (slots, busy int) {
+// Places returns the total slots of a service's engines, and the number of requests known to be at them.
+// Engines that take no work or failed recently are excluded.
+func (f *Fleet) Places(service string, now time.Time) (slots, occupied int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range f.byService[service] {
@@ -221,12 +217,12 @@
 			continue
 		}
 		slots += each.engine.Slots
-		busy += each.busy(now)
+		occupied += each.occupied(now)
 	}
-	return slots, busy
+	return slots, occupied
 }
 
-// Began notes that a request was sent to the engine.
+// Began records that a request was sent to the engine.
 func (f *Fleet) Began(of incarnation.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -235,7 +231,7 @@
 	}
 }
 
-// Suspected tells whether recent failures keep new requests from the engine.
+// Suspected reports whether the engine is avoided because of recent failures.
 func (f *Fleet) Suspected(of incarnation.ID, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/core/fleet/homes_test.go
+++ b/internal/core/fleet/homes_test.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/homes"
 )
 
-// twoRegions has a free engine in the south and one in the north that is full, suspected and far.
+// twoRegions returns a free engine in the south and a full, suspected one in the north.
 func twoRegions(now time.Time) *Fleet {
 	known := New()
 	known.Put(Engine{ID: "s", Service: "live", Zone: "s1", Region: "south", Slots: 8})
@@ -21,7 +21,7 @@
 	return known
 }
 
-func TestEnginesOutsideOfTheRegionsAreNeverChosen(t *testing.T) {
+func TestChooseNeverLeavesQueryRegions(t *testing.T) {
 	now := time.Now()
 	known := twoRegions(now)
 	query := Query{Service: "live", Zone: "s1", Region: "south", Now: now}
@@ -32,15 +32,15 @@
 	query.Regions = homes.Of([]string{"north"})
 	choice, found = known.Choose(query)
 	assert.Assert(t, found)
-	assert.Equal(t, choice.Engine.ID, "n", "the only one at home, however bad")
+	assert.Equal(t, choice.Engine.ID, "n", "the only engine in the region, even if full and suspected")
 	assert.Equal(t, choice.Candidates, 1)
 
 	query.Tried = []string{"n"}
 	_, found = known.Choose(query)
-	assert.Assert(t, !found, "a retry stays at home too")
+	assert.Assert(t, !found, "retries stay in the region")
 }
 
-func TestAnEngineOfAnUnknownRegionIsOutsideOfAll(t *testing.T) {
+func TestEngineOfUnknownRegionMatchesNoRegionSet(t *testing.T) {
 	known := New()
 	known.Put(Engine{ID: "x", Service: "live", Zone: "x1", Slots: 8})
 	_, found := known.Choose(Query{Service: "live", Regions: homes.Of([]string{"north"}), Now: time.Now()})
@@ -49,13 +49,13 @@
 	assert.Assert(t, found)
 }
 
-func TestServesTellsWhetherARegionHasEnginesThatStay(t *testing.T) {
+func TestServesIgnoresDrainingEnginesOnly(t *testing.T) {
 	now := time.Now()
 	known := twoRegions(now)
 	north := homes.Of([]string{"north"})
-	assert.Assert(t, known.Serves("live", north), "one that is full or failed serves soon")
+	assert.Assert(t, known.Serves("live", north), "a full or suspected engine counts")
 	known.Evacuate("n1", now, 1)
-	assert.Assert(t, known.Serves("live", north), "an evacuated zone comes back")
+	assert.Assert(t, known.Serves("live", north), "an evacuation is temporary")
 	known.Put(Engine{ID: "n", Service: "live", Zone: "n1", Region: "north", Slots: 1, Draining: true})
 	assert.Assert(t, !known.Serves("live", north))
 	assert.Assert(t, known.Serves("live", homes.Set{}))
--- a/internal/core/fleet/list.go
+++ b/internal/core/fleet/list.go
@@ -8,47 +8,46 @@
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
 )
 
-// Change is what an entry of the list did to the fleet.
+// Change is the effect of a list entry on the fleet.
 type Change uint8
 
-// The changes.
+// Effects of a list entry.
 const (
 	// Added: no engine was known under the ID.
 	Added Change = iota
-	// Renewed: the entry is of the incarnation that was known.
+	// Renewed: the entry is of the known incarnation.
 	Renewed
-	// Replaced: another incarnation was known; it has ended, and nothing is believed of this one but what
-	// the entry says.
+	// Replaced: the entry is of a later incarnation than the known one, whose state is discarded.
 	Replaced
-	// Deferred: the entry is of an incarnation that began before the known one. It changes nothing unless
-	// the known one writes no entry for deferTime.
+	// Deferred: the entry is of an earlier incarnation than the known one. It takes effect only if the known
+	// one writes no entry for deferPeriod.
 	Deferred
 )
 
 var changeNames = [...]string{Added: "added", Renewed: "renewed", Replaced: "replaced", Deferred: "deferred"}
 
-// String returns the change as it stands in logs.
+// String returns the change's name in logs.
 func (c Change) String() string { return changeNames[c] }
 
-// deferTime is how long an entry of an earlier start is taken for one that was written late. Engines write
-// their entries about every second, so a later incarnation that lives has written one by then; one that
-// has not was followed by an engine whose clock had jumped back.
-const deferTime = 3 * time.Second
+// deferPeriod is how long an entry of an earlier incarnation is considered delayed. Engines write an entry
+// about every second, so a running later incarnation has written one by then. If it has not, the earlier
+// start time comes from a clock that was set back.
+const deferPeriod = 3 * time.Second
 
-// Put adds an engine or changes what its entry says. Entries of one ID come in the order of the list.
+// Put adds or updates an engine. Entries of one ID must arrive in list order.
 func (f *Fleet) Put(engine Engine) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known, found := f.members[engine.ID]
 	switch {
 	case !found:
-		f.begin(&member{engine: engine})
+		f.addIncarnation(&member{engine: engine})
 		return Added
 	case known.engine.Born == engine.Born:
 		f.renew(known, engine)
 		return Renewed
 	case engine.Born < known.engine.Born:
-		known.postpone(engine)
+		known.deferEntry(engine)
 		return Deferred
 	default:
 		f.replace(known, engine)
@@ -56,104 +55,104 @@
 	}
 }
 
-// Replacement is an engine whose deferred entry has come to hold.
+// Replacement is an engine whose deferred entry took effect.
 type Replacement struct {
 	Ended  Engine
 	Engine Engine
 }
 
-// ApplyDeferred notes that the list is known as of a time, and returns what took the place of a later incarnation
-// since.
+// ApplyDeferred applies the entries that have been deferred for deferPeriod in a list read up to asOf, and
+// returns the engines that it replaced.
 func (f *Fleet) ApplyDeferred(asOf, now time.Time) []Replacement {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var settled []Replacement
+	var applied []Replacement
 	for _, known := range f.members {
-		if earlier := known.earlier; earlier != nil && asOf.Sub(earlier.ReadAt) >= deferTime {
-			// No request may find it as a warm one first.
-			f.cold.add(earlier.Incarnation(), doubt{reason: FirstSeen, at: now})
-			f.replace(known, *earlier)
-			settled = append(settled, Replacement{Ended: known.engine, Engine: *earlier})
+		if deferred := known.deferred; deferred != nil && asOf.Sub(deferred.ReadAt) >= deferPeriod {
+			// Marked first, so that no request finds it as a warm engine.
+			f.cold.add(deferred.Incarnation(), coldMark{reason: FirstSeen, at: now})
+			f.replace(known, *deferred)
+			applied = append(applied, Replacement{Ended: known.engine, Engine: *deferred})
 		}
 	}
-	return settled
+	return applied
 }
 
-// place notes that a member is the last one that was listed at its address; mu is held.
-func (f *Fleet) place(placed *member) {
-	f.placements++
-	placed.placed = f.placements
+// claimAddress records that a member is the newest one at its address. Must be called with mu held.
+func (f *Fleet) claimAddress(claimed *member) {
+	f.lastClaim++
+	claimed.claimed = f.lastClaim
 }
 
-// add lists a member under the service of its engine; mu is held.
-func (f *Fleet) add(added *member) {
+// insert adds a member to the indexes. Must be called with mu held.
+func (f *Fleet) insert(added *member) {
 	engine := added.engine
 	f.members[engine.ID] = added
-	f.byService[engine.Service] = insertOrdered(f.byService[engine.Service], engine.ID, strings.Compare)
+	f.byService[engine.Service] = insertSorted(f.byService[engine.Service], engine.ID, strings.Compare)
 }
 
-// insertOrdered puts an ID into ordered ones, if it is not there. A list of E engines is read whole with
-// E log E comparisons; sorting anew for each engine takes E times as many, seconds where there are 10,000.
-func insertOrdered(ids []string, id string, compare func(a, b string) int) []string {
-	place, found := slices.BinarySearchFunc(ids, id, compare)
+// insertSorted inserts an ID into a sorted slice unless present. A list of E engines is read with E log E
+// comparisons in total, while sorting for each engine takes seconds for 10,000 engines.
+func insertSorted(ids []string, id string, compare func(a, b string) int) []string {
+	index, found := slices.BinarySearchFunc(ids, id, compare)
 	if found {
 		return ids
 	}
-	return slices.Insert(ids, place, id)
+	return slices.Insert(ids, index, id)
 }
 
-// renew takes a further entry of a known incarnation; mu is held.
+// renew applies a further entry of a known incarnation. Must be called with mu held.
 func (f *Fleet) renew(known *member, engine Engine) {
-	engine.Versions = newest(known.engine.Versions, engine.Versions)
+	engine.Versions = mergeVersions(known.engine.Versions, engine.Versions)
 	if known.engine.Address != engine.Address {
-		f.place(known)
+		f.claimAddress(known)
 	}
 	moved := known.engine.Service != engine.Service
 	if moved {
-		f.unlist(known.engine)
+		f.removeFromService(known.engine)
 	}
-	known.engine, known.earlier = engine, nil
+	known.engine, known.deferred = engine, nil
 	if moved {
-		f.add(known)
+		f.insert(known)
 	}
 }
 
-// postpone keeps an entry of an earlier start. It waits from its first entry on.
-func (m *member) postpone(engine Engine) {
-	if m.earlier != nil && m.earlier.Born == engine.Born {
-		engine.ReadAt = m.earlier.ReadAt
+// deferEntry keeps an entry of an earlier incarnation; its period starts with the first such entry.
+func (m *member) deferEntry(engine Engine) {
+	if m.deferred != nil && m.deferred.Born == engine.Born {
+		engine.ReadAt = m.deferred.ReadAt
 	}
-	m.earlier = &engine
+	m.deferred = &engine
 }
 
-// replace ends an incarnation and begins another one; mu is held.
+// replace ends an incarnation and adds its replacement. Must be called with mu held.
 func (f *Fleet) replace(ended *member, engine Engine) {
-	f.unlist(ended.engine)
-	f.begin(&member{engine: engine, previous: ended.engine})
+	f.removeFromService(ended.engine)
+	f.addIncarnation(&member{engine: engine, predecessor: ended.engine})
 }
 
-// begin lists an incarnation; mu is held.
-func (f *Fleet) begin(started *member) {
+// addIncarnation adds a member for a newly listed incarnation. Must be called with mu held.
+func (f *Fleet) addIncarnation(started *member) {
 	f.starts++
-	f.place(started)
-	f.add(started)
+	f.claimAddress(started)
+	f.insert(started)
 }
 
-// Remove forgets an engine.
+// Remove removes an engine.
 func (f *Fleet) Remove(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if known, found := f.members[id]; found {
-		f.unlist(known.engine)
+		f.removeFromService(known.engine)
 		delete(f.members, id)
 	}
 }
 
-// unlist takes an engine out of its service; mu is held.
-func (f *Fleet) unlist(engine Engine) {
+// removeFromService removes an engine from the index of its service. Must be called with mu held.
+func (f *Fleet) removeFromService(engine Engine) {
 	ids := f.byService[engine.Service]
-	if place, found := slices.BinarySearch(ids, engine.ID); found {
-		f.byService[engine.Service] = slices.Delete(ids, place, place+1)
+	if index, found := slices.BinarySearch(ids, engine.ID); found {
+		f.byService[engine.Service] = slices.Delete(ids, index, index+1)
 	}
 }
 
@@ -170,25 +169,25 @@
 	return services
 }
 
-// Starts returns how many incarnations have been listed so far. As long as it stays, none has taken the
-// place of another one, so that whoever has work at engines need not ask after each of them.
+// Starts returns how many incarnations have been listed so far. While it is unchanged, no incarnation was
+// replaced, so callers with requests at many engines need not check each of them.
 func (f *Fleet) Starts() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
-// Listing is what the list says of one incarnation of an engine.
+// Listing is the list state of one incarnation of an engine.
 type Listing struct {
 	// Listed: it has an entry.
 	Listed bool
-	// Replaced: another incarnation has the entry of its ID, or another engine its address.
+	// Replaced: another incarnation uses its ID, or another engine its address.
 	Replaced bool
-	// Draining: it had said that it leaves.
+	// Draining: its newest entry said that it is draining.
 	Draining bool
 }
 
-// Listing returns what the list says of an engine that was asked.
+// Listing returns the list state of an incarnation that requests were sent to.
 func (f *Fleet) Listing(of Engine) Listing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -197,28 +196,29 @@
 	case !found:
 		return Listing{}
 	case known.engine.Born == of.Born:
-		return Listing{Listed: true, Replaced: f.addressTaken(of, known.placed), Draining: known.engine.Draining}
-	case known.previous.ID == "":
-		// Its entry went before this one came, so that nothing is known of its end.
+		return Listing{Listed: true, Replaced: f.addressReused(of, known.claimed), Draining: known.engine.Draining}
+	case known.predecessor.ID == "":
+		// The earlier entry was removed before this one was added, so the fate of its engine is unknown.
 		return Listing{}
 	default:
-		leaving := known.previous.Incarnation() == of.Incarnation() && known.previous.Draining
-		return Listing{Replaced: true, Draining: leaving}
+		draining := known.predecessor.Incarnation() == of.Incarnation() && known.predecessor.Draining
+		return Listing{Replaced: true, Draining: draining}
 	}
 }
 
-// addressTaken tells whether an engine under another ID, of whatever service, was listed at the address since
-// this one was. An entry from before may be of an engine that has ended: it stays for seconds. mu is held.
-func (f *Fleet) addressTaken(of Engine, since int64) bool {
+// addressReused reports whether an engine with another ID, of any service, was listed at the address later than
+// this one. Older entries do not count: the entry of an ended engine stays for seconds. Must be called with mu
+// held.
+func (f *Fleet) addressReused(of Engine, since int64) bool {
 	for id, each := range f.members {
-		if id != of.ID && each.engine.Address == of.Address && each.placed > since {
+		if id != of.ID && each.engine.Address == of.Address && each.claimed > since {
 			return true
 		}
 	}
 	return false
 }
 
-// Followed tells whether another incarnation has taken the place of this one.
+// Followed reports whether another incarnation has replaced this one.
 func (f *Fleet) Followed(of incarnation.ID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/core/fleet/list_test.go
+++ b/internal/core/fleet/list_test.go
@@ -10,17 +10,16 @@
 	"github.com/corkpulley/corkpulley/internal/core/topology"
 )
 
-// life is an entry of an engine that started at a time.
-func life(id string, born int64) Engine {
-	engine := listed(id, "z")
+// startedAt returns an entry of an engine with the given start time.
+func startedAt(id string, born int64) Engine {
+	engine := testEngine(id, "z")
 	engine.Born, engine.ReadAt = born, now
 	return engine
 }
 
-// TestNothingIsBelievedOfAnEngineThatStartedAgain: versions, failures, load, latency, requests in flight and
-// the cold time go with the incarnation that they were seen of.
-func TestNothingIsBelievedOfAnEngineThatStartedAgain(t *testing.T) {
-	first, second := life("a", 1000), life("a", 2000)
+// Versions, failures, load, latency, requests in flight and the cold time belong to one incarnation.
+func TestReplacedIncarnationPassesNoStateOn(t *testing.T) {
+	first, second := startedAt("a", 1000), startedAt("a", 2000)
 	first.ColdUntil = now.Add(time.Minute)
 	f := fleetOf(first)
 	f.Observe(first.Incarnation(), "m", 7)
@@ -31,60 +30,60 @@
 	f.Began(first.Incarnation())
 
 	assert.Equal(t, f.Put(second), Replaced)
-	believed, _ := f.Get("a")
-	assert.Equal(t, believed.Versions["m"], int64(1))
-	assert.Assert(t, believed.ColdUntil.IsZero())
+	engine, _ := f.Get("a")
+	assert.Equal(t, engine.Versions["m"], int64(1))
+	assert.Assert(t, engine.ColdUntil.IsZero())
 	assert.Assert(t, !f.Suspected(second.Incarnation(), now))
 	choice, _ := f.Choose(Query{Service: "s", Zone: "z", Now: now})
 	assert.Equal(t, choice.InFlight, 0)
 	assert.Equal(t, choice.LoadAge, time.Duration(-1))
 	assert.Equal(t, choice.Expected, f.answerTimes["s"]/4+topology.SameZone.RoundTrip(),
-		"one of four slots at the pace of the service, and no latency of the engine known")
+		"one of four slots at the service's mean response time, without a latency of the engine")
 	slots, busy := f.Places("s", now)
 	assert.Equal(t, slots, 4)
 	assert.Equal(t, busy, 0)
 }
 
-// TestAnAnswerOfAnEarlierIncarnationChangesNothing: it comes after the entry of the later one.
-func TestAnAnswerOfAnEarlierIncarnationChangesNothing(t *testing.T) {
-	first, second := life("a", 1000), life("a", 2000)
+// The outcome arrives after the entry of the later incarnation.
+func TestOutcomeOfReplacedIncarnationIsIgnored(t *testing.T) {
+	first, second := startedAt("a", 1000), startedAt("a", 2000)
 	f := fleetOf(first)
 	f.Began(first.Incarnation())
 	f.Put(second)
 	f.Began(second.Incarnation())
 	f.Observe(first.Incarnation(), "m", 7)
 	f.Ended(first.Incarnation(), Outcome{At: now, Failed: true, Load: &Load{Running: 4}})
-	believed, _ := f.Get("a")
-	assert.Equal(t, believed.Versions["m"], int64(1))
+	engine, _ := f.Get("a")
+	assert.Equal(t, engine.Versions["m"], int64(1))
 	assert.Assert(t, !f.Suspected(second.Incarnation(), now))
 	_, busy := f.Places("s", now)
 	assert.Equal(t, busy, 1)
 }
 
-// TestALateEntryOfAnEarlierIncarnationChangesNothing: the later one writes its own entry soon after.
-func TestALateEntryOfAnEarlierIncarnationChangesNothing(t *testing.T) {
-	first, second := life("a", 1000), life("a", 2000)
+// The later incarnation writes its own entry within deferPeriod.
+func TestDelayedEntryOfReplacedIncarnationIsIgnored(t *testing.T) {
+	first, second := startedAt("a", 1000), startedAt("a", 2000)
 	f := fleetOf(first)
 	f.Put(second)
 	f.Observe(second.Incarnation(), "m", 2)
 	first.Draining, first.Address = true, "elsewhere"
 	assert.Equal(t, f.Put(first), Deferred)
-	assert.Equal(t, len(f.ApplyDeferred(now.Add(deferTime-1), now)), 0)
+	assert.Equal(t, len(f.ApplyDeferred(now.Add(deferPeriod-1), now)), 0)
 	assert.Equal(t, f.Put(second), Renewed)
 	assert.Equal(t, len(f.ApplyDeferred(now.Add(time.Hour), now)), 0)
-	believed, _ := f.Find(second.Incarnation())
-	assert.Equal(t, believed.Versions["m"], int64(2))
-	assert.Assert(t, f.TakesWork(believed))
-	assert.Equal(t, believed.Address, "")
+	engine, _ := f.Find(second.Incarnation())
+	assert.Equal(t, engine.Versions["m"], int64(2))
+	assert.Assert(t, f.TakesWork(engine))
+	assert.Equal(t, engine.Address, "")
 }
 
-// TestAnEngineWhoseClockJumpedBackIsTakenUp: the incarnation that the list tells of last is the one that lives,
-// once the other one has written no entry for a while, or at once where that one's entry was deleted.
-func TestAnEngineWhoseClockJumpedBackIsTakenUp(t *testing.T) {
-	before, after := life("a", 2000), life("a", 1000)
+// Guards against an engine whose clock was set back and that is ignored for good. Its entry takes effect once the
+// other incarnation has written none for deferPeriod, or at once if that one's entry was deleted.
+func TestIncarnationWithEarlierClockIsAppliedAfterDeferral(t *testing.T) {
+	before, after := startedAt("a", 2000), startedAt("a", 1000)
 	f := fleetOf(before)
 	assert.Equal(t, f.Put(after), Deferred)
-	taken := f.ApplyDeferred(now.Add(deferTime), now)
+	taken := f.ApplyDeferred(now.Add(deferPeriod), now)
 	assert.Equal(t, len(taken), 1)
 	assert.Equal(t, taken[0].Engine.Incarnation(), after.Incarnation())
 	assert.Equal(t, taken[0].Ended.Incarnation(), before.Incarnation())
@@ -94,10 +93,10 @@
 	f = fleetOf(before)
 	f.Put(after)
 	later := after
-	later.ReadAt, later.Slots = now.Add(deferTime-1), 7
+	later.ReadAt, later.Slots = now.Add(deferPeriod-1), 7
 	assert.Equal(t, f.Put(later), Deferred)
-	taken = f.ApplyDeferred(now.Add(deferTime), now)
-	assert.Equal(t, len(taken), 1, "it goes on writing")
+	taken = f.ApplyDeferred(now.Add(deferPeriod), now)
+	assert.Equal(t, len(taken), 1, "further entries of the earlier incarnation do not restart the period")
 	assert.Equal(t, taken[0].Engine.Slots, 7)
 
 	f = fleetOf(before)
@@ -105,78 +104,76 @@
 	assert.Equal(t, f.Put(after), Added)
 }
 
-// TestAnIncarnationMayNotTellWhenItBegan: all entries under its ID are then of one.
-func TestAnIncarnationMayNotTellWhenItBegan(t *testing.T) {
-	f := fleetOf(life("a", 0))
-	f.Observe(named("a"), "m", 2)
-	assert.Equal(t, f.Put(life("a", 0)), Renewed)
-	believed, _ := f.Get("a")
-	assert.Equal(t, believed.Versions["m"], int64(2))
-	assert.Equal(t, f.Put(life("a", 1000)), Replaced)
+// All entries without a start time count as one incarnation.
+func TestIncarnationWithoutStartTime(t *testing.T) {
+	f := fleetOf(startedAt("a", 0))
+	f.Observe(incarnationOf("a"), "m", 2)
+	assert.Equal(t, f.Put(startedAt("a", 0)), Renewed)
+	engine, _ := f.Get("a")
+	assert.Equal(t, engine.Versions["m"], int64(2))
+	assert.Equal(t, f.Put(startedAt("a", 1000)), Replaced)
 }
 
-func TestStartsAreCounted(t *testing.T) {
-	f := fleetOf(life("a", 1000), life("b", 1000))
+func TestStartsCountsIncarnations(t *testing.T) {
+	f := fleetOf(startedAt("a", 1000), startedAt("b", 1000))
 	assert.Equal(t, f.Starts(), int64(2))
-	f.Put(life("a", 1000))
+	f.Put(startedAt("a", 1000))
 	assert.Equal(t, f.Starts(), int64(2))
-	f.Put(life("a", 2000))
+	f.Put(startedAt("a", 2000))
 	assert.Equal(t, f.Starts(), int64(3))
 	assert.Assert(t, f.Followed(incarnation.ID{Engine: "a", Born: 1000}))
 	assert.Assert(t, !f.Followed(incarnation.ID{Engine: "a", Born: 2000}))
 	f.Remove("a")
-	assert.Assert(t, !f.Followed(incarnation.ID{Engine: "a", Born: 1000}), "an entry that went tells of no end")
-	f.Put(life("a", 3000))
+	assert.Assert(t, !f.Followed(incarnation.ID{Engine: "a", Born: 1000}), "a removed entry is not an end")
+	f.Put(startedAt("a", 3000))
 	assert.Equal(t, f.Starts(), int64(4))
 	assert.Assert(t, f.Followed(incarnation.ID{Engine: "a", Born: 1000}))
 }
 
-func TestListingTellsWhatBecameOfAnIncarnation(t *testing.T) {
-	first := life("a", 1000)
+func TestListingOfReplacedAndRemovedIncarnations(t *testing.T) {
+	first := startedAt("a", 1000)
 	first.Address = "address:1"
 	f := fleetOf(first)
 	assert.Equal(t, f.Listing(first), Listing{Listed: true})
-	f.Put(life("a", 2000))
+	f.Put(startedAt("a", 2000))
 	assert.Equal(t, f.Listing(first), Listing{Replaced: true})
-	f.Put(life("a", 3000))
-	assert.Equal(t, f.Listing(first), Listing{Replaced: true}, "two starts ago")
+	f.Put(startedAt("a", 3000))
+	assert.Equal(t, f.Listing(first), Listing{Replaced: true}, "replaced twice")
 	f.Remove("a")
 	assert.Equal(t, f.Listing(first), Listing{})
-	f.Put(life("a", 4000))
-	assert.Equal(t, f.Listing(first), Listing{}, "its entry went: nobody knows whether it had left")
+	f.Put(startedAt("a", 4000))
+	assert.Equal(t, f.Listing(first), Listing{}, "entry removed, so it is unknown whether the engine was draining")
 
 	leaving := first
 	leaving.Draining = true
 	f = fleetOf(leaving)
 	assert.Equal(t, f.Listing(first), Listing{Listed: true, Draining: true})
-	f.Put(life("a", 2000))
+	f.Put(startedAt("a", 2000))
 	assert.Equal(t, f.Listing(first), Listing{Replaced: true, Draining: true})
 }
 
-// TestAnAddressMayPassToAnEngineOfAnotherService: the first one has ended then.
-func TestAnAddressMayPassToAnEngineOfAnotherService(t *testing.T) {
-	first, next := life("a", 1000), life("b", 2000)
+func TestListingIsReplacedWhenOtherServiceTakesAddress(t *testing.T) {
+	first, next := startedAt("a", 1000), startedAt("b", 2000)
 	first.Address, next.Address, next.Service = "address:1", "address:1", "other"
 	f := fleetOf(first, next)
 	assert.Equal(t, f.Listing(first), Listing{Listed: true, Replaced: true})
 }
 
-// TestAnEntryThatStayedBehindEndsNobody: the entry of an engine that crashed stays for seconds, while the next
-// engine is listed at its address.
-func TestAnEntryThatStayedBehindEndsNobody(t *testing.T) {
-	ended, next := life("b", 1000), life("a", 2000)
+// The entry of a crashed engine remains for seconds while the next engine is listed at its address.
+func TestStaleEntryAtSameAddressDoesNotReplaceNewerEngine(t *testing.T) {
+	ended, next := startedAt("b", 1000), startedAt("a", 2000)
 	ended.Address, next.Address = "address:1", "address:1"
 	f := fleetOf(ended, next)
 	assert.Equal(t, f.Listing(next), Listing{Listed: true})
 	assert.Equal(t, f.Listing(ended), Listing{Listed: true, Replaced: true})
 	f.Put(next)
 	f.Put(ended)
-	assert.Equal(t, f.Listing(next), Listing{Listed: true}, "a further entry takes no address")
+	assert.Equal(t, f.Listing(next), Listing{Listed: true}, "a further entry does not claim the address")
 
-	again := life("b", 3000)
+	again := startedAt("b", 3000)
 	again.Address = "address:1"
 	f.Put(again)
-	assert.Equal(t, f.Listing(next), Listing{Listed: true, Replaced: true}, "a start takes its address")
+	assert.Equal(t, f.Listing(next), Listing{Listed: true, Replaced: true}, "a new incarnation claims its address")
 
 	f = fleetOf(ended)
 	elsewhere := next
@@ -185,12 +182,12 @@
 	moved := ended
 	moved.Address = "address:2"
 	f.Put(moved)
-	assert.Equal(t, f.Listing(elsewhere), Listing{Listed: true, Replaced: true}, "so does an engine that moves")
+	assert.Equal(t, f.Listing(elsewhere), Listing{Listed: true, Replaced: true}, "an engine with a new address claims it")
 }
 
-// TestRequestsInFlightAreNeverFewerThanNone: the entry went and came back while a request was there.
-func TestRequestsInFlightAreNeverFewerThanNone(t *testing.T) {
-	engine := life("a", 1000)
+// The entry is removed and listed again while a request is in flight.
+func TestInFlightCountIsNeverNegative(t *testing.T) {
+	engine := startedAt("a", 1000)
 	f := fleetOf(engine)
 	f.Began(engine.Incarnation())
 	f.Remove("a")
@@ -200,17 +197,16 @@
 	assert.Equal(t, busy, 0)
 }
 
-func TestServicesAreThoseThatHaveEngines(t *testing.T) {
-	f := fleetOf(life("a", 1000))
+func TestServicesListsOnlyServicesWithEngines(t *testing.T) {
+	f := fleetOf(startedAt("a", 1000))
 	assert.DeepEqual(t, f.Services(), []string{"s"})
 	f.Remove("a")
 	assert.Equal(t, len(f.Services()), 0)
 }
 
-// TestAnEngineMayStartAgainForAnotherServiceInAnotherZone: it ends in the one and starts in the other.
-func TestAnEngineMayStartAgainForAnotherServiceInAnotherZone(t *testing.T) {
-	f := fleetOf(life("a", 1000), life("b", 1000))
-	moved := life("a", 2000)
+func TestRestartedEngineMayChangeServiceAndZone(t *testing.T) {
+	f := fleetOf(startedAt("a", 1000), startedAt("b", 1000))
+	moved := startedAt("a", 2000)
 	moved.Service, moved.Zone = "other", "elsewhere"
 	f.Put(moved)
 	assert.Equal(t, len(f.Engines("s")), 1)
--- a/internal/core/fleet/order_test.go
+++ b/internal/core/fleet/order_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// comparisonsOfAList counts the comparisons with which a list of engines is put in order.
-func comparisonsOfAList(engines int) int {
+// insertComparisons counts the comparisons for reading a list of the given number of engines.
+func insertComparisons(engines int) int {
 	comparisons := 0
 	compare := func(a, b string) int {
 		comparisons++
@@ -18,8 +18,8 @@
 	}
 	var ids []string
 	for number := range engines {
-		// Entries come in an order of their own.
-		ids = insertOrdered(ids, fmt.Sprintf("e%06d", number*7919%engines), compare)
+		// Entries arrive unsorted.
+		ids = insertSorted(ids, fmt.Sprintf("e%06d", number*7919%engines), compare)
 	}
 	if !slices.IsSorted(ids) || len(ids) != engines {
 		panic("the list is not in order")
@@ -27,16 +27,15 @@
 	return comparisons
 }
 
-// TestReadingTheListGrowsAboutAsTheList: twice the engines cost hardly more than twice the comparisons.
-func TestReadingTheListGrowsAboutAsTheList(t *testing.T) {
+// Guards against sorting the whole list for each engine.
+func TestInsertComparisonsGrowAlmostLinearly(t *testing.T) {
 	const engines = 5_000
-	once, twice := comparisonsOfAList(engines), comparisonsOfAList(2*engines)
+	once, twice := insertComparisons(engines), insertComparisons(2*engines)
 	assert.Assert(t, float64(twice) < 2.3*float64(once), "%d comparisons, %d for twice the engines", once, twice)
 	assert.Assert(t, once < 15*engines, "%d comparisons for %d engines", once, engines)
 }
 
-// TestAnEngineIsListedOnceAndLeavesItsPlace: the order holds while engines come and go.
-func TestAnEngineIsListedOnceAndLeavesItsPlace(t *testing.T) {
+func TestServiceIndexStaysSortedWithoutDuplicates(t *testing.T) {
 	f := New()
 	for _, id := range []string{"c", "a", "b", "a"} {
 		f.Put(Engine{ID: id, Service: "s"})
--- a/internal/core/fleet/outcome.go
+++ b/internal/core/fleet/outcome.go
@@ -6,35 +6,35 @@
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
 )
 
-// Outcome is how a request at an engine ended.
+// Outcome is the result of a request to an engine.
 type Outcome struct {
 	At time.Time
-	// Failed: no whole answer came, whatever the reason, and the client had not left.
+	// Failed: no complete answer arrived, although the client was still connected.
 	Failed bool
-	// ConnectionLost: the engine ended the connection before its answer was whole.
+	// ConnectionLost: the engine closed the connection before its answer was complete.
 	ConnectionLost bool
-	// Gone: another engine answers at the address.
+	// Gone: a different engine answers at the address.
 	Gone bool
-	// Unreached: a connection was refused, lost or silent, so that the engine may have started again.
+	// Unreached: a connection was refused, lost or timed out, so that the engine may have restarted.
 	Unreached bool
-	// RefusedItem: the engine did not run an item of a batch job, whose places are counted.
+	// RefusedItem: the engine rejected a batch item although it appeared to have a free slot.
 	RefusedItem bool
-	// Load is what the engine said of itself, if it did.
+	// Load is the load that the engine reported; nil for none.
 	Load *Load
-	// Latency is the time to the whole answer; zero when there was none.
+	// Latency is the time to the complete answer; zero if there was none.
 	Latency time.Duration
 }
 
 const (
-	// firstSuspicion is how long one failure keeps new requests away; each
-	// further one in a row doubles it, up to maxSuspicion.
+	// firstSuspicion is how long an engine is avoided after one failure; each further consecutive one doubles
+	// it, up to maxSuspicion.
 	firstSuspicion = 400 * time.Millisecond
 	maxSuspicion   = 4 * time.Second
-	// latencyWeight is the weight of a new latency in the moving mean.
+	// latencyWeight is the weight of a new value in the moving means.
 	latencyWeight = 0.2
 )
 
-// Ended notes how a request at the engine ended.
+// Ended records the result of a request to the engine.
 func (f *Fleet) Ended(of incarnation.ID, outcome Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,9 +42,9 @@
 	if !found {
 		return
 	}
-	// An entry that went and came back while the request was there has begun a new count.
+	// The count restarts at zero if the entry was removed and listed again during the request.
 	known.inFlight = max(0, known.inFlight-1)
-	f.noteOutcome(of, outcome)
+	f.updateColdMark(of, outcome)
 	if outcome.Load != nil {
 		known.load, known.loadAt = *outcome.Load, outcome.At
 	}
@@ -56,7 +56,7 @@
 		known.suspect(outcome.At, min(firstSuspicion<<min(known.failures-1, 4), maxSuspicion))
 	case outcome.Latency > 0:
 		known.failures = 0
-		f.observeAnswer(known.engine.Service, outcome.Latency)
+		f.observeAnswerTime(known.engine.Service, outcome.Latency)
 		known.latency += time.Duration(latencyWeight * float64(outcome.Latency-known.latency))
 	}
 }
