--- a/internal/core/quarantine/fingerprint_test.go
+++ b/internal/core/quarantine/fingerprint_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFingerprintIsThatOfWhatIsAskedFor(t *testing.T) {
+func TestFingerprintDependsOnEachField(t *testing.T) {
 	request := Request{Tenant: "t", Method: "POST", Host: "h", Target: "/p?q=1", Body: []byte("body")}
 	same := request
 	same.Body = []byte("body")
@@ -18,8 +18,8 @@
 		"host":   func(r *Request) { r.Host = "i" },
 		"query":  func(r *Request) { r.Target = "/p?q=2" },
 		"body":   func(r *Request) { r.Body = []byte("bodz") },
-		// Parts next to each other do not run together.
-		"border of host and target": func(r *Request) { r.Host, r.Target = "h/", "p?q=1" },
+		// Adjacent fields are delimited.
+		"boundary of host and target": func(r *Request) { r.Host, r.Target = "h/", "p?q=1" },
 	} {
 		other := request
 		change(&other)
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -31,7 +31,7 @@
 	return ledger
 }
 
-func TestARequestIsHeldOnceItsLimitOfEnginesHasEnded(t *testing.T) {
+func TestRequestIsHeldAtRequestLimit(t *testing.T) {
 	ledger := ledgerOf(end("a", 0, 0))
 	now := began.Add(time.Second)
 	assert.Equal(t, ledger.Standing(request, now).Crashes, 1)
@@ -47,15 +47,15 @@
 	assert.Equal(t, ledger.Standing(other, now), Standing{})
 }
 
-func TestAnItemIsHeldForAnEndThatItAloneMayHaveCaused(t *testing.T) {
+func TestItemIsHeldAtLimitsForIsolatedAndSharedEnds(t *testing.T) {
 	isolated := func(record Record) Record {
 		record.Isolated = true
 		return record
 	}
 	shared := ledgerOf(end("a", 0, 0), end("b", 0, 1), end("c", 0, 2), end("d", 0, 3))
-	assert.Assert(t, !shared.Standing(request, began).ItemHeld(began), "never apart from others")
+	assert.Assert(t, !shared.Standing(request, began).ItemHeld(began), "no isolated end")
 	shared.Put(end("e", 0, 4))
-	assert.Assert(t, shared.Standing(request, began).ItemHeld(began), "too often")
+	assert.Assert(t, shared.Standing(request, began).ItemHeld(began), "at SharedItemLimit")
 
 	apart := ledgerOf(end("a", 0, 0))
 	assert.Assert(t, !apart.Standing(request, began).ItemSuspect())
@@ -66,7 +66,7 @@
 	assert.Assert(t, apart.Standing(request, began).ItemHeld(began))
 }
 
-func TestTheSameEndSeenByTwoNodesCountsOnce(t *testing.T) {
+func TestPutCountsSameEndOnce(t *testing.T) {
 	ledger := NewLedger()
 	assert.Assert(t, ledger.Put(end("a", 0, Unlogged)))
 	assert.Assert(t, !ledger.Put(end("a", time.Millisecond, 4)))
@@ -74,7 +74,7 @@
 	assert.Assert(t, ledger.Logged(end("a", 0, 0)))
 }
 
-func TestHoldsGrowWithEachEngineUpToTheLongest(t *testing.T) {
+func TestHoldGrowsWithEachEngineUpToLongestHold(t *testing.T) {
 	ledger := NewLedger()
 	hold := firstHold
 	for i := range 12 {
@@ -87,22 +87,22 @@
 	}
 }
 
-func TestTheFirstClaimAfterTheHoldIsGrantedAndNoOther(t *testing.T) {
+func TestOnlyFirstClaimAfterHoldIsGranted(t *testing.T) {
 	over := firstHold
 	ledger := ledgerOf(end("a", 0, 0), end("b", 0, 1),
 		trial("early", over-time.Second, 2), trial("first", over, 3), trial("second", over, 4))
 	standing := ledger.Standing(request, began.Add(over))
 	assert.Equal(t, standing.Granted, "first")
-	assert.Assert(t, standing.Held(RequestLimit, began.Add(over)), "the trial itself holds the request again")
+	assert.Assert(t, standing.Held(RequestLimit, began.Add(over)), "a granted trial starts a new hold")
 	assert.Equal(t, standing.HeldUntil, began.Add(over+holdFactor*firstHold))
 }
 
-func TestAClaimThatIsNotInTheLogIsNotGranted(t *testing.T) {
+func TestUnloggedClaimIsNotGranted(t *testing.T) {
 	ledger := ledgerOf(end("a", 0, 0), end("b", 0, 1), trial("claim", firstHold, Unlogged))
 	assert.Equal(t, ledger.Standing(request, began.Add(firstHold)).Granted, "")
 }
 
-func TestAnAnswerClearsTheRequest(t *testing.T) {
+func TestDroppingAllRecordsClearsRequest(t *testing.T) {
 	ledger := ledgerOf(end("a", 0, 0), end("b", 0, 1), trial("claim", firstHold, 2))
 	for _, record := range ledger.Records(request) {
 		ledger.Drop(request, record.Name())
@@ -111,7 +111,7 @@
 	assert.Equal(t, ledger.Standing(request, began), Standing{})
 }
 
-func TestWhatIsOldIsForgotten(t *testing.T) {
+func TestExpiredRecordsAreIgnored(t *testing.T) {
 	single := ledgerOf(end("a", 0, 0))
 	assert.Equal(t, len(single.Expired(began.Add(suspicionTTL))), 0)
 	assert.Equal(t, len(single.Expired(began.Add(suspicionTTL+time.Second))), 1)
@@ -122,7 +122,7 @@
 	assert.Equal(t, len(held.Expired(began.Add(firstHold+holdTTL+time.Second))), 2)
 }
 
-func TestTheLedgerIsBounded(t *testing.T) {
+func TestLedgerEvictsLeastRecentlySeenRequests(t *testing.T) {
 	ledger := NewLedger()
 	for i := range maxEntries + 1 {
 		ledger.Put(Record{
@@ -137,8 +137,8 @@
 	assert.Equal(t, len(ledger.Records(oldest)), 0)
 }
 
-// TestNodesThatHaveReadTheSameAgree: for any order and repetition of the records.
-func TestNodesThatHaveReadTheSameAgree(t *testing.T) {
+// Guards against nodes that disagree although they have read the same records.
+func TestStandingDoesNotDependOnOrderOrDuplicates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "records")
 		var records []Record
@@ -159,9 +159,8 @@
 	})
 }
 
-// TestTrialsAreApart: two granted trials are separated by the hold of the first, and no
-// trial is granted to two claims.
-func TestTrialsAreApart(t *testing.T) {
+// Guards against a crashing request that is sent again before its hold ends, or on two claims.
+func TestGrantedTrialsAreSeparatedByHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := ledgerOf(end("a", 0, 0), end("b", 0, 1))
 		var grantedAt []time.Duration
