--- a/internal/core/slowstart/pacer.go
+++ b/internal/core/slowstart/pacer.go
@@ -1,10 +1,9 @@
-// Package slowstart paces what engines get while they are cold: right after a start an engine bears
-// a few requests a second, and falls over above that. It has no input, output or clock; every
-// event comes with its time.
+// Package slowstart limits the request rate of cold engines: right after its start an engine handles only a
+// few requests a second and overloads above that. It has no input, output or clock; the time of each event is
+// passed in.
 //
-// Invariant: in any second, the admissions of one engine number no more than its rate and Burst,
-// whatever is asked, and whoever asks. So one pacer must decide for all senders; see
-// docs/design/slow-start.md.
+// Invariant: within any second, an engine is admitted at most its rate plus Burst requests. A single pacer
+// must therefore decide for all senders; see docs/design/slow-start.md.
 package slowstart
 
 import (
@@ -16,75 +15,74 @@
 )
 
 const (
-	// Burst is how many admissions may come at once after a pause. The second one lets a sender
-	// that looks only every few hundredths of a second use the whole rate.
+	// Burst is the number of admissions that are possible at once after a pause. Two let a sender that polls
+	// every few tens of milliseconds use the whole rate.
 	Burst = 2
-	// window is the time for which earlier starts count: the engine's rate is one of requests a
-	// second.
+	// window is how long an admission counts towards the rate, which is per second.
 	window = time.Second
-	// PermitLife is how long after it was asked for an admission may be used. What was admitted
-	// in that time may leave together, so a second may hold the admissions of a second and of
-	// this time.
+	// PermitLife is how long after the request for it a permit may be used. Permits of that time may be used
+	// at once, so a second may see the admissions of one second plus PermitLife.
 	PermitLife = 250 * time.Millisecond
-	// arrivalTime is how long a request that has left may be on its way.
-	arrivalTime = 250 * time.Millisecond
-	// TakeoverPause is how long a new leader admits nothing: it knows neither what the one before it
-	// admitted in the last second, nor which admissions are still out.
-	TakeoverPause = window + PermitLife + arrivalTime
+	// maxTransit is the assumed maximum time that a sent request takes to arrive.
+	maxTransit = 250 * time.Millisecond
+	// TakeoverPause is how long a new leader admits nothing, since it does not know the admissions of its
+	// predecessor and which permits are still unused.
+	TakeoverPause = window + PermitLife + maxTransit
 )
 
 // Pacer admits requests to cold engines, evenly spaced: a leaky bucket as a meter (the generic cell rate
-// algorithm), with due as the theoretical arrival time and gap as the emission interval. It is safe for concurrent use.
+// algorithm), with due as the theoretical arrival time and interval as the emission interval. It is safe for
+// concurrent use.
 type Pacer struct {
-	// settledAt is the time before which nothing is admitted.
-	settledAt time.Time
+	// admitsFrom is the time before which nothing is admitted.
+	admitsFrom time.Time
 
 	mu sync.Mutex
-	// due is, for each engine, when all that was admitted is used up at its rate.
+	// due is the theoretical arrival time of each engine's next request.
 	due map[incarnation.ID]time.Time
 }
 
-// New returns a pacer for one time of leading, which began at the given time.
+// New returns a pacer for a term of leadership that began at the given time.
 func New(began time.Time) *Pacer {
-	return &Pacer{settledAt: began.Add(TakeoverPause), due: make(map[incarnation.ID]time.Time)}
+	return &Pacer{admitsFrom: began.Add(TakeoverPause), due: make(map[incarnation.ID]time.Time)}
 }
 
-// Admit takes one request to the engine, at its rate a second. It returns zero where that may
-// leave now, otherwise after which time another try may succeed.
+// Admit admits one request to the engine at the given rate. It returns zero if the request may be sent now,
+// otherwise the time after which to try again.
 func (p *Pacer) Admit(to incarnation.ID, ratePerSecond float64, now time.Time) (wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if wait := p.waitFor(to, ratePerSecond, now); wait > 0 {
 		return wait
 	}
-	p.due[to] = p.from(to, now).Add(gap(ratePerSecond))
+	p.due[to] = p.startOf(to, now).Add(interval(ratePerSecond))
 	return 0
 }
 
-// Room returns how many requests to the engine would be admitted at once.
+// Room returns how many requests to the engine would be admitted now.
 func (p *Pacer) Room(to incarnation.ID, ratePerSecond float64, now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.waitFor(to, ratePerSecond, now) > 0 {
 		return 0
 	}
-	ahead := p.from(to, now).Sub(now)
-	return int((gap(ratePerSecond)*(Burst-1)-ahead)/gap(ratePerSecond)) + 1
+	ahead := p.startOf(to, now).Sub(now)
+	return int((interval(ratePerSecond)*(Burst-1)-ahead)/interval(ratePerSecond)) + 1
 }
 
-// Note counts a request to an engine that is not known to be cold. Should it turn out to be, these
-// count for it. They delay the next admission by a second at most.
+// Note counts a request to an engine that is not known to be cold, in case it turns out to be. Such requests
+// delay the next admission by at most a second.
 func (p *Pacer) Note(to incarnation.ID, ratePerSecond float64, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	due := p.from(to, now).Add(gap(ratePerSecond))
-	if latest := now.Add(window + gap(ratePerSecond)*(Burst-1)); due.After(latest) {
+	due := p.startOf(to, now).Add(interval(ratePerSecond))
+	if latest := now.Add(window + interval(ratePerSecond)*(Burst-1)); due.After(latest) {
 		due = latest
 	}
 	p.due[to] = due
 }
 
-// Forget drops what is kept of engines whose requests no longer count.
+// Forget drops the state of engines whose requests no longer count.
 func (p *Pacer) Forget(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,26 +93,26 @@
 	}
 }
 
-// waitFor is the time until the engine's next admission; mu is held.
+// waitFor returns the time until the engine's next admission. Must be called with mu held.
 func (p *Pacer) waitFor(to incarnation.ID, ratePerSecond float64, now time.Time) time.Duration {
-	next := p.settledAt
+	next := p.admitsFrom
 	if due, known := p.due[to]; known {
-		if allowed := due.Add(-gap(ratePerSecond) * (Burst - 1)); allowed.After(next) {
+		if allowed := due.Add(-interval(ratePerSecond) * (Burst - 1)); allowed.After(next) {
 			next = allowed
 		}
 	}
 	return max(0, next.Sub(now))
 }
 
-// from is when the engine's next request begins to count; mu is held.
-func (p *Pacer) from(to incarnation.ID, now time.Time) time.Time {
+// startOf returns when the engine's next request starts to count. Must be called with mu held.
+func (p *Pacer) startOf(to incarnation.ID, now time.Time) time.Time {
 	if due, known := p.due[to]; known && due.After(now) {
 		return due
 	}
 	return now
 }
 
-// gap is the time between two requests, rounded up: a rate is never exceeded by rounding.
-func gap(ratePerSecond float64) time.Duration {
+// interval returns the time between two requests. It is rounded up so that the rate is never exceeded.
+func interval(ratePerSecond float64) time.Duration {
 	return time.Duration(math.Ceil(float64(time.Second) / ratePerSecond))
 }
