--- a/internal/core/answer/answer_test.go
+++ b/internal/core/answer/answer_test.go
@@ -20,7 +20,7 @@
 	return run
 }
 
-func TestOverlapIsTrimmed(t *testing.T) {
+func TestAcceptTrimsOverlap(t *testing.T) {
 	var assembler Assembler
 	assembler.StartAttempt(1)
 	accept(t, &assembler, message.Progress{Attempt: 1, Tokens: []string{"a", "b"}, Version: 3, CachedTokens: 7})
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestMessagesThatMustNotCount(t *testing.T) {
+func TestAcceptRejectsInvalidMessagesAndIgnoresOtherAttempts(t *testing.T) {
 	var assembler Assembler
 	assembler.StartAttempt(2)
 	old := accept(t, &assembler, message.Progress{Attempt: 1, Tokens: []string{"x"}, Version: 1, Finished: true})
@@ -62,7 +62,7 @@
 	assert.Equal(t, assembler.FinishReason(), FinishLength)
 }
 
-// sequence is the true answer: token texts and the version of each.
+// sequence is the expected answer: token texts and the version of each.
 type sequence struct {
 	tokens   []string
 	versions []uint64
@@ -80,7 +80,7 @@
 	return truth
 }
 
-// cut returns the message with tokens [from, to) of the sequence, shortened to one version.
+// cut returns a message with tokens [from, to) of the sequence, truncated where the version changes.
 func (s sequence) cut(attempt uint32, from, to int) message.Progress {
 	progress := message.Progress{Attempt: attempt, FirstToken: from}
 	for index := from; index < to && s.versions[index] == s.versions[from]; index++ {
@@ -91,9 +91,8 @@
 	return progress
 }
 
-// TestAnyDeliveryGivesTheTrueSequence delivers random cuts of the true answer,
-// twice, out of order and mixed with messages of other attempts.
-func TestAnyDeliveryGivesTheTrueSequence(t *testing.T) {
+// Delivers random parts of the answer, duplicated, out of order and mixed with messages of other attempts.
+func TestAcceptReconstructsAnswerFromAnyDelivery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := drawSequence(t)
 		var assembler Assembler
@@ -156,8 +155,7 @@
 	assert.Equal(t, next, len(versions))
 }
 
-// FuzzAccept feeds arbitrary messages: each index is handed out once and in
-// order, whatever arrives.
+// Guards against a token index that is returned twice or out of order for arbitrary messages.
 func FuzzAccept(f *testing.F) {
 	f.Add([]byte{1, 0, 2, 1, 1, 1, 3, 0, 2, 0, 9, 1})
 	f.Fuzz(func(t *testing.T, input []byte) {
