--- a/internal/core/usage/golden_test.go
+++ b/internal/core/usage/golden_test.go
@@ -6,7 +6,7 @@
 	"github.com/corkpulley/corkpulley/internal/goldenrecord"
 )
 
-// Guards against a record or message that an earlier build misreads, or whose earlier form this build does.
+// Guards against records that earlier builds misread, and against misreading theirs.
 func TestRecordsOfEarlierBuilds(t *testing.T) {
 	goldenrecord.Check(t,
 		goldenrecord.Sample{Name: "count", Value: &CountRecord{}},
--- a/internal/core/usage/usage_test.go
+++ b/internal/core/usage/usage_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestWindowsCountFrom1970(t *testing.T) {
+func TestWindowOfCountsFromUnixEpoch(t *testing.T) {
 	at := time.Unix(1767225607, 999)
 	window := WindowOf(at, 5*time.Second)
 	assert.Equal(t, window, Window(353445121))
@@ -16,11 +16,11 @@
 	assert.Equal(t, WindowOf(window.End(5*time.Second), 5*time.Second), window+1)
 }
 
-func TestLaterCountsOfAProcessReplaceItsEarlierOnes(t *testing.T) {
+func TestLaterCountsOfSourceReplaceEarlierOnes(t *testing.T) {
 	ledger := NewLedger()
 	for _, record := range []CountRecord{
 		{"a", 7, Counts{"x": 1}}, {"a", 7, Counts{"x": 2, "y": 1}}, {"b", 7, Counts{"x": 4}},
-		// Written again after its answer was lost.
+		// Repeated writes whose first acknowledgement was lost.
 		{"a", 7, Counts{"x": 1}}, {"b", 7, Counts{"x": 4}},
 		{"a", 8, Counts{"x": 9}},
 	} {
@@ -32,7 +32,7 @@
 	assert.DeepEqual(t, ledger.Report(6), ReportRecord{Window: 6, Counts: Counts{}, CountsFrom: 0})
 }
 
-func TestTheFirstReportOfAWindowStands(t *testing.T) {
+func TestFirstReportOfWindowIsKept(t *testing.T) {
 	ledger := NewLedger()
 	ledger.ApplyCount(CountRecord{"a", 7, Counts{"x": 1}})
 	ledger.ApplyReport(ReportRecord{Window: 7, Counts: Counts{"x": 1}, CountsFrom: 1})
@@ -41,13 +41,12 @@
 	assert.Assert(t, found)
 	assert.DeepEqual(t, newest.Counts, Counts{"x": 1})
 	assert.Equal(t, ledger.Next(100), Window(8))
-	assert.Equal(t, ledger.ApplyCount(CountRecord{"b", 7, Counts{"x": 3}}), int64(3), "came too late")
+	assert.Equal(t, ledger.ApplyCount(CountRecord{"b", 7, Counts{"x": 3}}), int64(3), "too late for the report")
 	assert.Equal(t, ledger.NextReport, int64(2))
 }
 
-// TestAReaderThatStartsAtTheNewestReportComesToTheSameReports: it skips all counts
-// before CountsFrom.
-func TestAReaderThatStartsAtTheNewestReportComesToTheSameReports(t *testing.T) {
+// A new leader skips all counts before CountsFrom.
+func TestLedgerStartedAtNewestReportProducesSameReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		window := rapid.Int64Range(1, 4)
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) CountRecord {
@@ -78,31 +77,30 @@
 	})
 }
 
-// TestOnlyWhatAReportLacksCameTooLate: processes repeat their full count, and a new leader
-// reads counts that its predecessor's report contains.
-func TestOnlyWhatAReportLacksCameTooLate(t *testing.T) {
+// Processes repeat their full count, and a new leader reads counts that its predecessor's report contains.
+func TestApplyCountReturnsOnlyUnreportedRequests(t *testing.T) {
 	ledger := NewLedger()
 	ledger.ApplyCount(CountRecord{"a", 7, Counts{"x": 3}})
 	ledger.ApplyReport(ReportRecord{Window: 7, Counts: Counts{"x": 3}, CountsFrom: 1})
-	assert.Equal(t, ledger.ApplyCount(CountRecord{"a", 7, Counts{"x": 3}}), int64(0), "the report holds it")
-	assert.Equal(t, ledger.ApplyCount(CountRecord{"a", 7, Counts{"x": 5}}), int64(2), "two more than the report holds")
-	assert.Equal(t, ledger.ApplyCount(CountRecord{"a", 7, Counts{"x": 5}}), int64(0), "told before")
+	assert.Equal(t, ledger.ApplyCount(CountRecord{"a", 7, Counts{"x": 3}}), int64(0), "contained in the report")
+	assert.Equal(t, ledger.ApplyCount(CountRecord{"a", 7, Counts{"x": 5}}), int64(2), "two more than in the report")
+	assert.Equal(t, ledger.ApplyCount(CountRecord{"a", 7, Counts{"x": 5}}), int64(0), "returned before")
 	assert.Equal(t, ledger.ApplyCount(CountRecord{"b", 7, Counts{"y": 1}}), int64(1))
 
 	next := NewLedger()
 	next.ApplyReport(ReportRecord{Window: 7, Counts: Counts{"x": 3}, CountsFrom: 0})
-	assert.Equal(t, next.ApplyCount(CountRecord{"a", 7, Counts{"x": 3}}), int64(0), "the report holds it")
+	assert.Equal(t, next.ApplyCount(CountRecord{"a", 7, Counts{"x": 3}}), int64(0), "contained in the report")
 }
 
-// TestNoWindowOfALostReportIsNext: until a report after the lost ones is read, whose window is
-// later than all of theirs.
-func TestNoWindowOfALostReportIsNext(t *testing.T) {
+// Guards against a second, different report of a window whose report was lost. A later report ends the
+// uncertainty, since reports are in the order of their windows.
+func TestNextSkipsWindowsOfLostReports(t *testing.T) {
 	ledger := NewLedger()
 	ledger.ApplyCount(CountRecord{"a", 7, Counts{"x": 1}})
 	ledger.LoseReports(4, 9)
 	assert.Equal(t, ledger.NextReport, int64(4))
 	assert.Equal(t, ledger.Next(5), Window(9))
-	assert.Equal(t, ledger.Next(12), Window(9), "the first that nobody can have reported")
+	assert.Equal(t, ledger.Next(12), Window(9), "the first window that is certainly unreported")
 	ledger.ApplyReport(ReportRecord{Window: 7, Counts: Counts{"x": 1}})
 	assert.Equal(t, ledger.Next(5), Window(8))
 	ledger.LoseReports(9, 12)
