--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,63 +1,60 @@
-// Package admission bounds how many calls of one sender are under way at a
-// service that others use as well. It has no input, output or clock.
+// Package admission limits the concurrent calls of one sender to a service that others use as well. The limit
+// follows additive increase, multiplicative decrease. The package has no input, output or clock.
 package admission
 
 const (
-	// share is the part of a service's places that the sender may fill; the rest
-	// is left to those who wait for their answers.
-	share = 0.5
-	// firstLimit is the limit before anything was learned, minLimit the lowest.
-	firstLimit = 4
-	minLimit   = 1
-	// decrease is what a refusal leaves of the limit.
-	decrease = 0.5
+	// shareOfSlots is the share of a service's slots that the sender may use; the rest is for interactive requests.
+	shareOfSlots = 0.5
+	initialLimit = 4
+	minLimit     = 1
+	// decreaseFactor multiplies the limit after a refusal.
+	decreaseFactor = 0.5
 )
 
-// Places are the places of a service, as far as they are known.
+// Places is the known capacity of a service.
 type Places struct {
-	// Slots is the number of requests that its engines work on at once.
+	// Slots is the number of requests that its engines can run concurrently.
 	Slots int
-	// Busy is the number of requests that they have, waiting ones included.
+	// Busy is the number of requests at its engines, including waiting ones.
 	Busy int
 }
 
-// Window learns how many calls may be under way: each whole answer raises the
-// limit by a fraction, a refusal halves it.
+// Window is an adaptive concurrency limit: each complete answer raises it by a fraction, a refusal halves it.
 type Window struct {
 	limit    float64
-	underWay int
+	inFlight int
 }
 
-// NewWindow returns a window that has learned nothing.
-func NewWindow() *Window { return &Window{limit: firstLimit} }
+// NewWindow returns a window with the initial limit.
+func NewWindow() *Window { return &Window{limit: initialLimit} }
 
-// Admits tells whether one more call may begin. One at a time always may, so that a
-// service is tried of which nothing is known, and none is left out for good.
+// Admits reports whether another call may start. A single call always may, so that a service of unknown or
+// no free capacity is still probed.
 func (w *Window) Admits(places Places) bool {
-	if w.underWay == 0 {
+	if w.inFlight == 0 {
 		return true
 	}
-	allowed := share * float64(places.Slots)
-	return float64(w.underWay) < min(w.limit, allowed) && float64(places.Busy) < allowed
+	allowed := shareOfSlots * float64(places.Slots)
+	return float64(w.inFlight) < min(w.limit, allowed) && float64(places.Busy) < allowed
 }
 
-// Began notes that a call is under way.
-func (w *Window) Began() { w.underWay++ }
+// Began records the start of a call.
+func (w *Window) Began() { w.inFlight++ }
 
-// UnderWay is the number of calls under way.
-func (w *Window) UnderWay() int { return w.underWay }
+// UnderWay returns the number of calls in flight.
+func (w *Window) UnderWay() int { return w.inFlight }
 
-// Answered notes a whole answer.
+// Answered records a call with a complete answer.
 func (w *Window) Answered() {
-	w.underWay--
+	w.inFlight--
 	w.limit += 1 / w.limit
 }
 
-// Refused notes a call that found no place.
+// Refused records a call that was rejected for lack of a free slot.
 func (w *Window) Refused() {
-	w.underWay--
-	w.limit = max(minLimit, w.limit*decrease)
+	w.inFlight--
+	w.limit = max(minLimit, w.limit*decreaseFactor)
 }
 
-// Failed notes a call that ended otherwise, which says nothing of places.
-func (w *Window) Failed() { w.underWay-- }
+// Failed records a call that ended for another reason, which leaves the limit unchanged.
+func (w *Window) Failed() { w.inFlight-- }
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// fill begins calls until the window admits no more and returns their number.
+// fill starts calls until the window admits no more and returns their number.
 func fill(w *Window, places Places) int {
 	began := 0
 	for w.Admits(Places{Slots: places.Slots, Busy: places.Busy + began}) && began < 100 {
@@ -16,7 +16,7 @@
 	return began
 }
 
-func TestHalfOfThePlacesStayFree(t *testing.T) {
+func TestAdmitsLeavesHalfOfTheSlotsFree(t *testing.T) {
 	w := NewWindow()
 	for range 200 {
 		w.Began()
@@ -25,7 +25,7 @@
 	assert.Equal(t, fill(w, Places{Slots: 24}), 12)
 }
 
-func TestOthersRequestsTakeFromTheShare(t *testing.T) {
+func TestAdmitsCountsBusySlots(t *testing.T) {
 	w := NewWindow()
 	for range 200 {
 		w.Began()
@@ -34,14 +34,14 @@
 	assert.Equal(t, fill(w, Places{Slots: 24, Busy: 9}), 3)
 }
 
-func TestServiceOfWhichNothingIsKnownIsTriedByOneCall(t *testing.T) {
+func TestAdmitsOneCallWithoutKnownSlots(t *testing.T) {
 	assert.Equal(t, fill(NewWindow(), Places{}), 1)
 }
 
-func TestRefusalsLowerTheLimitAndAnswersRaiseIt(t *testing.T) {
+func TestRefusalsLowerAndAnswersRaiseTheLimit(t *testing.T) {
 	w := NewWindow()
-	assert.Equal(t, fill(w, Places{Slots: 100}), firstLimit)
-	for range firstLimit {
+	assert.Equal(t, fill(w, Places{Slots: 100}), initialLimit)
+	for range initialLimit {
 		w.Refused()
 	}
 	assert.Equal(t, fill(w, Places{Slots: 100}), 1)
@@ -49,7 +49,7 @@
 	assert.Equal(t, fill(w, Places{Slots: 100}), 2)
 }
 
-func TestOtherFailuresLeaveTheLimit(t *testing.T) {
+func TestFailedLeavesTheLimitUnchanged(t *testing.T) {
 	w := NewWindow()
 	before := fill(w, Places{Slots: 100})
 	for range before {
