--- a/internal/core/bytebudget/bytebudget.go
+++ b/internal/core/bytebudget/bytebudget.go
@@ -8,7 +8,6 @@
 // Kind is the purpose of held bytes.
 type Kind uint8
 
-// The kinds.
 const (
 	// Bodies are request and batch job bodies from callers.
 	Bodies Kind = iota
--- a/internal/core/bytebudget/bytebudget_test.go
+++ b/internal/core/bytebudget/bytebudget_test.go
@@ -7,17 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-func TestNewBytesAreRefusedBeyondTheBudget(t *testing.T) {
+func TestReserveRejectsBytesBeyondBudget(t *testing.T) {
 	budget := New(100)
 	assert.Assert(t, budget.Reserve(Bodies, 50))
-	assert.Assert(t, !budget.Reserve(Bodies, 1), "beyond the share of its kind")
+	assert.Assert(t, !budget.Reserve(Bodies, 1), "above the limit of its kind")
 	assert.Assert(t, budget.Reserve(Results, 50))
 	assert.Assert(t, !budget.Reserve(Answers, 1))
 	budget.Release(Bodies, 50)
 	assert.Assert(t, budget.Reserve(Answers, 50))
 }
 
-func TestBytesThatAreThereAreTakenAndKeepNewOnesOut(t *testing.T) {
+func TestTakeMayExceedBudgetAndBlocksReserve(t *testing.T) {
 	budget := New(100)
 	budget.Take(Answers, 300)
 	assert.Assert(t, budget.IsShort())
@@ -27,20 +27,20 @@
 	assert.Assert(t, budget.Reserve(Bodies, 1))
 }
 
-func TestOneRequestLargerThanTheBudgetIsTakenAlone(t *testing.T) {
+func TestReserveAdmitsOversizedRequestAlone(t *testing.T) {
 	budget := New(100)
 	assert.Assert(t, budget.Reserve(Bodies, 300))
 	assert.Assert(t, !budget.Reserve(Bodies, 1))
 }
 
-func TestWithoutABudgetNothingIsBounded(t *testing.T) {
+func TestNilBudgetIsUnlimited(t *testing.T) {
 	var budget *Budget
 	assert.Assert(t, budget.Reserve(Bodies, 1<<40))
 	assert.Equal(t, budget.Held(Bodies), int64(0))
 }
 
-// TestReservedBytesStayWithinTheBudget: for any sequence of reservations and releases.
-func TestReservedBytesStayWithinTheBudget(t *testing.T) {
+// Checks the invariant for any sequence of reservations and releases.
+func TestReservedBytesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 1000
 		budget := New(limit)
