--- a/internal/core/incarnation/incarnation.go
+++ b/internal/core/incarnation/incarnation.go
@@ -1,25 +1,23 @@
-// Package incarnation names engines from one start to the next: what was known of one is void once it
-// has started again.
+// Package incarnation identifies the incarnations of engines: an engine that restarts is a new incarnation
+// without the state of the previous one.
 package incarnation
 
 import "strconv"
 
-// ID names an engine between one start and its end. An engine may start again under the ID that it had; it then
-// holds and knows nothing of before, so what is believed of an engine is kept by its incarnation
-// and goes with it.
+// ID identifies an engine from one start to its end. An engine may restart under the same engine ID, but without its
+// earlier state, so what others record about it must be kept per incarnation.
 type ID struct {
-	// Engine is the engine's ID as it stands in the engine list.
+	// Engine is the engine's ID in the engine list.
 	Engine string
-	// Born is when the engine started, in milliseconds since 1970 by its own clock; zero where
-	// it does not tell.
+	// Born is the engine's start time in milliseconds since 1970 by its own clock; zero if not reported.
 	Born int64
 }
 
-// IsZero tells whether no engine is named.
+// IsZero reports whether the ID is empty.
 func (i ID) IsZero() bool { return i == ID{} }
 
-// String is the incarnation as it stands in logs and records: "engine@born", or the engine's ID
-// alone where it does not tell when it started.
+// String returns the form used in logs and records: "engine@born", or the engine's ID alone if its start time
+// is not known.
 func (i ID) String() string {
 	if i.Born == 0 {
 		return i.Engine
@@ -27,8 +25,8 @@
 	return i.Engine + "@" + strconv.FormatInt(i.Born, 10)
 }
 
-// Contradicts tells whether two names cannot be of the same incarnation. One that does not tell when it
-// began contradicts none of its engine.
+// Contradicts reports whether two IDs cannot be of the same incarnation. Without a start time, an ID contradicts
+// none of the same engine.
 func (i ID) Contradicts(other ID) bool {
 	if i.Engine != other.Engine {
 		return true
--- a/internal/core/incarnation/incarnation_test.go
+++ b/internal/core/incarnation/incarnation_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestIncarnationsOfOneEngineDiffer(t *testing.T) {
+func TestIDDistinguishesIncarnationsOfOneEngine(t *testing.T) {
 	before, after := ID{Engine: "e1", Born: 1000}, ID{Engine: "e1", Born: 2000}
 	assert.Assert(t, before != after)
 	assert.Equal(t, before.String(), "e1@1000")
@@ -15,7 +15,7 @@
 	assert.Assert(t, !after.IsZero())
 }
 
-func TestOnlyATimeThatIsToldContradicts(t *testing.T) {
+func TestContradictsIgnoresMissingStartTimes(t *testing.T) {
 	first := ID{Engine: "e1", Born: 1000}
 	assert.Assert(t, !first.Contradicts(first))
 	assert.Assert(t, first.Contradicts(ID{Engine: "e1", Born: 2000}))
