--- a/internal/core/pacing/pacing_test.go
+++ b/internal/core/pacing/pacing_test.go
@@ -16,7 +16,7 @@
 	return Budget{Limits: Limits{ReadsPerSecond: reads}, Nodes: func() int { return nodes }}
 }
 
-func TestPeriodsGrowWithTheNodesUpToALimit(t *testing.T) {
+func TestStretchGrowsWithNodesUpToLimit(t *testing.T) {
 	const nodesAtBase = 20
 	assert.Equal(t, budget(2000, 0).Stretch(base, limit), base)
 	assert.Equal(t, budget(2000, nodesAtBase).Stretch(base, limit), base)
@@ -25,26 +25,25 @@
 	assert.Equal(t, budget(2000, 1000*nodesAtBase).Stretch(base, base/2), base)
 }
 
-func TestWithoutABoundThePeriodIsTheBase(t *testing.T) {
+func TestStretchWithoutLimitsReturnsBase(t *testing.T) {
 	assert.Equal(t, budget(0, 1000).Stretch(base, limit), base)
 	assert.Equal(t, Budget{Limits: Limits{ReadsPerSecond: 1}}.Stretch(base, limit), base)
 }
 
-// TestReadsOfAllNodesStayWithinTheirPart: the reads a second of all nodes
-// together, where each makes readsPerNode of them at the base period.
-func TestReadsOfAllNodesStayWithinTheirPart(t *testing.T) {
+// Checks the read rate of all nodes if each makes nodeReadsPerSecond at the base period.
+func TestStretchedReadsStayWithinPacedShare(t *testing.T) {
 	for _, reads := range []int{250, 2000, 6000} {
 		for _, nodes := range []int{2, 10, 89, 420} {
 			stretched := budget(reads, nodes).Stretch(base, time.Hour)
-			perSecond := float64(nodes*readsPerNode) * base.Seconds() / stretched.Seconds()
-			assert.Assert(t, perSecond <= max(sharedPart*float64(reads), 1)*1.001, "%d nodes make %.0f of %d reads", nodes, perSecond, reads)
+			perSecond := float64(nodes*nodeReadsPerSecond) * base.Seconds() / stretched.Seconds()
+			assert.Assert(t, perSecond <= max(pacedShare*float64(reads), 1)*1.001,
+				"%d nodes: %.0f reads per second, the log serves %d", nodes, perSecond, reads)
 		}
 	}
 }
 
-// TestLargeReadsOfAllNodesAreSpreadByTheirBytes guards against reads that all nodes make within a time in which the
-// log cannot hand them out.
-func TestLargeReadsOfAllNodesAreSpreadByTheirBytes(t *testing.T) {
+// Guards against large reads by all nodes within a period in which the log cannot serve them.
+func TestSpreadLimitsBytesOfAllNodes(t *testing.T) {
 	bounded := Budget{Limits: Limits{BytesPerSecond: 80_000_000}, Nodes: func() int { return 300 }}
 	assert.Equal(t, bounded.Spread(1_000_000, time.Hour), 7500*time.Millisecond)
 	assert.Equal(t, bounded.Spread(1_000_000, time.Second), time.Second)
