--- a/internal/core/peak/peak_test.go
+++ b/internal/core/peak/peak_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTheLargestValueOfTheSpanCounts(t *testing.T) {
+func TestMaxIsLargestValueWithinSpan(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	var window Window
 	assert.Equal(t, window.Max(), 0)
