--- a/internal/core/dutycycle/dutycycle_test.go
+++ b/internal/core/dutycycle/dutycycle_test.go
@@ -9,7 +9,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestShortRoundsFollowThePeriod(t *testing.T) {
+func TestShortRoundsAreLimitedByPeriod(t *testing.T) {
 	cycle := New(50*time.Millisecond, 0.2)
 	assert.Assert(t, cycle.Due(start))
 	cycle.Ended(start, start.Add(time.Millisecond))
@@ -18,7 +18,7 @@
 	assert.Assert(t, cycle.Due(start.Add(50*time.Millisecond)))
 }
 
-func TestLongRoundsTakeTheirShareOnly(t *testing.T) {
+func TestLongRoundsAreLimitedByShare(t *testing.T) {
 	cycle := New(50*time.Millisecond, 0.2)
 	now, worked := start, time.Duration(0)
 	const round = 30 * time.Millisecond
@@ -32,11 +32,10 @@
 	assert.Assert(t, share > 0.19 && share < 0.21, "%.2f of the time", share)
 }
 
-// TestARoundDuringAStandstillDoesNotPutOffTheNextForLong guards against a leader that ordered no weights for a minute
-// after its process had been stopped for seconds in the middle of a round.
-func TestARoundDuringAStandstillDoesNotPutOffTheNextForLong(t *testing.T) {
+// Guards against a long wait after a round during which the process was paused for seconds.
+func TestWaitAfterStalledRoundIsBounded(t *testing.T) {
 	cycle := New(50*time.Millisecond, 0.05)
-	const standstill = 3400 * time.Millisecond
-	cycle.Ended(start, start.Add(standstill))
-	assert.Equal(t, cycle.Wait(start.Add(standstill)), 2*time.Second)
+	const stall = 3400 * time.Millisecond
+	cycle.Ended(start, start.Add(stall))
+	assert.Equal(t, cycle.Wait(start.Add(stall)), 2*time.Second)
 }
