--- a/internal/core/fleet/cold.go
+++ b/internal/core/fleet/cold.go
@@ -121,7 +121,7 @@
 	f.cold.add(of, coldMark{reason: reason, at: at})
 }
 
-// MarkZoneDoubtful calls MarkDoubtful for all engines of a zone.
+// MarkZoneDoubtful records that all engines of a zone may be cold.
 func (f *Fleet) MarkZoneDoubtful(zone string, reason ColdReason, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,7 +157,7 @@
 	}
 }
 
-// recordResponse implements Heard. Must be called with mu held.
+// recordResponse records a response of an engine. Must be called with mu held.
 func (f *Fleet) recordResponse(of incarnation.ID, at time.Time) {
 	known, found := f.cold.marks[of]
 	if !found || !known.reason.clearedByResponse() || at.Before(known.at) {
@@ -199,7 +199,7 @@
 	return f.coldnessOf(known, now)
 }
 
-// coldnessOf implements Cold. Must be called with mu held.
+// coldnessOf reports whether a member is cold, and its request rate limit. Must be called with mu held.
 func (f *Fleet) coldnessOf(of *member, now time.Time) (Coldness, bool) {
 	slowStart, bounded := f.cold.services[of.engine.Service]
 	if !bounded {
@@ -241,7 +241,7 @@
 	return cold
 }
 
-// unlistedMarkTTL is how long a mark of an engine without an entry is kept, since MarkDoubtful may precede Put.
+// unlistedMarkTTL is how long a mark of an engine without an entry is kept, since engines are marked before Put.
 const unlistedMarkTTL = time.Second
 
 // pruneColdMarks drops the marks of engines that are no longer listed. Must be called with mu held.
--- a/internal/core/fleet/cold_test.go
+++ b/internal/core/fleet/cold_test.go
@@ -46,7 +46,7 @@
 	assert.Equal(t, coldReason(f, "a", now.Add(slowStart.Period)), "")
 }
 
-func TestMarkZoneDoubtfulMarksOnlyEnginesOfZone(t *testing.T) {
+func TestZoneMarkAppliesOnlyToEnginesOfZone(t *testing.T) {
 	f := slowStartFleet(testEngine("a", "z1"), testEngine("b", "z2"))
 	f.MarkZoneDoubtful("z2", ZoneReturned, now)
 	assert.Equal(t, coldReason(f, "a", now), "")
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -132,7 +132,7 @@
 	return f.takesWork(engine)
 }
 
-// takesWork implements TakesWork. Must be called with mu held.
+// takesWork reports whether an engine may be sent new requests. Must be called with mu held.
 func (f *Fleet) takesWork(engine Engine) bool { return f.hold(engine) == NotHeld }
 
 // Get returns the current incarnation of an engine.
--- a/internal/core/scaling/scaling.go
+++ b/internal/core/scaling/scaling.go
@@ -131,7 +131,7 @@
 		wanted[zone] = max(wanted[zone], p.substituted[zone])
 	}
 	before := maps.Clone(wanted)
-	fill(zones, wanted, bounds.Max, p.regular-p.elsewhere(wanted, bounds.Evacuated))
+	fill(zones, wanted, bounds.Max, p.regular-p.seenInOtherZones(wanted, bounds.Evacuated))
 	for _, zone := range zones {
 		if wanted[zone] > before[zone] {
 			p.substituted[zone] = wanted[zone]
@@ -140,9 +140,9 @@
 	}
 }
 
-// elsewhere returns the highest number of engines seen in zones that are neither evacuated nor ordered
-// in, which keep serving.
-func (p *Planner) elsewhere(wanted map[string]int, evacuated map[string]bool) int {
+// seenInOtherZones returns the highest number of engines seen in zones that are neither evacuated nor in wanted.
+// These engines keep serving.
+func (p *Planner) seenInOtherZones(wanted map[string]int, evacuated map[string]bool) int {
 	total := 0
 	for zone, count := range p.maxSeen {
 		if _, ordered := wanted[zone]; !ordered && !evacuated[zone] {
--- a/internal/core/usage/usage.go
+++ b/internal/core/usage/usage.go
@@ -111,7 +111,7 @@
 func (l *Ledger) ApplyCount(record CountRecord) int64 {
 	offset := l.NextCount
 	l.NextCount++
-	if l.isOver(record.Window) {
+	if l.isReported(record.Window) {
 		return l.applyLate(record)
 	}
 	known, found := l.windows[record.Window]
@@ -140,7 +140,7 @@
 	l.NextReport++
 	// Reports are appended in the order of their windows, so the lost ones are of earlier windows.
 	l.unreported = 0
-	if l.isOver(record.Window) {
+	if l.isReported(record.Window) {
 		return
 	}
 	l.newest, l.late = &record, 0
@@ -161,9 +161,9 @@
 	l.unreported = unreported
 }
 
-// isOver reports whether a report of the window or of a later one was read. Reports are
+// isReported reports whether a report of the window or of a later one was read. Reports are
 // appended in the order of their windows.
-func (l *Ledger) isOver(each Window) bool { return l.newest != nil && each <= l.newest.Window }
+func (l *Ledger) isReported(each Window) bool { return l.newest != nil && each <= l.newest.Window }
 
 // Newest returns the newest report, if any.
 func (l *Ledger) Newest() (ReportRecord, bool) {
@@ -176,11 +176,11 @@
 // Next returns the next window to report: the one after the newest reported one, or without
 // any the earlier of the first window with a count and the given one. Windows that a lost
 // report may cover are skipped.
-func (l *Ledger) Next(otherwise Window) Window {
+func (l *Ledger) Next(fallback Window) Window {
 	if l.newest != nil {
 		return max(l.newest.Window+1, l.unreported)
 	}
-	next := otherwise
+	next := fallback
 	for each := range l.windows {
 		next = min(next, each)
 	}
