--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -13,14 +13,14 @@
 
 var start = time.Unix(1000, 0)
 
-// addressOf returns the address that the processes of a machine bind, one after the other.
+// addressOf returns the address that successive processes of a machine bind.
 func addressOf(node string) string { return "machine-" + node + ":7000" }
 
 func claim(node, holder string, follows int64) Record {
 	return Record{Kind: Claim, Node: node, Holder: holder, Address: addressOf(node), Epoch: follows}
 }
 
-func TestFirstOfTwoRacingClaimsWins(t *testing.T) {
+func TestApplyFirstOfConcurrentClaimsWins(t *testing.T) {
 	var state State
 	assert.Assert(t, state.Apply(claim("a", "a1", 0), start))
 	assert.Assert(t, !state.Apply(claim("b", "b1", 0), start))
@@ -28,7 +28,7 @@
 	assert.Equal(t, state.Epoch, int64(1))
 }
 
-func TestLateClaimOfAnOldEpochIsVoid(t *testing.T) {
+func TestApplyIgnoresClaimOfStaleEpoch(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(claim("b", "b1", 1), start)
@@ -37,31 +37,30 @@
 	assert.Equal(t, state.Epoch, int64(2))
 }
 
-func TestLeaseIsClaimableOnlyAfterItsTimeInContact(t *testing.T) {
+func TestClaimableOnlyAfterTTLInContact(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	assert.Assert(t, !state.Claimable("b", "b1", "", start.Add(ttl), start, ttl))
 	assert.Assert(t, state.Claimable("b", "b1", "", start.Add(ttl+1), start, ttl))
-	// A reader without contact with the log has not seen the renewals.
+	// A reader that could not reach the log may have missed renewals.
 	backAt := start.Add(10 * ttl)
 	assert.Assert(t, !state.Claimable("b", "b1", "", backAt.Add(ttl/2), backAt, ttl))
 }
 
-// TestRestartedMachineClaimsAtOnce: only a process that has bound the address of the earlier one,
-// which has certainly ended then. The machine's name alone is no proof, since a replacement may
-// have it.
-func TestRestartedMachineClaimsAtOnce(t *testing.T) {
+// Guards against a claim while the holder still runs: only a process that binds the holder's address
+// proves that it has terminated. A replacement machine may have the same name.
+func TestClaimableAtOnceAfterRestartOnSameAddress(t *testing.T) {
 	var state State
 	first := state.NewClaim("a", "a1", "10.0.0.1:7000")
 	state.Apply(first, start)
 	assert.Assert(t, state.Claimable("a", "a2", "10.0.0.1:7000", start, start, ttl))
 	assert.Assert(t, !state.Claimable("a", "a1", "10.0.0.1:7000", start, start, ttl))
-	assert.Assert(t, !state.Claimable("a", "a2", "10.0.0.2:7000", start, start, ttl), "another machine of this name")
-	assert.Assert(t, !state.Claimable("a", "a2", "", start, start, ttl), "nothing shows that it is the same machine")
-	assert.Assert(t, !state.Claimable("b", "b1", "10.0.0.1:7000", start, start, ttl), "another machine at the address")
+	assert.Assert(t, !state.Claimable("a", "a2", "10.0.0.2:7000", start, start, ttl), "another machine of the same name")
+	assert.Assert(t, !state.Claimable("a", "a2", "", start, start, ttl), "without an address, the machine is unknown")
+	assert.Assert(t, !state.Claimable("b", "b1", "10.0.0.1:7000", start, start, ttl), "another machine at the same address")
 }
 
-func TestReleasedLeaseIsFreeAndStaysReleased(t *testing.T) {
+func TestReleasedLeaseIgnoresLaterRenewals(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(Record{Kind: Release, Holder: "a1", Node: "a", Epoch: 1}, start)
@@ -69,7 +68,7 @@
 	assert.Assert(t, state.Claimable("b", "b1", "", start, start, ttl))
 }
 
-func TestEpochIsFoundInRenewalsWhenTheClaimIsGone(t *testing.T) {
+func TestApplyTakesEpochFromRenewalWithoutClaim(t *testing.T) {
 	state := State{Next: 500}
 	assert.Assert(t, state.Apply(Record{Kind: Renew, Holder: "a1", Node: "a", Epoch: 77}, start))
 	assert.Equal(t, state.Epoch, int64(77))
@@ -90,21 +89,21 @@
 	return Record{Kind: Renew, Node: node, Holder: holder, Epoch: epoch, Held: held}
 }
 
-func TestQuietTimeFollowsOnlyWhereAnotherMachineOrdered(t *testing.T) {
+func TestQuietUntilOnlyAfterOrdersOfOtherMachines(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(orderOf("a", 1, 0, "e1"), start)
-	assert.Assert(t, quietUntil(&state, "e1", false).IsZero(), "the same machine ordered it")
+	assert.Assert(t, quietUntil(&state, "e1", false).IsZero(), "order of the current epoch")
 	state.Apply(claim("a", "a2", 1), start)
-	assert.Assert(t, !quietUntil(&state, "e1", false).After(start), "an earlier process of the same machine ordered it")
+	assert.Assert(t, !quietUntil(&state, "e1", false).After(start), "order of an earlier process of the same machine")
 	state.Apply(claim("b", "b1", 3), start.Add(ttl))
 	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(quiet))
-	assert.Assert(t, quietUntil(&state, "e2", false).IsZero(), "nobody ordered it")
+	assert.Assert(t, quietUntil(&state, "e2", false).IsZero(), "no order to this engine")
 	state.Apply(claim("b", "b2", 4), start.Add(ttl))
-	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(quiet), "a restart does not end the quiet time")
+	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(quiet), "a restart does not end the quiet period")
 }
 
-func TestOrderOfAnEarlierEpochCounts(t *testing.T) {
+func TestQuietUntilCountsOrdersOfEarlierEpochs(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(claim("b", "b1", 1), start)
@@ -112,19 +111,19 @@
 	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(ttl+quiet))
 }
 
-func TestLogProvesThatTimeHasPassed(t *testing.T) {
+func TestQuietUntilSubtractsTimeProvenByRecords(t *testing.T) {
 	var state State
-	// All records are read at one moment, by a process that has just started.
+	// A process that has just started reads all records at once.
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(orderOf("a", 1, ttl, "e1"), start)
 	state.Apply(claim("b", "b1", 1), start)
 	state.Apply(renewal("b", "b1", 3, 100*time.Millisecond), start)
 	state.Apply(renewal("b", "b1", 3, 200*time.Millisecond), start)
 	state.Apply(renewal("b", "b1", 3, 150*time.Millisecond), start)
-	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(100*time.Millisecond), "200 ms are proven, once")
+	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(100*time.Millisecond), "200 ms are proven, counted once")
 }
 
-func TestProvenTimeIsNotCountedBesideTheReadersOwn(t *testing.T) {
+func TestQuietUntilCountsElapsedTimeOnce(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(orderOf("a", 1, 0, "e1"), start)
@@ -134,7 +133,7 @@
 	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(quiet))
 }
 
-func TestMissingRecordsMayHideAnOrder(t *testing.T) {
+func TestQuietUntilAfterGap(t *testing.T) {
 	var state State
 	state.SkipTo(500, start)
 	state.Apply(renewal("a", "a1", 77, 10*ttl), start)
@@ -144,35 +143,35 @@
 	assert.Assert(t, !quietUntil(&state, "e1", false).After(start), "the time since the gap is proven")
 	state.Skip(start)
 	state.Apply(renewal("b", "b1", 502, quiet), start.Add(ttl))
-	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(ttl+quiet), "a record that cannot be read is a gap")
+	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(ttl+quiet), "an unreadable record is a gap")
 }
 
-func TestHandoverNeedsNoQuietTimeWhereEnginesFence(t *testing.T) {
+func TestQuietUntilZeroAfterReleaseIfEnginesFence(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(orderOf("a", 1, 0, "e1"), start)
 	state.Apply(Record{Kind: Release, Holder: "a1", Node: "a", Epoch: 1}, start)
 	state.Apply(claim("b", "b1", 1), start)
 	assert.Assert(t, quietUntil(&state, "e1", true).IsZero())
-	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(quiet), "a may be heard by engines without fences")
+	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(quiet), "engines without fencing may still execute orders of a")
 	state.Apply(orderOf("b", 4, 0, "e1"), start)
 	state.Apply(claim("c", "c1", 4), start)
-	assert.Equal(t, quietUntil(&state, "e1", true), start.Add(quiet), "b lost the lease")
+	assert.Equal(t, quietUntil(&state, "e1", true), start.Add(quiet), "b lost the lease without releasing it")
 }
 
-func TestOldOrdersAreForgotten(t *testing.T) {
+func TestExpiredOrdersAreRemoved(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
-	for i := range 3 * minForgetAt {
+	for i := range 3 * minPruneThreshold {
 		state.Apply(orderOf("a", 1, 0, fmt.Sprint("e", i)), start.Add(time.Duration(i)*time.Second))
 	}
-	assert.Assert(t, len(state.history.orders) <= minForgetAt+1)
+	assert.Assert(t, len(state.history.orders) <= minPruneThreshold+1)
 }
 
-func TestOrdersOfTheQuietTimeAreNeverForgotten(t *testing.T) {
+func TestUnexpiredOrdersAreKept(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
-	const engines = 3 * minForgetAt
+	const engines = 3 * minPruneThreshold
 	for i := range engines {
 		state.Apply(orderOf("a", 1, 0, fmt.Sprint("e", i)), start)
 	}
@@ -182,8 +181,7 @@
 	}
 }
 
-// TestEpochsRiseAndHaveOneHolder applies random records.
-func TestEpochsRiseAndHaveOneHolder(t *testing.T) {
+func TestEpochsAreMonotonicWithOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var state State
 		holders := map[int64]string{}
@@ -196,7 +194,7 @@
 			before := state.Epoch
 			state.Apply(record, start)
 			if state.Epoch < before {
-				t.Fatalf("epoch fell from %d to %d", before, state.Epoch)
+				t.Fatalf("epoch decreased from %d to %d", before, state.Epoch)
 			}
 			if known, found := holders[state.Epoch]; found && known != state.Holder {
 				t.Fatalf("epoch %d has the holders %s and %s", state.Epoch, known, state.Holder)
@@ -206,10 +204,9 @@
 	})
 }
 
-// TestALateRecordOfAnOrderHidesNoNewerOrder: an append without an answer may take effect seconds
-// later, so an Order record of an earlier holder may follow one of a newer holder, whose order is
-// still the newer one.
-func TestALateRecordOfAnOrderHidesNoNewerOrder(t *testing.T) {
+// Guards against a shortened quiet period: an unacknowledged append may take effect late, so an Order record
+// of an earlier holder may follow one of its successor.
+func TestDelayedOrderRecordDoesNotReplaceNewerOrder(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(claim("b", "b1", 1), start)
@@ -218,12 +215,11 @@
 	state.Apply(orderOf("a", 1, 0, "e1"), ordered)
 	assert.Assert(t, state.Apply(claim("a", "a1", 2), ordered))
 	until := quietUntil(&state, "e1", false)
-	assert.Assert(t, !until.Before(ordered.Add(quiet)), "a may order at %s, b did so at %s", until, ordered)
+	assert.Assert(t, !until.Before(ordered.Add(quiet)), "a may send orders from %s, b sent one at %s", until, ordered)
 }
 
-// TestAReaderAfterAGapAgreesWhoHoldsTheLease: it reads only what the log still holds. A claim takes
-// effect for all readers or for none.
-func TestAReaderAfterAGapAgreesWhoHoldsTheLease(t *testing.T) {
+// Guards against a claim that takes effect only for readers that start after truncated records.
+func TestReaderAfterGapAgreesOnHolder(t *testing.T) {
 	var all, rest State
 	apply := func(record Record) {
 		all.Apply(record, start)
@@ -232,7 +228,7 @@
 	all.Apply(claim("a", "a1", 0), start)
 	all.Apply(renewal("a", "a1", 1, 0), start)
 	rest.SkipTo(all.Next, start)
-	// It knows no holder. If it may claim, it names the epoch that it knows.
+	// This reader knows of no holder.
 	if !rest.Claimable("c", "c1", "", start, start, ttl) {
 		return
 	}
@@ -241,9 +237,9 @@
 	assert.Equal(t, rest.Epoch, all.Epoch)
 }
 
-// TestALateRenewalPutsNoEarlierEpochInForce: a reader after a gap learns the epoch from the first
-// renewal, which may have taken effect seconds late, after another holder's claim.
-func TestALateRenewalPutsNoEarlierEpochInForce(t *testing.T) {
+// Guards against a reader that takes a stale epoch from the first renewal after a gap: the renewal may have been
+// appended after another holder's claim.
+func TestDelayedRenewalDoesNotRestoreEarlierEpoch(t *testing.T) {
 	var all, rest State
 	apply := func(record Record) {
 		all.Apply(record, start)
@@ -261,9 +257,9 @@
 	assert.Equal(t, rest.Epoch, all.Epoch)
 }
 
-// TestNoTimeIsProvenFromBeforeAnOrder: a renewal proves the time since the one before it, not
-// since an order of an earlier holder whose record is between the two.
-func TestNoTimeIsProvenFromBeforeAnOrder(t *testing.T) {
+// Guards against a shortened quiet period: a renewal proves the time since the previous one, not since an
+// earlier holder's Order record between the two.
+func TestProvenTimeStartsAfterOrder(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(claim("b", "b1", 1), start)
@@ -274,9 +270,8 @@
 	assert.Assert(t, !until.Before(ordered.Add(quiet)), "quiet until %s, ordered at %s", until, ordered)
 }
 
-// TestNoTimeIsProvenFromBeforeAGapEnded: a gap may hide an order right before the first record
-// after it.
-func TestNoTimeIsProvenFromBeforeAGapEnded(t *testing.T) {
+// Guards against a shortened quiet period: a gap may contain an order right before the first record after it.
+func TestProvenTimeStartsAfterGap(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(renewal("a", "a1", 1, 0), start)
@@ -289,19 +284,19 @@
 	assert.Assert(t, !until.Before(back.Add(quiet)), "quiet until %s, the gap ended at %s", until, back)
 }
 
-// TestRenewalsInAGapCount: a gap may hide renewals, so the time without renewals restarts after it.
-func TestRenewalsInAGapCount(t *testing.T) {
+// Guards against a claim of a lease whose renewals were in a gap.
+func TestGapRestartsTTL(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(renewal("a", "a1", 1, 0), start)
 	now := start.Add(ttl + 1)
 	state.SkipTo(state.Next+5, now)
-	assert.Assert(t, !state.Claimable("b", "b1", "", now, start, ttl), "the renewals are in the gap")
+	assert.Assert(t, !state.Claimable("b", "b1", "", now, start, ttl), "the gap may contain renewals")
 }
 
-// TestARecordOfTheHolderHidesNoOrderOfAnother: the holder's own order may not have been sent, since the
-// record's answer was lost; the other machine's, recorded just before, may have been.
-func TestARecordOfTheHolderHidesNoOrderOfAnother(t *testing.T) {
+// Guards against a skipped quiet period: the holder's own order may not have been sent, while that of the
+// other machine may have been.
+func TestOwnOrderDoesNotReplaceOrderOfOtherMachine(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(orderOf("a", 1, 0, "e1"), start)
@@ -310,22 +305,22 @@
 	assert.Equal(t, quietUntil(&state, "e1", false), start.Add(quiet))
 }
 
-// TestAnOrderOfAnEarlierProcessMayStillArrive: it has a lower fencing token than the orders of the next
-// process, which waits until it must have arrived. Engines that check tokens reject it.
-func TestAnOrderOfAnEarlierProcessMayStillArrive(t *testing.T) {
+// Guards against orders that arrive out of sequence: an order of the previous process may still be in transit,
+// and only engines that check fencing tokens reject it.
+func TestQuietUntilCoversTransitAfterRestart(t *testing.T) {
 	const arrival = 100 * time.Millisecond
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(orderOf("a", 1, 0, "e1"), start)
 	state.Apply(claim("a", "a2", 1), start)
-	waits := Quiet{Between: quiet, Arrival: arrival}
-	assert.Equal(t, state.QuietUntil("e1", waits), start.Add(arrival))
-	waits.EnginesFence = true
-	assert.Assert(t, state.QuietUntil("e1", waits).IsZero())
+	period := Quiet{Between: quiet, Arrival: arrival}
+	assert.Equal(t, state.QuietUntil("e1", period), start.Add(arrival))
+	period.EnginesFence = true
+	assert.Assert(t, state.QuietUntil("e1", period).IsZero())
 }
 
-// TestAClaimCountsByItsPlace: at another offset it has no effect, whatever epoch it names.
-func TestAClaimCountsByItsPlace(t *testing.T) {
+// Guards against a second claim in the same epoch: at another offset than its own, a claim has no effect.
+func TestClaimTakesEffectOnlyAtItsOffset(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	lost := state.NewClaim("b", "b1", "")
@@ -336,8 +331,8 @@
 	assert.Equal(t, state.Epoch, won.Begins)
 }
 
-// TestAReleaseBeforeAGapFreesNothing: the gap may hide a claim of another node.
-func TestAReleaseBeforeAGapFreesNothing(t *testing.T) {
+// Guards against a claim of a lease that another node may have claimed in the gap.
+func TestReleaseBeforeGapDoesNotFreeLease(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(Record{Kind: Release, Holder: "a1", Node: "a", Epoch: 1}, start)
@@ -347,25 +342,23 @@
 	assert.Assert(t, state.Claimable("b", "b1", "", back.Add(ttl+1), back, ttl))
 }
 
-// TestAReplacedMachineIsAnotherOne: a machine is replaced under its name while the earlier one
-// still runs at another address and has ordered. The quiet time applies.
-func TestAReplacedMachineIsAnotherOne(t *testing.T) {
-	waits := Quiet{Between: quiet, Arrival: quiet / 3}
+// Guards against a skipped quiet period: the replaced machine has the same name and may still run at another
+// address.
+func TestQuietUntilAfterMachineReplacement(t *testing.T) {
+	period := Quiet{Between: quiet, Arrival: quiet / 3}
 	var s State
 	at := start
 	s.Apply(s.NewClaim("a", "a1", "10.0.0.1:7000"), at)
 	s.Apply(Record{Kind: Order, Holder: "a1", Node: "a", Address: "10.0.0.1:7000", Epoch: s.Epoch, Engines: []string{"e"}}, at)
 	at = at.Add(quiet / 10)
 	s.Apply(s.NewClaim("a", "a2", "10.0.0.2:7000"), at)
-	left := s.QuietUntil("e", waits).Sub(at)
-	assert.Assert(t, left > waits.Between, "another machine of the same name may order after %s", left)
+	left := s.QuietUntil("e", period).Sub(at)
+	assert.Assert(t, left > period.Between, "another machine of the same name may send orders after %s", left)
 }
 
-// TestReadersAgreeWhateverTheyMissed runs several nodes on one log. Each appends on the condition that the
-// log ends where it has read to, and claims or writes as its own view allows; some miss records. All that
-// have since read a record of the epoch in force agree on the holder, and no record of a holder follows
-// a later claim.
-func TestReadersAgreeWhateverTheyMissed(t *testing.T) {
+// Runs several nodes with conditional appends on one log, some of which miss records. All that have since read
+// a record of the current epoch must agree on the holder, and no record of a holder may follow a later claim.
+func TestReadersWithGapsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a1", "b1", "c1"}
 		views := make([]State, len(names))
@@ -403,7 +396,7 @@
 				view.Apply(log[view.Next], start)
 			}
 			if !view.missed && view.Epoch != claimed {
-				t.Fatalf("%s takes epoch %d for the one in force, it is %d", names[i], view.Epoch, claimed)
+				t.Fatalf("current epoch of %s is %d, want %d", names[i], view.Epoch, claimed)
 			}
 		}
 	})
