--- a/internal/core/membership/apply.go
+++ b/internal/core/membership/apply.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// apply takes one valid update.
+// apply merges a valid update into the member list.
 func (n *Node) apply(update Update) {
 	if update.ID == n.self.ID {
 		n.applySelf(update)
@@ -10,26 +10,26 @@
 	}
 	known := n.members[update.ID]
 	if known == nil {
-		n.add(update)
+		n.addMember(update)
 		return
 	}
 	if update.supersedes(known.update) {
-		n.change(known, update)
+		n.replaceUpdate(known, update)
 		return
 	}
-	if update.State == Suspect && known.suspicion != nil && sameClaim(update, known.update) {
-		n.confirm(known, update)
+	if update.State == Suspect && known.suspicion != nil && sameIncarnation(update, known.update) {
+		n.confirmSuspicion(known, update)
 	}
 }
 
-// sameClaim reports whether both speak of the same incarnation.
-func sameClaim(a, b Update) bool {
+// sameIncarnation reports whether both updates describe the same incarnation of a node.
+func sameIncarnation(a, b Update) bool {
 	return a.Incarnation == b.Incarnation && a.Writer == b.Writer
 }
 
-// add takes in an unknown node. A dead one is not taken in: the news of dead
-// nodes would otherwise be handed round for ever after they were forgotten.
-func (n *Node) add(update Update) {
+// addMember adds a node that is not in the member list, unless it is dead: nodes would otherwise gossip about
+// dead nodes forever, although each removes them after the retention period.
+func (n *Node) addMember(update Update) {
 	if update.State == Dead {
 		return
 	}
@@ -37,29 +37,29 @@
 	n.members[update.ID] = known
 	at, _ := slices.BinarySearch(n.ids, update.ID)
 	n.ids = slices.Insert(n.ids, at, update.ID)
-	n.order = slices.Insert(n.order, n.random.IntN(len(n.order)+1), update.ID)
-	n.change(known, update)
+	n.probeOrder = slices.Insert(n.probeOrder, n.random.IntN(len(n.probeOrder)+1), update.ID)
+	n.replaceUpdate(known, update)
 }
 
-// change replaces what is believed of a node and passes it on.
-func (n *Node) change(known *member, update Update) {
+// replaceUpdate replaces the update of a member and queues it for gossip.
+func (n *Node) replaceUpdate(known *member, update Update) {
 	known.update = update
 	known.since = n.ticks
 	known.suspicion = nil
 	if update.State == Suspect {
-		known.suspicion = newSuspicion(n.ticks, update.By)
+		known.suspicion = newSuspicion(n.ticks, update.SuspectedBy)
 	}
 	n.broadcast(update)
 	n.ready.Changes = append(n.ready.Changes, update)
 }
 
-// applySelf hears what others believe of this node.
+// applySelf handles an update about this node: it refutes a suspicion or death by a higher incarnation.
 func (n *Node) applySelf(update Update) {
 	if n.superseded || n.self.State == Dead {
 		return
 	}
 	if update.Writer != n.self.Writer {
-		n.meetNamesake(update)
+		n.applyDuplicateID(update)
 		return
 	}
 	if update.State == Alive || update.Incarnation < n.self.Incarnation {
@@ -70,11 +70,10 @@
 	n.announceSelf()
 }
 
-// meetNamesake hears of another process with this node's ID. A young process
-// overtakes its past; an old one has been replaced and says no more. Of two
-// young ones either may win, but only one: incarnations are totally ordered,
-// and the holder of the highest is not superseded.
-func (n *Node) meetNamesake(update Update) {
+// applyDuplicateID handles an update of another process with this node's ID. Within Config.TakeoverTicks of its
+// start, this process takes over the ID with a higher incarnation; later, it is superseded. If two processes do so at
+// the same time, exactly one prevails: updates are totally ordered, and the process of the greatest is not superseded.
+func (n *Node) applyDuplicateID(update Update) {
 	if !update.supersedes(n.self) {
 		return
 	}
@@ -87,8 +86,8 @@
 	n.announceSelf()
 }
 
-// forgetDead drops nodes that have been dead for the retention time.
-func (n *Node) forgetDead() {
+// removeExpired removes nodes that have been dead for the retention period.
+func (n *Node) removeExpired() {
 	kept := n.ids[:0]
 	for _, id := range n.ids {
 		known := n.members[id]
--- a/internal/core/membership/broadcast.go
+++ b/internal/core/membership/broadcast.go
@@ -6,13 +6,14 @@
 	"slices"
 )
 
-// broadcast is an update that is passed on until it was sent often enough.
+// broadcast is an update that is queued for gossip.
 type broadcast struct {
 	update Update
-	sent   int
+	// sent is the number of messages that have carried the update.
+	sent int
 }
 
-// broadcast queues the update in place of an older one about the same node.
+// broadcast queues an update for gossip. It replaces an older one about the same node.
 func (n *Node) broadcast(update Update) {
 	n.broadcasts = slices.DeleteFunc(n.broadcasts, func(b broadcast) bool {
 		return b.update.ID == update.ID
@@ -20,11 +21,11 @@
 	n.broadcasts = append(n.broadcasts, broadcast{update: update})
 }
 
-// piggyback picks the updates that were passed on least, newest first, after
-// those that the receiver must hear.
-func (n *Node) piggyback(first ...Update) []Update {
+// piggyback returns the updates to send with a message: the required ones, followed by up to MaxUpdates queued
+// ones, least transmitted first.
+func (n *Node) piggyback(required ...Update) []Update {
 	slices.SortStableFunc(n.broadcasts, func(a, b broadcast) int { return cmp.Compare(a.sent, b.sent) })
-	updates := first
+	updates := required
 	limit := n.config.RetransmitMultiplier * int(math.Ceil(n.scale()))
 	passed := 0
 	for i := range n.broadcasts {
@@ -33,7 +34,7 @@
 		}
 		b := &n.broadcasts[i]
 		b.sent++
-		if slices.ContainsFunc(first, func(u Update) bool { return u.ID == b.update.ID }) {
+		if slices.ContainsFunc(required, func(u Update) bool { return u.ID == b.update.ID }) {
 			continue
 		}
 		updates = append(updates, b.update)
--- a/internal/core/membership/config.go
+++ b/internal/core/membership/config.go
@@ -4,42 +4,41 @@
 
 // Config configures a Node. All times are in ticks.
 type Config struct {
-	// Self is this node: ID, Writer, Address, and the first incarnation (the
-	// start time in seconds does well: a restart then comes after its past).
+	// Self is this node: ID, Writer, Address, and the initial incarnation, which should exceed that of
+	// earlier processes with this ID (such as the start time in seconds).
 	Self Update
-	// ProbeTicks is the protocol period; DirectTicks, below it, is the wait
-	// for an answer before other nodes are asked to probe.
-	ProbeTicks  int
+	// ProbeTicks is the protocol period: the time between two probes.
+	ProbeTicks int
+	// DirectTicks is the time to wait for the ack of a direct probe before indirect probes are sent. It is
+	// below ProbeTicks.
 	DirectTicks int
-	// IndirectProbes is how many nodes are asked.
+	// IndirectProbes is the number of nodes that are asked to probe a node that did not answer.
 	IndirectProbes int
-	// The suspicion lasts between SuspicionMinimum and SuspicionMaximum
-	// protocol periods, times max(1, log10(n+1)); it shrinks with
-	// SuspicionConfirmations independent suspicions.
-	SuspicionMinimum       float64
-	SuspicionMaximum       float64
+	// SuspicionMinimum and SuspicionMaximum bound the suspicion timeout, in protocol periods times
+	// max(1, log10(n+1)).
+	SuspicionMinimum float64
+	SuspicionMaximum float64
+	// SuspicionConfirmations is the number of independent confirmations that shorten the suspicion timeout
+	// to the minimum.
 	SuspicionConfirmations int
-	// RetransmitMultiplier times ceil(log10(n+1)) is how often an update is passed on.
+	// RetransmitMultiplier times ceil(log10(n+1)) is the number of messages that carry an update.
 	RetransmitMultiplier int
-	// MaxUpdates bounds the updates passed on in one message.
+	// MaxUpdates bounds the number of queued updates in a message.
 	MaxUpdates int
-	// RetentionTicks is how long a dead node is remembered.
+	// RetentionTicks is how long a dead node is kept in the member list.
 	RetentionTicks int
-	// DeadProbeTicks is the period of probes to nodes held for dead, which
-	// heals partitions.
+	// DeadProbeTicks is the period of probes to dead nodes, which detect that a partition has healed.
 	DeadProbeTicks int
-	// YoungTicks is how long after the start this node may still overtake an
-	// earlier process of its ID whose incarnation is higher.
-	YoungTicks int
-	// MaxHealth bounds the local health score: all timeouts are multiplied by
-	// the score + 1.
+	// TakeoverTicks is how long after its start this node may take over its ID from another process
+	// whose incarnation is higher.
+	TakeoverTicks int
+	// MaxHealth bounds the local health score. Timeouts are multiplied by the score plus one.
 	MaxHealth int
-	// Seed of the random choices.
+	// Seed is the seed of random choices.
 	Seed uint64
 }
 
-// DefaultConfig returns the settings for a zone of 5 to 50 nodes at five ticks
-// a protocol period.
+// DefaultConfig returns the configuration for a zone of 5 to 50 nodes with five ticks per protocol period.
 func DefaultConfig(self Update, seed uint64) Config {
 	return Config{
 		Self:                   self,
@@ -53,31 +52,31 @@
 		MaxUpdates:             8,
 		RetentionTicks:         6000,
 		DeadProbeTicks:         20,
-		YoungTicks:             100,
+		TakeoverTicks:          100,
 		MaxHealth:              4,
 		Seed:                   seed,
 	}
 }
 
-// validate reports the first setting out of range.
+// validate returns an error for the first field that is out of range.
 func (c Config) validate() error {
 	switch {
 	case c.Self.ID == "" || c.Self.Writer == "" || c.Self.Address == "":
-		return errors.New("membership: self needs ID, writer and address")
+		return errors.New("membership: self needs an ID, a writer and an address")
 	case c.DirectTicks < 1 || c.ProbeTicks <= c.DirectTicks:
-		return errors.New("membership: needs 1 <= DirectTicks < ProbeTicks")
+		return errors.New("membership: DirectTicks must be at least 1 and less than ProbeTicks")
 	case c.IndirectProbes < 0:
-		return errors.New("membership: IndirectProbes is negative")
+		return errors.New("membership: IndirectProbes must not be negative")
 	case c.SuspicionMinimum <= 0 || c.SuspicionMaximum < c.SuspicionMinimum:
-		return errors.New("membership: needs 0 < SuspicionMinimum <= SuspicionMaximum")
+		return errors.New("membership: SuspicionMinimum must be positive and at most SuspicionMaximum")
 	case c.SuspicionConfirmations < 1:
-		return errors.New("membership: SuspicionConfirmations is below 1")
+		return errors.New("membership: SuspicionConfirmations must be at least 1")
 	case c.RetransmitMultiplier < 1 || c.MaxUpdates < 1:
-		return errors.New("membership: RetransmitMultiplier or MaxUpdates is below 1")
+		return errors.New("membership: RetransmitMultiplier and MaxUpdates must be at least 1")
 	case c.RetentionTicks < 1 || c.DeadProbeTicks < 1:
-		return errors.New("membership: RetentionTicks or DeadProbeTicks is below 1")
-	case c.MaxHealth < 0 || c.YoungTicks < 0:
-		return errors.New("membership: MaxHealth or YoungTicks is negative")
+		return errors.New("membership: RetentionTicks and DeadProbeTicks must be at least 1")
+	case c.MaxHealth < 0 || c.TakeoverTicks < 0:
+		return errors.New("membership: MaxHealth and TakeoverTicks must not be negative")
 	}
 	return nil
 }
--- a/internal/core/membership/message.go
+++ b/internal/core/membership/message.go
@@ -1,25 +1,23 @@
-// Package membership is a failure detector in the manner of SWIM with
-// Lifeguard's local health, as a pure state machine: ticks and messages go in,
-// messages and changes come out through Ready. It does no I/O, reads no clock
-// and starts no goroutine; equal inputs give equal outputs.
+// Package membership implements group membership and failure detection by the SWIM protocol with the local
+// health score of Lifeguard. It is a deterministic state machine: its inputs are ticks and messages, its outputs
+// are the messages and changes that Ready returns. It does no I/O, reads no clock and starts no goroutines.
 //
-// Order of what is said about one node: a higher incarnation wins; within an
-// incarnation the greater writer, then the worse state. Only the node itself
-// raises its incarnation, so a suspicion or death that is false is refuted by
-// the node, and what is said of an older incarnation never revives it.
+// Updates about a node are ordered by incarnation, then by writer, then by state; the greatest wins. Only the
+// node itself raises its incarnation. It thereby refutes a false suspicion or death, and updates about an older
+// incarnation have no effect.
 package membership
 
-// State is what is believed of a node. A worse state has a greater number.
+// State is the state of a node as seen by another. A worse state has a greater value.
 type State uint8
 
-// Node states; sent between processes, never renumber.
+// Node states. Values are sent between processes: never renumber.
 const (
 	Alive State = iota + 1
 	Suspect
 	Dead
 )
 
-// String returns the name of the state for logs.
+// String returns the name of the state, for logs.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -33,23 +31,23 @@
 	}
 }
 
-// Update is what is said about one node.
+// Update is a gossiped statement about one node.
 type Update struct {
 	ID string `msgpack:"i"`
-	// Writer names the process start behind the ID.
+	// Writer identifies the process that uses the ID, and is unique for each start.
 	Writer  string `msgpack:"w"`
 	Address string `msgpack:"a"`
-	// Incarnation is raised by the node itself only.
+	// Incarnation is raised only by the node itself.
 	Incarnation uint64 `msgpack:"n"`
 	State       State  `msgpack:"s"`
-	// Leaving is set by the node itself: a planned stop. Dead and Leaving
-	// together mean that it left by plan.
+	// Leaving is set by the node itself before a planned stop. A node that is Dead and Leaving has stopped as
+	// planned.
 	Leaving bool `msgpack:"l,omitempty"`
-	// By is the node that first held the suspicion, for counting independent ones.
-	By string `msgpack:"b,omitempty"`
+	// SuspectedBy is the node whose failed probe started the suspicion, to count independent suspicions.
+	SuspectedBy string `msgpack:"b,omitempty"`
 }
 
-// supersedes reports whether u is news to one who believes current.
+// supersedes reports whether u replaces current, an update about the same node.
 func (u Update) supersedes(current Update) bool {
 	if u.Incarnation != current.Incarnation {
 		return u.Incarnation > current.Incarnation
@@ -60,7 +58,6 @@
 	return u.State > current.State
 }
 
-// valid reports whether the update can be used at all.
 func (u Update) valid() bool {
 	return u.ID != "" && u.Address != "" && u.State >= Alive && u.State <= Dead
 }
@@ -68,38 +65,37 @@
 // Kind is the kind of a Message.
 type Kind uint8
 
-// Message kinds; sent between processes, never renumber.
+// Message kinds. Values are sent between processes: never renumber.
 const (
-	// Ping asks To for an Ack.
+	// Ping requests an Ack from To.
 	Ping Kind = iota + 1
-	// Ack answers a Ping, or comes back through a relay.
+	// Ack answers a Ping, directly or through a relay.
 	Ack
-	// PingRequest asks To to ping Target for From.
+	// PingRequest asks To to ping Target on behalf of From.
 	PingRequest
 )
 
-// Message goes between two nodes. From and To are node IDs.
+// Message is a message between two nodes. From and To are node IDs.
 type Message struct {
 	Kind     Kind   `msgpack:"k"`
 	From     string `msgpack:"f"`
 	To       string `msgpack:"t"`
 	Sequence uint64 `msgpack:"q"`
-	// Origin is the node whose probe this is, when it is relayed.
+	// Origin is the node that started the probe, if relayed.
 	Origin string `msgpack:"o,omitempty"`
-	// Target is the probed node of a PingRequest and of a relayed Ack, and
-	// TargetAddress its address.
-	Target        string `msgpack:"g,omitempty"`
+	// Target is the probed node; empty in a Ping.
+	Target string `msgpack:"g,omitempty"`
+	// TargetAddress is the address of the Target of a PingRequest.
 	TargetAddress string `msgpack:"h,omitempty"`
-	// Updates are at most Config.MaxUpdates+2.
+	// Updates holds at most Config.MaxUpdates+2 updates.
 	Updates []Update `msgpack:"u,omitempty"`
-	// ToAddress is where to send it; not sent itself.
+	// ToAddress is the address of To. It is not part of the encoded message.
 	ToAddress string `msgpack:"-"`
 }
 
-// Ready is what the state machine wants done.
+// Ready holds the outputs of the state machine.
 type Ready struct {
 	Messages []Message
-	// Changes are the nodes of which something else is believed than before,
-	// this one included.
+	// Changes holds the new updates about nodes, including this one.
 	Changes []Update
 }
--- a/internal/core/membership/node.go
+++ b/internal/core/membership/node.go
@@ -20,22 +20,22 @@
 
 // Node is the state machine of one node. It is not safe for concurrent use.
 type Node struct {
-	config     Config
-	self       Update
-	superseded bool
-	ticks      int
-	health     int
-	random     *rand.Rand
-	members    map[string]*member
-	ids        []string // keys of members, sorted: iteration must be deterministic
-	order      []string // probe order of the current round
-	probe      probe
-	sequence   uint64
-	broadcasts []broadcast
-	ready      Ready
+	config      Config
+	self        Update
+	superseded  bool
+	ticks       int
+	healthScore int
+	random      *rand.Rand
+	members     map[string]*member
+	ids         []string // sorted keys of members, for deterministic iteration
+	probeOrder  []string // remaining targets of the current probe round
+	probe       probe
+	sequence    uint64
+	broadcasts  []broadcast
+	ready       Ready
 }
 
-// New returns a node that knows itself only.
+// New returns a node whose member list contains only itself.
 func New(config Config) (*Node, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -47,25 +47,25 @@
 		members: make(map[string]*member),
 	}
 	n.self.State = Alive
-	n.self.By = ""
+	n.self.SuspectedBy = ""
 	n.broadcast(n.self)
 	return n, nil
 }
 
-// Self returns what this node says of itself.
+// Self returns the update that this node sends about itself.
 func (n *Node) Self() Update { return n.self }
 
-// Young reports whether this node may still overtake an earlier process of its
-// ID instead of being superseded by it.
-func (n *Node) Young() bool { return n.ticks < n.config.YoungTicks }
+// Young reports whether this node may still take over its ID from another process instead of being superseded by
+// it.
+func (n *Node) Young() bool { return n.ticks < n.config.TakeoverTicks }
 
-// Superseded reports whether a later process took this node's ID.
+// Superseded reports whether another process has taken over this node's ID.
 func (n *Node) Superseded() bool { return n.superseded }
 
-// Health returns the local health score, 0 (well) to Config.MaxHealth.
-func (n *Node) Health() int { return n.health }
+// Health returns the local Lifeguard score, from 0 (healthy) to Config.MaxHealth.
+func (n *Node) Health() int { return n.healthScore }
 
-// Ready returns what is to be done since the last call.
+// Ready returns the outputs since the last call.
 func (n *Node) Ready() Ready {
 	ready := n.ready
 	n.ready = Ready{}
@@ -76,7 +76,7 @@
 func (n *Node) Tick() {
 	n.ticks++
 	n.expireSuspicions()
-	n.forgetDead()
+	n.removeExpired()
 	if n.self.State == Dead {
 		return
 	}
@@ -86,24 +86,23 @@
 	}
 }
 
-// ReportLate tells that this process was late itself, so that silence of
-// others may be its own fault.
+// ReportLate records that this process ran late, so that missing acks may be its own fault.
 func (n *Node) ReportLate() { n.worsenHealth() }
 
-// Step takes a message from another node.
+// Step handles a message from another node.
 func (n *Node) Step(message Message) {
 	n.Merge(message.Updates)
 	switch message.Kind {
 	case Ping:
-		n.answerPing(message)
+		n.handlePing(message)
 	case PingRequest:
-		n.relayPing(message)
+		n.handlePingRequest(message)
 	case Ack:
-		n.takeAck(message)
+		n.handleAck(message)
 	}
 }
 
-// Merge takes what another node believes.
+// Merge applies the updates of another node. Invalid ones are ignored.
 func (n *Node) Merge(updates []Update) {
 	for _, update := range updates {
 		if update.valid() {
@@ -112,9 +111,8 @@
 	}
 }
 
-// Leave announces a planned stop. The node goes on with all its duties. A
-// superseded one announces nothing: its higher incarnation would count as news
-// of the process that took its ID.
+// Leave announces a planned stop; the node continues to probe and to answer. A superseded node announces
+// nothing, since a higher incarnation would be taken as an update of the process that took over its ID.
 func (n *Node) Leave() {
 	if n.superseded || n.self.Leaving || n.self.State == Dead {
 		return
@@ -125,8 +123,7 @@
 	n.pingAll()
 }
 
-// Stop announces that the node has left, unless it is superseded; it probes and
-// refutes no more.
+// Stop announces that the node has left, unless it is superseded. The node stops probing, answering and refuting.
 func (n *Node) Stop() {
 	if n.self.State == Dead {
 		return
@@ -142,7 +139,7 @@
 	n.pingAll()
 }
 
-// pingAll tells all nodes at once what this node says of itself.
+// pingAll sends this node's own update to all live nodes at once, by pings.
 func (n *Node) pingAll() {
 	for _, id := range n.ids {
 		if known := n.members[id]; known.update.State != Dead {
@@ -151,8 +148,7 @@
 	}
 }
 
-// Members returns what is believed of all known nodes, the dead ones and this
-// one included, sorted by ID.
+// Members returns the updates of all known nodes, including dead ones and this one, sorted by ID.
 func (n *Node) Members() []Update {
 	updates := make([]Update, 0, len(n.ids)+1)
 	for _, id := range n.ids {
@@ -163,8 +159,8 @@
 	return updates
 }
 
-// Digest returns a hash of what is believed of the nodes that are not dead.
-// Two nodes with equal digests need no exchange.
+// Digest returns a hash of the ID, writer and incarnation of all nodes that are not dead. Nodes with equal digests
+// need no full exchange.
 func (n *Node) Digest() uint64 {
 	digest := xxhash.New()
 	var number [8]byte
@@ -180,7 +176,7 @@
 	return digest.Sum64()
 }
 
-// size counts the nodes that are not dead, this one included.
+// size returns the number of nodes that are not dead, including this one.
 func (n *Node) size() int {
 	count := 1
 	for _, m := range n.members {
@@ -191,14 +187,14 @@
 	return count
 }
 
-// scale is log10(n+1): how waits and retransmissions grow with the zone.
+// scale returns log10(n+1), by which timeouts and retransmissions grow with the number of nodes.
 func (n *Node) scale() float64 { return math.Log10(float64(n.size() + 1)) }
 
-func (n *Node) worsenHealth() { n.health = min(n.health+1, n.config.MaxHealth) }
+func (n *Node) worsenHealth() { n.healthScore = min(n.healthScore+1, n.config.MaxHealth) }
 
-func (n *Node) improveHealth() { n.health = max(n.health-1, 0) }
+func (n *Node) improveHealth() { n.healthScore = max(n.healthScore-1, 0) }
 
-// announceSelf passes on a change of this node.
+// announceSelf queues a change of this node for gossip.
 func (n *Node) announceSelf() {
 	n.broadcast(n.self)
 	n.ready.Changes = append(n.ready.Changes, n.self)
--- a/internal/core/membership/node_test.go
+++ b/internal/core/membership/node_test.go
@@ -9,36 +9,36 @@
 	_ "github.com/corkpulley/corkpulley/internal/common/fixedseed"
 )
 
-// detectionTicks is 4 s at 100 ms a tick.
+// detectionTicks bounds the time until a failure is detected: 4 s at 100 ms per tick.
 const detectionTicks = 40
 
-func TestCrashIsDetectedByAll(t *testing.T) {
+func TestCrashedNodeIsDeclaredDeadByAll(t *testing.T) {
 	forSeeds(t, 20, func(t *testing.T, seed uint64) {
 		s := newSimulation(t, seed, 25)
-		s.requireAgreement(200)
+		s.requireConvergence(200)
 		s.crash("node-07")
 		s.run(detectionTicks)
 		assert.Equal(t, s.countDead("node-07"), 24)
-		s.requireAgreement(1)
+		s.requireConvergence(1)
 	})
 }
 
-func TestFrozenNodeIsDetectedAndComesBack(t *testing.T) {
+func TestFrozenNodeIsDeclaredDeadAndRejoins(t *testing.T) {
 	forSeeds(t, 10, func(t *testing.T, seed uint64) {
 		s := newSimulation(t, seed, 9)
-		s.requireAgreement(200)
+		s.requireConvergence(200)
 		s.processes["node-03"].frozen = true
 		s.run(detectionTicks)
 		assert.Equal(t, s.countDead("node-03"), 8)
 		s.processes["node-03"].frozen = false
-		s.requireAgreement(300)
+		s.requireConvergence(300)
 	})
 }
 
-func TestLossAndDelayKillNobody(t *testing.T) {
+func TestNoFalseDeathsWithLossAndDelay(t *testing.T) {
 	forSeeds(t, 10, func(t *testing.T, seed uint64) {
 		s := newSimulation(t, seed, 12)
-		s.requireAgreement(200)
+		s.requireConvergence(200)
 		s.loss, s.maxDelay = 0.05, 1
 		for range 600 {
 			s.run(1)
@@ -51,7 +51,7 @@
 
 func TestLeaveAndStop(t *testing.T) {
 	s := newSimulation(t, 1, 7)
-	s.requireAgreement(200)
+	s.requireConvergence(200)
 	leaver := s.processes["node-02"].node
 	leaver.Leave()
 	s.run(15)
@@ -64,9 +64,9 @@
 	assert.Equal(t, s.countDead("node-02"), 6)
 }
 
-func TestDeadAreForgottenAndStayForgotten(t *testing.T) {
+func TestDeadNodesAreRemovedAfterRetention(t *testing.T) {
 	s := newSimulation(t, 1, 5)
-	s.requireAgreement(200)
+	s.requireConvergence(200)
 	const retention = 600
 	for _, p := range s.processes {
 		p.node.config.RetentionTicks = retention
@@ -78,30 +78,29 @@
 	}
 }
 
-func TestOldProcessIsSuperseded(t *testing.T) {
+func TestEarlierProcessIsSuperseded(t *testing.T) {
 	s := newSimulation(t, 1, 5)
-	s.requireAgreement(200)
+	s.requireConvergence(200)
 	old := s.processes["node-02"]
 	s.run(100)
 	s.start("node-02", old.node.Self().Incarnation+1)
-	s.requireAgreement(200)
+	s.requireConvergence(200)
 	fresh := s.processes["node-02"]
 	s.processes["node-02"] = old
 	s.run(50)
 	assert.Assert(t, old.node.Superseded())
 	s.processes["node-02"] = fresh
-	s.requireAgreement(200)
+	s.requireConvergence(200)
 }
 
-// TestASupersededProcessLeavesInSilence: its planned stop must not be taken for
-// news of the process that took its ID.
-func TestASupersededProcessLeavesInSilence(t *testing.T) {
+// Guards against a planned stop of a superseded process that is taken as an update of its successor.
+func TestSupersededProcessDoesNotAnnounceItsStop(t *testing.T) {
 	s := newSimulation(t, 1, 5)
-	s.requireAgreement(200)
+	s.requireConvergence(200)
 	old := s.processes["node-02"]
 	s.run(100)
 	s.start("node-02", old.node.Self().Incarnation+1)
-	s.requireAgreement(200)
+	s.requireConvergence(200)
 	fresh := s.processes["node-02"]
 	s.processes["node-02"] = old
 	s.run(50)
@@ -112,7 +111,7 @@
 	s.run(15)
 	assert.Equal(t, s.countDead("node-02"), 0)
 	s.processes["node-02"] = fresh
-	s.requireAgreement(200)
+	s.requireConvergence(200)
 	assert.Assert(t, !fresh.node.Superseded())
 }
 
@@ -125,22 +124,22 @@
 	assert.Equal(t, len(node.Members()), 1)
 }
 
-// After any faults, the views agree with the truth once the faults end. The
-// simulation checks at every tick that no old incarnation comes back.
-func TestConvergence(t *testing.T) {
+// Guards against member lists that do not converge once the faults end. The simulation also checks the invariants
+// at every tick.
+func TestConvergenceAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 12).Draw(t, "size"))
-		s.requireAgreement(400)
+		s.requireConvergence(400)
 		for range rapid.IntRange(1, 6).Draw(t, "faults") {
 			drawFault(t, s)
 			s.run(rapid.IntRange(1, 80).Draw(t, "ticks"))
 		}
 		s.loss, s.maxDelay = 0, 0
-		clear(s.sides)
+		clear(s.partitions)
 		for _, p := range s.processes {
 			p.frozen = false
 		}
-		s.requireAgreement(1500)
+		s.requireConvergence(1500)
 	})
 }
 
@@ -152,10 +151,10 @@
 		s.loss, s.maxDelay = rapid.Float64Range(0, 0.4).Draw(t, "loss"), rapid.IntRange(0, 4).Draw(t, "delay")
 	case "partition":
 		for _, member := range s.ids {
-			s.sides[member] = rapid.IntRange(0, 1).Draw(t, "side")
+			s.partitions[member] = rapid.IntRange(0, 1).Draw(t, "side")
 		}
 	case "heal":
-		clear(s.sides)
+		clear(s.partitions)
 	case "crash":
 		if len(s.processes) > 1 {
 			s.crash(id)
--- a/internal/core/membership/probe.go
+++ b/internal/core/membership/probe.go
@@ -11,7 +11,7 @@
 	answered bool
 }
 
-// advanceProbe moves the current probe on, or starts the next.
+// advanceProbe advances the current probe, or starts the next one.
 func (n *Node) advanceProbe() {
 	elapsed := n.ticks - n.probe.started
 	if n.probe.target == "" || n.probe.answered {
@@ -20,7 +20,7 @@
 		}
 		return
 	}
-	factor := n.health + 1
+	factor := n.healthScore + 1
 	if elapsed >= n.config.ProbeTicks*factor {
 		n.suspect(n.probe.target)
 		n.startProbe()
@@ -32,7 +32,7 @@
 	}
 }
 
-// startProbe pings the next node of the round.
+// startProbe pings the next node of the probe round.
 func (n *Node) startProbe() {
 	n.probe = probe{}
 	target := n.nextTarget()
@@ -43,7 +43,7 @@
 	n.probe = probe{target: target.update.ID, sequence: sequence, started: n.ticks}
 }
 
-// ping sends a ping and returns its sequence.
+// ping sends a ping and returns its sequence number.
 func (n *Node) ping(target *member) uint64 {
 	n.sequence++
 	n.send(Message{
@@ -55,7 +55,8 @@
 	return n.sequence
 }
 
-// pingUpdates is what the pinged node must hear: this node, and a doubt about itself.
+// pingUpdates returns the updates that the target must receive: that of this node, and a suspicion or death of the
+// target itself, so that it can refute.
 func (n *Node) pingUpdates(target *member) []Update {
 	if target.update.State == Alive {
 		return []Update{n.self}
@@ -63,38 +64,38 @@
 	return []Update{n.self, target.update}
 }
 
-// nextTarget walks a shuffled round, so that each node is probed within two rounds.
+// nextTarget returns the next live node of a shuffled round, so that each is probed within two rounds.
 func (n *Node) nextTarget() *member {
 	for range 2 {
-		for len(n.order) > 0 {
-			id := n.order[0]
-			n.order = n.order[1:]
+		for len(n.probeOrder) > 0 {
+			id := n.probeOrder[0]
+			n.probeOrder = n.probeOrder[1:]
 			if known := n.members[id]; known != nil && known.update.State != Dead {
 				return known
 			}
 		}
-		n.order = slices.Clone(n.ids)
-		n.random.Shuffle(len(n.order), func(i, j int) {
-			n.order[i], n.order[j] = n.order[j], n.order[i]
+		n.probeOrder = slices.Clone(n.ids)
+		n.random.Shuffle(len(n.probeOrder), func(i, j int) {
+			n.probeOrder[i], n.probeOrder[j] = n.probeOrder[j], n.probeOrder[i]
 		})
 	}
 	return nil
 }
 
-// probeIndirectly asks other nodes to ping the target.
+// probeIndirectly asks other nodes to ping the target of the current probe.
 func (n *Node) probeIndirectly() {
 	target := n.members[n.probe.target]
 	if target == nil {
 		return
 	}
-	helpers := n.choose(n.config.IndirectProbes, func(m *member) bool {
+	relays := n.sample(n.config.IndirectProbes, func(m *member) bool {
 		return m.update.State == Alive && m != target
 	})
-	for _, helper := range helpers {
+	for _, relay := range relays {
 		n.send(Message{
 			Kind:          PingRequest,
-			To:            helper.update.ID,
-			ToAddress:     helper.update.Address,
+			To:            relay.update.ID,
+			ToAddress:     relay.update.Address,
 			Sequence:      n.probe.sequence,
 			Target:        target.update.ID,
 			TargetAddress: target.update.Address,
@@ -102,10 +103,10 @@
 	}
 }
 
-// probeDead pings one node held for dead that did not leave by plan: if it
-// lives, a partition has healed, and it refutes.
+// probeDead pings a random node that is considered dead and did not leave as planned. If it is live because a
+// partition has healed, it refutes its death.
 func (n *Node) probeDead() {
-	chosen := n.choose(1, func(m *member) bool {
+	chosen := n.sample(1, func(m *member) bool {
 		return m.update.State == Dead && !m.update.Leaving
 	})
 	for _, known := range chosen {
@@ -113,11 +114,11 @@
 	}
 }
 
-// choose picks up to count members at random among those that fit.
-func (n *Node) choose(count int, fits func(*member) bool) []*member {
+// sample returns up to count random members that match.
+func (n *Node) sample(count int, matches func(*member) bool) []*member {
 	var candidates []*member
 	for _, id := range n.ids {
-		if known := n.members[id]; fits(known) {
+		if known := n.members[id]; matches(known) {
 			candidates = append(candidates, known)
 		}
 	}
@@ -127,8 +128,9 @@
 	return candidates[:min(count, len(candidates))]
 }
 
-// answerPing acknowledges. A sender that is not what it believes to be hears so.
-func (n *Node) answerPing(message Message) {
+// handlePing answers a ping with an ack. The ack carries the update of this node if the ping had one about it, and the
+// one about the sender unless the ping had the same, so that the sender can refute.
+func (n *Node) handlePing(message Message) {
 	if message.To != n.self.ID || n.self.State == Dead {
 		return
 	}
@@ -139,34 +141,34 @@
 		Origin:   message.Origin,
 		Target:   n.self.ID,
 	}
-	var first []Update
-	if n.saidOfSelf(message) {
-		first = append(first, n.self)
+	var required []Update
+	if n.mentionsSelf(message) {
+		required = append(required, n.self)
 	}
 	if known := n.members[message.From]; known != nil {
 		answer.ToAddress = known.update.Address
 		if !slices.Contains(message.Updates, known.update) {
-			first = append(first, known.update)
+			required = append(required, known.update)
 		}
 	}
-	n.send(answer, first...)
+	n.send(answer, required...)
 }
 
-// saidOfSelf reports whether the message holds a claim about this node.
-func (n *Node) saidOfSelf(message Message) bool {
+// mentionsSelf reports whether the message contains an update about this node.
+func (n *Node) mentionsSelf(message Message) bool {
 	return slices.ContainsFunc(message.Updates, func(u Update) bool { return u.ID == n.self.ID })
 }
 
-// relayPing pings the target for the sender. It keeps no state: the origin
-// travels with the ping and its answer.
-func (n *Node) relayPing(message Message) {
+// handlePingRequest pings the target on behalf of the sender. It keeps no state, since the ping and its ack carry the
+// origin.
+func (n *Node) handlePingRequest(message Message) {
 	if message.To != n.self.ID || n.self.State == Dead || message.TargetAddress == "" {
 		return
 	}
-	var first []Update
+	var required []Update
 	for _, id := range []string{message.From, message.Target} {
 		if known := n.members[id]; known != nil {
-			first = append(first, known.update)
+			required = append(required, known.update)
 		}
 	}
 	n.send(Message{
@@ -175,13 +177,13 @@
 		ToAddress: message.TargetAddress,
 		Sequence:  message.Sequence,
 		Origin:    message.From,
-	}, first...)
+	}, required...)
 }
 
-// takeAck takes an answer to this node's probe, or hands a relayed one back.
-func (n *Node) takeAck(message Message) {
+// handleAck handles the ack of this node's probe, or relays that of another node's probe.
+func (n *Node) handleAck(message Message) {
 	if message.Origin != "" && message.Origin != n.self.ID {
-		n.handBack(message)
+		n.relayAck(message)
 		return
 	}
 	if message.Target != n.probe.target || message.Sequence != n.probe.sequence || n.probe.answered {
@@ -191,7 +193,8 @@
 	n.improveHealth()
 }
 
-func (n *Node) handBack(message Message) {
+// relayAck sends an ack on to the node that started the probe.
+func (n *Node) relayAck(message Message) {
 	origin := n.members[message.Origin]
 	answer := Message{
 		Kind:     Ack,
@@ -203,16 +206,16 @@
 	if origin != nil {
 		answer.ToAddress = origin.update.Address
 	}
-	var first []Update
+	var required []Update
 	if target := n.members[message.Target]; target != nil {
-		first = append(first, target.update)
+		required = append(required, target.update)
 	}
-	n.send(answer, first...)
+	n.send(answer, required...)
 }
 
-// send completes the message and puts it out.
-func (n *Node) send(message Message, first ...Update) {
+// send adds the sender and updates to the message and queues it for Ready.
+func (n *Node) send(message Message, required ...Update) {
 	message.From = n.self.ID
-	message.Updates = n.piggyback(first...)
+	message.Updates = n.piggyback(required...)
 	n.ready.Messages = append(n.ready.Messages, message)
 }
--- a/internal/core/membership/simulation_test.go
+++ b/internal/core/membership/simulation_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// maxMessageBytes is one packet on any network in use.
+// maxMessageBytes is the size that fits into one packet.
 const maxMessageBytes = 1400
 
 // syncTicks is the period of full exchanges in the simulation.
@@ -20,36 +20,36 @@
 	message Message
 }
 
-// process is one process start in the simulation.
+// process is a running process of a node.
 type process struct {
 	node   *Node
 	frozen bool
 }
 
-// simulation is a network whose faults are functions of its own random source.
+// simulation runs nodes on a simulated network. It is deterministic for a seed.
 type simulation struct {
-	t         assert.TestingT
-	random    *rand.Rand
-	tick      int
-	ids       []string
-	processes map[string]*process
-	sides     map[string]int // partition sides
-	loss      float64
-	maxDelay  int
-	flying    []delivery
-	starts    int
-	highest   map[string]uint64 // highest incarnation that a process of the ID said itself
-	beliefs   map[string]map[string]Update
+	t          assert.TestingT
+	random     *rand.Rand
+	tick       int
+	ids        []string
+	processes  map[string]*process
+	partitions map[string]int // partition of each node
+	loss       float64
+	maxDelay   int
+	inFlight   []delivery
+	starts     int
+	highest    map[string]uint64            // highest incarnation that a process of the ID has announced itself
+	views      map[string]map[string]Update // last seen update by observing and observed node
 }
 
 func newSimulation(t assert.TestingT, seed uint64, size int) *simulation {
 	s := &simulation{
-		t:         t,
-		random:    rand.New(rand.NewPCG(seed, 1)),
-		processes: make(map[string]*process),
-		sides:     make(map[string]int),
-		highest:   make(map[string]uint64),
-		beliefs:   make(map[string]map[string]Update),
+		t:          t,
+		random:     rand.New(rand.NewPCG(seed, 1)),
+		processes:  make(map[string]*process),
+		partitions: make(map[string]int),
+		highest:    make(map[string]uint64),
+		views:      make(map[string]map[string]Update),
 	}
 	for i := range size {
 		s.ids = append(s.ids, fmt.Sprintf("node-%02d", i))
@@ -60,7 +60,7 @@
 	return s
 }
 
-// start starts a process of the ID; its first contact is any other process.
+// start starts a process with the ID and exchanges its member list with that of another one.
 func (s *simulation) start(id string, incarnation uint64) {
 	s.starts++
 	config := DefaultConfig(Update{
@@ -72,7 +72,7 @@
 	node, err := New(config)
 	assert.NilError(s.t, err)
 	s.processes[id] = &process{node: node}
-	s.beliefs[id] = make(map[string]Update)
+	s.views[id] = make(map[string]Update)
 	for _, other := range s.ids {
 		if other != id && s.processes[other] != nil {
 			s.exchange(id, other)
@@ -83,9 +83,9 @@
 
 func (s *simulation) crash(id string) { delete(s.processes, id) }
 
-func (s *simulation) connected(from, to string) bool { return s.sides[from] == s.sides[to] }
+func (s *simulation) connected(from, to string) bool { return s.partitions[from] == s.partitions[to] }
 
-// exchange is what the runtime does by a gossip call.
+// exchange performs a full exchange of member lists.
 func (s *simulation) exchange(from, to string) {
 	a, b := s.processes[from], s.processes[to]
 	if a == nil || b == nil || a.frozen || b.frozen || !s.connected(from, to) {
@@ -102,7 +102,7 @@
 		for _, id := range s.ids {
 			if p := s.processes[id]; p != nil && !p.frozen {
 				p.node.Tick()
-				s.collect(id, p.node)
+				s.sendMessages(id, p.node)
 			}
 		}
 		if s.tick%syncTicks == 0 {
@@ -110,11 +110,11 @@
 				s.exchange(id, s.ids[s.random.IntN(len(s.ids))])
 			}
 		}
-		s.check()
+		s.checkInvariants()
 	}
 }
 
-func (s *simulation) collect(from string, node *Node) {
+func (s *simulation) sendMessages(from string, node *Node) {
 	for _, message := range node.Ready().Messages {
 		assert.Assert(s.t, len(message.Updates) <= node.config.MaxUpdates+2)
 		encoded, err := msgpack.Marshal(&message)
@@ -123,49 +123,49 @@
 		if s.random.Float64() < s.loss || !s.connected(from, message.To) {
 			continue
 		}
-		s.flying = append(s.flying, delivery{tick: s.tick + s.random.IntN(s.maxDelay+1), message: message})
+		s.inFlight = append(s.inFlight, delivery{tick: s.tick + s.random.IntN(s.maxDelay+1), message: message})
 	}
 }
 
 func (s *simulation) deliver() {
-	// An answer may be due in the same tick as its question, as on a loopback.
+	// A message and its answer may be delivered in the same tick, as on a loopback interface.
 	for again := true; again; {
 		again = false
-		due := s.flying
-		s.flying = nil
+		due := s.inFlight
+		s.inFlight = nil
 		for _, d := range due {
 			p := s.processes[d.message.To]
 			switch {
 			case d.tick > s.tick || p != nil && p.frozen:
-				s.flying = append(s.flying, d)
+				s.inFlight = append(s.inFlight, d)
 			case p != nil && s.connected(d.message.From, d.message.To):
 				p.node.Step(d.message)
-				s.collect(d.message.To, p.node)
+				s.sendMessages(d.message.To, p.node)
 				again = true
 			}
 		}
 	}
 }
 
-// check holds at every tick: beliefs only move up, and nobody is credited with
-// an incarnation that no process of its ID ever said.
-func (s *simulation) check() {
+// checkInvariants asserts what must hold after each tick: updates are only replaced by superseding ones, and no node
+// has an incarnation that none of its processes announced.
+func (s *simulation) checkInvariants() {
 	for id, p := range s.processes {
 		s.highest[id] = max(s.highest[id], p.node.Self().Incarnation)
 	}
 	for id, p := range s.processes {
-		for _, belief := range p.node.Members() {
-			before, known := s.beliefs[id][belief.ID]
-			if known && before != belief && belief.ID != id {
-				assert.Assert(s.t, belief.supersedes(before), "%s: %v after %v", id, belief, before)
+		for _, member := range p.node.Members() {
+			before, known := s.views[id][member.ID]
+			if known && before != member && member.ID != id {
+				assert.Assert(s.t, member.supersedes(before), "%s: %v does not supersede %v", id, member, before)
 			}
-			assert.Assert(s.t, belief.Incarnation <= s.highest[belief.ID], "%s holds %v", id, belief)
-			s.beliefs[id][belief.ID] = belief
+			assert.Assert(s.t, member.Incarnation <= s.highest[member.ID], "%s has member %v", id, member)
+			s.views[id][member.ID] = member
 		}
 	}
 }
 
-// disagreement describes the first process whose view is not the live set.
+// disagreement describes the first process whose member list differs from the set of live processes.
 func (s *simulation) disagreement() string {
 	for _, id := range s.ids {
 		p := s.processes[id]
@@ -173,14 +173,14 @@
 			continue
 		}
 		seen := 0
-		for _, belief := range p.node.Members() {
-			if belief.State == Dead {
+		for _, member := range p.node.Members() {
+			if member.State == Dead {
 				continue
 			}
 			seen++
-			real := s.processes[belief.ID]
-			if real == nil || real.node.Self().Writer != belief.Writer || belief.State != Alive {
-				return fmt.Sprintf("%s holds %+v", id, belief)
+			real := s.processes[member.ID]
+			if real == nil || real.node.Self().Writer != member.Writer || member.State != Alive {
+				return fmt.Sprintf("%s has member %+v", id, member)
 			}
 		}
 		if seen != len(s.processes) {
@@ -190,7 +190,7 @@
 	return ""
 }
 
-func (s *simulation) requireAgreement(limit int) {
+func (s *simulation) requireConvergence(limit int) {
 	for range limit {
 		if s.disagreement() == "" {
 			return
@@ -200,7 +200,7 @@
 	assert.Equal(s.t, s.disagreement(), "")
 }
 
-// countDead counts the live processes that hold the ID for dead.
+// countDead returns the number of live processes that consider the node dead.
 func (s *simulation) countDead(id string) int {
 	count := 0
 	for _, p := range s.processes {
--- a/internal/core/membership/suspicion.go
+++ b/internal/core/membership/suspicion.go
@@ -2,61 +2,61 @@
 
 import "math"
 
-// suspicion is a running doubt about a node.
+// suspicion is the state of a suspected node until it refutes or is declared dead.
 type suspicion struct {
+	// started is the tick at which the suspicion started.
 	started int
-	// by holds the distinct nodes that suspect on their own.
-	by map[string]struct{}
-	// asked counts the last calls that were made.
-	asked int
+	// suspectedBy holds the nodes that suspect the node independently.
+	suspectedBy map[string]struct{}
+	// pings is the number of pings sent to the suspect because of the suspicion.
+	pings int
 }
 
-// lastCalls is how often each node that holds a suspicion asks the suspect
-// itself before it believes in its death, evenly over the suspicion. A
-// refutation need not come by the round of gossip then.
-const lastCalls = 3
+// suspectPings is the number of pings that a node sends to a suspect, evenly spread over the suspicion timeout, so
+// that a refutation can arrive directly instead of through gossip.
+const suspectPings = 3
 
-func newSuspicion(tick int, by string) *suspicion {
-	return &suspicion{started: tick, by: map[string]struct{}{by: {}}}
+func newSuspicion(tick int, suspectedBy string) *suspicion {
+	return &suspicion{started: tick, suspectedBy: map[string]struct{}{suspectedBy: {}}}
 }
 
-// confirm notes an independent suspicion and passes on the first few.
-func (n *Node) confirm(known *member, update Update) {
-	doubt := known.suspicion
-	if _, counted := doubt.by[update.By]; counted {
+// confirmSuspicion records an independent suspicion. Up to Config.SuspicionConfirmations of them are gossiped.
+func (n *Node) confirmSuspicion(known *member, update Update) {
+	current := known.suspicion
+	if _, counted := current.suspectedBy[update.SuspectedBy]; counted {
 		return
 	}
-	if len(doubt.by) > n.config.SuspicionConfirmations {
+	if len(current.suspectedBy) > n.config.SuspicionConfirmations {
 		return
 	}
-	doubt.by[update.By] = struct{}{}
+	current.suspectedBy[update.SuspectedBy] = struct{}{}
 	n.broadcast(update)
 }
 
-// suspect starts, or confirms, the suspicion after a failed probe of ours.
+// suspect starts or confirms the suspicion of a node that this node's probe did not reach.
 func (n *Node) suspect(id string) {
 	known := n.members[id]
 	if known == nil || known.update.State == Dead {
 		return
 	}
-	doubt := known.update
-	doubt.State = Suspect
-	doubt.By = n.self.ID
-	n.apply(doubt)
+	suspected := known.update
+	suspected.State = Suspect
+	suspected.SuspectedBy = n.self.ID
+	n.apply(suspected)
 }
 
-// suspicionTicks is how long the suspicion lasts: from the maximum down to the
-// minimum as independent ones confirm it, longer when this node is not well.
-func (n *Node) suspicionTicks(doubt *suspicion) int {
-	confirmations := float64(len(doubt.by) - 1)
-	wanted := float64(n.config.SuspicionConfirmations)
-	share := min(1, math.Log(confirmations+1)/math.Log(wanted+1))
+// suspicionTicks returns the suspicion timeout. It decreases from the maximum to the minimum with each independent
+// confirmation, and increases with the local health score.
+func (n *Node) suspicionTicks(current *suspicion) int {
+	confirmations := float64(len(current.suspectedBy) - 1)
+	required := float64(n.config.SuspicionConfirmations)
+	share := min(1, math.Log(confirmations+1)/math.Log(required+1))
 	periods := n.config.SuspicionMaximum - share*(n.config.SuspicionMaximum-n.config.SuspicionMinimum)
 	ticks := periods * float64(n.config.ProbeTicks) * max(1, n.scale())
-	return int(math.Ceil(ticks)) * (n.health + 1)
+	return int(math.Ceil(ticks)) * (n.healthScore + 1)
 }
 
-// expireSuspicions makes the last calls and declares deaths.
+// expireSuspicions pings suspected nodes, and declares those dead whose suspicion has timed out.
 func (n *Node) expireSuspicions() {
 	for _, id := range n.ids {
 		known := n.members[id]
@@ -68,12 +68,12 @@
 		if elapsed >= limit {
 			death := known.update
 			death.State = Dead
-			death.By = ""
-			n.change(known, death)
+			death.SuspectedBy = ""
+			n.replaceUpdate(known, death)
 			continue
 		}
-		if elapsed*(lastCalls+1) >= limit*(known.suspicion.asked+1) {
-			known.suspicion.asked++
+		if elapsed*(suspectPings+1) >= limit*(known.suspicion.pings+1) {
+			known.suspicion.pings++
 			n.ping(known)
 		}
 	}
