--- a/internal/core/routes/homes.go
+++ b/internal/core/routes/homes.go
@@ -7,20 +7,20 @@
 	"github.com/corkpulley/corkpulley/internal/core/homes"
 )
 
-// HomesOf returns the only regions that may serve and store a tenant's request for a path of a host. The
-// tenant is empty for requests without one. known is false if the route or the tenant is not in the table;
-// the returned homes are then incomplete.
+// HomesOf returns the set of regions that may serve and store a tenant's request for a path on a host. The
+// tenant is empty for requests without one. known is false if the route or the tenant is not in the table; the
+// set may then be too large.
 func (t *Table) HomesOf(host, path, tenant string) (set homes.Set, known bool) {
 	route := t.Match(host, path)
-	ofTenant, found := t.homesOfTenant(tenant)
+	ofTenant, found := t.tenantHomes(tenant)
 	if route == nil {
 		return ofTenant, false
 	}
 	return homes.Of(route.Homes).Intersect(ofTenant), found
 }
 
-// homesOfTenant returns the homes of a tenant, and false if the tenant is not in the table.
-func (t *Table) homesOfTenant(name string) (homes.Set, bool) {
+// tenantHomes returns the homes of a tenant; false if the tenant is not in the table.
+func (t *Table) tenantHomes(name string) (homes.Set, bool) {
 	if name == "" || t.tenants == nil {
 		return homes.Set{}, name == ""
 	}
@@ -31,8 +31,8 @@
 	return homes.Of(tenant.Homes), true
 }
 
-// BatchHomes returns the distinct sets of regions to which batch jobs are bound, by batch route and tenant.
-// Empty sets are excluded, since no node may run such jobs.
+// BatchHomes returns the distinct sets of regions to which batch jobs are restricted, over all pairs of batch route
+// and tenant. Empty sets are excluded, since no node may run such jobs.
 func (t *Table) BatchHomes() []homes.Set {
 	ofTenants := map[homes.Set]bool{{}: true}
 	if t.tenants != nil {
@@ -58,11 +58,11 @@
 	return sets
 }
 
-// QuestionHomes returns the regions in which other nodes may answer queries about a tenant's jobs at a host.
-// Such a query names no route, so the homes of all batch routes of the host apply.
+// QuestionHomes returns the regions in which other nodes may answer queries about a tenant's jobs on a host. Such a
+// query does not identify a route, so the homes of all batch routes of the host apply.
 func (t *Table) QuestionHomes(host, tenant string) homes.Set {
-	set, _ := t.homesOfTenant(tenant)
-	for _, route := range t.byHost[normalHost(host)] {
+	set, _ := t.tenantHomes(tenant)
+	for _, route := range t.byHost[normalizeHost(host)] {
 		if route.Kind == Batch {
 			set = set.Intersect(homes.Of(route.Homes))
 		}
@@ -70,23 +70,23 @@
 	return set
 }
 
-// NamedHomes returns all regions that occur in the homes of routes and tenants, sorted.
+// NamedHomes returns the sorted regions that occur in the homes of any route or tenant.
 func (t *Table) NamedHomes() []string {
 	seen := make(map[string]bool)
 	for _, routes := range t.byHost {
 		for _, route := range routes {
-			addAll(seen, route.Homes)
+			addNames(seen, route.Homes)
 		}
 	}
 	if t.tenants != nil {
 		for _, tenant := range t.tenants.byName {
-			addAll(seen, tenant.Homes)
+			addNames(seen, tenant.Homes)
 		}
 	}
 	return slices.Sorted(maps.Keys(seen))
 }
 
-func addAll(to map[string]bool, names []string) {
+func addNames(to map[string]bool, names []string) {
 	for _, name := range names {
 		to[name] = true
 	}
--- a/internal/core/routes/homes_test.go
+++ b/internal/core/routes/homes_test.go
@@ -15,9 +15,8 @@
 	northWest = homes.Of([]string{"north", "west"})
 )
 
-// homedTable returns a table with a route bound to north and west, one without homes, and tenants with and
-// without homes.
-func homedTable() *Table {
+// tableWithHomes returns a table of routes and tenants with and without homes.
+func tableWithHomes() *Table {
 	return NewTable(Definition{
 		Version: 1,
 		Routes: []Route{
@@ -33,8 +32,8 @@
 	})
 }
 
-func TestHomesOfRouteAndTenantBothBind(t *testing.T) {
-	table := homedTable()
+func TestHomesOfIntersectsRouteAndTenant(t *testing.T) {
+	table := tableWithHomes()
 	for _, test := range []struct {
 		path, key, tenant string
 		wanted            homes.Set
@@ -54,8 +53,8 @@
 	}
 }
 
-func TestHomesOfWhatTheTableDoesNotHoldAreUnknown(t *testing.T) {
-	table := homedTable()
+func TestHomesOfUnknownRouteOrTenant(t *testing.T) {
+	table := tableWithHomes()
 	set, known := table.HomesOf("a.example", "/gone/x", "northern")
 	assert.Assert(t, !known)
 	assert.Equal(t, set, north)
@@ -65,24 +64,24 @@
 	_, known = withoutTenants.HomesOf("a", "/", "")
 	assert.Assert(t, known)
 	_, known = withoutTenants.HomesOf("a", "/", "northern")
-	assert.Assert(t, !known, "the tenant's homes may have bound it")
+	assert.Assert(t, !known, "an unknown tenant may have homes")
 }
 
-func TestEachSetOfHomesOfBatchJobsIsListed(t *testing.T) {
+func TestBatchHomesAreDistinctAndNotEmpty(t *testing.T) {
 	sets := make(map[homes.Set]bool)
-	for _, set := range homedTable().BatchHomes() {
-		assert.Assert(t, !sets[set], "%s stands twice", set)
+	for _, set := range tableWithHomes().BatchHomes() {
+		assert.Assert(t, !sets[set], "%s is listed twice", set)
 		sets[set] = true
 	}
 	assert.Assert(t, maps.Equal(sets, map[homes.Set]bool{north: true, south: true, northWest: true}), "%v", sets)
 	assert.Equal(t, len(NewTable(Definition{Routes: []Route{{Host: "a", Prefix: "/", Kind: Batch}}}).BatchHomes()), 0)
 }
 
-func TestQuestionsAreBoundByAllBatchRoutesOfTheirHost(t *testing.T) {
-	table := homedTable()
+func TestQueryHomesIntersectAllBatchRoutesOfHost(t *testing.T) {
+	table := tableWithHomes()
 	assert.Equal(t, table.QuestionHomes("a.example", "plain"), northWest)
 	assert.Equal(t, table.QuestionHomes("a.example", "northern"), north)
 	assert.Assert(t, table.QuestionHomes("a.example", "southern").Nowhere())
-	assert.Equal(t, table.QuestionHomes("b.example", "plain"), homes.Set{}, "no batch route there")
+	assert.Equal(t, table.QuestionHomes("b.example", "plain"), homes.Set{}, "the host has no batch route")
 	assert.DeepEqual(t, table.NamedHomes(), []string{"east", "north", "south", "west"})
 }
--- a/internal/core/routes/routes.go
+++ b/internal/core/routes/routes.go
@@ -1,5 +1,4 @@
-// Package routes holds the routing configuration: the services, limits and tenants of
-// requests. It has no input or output.
+// Package routes implements the routing configuration: routes, services, limits and tenants. It does no I/O.
 package routes
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/scaling"
 )
 
-// Kind defines how often a route's requests may be executed.
+// Kind is the kind of a route. It determines how often a request may be executed.
 type Kind string
 
 // The kinds of routes.
@@ -21,33 +20,33 @@
 	Safe Kind = "safe"
 	// Unsafe requests are executed at most once.
 	Unsafe Kind = "unsafe"
-	// Streaming requests are answered by event streams. They are executed at most once unless
+	// Streaming requests are answered by event streams. They are executed at most once unless the route is
 	// resumable.
 	Streaming Kind = "streaming"
 	// Batch routes accept batch jobs, whose items are answered by event streams.
 	Batch Kind = "batch"
 )
 
-// Part is one service of a route with its weight.
+// Part is a service of a route with its share of the requests, relative to the weights of the other parts.
 type Part struct {
 	Service string
 	Weight  int
 }
 
-// Route is one rule of the configuration.
+// Route is a routing rule: it selects requests by host and path prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
 	Parts  []Part
-	// Timeout bounds the duration of a request; zero means no bound.
+	// Timeout bounds the duration of a request; zero for no bound.
 	Timeout time.Duration
-	// Objective is the latency objective of an answer.
+	// Objective is the latency objective of a response.
 	Objective time.Duration
-	// ResultsDue is the time after the submission at which a job's results are due.
+	// ResultsDue is the time from a job's submission until its results are due.
 	ResultsDue time.Duration
-	// Retention is the time after which items of a job may expire.
+	// Retention is the time after which the items of a job may expire.
 	Retention     time.Duration
 	MaxAttempts   int
 	Priority      int
@@ -55,47 +54,46 @@
 	SingleVersion bool
 	// Open routes accept requests without an API key even if there are tenants.
 	Open bool
-	// Homes are the only regions that may serve and store the route's requests; empty for all.
+	// Homes lists the regions that may serve and store the route's requests; empty for all.
 	Homes []string
 }
 
-// Repeatable reports whether a request that may have run may be sent again.
+// Repeatable reports whether a request that may have been executed may be sent again.
 func (r *Route) Repeatable() bool { return r.Kind == Safe || r.Resumable }
 
-// Service is one service of the configuration.
+// Service is a set of engines that serve the same requests.
 type Service struct {
 	Name           string
 	MaxConnections int
-	// EngineTokens is the memory of one engine, in tokens; zero when unknown.
+	// EngineTokens is the memory of one engine in tokens; zero if unknown.
 	EngineTokens int
-	// Models lists the models of its engines; empty for plain services.
+	// Models lists the models of the engines; empty for services without models.
 	Models []string
-	// Scaling defines how engines may be ordered; nil if they may not.
+	// Scaling configures autoscaling; nil if disabled.
 	Scaling *Scaling
-	// SlowStart bounds the requests to cold engines; the zero value for no bound.
+	// SlowStart limits the requests to cold engines; the zero value for no limit.
 	SlowStart SlowStart
 }
 
-// SlowStart bounds the load of an engine that is cold: after its start, and whenever it reports so.
+// SlowStart limits the load of a cold engine. An engine is cold after its start and whenever it reports so.
 type SlowStart struct {
 	// Period is how long an engine stays cold after its start.
 	Period time.Duration
-	// RatePerSecond bounds the requests per second of all nodes together to a cold engine; zero for no
-	// bound.
+	// RatePerSecond limits the rate of requests to a cold engine, in total over all nodes; zero for no limit.
 	RatePerSecond float64
 }
 
-// Scaling defines how engines of a service may be ordered.
+// Scaling configures the autoscaling of a service.
 type Scaling struct {
 	Bounds scaling.Bounds
-	// BootTime is how long a new engine takes until it serves.
+	// BootTime is the time that a new engine takes until it can serve requests.
 	BootTime time.Duration
-	// PreemptiblePrice is the price of a preemptible engine relative to that of a regular one;
-	// zero if there are none.
+	// PreemptiblePrice is the price of a preemptible engine relative to that of a regular one; zero if none
+	// are available.
 	PreemptiblePrice float64
 }
 
-// Limits bound what a client may send.
+// Limits bounds the size and duration of client requests.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -109,11 +107,11 @@
 	Limits   Limits
 	Services []Service
 	Routes   []Route
-	// Tenants is nil if the configuration has no tenants, so that requests need no key.
+	// Tenants is nil if the configuration has no tenants; requests then need no API key.
 	Tenants []Tenant
 }
 
-// Table is one version of the configuration. It is immutable.
+// Table is one version of the configuration, indexed for lookups. It is immutable.
 type Table struct {
 	Version  int64
 	Limits   Limits
@@ -124,7 +122,7 @@
 	tenants *tenants
 }
 
-// NewTable builds a table.
+// NewTable returns the table of a definition, which must not be modified afterwards.
 func NewTable(definition Definition) *Table {
 	table := &Table{
 		Version:  definition.Version,
@@ -138,7 +136,7 @@
 	}
 	all := definition.Routes
 	for i := range all {
-		host := normalHost(all[i].Host)
+		host := normalizeHost(all[i].Host)
 		table.byHost[host] = append(table.byHost[host], &all[i])
 	}
 	for _, routes := range table.byHost {
@@ -147,10 +145,9 @@
 	return table
 }
 
-// Match returns the route of the host with the longest prefix of the path, nil if there
-// is none.
+// Match returns the route of the host with the longest matching path prefix; nil if none matches.
 func (t *Table) Match(host, path string) *Route {
-	for _, route := range t.byHost[normalHost(host)] {
+	for _, route := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
 		}
@@ -164,7 +161,7 @@
 	return service, found
 }
 
-// Scaled returns the services whose engines may be ordered.
+// Scaled returns the services with autoscaling, in no particular order.
 func (t *Table) Scaled() []Service {
 	var scaled []Service
 	for _, service := range t.services {
@@ -175,7 +172,7 @@
 	return scaled
 }
 
-// SlowStarts returns the services with a rate bound for cold engines.
+// SlowStarts returns the configuration of the services with a rate limit for cold engines, by service name.
 func (t *Table) SlowStarts() map[string]SlowStart {
 	bounded := make(map[string]SlowStart)
 	for name, service := range t.services {
@@ -186,7 +183,7 @@
 	return bounded
 }
 
-// Batch returns all batch routes.
+// Batch returns the batch routes, in no particular order.
 func (t *Table) Batch() []*Route {
 	var batch []*Route
 	for _, routes := range t.byHost {
@@ -199,8 +196,8 @@
 	return batch
 }
 
-// BatchOnly returns the services that are used by batch routes only, sorted: nodes that run no batch items send
-// nothing to their engines.
+// BatchOnly returns the sorted names of the services that only batch routes use. Nodes that run no batch items send
+// no requests to their engines.
 func (t *Table) BatchOnly() []string {
 	live, batch := make(map[string]bool), make(map[string]bool)
 	for _, routes := range t.byHost {
@@ -218,8 +215,8 @@
 	return slices.Sorted(maps.Keys(batch))
 }
 
-// normalHost returns the host in lower case without its port.
-func normalHost(host string) string {
+// normalizeHost returns the host in lower case, without its port.
+func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
 	}
--- a/internal/core/routes/routes_test.go
+++ b/internal/core/routes/routes_test.go
@@ -7,33 +7,32 @@
 	"pgregory.net/rapid"
 )
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchReturnsLongestPrefixOfHost(t *testing.T) {
 	table := NewTable(Definition{Version: 1, Routes: []Route{
 		{Name: "short", Host: "a.example", Prefix: "/x/"}, {Name: "long", Host: "a.example", Prefix: "/x/y/"},
 		{Name: "other", Host: "b.example", Prefix: "/"},
 	}})
-	for _, try := range []struct{ host, path, want string }{
+	for _, test := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "long"}, {"a.example:8080", "/x/z", "short"}, {"A.Example", "/x/", "short"},
 		{"b.example", "/anything", "other"}, {"a.example", "/x", ""}, {"c.example", "/x/", ""},
 	} {
 		got := ""
-		if route := table.Match(try.host, try.path); route != nil {
+		if route := table.Match(test.host, test.path); route != nil {
 			got = route.Name
 		}
-		assert.Equal(t, got, try.want, "%s%s", try.host, try.path)
+		assert.Equal(t, got, test.want, "%s%s", test.host, test.path)
 	}
 }
 
-func TestOnlySafeAndResumableRoutesAreRepeatable(t *testing.T) {
+func TestRepeatable(t *testing.T) {
 	assert.Assert(t, (&Route{Kind: Safe}).Repeatable())
 	assert.Assert(t, !(&Route{Kind: Unsafe}).Repeatable())
 	assert.Assert(t, !(&Route{Kind: Streaming}).Repeatable())
 	assert.Assert(t, (&Route{Kind: Streaming, Resumable: true}).Repeatable())
 }
 
-// TestSplitFollowsTheWeights: over any sequence of requests each part is within two
-// of its exact share.
-func TestSplitFollowsTheWeights(t *testing.T) {
+// Guards against a part whose number of requests deviates from its exact share by more than three.
+func TestSplitterFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		route := &Route{Name: "r"}
 		total := 0
@@ -50,14 +49,14 @@
 		}
 		if total == 0 {
 			if counts[""] != requests {
-				t.Fatal("a route without weights has picked a part")
+				t.Fatal("a part was picked on a route without weights")
 			}
 			return
 		}
 		for _, part := range route.Parts {
 			exact := float64(requests*part.Weight) / float64(total)
 			if difference := float64(counts[part.Service]) - exact; difference > 3 || difference < -3 {
-				t.Fatalf("%s got %d of %d, exact %.1f", part.Service, counts[part.Service], requests, exact)
+				t.Fatalf("%s got %d of %d requests, exact share %.1f", part.Service, counts[part.Service], requests, exact)
 			}
 		}
 	})
--- a/internal/core/routes/split.go
+++ b/internal/core/routes/split.go
@@ -2,23 +2,22 @@
 
 import "sync"
 
-// Splitter distributes the requests of a route over its parts by smooth weighted
-// round-robin: over any sequence of requests each part's count stays within one of its
-// exact share.
+// Splitter distributes the requests of a route over its parts by smooth weighted round-robin. The number of requests
+// of each part stays within a few of its exact share, for any sequence of requests. It is safe for concurrent use.
 type Splitter struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// scores holds the current score of each part by route name. Their sum is zero.
 	scores map[string][]int
 	start  uint64
 }
 
-// NewSplitter returns a splitter. The seed shifts its starting position, so that nodes
-// with few requests do not all start with the heaviest part.
+// NewSplitter returns a splitter. The seed determines its starting position, so that nodes with few requests do not
+// all start with the part of the greatest weight.
 func NewSplitter(seed uint64) *Splitter {
 	return &Splitter{scores: make(map[string][]int), start: seed}
 }
 
-// Pick returns the service for the next request of the route; empty if no part has a
-// weight.
+// Pick returns the service for the next request of the route; empty if no part has a positive weight.
 func (s *Splitter) Pick(route *Route) string {
 	if len(route.Parts) == 1 {
 		return route.Parts[0].Service
@@ -32,7 +31,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	scores := s.scoresOf(route, total)
+	scores := s.routeScores(route, total)
 	best := -1
 	for i, part := range route.Parts {
 		scores[i] += part.Weight
@@ -44,7 +43,8 @@
 	return route.Parts[best].Service
 }
 
-func (s *Splitter) scoresOf(route *Route, total int) []int {
+// routeScores returns the scores of the route's parts. Must be called with mu held.
+func (s *Splitter) routeScores(route *Route, total int) []int {
 	scores := s.scores[route.Name]
 	if len(scores) == len(route.Parts) {
 		return scores
--- a/internal/core/routes/tenants.go
+++ b/internal/core/routes/tenants.go
@@ -9,10 +9,10 @@
 type Tenant struct {
 	Name string
 	Keys []string
-	// Priority overrides that of a route, 0 first; nil for none.
+	// Priority overrides that of the route; nil to keep it. 0 is the highest priority.
 	Priority *int
-	// Homes are the only regions that may serve and store the tenant's requests; empty for all. The homes
-	// of the route apply as well.
+	// Homes lists the regions that may serve and store the tenant's requests; empty for all. The homes of the
+	// route apply as well.
 	Homes []string
 }
 
@@ -20,22 +20,21 @@
 type Credentials struct {
 	// Key is the API key; empty for none.
 	Key string
-	// Problem says why the credentials are malformed, without containing them; empty if they
-	// are well-formed or missing.
+	// Problem describes why the credentials are malformed, without containing them; empty if they are
+	// well-formed or missing.
 	Problem string
 }
 
-// Sender is the sender of a request by the configuration.
+// Sender describes the sender of a request according to the configuration.
 type Sender struct {
-	// Tenant is the tenant's name; empty if the configuration has no tenants or the route is
-	// open.
+	// Tenant is the tenant's name; empty if the configuration has no tenants or the route is open.
 	Tenant string
-	// Checked is true if the configuration has tenants. The request's credentials are then
-	// checked here and must not be forwarded to engines.
+	// Checked is true if the configuration has tenants. The request's credentials are then for this proxy and
+	// must not be forwarded to engines.
 	Checked bool
-	// Priority is that of the tenant, or else of the route; 0 is first.
+	// Priority is that of the tenant or, if it has none, of the route. 0 is the highest priority.
 	Priority int
-	// Homes are the only regions that may serve and store the request: the intersection of those of the
+	// Homes is the set of regions that may serve and store the request: the intersection of the homes of the
 	// route and of the tenant.
 	Homes homes.Set
 }
@@ -46,8 +45,7 @@
 	byName map[string]*Tenant
 }
 
-// newTenants returns nil for a nil list. A key that two tenants have belongs to the first
-// one.
+// newTenants returns the index of a list, nil for a nil list. A duplicate key belongs to the first tenant with it.
 func newTenants(list []Tenant) *tenants {
 	if list == nil {
 		return nil
@@ -56,27 +54,27 @@
 	for i := range list {
 		keys += len(list[i].Keys)
 	}
-	found := &tenants{byKey: make(map[string]*Tenant, keys), byName: make(map[string]*Tenant, len(list))}
+	index := &tenants{byKey: make(map[string]*Tenant, keys), byName: make(map[string]*Tenant, len(list))}
 	for i := range list {
-		found.byName[list[i].Name] = &list[i]
+		index.byName[list[i].Name] = &list[i]
 		for _, key := range list[i].Keys {
-			if _, used := found.byKey[key]; !used && key != "" {
-				found.byKey[key] = &list[i]
+			if _, used := index.byKey[key]; !used && key != "" {
+				index.byKey[key] = &list[i]
 			}
 		}
 	}
-	return found
+	return index
 }
 
-// SenderOf returns the sender of a request on a route. current is whether the table is
-// known to be the newest one, up to a few seconds. An error is of the kind Unauthorized,
-// or NotCurrent if a newer table may contain the key.
+// SenderOf authenticates a request on a route and returns its sender. current is whether the table was the newest
+// one within the last few seconds. An error is of kind Unauthorized, or NotCurrent if a newer table may contain the
+// key.
 func (t *Table) SenderOf(route *Route, credentials Credentials, current bool) (Sender, *errkind.Error) {
 	sender := Sender{Checked: t.tenants != nil, Priority: route.Priority, Homes: homes.Of(route.Homes)}
 	if t.tenants == nil || route.Open {
 		return sender, nil
 	}
-	tenant, failure := t.tenants.find(credentials, current)
+	tenant, failure := t.tenants.authenticate(credentials, current)
 	if failure != nil {
 		return Sender{}, failure
 	}
@@ -88,15 +86,14 @@
 	return sender, nil
 }
 
-// OwnersOf returns the tenants whose batch jobs of a host a caller may access, the
-// likeliest first; an empty name stands for jobs submitted on an open route. Errors are
-// those of SenderOf.
+// OwnersOf returns the tenants whose batch jobs on a host the caller may access: its own tenant first, then the
+// empty name for jobs submitted on open routes. It returns the same errors as SenderOf.
 func (t *Table) OwnersOf(host string, credentials Credentials, current bool) ([]string, *errkind.Error) {
 	if t.tenants == nil {
 		return []string{""}, nil
 	}
-	open := t.hasOpenBatch(host)
-	tenant, failure := t.tenants.find(credentials, current)
+	open := t.hasOpenBatchRoute(host)
+	tenant, failure := t.tenants.authenticate(credentials, current)
 	switch {
 	case failure != nil && open:
 		return []string{""}, nil
@@ -109,9 +106,9 @@
 	}
 }
 
-// hasOpenBatch reports whether the host accepts jobs without a tenant.
-func (t *Table) hasOpenBatch(host string) bool {
-	for _, route := range t.byHost[normalHost(host)] {
+// hasOpenBatchRoute reports whether the host has a batch route that requires no API key.
+func (t *Table) hasOpenBatchRoute(host string) bool {
+	for _, route := range t.byHost[normalizeHost(host)] {
 		if route.Kind == Batch && route.Open {
 			return true
 		}
@@ -119,18 +116,19 @@
 	return false
 }
 
-func (t *tenants) find(credentials Credentials, current bool) (*Tenant, *errkind.Error) {
+// authenticate returns the tenant with the credentials. Parameters and errors are those of SenderOf.
+func (t *tenants) authenticate(credentials Credentials, current bool) (*Tenant, *errkind.Error) {
 	switch {
 	case credentials.Problem != "":
 		return nil, errkind.New(errkind.Unauthorized, "%s", credentials.Problem)
 	case credentials.Key == "":
-		return nil, errkind.New(errkind.Unauthorized, "the request shows no API key")
+		return nil, errkind.New(errkind.Unauthorized, "the request has no API key")
 	}
 	if tenant, found := t.byKey[credentials.Key]; found {
 		return tenant, nil
 	}
 	if !current {
-		return nil, errkind.New(errkind.NotCurrent, "the API key is unknown here, and the configuration may be old")
+		return nil, errkind.New(errkind.NotCurrent, "the API key is unknown, but the configuration here may be out of date")
 	}
 	return nil, errkind.New(errkind.Unauthorized, "the API key is unknown or was taken away")
 }
--- a/internal/core/routes/tenants_test.go
+++ b/internal/core/routes/tenants_test.go
@@ -10,7 +10,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-func tenanted(tenants ...Tenant) *Table {
+func tableWithTenants(tenants ...Tenant) *Table {
 	return NewTable(Definition{Version: 1, Tenants: tenants, Routes: []Route{
 		{Name: "own", Host: "h", Prefix: "/own/", Kind: Safe, Priority: 4},
 		{Name: "open", Host: "h", Prefix: "/open/", Kind: Safe, Open: true, Priority: 5},
@@ -18,9 +18,9 @@
 	}})
 }
 
-func TestSenderIsTheTenantOfTheKey(t *testing.T) {
+func TestSenderOfReturnsTenantOfKey(t *testing.T) {
 	urgent := 1
-	table := tenanted(
+	table := tableWithTenants(
 		Tenant{Name: "a", Keys: []string{"ka", "kb"}, Priority: &urgent}, Tenant{Name: "b", Keys: []string{"kc"}})
 	own := table.Match("h", "/own/x")
 	for key, want := range map[string]Sender{
@@ -33,8 +33,8 @@
 	}
 }
 
-func TestCredentialsThatOpenNothing(t *testing.T) {
-	table := tenanted(Tenant{Name: "a", Keys: []string{"ka", ""}})
+func TestInvalidCredentialsAreUnauthorized(t *testing.T) {
+	table := tableWithTenants(Tenant{Name: "a", Keys: []string{"ka", ""}})
 	for name, credentials := range map[string]Credentials{
 		"unknown": {Key: "kz"}, "none": {}, "malformed": {Problem: "two keys"}, "long": {Key: strings.Repeat("k", 8<<10)},
 	} {
@@ -43,15 +43,15 @@
 		assert.Equal(t, failure.Kind, errkind.Unauthorized, name)
 		assert.Equal(t, failure.Kind.Answer().Execution, errkind.NotExecuted, name)
 		if credentials.Key != "" {
-			assert.Assert(t, !strings.Contains(failure.Error(), credentials.Key), "the error tells the key")
+			assert.Assert(t, !strings.Contains(failure.Error(), credentials.Key), "the error contains the key")
 		}
 		_, failure = table.OwnersOf("h", credentials, true)
 		assert.Equal(t, errkind.KindOf(failure), errkind.Unauthorized, name)
 	}
 }
 
-func TestAnOpenRouteNeedsNoKeyAndNamesNoTenant(t *testing.T) {
-	table := tenanted(Tenant{Name: "a", Keys: []string{"ka"}})
+func TestOpenRouteNeedsNoKey(t *testing.T) {
+	table := tableWithTenants(Tenant{Name: "a", Keys: []string{"ka"}})
 	for _, credentials := range []Credentials{{}, {Key: "kz"}, {Key: "ka"}, {Problem: "x"}} {
 		sender, failure := table.SenderOf(table.Match("h", "/open/x"), credentials, true)
 		assert.Assert(t, failure == nil)
@@ -62,33 +62,33 @@
 		assert.Assert(t, failure == nil)
 		assert.DeepEqual(t, owners, []string{""})
 	}
-	// A caller with a key may access its own jobs of other routes as well.
+	// A caller with a key may also access the jobs of its tenant.
 	owners, failure := table.OwnersOf("jobs", Credentials{Key: "ka"}, true)
 	assert.Assert(t, failure == nil)
 	assert.DeepEqual(t, owners, []string{"a", ""})
 }
 
-// TestAnUnknownKeyMayBeNewerThanTheTable: other failures do not depend on the table's age.
-func TestAnUnknownKeyMayBeNewerThanTheTable(t *testing.T) {
-	table := tenanted(Tenant{Name: "a", Keys: []string{"ka"}})
+// Guards against an error that depends on the table's age for credentials other than unknown keys.
+func TestUnknownKeyIsNotCurrentIfTableMayBeOld(t *testing.T) {
+	table := tableWithTenants(Tenant{Name: "a", Keys: []string{"ka"}})
 	own := table.Match("h", "/own/x")
-	for _, try := range []struct {
+	for _, test := range []struct {
 		credentials Credentials
 		want        errkind.Kind
 	}{
 		{Credentials{Key: "kz"}, errkind.NotCurrent}, {Credentials{}, errkind.Unauthorized},
 		{Credentials{Problem: "two keys"}, errkind.Unauthorized},
 	} {
-		_, failure := table.SenderOf(own, try.credentials, false)
-		assert.Equal(t, errkind.KindOf(failure), try.want)
-		_, failure = table.OwnersOf("h", try.credentials, false)
-		assert.Equal(t, errkind.KindOf(failure), try.want)
+		_, failure := table.SenderOf(own, test.credentials, false)
+		assert.Equal(t, errkind.KindOf(failure), test.want)
+		_, failure = table.OwnersOf("h", test.credentials, false)
+		assert.Equal(t, errkind.KindOf(failure), test.want)
 	}
 	_, failure := table.SenderOf(own, Credentials{Key: "ka"}, false)
 	assert.Assert(t, failure == nil)
 }
 
-func TestWithoutTenantsNoKeyIsAskedFor(t *testing.T) {
+func TestNoKeyNeededWithoutTenants(t *testing.T) {
 	table := NewTable(Definition{Version: 1, Routes: []Route{{Name: "r", Host: "h", Prefix: "/", Priority: 2}}})
 	sender, failure := table.SenderOf(table.Match("h", "/"), Credentials{Key: "anything"}, true)
 	assert.Assert(t, failure == nil)
@@ -96,12 +96,12 @@
 	owners, failure := table.OwnersOf("h", Credentials{}, true)
 	assert.Assert(t, failure == nil)
 	assert.DeepEqual(t, owners, []string{""})
-	// A configuration with an empty list of tenants admits no caller.
+	// An empty list of tenants is not the same as none: no key is valid.
 	_, failure = NewTable(Definition{Tenants: []Tenant{}}).OwnersOf("h", Credentials{Key: "anything"}, true)
 	assert.Equal(t, errkind.KindOf(failure), errkind.Unauthorized)
 }
 
-// manyTenants returns tenants with the given number of keys in total, ten each.
+// manyTenants returns tenants with ten keys each and the given total number of keys.
 func manyTenants(keys int) []Tenant {
 	list := make([]Tenant, keys/10)
 	for i := range list {
@@ -113,9 +113,9 @@
 	return list
 }
 
-// BenchmarkFindTenant looks up one of 100,000 keys.
+// BenchmarkFindTenant measures the lookup of one of 100,000 keys.
 func BenchmarkFindTenant(b *testing.B) {
-	table := tenanted(manyTenants(100_000)...)
+	table := tableWithTenants(manyTenants(100_000)...)
 	route := table.Match("h", "/own/x")
 	credentials := Credentials{Key: "key-00005000-5"}
 	b.ReportAllocs()
@@ -126,12 +126,11 @@
 	}
 }
 
-// BenchmarkChangeTenants builds a table with 100,000 keys, as each change of the
-// configuration does.
+// BenchmarkChangeTenants measures the construction of a table with 100,000 keys, as for each new configuration.
 func BenchmarkChangeTenants(b *testing.B) {
 	list := manyTenants(100_000)
 	b.ReportAllocs()
 	for b.Loop() {
-		tenanted(list...)
+		tableWithTenants(list...)
 	}
 }
