--- a/internal/core/clusterversion/clusterversion_test.go
+++ b/internal/core/clusterversion/clusterversion_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-// observeFor applies the same view once a second.
+// observeFor observes the same view once a second and returns the time after the period.
 func observeFor(s *State, view View, from time.Time, period time.Duration) time.Time {
 	now := from
 	for ; now.Sub(from) < period; now = now.Add(time.Second) {
@@ -25,103 +25,103 @@
 	return due
 }
 
-// Guards against a cluster version above the build of a live node, which could not read what is written from it on.
-func TestTheClusterIsRaisedOnceAllLiveNodesAgree(t *testing.T) {
+// Guards against a cluster version above that of a live node, which could not read records of that version.
+func TestRaiseRequiresAgreementOfAllLiveNodes(t *testing.T) {
 	s := New(Announced)
 	assert.NilError(t, s.Learn(Unversioned))
 	mixed := View{Lowest: Homes, Highest: Announced, Current: true}
-	now := observeFor(s, mixed, start, 2*agreementTime)
+	now := observeFor(s, mixed, start, 2*agreementPeriod)
 	raised, due := s.Raise()
 	assert.Assert(t, due)
 	assert.Equal(t, raised, Homes, "above the version of a live node")
 	assert.NilError(t, s.Learn(raised))
 	assert.Assert(t, !isDue(s))
 
-	alike := View{Lowest: Announced, Highest: Announced, Current: true}
-	now = observeFor(s, alike, now, agreementTime)
-	assert.Assert(t, !isDue(s), "before every live node was heard")
+	uniform := View{Lowest: Announced, Highest: Announced, Current: true}
+	now = observeFor(s, uniform, now, agreementPeriod)
+	assert.Assert(t, !isDue(s), "not all live nodes have announced a version since")
 	now = observeFor(s, mixed, now, 2*time.Second)
-	now = observeFor(s, alike, now, agreementTime)
-	assert.Assert(t, !isDue(s), "an older node was heard meanwhile")
-	observeFor(s, alike, now, 2*time.Second)
+	now = observeFor(s, uniform, now, agreementPeriod)
+	assert.Assert(t, !isDue(s), "an older node was seen meanwhile")
+	observeFor(s, uniform, now, 2*time.Second)
 	raised, due = s.Raise()
 	assert.Assert(t, due)
 	assert.Equal(t, raised, Announced)
 }
 
-// Guards against a raise by a process that was stopped, or whose reads fail: all others seem gone to it.
-func TestAnInterruptedViewProvesNothing(t *testing.T) {
+// Guards against a raise by a process that was paused or cannot read the log, and so sees no other nodes.
+func TestRaiseRequiresUninterruptedObservation(t *testing.T) {
 	alone := View{Lowest: Announced, Highest: Announced, Current: true}
 	s := New(Announced)
 	assert.NilError(t, s.Learn(Homes))
-	now := observeFor(s, alone, start, agreementTime)
+	now := observeFor(s, alone, start, agreementPeriod)
 	s.Observe(alone, now.Add(time.Hour))
-	assert.Assert(t, !isDue(s), "after a standstill")
+	assert.Assert(t, !isDue(s), "after a pause")
 
 	stale := alone
 	stale.Current = false
-	observeFor(s, stale, now.Add(time.Hour), 2*agreementTime)
+	observeFor(s, stale, now.Add(time.Hour), 2*agreementPeriod)
 	assert.Assert(t, !isDue(s), "while reads fail")
 }
 
-// Guards against a raise by a node that does not know the cluster version in the log.
-func TestAnUnknownClusterVersionIsNotRaised(t *testing.T) {
+// Guards against a raise by a node that has not read the cluster version from the log.
+func TestRaiseRequiresKnownClusterVersion(t *testing.T) {
 	s := New(Announced)
 	view := View{Lowest: Announced, Highest: Announced, Current: true}
-	observeFor(s, view, start, 2*agreementTime)
+	observeFor(s, view, start, 2*agreementPeriod)
 	assert.Assert(t, !isDue(s))
 	assert.Assert(t, s.NeedsRead(view))
-	assert.Assert(t, !s.Reached(Unversioned), "an unknown cluster version was relied on")
+	assert.Assert(t, !s.Reached(Unversioned), "the cluster version is not known")
 }
 
-// Guards against a downgrade below the cluster version, and one that a late read finds.
-func TestABuildBelowTheClusterVersionDoesNotRun(t *testing.T) {
+// Guards against a build that runs although it is older than the cluster version, also if a later read shows so.
+func TestLearnRejectsBuildBelowClusterVersion(t *testing.T) {
 	s := New(Announced)
 	assert.NilError(t, s.Learn(Announced))
 	var tooOld *TooOldError
 	assert.Assert(t, errors.As(s.Learn(Announced+1), &tooOld))
 	assert.Equal(t, *tooOld, TooOldError{Build: Announced, Cluster: Announced + 1})
-	assert.Assert(t, errors.As(s.Learn(Homes), &tooOld), "a lower version was taken back")
+	assert.Assert(t, errors.As(s.Learn(Homes), &tooOld), "the cluster version was lowered")
 }
 
-// Guards against reads of the version topic by every node all the time, and against a node that misses a raise.
-func TestTheLogIsReadOnlyWhenARaiseIsPossible(t *testing.T) {
+// Guards against constant reads of the version topic by all nodes, and against a node that misses a raise.
+func TestNeedsReadOnlyIfRaiseIsPossible(t *testing.T) {
 	s := New(Announced)
 	assert.NilError(t, s.Learn(Homes))
-	alike := View{Lowest: Announced, Highest: Announced, Current: true}
+	uniform := View{Lowest: Announced, Highest: Announced, Current: true}
 	assert.Assert(t, !s.NeedsRead(View{Lowest: Homes, Highest: Announced}))
 	assert.Assert(t, s.NeedsRead(View{Lowest: Homes, Highest: Announced + 1}))
-	now := observeFor(s, alike, start, agreementTime)
-	assert.Assert(t, !s.NeedsRead(alike), "before the leader raises it")
-	observeFor(s, alike, now, 2*time.Second)
-	assert.Assert(t, s.NeedsRead(alike))
+	now := observeFor(s, uniform, start, agreementPeriod)
+	assert.Assert(t, !s.NeedsRead(uniform), "before the agreement period has passed")
+	observeFor(s, uniform, now, 2*time.Second)
+	assert.Assert(t, s.NeedsRead(uniform))
 	assert.NilError(t, s.Learn(Announced))
-	assert.Assert(t, !s.NeedsRead(alike))
-	assert.Assert(t, !s.NeedsRead(View{Lowest: Unversioned, Highest: Announced}), "an older node that joins late")
+	assert.Assert(t, !s.NeedsRead(uniform))
+	assert.Assert(t, !s.NeedsRead(View{Lowest: Unversioned, Highest: Announced}), "an older node joins later")
 }
 
-// Guards against a feature that is served while a node is live that does not know it.
-func TestAFeatureIsServedOnlyWithoutOlderNodes(t *testing.T) {
+// Guards against a feature that is used while a live node does not support it.
+func TestServesOnlyWithoutOlderNodes(t *testing.T) {
 	s := New(Announced)
 	mixed := View{Lowest: Unversioned, Highest: Announced, Known: true}
-	alike := View{Lowest: Homes, Highest: Announced, Known: true}
+	uniform := View{Lowest: Homes, Highest: Announced, Known: true}
 	assert.Assert(t, !s.Serves(Homes, mixed))
-	assert.Assert(t, !s.Serves(Homes, View{Lowest: Announced, Highest: Announced}), "before the node knows of the others")
-	assert.Assert(t, s.Serves(Homes, alike), "a cluster that has just started")
+	assert.Assert(t, !s.Serves(Homes, View{Lowest: Announced, Highest: Announced}), "before other announcements are read")
+	assert.Assert(t, s.Serves(Homes, uniform), "without a raise if no older node is live")
 	assert.NilError(t, s.Learn(Homes))
 	assert.Assert(t, s.Serves(Homes, mixed), "the cluster version is never lowered")
 }
 
-// Guards against a version that is read from the fields of an announcement of another build.
-func TestTheVersionOfAnAnnouncement(t *testing.T) {
+// Guards against a wrong version of builds that announce none.
+func TestOfAnnouncement(t *testing.T) {
 	assert.Equal(t, OfAnnouncement(0, ""), Unversioned)
 	assert.Equal(t, OfAnnouncement(0, "north"), Homes)
 	assert.Equal(t, OfAnnouncement(Announced, ""), Announced)
 	assert.Equal(t, OfAnnouncement(7, "north"), Version(7))
 }
 
-// Guards against a record that another build misreads.
-func TestRecordsRoundTrip(t *testing.T) {
+// Guards against records that cannot be decoded.
+func TestRecordRoundTrip(t *testing.T) {
 	record := Raised{Version: 7, Holder: "a-1"}
 	raw, err := record.Encode()
 	assert.NilError(t, err)
@@ -134,8 +134,9 @@
 	assert.Assert(t, err != nil)
 }
 
-// Guards against any order of reads, views and pauses that lowers the cluster version or raises it above a live node.
-func TestTheClusterVersionOnlyRises(t *testing.T) {
+// Guards against a sequence of reads, views and pauses that lowers the cluster version or raises it above that of a
+// live node.
+func TestClusterVersionIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Announced)
 		now, before := start, s.Cluster()
@@ -148,8 +149,8 @@
 			lowestHeard[now] = view.Lowest
 			if raised, due := s.Raise(); due {
 				for at, lowest := range lowestHeard {
-					if now.Sub(at) < agreementTime && lowest < raised {
-						t.Fatalf("raised to %d, %s after a node of %d was heard", raised, now.Sub(at), lowest)
+					if now.Sub(at) < agreementPeriod && lowest < raised {
+						t.Fatalf("raised to %d, %s after a node of version %d was seen", raised, now.Sub(at), lowest)
 					}
 				}
 				_ = s.Learn(raised)
@@ -158,7 +159,7 @@
 				_ = s.Learn(Version(rapid.IntRange(0, int(Announced)).Draw(t, "cluster")))
 			}
 			if s.Cluster() < before {
-				t.Fatalf("lowered from %d to %d", before, s.Cluster())
+				t.Fatalf("cluster version lowered from %d to %d", before, s.Cluster())
 			}
 			before = s.Cluster()
 		}
--- a/internal/core/clusterversion/version.go
+++ b/internal/core/clusterversion/version.go
@@ -1,24 +1,23 @@
-// Package clusterversion decides which protocol version a cluster of nodes of several builds speaks. It has
-// no input, output or clock; every event comes with its time.
+// Package clusterversion determines the protocol version of a cluster whose nodes run different builds, for rolling
+// upgrades. It does no I/O and reads no clock; callers pass in the time of each event.
 //
-// Each build has a version. The cluster version is the lowest one that all live nodes had when it was raised.
-// It stands in the log and is never lowered, so what is written from it on is read by no older build: a node whose
-// build is below it doesn't run.
+// Each build has a version. The cluster version is raised to the lowest version of all live nodes. It is stored in the
+// log and never lowered. Nodes whose build is below it must not run, since they cannot read all records.
 package clusterversion
 
 import "fmt"
 
-// Version is the protocol version of a build, or of a cluster. Values are stored in the log: append new
-// ones at the end and never renumber.
+// Version is the protocol version of a build or a cluster. Values are stored in the log: append new ones at the end,
+// never renumber.
 type Version uint32
 
 const (
-	// Unversioned builds announce neither a version nor a region.
+	// Unversioned is the version of builds that announce neither a version nor a region.
 	Unversioned Version = iota
-	// Homes is the version of builds that announce a region and no version: they know evacuated zones, jobs bound to
-	// regions and permits for cold engines.
+	// Homes is the version of builds that announce a region but no version. They support zone evacuation, jobs
+	// restricted to regions, and permits for cold engines.
 	Homes
-	// Announced builds announce their version and follow the cluster version.
+	// Announced is the version of the first builds that announce their version and obey the cluster version.
 	Announced
 )
 
@@ -33,7 +32,7 @@
 	return announced
 }
 
-// TooOldError is returned when a build is below the cluster version.
+// TooOldError is returned if a build is below the cluster version.
 type TooOldError struct {
 	Build   Version
 	Cluster Version
@@ -41,21 +40,21 @@
 
 // Error implements the error interface.
 func (e *TooOldError) Error() string {
-	return fmt.Sprintf("this build has protocol version %d, and the log holds records of cluster version %d: "+
-		"start a build of version %d or later", e.Build, e.Cluster, e.Cluster)
+	return fmt.Sprintf("this build has protocol version %d, but the log contains records of cluster version %d: "+
+		"run a build of version %d or later", e.Build, e.Cluster, e.Cluster)
 }
 
-// View is what a node sees of the live nodes, itself included.
+// View is a node's view of the versions of all live nodes, including itself.
 type View struct {
 	Lowest  Version
 	Highest Version
-	// Known reports whether the node has read of the others.
+	// Known is true once the node has read the announcements of the other nodes.
 	Known bool
-	// Current reports whether the view is recent enough to prove that no other node is live.
+	// Current is true if the view is recent enough to prove that no other node is live.
 	Current bool
 }
 
-// With returns the view with one more live node.
+// With returns the view with an additional live node.
 func (v View) With(version Version) View {
 	v.Lowest, v.Highest = min(v.Lowest, version), max(v.Highest, version)
 	return v
