--- a/internal/core/homes/homes.go
+++ b/internal/core/homes/homes.go
@@ -1,5 +1,5 @@
-// Package homes defines sets of regions for data residency: the only regions that may serve and store a
-// request, by its route, its tenant, or both. It has no input, output or clock.
+// Package homes implements data residency: the homes of a request are the regions that may serve and store it, as
+// restricted by its route and its tenant. The package does no I/O.
 package homes
 
 import (
@@ -9,32 +9,32 @@
 	"strings"
 )
 
-// Set is a set of regions. The zero value is unbound: it contains every region. Sets are comparable
+// Set is an immutable set of regions. The zero value is unrestricted: it contains every region. Sets are comparable
 // with == and usable as map keys.
 type Set struct {
-	// bound is false if the set contains every region.
-	bound bool
-	// names holds the sorted regions, each followed by nameEnd.
+	// restricted is false if the set contains every region.
+	restricted bool
+	// names contains the sorted regions, each followed by nameTerminator.
 	names string
 }
 
-// nameEnd terminates the name of a region. No name contains it.
-const nameEnd = "\x00"
+// nameTerminator terminates each region's name in a Set. No name contains it.
+const nameTerminator = "\x00"
 
-// Of returns the set of the named regions; without names, that of all regions.
+// Of returns the set of the given regions; the unrestricted set if there are none.
 func Of(regions []string) Set {
 	if len(regions) == 0 {
 		return Set{}
 	}
-	return bounded(regions)
+	return restrictedTo(regions)
 }
 
-// bounded returns the bound set of the regions, which may be empty.
-func bounded(regions []string) Set {
+// restrictedTo returns the set that contains only the given regions, of which there may be none.
+func restrictedTo(regions []string) Set {
 	sorted := slices.Compact(slices.Sorted(slices.Values(regions)))
-	set := Set{bound: true}
+	set := Set{restricted: true}
 	for _, region := range sorted {
-		set.names += region + nameEnd
+		set.names += region + nameTerminator
 	}
 	return set
 }
@@ -42,27 +42,27 @@
 // Intersect returns the regions that are in both sets.
 func (s Set) Intersect(other Set) Set {
 	switch {
-	case !s.bound:
+	case !s.restricted:
 		return other
-	case !other.bound:
+	case !other.restricted:
 		return s
 	}
-	return bounded(slices.DeleteFunc(s.Regions(), func(region string) bool { return !other.Allows(region) }))
+	return restrictedTo(slices.DeleteFunc(s.Regions(), func(region string) bool { return !other.Allows(region) }))
 }
 
-// Bound reports whether the set excludes regions.
-func (s Set) Bound() bool { return s.bound }
+// Bound reports whether the set is restricted to some regions.
+func (s Set) Bound() bool { return s.restricted }
 
 // Nowhere reports whether the set is empty.
-func (s Set) Nowhere() bool { return s.bound && s.names == "" }
+func (s Set) Nowhere() bool { return s.restricted && s.names == "" }
 
-// Allows reports whether a region is in the set. An unknown region, which is empty, is in no bound
-// set.
+// Allows reports whether a region is in the set. The empty region, which is that of machines in unknown places, is in
+// no restricted set.
 func (s Set) Allows(region string) bool {
-	if !s.bound {
+	if !s.restricted {
 		return true
 	}
-	for name := range strings.SplitSeq(s.names, nameEnd) {
+	for name := range strings.SplitSeq(s.names, nameTerminator) {
 		if name == region {
 			return region != ""
 		}
@@ -70,28 +70,28 @@
 	return false
 }
 
-// idBytes is the length of the truncated hash. It must rule out collisions, also intended ones.
+// idBytes is the length of the truncated hash. It must be sufficient against intended collisions.
 const idBytes = 16
 
-// ID identifies the set in the log's topic names. It is the same on all nodes and of bounded length. It
-// separates the data of sets, so it is a cryptographic hash.
+// ID returns an identifier of the set for topic names. It has a fixed length and is the same on all nodes. It is a
+// cryptographic hash, since a collision would mix the data of two sets.
 func (s Set) ID() string {
 	sum := sha256.Sum256([]byte(s.names))
 	return hex.EncodeToString(sum[:idBytes])
 }
 
-// Regions returns the sorted regions; nil if the set is unbound.
+// Regions returns the sorted regions; nil if the set is unrestricted.
 func (s Set) Regions() []string {
-	if !s.bound {
+	if !s.restricted {
 		return nil
 	}
-	return strings.FieldsFunc(s.names, func(r rune) bool { return string(r) == nameEnd })
+	return strings.FieldsFunc(s.names, func(r rune) bool { return string(r) == nameTerminator })
 }
 
-// String returns the form used in logs: the sorted regions, "everywhere" or "nowhere".
+// String returns the sorted regions, "everywhere" or "nowhere", for logs.
 func (s Set) String() string {
 	switch {
-	case !s.bound:
+	case !s.restricted:
 		return "everywhere"
 	case s.names == "":
 		return "nowhere"
--- a/internal/core/homes/homes_test.go
+++ b/internal/core/homes/homes_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestOnlyRegionsOfTheSetAreAllowed(t *testing.T) {
+func TestAllows(t *testing.T) {
 	for _, test := range []struct {
 		set     Set
 		region  string
@@ -28,21 +28,21 @@
 	}
 }
 
-func TestBothSetsBind(t *testing.T) {
+func TestIntersect(t *testing.T) {
 	both := Of([]string{"north", "south"})
 	north, south := Of([]string{"north"}), Of([]string{"south"})
 	assert.Equal(t, Set{}.Intersect(Set{}), Set{})
 	assert.Equal(t, Set{}.Intersect(north), north)
 	assert.Equal(t, north.Intersect(Set{}), north)
 	assert.Equal(t, both.Intersect(north), north)
-	nowhere := north.Intersect(south)
-	assert.Assert(t, nowhere.Nowhere() && nowhere.Bound())
-	assert.Assert(t, !nowhere.Allows("north") && !nowhere.Allows("south") && !nowhere.Allows(""))
-	assert.Equal(t, nowhere.Intersect(Set{}), nowhere, "a set without regions stays one")
+	empty := north.Intersect(south)
+	assert.Assert(t, empty.Nowhere() && empty.Bound())
+	assert.Assert(t, !empty.Allows("north") && !empty.Allows("south") && !empty.Allows(""))
+	assert.Equal(t, empty.Intersect(Set{}), empty, "an empty set stays empty")
 	assert.Assert(t, !Set{}.Nowhere() && !north.Nowhere())
 }
 
-func TestSetsOfTheSameRegionsAreEqual(t *testing.T) {
+func TestEqualSets(t *testing.T) {
 	assert.Equal(t, Of([]string{"b", "a", "b"}), Of([]string{"a", "b"}))
 	assert.Assert(t, Of([]string{"ab"}) != Of([]string{"a", "b"}))
 	assert.DeepEqual(t, Of([]string{"b", "a"}).Regions(), []string{"a", "b"})
@@ -52,13 +52,13 @@
 	assert.Equal(t, Of([]string{"b", "a"}).ID(), Of([]string{"a", "b"}).ID())
 }
 
-// TestDifferentSetsHaveDifferentIDs: sets of one ID would share a lease and a topic.
-func TestDifferentSetsHaveDifferentIDs(t *testing.T) {
+// Guards against sets that share a lease and a topic.
+func TestIDsOfDifferentSetsDiffer(t *testing.T) {
 	assert.Assert(t, Of([]string{"a,b"}).ID() != Of([]string{"a", "b"}).ID())
 	assert.Assert(t, Of([]string{"everywhere"}).ID() != Set{}.ID())
 }
 
-func TestACallCarriesItsHomes(t *testing.T) {
+func TestContextRoundTrip(t *testing.T) {
 	north := Of([]string{"north"})
 	assert.Equal(t, FromContext(context.Background()), Set{})
 	assert.Equal(t, FromContext(context.WithoutCancel(NewContext(context.Background(), north))), north)
--- a/internal/core/topology/topology.go
+++ b/internal/core/topology/topology.go
@@ -1,15 +1,14 @@
-// Package topology maps zones to regions and defines distances between places. It has no input, output
-// or clock.
+// Package topology maps zones to regions and defines the network distance of places.
 package topology
 
 import "time"
 
-// Map holds the region of each zone. It is immutable.
+// Map maps zones to regions. It is immutable.
 type Map struct {
 	regions map[string]string
 }
 
-// NewMap returns a map with the given regions and the node's own zone.
+// NewMap returns a map of the given regions by zone and the node's own zone, which takes precedence.
 func NewMap(regions map[string]string, ownZone, ownRegion string) *Map {
 	known := make(map[string]string, len(regions)+1)
 	for zone, region := range regions {
@@ -22,7 +21,7 @@
 // Region returns the region of a zone; empty if unknown.
 func (m *Map) Region(zone string) string { return m.regions[zone] }
 
-// HasRegion reports whether the region has a zone.
+// HasRegion reports whether the map contains a zone of the region.
 func (m *Map) HasRegion(region string) bool {
 	for _, each := range m.regions {
 		if each == region {
@@ -39,14 +38,14 @@
 	Region string
 }
 
-// Distance is the network distance of two places.
+// Distance is the network distance of two places, from SameZone to OtherRegion.
 type Distance uint8
 
-// The distances, the nearest first.
+// Distances, from nearest to farthest.
 const (
 	SameZone Distance = iota
 	SameRegion
-	// OtherRegion includes places in unknown regions.
+	// OtherRegion also applies to different zones if a region is unknown.
 	OtherRegion
 
 	distances
@@ -56,10 +55,10 @@
 	SameZone: "same_zone", SameRegion: "same_region", OtherRegion: "other_region",
 }
 
-// String returns the distance's name in logs and metrics.
+// String returns the name of the distance, for logs and metrics.
 func (d Distance) String() string { return distanceNames[d] }
 
-// Between returns the distance between two places.
+// Between returns the distance of two places.
 func Between(a, b Place) Distance {
 	switch {
 	case a.Zone == b.Zone:
@@ -71,8 +70,7 @@
 	}
 }
 
-// roundTrips are typical round-trip times within a zone, between the zones of a region, and between regions
-// of a continent.
+// roundTrips holds typical round-trip times; that of OtherRegion applies to regions on one continent.
 var roundTrips = [distances]time.Duration{
 	SameZone:    400 * time.Microsecond,
 	SameRegion:  time.Millisecond,
--- a/internal/core/topology/topology_test.go
+++ b/internal/core/topology/topology_test.go
@@ -6,16 +6,16 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRegionsOfZones(t *testing.T) {
-	known := NewMap(map[string]string{"a1": "a", "b1": "b"}, "c1", "c")
-	assert.Equal(t, known.Region("a1"), "a")
-	assert.Equal(t, known.Region("c1"), "c", "the node's own zone needs no entry")
-	assert.Equal(t, known.Region("d1"), "", "an unknown zone has no region")
-	assert.Assert(t, known.HasRegion("b") && known.HasRegion("c"))
-	assert.Assert(t, !known.HasRegion("d") && !known.HasRegion(""))
+func TestMap(t *testing.T) {
+	zones := NewMap(map[string]string{"a1": "a", "b1": "b"}, "c1", "c")
+	assert.Equal(t, zones.Region("a1"), "a")
+	assert.Equal(t, zones.Region("c1"), "c", "the node's own zone")
+	assert.Equal(t, zones.Region("d1"), "", "an unknown zone")
+	assert.Assert(t, zones.HasRegion("b") && zones.HasRegion("c"))
+	assert.Assert(t, !zones.HasRegion("d") && !zones.HasRegion(""))
 }
 
-func TestDistances(t *testing.T) {
+func TestBetween(t *testing.T) {
 	own := Place{Zone: "a1", Region: "a"}
 	for _, test := range []struct {
 		other  Place
