--- a/internal/core/logrecord/codec.go
+++ b/internal/core/logrecord/codec.go
@@ -9,19 +9,19 @@
 	"github.com/corkpulley/corkpulley/internal/core/msgpackguard"
 )
 
-// Bounds of one record; readers skip a record outside them.
+// Size limits of a record. Readers skip records that exceed them.
 const (
 	// MaxRecordBytes bounds an encoded record.
 	MaxRecordBytes = 4 << 20
-	// MaxNameBytes bounds Writer and Kind.
+	// MaxNameBytes bounds the lengths of Writer and Kind.
 	MaxNameBytes = 128
 )
 
-// ErrMalformed is wrapped by every error of Decode and DecodeBody. All readers
-// skip the same malformed records, because decoding depends on the bytes only.
+// ErrMalformed is wrapped by all errors of this package's encoding and decoding functions. All readers skip the same
+// malformed records, since decoding depends only on the bytes.
 var ErrMalformed = errors.New("log record: malformed")
 
-// Encode returns the bytes of a valid record; an error wraps ErrMalformed.
+// Encode validates and encodes a record. Errors wrap ErrMalformed.
 func Encode(record Record) ([]byte, error) {
 	if err := validate(record); err != nil {
 		return nil, err
@@ -31,18 +31,18 @@
 		return nil, errors.Wrapf(ErrMalformed, "encode: %v", err)
 	}
 	if len(data) > MaxRecordBytes {
-		return nil, errors.Wrapf(ErrMalformed, "%d bytes, at most %d allowed", len(data), MaxRecordBytes)
+		return nil, errors.Wrapf(ErrMalformed, "record of %d bytes exceeds the limit of %d", len(data), MaxRecordBytes)
 	}
 	return data, nil
 }
 
-// Decode parses the bytes of one record; an error wraps ErrMalformed.
+// Decode decodes and validates a record. Errors wrap ErrMalformed.
 func Decode(data []byte) (Record, error) {
 	if len(data) > MaxRecordBytes {
-		return Record{}, errors.Wrapf(ErrMalformed, "%d bytes, at most %d allowed", len(data), MaxRecordBytes)
+		return Record{}, errors.Wrapf(ErrMalformed, "record of %d bytes exceeds the limit of %d", len(data), MaxRecordBytes)
 	}
 	var record Record
-	if err := unmarshalWhole(data, &record); err != nil {
+	if err := unmarshalExact(data, &record); err != nil {
 		return Record{}, err
 	}
 	if err := validate(record); err != nil {
@@ -51,7 +51,7 @@
 	return record, nil
 }
 
-// EncodeBody returns the msgpack encoding of a record's body.
+// EncodeBody returns the msgpack encoding of a record's body. Errors wrap ErrMalformed.
 func EncodeBody(body any) (msgpack.RawMessage, error) {
 	data, err := msgpack.Marshal(body)
 	if err != nil {
@@ -60,17 +60,14 @@
 	return data, nil
 }
 
-// DecodeBody parses the record's body into a pointer; an error wraps
-// ErrMalformed.
+// DecodeBody decodes the record's body into the value that body points to. Errors wrap ErrMalformed.
 func DecodeBody(record Record, body any) error {
-	return unmarshalWhole(record.Body, body)
+	return unmarshalExact(record.Body, body)
 }
 
-// unmarshalWhole decodes one value and refuses bytes after it, so that two
-// different records never decode to the same value by accident. Lengths that
-// the bytes claim are checked first, so that no record takes more memory than
-// its own size accounts for.
-func unmarshalWhole(data []byte, value any) error {
+// unmarshalExact decodes one value and rejects trailing bytes. Encoded lengths are checked before decoding, so that a
+// small record cannot cause a large allocation.
+func unmarshalExact(data []byte, value any) error {
 	if err := msgpackguard.Check(data); err != nil {
 		return errors.Wrapf(ErrMalformed, "decode: %v", err)
 	}
@@ -79,7 +76,7 @@
 		return errors.Wrapf(ErrMalformed, "decode: %v", err)
 	}
 	if reader.Len() != 0 {
-		return errors.Wrapf(ErrMalformed, "%d bytes after the value", reader.Len())
+		return errors.Wrapf(ErrMalformed, "%d trailing bytes", reader.Len())
 	}
 	return nil
 }
@@ -87,11 +84,11 @@
 func validate(record Record) error {
 	switch {
 	case record.Writer == "" || len(record.Writer) > MaxNameBytes:
-		return errors.Wrapf(ErrMalformed, "writer of %d bytes, wanted 1 to %d", len(record.Writer), MaxNameBytes)
+		return errors.Wrapf(ErrMalformed, "length of writer is %d bytes, must be 1 to %d", len(record.Writer), MaxNameBytes)
 	case record.Kind == "" || len(record.Kind) > MaxNameBytes:
-		return errors.Wrapf(ErrMalformed, "kind of %d bytes, wanted 1 to %d", len(record.Kind), MaxNameBytes)
+		return errors.Wrapf(ErrMalformed, "length of kind is %d bytes, must be 1 to %d", len(record.Kind), MaxNameBytes)
 	case record.Sequence == 0 && record.Kind != KindSnapshot:
-		return errors.Wrap(ErrMalformed, "sequence 0")
+		return errors.Wrap(ErrMalformed, "sequence must not be zero")
 	case record.Base < 0:
 		return errors.Wrapf(ErrMalformed, "base %d is negative", record.Base)
 	case record.Epoch < 0:
--- a/internal/core/logrecord/fence.go
+++ b/internal/core/logrecord/fence.go
@@ -1,28 +1,27 @@
 package logrecord
 
-// Fence is the ownership state of one stream: who may write fenced records.
-// The zero value is a stream that was never owned (epoch 0). It is a pure
-// function of the claims and releases, and encodes with msgpack.
+// Fence is the ownership state of a stream: which writer may append fenced records. It is a deterministic function of
+// the claims and releases in the stream. The zero value is the state of a stream that was never owned.
 //
-// Invariant: Epoch never falls, since it is the offset of the winning claim
-// plus 1; two claims that name the same previous epoch cannot both win.
+// Invariant: Epoch never decreases, since it is the offset of the accepted claim plus one. Of several claims with the
+// same previous epoch, at most one is accepted.
 type Fence struct {
-	// Epoch in force; 0 before the first claim.
+	// Epoch is the current epoch; 0 before the first claim.
 	Epoch int64 `msgpack:"e"`
-	// Owner is the node that holds Epoch, Address its peer address, Writer its
-	// process start and stream incarnation.
-	Owner   string `msgpack:"n"`
+	// Owner is the node that holds the epoch.
+	Owner string `msgpack:"n"`
+	// Address is the owner's address for other nodes.
 	Address string `msgpack:"a"`
-	Writer  string `msgpack:"w"`
-	// Released is set once the owner gave the epoch up; none may write until
-	// the next claim wins.
+	// Writer is the Record.Writer of the accepted claim.
+	Writer string `msgpack:"w"`
+	// Released is true once the owner has released the epoch. No fenced record is then accepted until the next
+	// claim.
 	Released bool `msgpack:"r"`
 }
 
-// Check returns the verdict on a record, and applies it when it is a claim or
-// a release. The caller has dropped repeats before (Sequences.Admit). Any other
-// kind is taken for a fenced record: Accepted only under the epoch in force,
-// from the writer that claimed it.
+// Check returns the verdict on a record and applies claims and releases. The caller must have dropped repeats
+// (see Sequences.Admit). Records of all other kinds are fenced: they are Accepted only in the current epoch and from
+// the writer that claimed it.
 func (f *Fence) Check(offset int64, record Record) Verdict {
 	switch record.Kind {
 	case KindClaim:
@@ -34,10 +33,10 @@
 	}
 }
 
-// Owned reports whether an owner holds the epoch in force.
+// Owned reports whether the current epoch has an owner.
 func (f *Fence) Owned() bool { return f.Epoch != 0 && !f.Released }
 
-// OwnedBy reports whether the writer holds the epoch and has not released it.
+// OwnedBy reports whether the epoch is current, held by the writer and not released.
 func (f *Fence) OwnedBy(writer string, epoch int64) bool {
 	return f.Owned() && f.Epoch == epoch && f.Writer == writer
 }
@@ -74,5 +73,5 @@
 	return Accepted
 }
 
-// EpochOfClaim returns the epoch that a claim accepted at the offset begins.
+// EpochOfClaim returns the epoch that an accepted claim at the offset starts.
 func EpochOfClaim(offset int64) int64 { return offset + 1 }
--- a/internal/core/logrecord/logrecord.go
+++ b/internal/core/logrecord/logrecord.go
@@ -1,17 +1,16 @@
-// Package logrecord defines the envelope of every record that corkpulley
-// appends to the platform's log, and the fence that each reducer applies to
-// it. Every reader runs the same reducer over a stream in offset order, so all
-// readers reach the same verdict on each record ("decide at read").
+// Package logrecord defines the envelope of records in log streams, and the fencing and deduplication of records.
+// Whether a record takes effect is decided when it is read: every reader runs the same reducer over a stream in offset
+// order, so all readers reach the same verdict on each record.
 package logrecord
 
 import (
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Kind names the type of a record's body within its stream.
+// Kind identifies the type of a record's body. It is specific to a stream.
 type Kind string
 
-// Record kinds that the fence itself understands; each reducer adds its own.
+// Record kinds that are common to all streams. Reducers define additional ones.
 const (
 	KindClaim    Kind = "claim"
 	KindRelease  Kind = "release"
@@ -20,55 +19,49 @@
 
 // Record is the envelope of one log record.
 type Record struct {
-	// Writer identifies one process start; it is never used twice.
+	// Writer identifies a process. It is unique for each start.
 	Writer string `msgpack:"w"`
-	// Sequence numbers the records of one writer in one stream from 1, in the
-	// order in which the writer first tried to append them. A writer has one
-	// append in flight for a stream, so a repeat never has a higher number than
-	// a record that is appended after it.
-	// Snapshot records are idempotent by nature and carry 0.
+	// Sequence numbers the records of a writer in a stream, starting at 1, in the order of their first append. A
+	// writer has one append in flight per stream, so a repeat never has a higher number than a record appended
+	// after it. It is 0 in snapshot records, which are idempotent.
 	Sequence uint64 `msgpack:"s"`
-	// Base is the offset up to which the writer had read the stream when it
-	// gave out Sequence, so no copy of the record can stand below it. It lets
-	// Sequences forget old writers safely.
+	// Base is the offset up to which the writer had read the stream when it assigned Sequence, so every copy of
+	// the record has at least this offset. It allows Sequences to remove old writers.
 	Base int64 `msgpack:"o,omitempty"`
-	// Epoch is the ownership epoch the writer holds; zero in streams or for
-	// kinds that need no owner.
+	// Epoch is the ownership epoch that the writer holds; zero in streams and kinds that need no owner.
 	Epoch int64 `msgpack:"e,omitempty"`
 	Kind  Kind  `msgpack:"k"`
-	// Body is the msgpack encoding of the body type that Kind names.
+	// Body is the msgpack encoding of the body, whose type is determined by Kind.
 	Body msgpack.RawMessage `msgpack:"b,omitempty"`
 }
 
-// Claim is the body of KindClaim: the writer asks to own the stream. It wins
-// when PreviousEpoch is the epoch in force where the record stands; the new
-// epoch is then the record's offset + 1 (so never zero).
+// Claim is the body of KindClaim, by which the writer claims ownership of the stream. It is accepted if PreviousEpoch
+// is the current epoch at the record's offset. The new epoch is that offset plus one, so it is never zero.
 type Claim struct {
 	PreviousEpoch int64  `msgpack:"p"`
 	Node          string `msgpack:"n"`
 	Address       string `msgpack:"a"`
 }
 
-// Verdict is what the fence decides about one record.
+// Verdict is the decision about a record.
 type Verdict uint8
 
-// The verdicts of a fence.
+// Verdicts. A record has no effect unless it is Accepted.
 const (
-	// Accepted: the record counts.
+	// Accepted means that the record takes effect.
 	Accepted Verdict = iota
-	// Repeated: the same writer and sequence was seen before; no effect.
+	// Repeated means that a record with the same writer and this or a higher sequence was read before.
 	Repeated
-	// Fenced: the epoch is not the one in force; no effect.
+	// Fenced means that the record's epoch is not current or its writer does not hold it.
 	Fenced
-	// Invalid: the record is malformed or not allowed in this state; no effect.
+	// Invalid means that the record is malformed or not allowed in the current state.
 	Invalid
-	// Expired: the record stands more than ForgetAfter offsets after its Base,
-	// where repeats can no longer be told apart; no effect, and no other copy
-	// of it can have one. The stream runtime proposes it again by itself.
+	// Expired means that the record's offset exceeds its Base by more than ForgetAfter, so that repeats cannot be
+	// detected. No copy after it takes effect either. The stream runtime appends the record again by itself.
 	Expired
 )
 
-// String returns the verdict's name, for logs and metrics.
+// String returns the name of the verdict, for logs and metrics.
 func (v Verdict) String() string {
 	names := [...]string{"accepted", "repeated", "fenced", "invalid", "expired"}
 	if int(v) >= len(names) {
--- a/internal/core/logrecord/logrecord_test.go
+++ b/internal/core/logrecord/logrecord_test.go
@@ -27,7 +27,7 @@
 	assert.ErrorIs(t, err, ErrMalformed)
 }
 
-func TestDecodeRefusesInvalidRecords(t *testing.T) {
+func TestEncodeAndDecodeRejectInvalidRecords(t *testing.T) {
 	for name, record := range map[string]Record{
 		"no writer":      {Sequence: 1, Kind: KindClaim},
 		"no kind":        {Writer: "w", Sequence: 1},
@@ -70,8 +70,8 @@
 	})
 }
 
-// TestSequencesNeverAdmitTwice lets copies of records arrive at any distance,
-// also after their writer was forgotten, through snapshots at random points.
+// Guards against a record that takes effect twice: copies are read at random distances, also after their writer was
+// removed, with snapshots in between.
 func TestSequencesNeverAdmitTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sequences Sequences
@@ -80,7 +80,7 @@
 		var sent []Record
 		offset := int64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "records") {
-			offset += rapid.SampledFrom([]int64{1, 2, sweepEvery, ForgetAfter / 2, ForgetAfter + 1}).Draw(t, "gap")
+			offset += rapid.SampledFrom([]int64{1, 2, sweepInterval, ForgetAfter / 2, ForgetAfter + 1}).Draw(t, "gap")
 			var record Record
 			if len(sent) > 0 && rapid.Bool().Draw(t, "copy") {
 				record = rapid.SampledFrom(sent).Draw(t, "sent")
@@ -91,7 +91,7 @@
 				sent = append(sent, record)
 			}
 			if rapid.Bool().Draw(t, "snapshot") {
-				sequences = restored(t, sequences)
+				sequences = snapshotRoundTrip(t, sequences)
 			}
 			if sequences.Admit(offset, record) == Accepted {
 				assert.Assert(t, !admitted[record.Writer][record.Sequence])
@@ -102,12 +102,12 @@
 			}
 		}
 		for writer, last := range highest {
-			assert.Equal(t, uint64(len(admitted[writer])), last, "every first copy counts")
+			assert.Equal(t, uint64(len(admitted[writer])), last, "every first copy must be accepted")
 		}
 	})
 }
 
-func restored(t assert.TestingT, sequences Sequences) Sequences {
+func snapshotRoundTrip(t assert.TestingT, sequences Sequences) Sequences {
 	data, err := msgpack.Marshal(sequences)
 	assert.NilError(t, err)
 	var copied Sequences
@@ -121,7 +121,7 @@
 		writer := strconv.FormatInt(offset, 10)
 		sequences.Admit(offset, Record{Writer: writer, Sequence: 1, Base: offset, Kind: "test"})
 	}
-	assert.Assert(t, len(sequences.writers) <= ForgetAfter+2*sweepEvery)
+	assert.Assert(t, len(sequences.writers) <= ForgetAfter+2*sweepInterval)
 	assert.Equal(t, sequences.Admit(4*ForgetAfter, Record{Writer: "old", Sequence: 1, Kind: "test"}), Expired)
 }
 
@@ -132,7 +132,7 @@
 	return Record{Writer: writer, Sequence: sequence, Kind: KindClaim, Body: body}
 }
 
-func TestOwnership(t *testing.T) {
+func TestOwnershipReducer(t *testing.T) {
 	var reducer OwnershipReducer
 	steps := []struct {
 		record  Record
@@ -163,34 +163,33 @@
 	assert.Equal(t, reducer.Fence(), want)
 }
 
-func TestFenceRefusesAnotherWriterUnderTheSameEpoch(t *testing.T) {
+func TestFenceRejectsOtherWriterInSameEpoch(t *testing.T) {
 	var fence Fence
 	assert.Equal(t, fence.Check(0, claimRecord(t, "a", 1, 0)), Accepted)
 	assert.Equal(t, fence.Check(1, Record{Writer: "a", Sequence: 2, Epoch: 1, Kind: "fill"}), Accepted)
 	assert.Equal(t, fence.Check(2, Record{Writer: "b", Sequence: 1, Epoch: 1, Kind: "fill"}), Fenced)
 }
 
-// TestDecodingAllocatesNoMoreThanTheInputHolds: a record of a few bytes that
-// claims millions of elements must not take their memory at every reader.
-func TestDecodingAllocatesNoMoreThanTheInputHolds(t *testing.T) {
-	claim := []byte{0xdd, 0x00, 0x40, 0x00, 0x00, 0x80} // an array of 4 Mi elements, of which one is there
+// Guards against a record of a few bytes whose encoded length causes a large allocation at every reader.
+func TestDecodingBoundsAllocations(t *testing.T) {
+	claim := []byte{0xdd, 0x00, 0x40, 0x00, 0x00, 0x80} // an array of 4 Mi elements, of which only one follows
 	var bodies []Claim
 	allocated := allocatedBy(func() {
 		assert.ErrorIs(t, DecodeBody(Record{Body: claim}, &bodies), ErrMalformed)
 	})
-	assert.Assert(t, allocated < 1<<20, "%d bytes for a body of %d", allocated, len(claim))
+	assert.Assert(t, allocated < 1<<20, "allocated %d bytes for a body of %d bytes", allocated, len(claim))
 
 	var reducer OwnershipReducer
 	snapshot := append([]byte{0x81, 0xa1, 's', 0x81, 0xa1, 'w'}, claim...)
 	allocated = allocatedBy(func() { assert.Assert(t, reducer.Restore(snapshot) != nil) })
-	assert.Assert(t, allocated < 1<<20, "%d bytes for a snapshot of %d", allocated, len(snapshot))
+	assert.Assert(t, allocated < 1<<20, "allocated %d bytes for a snapshot of %d bytes", allocated, len(snapshot))
 }
 
-// allocatedBy returns the bytes that the call allocated.
-func allocatedBy(call func()) uint64 {
+// allocatedBy returns the number of bytes that a function allocates.
+func allocatedBy(run func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	call()
+	run()
 	runtime.ReadMemStats(&after)
 	return after.TotalAlloc - before.TotalAlloc
 }
--- a/internal/core/logrecord/ownership.go
+++ b/internal/core/logrecord/ownership.go
@@ -6,8 +6,8 @@
 	"github.com/corkpulley/corkpulley/internal/core/msgpackguard"
 )
 
-// OwnershipReducer reduces a stream that holds only claims and releases, such
-// as orders/<model>. The zero value is ready. It implements logstream.Reducer.
+// OwnershipReducer computes the owner of a stream that contains only claims and releases, such as orders/<model>. It
+// implements logstream.Reducer. The zero value is ready to use.
 type OwnershipReducer struct {
 	state ownershipState
 }
@@ -20,7 +20,7 @@
 // Fence returns a copy of the ownership state.
 func (r *OwnershipReducer) Fence() Fence { return r.state.Fence }
 
-// Apply applies a claim or a release; every other kind is Invalid.
+// Apply applies a claim or a release at the offset. Records of other kinds are Invalid.
 func (r *OwnershipReducer) Apply(offset int64, record Record) Verdict {
 	if verdict := r.state.Sequences.Admit(offset, record); verdict != Accepted {
 		return verdict
@@ -31,10 +31,10 @@
 	return r.state.Fence.Check(offset, record)
 }
 
-// Snapshot encodes the state.
+// Snapshot returns the encoded state.
 func (r *OwnershipReducer) Snapshot() ([]byte, error) { return msgpack.Marshal(&r.state) }
 
-// Restore replaces the state by a snapshot's.
+// Restore replaces the state by that of a snapshot. It does not change the state on error.
 func (r *OwnershipReducer) Restore(snapshot []byte) error {
 	var state ownershipState
 	if err := msgpackguard.Check(snapshot); err != nil {
--- a/internal/core/logrecord/sequences.go
+++ b/internal/core/logrecord/sequences.go
@@ -8,22 +8,19 @@
 )
 
 const (
-	// ForgetAfter is the number of offsets after which a writer's highest
-	// sequence is forgotten, unless it wrote again.
+	// ForgetAfter is the number of offsets after which a writer without further records is removed.
 	ForgetAfter = 1 << 16
-	// sweepEvery is the number of offsets between removals of forgotten writers.
-	sweepEvery = 1 << 10
+	// sweepInterval is the number of offsets between removals of inactive writers.
+	sweepInterval = 1 << 10
 )
 
-// Sequences remembers the highest sequence of each writer of one stream and so
-// finds repeats. The zero value is ready. Its state is a pure function of the
-// offsets and records it was given.
+// Sequences detects repeated records of a stream by the highest sequence of each writer. Its state is a deterministic
+// function of the records and their offsets. The zero value is ready to use.
 //
-// It is bounded: a writer is forgotten ForgetAfter offsets after its last
-// record. That is safe, because a record that stands more than ForgetAfter
-// offsets after its Base is Expired, and a repeat of a forgotten writer's
-// record always does: its Base is at most the offset of its first copy, which
-// is at most the writer's last offset.
+// The number of writers is bounded: a writer is removed ForgetAfter offsets after its last record. Repeats are still
+// detected, since a record whose offset exceeds its Base by more than ForgetAfter is Expired. This holds for every
+// repeat of a removed writer's record: its Base is at most the offset of its first copy, which is at most the offset
+// of the writer's last record.
 type Sequences struct {
 	writers map[string]writerState
 	// next is the offset after the last admitted record.
@@ -35,10 +32,9 @@
 	offset   int64
 }
 
-// Admit returns Accepted for a record that was not seen before, and notes it;
-// Repeated or Expired otherwise. A reducer calls it first for each record,
-// in offset order, and looks no further at one that is not Accepted. A record
-// whose reducer then refuses it stays noted, so its repeats have no effect.
+// Admit returns Accepted for the first copy of a record, otherwise Repeated or Expired. A reducer must call it for each
+// record, in offset order, and ignore records that are not Accepted. Repeats are detected even if the reducer rejects
+// the first copy.
 func (s *Sequences) Admit(offset int64, record Record) Verdict {
 	if s.writers == nil {
 		s.writers = make(map[string]writerState)
@@ -48,7 +44,7 @@
 		return Expired
 	}
 	last, known := s.writers[record.Writer]
-	known = known && !forgotten(last, offset)
+	known = known && !isInactive(last, offset)
 	if known && record.Sequence <= last.sequence {
 		return Repeated
 	}
@@ -57,26 +53,25 @@
 }
 
 func (s *Sequences) advance(offset int64) {
-	if offset/sweepEvery != (s.next-1)/sweepEvery {
-		s.sweep(offset)
+	if offset/sweepInterval != (s.next-1)/sweepInterval {
+		s.removeInactive(offset)
 	}
 	s.next = offset + 1
 }
 
-func (s *Sequences) sweep(offset int64) {
+func (s *Sequences) removeInactive(offset int64) {
 	for writer, last := range s.writers {
-		if forgotten(last, offset) {
+		if isInactive(last, offset) {
 			delete(s.writers, writer)
 		}
 	}
 }
 
-func forgotten(last writerState, offset int64) bool {
+func isInactive(last writerState, offset int64) bool {
 	return offset-last.offset > ForgetAfter
 }
 
-// sequencesSnapshot is the encoded form, sorted so that equal states have
-// equal bytes.
+// sequencesSnapshot is the encoded form of Sequences. Writers are sorted, so that equal states have equal encodings.
 type sequencesSnapshot struct {
 	Next    int64            `msgpack:"n"`
 	Writers []writerSnapshot `msgpack:"w"`
@@ -93,11 +88,11 @@
 	_ msgpack.CustomDecoder = (*Sequences)(nil)
 )
 
-// EncodeMsgpack writes the state, for snapshots of reducers.
+// EncodeMsgpack implements msgpack.CustomEncoder.
 func (s Sequences) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	snapshot := sequencesSnapshot{Next: s.next}
 	for writer, last := range s.writers {
-		if forgotten(last, s.next) {
+		if isInactive(last, s.next) {
 			continue
 		}
 		entry := writerSnapshot{Writer: writer, Sequence: last.sequence, Offset: last.offset}
@@ -109,7 +104,7 @@
 	return encoder.Encode(snapshot)
 }
 
-// DecodeMsgpack replaces the state by an encoded one.
+// DecodeMsgpack implements msgpack.CustomDecoder. It replaces the state.
 func (s *Sequences) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	var snapshot sequencesSnapshot
 	if err := decoder.Decode(&snapshot); err != nil {
