--- a/internal/batchjobs/batches_test.go
+++ b/internal/batchjobs/batches_test.go
@@ -14,15 +14,14 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// boundedLog rejects appends above a number of bytes, as the platform's log does, and
-// all appends after a number of calls.
-type boundedLog struct {
+// limitedLog rejects appends above callBytes, as the platform's log does, and all appends after callsLeft calls.
+type limitedLog struct {
 	*memlog.Log
 	callBytes int
 	callsLeft int
 }
 
-func (l *boundedLog) Append(
+func (l *limitedLog) Append(
 	ctx context.Context, partition eventlog.Partition, records [][]byte,
 ) (int64, error) {
 	size := 0
@@ -30,7 +29,7 @@
 		size += len(record) + 4
 	}
 	if size > l.callBytes {
-		return 0, fmt.Errorf("an append of %d bytes: %w", size, eventlog.ErrNotDone)
+		return 0, fmt.Errorf("append of %d bytes: %w", size, eventlog.ErrNotDone)
 	}
 	if l.callsLeft == 0 {
 		return 0, eventlog.ErrNotDone
@@ -39,10 +38,10 @@
 	return l.Log.Append(ctx, partition, records)
 }
 
-const boundedCalls = 8192
+const callLimitBytes = 8192
 
-// outageOf returns items that ended during an outage of the log: ten times the limit of a call.
-func outageOf(t *testing.T, service *Service) ([]FinishedItem, []RunningItem) {
+// outageBacklog returns items that ended during a log outage, with ten times the bytes of one append.
+func outageBacklog(t *testing.T, service *Service) ([]FinishedItem, []RunningItem) {
 	t.Helper()
 	var names []string
 	var ended []FinishedItem
@@ -59,10 +58,10 @@
 	return ended, running
 }
 
-// TestWhatAnOutageLeftIsWrittenInSeveralCalls: a single call would be rejected on every retry.
-func TestWhatAnOutageLeftIsWrittenInSeveralCalls(t *testing.T) {
-	service := newService(&boundedLog{Log: memlog.New(), callBytes: boundedCalls, callsLeft: 1000})
-	ended, running := outageOf(t, service)
+// Guards against a backlog that is written in one append, which the log would reject on every retry.
+func TestOutageBacklogIsWrittenInSeveralAppends(t *testing.T) {
+	service := newService(&limitedLog{Log: memlog.New(), callBytes: callLimitBytes, callsLeft: 1000})
+	ended, running := outageBacklog(t, service)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	kept, err := service.Keep(ctx, service.PartitionOf("j"), running)
@@ -77,18 +76,18 @@
 	}
 }
 
-// TestWhatWasWrittenBeforeAFailureIsTold: the caller does not write it again.
-func TestWhatWasWrittenBeforeAFailureIsTold(t *testing.T) {
-	log := &boundedLog{Log: memlog.New(), callBytes: boundedCalls, callsLeft: 1000}
+// Guards against callers that write recorded items again after a partial failure.
+func TestRecordReturnsCountWrittenBeforeFailure(t *testing.T) {
+	log := &limitedLog{Log: memlog.New(), callBytes: callLimitBytes, callsLeft: 1000}
 	service := newService(log)
-	ended, _ := outageOf(t, service)
-	// Two batches of two calls each, and half of the third.
+	ended, _ := outageBacklog(t, service)
+	// Two batches of two appends each, and the first append of the third.
 	log.callsLeft = 5
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	recorded, err := service.Record(ctx, service.PartitionOf("j"), ended)
 	assert.Assert(t, err != nil)
-	assert.Equal(t, recorded, 2*firstBatch(ended, finishedTexts, boundedCalls))
+	assert.Equal(t, recorded, 2*firstBatchLen(ended, finishedTexts, callLimitBytes))
 	log.callsLeft = 1000
 	record(t, service, ended[recorded:])
 	results, err := service.Results(t.Context(), "j", 0, 0)
@@ -96,20 +95,20 @@
 	assert.Equal(t, len(results.Results), len(ended))
 }
 
-func TestABatchHasOneItemAtLeastAndABoundedNumber(t *testing.T) {
-	sizes := textAccess[int]{
-		size: func(size int) int { return size },
-		data: func(size int) eventlog.Partition { return eventlog.Partition{Number: size % 2} },
+func TestFirstBatchLenBounds(t *testing.T) {
+	sizes := textAccessors[int]{
+		size:          func(size int) int { return size },
+		dataPartition: func(size int) eventlog.Partition { return eventlog.Partition{Number: size % 2} },
 	}
-	assert.Equal(t, firstBatch([]int{9000, 1}, sizes, boundedCalls), 1)
-	assert.Equal(t, firstBatch([]int{4000, 4000, 4000}, sizes, boundedCalls), 2)
-	assert.Equal(t, firstBatch(make([]int, 5000), sizes, 1<<20), maxBatchItems)
-	assert.Equal(t, firstBatch([]int{1}, sizes, boundedCalls), 1)
-	assert.Equal(t, firstBatch([]int{2, 4, 3}, sizes, boundedCalls), 2, "the third is written elsewhere")
+	assert.Equal(t, firstBatchLen([]int{9000, 1}, sizes, callLimitBytes), 1)
+	assert.Equal(t, firstBatchLen([]int{4000, 4000, 4000}, sizes, callLimitBytes), 2)
+	assert.Equal(t, firstBatchLen(make([]int, 5000), sizes, 1<<20), maxBatchItems)
+	assert.Equal(t, firstBatchLen([]int{1}, sizes, callLimitBytes), 1)
+	assert.Equal(t, firstBatchLen([]int{2, 4, 3}, sizes, callLimitBytes), 2, "the third item belongs to another partition")
 }
 
-// finishedTexts accesses texts that all belong to one partition.
-var finishedTexts = textAccess[FinishedItem]{
-	size: func(item FinishedItem) int { return len(item.Text) },
-	data: func(FinishedItem) eventlog.Partition { return eventlog.Partition{} },
+// finishedTexts are accessors for texts of a single partition.
+var finishedTexts = textAccessors[FinishedItem]{
+	size:          func(item FinishedItem) int { return len(item.Text) },
+	dataPartition: func(FinishedItem) eventlog.Partition { return eventlog.Partition{} },
 }
--- a/internal/batchjobs/batchjobs.go
+++ b/internal/batchjobs/batchjobs.go
@@ -1,7 +1,6 @@
-// Package batchjobs stores batch jobs in the log: it accepts them, returns their
-// results and bodies, and ends them. A node starts to read an index partition with the
-// first request for a job there, or once it leads; texts and bodies are read from the
-// log on request.
+// Package batchjobs stores batch jobs in the event log: it accepts and ends jobs, records the results of
+// their items and serves results and request bodies. A node reads an index partition only after the first
+// query or observer for it; result texts and bodies are read from the log on demand.
 package batchjobs
 
 import (
@@ -19,49 +18,49 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// Topics of the log.
+// Log topics.
 const (
 	indexTopic = "corkpulley.jobs"
 	dataTopic  = "corkpulley.data"
 )
 
 const (
-	// readLimit bounds one read of records.
-	readLimit = 512 << 10
-	// bodyReadLimit bounds the read of one body, of which one record is enough.
-	bodyReadLimit = 4 << 10
-	// maxResultBytes bounds the texts of one answer.
+	// readLimitBytes bounds one read of a data partition.
+	readLimitBytes = 512 << 10
+	// bodyReadLimitBytes bounds one read for a single body, which is one record.
+	bodyReadLimitBytes = 4 << 10
+	// maxResultBytes bounds the texts of one query response.
 	maxResultBytes = 900 << 10
-	// recordOverhead is the framing of a record, in bytes.
-	recordOverhead = 8
-	forgetPeriod   = 5 * time.Second
+	// recordOverheadBytes is the framing of a record.
+	recordOverheadBytes = 8
+	expireInterval      = 5 * time.Second
 )
 
-// Options are the settings of batch jobs.
+// Options configures a Service.
 type Options struct {
-	// Partitions is the number of partitions. It must be the same on all nodes and never change.
+	// Partitions is the number of partitions. It must be the same on all nodes and must never change.
 	Partitions int
-	// RecordBytes and CallBytes are the log's limits.
+	// RecordBytes and CallBytes are the log's limits for one record and one append.
 	RecordBytes int
 	CallBytes   int
-	// KeepJobs is how long a closed job can be read after its record was first read.
+	// KeepJobs is the retention period of a closed job, from the time at which this node first read its record.
 	KeepJobs time.Duration
-	// Budget bounds the log reads of all nodes together.
+	// Budget bounds the rate of log reads of all nodes together.
 	Budget pacing.Budget
-	// Hold, if set, reserves memory for bytes that are about to be read for a caller. Its error is
-	// returned to the caller.
+	// Hold, if set, reserves memory for bytes that are about to be read for a caller. Its error is returned to
+	// the caller.
 	Hold   func(bytes int) (release func(), err error)
 	Logger zerolog.Logger
 }
 
-// Service serves batch jobs.
+// Service stores and serves batch jobs. It is safe for concurrent use.
 type Service struct {
 	log        eventlog.Log
 	options    Options
 	partitions []*partition
 }
 
-// New returns a service; Run reads the index.
+// New returns a service. Run must be called to read the index.
 func New(log eventlog.Log, options Options) *Service {
 	if options.Hold == nil {
 		options.Hold = func(int) (func(), error) { return func() {}, nil }
@@ -76,21 +75,21 @@
 // Run reads the index until ctx ends.
 func (s *Service) Run(ctx context.Context) error {
 	var group errgroup.Group
-	for _, each := range s.partitions {
+	for _, p := range s.partitions {
 		group.Go(func() error {
-			each.tail(ctx)
+			p.tail(ctx)
 			return nil
 		})
 	}
 	group.Go(func() error {
-		s.forgetOld(ctx)
+		s.expireJobs(ctx)
 		return nil
 	})
 	return group.Wait()
 }
 
-func (s *Service) forgetOld(ctx context.Context) {
-	ticker := time.NewTicker(forgetPeriod)
+func (s *Service) expireJobs(ctx context.Context) {
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -98,8 +97,8 @@
 			return
 		case <-ticker.C:
 		}
-		for _, each := range s.partitions {
-			each.forget(time.Now().Add(-s.options.KeepJobs))
+		for _, p := range s.partitions {
+			p.expire(time.Now().Add(-s.options.KeepJobs))
 		}
 	}
 }
@@ -108,22 +107,21 @@
 	return s.partitions[xxhash.Sum64String(jobID)%uint64(len(s.partitions))]
 }
 
-// Observe notifies the observer of all open jobs and of changes, until Unobserve. An observer that is
+// Observe notifies the observer of all open jobs and then of changes, until Unobserve. An observer that is
 // already registered is notified of all open jobs again.
 func (s *Service) Observe(observer batch.Observer) {
-	for _, each := range s.partitions {
-		each.observe(observer)
+	for _, p := range s.partitions {
+		p.observe(observer)
 	}
 }
 
-// Unobserve unregisters the observer.
 func (s *Service) Unobserve(observer batch.Observer) {
-	for _, each := range s.partitions {
-		each.unobserve(observer)
+	for _, p := range s.partitions {
+		p.unobserve(observer)
 	}
 }
 
-// Knows reports whether a job was accepted, as of the call.
+// Knows reports whether a job had been accepted at the time of the call.
 func (s *Service) Knows(ctx context.Context, jobID string) (bool, error) {
 	_, err := s.partitionOf(jobID).lookUp(ctx, jobID)
 	if errkind.Is(err, errkind.NotFound) {
@@ -138,34 +136,34 @@
 	Payloads []batch.Payload
 }
 
-// Accept stores a job. A nil error means that the job is durable, by this call or
-// an earlier one. An error of a kind that says "not executed" means that this call
-// has not written a record of the job and never will.
+// Accept stores a job. A nil error means that the job is durable, through this call or an earlier one. An
+// error of a kind that means "not executed" guarantees that this call has not written and will not write a
+// record of the job.
 func (s *Service) Accept(ctx context.Context, submission Submission) error {
 	target := s.partitionOf(submission.Job.ID)
 	if target.isKnown(submission.Job.ID) {
 		return nil
 	}
-	spans, err := s.writePayloads(ctx, target.data(submission.Job.Homes), submission.Payloads)
+	spans, err := s.writePayloads(ctx, target.dataPartition(submission.Job.Homes), submission.Payloads)
 	if err != nil {
 		return err
 	}
 	submission.Job.Payloads = spans
-	submission.Job.CountReturned(s.earlier(&submission.Job))
+	submission.Job.CountReturned(s.earlierJobs(&submission.Job))
 	return s.appendIndex(ctx, target, batch.Record{Job: &submission.Job})
 }
 
-// earlier returns the known jobs of steps before the given job's.
-func (s *Service) earlier(than *batch.JobRecord) []batch.EarlierJob {
-	var earlier []batch.EarlierJob
-	for _, each := range s.partitions {
-		earlier = append(earlier, each.earlier(than)...)
+// earlierJobs returns the known jobs of earlier steps than the given job's.
+func (s *Service) earlierJobs(job *batch.JobRecord) []batch.EarlierJob {
+	var earlierJobs []batch.EarlierJob
+	for _, p := range s.partitions {
+		earlierJobs = append(earlierJobs, p.earlierJobs(job)...)
 	}
-	return earlier
+	return earlierJobs
 }
 
-// writePayloads writes the payloads in as many calls as the log's limits require.
-// They have no effect until the job's record references them.
+// writePayloads writes the payloads in as many appends as the log's limits require. They have no effect until
+// the job's record references them.
 func (s *Service) writePayloads(
 	ctx context.Context, data eventlog.Partition, payloads []batch.Payload,
 ) ([]batch.Span, error) {
@@ -190,15 +188,16 @@
 			return nil, err
 		}
 		if len(raw) > s.options.RecordBytes {
-			return nil, errkind.New(errkind.PayloadTooLarge, "an item of %d bytes, at most %d", len(raw), s.options.RecordBytes)
+			return nil, errkind.New(errkind.PayloadTooLarge,
+				"item of %d bytes exceeds the limit of %d bytes", len(raw), s.options.RecordBytes)
 		}
-		if size+len(raw)+recordOverhead > s.options.CallBytes {
+		if size+len(raw)+recordOverheadBytes > s.options.CallBytes {
 			if err := flush(); err != nil {
 				return nil, err
 			}
 		}
 		records = append(records, raw)
-		size += len(raw) + recordOverhead
+		size += len(raw) + recordOverheadBytes
 	}
 	return spans, flush()
 }
@@ -216,7 +215,7 @@
 	return s.appendIndex(ctx, target, batch.Record{End: jobID})
 }
 
-// unavailable converts a failure of the log to the error of a query.
+// unavailable converts a log error to a LogUnavailable error, unless it already has a kind.
 func unavailable(err error) error {
 	var known *errkind.Error
 	if errors.As(err, &known) {
--- a/internal/batchjobs/batchjobs_test.go
+++ b/internal/batchjobs/batchjobs_test.go
@@ -17,8 +17,7 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// countingLog counts reads of the index and of the data, and the bytes of data
-// requested.
+// countingLog counts reads of the index and of data, and the requested bytes of data.
 type countingLog struct {
 	*memlog.Log
 	indexReads atomic.Int64
@@ -45,8 +44,8 @@
 	})
 }
 
-// follow runs the service's reads of the index for the rest of the test.
-func follow(t *testing.T, service *Service) {
+// startService runs the service until the end of the test.
+func startService(t *testing.T, service *Service) {
 	t.Helper()
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -82,11 +81,11 @@
 	assert.Equal(t, recorded, len(items))
 }
 
-// TestAnyNodeTellsOfAJobAtOnce queries a node that does not follow the partition closely.
-func TestAnyNodeTellsOfAJobAtOnce(t *testing.T) {
+// Guards against a node that answers from outdated state while it reads the partition at the idle rate.
+func TestJobIsReadableOnOtherNode(t *testing.T) {
 	log := memlog.New()
 	one, other := newService(log), newService(log)
-	follow(t, other)
+	startService(t, other)
 	ctx := t.Context()
 	assert.NilError(t, one.Accept(ctx, submission("j", "a", "b")))
 	body, err := other.Body(ctx, "j", "b")
@@ -100,10 +99,10 @@
 	assert.Equal(t, string(results.Results[0].Text), "text of b")
 }
 
-func TestUnknownJobsAreDeniedOnlyAfterAReadToTheEnd(t *testing.T) {
+func TestUnknownJobIsNotFoundOnlyAfterReadToEnd(t *testing.T) {
 	log := memlog.New()
 	service := newService(log)
-	follow(t, service)
+	startService(t, service)
 	_, err := service.Results(t.Context(), "none", 0, 0)
 	assert.Equal(t, errkind.KindOf(err), errkind.NotFound)
 	log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
@@ -111,9 +110,8 @@
 	assert.Equal(t, errkind.KindOf(err), errkind.LogUnavailable)
 }
 
-// TestRepeatedRecordsChangeNothing: a job that is submitted twice is accepted once, and
-// the first result of an item wins.
-func TestRepeatedRecordsChangeNothing(t *testing.T) {
+// A job that is submitted twice is accepted once, and the first result of an item counts.
+func TestRepeatedRecordsAreIdempotent(t *testing.T) {
 	log := memlog.New()
 	one, other := newService(log), newService(log)
 	ctx := t.Context()
@@ -129,9 +127,8 @@
 	}
 }
 
-// TestOnlyACertainRefusalSaysNotExecuted: an index append without an answer may have
-// taken effect, so the error must not say that the job will not run.
-func TestOnlyACertainRefusalSaysNotExecuted(t *testing.T) {
+// Guards against an error that claims "not executed" although the index append may have taken effect.
+func TestAcceptErrorKindByAppendFault(t *testing.T) {
 	for name, each := range map[string]struct {
 		fault memlog.Fault
 		kind  errkind.Kind
@@ -156,8 +153,7 @@
 	}
 }
 
-// TestTextsOfSeveralRecordsAreWhole writes a text above the limit of a record.
-func TestTextsOfSeveralRecordsAreWhole(t *testing.T) {
+func TestResultTextSpanningSeveralRecords(t *testing.T) {
 	log := memlog.New()
 	service := newService(log)
 	ctx := t.Context()
@@ -172,14 +168,13 @@
 	assert.Equal(t, string(results.Results[0].Text), string(text))
 }
 
-// TestPartitionsAreReadOnceSomebodyAsks: a node that serves live requests only does not
-// read the index.
-func TestPartitionsAreReadOnceSomebodyAsks(t *testing.T) {
+// Guards against index reads by nodes that serve live requests only.
+func TestPartitionIsNotReadBeforeFirstQuery(t *testing.T) {
 	log := &countingLog{Log: memlog.New()}
 	assert.NilError(t, newService(log.Log).Accept(t.Context(), submission("j", "a")))
 	service := newService(log)
-	follow(t, service)
-	time.Sleep(50 * time.Millisecond) // a reader that follows at once would have read by now
+	startService(t, service)
+	time.Sleep(50 * time.Millisecond) // enough for a first read
 	assert.Equal(t, log.indexReads.Load(), int64(0))
 	results, err := service.Results(t.Context(), "j", 0, 0)
 	assert.NilError(t, err)
@@ -207,15 +202,14 @@
 	o.ended = append(o.ended, job.ID)
 }
 
-func (o *observer) sees(added, ended int) bool {
+func (o *observer) hasSeen(added, ended int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.added) >= added && len(o.ended) >= ended
 }
 
-// TestObserversHearOnlyOfWhatIsOpen: a new leader that has not read the index yet is not
-// notified of jobs that have ended.
-func TestObserversHearOnlyOfWhatIsOpen(t *testing.T) {
+// Guards against notifying a new leader of ended jobs while it reads the index from the start.
+func TestObserverIsNotifiedOfOpenJobsOnly(t *testing.T) {
 	log := memlog.New()
 	ctx, before := t.Context(), newService(log)
 	for _, job := range []string{"over-1", "over-2", "over-3", "over-4"} {
@@ -224,30 +218,29 @@
 	}
 	assert.NilError(t, before.Accept(ctx, submission("open", "a")))
 	service, seen := newService(log), &observer{}
-	follow(t, service)
+	startService(t, service)
 	service.Observe(seen)
-	testwait.Until(t, "the open job", func() bool { return seen.sees(1, 0) })
+	testwait.Until(t, "the observer is notified of the open job", func() bool { return seen.hasSeen(1, 0) })
 	assert.NilError(t, before.Accept(ctx, submission("new", "a")))
 	assert.NilError(t, before.End(ctx, "open"))
-	testwait.Until(t, "the changes", func() bool { return seen.sees(2, 1) })
+	testwait.Until(t, "the observer is notified of the changes", func() bool { return seen.hasSeen(2, 1) })
 	assert.DeepEqual(t, seen.added, []string{"open", "new"})
 	assert.DeepEqual(t, seen.ended, []string{"open"})
 }
 
-// TestPartitionsThatNobodyAsksForAreReadSeldom: without queries a node reads each partition
-// once a period, at any rate of records.
-func TestPartitionsThatNobodyAsksForAreReadSeldom(t *testing.T) {
+// Without queries a node reads each partition once per idle period, regardless of the rate of new records.
+func TestIdlePartitionReadRateIsBounded(t *testing.T) {
 	log := &countingLog{Log: memlog.New()}
 	idle := newService(log)
-	follow(t, idle)
-	for _, job := range []string{"a", "b", "c", "d", "e", "f"} { // some in each partition
+	startService(t, idle)
+	for _, job := range []string{"a", "b", "c", "d", "e", "f"} { // covers all partitions
 		_, err := idle.Results(t.Context(), job, 0, 0)
 		assert.Equal(t, errkind.KindOf(err), errkind.NotFound)
 	}
 	began, before := time.Now(), log.indexReads.Load()
 	for range 200 {
 		assert.NilError(t, newService(log.Log).Accept(t.Context(), submission("j", "a")))
-		time.Sleep(time.Millisecond) // lets a reader that follows closely read each record
+		time.Sleep(time.Millisecond) // long enough for a read of each record
 	}
 	reads := log.indexReads.Load() - before
 	periods := int64(time.Since(began)/idleReadPeriod) + 2
--- a/internal/batchjobs/gap_test.go
+++ b/internal/batchjobs/gap_test.go
@@ -15,35 +15,35 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// slowReads is a log whose index reads block while the gate is locked.
-type slowReads struct {
+// gatedLog is a log whose index reads block while the gate is locked.
+type gatedLog struct {
 	*memlog.Log
 	gate sync.Mutex
 }
 
-func (s *slowReads) pass() {
+func (s *gatedLog) awaitGate() {
 	s.gate.Lock()
 	defer s.gate.Unlock()
 }
 
-func (s *slowReads) Read(
+func (s *gatedLog) Read(
 	ctx context.Context, partition eventlog.Partition, from int64, limit int, wait time.Duration,
 ) (eventlog.Batch, error) {
 	if partition.Topic == indexTopic {
-		s.pass()
+		s.awaitGate()
 	}
 	return s.Log.Read(ctx, partition, from, limit, wait)
 }
 
-// TestAPositionHoldsOneResultThoughTheLogForgot: a node that knows the job has missed the record of
-// its first result. It may fail then, but must not return another result at that position.
-func TestAPositionHoldsOneResultThoughTheLogForgot(t *testing.T) {
+// Guards against another result at a known position after the log trimmed the record of the first result
+// before this node read it. An error is allowed.
+func TestResultPositionIsStableAfterLogTrim(t *testing.T) {
 	t.Parallel()
 	log := memlog.New()
-	link := &slowReads{Log: log}
-	writer, reader := newService(log), newService(link)
-	follow(t, writer)
-	follow(t, reader)
+	slowLog := &gatedLog{Log: log}
+	writer, reader := newService(log), newService(slowLog)
+	startService(t, writer)
+	startService(t, reader)
 	assert.NilError(t, writer.Accept(t.Context(), submission("j1", "i1", "i2")))
 	_, err := reader.Results(t.Context(), "j1", 0, 0)
 	assert.NilError(t, err)
@@ -54,7 +54,7 @@
 		})
 		assert.NilError(t, err)
 	}
-	link.gate.Lock()
+	slowLog.gate.Lock()
 	record(0)
 	known, err := writer.Results(t.Context(), "j1", 0, time.Second)
 	assert.NilError(t, err)
@@ -62,7 +62,7 @@
 	index := eventlog.Partition{Topic: indexTopic, Number: number}
 	log.Trim(index, log.End(index))
 	record(1)
-	link.gate.Unlock()
+	slowLog.gate.Unlock()
 	for began := time.Now(); time.Since(began) < 2*idleReadPeriod; time.Sleep(10 * time.Millisecond) {
 		results, err := reader.Results(t.Context(), "j1", 0, 0)
 		if err == nil && len(results.Results) > 0 {
@@ -71,36 +71,35 @@
 	}
 }
 
-// forget trims the index partition of a job.
-func forget(log *memlog.Log, service *Service, jobID string) {
+// trimIndex trims the index partition of a job.
+func trimIndex(log *memlog.Log, service *Service, jobID string) {
 	index := eventlog.Partition{Topic: indexTopic, Number: service.PartitionOf(jobID)}
 	log.Trim(index, log.End(index))
 }
 
-// TestBehindAGapUnknownJobsAreDeniedOnceNoneCanBeAskedFor: after KeepJobs.
-func TestBehindAGapUnknownJobsAreDeniedOnceNoneCanBeAskedFor(t *testing.T) {
+func TestUnknownJobAfterGapIsNotFoundOnceRetentionHasPassed(t *testing.T) {
 	t.Parallel()
 	log := memlog.New()
 	assert.NilError(t, newService(log).Accept(t.Context(), submission("j", "a")))
 	service := newService(log)
-	forget(log, service, "j")
-	follow(t, service)
+	trimIndex(log, service, "j")
+	startService(t, service)
 	assert.Equal(t, errkind.KindOf(service.End(t.Context(), "j")), errkind.HistoryLost)
 	target := service.partitionOf("j")
 	target.mu.Lock()
-	target.lostAt = boottime.Now().Add(-service.options.KeepJobs)
+	target.historyLostAt = boottime.Now().Add(-service.options.KeepJobs)
 	target.mu.Unlock()
 	assert.Equal(t, errkind.KindOf(service.End(t.Context(), "j")), errkind.NotFound)
 }
 
-// TestBehindAGapNewJobsAreServed: a cluster whose nodes have all restarted late has a gap everywhere.
-func TestBehindAGapNewJobsAreServed(t *testing.T) {
+// Guards against a cluster that serves no jobs after all nodes restarted and found trimmed records.
+func TestNewJobAfterGapIsServed(t *testing.T) {
 	t.Parallel()
 	log := memlog.New()
 	assert.NilError(t, newService(log).Accept(t.Context(), submission("old", "a")))
 	service := newService(log)
-	forget(log, service, "old")
-	follow(t, service)
+	trimIndex(log, service, "old")
+	startService(t, service)
 	assert.NilError(t, service.Accept(t.Context(), submission("j", "a")))
 	record(t, service, finished("j", 0, "text"))
 	results, err := service.Results(t.Context(), "j", 0, 5*time.Second)
@@ -108,12 +107,12 @@
 	assert.Equal(t, string(results.Results[0].Text), "text")
 }
 
-// TestOverAGapAKnownJobCanBeEndedAndItsBodiesRead: only the positions of its results are unknown.
-func TestOverAGapAKnownJobCanBeEndedAndItsBodiesRead(t *testing.T) {
+// A gap makes only the positions of a known job's results uncertain.
+func TestKnownJobAcrossGapCanBeEndedAndItsBodiesRead(t *testing.T) {
 	t.Parallel()
 	log := memlog.New()
 	service, other := newService(log), newService(log)
-	follow(t, service)
+	startService(t, service)
 	assert.NilError(t, service.Accept(t.Context(), submission("j", "a", "b")))
 	record(t, service, finished("j", 0, "text"))
 	_, err := service.Results(t.Context(), "j", 0, 0)
@@ -131,12 +130,12 @@
 	assert.Assert(t, known.Ended)
 }
 
-// TestOverAGapAWholeJobIsTold: none of its results can be missing.
-func TestOverAGapAWholeJobIsTold(t *testing.T) {
+// A job whose results are all known before the gap cannot have missed any.
+func TestCompleteJobAcrossGapIsReadable(t *testing.T) {
 	t.Parallel()
 	log := memlog.New()
 	service := newService(log)
-	follow(t, service)
+	startService(t, service)
 	assert.NilError(t, service.Accept(t.Context(), submission("j", "a")))
 	record(t, service, finished("j", 0, "text"))
 	_, err := service.Results(t.Context(), "j", 0, 0)
--- a/internal/batchjobs/homes_test.go
+++ b/internal/batchjobs/homes_test.go
@@ -14,14 +14,14 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// listeningLog records everything that is read from it.
-type listeningLog struct {
+// recordingLog records all bytes that are read from it.
+type recordingLog struct {
 	*memlog.Log
 	mu   sync.Mutex
 	read []byte
 }
 
-func (l *listeningLog) Read(
+func (l *recordingLog) Read(
 	ctx context.Context, partition eventlog.Partition, from int64, limit int, wait time.Duration,
 ) (eventlog.Batch, error) {
 	read, err := l.Log.Read(ctx, partition, from, limit, wait)
@@ -33,18 +33,18 @@
 	return read, err
 }
 
-func (l *listeningLog) heard(text string) bool {
+func (l *recordingLog) hasRead(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return bytes.Contains(l.read, []byte(text))
 }
 
-// TestReadsBringNoNeighboursOfOtherHomes: a read of the log returns adjacent records as well, so the bodies,
-// kept texts and results of a job must not be adjacent to those of a job with other homes.
-func TestReadsBringNoNeighboursOfOtherHomes(t *testing.T) {
-	log := &listeningLog{Log: memlog.New()}
+// Guards against data of a bound job that leaves its homes: a log read also returns adjacent records, so jobs
+// with different homes must not share a topic.
+func TestReadsReturnNoRecordsOfJobsWithOtherHomes(t *testing.T) {
+	log := &recordingLog{Log: memlog.New()}
 	service := newService(log)
-	follow(t, service)
+	startService(t, service)
 	bound := submission("bound", "secret")
 	bound.Job.Homes = []string{"north"}
 	free := submission("free", "a")
@@ -65,17 +65,17 @@
 
 	_, err = service.Body(t.Context(), free.Job.ID, "a")
 	assert.NilError(t, err)
-	assert.Equal(t, textOfFirst(t, service, free.Job.ID), "open text")
-	assert.Assert(t, !log.heard("body of secret") && !log.heard("hidden text"))
+	assert.Equal(t, firstResultText(t, service, free.Job.ID), "open text")
+	assert.Assert(t, !log.hasRead("body of secret") && !log.hasRead("hidden text"))
 
 	body, err := service.Body(t.Context(), "bound", "secret")
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "body of secret")
-	assert.Equal(t, textOfFirst(t, service, "bound"), "hidden text")
+	assert.Equal(t, firstResultText(t, service, "bound"), "hidden text")
 }
 
-// textOfFirst returns the text of a job's first result, once it is listed.
-func textOfFirst(t *testing.T, service *Service, job string) string {
+// firstResultText waits for a job's first result and returns its text.
+func firstResultText(t *testing.T, service *Service, job string) string {
 	t.Helper()
 	var text string
 	testwait.Until(t, "job "+job+" has a result", func() bool {
@@ -89,18 +89,18 @@
 	return text
 }
 
-// TestTextsOfAForgottenJobStayInTheTopicOfItsHomes: a late result may belong to a job that this node has forgotten.
-func TestTextsOfAForgottenJobStayInTheTopicOfItsHomes(t *testing.T) {
-	log := &listeningLog{Log: memlog.New()}
+// Guards against a late result that is written outside the job's homes because this node has dropped the job.
+func TestLateTextsOfExpiredJobStayInTopicOfItsHomes(t *testing.T) {
+	log := &recordingLog{Log: memlog.New()}
 	service := newService(log)
-	follow(t, service)
+	startService(t, service)
 	bound := submission("bound", "secret")
 	bound.Job.Homes = []string{"north"}
 	assert.NilError(t, service.Accept(t.Context(), bound))
 	assert.NilError(t, service.End(t.Context(), "bound"))
 	target := service.partitionOf("bound")
-	testwait.Until(t, "the job is forgotten", func() bool {
-		target.forget(time.Now().Add(time.Hour))
+	testwait.Until(t, "the job is dropped", func() bool {
+		target.expire(time.Now().Add(time.Hour))
 		return !target.isKnown("bound")
 	})
 	late := finished("bound", 0, "hidden text")
@@ -111,7 +111,7 @@
 	kept.Record.Job, kept.Record.To = "bound", 1
 	_, err = service.Keep(t.Context(), service.PartitionOf("bound"), []RunningItem{kept})
 	assert.NilError(t, err)
-	open, err := log.Read(t.Context(), target.data(nil), 0, readLimit, 0)
+	open, err := log.Read(t.Context(), target.dataPartition(nil), 0, readLimitBytes, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(open.Records), 0, "%q", open.Records)
 }
--- a/internal/batchjobs/lookup.go
+++ b/internal/batchjobs/lookup.go
@@ -16,17 +16,17 @@
 	return p.state.Job(jobID) != nil
 }
 
-// lookUp returns a copy of the job as of the call. It first reads to the end of the
-// log, unless the job is known and the last such read is within freshness.
+// lookUp returns a copy of the job as of the call. It first reads to the end of the log, unless the job is
+// known and the last such read is at most maxStaleness old.
 func (p *partition) lookUp(ctx context.Context, jobID string) (batch.Job, error) {
 	calledAt := boottime.Now()
 	p.activate()
-	if job, found := p.snapshot(jobID, calledAt.Add(-freshness)); found {
+	if job, found := p.snapshot(jobID, calledAt.Add(-maxStaleness)); found {
 		return job, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
-	for !p.readSince(calledAt) {
+	for !p.isCurrentSince(calledAt) {
 		if _, err := p.read(ctx, 0); err != nil {
 			return batch.Job{}, unavailable(err)
 		}
@@ -38,39 +38,43 @@
 		return job, nil
 	}
 	if p.mayHaveMissed(calledAt) {
-		return batch.Job{}, errkind.New(errkind.HistoryLost, "the log may have dropped batch job %s", jobID)
+		return batch.Job{}, errkind.New(errkind.HistoryLost,
+			"batch job %s not found, its records may have been trimmed from the log", jobID)
 	}
-	return batch.Job{}, errkind.New(errkind.NotFound, "no batch job %s", jobID)
+	return batch.Job{}, errkind.New(errkind.NotFound, "batch job %s not found", jobID)
 }
 
-// lookUpComplete is lookUp for queries of results: it fails unless every result and its position is known.
+// lookUpComplete is lookUp for result queries: it fails unless every result and its position are known.
 func (p *partition) lookUpComplete(ctx context.Context, jobID string) (batch.Job, error) {
 	job, err := p.lookUp(ctx, jobID)
 	if err == nil && job.Incomplete {
-		return batch.Job{}, errkind.New(errkind.HistoryLost, "the log may have dropped results of batch job %s", jobID)
+		return batch.Job{}, errkind.New(errkind.HistoryLost,
+			"results of batch job %s may have been trimmed from the log", jobID)
 	}
 	return job, err
 }
 
-// mayHaveMissed reports whether records of a job that is still within KeepJobs may have been dropped by
-// the log before this node read them.
+// mayHaveMissed reports whether the log may have trimmed records of a job within its retention period before
+// this node read them.
 func (p *partition) mayHaveMissed(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.lostAt.IsZero() && now.Sub(p.lostAt) < p.keepJobs
+	return !p.historyLostAt.IsZero() && now.Sub(p.historyLostAt) < p.keepJobs
 }
 
-// activate starts reading the partition.
+// activate starts the reads of the partition.
 func (p *partition) activate() {
-	p.activateOnce.Do(func() { close(p.activated) })
+	p.activateOnce.Do(func() { close(p.active) })
 }
 
-func (p *partition) readSince(since time.Time) bool {
+// isCurrentSince reports whether the state is complete as of the given time.
+func (p *partition) isCurrentSince(since time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.readAt.Before(since)
 }
 
+// snapshot returns a copy of a known job, if the state is complete as of readAfter.
 func (p *partition) snapshot(jobID string, readAfter time.Time) (batch.Job, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,8 +85,8 @@
 	return *job, true
 }
 
-// awaitResults blocks until a query for the positions from the given one on should
-// be answered, or the wait is over.
+// awaitResults blocks until a query for results from the given position on should be answered, or until wait
+// has elapsed.
 func (p *partition) awaitResults(ctx context.Context, jobID string, position int, wait time.Duration) {
 	p.addWaiters(1)
 	defer p.addWaiters(-1)
@@ -106,8 +110,8 @@
 	}
 }
 
-func (p *partition) earlier(than *batch.JobRecord) []batch.EarlierJob {
+func (p *partition) earlierJobs(job *batch.JobRecord) []batch.EarlierJob {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state.Earlier(than)
+	return p.state.Earlier(job)
 }
--- a/internal/batchjobs/partition.go
+++ b/internal/batchjobs/partition.go
@@ -20,76 +20,77 @@
 )
 
 const (
-	// pollWait is the long-poll wait of an index read while this node has waiters or observers.
+	// pollWait is the long-poll timeout of an index read while this node has waiters or observers.
 	pollWait = 600 * time.Millisecond
-	// idleReadPeriod is the time between two reads without any; they keep the backlog
-	// small. It grows with the number of nodes.
+	// idleReadPeriod is the interval of reads without waiters and observers, which keep the backlog small. It
+	// grows with the number of nodes, up to maxIdleReadPeriod.
 	idleReadPeriod    = time.Second
 	maxIdleReadPeriod = 30 * time.Second
-	// indexReadLimit bounds one read of the index: replicas that restart together all read all of it, and a read
-	// that times out has to be made again in full.
-	indexReadLimit = 64 << 10
-	// freshness is the age up to which a read counts as current. It must be below a second:
-	// a position that a caller read at another node must be readable here that much later.
-	freshness = 900 * time.Millisecond
-	// catchUpTimeout bounds the reads to the end of the log for one query.
+	// indexReadLimitBytes bounds one index read. Replicas that restart together all read the whole index, and a
+	// read that times out has to be repeated in full.
+	indexReadLimitBytes = 64 << 10
+	// maxStaleness is the age up to which a read to the end counts as current. It must be below one second: a
+	// result that another node has returned must be readable here after that time.
+	maxStaleness = 900 * time.Millisecond
+	// catchUpTimeout bounds the time in which one query reads to the end of the log.
 	catchUpTimeout = 800 * time.Millisecond
 )
 
-// readRetries are the delays between reads that fail.
+// readRetries is the backoff after failed reads.
 var readRetries = retry.Policy{First: 100 * time.Millisecond, Longest: 500 * time.Millisecond}
 
-// partition reads one partition of the index.
+// partition holds the state of one index partition and reads it from the log.
 type partition struct {
-	log    eventlog.Log
-	index  eventlog.Partition
-	budget pacing.Budget
-	logger zerolog.Logger
-	// keepJobs is Options.KeepJobs.
+	log      eventlog.Log
+	index    eventlog.Partition
+	budget   pacing.Budget
+	logger   zerolog.Logger
 	keepJobs time.Duration
-	// wake ends the pause between two reads.
+	// wake ends the wait for the next idle read.
 	wake chan struct{}
-	// activated is closed by the first query or observer. Until then the partition is not
-	// read, so that a node does not read the whole index after each start.
-	activated    chan struct{}
+	// active is closed by the first query or observer. The partition is not read before that, so that a node
+	// does not read the whole index after each start.
+	active       chan struct{}
 	activateOnce sync.Once
 
 	mu    sync.Mutex
 	state *batch.Partition
-	// readAt is the time as of which the state is complete, by boottime: state from before a
-	// suspension of the machine must not count as current.
+	// readAt is the boot time as of which the state is complete. Boot time advances while the machine is
+	// suspended, so state from before a suspension does not count as current.
 	readAt time.Time
-	// lostAt is when this node last found that the log had dropped unread records, by boottime; zero for never.
-	lostAt time.Time
-	// changed is closed and replaced at each change.
-	changed chan struct{}
-	healthy bool
-	// waiters counts the queries that wait for new results.
+	// historyLostAt is the boot time at which this node last found unread records trimmed from the log; zero if
+	// it never did.
+	historyLostAt time.Time
+	// changed is closed and replaced on each change of the state.
+	changed   chan struct{}
+	reachable bool
+	// waiters is the number of queries that wait for new results.
 	waiters int
-	// joining are observers that are registered after the next read that reaches the end;
-	// before that they would be notified of jobs that have long ended.
-	joining []batch.Observer
-	// unknownKinds holds the kinds of records that were logged as unknown.
+	// pendingObservers are registered with the state by the next read that reaches the end of the log. Before
+	// that they would be notified of jobs that have already ended.
+	pendingObservers []batch.Observer
+	// unknownKinds limits the log messages about unknown records to one per kind.
 	unknownKinds once.PerKey
 }
 
 func newPartition(log eventlog.Log, number int, options Options) *partition {
 	return &partition{
-		log:       log,
-		index:     eventlog.Partition{Topic: indexTopic, Number: number},
-		logger:    options.Logger.With().Int("partition", number).Logger(),
-		budget:    options.Budget,
-		keepJobs:  options.KeepJobs,
-		wake:      make(chan struct{}, 1),
-		activated: make(chan struct{}),
-		state:     batch.NewPartition(),
-		changed:   make(chan struct{}),
+		log:      log,
+		index:    eventlog.Partition{Topic: indexTopic, Number: number},
+		logger:   options.Logger.With().Int("partition", number).Logger(),
+		budget:   options.Budget,
+		keepJobs: options.KeepJobs,
+		wake:     make(chan struct{}, 1),
+		active:   make(chan struct{}),
+		state:    batch.NewPartition(),
+		changed:  make(chan struct{}),
 	}
 }
 
-// data returns the partition for bodies and texts of jobs that are bound to the regions; none for unbound
-// jobs. A read of the log also returns adjacent records, so jobs with different homes must not share a topic.
-func (p *partition) data(regions []string) eventlog.Partition {
+// dataPartition returns the partition for bodies and texts of jobs bound to the given regions, which are empty
+// for unbound jobs. A log read also returns adjacent records, so jobs with different homes must not share a
+// topic.
+func (p *partition) dataPartition(regions []string) eventlog.Partition {
 	topic := dataTopic
 	if set := homes.Of(regions); set.Bound() {
 		topic += "." + set.ID()
@@ -101,41 +102,41 @@
 func (p *partition) tail(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-p.activated:
+	case <-p.active:
 	}
 	failures := readRetries.Delays()
 	for ctx.Err() == nil {
-		atEnd, err := p.read(ctx, p.pollTime())
+		atEnd, err := p.read(ctx, p.nextPollWait())
 		if err != nil && ctx.Err() == nil {
-			p.contactLost(err)
+			p.markUnreachable(err)
 			retry.Sleep(ctx, failures.NextBackOff())
 			continue
 		}
 		failures.Reset()
 		if atEnd {
-			p.pause(ctx)
+			p.waitIdle(ctx)
 		}
 	}
 }
 
-// pollTime returns the long-poll wait of the next read: none without waiters and observers, and none
-// while an observer is joining.
-func (p *partition) pollTime() time.Duration {
+// nextPollWait returns the long-poll timeout of the next read. It is zero without waiters and observers, and
+// while an observer is pending.
+func (p *partition) nextPollWait() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.joining) == 0 && p.hasWaiters() {
+	if len(p.pendingObservers) == 0 && p.hasWaiters() {
 		return pollWait
 	}
 	return 0
 }
 
-// hasWaiters reports whether queries or observers wait for records. Must be called with mu held.
+// hasWaiters reports whether queries or observers wait for new records. Must be called with mu held.
 func (p *partition) hasWaiters() bool {
-	return p.state.Observed() || len(p.joining) > 0 || p.waiters > 0
+	return p.state.Observed() || len(p.pendingObservers) > 0 || p.waiters > 0
 }
 
-// pause delays the next read while there are no waiters.
-func (p *partition) pause(ctx context.Context) {
+// waitIdle waits for the next idle read, unless there are waiters or observers.
+func (p *partition) waitIdle(ctx context.Context) {
 	p.mu.Lock()
 	waiting := p.hasWaiters()
 	p.mu.Unlock()
@@ -151,7 +152,7 @@
 	}
 }
 
-// addWaiters changes the number of waiting queries.
+// addWaiters changes the number of waiting queries by the given amount.
 func (p *partition) addWaiters(change int) {
 	p.mu.Lock()
 	p.waiters += change
@@ -166,14 +167,13 @@
 	}
 }
 
-// read reads once from the next offset, applies the new records and reports whether
-// it has reached the end.
+// read reads once from the next offset, applies the new records and reports whether it has reached the end.
 func (p *partition) read(ctx context.Context, wait time.Duration) (bool, error) {
 	p.mu.Lock()
 	from := p.state.Next
 	p.mu.Unlock()
 	sent := boottime.Now()
-	read, err := p.log.Read(ctx, p.index, from, indexReadLimit, wait)
+	read, err := p.log.Read(ctx, p.index, from, indexReadLimitBytes, wait)
 	var gone *eventlog.GoneError
 	if errors.As(err, &gone) {
 		p.skipTo(gone.First)
@@ -190,8 +190,8 @@
 	return read.First+int64(len(read.Records)) >= read.End, nil
 }
 
-// apply applies the records that a concurrent read has not applied. The read's end of the partition
-// was current at the given time.
+// apply applies the records that no concurrent read has applied yet. currentAt is the time at which the
+// batch's end was the end of the partition.
 func (p *partition) apply(read eventlog.Batch, currentAt time.Time) {
 	now := time.Now()
 	p.mu.Lock()
@@ -203,7 +203,7 @@
 		}
 		record, err := batch.Decode(raw)
 		if err != nil {
-			p.logger.Error().Err(err).Int64("offset", p.state.Next).Msg("index record passed over")
+			p.logger.Error().Err(err).Int64("offset", p.state.Next).Msg("index record not decodable, skipped")
 			p.state.Skip()
 			continue
 		}
@@ -216,13 +216,13 @@
 		p.readAt = currentAt
 	}
 	if p.state.Next >= read.End {
-		for _, observer := range p.joining {
+		for _, observer := range p.pendingObservers {
 			p.state.Observe(observer)
 		}
-		p.joining = nil
+		p.pendingObservers = nil
 	}
-	if !p.healthy {
-		p.healthy = true
+	if !p.reachable {
+		p.reachable = true
 		p.logger.Info().Int64("offset", p.state.Next).Msg("index partition in reach")
 	}
 	if p.state.Next != before {
@@ -231,7 +231,7 @@
 	}
 }
 
-// logUnknown logs a kind of record that only a newer build knows; mu is held.
+// logUnknown logs a kind of record that was written by a newer build, once. Must be called with mu held.
 func (p *partition) logUnknown(kind string) {
 	if p.unknownKinds.First(kind) {
 		p.logger.Warn().Str("kind", kind).Str("topic", p.index.Topic).Int64("offset", p.state.Next).
@@ -239,19 +239,22 @@
 	}
 }
 
+// skipTo continues at the log's first retained record, since unread records were trimmed.
 func (p *partition) skipTo(first int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.logger.Warn().Int64("offset", p.state.Next).Int64("first_kept", first).Msg("index history lost")
+	p.logger.Warn().Int64("offset", p.state.Next).Int64("first_kept", first).
+		Msg("unread index records were trimmed from the log")
 	p.state.SkipTo(first)
-	p.lostAt = boottime.Now()
+	p.historyLostAt = boottime.Now()
 }
 
-func (p *partition) contactLost(err error) {
+// markUnreachable logs the first failed read after a successful one.
+func (p *partition) markUnreachable(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.healthy {
-		p.healthy = false
+	if p.reachable {
+		p.reachable = false
 		p.logger.Info().Err(err).Int64("offset", p.state.Next).Msg("index partition out of reach")
 	}
 }
@@ -261,17 +264,18 @@
 	defer p.wakeUp()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.joining = append(p.joining, observer)
+	p.pendingObservers = append(p.pendingObservers, observer)
 }
 
 func (p *partition) unobserve(observer batch.Observer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.joining = slices.DeleteFunc(p.joining, func(each batch.Observer) bool { return each == observer })
+	p.pendingObservers = slices.DeleteFunc(p.pendingObservers, func(o batch.Observer) bool { return o == observer })
 	p.state.Unobserve(observer)
 }
 
-func (p *partition) forget(before time.Time) {
+// expire drops jobs that are not open and were first read before the given time.
+func (p *partition) expire(before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state.Forget(before)
--- a/internal/batchjobs/restart_test.go
+++ b/internal/batchjobs/restart_test.go
@@ -18,8 +18,8 @@
 	"github.com/corkpulley/corkpulley/internal/standin/narrowlog"
 )
 
-// narrowBytesPerSecond is the read bandwidth of the log.
-const narrowBytesPerSecond = 80_000_000
+// logBytesPerSecond is the read bandwidth of the log.
+const logBytesPerSecond = 80_000_000
 
 // jobInEachPartition accepts a job in each partition and returns their IDs.
 func jobInEachPartition(t *testing.T, service *Service, partitions int) []string {
@@ -39,24 +39,24 @@
 	return ids
 }
 
-// TestReplicasThatRestartTogetherFindEveryJob guards against an index that is read in pieces so large that all replicas
-// together time out on each of them: after a restart of all machines no job could be read any more.
-func TestReplicasThatRestartTogetherFindEveryJob(t *testing.T) {
+// Guards against index reads so large that all replicas together time out on each of them after a common
+// restart.
+func TestJobsAreReadableAfterAllReplicasRestart(t *testing.T) {
 	const partitions, replicas, indexBytes, recordBytes = 24, 18, 400 << 10, 2 << 10
 	synctest.Test(t, func(t *testing.T) {
-		below := memlog.New()
+		backing := memlog.New()
 		options := Options{
 			Partitions: partitions, RecordBytes: 256 << 10, CallBytes: 2 << 20, KeepJobs: 2 * time.Minute, Logger: zerolog.Nop(),
 			Budget: pacing.Budget{Limits: pacing.Limits{ReadsPerSecond: 16_000}, Nodes: func() int { return 300 }},
 		}
-		jobs := jobInEachPartition(t, New(below, options), partitions)
+		jobs := jobInEachPartition(t, New(backing, options), partitions)
 		for number := range partitions {
 			for range indexBytes / recordBytes {
-				_, err := below.Append(t.Context(), eventlog.Partition{Topic: indexTopic, Number: number}, [][]byte{make([]byte, recordBytes)})
+				_, err := backing.Append(t.Context(), eventlog.Partition{Topic: indexTopic, Number: number}, [][]byte{make([]byte, recordBytes)})
 				assert.NilError(t, err)
 			}
 		}
-		log := narrowlog.New(below, narrowBytesPerSecond)
+		log := narrowlog.New(backing, logBytesPerSecond)
 		ctx, cancel := context.WithCancel(t.Context())
 		var running, queries sync.WaitGroup
 		for range replicas {
@@ -76,8 +76,8 @@
 		time.AfterFunc(30*time.Second, cancel)
 		began := time.Now()
 		queries.Wait()
-		// Twice what the log takes to hand out the index to every replica once, and the pauses of those who ask.
-		limit := 2*time.Duration(replicas*partitions*indexBytes)*time.Second/narrowBytesPerSecond + 4*time.Second
+		// Twice the transfer time of the whole index to every replica, plus the pauses between queries.
+		limit := 2*time.Duration(replicas*partitions*indexBytes)*time.Second/logBytesPerSecond + 4*time.Second
 		assert.Assert(t, time.Since(began) <= limit, "%s, expected %s at most", time.Since(began), limit)
 		cancel()
 		running.Wait()
--- a/internal/batchjobs/results.go
+++ b/internal/batchjobs/results.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// ResultText is one result with its text.
+// ResultText is the result of one item with its text.
 type ResultText struct {
 	ItemID   string
 	Outcome  batch.Outcome
@@ -21,15 +21,16 @@
 	Score string
 }
 
-// Results are the results of a job from a position on.
+// Results is the response to a query for results.
 type Results struct {
+	// Total is the number of items of the job.
 	Total   int
 	Results []ResultText
 }
 
-// Results returns the results from a position on, at least one if there is one. It waits
-// up to the given time until the submitter may have everything that it waits for, since
-// a caller that receives only a part of it polls again after a delay.
+// Results returns the results from a position on, at least one if there is any. It waits up to the given time
+// for all results that the submitter needs next, since a caller that receives only some of them polls again
+// after a delay.
 func (s *Service) Results(ctx context.Context, jobID string, from int, wait time.Duration) (Results, error) {
 	target := s.partitionOf(jobID)
 	job, err := target.lookUpComplete(ctx, jobID)
@@ -47,12 +48,12 @@
 		return answer, nil
 	}
 	selected := selectResults(job.Results[from:])
-	release, err := s.options.Hold(readCopies * textBytes(selected))
+	release, err := s.options.Hold(copiesPerRead * textBytes(selected))
 	if err != nil {
 		return Results{}, err
 	}
 	defer release()
-	texts, err := s.readTexts(ctx, target.data(job.Homes), selected)
+	texts, err := s.readTexts(ctx, target.dataPartition(job.Homes), selected)
 	if err != nil {
 		return Results{}, err
 	}
@@ -68,8 +69,8 @@
 	return answer, nil
 }
 
-// readCopies is the number of copies of a text in memory during a read: the records and the joined text.
-const readCopies = 2
+// copiesPerRead is the number of copies of a text in memory during a read: its records and the joined text.
+const copiesPerRead = 2
 
 // textBytes returns the total size of the results' texts.
 func textBytes(results []batch.Result) int {
@@ -80,9 +81,8 @@
 	return size
 }
 
-// shouldAnswer reports whether a query for the positions from the given one on should be
-// answered at once. If the submitter did not say how many groups it wants, any new
-// result suffices.
+// shouldAnswer reports whether a query for results from the given position on should be answered at once. If
+// the job does not specify how many groups it needs, any new result suffices.
 func shouldAnswer(job *batch.Job, from int) bool {
 	switch {
 	case job.Ended || len(job.Results) == len(job.Items):
@@ -94,7 +94,7 @@
 	}
 }
 
-// selectResults returns the first results that fit into maxResultBytes, at least one.
+// selectResults returns the first results whose texts fit into maxResultBytes, at least one.
 func selectResults(results []batch.Result) []batch.Result {
 	size := 0
 	for i, result := range results {
@@ -106,7 +106,7 @@
 	return results
 }
 
-// Body returns the body of an item.
+// Body returns the request body of an item.
 func (s *Service) Body(ctx context.Context, jobID, itemID string) ([]byte, error) {
 	target := s.partitionOf(jobID)
 	job, err := target.lookUp(ctx, jobID)
@@ -115,14 +115,14 @@
 	}
 	index, found := job.ItemIndex(itemID)
 	if !found {
-		return nil, errkind.New(errkind.NotFound, "job %s has no item %s", jobID, itemID)
+		return nil, errkind.New(errkind.NotFound, "batch job %s has no item %s", jobID, itemID)
 	}
 	release, err := s.options.Hold(s.options.RecordBytes)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	payloads, err := s.readPayloads(ctx, target.data(job.Homes), []batch.Span{{First: job.PayloadOffset(index), Count: 1}}, bodyReadLimit)
+	payloads, err := s.readPayloads(ctx, target.dataPartition(job.Homes), []batch.Span{{First: job.PayloadOffset(index), Count: 1}}, bodyReadLimitBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 
 // Payloads returns the engine requests of a job's items.
 func (s *Service) Payloads(ctx context.Context, job batch.JobRecord) ([]batch.Payload, error) {
-	return s.readPayloads(ctx, s.partitionOf(job.ID).data(job.Homes), job.Payloads, readLimit)
+	return s.readPayloads(ctx, s.partitionOf(job.ID).dataPartition(job.Homes), job.Payloads, readLimitBytes)
 }
 
 func (s *Service) readPayloads(
@@ -163,7 +163,7 @@
 			return nil, unavailable(err)
 		}
 		if len(read.Records) == 0 {
-			return nil, errkind.New(errkind.LogUnavailable, "%s has no record %d", data, next)
+			return nil, errkind.New(errkind.LogUnavailable, "%s has no record at offset %d", data, next)
 		}
 		wanted := min(len(read.Records), span.Count-len(records))
 		records = append(records, read.Records[:wanted]...)
@@ -172,15 +172,15 @@
 	return records, nil
 }
 
-// textReads bounds the concurrent reads of a job's texts.
-const textReads = 8
+// maxTextReads bounds the concurrent reads of a job's texts.
+const maxTextReads = 8
 
-// readTexts returns the texts of results. Texts that are adjacent in the log are read in one
-// call, and several calls run concurrently.
+// readTexts returns the texts of results. Texts that are adjacent in the log are read in one call; calls run
+// concurrently.
 func (s *Service) readTexts(ctx context.Context, data eventlog.Partition, results []batch.Result) ([][]byte, error) {
 	texts := make([][]byte, len(results))
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(textReads)
+	group.SetLimit(maxTextReads)
 	for start := 0; start < len(results); {
 		end := start + 1
 		span, size := results[start].Text, results[start].TextBytes
@@ -191,7 +191,7 @@
 		}
 		adjacent, into := results[start:end], texts[start:end]
 		group.Go(func() error {
-			records, err := s.readData(ctx, data, span, min(size+recordOverhead*span.Count, readLimit))
+			records, err := s.readData(ctx, data, span, min(size+recordOverheadBytes*span.Count, readLimitBytes))
 			if err != nil {
 				return err
 			}
--- a/internal/batchjobs/unknownkind_test.go
+++ b/internal/batchjobs/unknownkind_test.go
@@ -13,7 +13,7 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// Guards against an index record of a newer build that stops a reader, or that is logged again and again.
+// Guards against an index record of a newer build that stops the reader or is logged repeatedly.
 func TestIndexRecordsOfUnknownKindAreSkipped(t *testing.T) {
 	var logs strings.Builder
 	reader := newPartition(memlog.New(), 0, Options{Partitions: 1, Logger: zerolog.New(&logs)})
--- a/internal/batchjobs/write.go
+++ b/internal/batchjobs/write.go
@@ -12,61 +12,62 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// appendRetries are the delays between attempts of an append.
+// appendRetries is the backoff between attempts of an append.
 var appendRetries = retry.Policy{First: 30 * time.Millisecond, Longest: 300 * time.Millisecond}
 
-// appendIndex writes an index record. A record that is written twice has the effect of
-// the first one, so a call without an answer is retried.
+// appendIndex writes an index record. Index records are idempotent, so an append with an unknown outcome is
+// retried.
 func (s *Service) appendIndex(ctx context.Context, target *partition, record batch.Record) error {
 	raw, err := record.Encode()
 	if err != nil {
 		return err
 	}
 	if len(raw) > s.options.RecordBytes {
-		return errkind.New(errkind.PayloadTooLarge, "an index record of %d bytes, at most %d", len(raw), s.options.RecordBytes)
+		return errkind.New(errkind.PayloadTooLarge,
+			"index record of %d bytes exceeds the limit of %d bytes", len(raw), s.options.RecordBytes)
 	}
-	_, err = s.appendUntilDone(ctx, target.index, [][]byte{raw})
+	_, err = s.appendWithRetries(ctx, target.index, [][]byte{raw})
 	return err
 }
 
-// appendData writes records of the data topic. Copies that retries leave behind are
-// never referenced.
+// appendData writes records to a data partition and returns the offset of the first. Duplicates left by
+// retries are never referenced.
 func (s *Service) appendData(ctx context.Context, data eventlog.Partition, records [][]byte) (int64, error) {
-	first, err := s.appendUntilDone(ctx, data, records)
+	first, err := s.appendWithRetries(ctx, data, records)
 	if err != nil {
-		// No index record references these records, so they will never be executed.
+		// No index record references these records, so they have no effect.
 		return 0, errkind.New(errkind.LogUnavailable, "%s", err.Error())
 	}
 	return first, nil
 }
 
-// appendUntilDone retries an append until it is acknowledged or ctx ends. The kind of its
-// error says whether any attempt may have taken effect.
-func (s *Service) appendUntilDone(ctx context.Context, partition eventlog.Partition, records [][]byte) (int64, error) {
-	mayBeDone := false
+// appendWithRetries retries an append until it is acknowledged or ctx ends. The kind of its error tells whether
+// an attempt may have taken effect.
+func (s *Service) appendWithRetries(ctx context.Context, partition eventlog.Partition, records [][]byte) (int64, error) {
+	mayHaveTakenEffect := false
 	for delays := appendRetries.Delays(); ; {
 		first, err := s.log.Append(ctx, partition, records)
 		if err == nil {
 			return first, nil
 		}
 		if !errors.Is(err, eventlog.ErrNotDone) {
-			mayBeDone = true
+			mayHaveTakenEffect = true
 		}
 		retry.Sleep(ctx, delays.NextBackOff())
 		if ctx.Err() == nil {
 			continue
 		}
-		if mayBeDone {
+		if mayHaveTakenEffect {
 			return 0, errkind.New(errkind.OutcomeUnknownRepeatable, "append to %s: %s", partition, err.Error())
 		}
 		return 0, errkind.New(errkind.LogUnavailable, "append to %s: %s", partition, err.Error())
 	}
 }
 
-// FinishedItem is the outcome of one item, to be recorded.
+// FinishedItem is the result of one item, as passed to Record.
 type FinishedItem struct {
 	JobID string
-	// Homes are those of the job's record; they select the topic of its texts.
+	// Homes are the home regions from the job's record. They determine the topic of the text.
 	Homes    []string
 	Item     int
 	Outcome  batch.Outcome
@@ -79,26 +80,26 @@
 // PartitionOf returns the number of the job's partition.
 func (s *Service) PartitionOf(jobID string) int { return s.partitionOf(jobID).index.Number }
 
-// Record writes outcomes of items of one partition, in as many calls as the log's limits
-// require: the texts first, then the index record that references them. It returns how many of
-// the items, from the first on, are recorded; without an error all are.
+// Record writes results of items of one partition, in as many appends as the log's limits require: the texts
+// first, then the index record that references them. It returns how many of the items, from the first on,
+// were recorded; without an error these are all.
 func (s *Service) Record(ctx context.Context, number int, finished []FinishedItem) (int, error) {
 	target := s.partitions[number]
-	texts := textAccess[FinishedItem]{
-		size: func(item FinishedItem) int { return len(item.Text) },
-		data: func(item FinishedItem) eventlog.Partition { return target.data(item.Homes) },
+	texts := textAccessors[FinishedItem]{
+		size:          func(item FinishedItem) int { return len(item.Text) },
+		dataPartition: func(item FinishedItem) eventlog.Partition { return target.dataPartition(item.Homes) },
 	}
 	return writeBatches(finished, texts, s.options.CallBytes, func(batch []FinishedItem) error {
 		return s.recordBatch(ctx, target, batch)
 	})
 }
 
-// recordBatch writes outcomes of items whose texts fit into one call.
+// recordBatch writes results whose texts fit into one append.
 func (s *Service) recordBatch(ctx context.Context, target *partition, finished []FinishedItem) error {
 	results := make([]batch.ResultRecord, len(finished))
 	var records [][]byte
 	for i, item := range finished {
-		pieces := split(item.Text, s.options.RecordBytes)
+		pieces := splitText(item.Text, s.options.RecordBytes)
 		results[i] = batch.ResultRecord{
 			Job: item.JobID, Item: item.Item, Outcome: item.Outcome, Versions: item.Versions,
 			Text: batch.Span{First: int64(len(records)), Count: len(pieces)}, TextBytes: len(item.Text),
@@ -107,7 +108,7 @@
 		records = append(records, pieces...)
 	}
 	if len(records) > 0 {
-		first, err := s.appendData(ctx, target.data(finished[0].Homes), records)
+		first, err := s.appendData(ctx, target.dataPartition(finished[0].Homes), records)
 		if err != nil {
 			return err
 		}
@@ -118,41 +119,40 @@
 	return s.appendIndex(ctx, target, batch.Record{Results: results})
 }
 
-// RunningItem is partial output of a running item, to be kept.
+// RunningItem is new partial output of a running item, as passed to Keep.
 type RunningItem struct {
-	// Homes are those of the job's record; they select the topic of its texts.
+	// Homes are the home regions from the job's record. They determine the topic of the text.
 	Homes  []string
 	Record batch.ProgressRecord
 	Text   []byte
 }
 
-// Keep writes partial output of running items of one partition, in as many calls as the log's
-// limits require. It returns how many of the items, from the first on, are kept; without an
-// error all are.
+// Keep saves partial output of running items of one partition, in as many appends as the log's limits require.
+// It returns how many of the items, from the first on, were saved; without an error these are all.
 func (s *Service) Keep(ctx context.Context, number int, running []RunningItem) (int, error) {
 	target := s.partitions[number]
-	texts := textAccess[RunningItem]{
-		size: func(item RunningItem) int { return len(item.Text) },
-		data: func(item RunningItem) eventlog.Partition { return target.data(item.Homes) },
+	texts := textAccessors[RunningItem]{
+		size:          func(item RunningItem) int { return len(item.Text) },
+		dataPartition: func(item RunningItem) eventlog.Partition { return target.dataPartition(item.Homes) },
 	}
 	return writeBatches(running, texts, s.options.CallBytes, func(batch []RunningItem) error {
 		return s.keepBatch(ctx, target, batch)
 	})
 }
 
-// keepBatch writes partial output that fits into one call.
+// keepBatch saves partial output whose texts fit into one append.
 func (s *Service) keepBatch(ctx context.Context, target *partition, running []RunningItem) error {
 	progress := make([]batch.ProgressRecord, len(running))
 	var records [][]byte
 	for i, item := range running {
-		pieces := split(item.Text, s.options.RecordBytes)
+		pieces := splitText(item.Text, s.options.RecordBytes)
 		progress[i] = item.Record
 		progress[i].Text = batch.Span{First: int64(len(records)), Count: len(pieces)}
 		progress[i].TextBytes = len(item.Text)
 		records = append(records, pieces...)
 	}
 	if len(records) > 0 {
-		first, err := s.appendData(ctx, target.data(running[0].Homes), records)
+		first, err := s.appendData(ctx, target.dataPartition(running[0].Homes), records)
 		if err != nil {
 			return err
 		}
@@ -163,8 +163,8 @@
 	return s.appendIndex(ctx, target, batch.Record{Progress: progress})
 }
 
-// split cuts a text into pieces of at most size bytes.
-func split(text []byte, size int) [][]byte {
+// splitText splits a text into pieces of at most size bytes.
+func splitText(text []byte, size int) [][]byte {
 	var pieces [][]byte
 	for len(text) > size {
 		pieces = append(pieces, text[:size])
