--- a/internal/weightorders/evacuation_test.go
+++ b/internal/weightorders/evacuation_test.go
@@ -14,64 +14,64 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// zoneWatch records each report request and order to an engine in an evacuated zone.
-type zoneWatch struct {
+// evacuationRecorder records the report requests and orders to engines in an evacuated zone.
+type evacuationRecorder struct {
 	Engines
 	fleet *fleet.Fleet
-	// dialling and release, if set, block each report request to zone za before its check whether it may
-	// be sent.
-	dialling chan string
-	release  chan struct{}
-	mu       sync.Mutex
-	asked    []string
-	// ended counts the blocked requests that have ended.
+	// blocked, if set, receives the engine of each report request to zone za. The request then waits for release
+	// before it checks whether it may be sent.
+	blocked chan string
+	release chan struct{}
+	mu      sync.Mutex
+	calls   []string
+	// ended is the number of blocked requests that have ended.
 	ended atomic.Int64
 }
 
-func (z *zoneWatch) note(engine fleet.Engine, what string) {
+func (z *evacuationRecorder) record(engine fleet.Engine, what string) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.fleet.IsEvacuated(engine.Zone) {
-		z.asked = append(z.asked, engine.ID+": "+what)
+		z.calls = append(z.calls, engine.ID+": "+what)
 	}
 }
 
-func (z *zoneWatch) Report(ctx context.Context, engine fleet.Engine, mayLeave func() bool) (Report, error) {
-	if z.dialling != nil && engine.Zone == "za" {
+func (z *evacuationRecorder) Report(ctx context.Context, engine fleet.Engine, mayLeave func() bool) (Report, error) {
+	if z.blocked != nil && engine.Zone == "za" {
 		defer z.ended.Add(1)
-		z.dialling <- engine.ID
+		z.blocked <- engine.ID
 		<-z.release
 	}
 	if !mayLeave() {
 		return Report{}, errors.New("not permitted")
 	}
-	z.note(engine, "report")
+	z.record(engine, "report")
 	return z.Engines.Report(ctx, engine, mayLeave)
 }
 
-// Order checks the permission to send as a client of engines does.
-func (z *zoneWatch) Order(ctx context.Context, engine fleet.Engine, order Order) (Answer, error) {
+// Order checks whether the order may be sent, as a real client does.
+func (z *evacuationRecorder) Order(ctx context.Context, engine fleet.Engine, order Order) (Answer, error) {
 	if !order.MayLeave() {
 		return Refused, nil
 	}
-	z.note(engine, "order")
+	z.record(engine, "order")
 	return z.Engines.Order(ctx, engine, order)
 }
 
-func (z *zoneWatch) noted() []string {
+func (z *evacuationRecorder) recorded() []string {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return append([]string(nil), z.asked...)
+	return append([]string(nil), z.calls...)
 }
 
-// TestEnginesOfAnEvacuatedZoneAreNeitherOrderedNorAsked: even with a load in progress there. They load
-// when the zone is readmitted.
-func TestEnginesOfAnEvacuatedZoneAreNeitherOrderedNorAsked(t *testing.T) {
+// Guards against requests to an evacuated zone, even with a load in progress there. Its engines load when the
+// zone is readmitted.
+func TestEvacuatedZoneGetsNeitherOrdersNorReportRequests(t *testing.T) {
 	t.Parallel()
-	var watch *zoneWatch
-	w := manage(t, 2, func(options *Options) {
-		watch = &zoneWatch{Engines: options.Engines, fleet: options.Fleet}
-		options.Engines = watch
+	var recorder *evacuationRecorder
+	w := startManager(t, 2, func(options *Options) {
+		recorder = &evacuationRecorder{Engines: options.Engines, fleet: options.Fleet}
+		options.Engines = recorder
 		for id, zone := range map[string]string{"e0": "za", "e1": "zb"} {
 			options.Fleet.Put(fleet.Engine{
 				ID: id, Service: service, Zone: zone, Slots: 4, Versions: map[string]int64{model: 1},
@@ -85,29 +85,29 @@
 		return engine.Versions[model] == 2
 	})
 	w.version.Store(3)
-	testwait.Until(t, "it has loaded again", func() bool { return w.engines.versionOf("e1") == 3 })
-	assert.DeepEqual(t, watch.noted(), []string(nil))
+	testwait.Until(t, "the other zone's engine has loaded version 3", func() bool { return w.engines.versionOf("e1") == 3 })
+	assert.DeepEqual(t, recorder.recorded(), []string(nil))
 	assert.Equal(t, w.engines.versionOf("e0"), int64(2))
 	w.fleet.TakeBack("za", time.Now(), 2)
-	testwait.Until(t, "the engine loads when its zone is back", func() bool { return w.engines.versionOf("e0") == 3 })
+	testwait.Until(t, "the engine loads after its zone is readmitted", func() bool { return w.engines.versionOf("e0") == 3 })
 }
 
-// TestAQuestionThatWasDialledBeforeAnEvacuationDoesNotLeave: the report is requested when the zone is readmitted.
-func TestAQuestionThatWasDialledBeforeAnEvacuationDoesNotLeave(t *testing.T) {
+// Guards against a request that is sent after the evacuation because it was permitted before.
+func TestBlockedReportRequestIsNotSentAfterEvacuation(t *testing.T) {
 	t.Parallel()
-	var watch *zoneWatch
-	w := manage(t, 2, func(options *Options) {
-		watch = &zoneWatch{
-			Engines: options.Engines, fleet: options.Fleet, dialling: make(chan string, 64), release: make(chan struct{}),
+	var recorder *evacuationRecorder
+	w := startManager(t, 2, func(options *Options) {
+		recorder = &evacuationRecorder{
+			Engines: options.Engines, fleet: options.Fleet, blocked: make(chan string, 64), release: make(chan struct{}),
 		}
-		options.Engines = watch
+		options.Engines = recorder
 		options.Fleet.Put(fleet.Engine{ID: "e0", Service: service, Zone: "za", Slots: 4, Versions: map[string]int64{model: 1}})
 	})
-	<-watch.dialling
+	<-recorder.blocked
 	w.fleet.Evacuate("za", time.Now(), 1)
-	close(watch.release)
-	testwait.Until(t, "the question ends", func() bool { return watch.ended.Load() > 0 })
-	assert.DeepEqual(t, watch.noted(), []string(nil))
+	close(recorder.release)
+	testwait.Until(t, "the blocked request ends", func() bool { return recorder.ended.Load() > 0 })
+	assert.DeepEqual(t, recorder.recorded(), []string(nil))
 	w.fleet.TakeBack("za", time.Now(), 2)
-	testwait.Until(t, "the engine loads when its zone is back", func() bool { return w.engines.versionOf("e0") == 2 })
+	testwait.Until(t, "the engine loads after its zone is readmitted", func() bool { return w.engines.versionOf("e0") == 2 })
 }
--- a/internal/weightorders/incarnation_test.go
+++ b/internal/weightorders/incarnation_test.go
@@ -21,82 +21,85 @@
 	secondStart = 2000
 )
 
-// entryOf returns the list entry of an incarnation of the engine, which starts with version 1.
-func entryOf(born int64) fleet.Engine {
+// incarnationEntry returns the list entry of an incarnation of engine e0, which starts with version 1.
+func incarnationEntry(born int64) fleet.Engine {
 	return fleet.Engine{ID: "e0", Born: born, Service: service, Slots: 4, Versions: map[string]int64{model: 1}}
 }
 
-// startAgain starts another incarnation of the engine, without the state of the earlier one.
-func (f *fakeEngines) startAgain(born, version int64) {
+// restart starts another incarnation of engine e0, without the state of the earlier one.
+func (f *fakeEngines) restart(born, version int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.restart(born, version)
+	f.restartLocked(born, version)
 }
 
-// restart is startAgain. Must be called with mu held.
-func (f *fakeEngines) restart(born, version int64) {
+// restartLocked is restart. Must be called with mu held.
+func (f *fakeEngines) restartLocked(born, version int64) {
 	f.born["e0"], f.versions["e0"], f.counts["e0"], f.busy["e0"] = born, version, 0, false
 }
 
-// TestAnEngineThatStartedAgainIsOrderedAnew: its count of orders restarts, and no order names the count of the
-// earlier incarnation.
-func TestAnEngineThatStartedAgainIsOrderedAnew(t *testing.T) {
+// Guards against an order to a new incarnation with the order count of the earlier one.
+func TestRestartedEngineIsOrderedAgain(t *testing.T) {
 	var loaded atomic.Int64
-	w := manage(t, 1, func(options *Options) {
+	w := startManager(t, 1, func(options *Options) {
 		options.Engines.(*fakeEngines).born["e0"] = firstStart
-		options.Fleet.Put(entryOf(firstStart))
+		options.Fleet.Put(incarnationEntry(firstStart))
 		options.Loaded = func() { loaded.Add(1) }
 	})
-	testwait.Until(t, "the first start has version 2", func() bool { return w.engines.allAt(2) && loaded.Load() == 1 })
-	w.engines.startAgain(secondStart, 1)
-	w.fleet.Put(entryOf(secondStart))
-	testwait.Until(t, "the second start has version 2", func() bool { return w.engines.allAt(2) && loaded.Load() == 2 })
+	testwait.Until(t, "the first incarnation has version 2", func() bool {
+		return w.engines.allAt(2) && loaded.Load() == 1
+	})
+	w.engines.restart(secondStart, 1)
+	w.fleet.Put(incarnationEntry(secondStart))
+	testwait.Until(t, "the second incarnation has version 2", func() bool {
+		return w.engines.allAt(2) && loaded.Load() == 2
+	})
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
 	assert.Equal(t, len(w.engines.orders), 2)
 	assert.Equal(t, w.engines.orders[1].Count, int64(0))
-	believed, _ := w.fleet.Get("e0")
-	assert.Equal(t, believed.Versions[model], int64(2))
+	listed, _ := w.fleet.Get("e0")
+	assert.Equal(t, listed.Versions[model], int64(2))
 }
 
-// TestAnAnswerOfAnotherStartIsNotCredited: the engine restarts after it has accepted an order, before the list
-// shows it. Versions of the second incarnation must not be attributed to the first.
-func TestAnAnswerOfAnotherStartIsNotCredited(t *testing.T) {
+// Guards against versions of the second incarnation that are attributed to the first, if the engine restarts
+// after it has accepted an order and the list does not show it yet.
+func TestAnswerOfOtherIncarnationIsNotAttributed(t *testing.T) {
 	var loaded atomic.Int64
-	w := manage(t, 1, func(options *Options) {
+	w := startManager(t, 1, func(options *Options) {
 		engines := options.Engines.(*fakeEngines)
 		engines.born["e0"] = firstStart
-		options.Fleet.Put(entryOf(firstStart))
+		options.Fleet.Put(incarnationEntry(firstStart))
 		options.Loaded = func() { loaded.Add(1) }
 		engines.answer = func(string, Order) (Answer, bool) {
 			if engines.born["e0"] == secondStart {
 				return 0, false
 			}
-			engines.restart(secondStart, 2)
+			engines.restartLocked(secondStart, 2)
 			return Taken, true
 		}
 	})
-	testwait.Until(t, "the load is given up", func() bool { return loaded.Load() >= 1 })
-	believed, _ := w.fleet.Get("e0")
-	assert.Equal(t, believed.Versions[model], int64(1))
-	testwait.Until(t, "the order is refused, since another start answers", func() bool { return loaded.Load() >= 2 })
+	testwait.Until(t, "the first load fails", func() bool { return loaded.Load() >= 1 })
+	listed, _ := w.fleet.Get("e0")
+	assert.Equal(t, listed.Versions[model], int64(1))
+	testwait.Until(t, "the next order fails, since another incarnation reports", func() bool { return loaded.Load() >= 2 })
 	assert.Equal(t, w.engines.orderCount(), 1)
 
-	w.fleet.Put(entryOf(secondStart))
-	testwait.Until(t, "the second start is known to have version 2", func() bool {
-		believed, _ := w.fleet.Get("e0")
-		return believed.Born == secondStart && believed.Versions[model] == 2
+	w.fleet.Put(incarnationEntry(secondStart))
+	testwait.Until(t, "the second incarnation is listed with version 2", func() bool {
+		listed, _ := w.fleet.Get("e0")
+		return listed.Born == secondStart && listed.Versions[model] == 2
 	})
-	assert.Equal(t, w.engines.orderCount(), 1, "it had the version already")
+	assert.Equal(t, w.engines.orderCount(), 1, "the second incarnation already has the version")
 }
 
-// TestTheQuietTimeBindsTheNextStartOfAnEngine: an order of an earlier holder may still reach it.
-func TestTheQuietTimeBindsTheNextStartOfAnEngine(t *testing.T) {
+// An order of an earlier lease holder may still reach the next incarnation.
+func TestQuietPeriodAppliesToNextIncarnation(t *testing.T) {
 	var over atomic.Bool
-	w := manage(t, 2, func(options *Options) {
+	w := startManager(t, 2, func(options *Options) {
 		options.Engines.(*fakeEngines).born["e0"] = secondStart
-		options.Fleet.Put(entryOf(firstStart))
-		options.Fleet.Put(entryOf(secondStart))
+		options.Fleet.Put(incarnationEntry(firstStart))
+		options.Fleet.Put(incarnationEntry(secondStart))
 		options.Term = &leaseterm.Term{Quiet: func(engine string) time.Time {
 			if engine == "e0" && !over.Load() {
 				return time.Now().Add(time.Hour)
@@ -105,46 +108,44 @@
 		}}
 	})
 	testwait.Until(t, "the other engine has version 2", func() bool { return w.engines.versionOf("e1") == 2 })
-	time.Sleep(4 * tickPeriod) // in which a holder would have ordered
+	time.Sleep(4 * tickPeriod) // enough for an order
 	assert.Equal(t, w.engines.orderCount(), 1)
 	over.Store(true)
-	testwait.Until(t, "version 2 everywhere", func() bool { return w.engines.allAt(2) })
+	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
 }
 
-// TestWhatIsKnownOfAnEngineThatEndedIsDropped: its count of orders and its pause.
-func TestWhatIsKnownOfAnEngineThatEndedIsDropped(t *testing.T) {
+func TestStateOfEndedIncarnationIsDropped(t *testing.T) {
 	known := fleet.New()
-	known.Put(entryOf(firstStart))
+	known.Put(incarnationEntry(firstStart))
 	manager := New(Options{Fleet: known})
-	first := entryOf(firstStart).Incarnation()
+	first := incarnationEntry(firstStart).Incarnation()
 	manager.counts[first], manager.retryAt[first] = 3, time.Now()
-	known.Put(entryOf(secondStart))
-	manager.forgetEnded()
+	known.Put(incarnationEntry(secondStart))
+	manager.dropEnded()
 	assert.Equal(t, len(manager.counts), 0)
 	assert.Equal(t, len(manager.retryAt), 0)
 }
 
-// TestTheNextStartOfAnEngineIsOrderedAtOnce: the pause of the earlier incarnation does not apply to it.
-func TestTheNextStartOfAnEngineIsOrderedAtOnce(t *testing.T) {
+func TestRetryDelayDoesNotApplyToNextIncarnation(t *testing.T) {
 	engines, known := newFakeEngines("e0"), fleet.New()
 	engines.busy["e0"] = true
-	known.Put(entryOf(firstStart))
+	known.Put(incarnationEntry(firstStart))
 	manager := New(Options{
 		Engines: engines, Fleet: known, Term: &leaseterm.Term{}, Logger: zerolog.Nop(), Loaded: func() {},
 		Running: func() map[incarnation.ID]int { return nil },
 	})
-	first := entryOf(firstStart)
+	first := incarnationEntry(firstStart)
 	manager.load(t.Context(), first, weightplan.Load{Engine: first.Incarnation(), Model: model, Version: 2}, Continue)
-	paused := manager.retryAt[first.Incarnation()].Add(-time.Millisecond)
-	assert.Assert(t, !isUsable(manager, paused))
-	known.Put(entryOf(secondStart))
-	assert.Assert(t, isUsable(manager, paused))
+	beforeRetry := manager.retryAt[first.Incarnation()].Add(-time.Millisecond)
+	assert.Assert(t, !isUsable(manager, beforeRetry))
+	known.Put(incarnationEntry(secondStart))
+	assert.Assert(t, isUsable(manager, beforeRetry))
 }
 
 // isUsable reports whether the only engine may be ordered.
 func isUsable(manager *Manager, now time.Time) bool {
 	listed := manager.options.Fleet.List(service, now)
 	views := manager.engineViews(listed, nil)
-	manager.findUsable(views, listed, map[incarnation.ID]string{views[0].ID: model}, now)
+	manager.markUsable(views, listed, map[incarnation.ID]string{views[0].ID: model}, now)
 	return views[0].Usable
 }
--- a/internal/weightorders/load.go
+++ b/internal/weightorders/load.go
@@ -12,14 +12,14 @@
 	"github.com/corkpulley/corkpulley/internal/core/weightplan"
 )
 
-// reportTimeout bounds the request for an engine's report.
+// reportTimeout bounds a request for an engine's report.
 const reportTimeout = 800 * time.Millisecond
 
 func sortTargets(targets []weightplan.Target) {
 	sort.Slice(targets, func(i, j int) bool { return targets[i].Model < targets[j].Model })
 }
 
-// load orders a load and waits until it is done.
+// load orders a load and waits for its end.
 func (m *Manager) load(ctx context.Context, engine fleet.Engine, load weightplan.Load, mode Mode) {
 	began := time.Now()
 	answer := m.order(ctx, engine, load, mode)
@@ -34,14 +34,14 @@
 	if done && answer == Taken {
 		m.recordLoadTime(time.Since(began))
 		if mode == Continue {
-			// In the other mode the duration includes the wait for running items.
-			m.limiter.Ended(began, time.Now(), m.loading[engine.Incarnation()].together)
+			// In mode Finish the duration includes the wait for running items.
+			m.limiter.Ended(began, time.Now(), m.loading[engine.Incarnation()].concurrency)
 		}
 	}
 	delete(m.loading, engine.Incarnation())
 	if !done {
 		delete(m.counts, engine.Incarnation())
-		m.retryAt[engine.Incarnation()] = time.Now().Add(orderPause)
+		m.retryAt[engine.Incarnation()] = time.Now().Add(retryDelay)
 	}
 	limit := m.limiter.Limit()
 	m.mu.Unlock()
@@ -51,26 +51,26 @@
 	m.options.Loaded()
 }
 
-// recordLoadTime updates the average load time. Must be called with mu held.
+// recordLoadTime updates the mean load time. Must be called with mu held.
 func (m *Manager) recordLoadTime(took time.Duration) {
-	if m.loadTime == 0 {
-		m.loadTime = took
+	if m.meanLoadTime == 0 {
+		m.meanLoadTime = took
 		return
 	}
-	m.loadTime += time.Duration(loadWeight * float64(took-m.loadTime))
+	m.meanLoadTime += time.Duration(loadTimeSmoothing * float64(took-m.meanLoadTime))
 }
 
-// order sends the order with the engine's count of orders.
+// order sends an order with the engine's order count, which it requests first if it is unknown.
 func (m *Manager) order(ctx context.Context, engine fleet.Engine, load weightplan.Load, mode Mode) Answer {
 	m.mu.Lock()
 	count, known := m.counts[engine.Incarnation()]
 	m.mu.Unlock()
 	if !known {
-		// The report also proves that the engine is reachable, so orders that an earlier holder sent have
+		// The report also proves that the engine is reachable, so that orders of an earlier lease holder have
 		// arrived.
 		report, err := m.report(ctx, engine)
 		if err != nil || report.Busy {
-			m.logUnreported(engine, err)
+			m.logReportError(engine, err)
 			return Refused
 		}
 		m.observe(engine, report)
@@ -84,26 +84,26 @@
 	}
 	permit, err := m.options.Term.Permit(ctx, engine.ID)
 	if err != nil {
-		m.options.Logger.Warn().Err(err).Stringer("engine", engine.Incarnation()).Msg("order not announced")
+		m.options.Logger.Warn().Err(err).Stringer("engine", engine.Incarnation()).Msg("load order not permitted")
 		return Refused
 	}
 	if !permit.Open() || ctx.Err() != nil {
 		return Refused
 	}
 	began := time.Now()
-	look := m.options.Gate.LookAtOrder(engine.Incarnation())
+	check := m.options.Gate.LookAtOrder(engine.Incarnation())
 	callContext, cancel := permit.Bound(ctx)
 	defer cancel()
 	answer, err := m.options.Engines.Order(callContext, engine, Order{
 		Model: load.Model, Version: load.Version, Mode: mode,
 		Holder: m.options.Holder, Fence: m.options.Fence, Count: count,
-		MayLeave: func() bool { return permit.Open() && look.MayLeave() },
+		MayLeave: func() bool { return permit.Open() && check.MayLeave() },
 	})
 	if err != nil {
-		m.options.Logger.Warn().Err(err).Stringer("engine", engine.Incarnation()).Msg("order failed")
+		m.options.Logger.Warn().Err(err).Stringer("engine", engine.Incarnation()).Msg("load order failed")
 	}
 	m.options.Logger.Info().Stringer("engine", engine.Incarnation()).Int64("fence", m.options.Fence).Stringer("answer", answer).
-		Stringer("held_back", look.Held()).Dur("took_ms", time.Since(began)).Msg("order answered")
+		Stringer("held_back", check.Held()).Dur("took_ms", time.Since(began)).Msg("load order answered")
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if answer == Taken {
@@ -114,44 +114,43 @@
 	return answer
 }
 
-// awaitVersion polls the engine until it has the version, and reports whether it does. It stops when the
-// engine has ended.
+// awaitVersion polls the engine until it has loaded the version, and reports whether it has. It stops when the
+// engine has ended or its zone is evacuated.
 func (m *Manager) awaitVersion(ctx context.Context, engine fleet.Engine, load weightplan.Load, began time.Time) bool {
-	retry.Sleep(ctx, firstCheck)
+	retry.Sleep(ctx, firstPollDelay)
 	for ctx.Err() == nil && time.Since(began) < loadTimeout {
 		if _, known := m.options.Fleet.Find(engine.Incarnation()); !known {
 			return false
 		}
 		report, err := m.report(ctx, engine)
-		if errors.Is(err, errStartedAgain) {
+		if errors.Is(err, errRestarted) {
 			return false
 		}
 		var evacuated *evacuatedError
 		if errors.As(err, &evacuated) {
-			m.logUnreported(engine, err)
+			m.logReportError(engine, err)
 			return false
 		}
 		if err == nil && report.Versions[load.Model] >= load.Version && !report.Busy {
 			m.observe(engine, report)
 			return true
 		}
-		retry.Sleep(ctx, checkPeriod)
+		retry.Sleep(ctx, pollInterval)
 	}
 	return false
 }
 
-// errStartedAgain is returned for a report of another incarnation than the one addressed.
-var errStartedAgain = errors.New("the engine has started again")
+// errRestarted is returned for a report of another incarnation than the one addressed.
+var errRestarted = errors.New("the report is from another incarnation of the engine")
 
-// evacuatedError is returned for an engine in an evacuated zone, which gets no requests.
+// evacuatedError is returned for an engine in an evacuated zone, to which no requests are sent.
 type evacuatedError struct{ zone string }
 
 // Error implements the error interface.
 func (e *evacuatedError) Error() string { return "zone " + e.zone + " is evacuated" }
 
-// report requests an engine's report, unless its zone is evacuated: no requests are sent there, and
-// the engine list contains what it has loaded meanwhile. A report of another incarnation is an error, since
-// it does not apply to the addressed one.
+// report requests an engine's report. No request is sent to an evacuated zone; the engine list shows what its
+// engines have loaded meanwhile. A report from another incarnation than the addressed one is an error.
 func (m *Manager) report(ctx context.Context, engine fleet.Engine) (Report, error) {
 	if m.options.Fleet.IsEvacuated(engine.Zone) {
 		return Report{}, &evacuatedError{zone: engine.Zone}
@@ -166,26 +165,27 @@
 	}
 	if addressed := engine.Incarnation(); addressed.Contradicts(report.Of) {
 		m.options.Logger.Info().Stringer("engine", addressed).Stringer("answered", report.Of).
-			Msg("another start of the engine answered")
-		return Report{}, errStartedAgain
+			Msg("report from another incarnation of the engine")
+		return Report{}, errRestarted
 	}
 	return report, nil
 }
 
-// logUnreported logs why an engine was not ordered or is no longer polled, if there is an error.
-func (m *Manager) logUnreported(engine fleet.Engine, err error) {
+// logReportError logs the error, if any, because of which an engine was not ordered or is no longer polled.
+func (m *Manager) logReportError(engine fleet.Engine, err error) {
 	if err == nil {
 		return
 	}
-	line := m.options.Logger.Info().Err(err).Stringer("engine", engine.Incarnation())
+	event := m.options.Logger.Info().Err(err).Stringer("engine", engine.Incarnation())
 	var evacuated *evacuatedError
 	if errors.As(err, &evacuated) {
-		line.Msg("load left to the engine")
+		event.Msg("engine not ordered or polled, its zone is evacuated")
 		return
 	}
-	line.Msg("engine not ordered, its report is missing")
+	event.Msg("engine not ordered, the request for its report failed")
 }
 
+// observe updates the fleet with the versions of a report.
 func (m *Manager) observe(engine fleet.Engine, report Report) {
 	for model, version := range report.Versions {
 		m.options.Fleet.Observe(engine.Incarnation(), model, version)
--- a/internal/weightorders/plan.go
+++ b/internal/weightorders/plan.go
@@ -30,58 +30,59 @@
 	}
 	engines := m.engineViews(listed, running)
 	models := allocator.Allocate(engines, targets)
-	m.findUsable(engines, listed, models, now)
-	atOnce := m.limiter.LimitOf(len(models)) + m.nearlyDone(now) - m.loadingElsewhere(engines)
-	for _, load := range weightplan.NextLoads(engines, models, targets, atOnce) {
+	m.markUsable(engines, listed, models, now)
+	available := m.limiter.LimitOf(len(models)) + m.countNearlyDone(now) - m.countOtherLoads(engines)
+	for _, load := range weightplan.NextLoads(engines, models, targets, available) {
 		engine, known := m.options.Fleet.Find(load.Engine)
 		if !known {
 			continue
 		}
-		m.loading[load.Engine] = &loadInProgress{model: load.Model, since: now}
+		m.loading[load.Engine] = &loadInProgress{model: load.Model, startedAt: now}
 		mode := Continue
 		if target.SingleVersion {
 			mode = Finish
 		}
-		m.wait.Go(func() { m.load(ctx, engine, load, mode) })
+		m.loadGroup.Go(func() { m.load(ctx, engine, load, mode) })
 	}
-	m.updateTogether(now)
+	m.updateConcurrency(now)
 }
 
-// updateTogether updates the number of concurrent loads of each load. Must be called with mu held.
-func (m *Manager) updateTogether(now time.Time) {
-	together := len(m.loading) - m.nearlyDone(now)
+// updateConcurrency updates the maximum concurrency of each load in progress. Must be called with mu held.
+func (m *Manager) updateConcurrency(now time.Time) {
+	concurrency := len(m.loading) - m.countNearlyDone(now)
 	for _, each := range m.loading {
-		each.together = max(each.together, together)
+		each.concurrency = max(each.concurrency, concurrency)
 	}
 }
 
-// loadingElsewhere counts the loads of engines that are not among these but share the
-// source of the weights. Must be called with mu held.
-func (m *Manager) loadingElsewhere(engines []weightplan.Engine) int {
-	elsewhere := len(m.loading)
+// countOtherLoads counts the loads in progress of engines that are not in the list, since all engines load from
+// the same source. Must be called with mu held.
+func (m *Manager) countOtherLoads(engines []weightplan.Engine) int {
+	others := len(m.loading)
 	for _, engine := range engines {
 		if engine.Loading {
-			elsewhere--
+			others--
 		}
 	}
-	return elsewhere
+	return others
 }
 
-// nearlyDone counts the loads that are about to be reported as done. Must be called with mu held.
-func (m *Manager) nearlyDone(now time.Time) int {
-	if m.loadTime == 0 {
+// countNearlyDone counts the loads that are expected to end soon. Must be called with mu held.
+func (m *Manager) countNearlyDone(now time.Time) int {
+	if m.meanLoadTime == 0 {
 		return 0
 	}
 	count := 0
 	for _, each := range m.loading {
-		if now.Sub(each.since) > time.Duration(nearlyDoneShare*float64(m.loadTime)) {
+		if now.Sub(each.startedAt) > time.Duration(nearlyDoneShare*float64(m.meanLoadTime)) {
 			count++
 		}
 	}
 	return count
 }
 
-// engineViews returns the engines that take work, none of them usable yet. Must be called with mu held.
+// engineViews returns the planner's view of the engines that accept work, none of them marked usable. Must be
+// called with mu held.
 func (m *Manager) engineViews(listed []fleet.Listed, running map[incarnation.ID]int) []weightplan.Engine {
 	views := make([]weightplan.Engine, 0, len(listed))
 	for _, each := range listed {
@@ -97,9 +98,9 @@
 	return views
 }
 
-// findUsable marks the engines that follow a model and may be ordered now. It does not check the others,
-// which load nothing. Must be called with mu held.
-func (m *Manager) findUsable(
+// markUsable marks the engines that are allocated to a model and may be ordered now. The others load nothing and
+// are not checked. Must be called with mu held.
+func (m *Manager) markUsable(
 	engines []weightplan.Engine, listed []fleet.Listed, models map[incarnation.ID]string, now time.Time,
 ) {
 	suspected := make(map[incarnation.ID]bool)
@@ -117,30 +118,30 @@
 	}
 }
 
-// targets returns the models of the service with their demand. Must be called with mu held.
+// targets returns the target version and the demand of each model of the service. Must be called with mu held.
 func (m *Manager) targets(target Target, demands map[string]batchrun.Demand, now time.Time) []weightplan.Target {
 	var targets []weightplan.Target
 	for model, version := range target.Versions {
-		if m.named[model] != version {
-			m.named[model] = version
-			m.options.Logger.Info().Str("model", model).Int64("version", version).Msg("version to load")
+		if m.loggedVersions[model] != version {
+			m.loggedVersions[model] = version
+			m.options.Logger.Info().Str("model", model).Int64("version", version).Msg("target version changed")
 		}
 		demand := demands[model]
 		if demand.Tokens > 0 {
-			known := m.demands[model]
-			if known == 0 {
-				known = float64(demand.Tokens)
+			mean := m.demands[model]
+			if mean == 0 {
+				mean = float64(demand.Tokens)
 			}
-			m.demands[model] = known + demandWeight*(float64(demand.Tokens)-known)
+			m.demands[model] = mean + demandSmoothing*(float64(demand.Tokens)-mean)
 		}
-		items, found := m.items[model]
+		itemPeaks, found := m.itemPeaks[model]
 		if !found {
-			items = &peak.Window{}
-			m.items[model] = items
+			itemPeaks = &peak.Window{}
+			m.itemPeaks[model] = itemPeaks
 		}
-		items.Observe(now, demand.Items, itemPeakPeriod)
+		itemPeaks.Observe(now, demand.Items, itemPeakPeriod)
 		targets = append(targets, weightplan.Target{
-			Model: model, Version: version, MinVersion: demand.MinVersion, Items: items.Max(),
+			Model: model, Version: version, MinVersion: demand.MinVersion, Items: itemPeaks.Max(),
 			Demand: m.demands[model], Waiting: demand.Waiting, Interrupts: target.SingleVersion,
 		})
 	}
--- a/internal/weightorders/scale_test.go
+++ b/internal/weightorders/scale_test.go
@@ -14,9 +14,8 @@
 	"github.com/corkpulley/corkpulley/internal/standin/leaseterm"
 )
 
-// workOf plans the loads of a fleet once and returns the number of queries to the lease and of started
-// loads.
-func workOf(t *testing.T, engineCount int) (questions, loads int) {
+// planOnce plans the loads of a fleet once and returns the number of lease queries and of started loads.
+func planOnce(t *testing.T, engineCount int) (queries, loads int) {
 	t.Helper()
 	known := fleet.New()
 	for i := range engineCount {
@@ -24,7 +23,7 @@
 	}
 	engines := newFakeEngines()
 	for i := range engineCount {
-		// Busy engines reject orders, so that each load ends at once.
+		// Busy engines reject orders, so each load ends at once.
 		engines.busy[fmt.Sprint("e", i)] = true
 	}
 	manager := New(Options{
@@ -32,28 +31,27 @@
 		Running: func() map[incarnation.ID]int { return nil },
 		Demands: func() map[string]batchrun.Demand { return map[string]batchrun.Demand{model: {Items: 200}} },
 		Term: &leaseterm.Term{Quiet: func(string) time.Time {
-			questions++
+			queries++
 			return time.Time{}
 		}},
 	})
 	for range 200 {
-		// Fast loads raise the limit of concurrent loads.
+		// Fast loads raise the concurrency limit.
 		manager.limiter.Ended(time.Now(), time.Now().Add(time.Second), 1000)
 	}
 	engines.mu.Lock()
 	manager.plan(t.Context(), Target{Service: service, Versions: map[string]int64{model: 2}})
 	loads = len(manager.AllLoading())
 	engines.mu.Unlock()
-	manager.wait.Wait()
-	return questions, loads
+	manager.loadGroup.Wait()
+	return queries, loads
 }
 
-// TestLoadsFollowTheItemsAndNotTheFleet: twice the engines for the same items cause no more orders and no
-// more queries to the lease.
-func TestLoadsFollowTheItemsAndNotTheFleet(t *testing.T) {
-	questions, loads := workOf(t, 2_000)
-	assert.Assert(t, questions > 0 && loads > 0)
-	twiceQuestions, twiceLoads := workOf(t, 4_000)
-	assert.Equal(t, twiceQuestions, questions)
+// Guards against planning cost that grows with the fleet while the number of items stays the same.
+func TestPlanCostDependsOnItemsNotFleetSize(t *testing.T) {
+	queries, loads := planOnce(t, 2_000)
+	assert.Assert(t, queries > 0 && loads > 0)
+	twiceQueries, twiceLoads := planOnce(t, 4_000)
+	assert.Equal(t, twiceQueries, queries)
 	assert.Equal(t, twiceLoads, loads)
 }
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -1,6 +1,6 @@
-// Package weightorders orders the engines to load the named weight versions. Only the
-// leader sends orders, with its epoch as the fencing token. Each order names the engine's
-// count of orders, so that late orders are rejected.
+// Package weightorders orders engines to load the target weight versions. Only the leader sends orders, with its
+// epoch as the fencing token. Each order contains the engine's order count, so that engines reject delayed
+// orders.
 package weightorders
 
 import (
@@ -23,71 +23,71 @@
 )
 
 const (
-	// tickPeriod is the interval between two planning passes, planShare bounds the share of
-	// time that the manager spends on them.
-	tickPeriod = 50 * time.Millisecond
-	planShare  = 0.05
-	// firstCheck is the delay of the first check whether a load is done, checkPeriod the interval of
-	// further ones.
-	firstCheck  = 950 * time.Millisecond
-	checkPeriod = 100 * time.Millisecond
-	// nearlyDoneShare is the share of the mean load time after which a load no longer counts as in
-	// progress, since engines report its end late.
+	// tickPeriod is the interval between planning passes, maxPlanShare bounds the share of time spent on them.
+	tickPeriod   = 50 * time.Millisecond
+	maxPlanShare = 0.05
+	// firstPollDelay is the delay before an engine is first polled for the end of a load, pollInterval the
+	// interval of further polls.
+	firstPollDelay = 950 * time.Millisecond
+	pollInterval   = 100 * time.Millisecond
+	// nearlyDoneShare is the share of the mean load time after which a load no longer counts as in progress,
+	// since engines report its end late.
 	nearlyDoneShare = 0.8
-	// loadWeight is the weight of a new sample in the moving average of load times.
-	loadWeight = 0.3
-	// loadTimeout bounds the wait for a load. It may be ordered again after that.
+	// loadTimeSmoothing is the weight of a new sample in the moving average of the load time.
+	loadTimeSmoothing = 0.3
+	// loadTimeout bounds the wait for the end of a load. The load may be ordered again after that.
 	loadTimeout = 5 * time.Second
-	// orderPause is how long an engine that did not accept an order gets none.
-	orderPause = 500 * time.Millisecond
-	// demandWeight is the weight of a new sample in the moving average of the demand.
-	demandWeight = 0.02
-	// itemPeakPeriod is how long a peak of items counts. It spans the pauses of trainers between two steps.
+	// retryDelay is the time without orders for an engine that did not execute one.
+	retryDelay = 500 * time.Millisecond
+	// demandSmoothing is the weight of a new sample in the moving average of the demand.
+	demandSmoothing = 0.02
+	// itemPeakPeriod is the window of the peak of open items. It must exceed the pauses of trainers between
+	// steps.
 	itemPeakPeriod = 2 * time.Minute
 )
 
-// Mode defines what happens to running items during a load.
+// Mode is the treatment of running items by a load.
 type Mode string
 
-// The modes.
+// Modes of a load.
 const (
-	// Finish waits for running items before the load.
+	// Finish waits for the running items before the load.
 	Finish Mode = "finish"
-	// Continue continues running items with the new weights.
+	// Continue continues the running items with the new weights.
 	Continue Mode = "continue"
 )
 
-// Order is one order to an engine.
+// Order is an order to load a version of a model's weights.
 type Order struct {
 	Model   string
 	Version int64
 	Mode    Mode
-	// Holder is the ordering process, Fence its epoch.
+	// Holder is the process that holds the lease, Fence its epoch.
 	Holder string
 	Fence  int64
-	// Count is the engine's count of orders before this one.
+	// Count is the number of orders that the engine has accepted before this one.
 	Count int64
-	// MayLeave reports whether the order may still be sent. It is called right before its
-	// first byte is written, from any goroutine; nil means no limit.
+	// MayLeave reports whether the order may still be sent. It is called from any goroutine right before the
+	// first byte is written; nil means always.
 	MayLeave func() bool
 }
 
 // Answer is an engine's answer to an order.
 type Answer uint8
 
-// The answers.
+// Answers to an order.
 const (
-	// Unanswered: the order may take effect now, later or never.
+	// Unanswered: no response; the order may take effect now, later or never.
 	Unanswered Answer = iota
-	// Taken: the order is in progress.
+	// Taken: the engine has accepted the order and loads the version.
 	Taken
-	// Held: the engine has the version already.
+	// Held: the engine has already loaded the version.
 	Held
-	// Conflict: another order is in progress or has come before.
+	// Conflict: another load is in progress, or the order count is outdated.
 	Conflict
-	// Fenced: a newer leader has ordered the engine.
+	// Fenced: the engine has received an order with a higher epoch.
 	Fenced
-	// Refused: the engine rejected this order.
+	// Refused: the order was not sent, or the engine rejected it.
 	Refused
 )
 
@@ -95,108 +95,111 @@
 	Unanswered: "unanswered", Taken: "taken", Held: "held", Conflict: "conflict", Fenced: "fenced", Refused: "refused",
 }
 
-// String returns the answer as logged.
+// String returns the answer's name in logs.
 func (a Answer) String() string { return answerNames[a] }
 
 // Report is the state that an engine reports.
 type Report struct {
 	// Of is the incarnation that answered, which may differ from the one addressed.
-	Of       incarnation.ID
+	Of incarnation.ID
+	// Versions holds the loaded version by model.
 	Versions map[string]int64
-	Busy     bool
-	Count    int64
+	// Busy is true while a load is in progress.
+	Busy bool
+	// Count is the number of orders that the engine has accepted.
+	Count int64
 }
 
-// Engines orders engines.
+// Engines is a client of the engines.
 type Engines interface {
-	// Report returns what an engine has loaded. mayLeave is called right before the request is sent, from
-	// any goroutine.
+	// Report requests an engine's report. mayLeave is called from any goroutine right before the request is sent
+	// and reports whether it may still be sent.
 	Report(ctx context.Context, engine fleet.Engine, mayLeave func() bool) (Report, error)
+	// Order sends an order to an engine.
 	Order(ctx context.Context, engine fleet.Engine, order Order) (Answer, error)
 }
 
-// Target is a service with the versions named for its models.
+// Target holds the target versions of a service's models.
 type Target struct {
 	Service string
-	// Versions holds the named version of each model of the service; zero if none is
-	// named.
+	// Versions holds the target version by model; zero if a model has none.
 	Versions map[string]int64
-	// SingleVersion is true if an item must not be run under two versions.
+	// SingleVersion is true if an item must run with a single version from start to end.
 	SingleVersion bool
 }
 
-// Options are the parts that a manager works with.
+// Options configures a Manager.
 type Options struct {
 	Engines Engines
 	Fleet   *fleet.Fleet
-	// Gate is checked before orders are sent; nil for one that checks Fleet only.
+	// Gate is checked before requests are sent; nil for a gate that checks Fleet only.
 	Gate *sendgate.Gate
-	// Targets returns the versions to load.
+	// Targets returns the target versions of all services.
 	Targets func() []Target
-	// Term is the term of leadership of the manager.
+	// Term is the leadership term during which the manager may send orders.
 	Term lease.Term
-	// Running returns the number of running items by engine, without idle engines; Demands the demand by
+	// Running returns the number of running items by engine, without idle engines, and Demands the demand by
 	// model.
 	Running func() map[incarnation.ID]int
 	Demands func() map[string]batchrun.Demand
-	// Loaded is called after an engine has loaded.
+	// Loaded is called after each order has ended, successfully or not.
 	Loaded func()
+	// Holder and Fence are sent with each order.
 	Holder string
 	Fence  int64
 	Logger zerolog.Logger
 }
 
-// Manager orders loads during one term of leadership.
+// Manager orders loads during one leadership term.
 type Manager struct {
 	options Options
 
 	mu sync.Mutex
-	// loading holds the load in progress of each engine.
+	// loading holds the loads in progress by engine.
 	loading map[incarnation.ID]*loadInProgress
 	limiter *weightplan.Limiter
-	// loadTime is the moving average of the time until a load is reported as done.
-	loadTime time.Duration
-	// counts holds the known counts of orders by engine.
+	// meanLoadTime is the moving average of the time until an engine reports the end of a load.
+	meanLoadTime time.Duration
+	// counts holds the known order counts by engine.
 	counts map[incarnation.ID]int64
-	// retryAt is when an engine that did not accept an order may be ordered again.
+	// retryAt holds the time before which an engine gets no further order after a failed one.
 	retryAt map[incarnation.ID]time.Time
-	// starts is Fleet.Starts as of the last cleanup of counts and retryAt.
+	// starts is the value of Fleet.Starts at the last cleanup of counts and retryAt.
 	starts     int64
 	allocators map[string]*weightplan.Allocator
 	demands    map[string]float64
-	// items tracks the peak of open items by model.
-	items map[string]*peak.Window
-	// named holds the last logged version by model.
-	named map[string]int64
-	wait  sync.WaitGroup
+	// itemPeaks tracks the peak of open items by model.
+	itemPeaks map[string]*peak.Window
+	// loggedVersions holds the last logged target version by model.
+	loggedVersions map[string]int64
+	loadGroup      sync.WaitGroup
 }
 
-// loadInProgress is a load that an engine was ordered.
+// loadInProgress is a load that was ordered and has not ended.
 type loadInProgress struct {
-	model string
-	since time.Time
-	// together is the maximum number of concurrent loads since then, this one
-	// included.
-	together int
+	model     string
+	startedAt time.Time
+	// concurrency is the maximum number of concurrent loads since startedAt, including this one.
+	concurrency int
 }
 
-// New returns a manager for one term.
+// New returns a manager for one leadership term.
 func New(options Options) *Manager {
 	options.Gate = sendgate.OrNew(options.Gate, options.Fleet)
 	return &Manager{
-		options:    options,
-		limiter:    weightplan.NewLimiter(),
-		loading:    make(map[incarnation.ID]*loadInProgress),
-		counts:     make(map[incarnation.ID]int64),
-		retryAt:    make(map[incarnation.ID]time.Time),
-		allocators: make(map[string]*weightplan.Allocator),
-		demands:    make(map[string]float64),
-		items:      make(map[string]*peak.Window),
-		named:      make(map[string]int64),
+		options:        options,
+		limiter:        weightplan.NewLimiter(),
+		loading:        make(map[incarnation.ID]*loadInProgress),
+		counts:         make(map[incarnation.ID]int64),
+		retryAt:        make(map[incarnation.ID]time.Time),
+		allocators:     make(map[string]*weightplan.Allocator),
+		demands:        make(map[string]float64),
+		itemPeaks:      make(map[string]*peak.Window),
+		loggedVersions: make(map[string]int64),
 	}
 }
 
-// AllLoading returns the models being loaded by engine.
+// AllLoading returns the model that each engine is loading, without idle engines.
 func (m *Manager) AllLoading() map[incarnation.ID]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -207,7 +210,7 @@
 	return loading
 }
 
-// Loading returns the model that an engine is loading; empty for none.
+// Loading returns the model that an engine is loading; empty if it loads none.
 func (m *Manager) Loading(engine incarnation.ID) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -217,22 +220,23 @@
 	return ""
 }
 
-// Run orders loads until ctx ends.
+// Run plans and orders loads until ctx ends, and then waits for the running ones.
 func (m *Manager) Run(ctx context.Context) {
-	cycle := dutycycle.New(tickPeriod, planShare)
+	cycle := dutycycle.New(tickPeriod, maxPlanShare)
 	for retry.Sleep(ctx, cycle.Wait(time.Now())) {
 		began := time.Now()
-		m.forgetEnded()
+		m.dropEnded()
 		for _, target := range m.options.Targets() {
 			m.plan(ctx, target)
 		}
 		cycle.Ended(began, time.Now())
 	}
-	m.wait.Wait()
+	m.loadGroup.Wait()
 }
 
-// forgetEnded drops the state of engines that have ended, whenever others have started.
-func (m *Manager) forgetEnded() {
+// dropEnded drops the state of engines that are no longer listed, if any engine has started since the last
+// call.
+func (m *Manager) dropEnded() {
 	starts := m.options.Fleet.Starts()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -244,7 +248,6 @@
 	maps.DeleteFunc(m.retryAt, func(engine incarnation.ID, _ time.Time) bool { return m.hasEnded(engine) })
 }
 
-// hasEnded reports whether an engine is no longer listed.
 func (m *Manager) hasEnded(engine incarnation.ID) bool {
 	_, known := m.options.Fleet.Find(engine)
 	return !known
--- a/internal/weightorders/weightorders_test.go
+++ b/internal/weightorders/weightorders_test.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	service  = "s"
-	model    = "m"
-	loadTime = 150 * time.Millisecond
+	service      = "s"
+	model        = "m"
+	fakeLoadTime = 150 * time.Millisecond
 )
 
-// fakeEngines hold versions and execute orders.
+// fakeEngines is an in-memory Engines whose engines execute orders within fakeLoadTime.
 type fakeEngines struct {
 	mu       sync.Mutex
 	versions map[string]int64
 	counts   map[string]int64
 	busy     map[string]bool
-	// born is each engine's start time; zero if it does not report one.
+	// born holds the start time by engine; zero if the engine reports none.
 	born   map[string]int64
 	orders []Order
-	// most is the maximum number of concurrent loads.
-	loading, most int
+	// loading is the number of concurrent loads, maxLoading its maximum.
+	loading, maxLoading int
 	// answer, if set, overrides the engine's answer to an order.
 	answer func(engine string, order Order) (Answer, bool)
 }
@@ -77,8 +77,8 @@
 	f.counts[engine.ID]++
 	f.busy[engine.ID] = true
 	f.loading++
-	f.most = max(f.most, f.loading)
-	time.AfterFunc(loadTime, func() {
+	f.maxLoading = max(f.maxLoading, f.loading)
+	time.AfterFunc(fakeLoadTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.versions[engine.ID], f.busy[engine.ID] = order.Version, false
@@ -110,17 +110,17 @@
 	return len(f.orders)
 }
 
-// world is a manager with its dependencies.
-type world struct {
+// testManager is a running manager with its dependencies.
+type testManager struct {
 	engines *fakeEngines
 	fleet   *fleet.Fleet
 	version atomic.Int64
 	term    *leaseterm.Term
 }
 
-func manage(t *testing.T, engineCount int, change func(*Options)) *world {
+func startManager(t *testing.T, engineCount int, change func(*Options)) *testManager {
 	t.Helper()
-	w := &world{fleet: fleet.New(), term: &leaseterm.Term{}}
+	w := &testManager{fleet: fleet.New(), term: &leaseterm.Term{}}
 	w.version.Store(2)
 	var ids []string
 	for i := range engineCount {
@@ -154,35 +154,35 @@
 	return w
 }
 
-func TestAllEnginesFollowTheNamedVersion(t *testing.T) {
-	w := manage(t, 5, nil)
-	testwait.Until(t, "version 2 everywhere", func() bool { return w.engines.allAt(2) })
+func TestAllEnginesLoadNamedVersion(t *testing.T) {
+	w := startManager(t, 5, nil)
+	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
 	w.version.Store(3)
-	testwait.Until(t, "version 3 everywhere", func() bool { return w.engines.allAt(3) })
+	testwait.Until(t, "all engines have version 3", func() bool { return w.engines.allAt(3) })
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
-	assert.Equal(t, len(w.engines.orders), 10, "an engine was ordered twice for one version")
+	assert.Equal(t, len(w.engines.orders), 10, "an engine was ordered twice to load a version")
 	for _, order := range w.engines.orders {
 		assert.Equal(t, order.Fence, int64(7))
 		assert.Equal(t, order.Mode, Continue)
 	}
 }
 
-// TestMoreLoadTogetherWhereTheSourceFeedsThem: concurrent loads do not slow each other down here.
-func TestMoreLoadTogetherWhereTheSourceFeedsThem(t *testing.T) {
-	w := manage(t, 48, func(options *Options) {
+// Guards against a concurrency limit that does not rise although concurrent loads do not slow each other down.
+func TestConcurrentLoadsIncreaseWhileLoadTimeIsStable(t *testing.T) {
+	w := startManager(t, 48, func(options *Options) {
 		options.Demands = func() map[string]batchrun.Demand { return map[string]batchrun.Demand{model: {Items: 48 * 4}} }
 	})
-	testwait.Until(t, "version 2 everywhere", func() bool { return w.engines.allAt(2) })
+	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
-	assert.Assert(t, w.engines.most > 4, "%d loads together", w.engines.most)
+	assert.Assert(t, w.engines.maxLoading > 4, "%d concurrent loads", w.engines.maxLoading)
 }
 
-// TestNoEngineIsOrderedBeforeItsQuietTimeIsOver: another engine is ordered at once.
-func TestNoEngineIsOrderedBeforeItsQuietTimeIsOver(t *testing.T) {
+// The quiet period of one engine must not delay orders to others.
+func TestEngineIsNotOrderedDuringQuietPeriod(t *testing.T) {
 	var over atomic.Bool
-	w := manage(t, 2, func(options *Options) {
+	w := startManager(t, 2, func(options *Options) {
 		options.Term = &leaseterm.Term{Quiet: func(engine string) time.Time {
 			if engine == "e0" && !over.Load() {
 				return time.Now().Add(time.Hour)
@@ -191,80 +191,78 @@
 		}}
 	})
 	testwait.Until(t, "the other engine has version 2", func() bool { return w.engines.versionOf("e1") == 2 })
-	time.Sleep(4 * tickPeriod) // in which a holder would have ordered
+	time.Sleep(4 * tickPeriod) // enough for an order
 	assert.Equal(t, w.engines.orderCount(), 1)
 	over.Store(true)
-	testwait.Until(t, "version 2 everywhere", func() bool { return w.engines.allAt(2) })
+	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
 }
 
-// TestNoOrderWithoutItsAnnouncement: without a permit no engine is ordered, and each order has a
-// permit of its own.
-func TestNoOrderWithoutItsAnnouncement(t *testing.T) {
-	var away atomic.Bool
-	var announced atomic.Int64
-	away.Store(true)
-	w := manage(t, 3, func(options *Options) {
+// Guards against an order without a permit of its own.
+func TestOrderRequiresPermit(t *testing.T) {
+	var logDown atomic.Bool
+	var permits atomic.Int64
+	logDown.Store(true)
+	w := startManager(t, 3, func(options *Options) {
 		options.Term = &leaseterm.Term{Refuses: func(string) error {
-			if away.Load() {
-				return errors.New("the log is away")
+			if logDown.Load() {
+				return errors.New("the log is unavailable")
 			}
-			announced.Add(1)
+			permits.Add(1)
 			return nil
 		}}
 	})
 	time.Sleep(4 * tickPeriod)
 	assert.Equal(t, w.engines.orderCount(), 0)
-	away.Store(false)
-	testwait.Until(t, "version 2 everywhere", func() bool { return w.engines.allAt(2) })
-	assert.Assert(t, int(announced.Load()) >= w.engines.orderCount())
+	logDown.Store(false)
+	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
+	assert.Assert(t, int(permits.Load()) >= w.engines.orderCount())
 }
 
-func TestOnlyTheHolderOfTheLeaseOrders(t *testing.T) {
+func TestOnlyLeaseHolderOrders(t *testing.T) {
 	var loaded atomic.Int64
-	w := manage(t, 2, func(options *Options) { options.Loaded = func() { loaded.Add(1) } })
-	testwait.Until(t, "both loads are known to be done", func() bool { return loaded.Load() == 2 })
+	w := startManager(t, 2, func(options *Options) { options.Loaded = func() { loaded.Add(1) } })
+	testwait.Until(t, "both loads have ended", func() bool { return loaded.Load() == 2 })
 	w.term.SetOver(true)
 	before := w.engines.orderCount()
 	w.version.Store(3)
-	time.Sleep(4 * tickPeriod) // in which a holder would have ordered
+	time.Sleep(4 * tickPeriod) // enough for an order
 	assert.Equal(t, w.engines.orderCount(), before)
 	w.term.SetOver(false)
-	testwait.Until(t, "version 3 everywhere", func() bool { return w.engines.allAt(3) })
+	testwait.Until(t, "all engines have version 3", func() bool { return w.engines.allAt(3) })
 }
 
-// TestNoOrderLeavesOnceItsPermitHasEnded: its record took too long to write, or the lease was lost.
-func TestNoOrderLeavesOnceItsPermitHasEnded(t *testing.T) {
+// A permit may expire before the order is sent, because its record took too long to write or the lease was lost.
+func TestOrderIsNotSentAfterPermitExpired(t *testing.T) {
 	term := &leaseterm.Term{}
 	term.ClosePermits(true)
-	w := manage(t, 2, func(options *Options) { options.Term = term })
-	testwait.Until(t, "orders have been permitted", func() bool { return len(term.Permitted()) >= 2 })
-	time.Sleep(4 * tickPeriod) // in which an order would have left
+	w := startManager(t, 2, func(options *Options) { options.Term = term })
+	testwait.Until(t, "orders were permitted", func() bool { return len(term.Permitted()) >= 2 })
+	time.Sleep(4 * tickPeriod) // enough for an order
 	assert.Equal(t, w.engines.orderCount(), 0)
 	term.ClosePermits(false)
-	testwait.Until(t, "version 2 everywhere", func() bool { return w.engines.allAt(2) })
+	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
 	for _, order := range w.engines.orders {
-		assert.Assert(t, order.MayLeave != nil && order.MayLeave(), "the adapter cannot ask whether the order may leave")
+		assert.Assert(t, order.MayLeave != nil && order.MayLeave(),
+			"the client cannot check whether the order may still be sent")
 	}
 }
 
-// TestAnOrderThatWasOvertakenIsGivenAnew: another holder's order has changed the count of
-// orders.
-func TestAnOrderThatWasOvertakenIsGivenAnew(t *testing.T) {
-	w := manage(t, 1, nil)
-	testwait.Until(t, "version 2", func() bool { return w.engines.allAt(2) })
+// An order of another lease holder may have changed the engine's order count.
+func TestOrderWithOutdatedCountIsRetried(t *testing.T) {
+	w := startManager(t, 1, nil)
+	testwait.Until(t, "the engine has version 2", func() bool { return w.engines.allAt(2) })
 	w.engines.mu.Lock()
 	w.engines.counts["e0"] += 3
 	w.engines.mu.Unlock()
 	w.version.Store(3)
-	testwait.Until(t, "version 3", func() bool { return w.engines.allAt(3) })
+	testwait.Until(t, "the engine has version 3", func() bool { return w.engines.allAt(3) })
 }
 
-// TestLostAnswersAreNotTakenForRefusals: the engine loads although the order got no
-// answer.
-func TestLostAnswersAreNotTakenForRefusals(t *testing.T) {
-	w := manage(t, 1, func(options *Options) {
+// Guards against a repeated order to an engine that loads although its response was lost.
+func TestUnansweredOrderIsNotTreatedAsRefused(t *testing.T) {
+	w := startManager(t, 1, func(options *Options) {
 		engines := options.Engines.(*fakeEngines)
 		var lost atomic.Bool
 		engines.answer = func(engine string, order Order) (Answer, bool) {
@@ -276,9 +274,9 @@
 			return Unanswered, true
 		}
 	})
-	testwait.Until(t, "version 2", func() bool { return w.engines.allAt(2) })
+	testwait.Until(t, "the engine has version 2", func() bool { return w.engines.allAt(2) })
 	w.version.Store(3)
-	testwait.Until(t, "version 3", func() bool { return w.engines.allAt(3) })
+	testwait.Until(t, "the engine has version 3", func() bool { return w.engines.allAt(3) })
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
 	assert.Equal(t, len(w.engines.orders), 2)
