--- a/internal/coldpermits/coldpermits_test.go
+++ b/internal/coldpermits/coldpermits_test.go
@@ -20,39 +20,39 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-const rate = 7.9
+const ratePerSecond = 7.9
 
-// handClock is a clock that the test advances.
-type handClock struct {
+// manualClock is a clock that advances only when told to.
+type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (c *handClock) read() time.Time {
+func (c *manualClock) read() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *handClock) move(by time.Duration) {
+func (c *manualClock) advance(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(by)
 }
 
-// lateAnswers is a transport that can delay responses and refuse requests.
-type lateAnswers struct {
-	mu     sync.Mutex
-	asked  int
-	refuse bool
-	hold   chan struct{}
+// fakeTransport counts requests and can refuse them or hold back their responses.
+type fakeTransport struct {
+	mu       sync.Mutex
+	requests int
+	refuse   bool
+	hold     chan struct{}
 }
 
-func (l *lateAnswers) RoundTrip(request *http.Request) (*http.Response, error) {
-	l.mu.Lock()
-	l.asked++
-	refuse, hold := l.refuse, l.hold
-	l.mu.Unlock()
+func (f *fakeTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	f.mu.Lock()
+	f.requests++
+	refuse, hold := f.refuse, f.hold
+	f.mu.Unlock()
 	if refuse {
 		return nil, http.ErrServerClosed
 	}
@@ -63,56 +63,56 @@
 	return response, err
 }
 
-func (l *lateAnswers) set(change func(l *lateAnswers)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	change(l)
+func (f *fakeTransport) set(change func(f *fakeTransport)) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	change(f)
 }
 
-func (l *lateAnswers) count() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.asked
+func (f *fakeTransport) count() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.requests
 }
 
-// cluster is a leader and nodes that request permits from it.
+// cluster is a node that can lead and the server for its permit requests.
 type cluster struct {
 	t       *testing.T
-	clock   *handClock
+	clock   *manualClock
 	decider *Decider
 	server  *httptest.Server
 }
 
-func newDecider(clock *handClock) *Decider {
+func newDecider(clock *manualClock) *Decider {
 	decider := NewDecider(func(Sender, Outcome) {})
 	decider.now = clock.read
 	return decider
 }
 
 func newCluster(t *testing.T) *cluster {
-	clock := &handClock{now: time.Unix(1000, 0)}
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	c := &cluster{t: t, clock: clock, decider: newDecider(clock)}
 	c.server = httptest.NewServer(c.decider.Handler(func(service string) (routes.SlowStart, bool) {
-		return routes.SlowStart{Period: 3 * time.Second, RatePerSecond: rate}, service == "s"
+		return routes.SlowStart{Period: 3 * time.Second, RatePerSecond: ratePerSecond}, service == "s"
 	}))
 	t.Cleanup(c.server.Close)
 	return c
 }
 
-// lead makes the cluster's node lead, after the pause that follows earlier terms.
+// lead makes the cluster's node lead and advances the clock past the takeover pause.
 func (c *cluster) lead() (end func()) {
 	end = c.decider.Lead(func() bool { return true })
-	c.clock.move(slowstart.TakeoverPause)
+	c.clock.advance(slowstart.TakeoverPause)
 	return end
 }
 
-// asker returns another node.
-func (c *cluster) asker() (*Asker, *lateAnswers) {
-	transport := &lateAnswers{}
+// asker returns another node that requests permits, and its transport.
+func (c *cluster) asker() (*Asker, *fakeTransport) {
+	transport := &fakeTransport{}
 	asker := NewAsker(Options{
 		Decider: newDecider(c.clock), Leader: func() string { return strings.TrimPrefix(c.server.URL, "http://") },
 		Client: &http.Client{Transport: transport}, Logger: zerolog.Nop(), Observe: func(Outcome) {},
-		Cold: func(fleet.Engine) (fleet.Coldness, bool) { return fleet.Coldness{RatePerSecond: rate}, true },
+		Cold: func(fleet.Engine) (fleet.Coldness, bool) { return fleet.Coldness{RatePerSecond: ratePerSecond}, true },
 	})
 	asker.now = c.clock.read
 	return asker, transport
@@ -124,20 +124,21 @@
 	return asker.Ask(context.Background(), "s", engines)
 }
 
-// sendAll requests permits repeatedly for a period and returns the times of the sent requests.
-func (c *cluster) sendAll(askers []*Asker, period time.Duration) []time.Time {
-	var left []time.Time
-	for until := c.clock.read().Add(period); c.clock.read().Before(until); c.clock.move(10 * time.Millisecond) {
+// sendPermitted requests permits for a period and returns the times at which requests were permitted.
+func (c *cluster) sendPermitted(askers []*Asker, period time.Duration) []time.Time {
+	var sent []time.Time
+	for until := c.clock.read().Add(period); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
 		for _, asker := range askers {
 			if permit, denial := ask(asker, cold("e")); denial.Outcome == Granted && permit.Open() {
-				left = append(left, c.clock.read())
+				sent = append(sent, c.clock.read())
 			}
 		}
 	}
-	return left
+	return sent
 }
 
-func mostInASecond(times []time.Time) int {
+// maxPerSecond returns the maximum number of times within one second.
+func maxPerSecond(times []time.Time) int {
 	most := 0
 	for first := range times {
 		after := slices.IndexFunc(times[first:], func(at time.Time) bool { return at.Sub(times[first]) >= time.Second })
@@ -149,8 +150,8 @@
 	return most
 }
 
-// TestAllNodesTogetherGetTheRate includes the leader's own requests.
-func TestAllNodesTogetherGetTheRate(t *testing.T) {
+// Guards against a rate that each node gets for itself; the leader's own requests count too.
+func TestAllNodesTogetherStayWithinRate(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
 	var askers []*Asker
@@ -160,12 +161,12 @@
 	}
 	own, _ := c.asker()
 	own.options.Decider = c.decider
-	left := c.sendAll(append(askers, own), 4*time.Second)
-	assert.Assert(t, mostInASecond(left) <= 8+slowstart.Burst, "%d", mostInASecond(left))
-	assert.Assert(t, len(left) >= 4*7, "%d in four seconds: the rate must not starve", len(left))
+	sent := c.sendPermitted(append(askers, own), 4*time.Second)
+	assert.Assert(t, maxPerSecond(sent) <= 8+slowstart.Burst, "%d", maxPerSecond(sent))
+	assert.Assert(t, len(sent) >= 4*7, "%d requests in four seconds, below the rate", len(sent))
 }
 
-func TestAnyEngineOfTheQuestionIsGrantedTheFirstOneFirst(t *testing.T) {
+func TestPermitIsGrantedForFirstAvailableEngine(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
 	asker, _ := c.asker()
@@ -182,8 +183,8 @@
 	assert.Assert(t, denial.Wait > 0 && denial.Wait <= time.Second/7*3/2, "%s", denial.Wait)
 }
 
-// TestARefusedNodeAsksOnceUntilItMayComeAgain: further callers cause no further requests.
-func TestARefusedNodeAsksOnceUntilItMayComeAgain(t *testing.T) {
+// Guards against requests by further callers during the backoff.
+func TestDeniedNodeSendsNoRequestDuringBackoff(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
 	asker, transport := c.asker()
@@ -194,32 +195,32 @@
 	_, first := ask(asker, cold("e"))
 	assert.Equal(t, first.Outcome, Withheld)
 	assert.Equal(t, transport.count(), asked)
-	c.clock.move(first.Wait)
+	c.clock.advance(first.Wait)
 	_, denial := ask(asker, cold("e"))
-	assert.Equal(t, denial.Outcome, Granted, "whoever waits as told is admitted")
+	assert.Equal(t, denial.Outcome, Granted, "a request after the wait is granted")
 }
 
-// TestANodeThatIsCutOffGetsNothing: the other nodes get the full rate meanwhile.
-func TestANodeThatIsCutOffGetsNothing(t *testing.T) {
+// The other nodes must get the full rate meanwhile.
+func TestPartitionedNodeGetsNoPermit(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
 	cut, transport := c.asker()
 	other, _ := c.asker()
-	transport.set(func(l *lateAnswers) { l.refuse = true })
-	assert.Equal(t, len(c.sendAll([]*Asker{cut}, 2*time.Second)), 0)
+	transport.set(func(f *fakeTransport) { f.refuse = true })
+	assert.Equal(t, len(c.sendPermitted([]*Asker{cut}, 2*time.Second)), 0)
 	_, denial := ask(cut, cold("e"))
 	assert.Assert(t, denial.Outcome == Unanswered || denial.Outcome == Withheld)
 	assert.Assert(t, denial.Wait > 0)
-	assert.Assert(t, len(c.sendAll([]*Asker{cut, other}, 2*time.Second)) >= 2*7)
+	assert.Assert(t, len(c.sendPermitted([]*Asker{cut, other}, 2*time.Second)) >= 2*7)
 }
 
-// TestAPermitWhoseAnswerIsLostIsUsedByNobody: the engine gets fewer requests, never more.
-func TestAPermitWhoseAnswerIsLostIsUsedByNobody(t *testing.T) {
+// Guards against a lost or late response that lets an engine get more requests than its rate.
+func TestPermitInLateResponseIsExpired(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
 	asker, transport := c.asker()
 	hold := make(chan struct{})
-	transport.set(func(l *lateAnswers) { l.hold = hold })
+	transport.set(func(f *fakeTransport) { f.hold = hold })
 	done := make(chan Denial)
 	go func() {
 		permit, denial := ask(asker, cold("e"))
@@ -228,50 +229,50 @@
 		}
 		done <- denial
 	}()
-	testwait.Until(t, "the question is admitted", func() bool {
-		return c.decider.Room(cold("e").Incarnation(), fleet.Coldness{RatePerSecond: rate}) < slowstart.Burst
+	testwait.Until(t, "the request is admitted", func() bool {
+		return c.decider.Room(cold("e").Incarnation(), fleet.Coldness{RatePerSecond: ratePerSecond}) < slowstart.Burst
 	})
-	c.clock.move(slowstart.PermitLife)
+	c.clock.advance(slowstart.PermitLife)
 	close(hold)
-	// The permit of the late response has expired, since its lifetime starts with the request.
+	// The permit in the late response has expired, since its lifetime starts with the request.
 	denial := <-done
-	assert.Assert(t, denial.Outcome != 99, "an old permit was open")
+	assert.Assert(t, denial.Outcome != 99, "an expired permit was open")
 }
 
-// TestASuspendedNodeThatWakesHoldsAnEndedPermit: the clock advances during a suspension.
-func TestASuspendedNodeThatWakesHoldsAnEndedPermit(t *testing.T) {
+// Guards against a permit that is used after the machine was suspended.
+func TestPermitExpiresDuringSuspension(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
 	asker, _ := c.asker()
 	permit, denial := ask(asker, cold("e"))
 	assert.Equal(t, denial.Outcome, Granted)
 	assert.Assert(t, permit.Open())
-	c.clock.move(slowstart.PermitLife)
+	c.clock.advance(slowstart.PermitLife)
 	assert.Assert(t, !permit.Open())
 }
 
-// TestTheLeadersOwnPermitsEndWithItsTerm: the next leader does not wait longer for them.
-func TestTheLeadersOwnPermitsEndWithItsTerm(t *testing.T) {
-	clock := &handClock{now: time.Unix(1000, 0)}
+// Guards against permits of the leader itself that outlast its term, for which the next leader does not wait.
+func TestLocalPermitEndsWithTerm(t *testing.T) {
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	decider := newDecider(clock)
 	valid := true
 	end := decider.Lead(func() bool { return valid })
-	clock.move(slowstart.TakeoverPause)
-	permit, _, outcome := decider.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: rate})
+	clock.advance(slowstart.TakeoverPause)
+	permit, _, outcome := decider.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond})
 	assert.Equal(t, outcome, Granted)
 	assert.Assert(t, permit.Open())
 	valid = false
 	assert.Assert(t, !permit.Open())
 	assert.Assert(t, !decider.Leads())
-	assert.Equal(t, decider.Room(incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: rate}), 0)
-	_, _, outcome = decider.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: rate})
+	assert.Equal(t, decider.Room(incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond}), 0)
+	_, _, outcome = decider.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond})
 	assert.Equal(t, outcome, NotLeading)
 	end()
 }
 
-// TestALeaderThatIsKilledWithPermitsOut: outstanding permits are used at the last moment, and the next
-// leader admits as much as it can from the start.
-func TestALeaderThatIsKilledWithPermitsOut(t *testing.T) {
+// Guards against exceeding the rate when outstanding permits are used at the last moment while the next leader
+// already admits requests.
+func TestRateHoldsAcrossLeaderFailure(t *testing.T) {
 	c := newCluster(t)
 	c.lead()
 	var askers []*Asker
@@ -279,39 +280,39 @@
 		asker, _ := c.asker()
 		askers = append(askers, asker)
 	}
-	var left []time.Time
-	var out []Permit
-	for until := c.clock.read().Add(2 * time.Second); c.clock.read().Before(until); c.clock.move(10 * time.Millisecond) {
+	var sent []time.Time
+	var outstanding []Permit
+	for until := c.clock.read().Add(2 * time.Second); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
 		for _, asker := range askers {
 			if permit, denial := ask(asker, cold("e")); denial.Outcome == Granted {
-				out = append(out, permit)
+				outstanding = append(outstanding, permit)
 			}
 		}
-		// Each permit is used at the last moment of its window.
-		out = slices.DeleteFunc(out, func(permit Permit) bool {
-			c.clock.move(10 * time.Millisecond)
+		// Each permit is used at the last moment of its lifetime.
+		outstanding = slices.DeleteFunc(outstanding, func(permit Permit) bool {
+			c.clock.advance(10 * time.Millisecond)
 			last := !permit.Open()
-			c.clock.move(-10 * time.Millisecond)
+			c.clock.advance(-10 * time.Millisecond)
 			if last && permit.Open() {
-				left = append(left, c.clock.read())
+				sent = append(sent, c.clock.read())
 			}
 			return last
 		})
 	}
-	assert.Assert(t, len(out) > 0, "no permit is out")
+	assert.Assert(t, len(outstanding) > 0, "no permit is outstanding")
 	defer c.decider.Lead(func() bool { return true })()
-	for range out {
-		left = append(left, c.clock.read().Add(slowstart.PermitLife))
+	for range outstanding {
+		sent = append(sent, c.clock.read().Add(slowstart.PermitLife))
 	}
-	takeover := len(left)
-	next := c.sendAll(askers, 4*time.Second)
-	left = append(left, next...)
-	slices.SortFunc(left, time.Time.Compare)
-	assert.Assert(t, mostInASecond(left) <= 8+slowstart.Burst, "%d in a second", mostInASecond(left))
+	takeover := len(sent)
+	next := c.sendPermitted(askers, 4*time.Second)
+	sent = append(sent, next...)
+	slices.SortFunc(sent, time.Time.Compare)
+	assert.Assert(t, maxPerSecond(sent) <= 8+slowstart.Burst, "%d requests in a second", maxPerSecond(sent))
 	assert.Assert(t, len(next) > 0 && takeover > 0)
 }
 
-func TestANodeThatDoesNotLeadOrKnowTheServiceSaysSo(t *testing.T) {
+func TestNotLeadingAndUnknownServiceOutcomes(t *testing.T) {
 	c := newCluster(t)
 	asker, _ := c.asker()
 	_, denial := ask(asker, cold("e"))
@@ -322,21 +323,21 @@
 	assert.Equal(t, denial.Outcome, Unknown)
 }
 
-// TestOnlySoManyQuestionsAreUnderWay: further ones are denied without a request.
-func TestOnlySoManyQuestionsAreUnderWay(t *testing.T) {
+// Guards against an unbounded number of concurrent requests; further ones are denied locally.
+func TestConcurrentRequestsAreBounded(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
 	asker, transport := c.asker()
 	hold := make(chan struct{})
-	transport.set(func(l *lateAnswers) { l.hold = hold })
+	transport.set(func(f *fakeTransport) { f.hold = hold })
 	var waiting sync.WaitGroup
-	for range maxConcurrentAsks {
+	for range maxConcurrentRequests {
 		waiting.Go(func() { ask(asker, cold("e")) })
 	}
-	testwait.Until(t, "all places are taken", func() bool { return transport.count() == maxConcurrentAsks })
+	testwait.Until(t, "all slots are in use", func() bool { return transport.count() == maxConcurrentRequests })
 	_, denial := ask(asker, cold("e"))
 	assert.Equal(t, denial.Outcome, Withheld)
-	assert.Equal(t, transport.count(), maxConcurrentAsks)
+	assert.Equal(t, transport.count(), maxConcurrentRequests)
 	close(hold)
 	waiting.Wait()
 }
--- a/internal/coldpermits/decider.go
+++ b/internal/coldpermits/decider.go
@@ -1,5 +1,5 @@
-// Package coldpermits admits requests to engines that count as cold. The leader decides for all
-// senders: locally for its own requests and items, by a message for those of other nodes. See
+// Package coldpermits limits the request rate to cold engines, which are in slow start. The leader grants permits
+// to all senders: by a function call for its own requests and items, by a message for those of other nodes. See
 // docs/design/slow-start.md.
 package coldpermits
 
@@ -16,7 +16,7 @@
 // Sender is the kind of sender of a request.
 type Sender uint8
 
-// The senders.
+// Kinds of senders.
 const (
 	// Items are items of batch jobs that the leader runs.
 	Items Sender = iota
@@ -31,45 +31,45 @@
 // String returns the sender's name in metrics.
 func (s Sender) String() string { return senderNames[s] }
 
-// Permit allows one request to one engine within a short window.
+// Permit allows one request to one engine within slowstart.PermitLife.
 type Permit struct {
 	Engine incarnation.ID
-	// until is a time of boottime, which advances while the machine is suspended.
+	// until is the expiry by boottime, which advances while the machine is suspended.
 	until time.Time
-	// valid reports whether this node, which granted the permit, still leads as far as it knows. It is
-	// nil for permits of another node; the next leader waits for these to expire.
+	// valid reports whether this node, which granted the permit, still leads as far as it knows. It is nil for
+	// permits from another node; the next leader waits until these have expired.
 	valid func() bool
 	now   func() time.Time
 }
 
-// Open reports whether the request may be sent. It is checked right before the bytes are written.
+// Open reports whether the request may be sent. It must be checked right before the bytes are written.
 func (p Permit) Open() bool {
 	return p.now().Before(p.until) && (p.valid == nil || p.valid())
 }
 
-// Decider admits requests while its node leads. It is safe for concurrent use.
+// Decider grants permits while its node leads. It is safe for concurrent use.
 type Decider struct {
 	now func() time.Time
 	// observe is called after each decision.
 	observe func(sender Sender, outcome Outcome)
 
 	mu sync.Mutex
-	// current is nil while the node does not lead.
+	// current is the leadership term; nil while the node does not lead.
 	current *term
 }
 
-// term is one term of leadership.
+// term is a leadership term.
 type term struct {
 	pacer *slowstart.Pacer
 	valid func() bool
 }
 
-// NewDecider returns a decider of a node that does not lead.
+// NewDecider starts without a leadership term. observe is called after each decision.
 func NewDecider(observe func(sender Sender, outcome Outcome)) *Decider {
 	return &Decider{now: boottime.Now, observe: observe}
 }
 
-// Lead begins a term, which lasts while valid reports true, and returns a function that ends it.
+// Lead begins a term, which lasts as long as valid returns true, and returns a function that ends it.
 func (d *Decider) Lead(valid func() bool) (end func()) {
 	began := &term{pacer: slowstart.New(d.now()), valid: valid}
 	d.mu.Lock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// currentTerm returns the term, if this node leads.
+// currentTerm returns the current term, and false if this node does not lead.
 func (d *Decider) currentTerm() (*term, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,19 +94,19 @@
 	return d.current, true
 }
 
-// Leads reports whether this node decides.
+// Leads reports whether this node leads and thus grants permits.
 func (d *Decider) Leads() bool {
 	_, leads := d.currentTerm()
 	return leads
 }
 
-// Admit admits one request to a cold engine. Otherwise wait is the time after which a retry may
+// Admit grants a permit for one request to a cold engine. If it does not, wait is the time after which a retry may
 // succeed.
 func (d *Decider) Admit(sender Sender, to incarnation.ID, cold fleet.Coldness) (permit Permit, wait time.Duration, outcome Outcome) {
 	defer func() { d.observe(sender, outcome) }()
 	current, leads := d.currentTerm()
 	if !leads {
-		return Permit{}, notLeadingWait, NotLeading
+		return Permit{}, notLeadingBackoff, NotLeading
 	}
 	now := d.now()
 	if wait := current.pacer.Admit(to, cold.RatePerSecond, now); wait > 0 {
@@ -115,7 +115,7 @@
 	return Permit{Engine: to, until: now.Add(slowstart.PermitLife), valid: current.valid, now: d.now}, 0, Granted
 }
 
-// Room returns how many requests to a cold engine would be admitted at once.
+// Room returns the number of requests to a cold engine that would be admitted now.
 func (d *Decider) Room(to incarnation.ID, cold fleet.Coldness) int {
 	current, leads := d.currentTerm()
 	if !leads {
@@ -124,7 +124,7 @@
 	return current.pacer.Room(to, cold.RatePerSecond, d.now())
 }
 
-// Want does nothing: the leader needs no permits of others.
+// Want does nothing, since the leader needs no permits from other nodes.
 func (d *Decider) Want(incarnation.ID) {}
 
 // Note counts a request to an engine that is not known to be cold; see slowstart.Pacer.
@@ -134,7 +134,7 @@
 	}
 }
 
-// Forget drops expired state.
+// Forget drops the expired state of the current term.
 func (d *Decider) Forget() {
 	if current, leads := d.currentTerm(); leads {
 		current.pacer.Forget(d.now())
--- a/internal/coldpermits/golden_test.go
+++ b/internal/coldpermits/golden_test.go
@@ -6,7 +6,7 @@
 	"github.com/corkpulley/corkpulley/internal/goldenrecord"
 )
 
-// Guards against a record or message that an earlier build misreads, or whose earlier form this build does.
+// Guards against messages that an earlier build cannot decode, and against earlier messages that this build cannot.
 func TestRecordsOfEarlierBuilds(t *testing.T) {
 	goldenrecord.Check(t,
 		goldenrecord.Sample{Name: "question", Value: &permitRequest{}},
@@ -14,7 +14,7 @@
 	)
 }
 
-// Guards against numbers that another build takes for another outcome.
+// Guards against renumbered outcomes, which another build would take for different ones.
 func TestNumbersOfEarlierBuilds(t *testing.T) {
 	goldenrecord.CheckNumbers(t, "numbers", map[string]int64{
 		"granted": int64(Granted), "paced": int64(Paced), "not_leading": int64(NotLeading), "unknown": int64(Unknown),
--- a/internal/coldpermits/message.go
+++ b/internal/coldpermits/message.go
@@ -11,24 +11,23 @@
 	"github.com/corkpulley/corkpulley/internal/core/routes"
 )
 
-// Outcome is the outcome of a request for a permit. Values are sent between processes: append new ones
-// at the end and never renumber.
+// Outcome is the outcome of a permit request. Its values are sent between processes: append new ones at the end
+// and never renumber them.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a permit request.
 const (
-	// Granted: the request may be sent.
+	// Granted: the permit was granted.
 	Granted Outcome = iota
-	// Paced: the engines have reached their rate.
+	// Paced: the engines have reached their rate limit.
 	Paced
 	// NotLeading: the receiving node does not lead.
 	NotLeading
-	// Unknown: the receiving node knows no slow start of the service.
+	// Unknown: the receiving node's configuration has no slow start for the service.
 	Unknown
-	// Unanswered: no leader is known, or it did not answer in time.
+	// Unanswered: no leader is known, or it did not respond in time.
 	Unanswered
-	// Withheld: the request was not sent, since a recent one was denied or too many are in
-	// progress.
+	// Withheld: the request was not sent, because of the backoff after a denial or too many concurrent requests.
 	Withheld
 )
 
@@ -46,18 +45,18 @@
 }
 
 const (
-	// Path is the endpoint for requests of other nodes.
+	// Path is the URL path for permit requests of other nodes.
 	Path = "/cold-permits"
 	// MaxEngines bounds the engines of a request.
 	MaxEngines = 16
-	// maxRequestBytes bounds a request with MaxEngines IDs, maxResponseBytes a response with one.
+	// maxRequestBytes bounds a request with MaxEngines IDs, maxResponseBytes a response with one ID.
 	maxRequestBytes  = 16 << 10
 	maxResponseBytes = 1 << 10
-	// notLeadingWait is the least time in which another node takes over.
-	notLeadingWait = time.Second
+	// notLeadingBackoff is the shortest time in which another node can take over.
+	notLeadingBackoff = time.Second
 )
 
-// permitRequest requests a permit for one of the engines, which are in order of preference.
+// permitRequest requests a permit for one of the engines, which are listed in order of preference.
 type permitRequest struct {
 	Service string   `msgpack:"s"`
 	Engines []engine `msgpack:"e"`
@@ -71,22 +70,22 @@
 
 func (e engine) incarnation() incarnation.ID { return incarnation.ID{Engine: e.ID, Born: e.Born} }
 
-// permitResponse is the engine of a granted permit, or the wait before a retry.
+// permitResponse contains the engine of a granted permit, or the wait before a retry.
 type permitResponse struct {
 	Outcome Outcome       `msgpack:"o"`
 	Engine  engine        `msgpack:"e"`
 	Wait    time.Duration `msgpack:"w,omitempty"`
 }
 
-// Handler serves other nodes. The rate is that of this node's configuration.
+// Handler serves permit requests of other nodes. The rates are those of this node's configuration.
 func (d *Decider) Handler(slowStart func(service string) (routes.SlowStart, bool)) http.Handler {
 	return msgpackhttp.Handle(maxRequestBytes, func(_ context.Context, request permitRequest) permitResponse {
 		limits, bounded := slowStart(request.Service)
 		if !bounded {
 			d.observe(Peers, Unknown)
-			return permitResponse{Outcome: Unknown, Wait: notLeadingWait}
+			return permitResponse{Outcome: Unknown, Wait: notLeadingBackoff}
 		}
-		denied := permitResponse{Outcome: Unknown, Wait: notLeadingWait}
+		denied := permitResponse{Outcome: Unknown, Wait: notLeadingBackoff}
 		for _, each := range request.Engines[:min(len(request.Engines), MaxEngines)] {
 			_, wait, outcome := d.Admit(Peers, each.incarnation(), fleet.Coldness{RatePerSecond: limits.RatePerSecond})
 			if outcome == Granted {
--- a/internal/coldpermits/stock.go
+++ b/internal/coldpermits/stock.go
@@ -9,55 +9,55 @@
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
 )
 
-// StockOptions are the parts that a stock works with.
+// StockOptions configures the prefetching of permits.
 type StockOptions struct {
-	// Ask requests a permit from the leader; see Asker.Ask.
+	// Ask requests a permit from the leader.
 	Ask func(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial)
-	// Find returns a listed engine.
+	// Find returns a listed engine, and false if it is not listed.
 	Find func(of incarnation.ID) (fleet.Engine, bool)
-	// Granted is called after each granted permit.
+	// Granted is called after each permit that was added.
 	Granted func()
 }
 
-// Stock holds permits for the items of a runner on a node that does not lead. A runner places many items
-// in one pass without blocking, so permits are requested in the background and are available to its next
-// pass. It is safe for concurrent use.
+// Stock prefetches permits for the items of a runner on a node that does not lead. A runner schedules many items in
+// one pass and must not block, so permits are requested in the background for its next pass. It is safe for
+// concurrent use.
 type Stock struct {
 	ctx     context.Context
 	options StockOptions
 
 	mu sync.Mutex
-	// wanted holds the engines for which no permit was requested yet.
+	// wanted holds the engines for which fill has to request permits.
 	wanted map[incarnation.ID]bool
-	// asking is true while fill runs.
-	asking bool
-	// open holds the unused permits. Some may have expired.
-	open map[incarnation.ID][]Permit
+	// filling is true while fill runs.
+	filling bool
+	// unused holds the unused permits by engine. Some may have expired.
+	unused map[incarnation.ID][]Permit
 }
 
-// NewStock returns a stock that requests permits until ctx ends.
+// NewStock requests permits, on calls of Want, until ctx ends.
 func NewStock(ctx context.Context, options StockOptions) *Stock {
 	return &Stock{
-		ctx: ctx, options: options, wanted: make(map[incarnation.ID]bool), open: make(map[incarnation.ID][]Permit),
+		ctx: ctx, options: options, wanted: make(map[incarnation.ID]bool), unused: make(map[incarnation.ID][]Permit),
 	}
 }
 
-// Room returns how many items may start at a cold engine now.
+// Room returns the number of items that may start on a cold engine now.
 func (s *Stock) Room(to incarnation.ID, _ fleet.Coldness) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropEnded(to)
-	return len(s.open[to])
+	s.dropExpired(to)
+	return len(s.unused[to])
 }
 
-// Want requests permits for a cold engine. A granted permit uses up the rate of all senders, so Want must
-// be called only while items wait that the engine may run.
+// Want requests a permit for a cold engine in the background. A granted permit counts toward the engine's rate even
+// if it is not used, so Want must be called only while items wait that the engine can run.
 func (s *Stock) Want(to incarnation.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wanted[to] = true
-	if !s.asking {
-		s.asking = true
+	if !s.filling {
+		s.filling = true
 		go s.fill()
 	}
 }
@@ -66,34 +66,34 @@
 func (s *Stock) Admit(_ Sender, to incarnation.ID, _ fleet.Coldness) (Permit, time.Duration, Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropEnded(to)
-	permits := s.open[to]
+	s.dropExpired(to)
+	permits := s.unused[to]
 	if len(permits) == 0 {
 		return Permit{}, 0, Paced
 	}
-	s.open[to] = permits[1:]
+	s.unused[to] = permits[1:]
 	return permits[0], 0, Granted
 }
 
-// Note does nothing: only the leader counts requests to engines that are not known to be cold.
+// Note does nothing, since only the leader counts requests to engines that are not known to be cold.
 func (s *Stock) Note(incarnation.ID, float64) {}
 
-// dropEnded drops the expired permits of an engine. Must be called with mu held.
-func (s *Stock) dropEnded(to incarnation.ID) {
-	var open []Permit
-	for _, permit := range s.open[to] {
+// dropExpired drops the expired permits of an engine. Must be called with mu held.
+func (s *Stock) dropExpired(to incarnation.ID) {
+	var unused []Permit
+	for _, permit := range s.unused[to] {
 		if permit.Open() {
-			open = append(open, permit)
+			unused = append(unused, permit)
 		}
 	}
-	if len(open) == 0 {
-		delete(s.open, to)
+	if len(unused) == 0 {
+		delete(s.unused, to)
 		return
 	}
-	s.open[to] = open
+	s.unused[to] = unused
 }
 
-// fill requests permits until none are wanted.
+// fill requests permits until no engine is wanted.
 func (s *Stock) fill() {
 	for {
 		services := s.takeWanted()
@@ -106,7 +106,7 @@
 	}
 }
 
-// takeWanted returns the wanted engines by service and clears them. Without any, fill ends.
+// takeWanted returns the wanted engines by service and clears them. It resets filling if it returns none.
 func (s *Stock) takeWanted() map[string][]fleet.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,15 +117,15 @@
 		}
 	}
 	clear(s.wanted)
-	s.asking = len(services) > 0 && s.ctx.Err() == nil
-	if !s.asking {
+	s.filling = len(services) > 0 && s.ctx.Err() == nil
+	if !s.filling {
 		return nil
 	}
 	return services
 }
 
-// fillService requests permits one after the other until one is denied, at most one for each engine:
-// more would expire before the runner's next pass.
+// fillService requests permits one after the other until one is denied, at most one per engine: more would expire
+// before the runner's next pass.
 func (s *Stock) fillService(service string, engines []fleet.Engine) {
 	for len(engines) > 0 {
 		permit, denial := s.options.Ask(s.ctx, service, engines)
@@ -133,17 +133,17 @@
 			return
 		}
 		s.mu.Lock()
-		s.open[permit.Engine] = append(s.open[permit.Engine], permit)
+		s.unused[permit.Engine] = append(s.unused[permit.Engine], permit)
 		s.mu.Unlock()
 		s.options.Granted()
-		engines = without(engines, permit.Engine)
+		engines = withoutEngine(engines, permit.Engine)
 	}
 }
 
-func without(engines []fleet.Engine, left incarnation.ID) []fleet.Engine {
+func withoutEngine(engines []fleet.Engine, excluded incarnation.ID) []fleet.Engine {
 	var others []fleet.Engine
 	for _, engine := range engines {
-		if engine.Incarnation() != left {
+		if engine.Incarnation() != excluded {
 			others = append(others, engine)
 		}
 	}
--- a/internal/coldpermits/stock_test.go
+++ b/internal/coldpermits/stock_test.go
@@ -14,26 +14,26 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// grants is a leader that grants permits until denies is set.
-type grants struct {
-	mu     sync.Mutex
-	denies bool
-	given  map[incarnation.ID]int
-	life   time.Duration
+// fakeLeader grants permits with the given lifetime until deny is set.
+type fakeLeader struct {
+	mu      sync.Mutex
+	deny    bool
+	granted map[incarnation.ID]int
+	life    time.Duration
 }
 
-func (g *grants) ask(_ context.Context, _ string, engines []fleet.Engine) (Permit, Denial) {
+func (g *fakeLeader) ask(_ context.Context, _ string, engines []fleet.Engine) (Permit, Denial) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.denies {
+	if g.deny {
 		return Permit{}, Denial{Outcome: Paced}
 	}
 	id := engines[0].Incarnation()
-	g.given[id]++
+	g.granted[id]++
 	return Permit{Engine: id, until: boottime.Now().Add(g.life), now: boottime.Now}, Denial{Outcome: Granted}
 }
 
-func stockOf(t *testing.T, leader *grants, engines ...fleet.Engine) *Stock {
+func newTestStock(t *testing.T, leader *fakeLeader, engines ...fleet.Engine) *Stock {
 	t.Helper()
 	known := fleet.New()
 	for _, engine := range engines {
@@ -47,24 +47,23 @@
 	coldTwo = fleet.Engine{ID: "b", Service: "s", Slots: 4}
 )
 
-// TestAnItemNeedsAPermitThatWasGranted: each granted permit admits one item.
-func TestAnItemNeedsAPermitThatWasGranted(t *testing.T) {
-	leader := &grants{given: make(map[incarnation.ID]int), life: time.Hour}
-	stock := stockOf(t, leader, coldOne, coldTwo)
+func TestEachPermitAdmitsOneItem(t *testing.T) {
+	leader := &fakeLeader{granted: make(map[incarnation.ID]int), life: time.Hour}
+	stock := newTestStock(t, leader, coldOne, coldTwo)
 	a, b := coldOne.Incarnation(), coldTwo.Incarnation()
 	_, _, outcome := stock.Admit(Items, a, fleet.Coldness{})
 	assert.Equal(t, outcome, Paced)
 	assert.Equal(t, stock.Room(a, fleet.Coldness{}), 0)
 	leader.mu.Lock()
-	assert.Equal(t, len(leader.given), 0, "a look alone asks for nothing")
+	assert.Equal(t, len(leader.granted), 0, "Admit and Room request no permits")
 	leader.mu.Unlock()
 	stock.Want(a)
 	stock.Want(b)
-	testwait.Until(t, "permits for both are there", func() bool {
+	testwait.Until(t, "both engines have permits", func() bool {
 		return stock.Room(a, fleet.Coldness{}) > 0 && stock.Room(b, fleet.Coldness{}) > 0
 	})
 	leader.mu.Lock()
-	leader.denies = true
+	leader.deny = true
 	leader.mu.Unlock()
 	for id, room := range map[incarnation.ID]int{a: stock.Room(a, fleet.Coldness{}), b: stock.Room(b, fleet.Coldness{})} {
 		for range room {
@@ -74,20 +73,20 @@
 			assert.Assert(t, permit.Open())
 		}
 		_, _, outcome := stock.Admit(Items, id, fleet.Coldness{})
-		assert.Equal(t, outcome, Paced, "a permit lets one item start")
+		assert.Equal(t, outcome, Paced, "a permit admits one item only")
 	}
 }
 
-// TestAPermitThatHasEndedLetsNothingStart: a permit may expire in the stock.
-func TestAPermitThatHasEndedLetsNothingStart(t *testing.T) {
-	leader := &grants{given: make(map[incarnation.ID]int), life: -time.Second}
-	stock := stockOf(t, leader, coldOne)
+// Guards against the use of a permit that expired before the runner's next pass.
+func TestExpiredPermitAdmitsNoItem(t *testing.T) {
+	leader := &fakeLeader{granted: make(map[incarnation.ID]int), life: -time.Second}
+	stock := newTestStock(t, leader, coldOne)
 	id := coldOne.Incarnation()
 	stock.Want(id)
 	testwait.Until(t, "a permit was granted", func() bool {
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
-		return leader.given[id] > 0
+		return leader.granted[id] > 0
 	})
 	assert.Equal(t, stock.Room(id, fleet.Coldness{}), 0)
 	_, _, outcome := stock.Admit(Items, id, fleet.Coldness{})
