--- a/internal/hosted/callers.go
+++ b/internal/hosted/callers.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// defaultMaxBody holds until a configuration is known.
-	defaultMaxBody  = 1 << 20
-	defaultIdleTime = time.Minute
-	// acceptTimeout bounds the writing of a batch job, endTimeout of its end.
+	// defaultMaxBodyBytes and defaultIdleTimeout apply until a configuration has been loaded.
+	defaultMaxBodyBytes = 1 << 20
+	defaultIdleTimeout  = time.Minute
+	// acceptTimeout bounds the write that accepts a batch job, endTimeout the write that ends one.
 	acceptTimeout = 2500 * time.Millisecond
 	endTimeout    = 3 * time.Second
-	// configurationAge is the age beyond which the configuration may be an old one: a
-	// read waits a second at most, its answer takes another.
-	configurationAge = 3 * time.Second
-	// maxWait bounds how long a reader of results is held.
-	maxWait = 5 * time.Second
+	// maxConfigurationAge is the age beyond which the configuration may be out of date: a read of the log waits for
+	// up to a second, and its response may take another.
+	maxConfigurationAge = 3 * time.Second
+	// maxResultsWait bounds how long a request for results may wait for new ones.
+	maxResultsWait = 5 * time.Second
 )
 
 var _ Callers = (*node)(nil)
@@ -34,7 +34,7 @@
 	if !n.control.IsLoaded() {
 		return errkind.New(errkind.NotReady, "it is not known yet which zones are evacuated")
 	}
-	if !n.knowsCrashes() {
+	if !n.crashesKnown() {
 		return errkind.New(errkind.NotReady, "it is not known yet which requests end their engines")
 	}
 	return n.relay.Serve(w, ctx, request)
@@ -62,16 +62,16 @@
 	submission.Job.Homes, submission.Job.Config = sender.Homes.Regions(), config
 	ctx, cancel := context.WithTimeout(homes.NewContext(context.WithoutCancel(ctx), sender.Homes), acceptTimeout)
 	defer cancel()
-	err := n.acceptAtHome(ctx, submission, sender.Homes)
+	err := n.acceptWithin(ctx, submission, sender.Homes)
 	n.logger.Info().Err(err).Str("job", submission.Job.ID).Int64("step", submission.Job.Step).
 		Stringer("homes", sender.Homes).
 		Str("model", submission.Job.Model).Int64("min_version", submission.Job.MinVersion).
 		Int("items", len(submission.Job.Items)).Dur("took_ms", time.Since(began)).Msg("job handed in")
-	n.metrics.jobHandedIn(err)
+	n.metrics.jobSubmitted(err)
 	return err
 }
 
-// submitter returns who hands a job in, and the version of the configuration that says so.
+// submitter returns the tenant that submits a job, and the version of the configuration that identified it.
 func (n *node) submitter(credentials routes.Credentials, job batch.JobRecord) (routes.Sender, int64, *errkind.Error) {
 	table := n.state.table()
 	if table == nil {
@@ -85,16 +85,16 @@
 	return sender, table.Version, failure
 }
 
-// jobQuestion is a question about a job by one of the names that it may have.
-type jobQuestion struct {
+// jobQuery is a query for a job under one of its possible qualified IDs.
+type jobQuery struct {
 	id string
-	// homes are the regions in which other nodes may answer.
+	// homes are the regions whose nodes may answer.
 	homes homes.Set
 }
 
-// questions returns by which names a job may be asked for, the likeliest first. Jobs of
-// other tenants have no name that the caller could ask for.
-func (n *node) questions(job JobName) ([]jobQuestion, error) {
+// queries returns the queries for a job, one for each tenant that the caller may act for, the likeliest first.
+// Jobs of other tenants cannot be queried.
+func (n *node) queries(job JobName) ([]jobQuery, error) {
 	table := n.state.table()
 	if table == nil {
 		return nil, errkind.New(errkind.NotReady, "no configuration is known yet")
@@ -103,35 +103,35 @@
 	if failure != nil {
 		return nil, failure
 	}
-	questions := make([]jobQuestion, len(tenants))
+	queries := make([]jobQuery, len(tenants))
 	for i, tenant := range tenants {
-		questions[i] = jobQuestion{batch.QualifiedID(tenant, job.ID), table.QuestionHomes(job.Host, tenant)}
+		queries[i] = jobQuery{batch.QualifiedID(tenant, job.ID), table.QuestionHomes(job.Host, tenant)}
 	}
-	return questions, nil
+	return queries, nil
 }
 
-// askOf asks about the job by each of its names until one is that of a job.
-func askOf[Answer any](
-	ctx context.Context, n *node, job JobName, ask func(ctx context.Context, id string) (Answer, error),
+// queryJob calls run for each possible qualified ID of the job until one is found.
+func queryJob[Answer any](
+	ctx context.Context, n *node, job JobName, run func(ctx context.Context, id string) (Answer, error),
 ) (Answer, error) {
-	questions, err := n.questions(job)
+	queries, err := n.queries(job)
 	if err != nil {
 		var none Answer
 		return none, err
 	}
-	return askFirst(questions, func(question jobQuestion) (Answer, error) {
-		return ask(homes.NewContext(ctx, question.homes), question.id)
+	return firstFound(queries, func(query jobQuery) (Answer, error) {
+		return run(homes.NewContext(ctx, query.homes), query.id)
 	})
 }
 
-// askFirst asks by each name until one is that of a job. A name of which this node is not sure does
-// not hide the job that another one is of; where there is none, nobody is told that there is no job.
-func askFirst[Question, Answer any](
-	questions []Question, ask func(question Question) (Answer, error),
+// firstFound calls run for each candidate until one is found. A candidate with lost history does not hide a later
+// match; without a match, its error is returned in place of NotFound.
+func firstFound[Query, Answer any](
+	queries []Query, run func(query Query) (Answer, error),
 ) (answer Answer, err error) {
 	var unsure error
-	for _, question := range questions {
-		answer, err = ask(question)
+	for _, query := range queries {
+		answer, err = run(query)
 		switch {
 		case errkind.Is(err, errkind.HistoryLost):
 			unsure = err
@@ -145,21 +145,20 @@
 	return answer, err
 }
 
-// isCurrent tells whether the configuration in force is known to be the newest one,
-// but for a few seconds.
-func (n *node) isCurrent() bool { return n.control.Age() < configurationAge }
+// isCurrent reports whether the configuration in force is the newest one, to within maxConfigurationAge.
+func (n *node) isCurrent() bool { return n.control.Age() < maxConfigurationAge }
 
 // Results implements Callers.
 func (n *node) Results(ctx context.Context, job JobName, from int, wait time.Duration) (batchjobs.Results, error) {
-	return askOf(ctx, n, job, func(ctx context.Context, id string) (batchjobs.Results, error) {
-		return n.askedJobs.Results(ctx, id, from, min(wait, maxWait))
+	return queryJob(ctx, n, job, func(ctx context.Context, id string) (batchjobs.Results, error) {
+		return n.jobRelay.Results(ctx, id, from, min(wait, maxResultsWait))
 	})
 }
 
 // Body implements Callers.
 func (n *node) Body(ctx context.Context, job JobName, itemID string) ([]byte, error) {
-	return askOf(ctx, n, job, func(ctx context.Context, id string) ([]byte, error) {
-		return n.askedJobs.Body(ctx, id, itemID)
+	return queryJob(ctx, n, job, func(ctx context.Context, id string) ([]byte, error) {
+		return n.jobRelay.Body(ctx, id, itemID)
 	})
 }
 
@@ -167,8 +166,8 @@
 func (n *node) End(ctx context.Context, job JobName) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endTimeout)
 	defer cancel()
-	_, err := askOf(ctx, n, job, func(ctx context.Context, id string) (struct{}, error) {
-		err := n.askedJobs.End(ctx, id)
+	_, err := queryJob(ctx, n, job, func(ctx context.Context, id string) (struct{}, error) {
+		err := n.jobRelay.End(ctx, id)
 		n.logger.Info().Err(err).Str("job", id).Msg("job end asked")
 		return struct{}{}, err
 	})
@@ -182,7 +181,7 @@
 func (n *node) MaxBodyBytes() int64 {
 	table := n.state.table()
 	if table == nil || table.Limits.MaxBodyBytes <= 0 {
-		return defaultMaxBody
+		return defaultMaxBodyBytes
 	}
 	return table.Limits.MaxBodyBytes
 }
@@ -196,11 +195,11 @@
 	return min(table.Limits.MaxHeaderBytes, maxHeaderBytes)
 }
 
-// idleTime is how long a connection may stay open without a request.
-func (n *node) idleTime() time.Duration {
+// idleTimeout is how long a connection may stay open without a request.
+func (n *node) idleTimeout() time.Duration {
 	table := n.state.table()
 	if table == nil || table.Limits.IdleTimeout <= 0 {
-		return defaultIdleTime
+		return defaultIdleTimeout
 	}
 	return table.Limits.IdleTimeout
 }
@@ -212,7 +211,7 @@
 		Int("status", failure.Kind.Answer().Status).Msg("request refused")
 }
 
-// ready returns nil, or why this node takes no new work.
+// ready returns nil if this node accepts new work, otherwise an *errkind.Error with the reason.
 func (n *node) ready() error {
 	switch {
 	case n.state.isStopping():
@@ -221,9 +220,9 @@
 		return errkind.New(errkind.NotReady, "no configuration is known yet")
 	case !n.control.IsLoaded():
 		return errkind.New(errkind.NotReady, "it is not known yet which zones are evacuated")
-	case !n.knowsEngine(n.state.table()):
+	case !n.hasUsableEngine(n.state.table()):
 		return errkind.New(errkind.NotReady, "no engine is known yet")
-	case !n.knowsCrashes():
+	case !n.crashesKnown():
 		return errkind.New(errkind.NotReady, "it is not known yet which requests end their engines")
 	}
 	return nil
--- a/internal/hosted/callers_test.go
+++ b/internal/hosted/callers_test.go
@@ -8,14 +8,14 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-// TestANameThatIsNotSureHidesNoJob: and where no name is that of a job, it is not said that there
-// is none.
-func TestANameThatIsNotSureHidesNoJob(t *testing.T) {
+// Guards against a job that is not found because a candidate before it has lost history, and against NotFound where
+// one has.
+func TestFirstFoundWithLostHistory(t *testing.T) {
 	answers := map[string]error{
 		"unsure": errkind.New(errkind.HistoryLost, "why"), "none": errkind.New(errkind.NotFound, "why"),
 		"out of reach": errkind.New(errkind.LogUnavailable, "why"), "job": nil,
 	}
-	ask := func(id string) (string, error) { return id, answers[id] }
+	run := func(id string) (string, error) { return id, answers[id] }
 	for _, each := range []struct {
 		names []string
 		found string
@@ -27,7 +27,7 @@
 		{names: []string{"unsure", "none"}, kind: errkind.HistoryLost},
 		{names: []string{"unsure", "out of reach", "job"}, kind: errkind.LogUnavailable},
 	} {
-		found, err := askFirst(each.names, ask)
+		found, err := firstFound(each.names, run)
 		if each.found != "" {
 			assert.NilError(t, err, "%v", each.names)
 			assert.Equal(t, found, each.found)
--- a/internal/hosted/clusterversion.go
+++ b/internal/hosted/clusterversion.go
@@ -18,34 +18,34 @@
 )
 
 const (
-	// versionReadTimeout bounds one read of the cluster version. A node that starts opens its ports after that, also
-	// where the log does not answer.
+	// versionReadTimeout bounds one read of the cluster version, and so how long an unavailable log delays a node's
+	// start.
 	versionReadTimeout = time.Second
-	// versionRetry is the time between two reads of a node that does not know the cluster version; it grows with the
+	// versionRetry is the interval between reads while the cluster version is unknown. It grows with the number of
 	// nodes, up to maxVersionRetry.
 	versionRetry    = 250 * time.Millisecond
 	maxVersionRetry = 4 * time.Second
-	// versionReadPeriod is the time between two reads while the version may have been raised; it grows with the nodes,
-	// up to maxVersionReadPeriod.
+	// versionReadPeriod is the interval between reads while the version may have been raised. It grows with the
+	// number of nodes, up to maxVersionReadPeriod.
 	versionReadPeriod    = 5 * time.Second
 	maxVersionReadPeriod = time.Minute
-	// raiseRetry is the time between two tries of the leader to raise the version.
+	// raiseRetry is the interval between the leader's attempts to raise the version.
 	raiseRetry = 10 * time.Second
-	// viewPeriod is the time between two observations of the live nodes.
-	viewPeriod = time.Second
+	// observePeriod is the interval between two observations of the live nodes.
+	observePeriod = time.Second
 )
 
-// clusterVersionOptions are the parts that a clusterVersion works with.
+// clusterVersionOptions are the dependencies of a clusterVersion.
 type clusterVersionOptions struct {
 	Log eventlog.Log
-	// Topic is a compacted topic of the log.
+	// Topic names a compacted topic of the log.
 	Topic string
 	Build clusterversion.Version
-	// Holder names this process.
+	// Holder identifies this process in the log.
 	Holder string
 	// View returns the versions of the live nodes.
 	View func() clusterversion.View
-	// Leads reports whether this node leads: the leader raises the version.
+	// Leads reports whether this node is the leader. Only the leader raises the version.
 	Leads  func() bool
 	Budget pacing.Budget
 	// OnVersions receives the cluster version and the lowest version of the live nodes.
@@ -56,18 +56,18 @@
 // clusterVersion follows the cluster version in the log. It is safe for concurrent use.
 type clusterVersion struct {
 	options clusterVersionOptions
-	// now is a clock that goes on while the machine is suspended: nodes may have joined meanwhile.
+	// now is a clock that keeps running while the machine is suspended, since nodes may join during that time.
 	now func() time.Time
-	// known is closed once the version was read.
+	// known is closed once the version has been read.
 	known chan struct{}
-	// tooOld receives the error of a node whose build is below the cluster version.
+	// tooOld receives an error if this build is below the cluster version.
 	tooOld chan error
 
 	mu    sync.Mutex
 	state *clusterversion.State
-	// seen is the newest view that was logged.
-	seen clusterversion.View
-	// unknownKinds holds the kinds of records that were logged as unknown.
+	// lastLogged is the newest view that has been logged.
+	lastLogged clusterversion.View
+	// unknownKinds are the unknown record kinds that have been logged.
 	unknownKinds once.PerKey
 }
 
@@ -78,8 +78,8 @@
 	}
 }
 
-// checkBuild returns an error if this build is below the cluster version. A log that does not answer is no error: the
-// node would not start in an outage.
+// checkBuild returns an error if this build is below the cluster version. A failed read is not an error, so that a
+// node can start during an outage of the log.
 func (c *clusterVersion) checkBuild(ctx context.Context) error {
 	err := c.read(ctx)
 	var tooOld *clusterversion.TooOldError
@@ -92,10 +92,10 @@
 	return nil
 }
 
-// Known is closed once the cluster version was read.
+// Known returns a channel that is closed once the cluster version has been read.
 func (c *clusterVersion) Known() <-chan struct{} { return c.known }
 
-// Serves reports whether a feature may be served that older builds must not miss.
+// Serves reports whether a feature may be served that requires all live nodes to support the version.
 func (c *clusterVersion) Serves(version clusterversion.Version) bool {
 	view := c.options.View()
 	c.mu.Lock()
@@ -103,8 +103,8 @@
 	return c.state.Serves(version, view)
 }
 
-// Run observes the live nodes, reads the cluster version while it may change, and raises it while this node leads,
-// until ctx ends or the build turns out to be too old.
+// Run observes the live nodes, reads the cluster version while it may change, and raises it while this node leads.
+// It returns when ctx ends or the build turns out to be too old.
 func (c *clusterVersion) Run(ctx context.Context) error {
 	var readAt, raisedAt time.Time
 	for ctx.Err() == nil {
@@ -119,20 +119,20 @@
 		if now.Sub(raisedAt) >= raiseRetry && c.raiseIfDue(ctx) {
 			raisedAt = now
 		}
-		retry.Sleep(ctx, min(viewPeriod, period))
+		retry.Sleep(ctx, min(observePeriod, period))
 	}
 	return nil
 }
 
-// observe applies the versions of the live nodes. It returns whether the log is to be read, and how often.
+// observe applies the versions of the live nodes. It returns whether the log has to be read, and at which interval.
 func (c *clusterVersion) observe(now time.Time) (needsRead bool, period time.Duration) {
 	view := c.options.View()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.Observe(view, now)
 	c.options.OnVersions(c.state.Cluster(), view.Lowest)
-	if view.Lowest != c.seen.Lowest || view.Highest != c.seen.Highest {
-		c.seen = view
+	if view.Lowest != c.lastLogged.Lowest || view.Highest != c.lastLogged.Highest {
+		c.lastLogged = view
 		c.options.Logger.Info().Uint32("lowest", uint32(view.Lowest)).Uint32("highest", uint32(view.Highest)).
 			Uint32("build", uint32(c.options.Build)).Uint32("cluster", uint32(c.state.Cluster())).
 			Msg("versions of live nodes changed")
@@ -143,7 +143,7 @@
 	return c.state.NeedsRead(view), c.options.Budget.Stretch(versionReadPeriod, maxVersionReadPeriod)
 }
 
-// stopIfTooOld has the node stop if a read found its build to be too old.
+// stopIfTooOld requests a stop of the node if err says that its build is too old, and reports whether it did.
 func (c *clusterVersion) stopIfTooOld(err error) bool {
 	var tooOld *clusterversion.TooOldError
 	if !errors.As(err, &tooOld) {
@@ -153,7 +153,6 @@
 	return true
 }
 
-// read reads the cluster version from the log.
 func (c *clusterVersion) read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, versionReadTimeout)
 	defer cancel()
@@ -175,7 +174,7 @@
 	return err
 }
 
-// highestLocked returns the highest version to which the records raise the cluster; mu is held.
+// highestLocked returns the highest version to which the records raise the cluster. Must be called with mu held.
 func (c *clusterVersion) highestLocked(records []eventlog.KeyedRecord) clusterversion.Version {
 	highest := clusterversion.Unversioned
 	for _, record := range records {
@@ -201,7 +200,8 @@
 	}
 }
 
-// raiseIfDue raises the cluster version if this node leads and all live nodes have agreed. It reports whether it tried.
+// raiseIfDue raises the cluster version if this node leads and all live nodes support the next one. It reports
+// whether it attempted to.
 func (c *clusterVersion) raiseIfDue(ctx context.Context) bool {
 	c.mu.Lock()
 	version, due := c.state.Raise()
@@ -228,7 +228,6 @@
 	return c.options.Log.PutKeyed(ctx, c.options.Topic, []eventlog.KeyedRecord{record})
 }
 
-// clusterVersionOptions returns how this node follows the cluster version.
 func (n *node) clusterVersionOptions() clusterVersionOptions {
 	return clusterVersionOptions{
 		Log: n.log, Topic: n.platform.VersionTopic(), Build: clusterversion.Build, Holder: n.holder,
@@ -237,14 +236,14 @@
 	}
 }
 
-// Labels of the metric of versions.
+// Label values of the version gauge.
 const (
-	versionOfCluster = "cluster"
-	versionOfLowest  = "lowest_node"
+	versionOfCluster    = "cluster"
+	versionOfLowestNode = "lowest_node"
 )
 
-// addVersions builds the metric of versions.
-func (m *metrics) addVersions(registry *prometheus.Registry) {
+// addVersionMetrics registers the version gauge.
+func (m *metrics) addVersionMetrics(registry *prometheus.Registry) {
 	m.versions = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "corkpulley_hosted_protocol_version",
 		Help: "Protocol version of the cluster, and the lowest one of the live nodes, as this node knows.",
@@ -254,5 +253,5 @@
 
 func (m *metrics) observeVersions(cluster, lowest clusterversion.Version) {
 	m.versions.WithLabelValues(versionOfCluster).Set(float64(cluster))
-	m.versions.WithLabelValues(versionOfLowest).Set(float64(lowest))
+	m.versions.WithLabelValues(versionOfLowestNode).Set(float64(lowest))
 }
--- a/internal/hosted/clusterversion_test.go
+++ b/internal/hosted/clusterversion_test.go
@@ -23,8 +23,8 @@
 
 const versionTopic = "keyed.version"
 
-// agreed is longer than nodes take to agree and to read that they did.
-const agreed = 2 * time.Minute
+// agreementTime is longer than nodes need to agree on a version and to read it.
+const agreementTime = 2 * time.Minute
 
 // versionedNode is a node that announces itself and follows the cluster version.
 type versionedNode struct {
@@ -33,8 +33,10 @@
 	stop      func()
 }
 
-// startVersioned starts a node. One of a build before Announced announces itself as such builds did.
-func startVersioned(t *testing.T, log eventlog.Log, id string, build clusterversion.Version, leads bool) *versionedNode {
+// startVersionedNode starts a node. Builds before Announced announce themselves without a version.
+func startVersionedNode(
+	t *testing.T, log eventlog.Log, id string, build clusterversion.Version, leads bool,
+) *versionedNode {
 	t.Helper()
 	n := &versionedNode{}
 	logger := zerolog.Nop()
@@ -71,14 +73,14 @@
 	return n.state.Cluster()
 }
 
-// Guards against a record of a version that is written while a node is live whose build cannot read it.
-func TestTheLeaderRaisesTheClusterOnceNoOlderNodeIsLive(t *testing.T) {
+// Guards against a record of a new version that is written while a live node's build cannot read it.
+func TestLeaderRaisesClusterVersionWithoutOlderNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
-		old := startVersioned(t, log, "c", clusterversion.Homes, false)
-		leader := startVersioned(t, log, "a", clusterversion.Announced, true)
-		other := startVersioned(t, log, "b", clusterversion.Announced, false)
-		time.Sleep(agreed)
+		old := startVersionedNode(t, log, "c", clusterversion.Homes, false)
+		leader := startVersionedNode(t, log, "a", clusterversion.Announced, true)
+		other := startVersionedNode(t, log, "b", clusterversion.Announced, false)
+		time.Sleep(agreementTime)
 		assert.Equal(t, leader.cluster(), clusterversion.Homes)
 		newest, err := log.Newest(t.Context(), versionTopic)
 		assert.NilError(t, err)
@@ -86,40 +88,41 @@
 		assert.Equal(t, newest.Records[0].Key, clusterversion.Raised{Version: clusterversion.Homes}.Key())
 
 		old.stop()
-		time.Sleep(agreed)
+		time.Sleep(agreementTime)
 		assert.Equal(t, leader.cluster(), clusterversion.Announced)
-		assert.Equal(t, other.cluster(), clusterversion.Announced, "a node that does not lead missed it")
+		assert.Equal(t, other.cluster(), clusterversion.Announced, "a node that does not lead did not read the new version")
 		leader.stop()
 		other.stop()
 	})
 }
 
-// Guards against a feature that older builds must not miss and that is served while one may be live.
-func TestAFeatureIsNotServedWhileAnOlderNodeIsLive(t *testing.T) {
+// Guards against serving a feature while a live node's build does not support it.
+func TestServesWithOlderLiveNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
-		old := startVersioned(t, log, "b", clusterversion.Unversioned, false)
-		node := startVersioned(t, log, "a", clusterversion.Announced, true)
-		assert.Assert(t, !node.Serves(clusterversion.Homes), "before the node knows of the others")
-		time.Sleep(agreed)
+		old := startVersionedNode(t, log, "b", clusterversion.Unversioned, false)
+		node := startVersionedNode(t, log, "a", clusterversion.Announced, true)
+		assert.Assert(t, !node.Serves(clusterversion.Homes), "before the node has read the list of other nodes")
+		time.Sleep(agreementTime)
 		assert.Assert(t, !node.Serves(clusterversion.Homes))
 		old.stop()
-		time.Sleep(agreed)
+		time.Sleep(agreementTime)
 		assert.Assert(t, node.Serves(clusterversion.Homes))
 		node.stop()
 	})
 }
 
-// Guards against a node that does not start in an outage, and against one that stays although its build is too old.
-func TestANodeThatStartsInAnOutageLearnsTheClusterVersionLater(t *testing.T) {
+// Guards against a node that fails to start during an outage, and against one that keeps running although its build
+// is too old.
+func TestCheckBuildDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
 		raise(t, log, clusterversion.Announced+1)
 		log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
-		node := startVersioned(t, log, "a", clusterversion.Announced, true)
+		node := startVersionedNode(t, log, "a", clusterversion.Announced, true)
 		assert.NilError(t, node.checkBuild(t.Context()))
-		time.Sleep(agreed)
-		assert.Assert(t, !node.Serves(clusterversion.Homes), "without having read the log")
+		time.Sleep(agreementTime)
+		assert.Assert(t, !node.Serves(clusterversion.Homes), "before the log has been read")
 		log.SetFault(nil)
 		time.Sleep(10 * time.Second)
 		var tooOld *clusterversion.TooOldError
@@ -127,14 +130,14 @@
 		case err := <-node.tooOld:
 			assert.Assert(t, errors.As(err, &tooOld), "%v", err)
 		default:
-			t.Error("the node goes on")
+			t.Error("the node keeps running with a build that is too old")
 		}
 		node.stop()
 	})
 }
 
-// Guards against a leader that writes, and logs, each second while the log takes nothing.
-func TestARaiseThatFailsIsRepeatedSeldom(t *testing.T) {
+// Guards against a leader that retries and logs every second while the log rejects writes.
+func TestFailedRaiseRetryInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
 		var writes atomic.Int32
@@ -145,8 +148,8 @@
 			writes.Add(1)
 			return memlog.Refused
 		})
-		leader := startVersioned(t, log, "a", clusterversion.Announced, true)
-		time.Sleep(agreed)
+		leader := startVersionedNode(t, log, "a", clusterversion.Announced, true)
+		time.Sleep(agreementTime)
 		before := writes.Load()
 		time.Sleep(10 * raiseRetry)
 		failed := writes.Load() - before
@@ -154,17 +157,17 @@
 		time.Sleep(2 * raiseRetry)
 		assert.Equal(t, leader.cluster(), clusterversion.Announced)
 		leader.stop()
-		assert.Assert(t, before > 0 && failed > 0 && failed <= 11, "%d tries", failed)
+		assert.Assert(t, before > 0 && failed > 0 && failed <= 11, "%d attempts", failed)
 	})
 }
 
-// Guards against a read of every node again and again, which a large cluster's log would not bear.
-func TestAClusterThatAgreesReadsNothing(t *testing.T) {
+// Guards against periodic reads by every node, which would overload a large cluster's log.
+func TestNoVersionReadsAfterAgreement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
-		leader := startVersioned(t, log, "a", clusterversion.Announced, true)
-		other := startVersioned(t, log, "b", clusterversion.Announced, false)
-		time.Sleep(agreed)
+		leader := startVersionedNode(t, log, "a", clusterversion.Announced, true)
+		other := startVersionedNode(t, log, "b", clusterversion.Announced, false)
+		time.Sleep(agreementTime)
 		assert.Equal(t, other.cluster(), clusterversion.Announced)
 		var mu sync.Mutex
 		reads := 0
@@ -183,8 +186,8 @@
 	})
 }
 
-// Guards against a kind of record of a later build that stops this one, or that is logged again and again.
-func TestRecordsOfUnknownKindsAreSkipped(t *testing.T) {
+// Guards against records of a later build that stop this one or are logged repeatedly.
+func TestUnknownVersionRecordKinds(t *testing.T) {
 	log := memlog.New()
 	log.Put(versionTopic, "later/1", []byte("x"))
 	log.Put(versionTopic, "later/2", []byte("y"))
--- a/internal/hosted/coverage.go
+++ b/internal/hosted/coverage.go
@@ -13,100 +13,104 @@
 )
 
 const (
-	// coveragePeriod is the time between two looks at what of the engine list this node needs.
-	coveragePeriod = 100 * time.Millisecond
-	// configurationWait bounds how long a node that starts waits for the configuration before it follows the
-	// engine list: that tells which engines it needs.
+	// coverageCheckPeriod is the interval at which the set of required services is computed anew.
+	coverageCheckPeriod = 100 * time.Millisecond
+	// configurationWait bounds how long a starting node waits for the configuration before it reads the engine
+	// list: the configuration determines which engines it needs.
 	configurationWait = 3 * time.Second
-	// unheldPeriod is how long a lease must have been free before nodes of a large cluster that do not hold the
-	// whole engine list get it, to stand for election themselves: all those that hold it have failed together.
-	unheldPeriod = 5 * time.Second
+	// unclaimedLeasePeriod is how long a lease must be unclaimed before nodes with a partial engine list load all
+	// of it to stand for election: by then all nodes with the full list must have failed.
+	unclaimedLeasePeriod = 5 * time.Second
 )
 
-// coverage is which part of the engine list this node follows. In a large cluster most nodes leave out the
-// engines that only batch items run at, which are nearly all: of 10,000 entries and their changes they would
-// take each one, and 1,000 nodes a thousand times as much as one.
+// coverage tracks which part of the engine list this node follows. In a large cluster most nodes exclude engines
+// that run only batch items: these are most of the list, and each node would process every change to them. It is
+// safe for concurrent use.
 type coverage struct {
 	mu sync.Mutex
-	// leftOut are the services left out by the reads from now on, loaded those left out by the last whole one.
-	leftOut []string
-	loaded  []string
-	isRead  bool
+	// excluded are the services that reads exclude from now on, excludedAtRead those excluded by the newest full
+	// read.
+	excluded       []string
+	excludedAtRead []string
+	isRead         bool
 }
 
-// leftOutNow returns the services that reads leave out.
-func (c *coverage) leftOutNow() []string {
+// excludedServices returns the services that reads exclude. The result must not be modified.
+func (c *coverage) excludedServices() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leftOut
+	return c.excluded
 }
 
-// isWhole tells whether this node holds the whole list.
-func (c *coverage) isWhole() bool {
+// isComplete reports whether this node holds the full engine list.
+func (c *coverage) isComplete() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.isRead && len(c.loaded) == 0 && len(c.leftOut) == 0
+	return c.isRead && len(c.excludedAtRead) == 0 && len(c.excluded) == 0
 }
 
-// leaves tells whether a service is left out.
-func (c *coverage) leaves(service string) bool { return slices.Contains(c.leftOutNow(), service) }
+func (c *coverage) excludes(service string) bool {
+	return slices.Contains(c.excludedServices(), service)
+}
 
-// change sets what reads leave out from now on, and tells whether that is new.
-func (c *coverage) change(leftOut []string) bool {
+// setExcluded sets the services that reads exclude from now on, and reports whether they changed.
+func (c *coverage) setExcluded(excluded []string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if slices.Equal(c.leftOut, leftOut) {
+	if slices.Equal(c.excluded, excluded) {
 		return false
 	}
-	c.leftOut = leftOut
+	c.excluded = excluded
 	return true
 }
 
-// wasLeftOut reports whether the newest full read excluded a service, so that its engines may have been listed before.
-func (c *coverage) wasLeftOut(service string) bool {
+// wasExcluded reports whether the newest full read excluded a service. Its engines may then have been listed
+// before.
+func (c *coverage) wasExcluded(service string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Contains(c.loaded, service)
+	return slices.Contains(c.excludedAtRead, service)
 }
 
-// read notes a whole read that left out these services.
-func (c *coverage) read(leftOut []string) {
+// recordRead records a full read that excluded these services.
+func (c *coverage) recordRead(excluded []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.loaded, c.isRead = leftOut, true
+	c.excludedAtRead, c.isRead = excluded, true
 }
 
-// unneeded returns the services whose engines this node can do without.
-func (n *node) unneeded() []string {
+// unneededServices returns the services whose engines this node does not need.
+func (n *node) unneededServices() []string {
 	table := n.state.table()
-	if table == nil || n.needsWholeList() {
+	if table == nil || n.needsFullList() {
 		return nil
 	}
 	return table.BatchOnly()
 }
 
-// needsWholeList tells whether this node follows the whole engine list: in a small cluster each one does, in a
-// large one the replicas, and whoever runs batch items or is to.
-func (n *node) needsWholeList() bool {
-	return len(n.directory.Sources()) == 0 || n.runsItems() || n.elector.Unheld(unheldPeriod)
+// needsFullList reports whether this node follows the full engine list: every node of a small cluster, and in a
+// large one the replicas and the nodes that run batch items or may soon have to.
+func (n *node) needsFullList() bool {
+	return len(n.directory.Sources()) == 0 || n.runsItems() || n.elector.Unheld(unclaimedLeasePeriod)
 }
 
-// runsItems tells whether this node runs items of batch jobs.
+// runsItems reports whether this node runs items of batch jobs.
 func (n *node) runsItems() bool { return n.itemRunners.Load() > 0 }
 
-// leftOutOf returns the classes of a topic's records that this node does without.
-func (n *node) leftOutOf(topic string) []string {
+// excludedClasses returns the record classes of a topic that this node excludes.
+func (n *node) excludedClasses(topic string) []string {
 	if topic != n.platform.EngineTopic() {
 		return nil
 	}
-	return n.coverage.leftOutNow()
+	return n.coverage.excludedServices()
 }
 
-// mayLead tells whether this node may stand for election: a leader needs the whole engine list, and reading it
-// only then would leave the items of all jobs waiting.
-func (n *node) mayLead() bool { return n.coverage.isWhole() && n.needsWholeList() }
+// mayLead reports whether this node may stand for election. A leader needs the full engine list; reading it only
+// after the election would delay the items of all jobs.
+func (n *node) mayLead() bool { return n.coverage.isComplete() && n.needsFullList() }
 
-// engineClass is the class of an entry of the engine list: its service. One that cannot be read is for all.
+// engineClass returns the class of an engine list entry, which is its service. An entry that cannot be decoded has
+// the empty class, which no node excludes.
 func (n *node) engineClass(record eventlog.KeyedRecord) string {
 	engine, err := n.platform.DecodeEngine(record)
 	if err != nil {
@@ -115,11 +119,11 @@
 	return engine.Service
 }
 
-// followEngines follows the part of the engine list that this node needs, until ctx ends.
+// followEngines follows the required part of the engine list until ctx ends.
 func (n *node) followEngines(ctx context.Context) error {
 	n.directory.AwaitSettled(ctx)
 	n.awaitConfiguration(ctx)
-	n.coverage.change(n.unneeded())
+	n.coverage.setExcluded(n.unneededServices())
 	var group errgroup.Group
 	group.Go(func() error { return n.engines.Run(ctx) })
 	group.Go(func() error { return n.watchCoverage(ctx) })
@@ -136,19 +140,19 @@
 	}
 }
 
-// watchCoverage has the engine list read anew when this node needs another part of it.
+// watchCoverage reloads the engine list when this node needs another part of it.
 func (n *node) watchCoverage(ctx context.Context) error {
 	loaded := n.engines.Loaded()
 	for ctx.Err() == nil {
-		leftOut := n.coverage.leftOutNow()
+		excluded := n.coverage.excludedServices()
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-loaded:
 		}
-		n.coverage.read(leftOut)
-		n.logger.Info().Strs("left_out", leftOut).Msg("engine list followed")
-		for retry.Sleep(ctx, coveragePeriod) && !n.coverage.change(n.unneeded()) {
+		n.coverage.recordRead(excluded)
+		n.logger.Info().Strs("left_out", excluded).Msg("engine list followed")
+		for retry.Sleep(ctx, coverageCheckPeriod) && !n.coverage.setExcluded(n.unneededServices()) {
 			continue
 		}
 		loaded = n.engines.Reload()
--- a/internal/hosted/crashes.go
+++ b/internal/hosted/crashes.go
@@ -8,12 +8,12 @@
 	"github.com/corkpulley/corkpulley/internal/logrelay"
 )
 
-// crashesWait is how long a node that knows its configuration waits until it has read under
-// which requests engines ended: one read of the log, and one more after a failure.
-const crashesWait = 3 * time.Second
+// crashReadWait bounds how long a configured node waits for the crash records: enough for one read of the log and
+// one retry.
+const crashReadWait = 3 * time.Second
 
-// newGuard returns what keeps requests under which engines ended away from the others.
-func (n *node) newGuard(log eventlog.Log) *crashes.Guard {
+// newCrashGuard returns the guard that quarantines requests during which engines crashed.
+func (n *node) newCrashGuard(log eventlog.Log) *crashes.Guard {
 	watch := crashes.NewWatch(crashes.Options{
 		Prober: n.platform.Engines(), Fleet: n.fleet, Logger: n.logger, Observe: n.metrics.connectionLost,
 	})
@@ -24,8 +24,8 @@
 	})
 }
 
-// knowsCrashes tells whether the node has read under which requests engines ended. Where the
-// log tells the configuration but not that, the node does not wait for it any longer.
-func (n *node) knowsCrashes() bool {
-	return n.ended.IsLoaded() || n.state.configuredFor() > crashesWait
+// crashesKnown reports whether the crash records have been read, or the node has waited for them for crashReadWait
+// since it was configured.
+func (n *node) crashesKnown() bool {
+	return n.crashFollower.IsLoaded() || n.state.configuredFor() > crashReadWait
 }
--- a/internal/hosted/docs_test.go
+++ b/internal/hosted/docs_test.go
@@ -19,7 +19,7 @@
 	documentedCell = regexp.MustCompile("`([^`]+)`")
 )
 
-// hostedPackages write the lines of a hosted node.
+// hostedPackages are the packages that write the log lines of a hosted node.
 var hostedPackages = []string{
 	"hosted", "follow", "leadership", "logrelay", "jobrelay", "batchjobs", "batchrun", "weightorders", "ingress",
 	"duties", "crashes", "coldpermits", "logusage",
@@ -52,8 +52,7 @@
 	assert.DeepEqual(t, documented, registered)
 }
 
-// TestOperationsPageNamesEachHostedLine compares the page's table with the
-// messages in the code.
+// Compares the log messages in the documentation with those in the code.
 func TestOperationsPageNamesEachHostedLine(t *testing.T) {
 	written := map[string]bool{}
 	for _, folder := range hostedPackages {
--- a/internal/hosted/duties.go
+++ b/internal/hosted/duties.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/settings"
 )
 
-// usageWindow is the span of time for which use is reported; zero when it is not.
+// usageWindow is the reporting interval of usage; zero if usage is not reported.
 func usageWindow(hosted settings.Hosted) time.Duration {
 	if !hosted.Duty(settings.DutyUsage) {
 		return 0
@@ -20,7 +20,7 @@
 	return time.Duration(hosted.UsageWindow)
 }
 
-// startDuties starts what the leader does for the platform, as the settings ask for.
+// startDuties starts the configured tasks that the leader performs for the platform.
 func (n *node) startDuties(ctx context.Context, roles *sync.WaitGroup, term leadership.Term, runner *batchrun.Runner) {
 	hosted := n.config.Hosted
 	holder := duties.Holder{Node: n.config.Node.ID, Fence: term.Epoch}
@@ -40,8 +40,7 @@
 	}
 }
 
-// scaledServices returns the services whose engines may be ordered, and what is asked
-// of them.
+// scaledServices returns the services that may be scaled, with their bounds, demand and engines by zone.
 func (n *node) scaledServices(runner *batchrun.Runner) []duties.ScaledService {
 	table := n.state.table()
 	if table == nil {
--- a/internal/hosted/election.go
+++ b/internal/hosted/election.go
@@ -8,36 +8,35 @@
 	"github.com/corkpulley/corkpulley/internal/leadership"
 )
 
-// leaseOptions say how this node asks for the leader's lease.
+// leaseOptions returns the options of the leader lease.
 func (n *node) leaseOptions() leadership.Options {
 	return leadership.Options{
 		Holder: n.holder, Node: n.config.Node.ID, Address: exclusiveAddress(n.config.Listen.Peers),
 		TTL: time.Duration(n.config.Hosted.Lease), ClaimDelay: claimDelay(n.config.Node.Processors),
 		Quiet: time.Duration(n.config.Hosted.OrderQuiet), EnginesFence: n.config.Hosted.EnginesFence,
 		Eligible: n.mayLead,
-		Budget:   n.directory.Budget(), Behind: n.metrics.recordBehind, Logger: n.logger,
+		Budget:   n.directory.Budget(), Behind: n.metrics.staleLeaseRecord, Logger: n.logger,
 	}
 }
 
-// versionWait bounds how long a node that may lead waits until it knows the cluster version: where the log serves all
-// else, a cluster without a leader is worse than one led by a node that learns later that its build is too old.
+// versionWait bounds how long a candidate waits for the cluster version. A cluster without a leader is worse than a
+// leader that learns later that its build is too old.
 const versionWait = 3 * time.Second
 
-// weakDelay is how long a node with hardly any processor leaves a free lease to
-// others.
-const weakDelay = 150 * time.Millisecond
+// maxClaimDelay is the delay before a node with almost no CPU share claims a free lease.
+const maxClaimDelay = 150 * time.Millisecond
 
-// claimDelay is longer the smaller a node's share of a processor is: a leader runs
-// the items of all jobs. A node that does not know its share counts as whole.
+// claimDelay returns the delay before this node claims a free lease. It grows as the node's CPU share shrinks,
+// since a leader runs the items of all jobs. An unknown share counts as a full CPU.
 func claimDelay(processors float64) time.Duration {
 	if processors <= 0 || processors >= 1 {
 		return 0
 	}
-	return time.Duration((1 - processors) * float64(weakDelay))
+	return time.Duration((1 - processors) * float64(maxClaimDelay))
 }
 
-// exclusiveAddress is the address that a process listens on, if no process of another machine can: empty
-// where it is loopback, all addresses of the machine, or a port that the system chooses.
+// exclusiveAddress returns the listen address if no process on another machine can listen on it too, otherwise "":
+// for loopback and unspecified addresses, and for ports chosen by the system.
 func exclusiveAddress(listen string) string {
 	address, err := netip.ParseAddrPort(listen)
 	if err != nil || address.Port() == 0 || address.Addr().IsLoopback() || address.Addr().IsUnspecified() {
@@ -46,8 +45,8 @@
 	return listen
 }
 
-// whenCurrent returns an election that begins once the node knows what a leader must know.
-func (n *node) whenCurrent(elect func(context.Context) error) func(context.Context) error {
+// afterFirstRead returns an election that starts once the node has read the state that a leader needs.
+func (n *node) afterFirstRead(elect func(context.Context) error) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for _, loaded := range []<-chan struct{}{n.control.Loaded(), n.engines.Loaded()} {
 			select {
@@ -56,8 +55,8 @@
 			case <-loaded:
 			}
 		}
-		awaitAtMost(ctx, n.ended.Loaded(), crashesWait)
-		awaitAtMost(ctx, n.clusterVersion.Known(), versionWait)
+		awaitWithTimeout(ctx, n.crashFollower.Loaded(), crashReadWait)
+		awaitWithTimeout(ctx, n.clusterVersion.Known(), versionWait)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -65,8 +64,8 @@
 	}
 }
 
-// awaitAtMost waits until the channel is closed, ctx ends or the time is over.
-func awaitAtMost(ctx context.Context, done <-chan struct{}, limit time.Duration) {
+// awaitWithTimeout waits until done is closed, ctx ends or the limit has passed.
+func awaitWithTimeout(ctx context.Context, done <-chan struct{}, limit time.Duration) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
--- a/internal/hosted/enginelist_test.go
+++ b/internal/hosted/enginelist_test.go
@@ -20,7 +20,7 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// entryDecoder is a platform whose entries are the names of their faults, or those of services.
+// entryDecoder is a platform whose entries consist of the name of a fault or of a service.
 type entryDecoder struct{ Platform }
 
 func (entryDecoder) DecodeEngine(record eventlog.KeyedRecord) (fleet.Engine, error) {
@@ -34,25 +34,26 @@
 	return fleet.Engine{ID: record.Key, Service: text, Slots: 1}, nil
 }
 
-// listReader is a node that takes entries of the engine list, under a configuration with the service "s".
-func listReader() (n *node, logs *bytes.Buffer) {
+// newEngineListNode returns a node that applies engine list entries, and its log. The configuration defines the
+// service "s".
+func newEngineListNode() (n *node, logs *bytes.Buffer) {
 	logs = &bytes.Buffer{}
 	n = &node{
-		platform: entryDecoder{}, fleet: fleet.New(), unusable: make(unusableEntries), state: newState(time.Second),
+		platform: entryDecoder{}, fleet: fleet.New(), loggedUnusable: make(unusableEntries), state: newState(time.Second),
 		topology: topology.NewMap(nil, "z", "r"),
 		registry: prometheus.NewRegistry(), logger: zerolog.New(logs),
 	}
 	n.metrics = newMetrics(n.registry)
-	n.engines = follow.New(memlog.New(), "list", n.takeEngine, pacing.Budget{}, zerolog.Nop())
+	n.engines = follow.New(memlog.New(), "list", n.applyEngineRecord, pacing.Budget{}, zerolog.Nop())
 	n.state.setTable(routes.NewTable(routes.Definition{Version: 1, Services: []routes.Service{{Name: "s"}}}))
 	return n, logs
 }
 
-func (n *node) takeEntry(key, text string) {
-	n.takeEngine(eventlog.KeyedRecord{Key: key, Value: []byte(text), Deleted: text == ""})
+func (n *node) applyEntry(key, text string) {
+	n.applyEngineRecord(eventlog.KeyedRecord{Key: key, Value: []byte(text), Deleted: text == ""})
 }
 
-// unusableCount is the number of unusable entries that were counted, whatever their fault.
+// unusableCount returns the number of unusable entries counted for all faults.
 func (n *node) unusableCount(t *testing.T) float64 {
 	t.Helper()
 	families, err := n.registry.Gather()
@@ -69,54 +70,55 @@
 	return count
 }
 
-// TestAnUnusableEntryIsToldOfOnceAndCountedAlways: its writer may repeat it every second.
-func TestAnUnusableEntryIsToldOfOnceAndCountedAlways(t *testing.T) {
-	n, logs := listReader()
+// Guards against a log line for each repetition of an unusable entry.
+func TestRepeatedUnusableEntryIsLoggedOnce(t *testing.T) {
+	n, logs := newEngineListNode()
 	lines := func() int { return strings.Count(logs.String(), "engine entry unusable") }
 	for range 5 {
-		n.takeEntry("e", "unreadable")
+		n.applyEntry("e", "unreadable")
 	}
 	assert.Equal(t, lines(), 1)
 	assert.Equal(t, n.unusableCount(t), 5.0)
-	n.takeEntry("e", "missing")
-	assert.Equal(t, lines(), 2, "another fault")
-	n.takeEntry("e", "s")
-	n.takeEntry("e", "missing")
-	assert.Equal(t, lines(), 3, "it was in order meanwhile")
+	n.applyEntry("e", "missing")
+	assert.Equal(t, lines(), 2, "a different fault is logged again")
+	n.applyEntry("e", "s")
+	n.applyEntry("e", "missing")
+	assert.Equal(t, lines(), 3, "a fault after a usable entry is logged again")
 	assert.Assert(t, strings.Contains(logs.String(), `"withdrawn":true`))
-	n.takeEntry("e", "")
-	assert.Equal(t, len(n.unusable), 0, "a key that was deleted is not remembered")
+	n.applyEntry("e", "")
+	assert.Equal(t, len(n.loggedUnusable), 0, "a deleted key is kept")
 }
 
-// TestAnEngineThatIsGoneIsNamedWithItsStart: as in the lines of the requests that it was sent.
-func TestAnEngineThatIsGoneIsNamedWithItsStart(t *testing.T) {
-	n, logs := listReader()
+// Guards against a removal that cannot be matched with the log lines of the engine's requests.
+func TestRemovedEngineIsLoggedWithIncarnation(t *testing.T) {
+	n, logs := newEngineListNode()
 	n.fleet.Put(fleet.Engine{ID: "a", Born: 1000, Service: "s"})
-	n.takeEntry("a", "")
+	n.applyEntry("a", "")
 	assert.Assert(t, strings.Contains(logs.String(), `"engine":"a@1000"`), "%s", logs)
 }
 
-// TestAnUnusableEntryWithdrawsItsEngineOnly: the others hold, and a good one puts it back.
-func TestAnUnusableEntryWithdrawsItsEngineOnly(t *testing.T) {
-	n, _ := listReader()
-	n.takeEntry("a", "s")
-	n.takeEntry("b", "s")
-	n.takeEntry("a", "unreadable")
+// Guards against an unusable entry that affects other engines or is not replaced by a later usable one.
+func TestUnusableEntryRemovesItsEngineOnly(t *testing.T) {
+	n, _ := newEngineListNode()
+	n.applyEntry("a", "s")
+	n.applyEntry("b", "s")
+	n.applyEntry("a", "unreadable")
 	_, found := n.fleet.Get("a")
 	assert.Assert(t, !found)
 	_, found = n.fleet.Get("b")
 	assert.Assert(t, found)
-	n.takeEntry("a", "s")
+	n.applyEntry("a", "s")
 	assert.Equal(t, len(n.fleet.Engines("s")), 2)
 }
 
-// TestAnEngineOfAnUnknownServiceWaitsForItsConfiguration: list and configuration come on their own.
-func TestAnEngineOfAnUnknownServiceWaitsForItsConfiguration(t *testing.T) {
-	n, logs := listReader()
-	n.takeEntry("a", "later")
+// The engine list and the configuration arrive independently, so an engine may be listed before its service is
+// defined.
+func TestEngineListedBeforeItsServiceIsConfigured(t *testing.T) {
+	n, logs := newEngineListNode()
+	n.applyEntry("a", "later")
 	assert.Assert(t, strings.Contains(logs.String(), `"fault":"unknown_service"`))
-	assert.Assert(t, !n.knowsEngine(n.state.table()))
+	assert.Assert(t, !n.hasUsableEngine(n.state.table()))
 	n.state.setTable(routes.NewTable(routes.Definition{Version: 2, Services: []routes.Service{{Name: "later"}}}))
-	assert.Assert(t, n.knowsEngine(n.state.table()))
+	assert.Assert(t, n.hasUsableEngine(n.state.table()))
 	assert.Equal(t, len(n.fleet.Engines("later")), 1)
 }
--- a/internal/hosted/entry.go
+++ b/internal/hosted/entry.go
@@ -1,27 +1,27 @@
 package hosted
 
-// EntryFault is why an entry of the engine list names no engine to use.
+// EntryFault is the reason why an entry of the engine list is unusable.
 type EntryFault uint8
 
-// The faults.
+// Faults of engine list entries.
 const (
-	// Unreadable: the entry is no JSON object in UTF-8, or cut off.
+	// Unreadable: the entry is not a complete JSON object in UTF-8.
 	Unreadable EntryFault = iota
-	// Repeated: a field stands twice, so that nobody knows which one holds.
+	// Repeated: a field occurs twice, which makes its value ambiguous.
 	Repeated
-	// BadName: the key is no name that can be sent to an engine.
+	// BadName: the key is not a valid engine name.
 	BadName
-	// Missing: a field without which the engine cannot be used is not there.
+	// Missing: a required field is absent.
 	Missing
-	// WrongType: a field is of another type.
+	// WrongType: a field has the wrong JSON type.
 	WrongType
-	// OutOfRange: a number is beyond what an engine can have.
+	// OutOfRange: a number is out of range.
 	OutOfRange
-	// BadAddress: the address is not ip:port.
+	// BadAddress: the address is not of the form ip:port.
 	BadAddress
-	// UnknownState: the state says neither that the engine serves nor that it leaves.
+	// UnknownState: the state is neither serving nor draining.
 	UnknownState
-	// UnknownService: no configuration names the service. The engine is kept, since one may do so later.
+	// UnknownService: the configuration does not define the service. The engine is kept, since a later one may.
 	UnknownService
 )
 
@@ -30,15 +30,15 @@
 	OutOfRange: "out_of_range", BadAddress: "bad_address", UnknownState: "unknown_state", UnknownService: "unknown_service",
 }
 
-// String returns the fault as it stands in logs and metrics.
+// String returns the name of the fault in logs and metrics.
 func (f EntryFault) String() string { return entryFaultNames[f] }
 
-// EntryError is the error of an entry that names no engine to use.
+// EntryError is the error of an unusable entry of the engine list.
 type EntryError struct {
 	Fault EntryFault
-	// Field is the entry's field at fault; empty for the entry as a whole.
+	// Field is the name of the faulty field; empty if the fault concerns the entry as a whole.
 	Field string
-	// Detail is what stands there, or what is wrong with it.
+	// Detail is the faulty value, or a description of the fault.
 	Detail string
 }
 
--- a/internal/hosted/evacuation.go
+++ b/internal/hosted/evacuation.go
@@ -6,20 +6,20 @@
 	"github.com/corkpulley/corkpulley/internal/core/fleet"
 )
 
-// takeEvacuation puts the operator's record for a zone in force.
-func (n *node) takeEvacuation(evacuation Evacuation, offset int64) {
+// applyEvacuation applies an operator's record that starts or ends the evacuation of a zone.
+func (n *node) applyEvacuation(evacuation Evacuation, offset int64) {
 	now := time.Now()
 	change := n.fleet.TakeBack
 	if evacuation.InForce {
 		change = n.fleet.Evacuate
 	} else if n.fleet.IsEvacuated(evacuation.Zone) {
-		// Its engines may have turned cold meanwhile; none may be chosen as a warm one first.
+		// The engines may have become cold during the evacuation. Mark them before any can be chosen as warm.
 		n.fleet.MarkZoneDoubtful(evacuation.Zone, fleet.ZoneReturned, now)
 	}
 	if !change(evacuation.Zone, now, offset) {
 		return
 	}
-	n.metrics.evacuated.Set(float64(len(n.fleet.EvacuatedZones())))
+	n.metrics.evacuatedZones.Set(float64(len(n.fleet.EvacuatedZones())))
 	engines, inFlight := 0, 0
 	for _, zone := range n.fleet.Zones() {
 		if zone.Name == evacuation.Zone {
--- a/internal/hosted/evacuation_test.go
+++ b/internal/hosted/evacuation_test.go
@@ -17,27 +17,26 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// suspended is the knowledge of a node whose machine was suspended for an hour, and its clock.
-type suspended struct {
+// suspendedPlacement is a placementKnowledge with a fake clock, at the end of a suspension of one hour.
+type suspendedPlacement struct {
 	placementKnowledge
-	at     time.Time
-	woke   time.Time
-	readAt time.Time
+	clock   time.Time
+	resumed time.Time
+	readAt  time.Time
 }
 
-func newSuspended() *suspended {
+func newSuspendedPlacement() *suspendedPlacement {
 	began := time.Unix(1000, 0)
-	s := &suspended{at: began.Add(time.Hour), woke: began.Add(time.Hour), readAt: began}
-	s.placementKnowledge.wokeAt = func() time.Time { return s.woke }
-	s.placementKnowledge.age = func() time.Duration { return s.at.Sub(s.readAt) }
-	s.placementKnowledge.now = func() time.Time { return s.at }
+	s := &suspendedPlacement{clock: began.Add(time.Hour), resumed: began.Add(time.Hour), readAt: began}
+	s.placementKnowledge.resumedAt = func() time.Time { return s.resumed }
+	s.placementKnowledge.age = func() time.Duration { return s.clock.Sub(s.readAt) }
+	s.placementKnowledge.now = func() time.Time { return s.clock }
 	s.placementKnowledge.logger = zerolog.Nop()
 	return s
 }
 
-// TestAConfigurationAloneIsNotEnoughToServe: the control topic has not been read whole, and what is
-// missing may be an evacuation.
-func TestAConfigurationAloneIsNotEnoughToServe(t *testing.T) {
+// Guards against serving before the control topic has been read in full: the missing part may hold an evacuation.
+func TestNotReadyBeforeControlTopicIsRead(t *testing.T) {
 	n := &node{state: newState(0), fleet: fleet.New()}
 	n.control = follow.New(memlog.New(), "control", func(eventlog.KeyedRecord) {}, pacing.Budget{}, zerolog.Nop())
 	n.state.setTable(routes.NewTable(routes.Definition{Version: 1}))
@@ -49,50 +48,49 @@
 	assert.ErrorContains(t, n.ready(), "evacuated")
 }
 
-// TestAfterAStandstillNothingIsSentUntilTheEvacuationsAreRead: what the node knows is an hour old.
-func TestAfterAStandstillNothingIsSentUntilTheEvacuationsAreRead(t *testing.T) {
-	s := newSuspended()
-	assert.Assert(t, !s.known())
-	s.at = s.at.Add(100 * time.Millisecond)
-	assert.Assert(t, !s.known())
-	s.readAt = s.at
-	assert.Assert(t, s.known())
-	// The log goes away afterwards: nobody can evacuate anything.
-	s.at = s.at.Add(time.Minute)
-	assert.Assert(t, s.known())
-	s.woke = s.at
-	assert.Assert(t, !s.known(), "the next standstill went unnoticed")
+// Guards against sending by data from before the suspension.
+func TestPlacementUnknownAfterSuspension(t *testing.T) {
+	s := newSuspendedPlacement()
+	assert.Assert(t, !s.isKnown())
+	s.clock = s.clock.Add(100 * time.Millisecond)
+	assert.Assert(t, !s.isKnown())
+	s.readAt = s.clock
+	assert.Assert(t, s.isKnown())
+	// The log fails afterwards, so no evacuation can be recorded.
+	s.clock = s.clock.Add(time.Minute)
+	assert.Assert(t, s.isKnown())
+	s.resumed = s.clock
+	assert.Assert(t, !s.isKnown(), "the next suspension was not detected")
 }
 
-// TestInAnOutageOfTheLogANodeThatWokeServesOn: after the time in which it would have learned.
-func TestInAnOutageOfTheLogANodeThatWokeServesOn(t *testing.T) {
-	s := newSuspended()
-	s.at = s.at.Add(unknownAtMost - 1)
-	assert.Assert(t, !s.known())
-	s.at = s.at.Add(1)
-	assert.Assert(t, s.known())
+// Guards against an outage of the log that blocks resumed nodes.
+func TestPlacementKnownAfterSuspensionDuringLogOutage(t *testing.T) {
+	s := newSuspendedPlacement()
+	s.clock = s.clock.Add(maxUnknownTime - 1)
+	assert.Assert(t, !s.isKnown())
+	s.clock = s.clock.Add(1)
+	assert.Assert(t, s.isKnown())
 }
 
-// TestAShortStandstillHoldsNothingUp: what is known is as new as without it.
-func TestAShortStandstillHoldsNothingUp(t *testing.T) {
-	s := newSuspended()
-	s.readAt = s.at.Add(-follow.StaleAge + 1)
-	assert.Assert(t, s.known())
+// Guards against a short suspension that delays requests although the data is recent.
+func TestPlacementKnownAfterShortSuspension(t *testing.T) {
+	s := newSuspendedPlacement()
+	s.readAt = s.clock.Add(-follow.StaleAge + 1)
+	assert.Assert(t, s.isKnown())
 }
 
-// TestAnOrderThatLayHereDuringAStandstillIsNotWritten: its operator may have been told otherwise by another
-// node since, and have taken the zone back.
-func TestAnOrderThatLayHereDuringAStandstillIsNotWritten(t *testing.T) {
-	s := newSuspended()
-	n := &node{knowledge: &s.placementKnowledge, platform: memPlatform{}, log: memlog.New()}
+// Guards against a delayed request that overrides a later one which the operator sent to another node.
+func TestWriteEvacuationRefusesDelayedCall(t *testing.T) {
+	s := newSuspendedPlacement()
+	n := &node{placement: &s.placementKnowledge, platform: memPlatform{}, log: memlog.New()}
 	err := n.writeEvacuation(t.Context(), Evacuation{Zone: "za", InForce: true})
-	assert.Assert(t, err != nil, "the order was written")
+	assert.Assert(t, err != nil, "the evacuation was written")
 	assert.Equal(t, errkind.KindOf(err), errkind.NotReady)
-	s.at = s.at.Add(lateOrderTime)
+	s.clock = s.clock.Add(lateCallTime)
 	assert.NilError(t, n.writeEvacuation(t.Context(), Evacuation{Zone: "za", InForce: true}))
 }
 
-// memPlatform names a topic of a log in memory.
+// memPlatform is a platform with a control topic only.
 type memPlatform struct{ Platform }
 
 func (memPlatform) ControlTopic() string { return "control" }
--- a/internal/hosted/heldbytes.go
+++ b/internal/hosted/heldbytes.go
@@ -14,28 +14,27 @@
 )
 
 const (
-	// heldPart is one in how many bytes of the node's memory may be held for callers and engines. What is held is
-	// in memory twice at times, as it came and decoded, and the rest of the node takes some 25 to 100 MB.
-	heldPart = 6
-	// unknownMemory stands in for the memory of a node that does not know its own.
-	unknownMemory = 384 << 20
-	// bodyStep is by how much the memory of a body grows whose length was not told.
-	bodyStep = 64 << 10
-	// memoryRetry is the delay that a caller is told for whom there is no memory: that in which most of those who
-	// have some are served.
-	memoryRetry = 300 * time.Millisecond
+	// memoryDivisor divides the node's memory into the share that may be buffered for callers and engines. Buffered
+	// data may exist twice, raw and decoded, and the node needs memory for other purposes.
+	memoryDivisor = 6
+	// defaultMemoryBytes is assumed if the node's memory is not configured.
+	defaultMemoryBytes = 384 << 20
+	// bodyGrowBytes is the step by which the reservation grows for a body of unknown length.
+	bodyGrowBytes = 64 << 10
+	// memoryRetryAfter is the Retry-After delay of requests that are refused for lack of memory.
+	memoryRetryAfter = 300 * time.Millisecond
 )
 
-// newByteBudget returns what the node may hold for others.
+// newByteBudget returns the budget of bytes buffered for callers and engines.
 func newByteBudget(node settings.Node) *bytebudget.Budget {
 	memory := int64(node.MemoryMB) << 20
 	if memory == 0 {
-		memory = unknownMemory
+		memory = defaultMemoryBytes
 	}
-	return bytebudget.New(memory / heldPart)
+	return bytebudget.New(memory / memoryDivisor)
 }
 
-// newCallerLimits returns the bounds for callers that read slowly.
+// newCallerLimits returns the limits for callers that read slowly.
 func (n *node) newCallerLimits() callerwrite.Limits {
 	return callerwrite.Limits{
 		Budget: n.bytes, Stall: time.Duration(n.config.Hosted.CallerStall),
@@ -50,11 +49,11 @@
 // CallerLimits implements Callers.
 func (n *node) CallerLimits() callerwrite.Limits { return n.callerLimits }
 
-// noMemory is the error for a caller for whom there is no memory now.
-func (n *node) noMemory(kind bytebudget.Kind, bytes int64) *errkind.Error {
+// refuseForMemory counts and returns the error of a request that is refused for lack of memory.
+func (n *node) refuseForMemory(kind bytebudget.Kind, bytes int64) *errkind.Error {
 	n.metrics.memoryRefused.WithLabelValues(kind.String()).Inc()
 	failure := errkind.New(errkind.NoCapacity, "no memory for %d bytes more of %s at this node", bytes, kind)
-	failure.RetryAfter = memoryRetry
+	failure.RetryAfter = memoryRetryAfter
 	return failure
 }
 
@@ -62,7 +61,7 @@
 func (n *node) HoldResult(bytes int) (release func(), err error) {
 	held := int64(bytes)
 	if !n.bytes.Reserve(bytebudget.Results, held) {
-		return nil, n.noMemory(bytebudget.Results, held)
+		return nil, n.refuseForMemory(bytebudget.Results, held)
 	}
 	return func() { n.bytes.Release(bytebudget.Results, held) }, nil
 }
@@ -70,53 +69,53 @@
 // HoldBody implements Callers.
 func (n *node) HoldBody() *HeldBody { return &HeldBody{node: n} }
 
-// HeldBody is the memory held for one body. One goroutine may use it.
+// HeldBody is the memory reserved for one request body. It is not safe for concurrent use.
 type HeldBody struct {
-	node  *node
-	held  int64
-	read  int64
-	ended bool
+	node     *node
+	held     int64
+	read     int64
+	released bool
 }
 
-// Grow holds so many bytes more, or returns an *errkind.Error.
+// Grow reserves more bytes. It returns an *errkind.Error if the budget is exhausted.
 func (h *HeldBody) Grow(bytes int64) error {
 	if !h.node.bytes.Reserve(bytebudget.Bodies, bytes) {
-		return h.node.noMemory(bytebudget.Bodies, bytes)
+		return h.node.refuseForMemory(bytebudget.Bodies, bytes)
 	}
 	h.held += bytes
 	return nil
 }
 
-// Release gives the memory back.
+// Release returns the reserved memory to the budget. Further calls have no effect.
 func (h *HeldBody) Release() {
-	if !h.ended {
-		h.ended = true
+	if !h.released {
+		h.released = true
 		h.node.bytes.Release(bytebudget.Bodies, h.held)
 	}
 }
 
-// Reader returns a reader of the body that holds memory for what it reads beyond what is held.
-func (h *HeldBody) Reader(body io.Reader) io.Reader { return &heldReader{body: body, held: h} }
+// Reader returns a reader of the body that reserves memory for bytes read beyond the reservation.
+func (h *HeldBody) Reader(body io.Reader) io.Reader { return &reservingReader{body: body, held: h} }
 
-type heldReader struct {
+type reservingReader struct {
 	body io.Reader
 	held *HeldBody
 }
 
 // Read implements io.Reader.
-func (r *heldReader) Read(into []byte) (int, error) {
+func (r *reservingReader) Read(into []byte) (int, error) {
 	count, err := r.body.Read(into)
 	r.held.read += int64(count)
 	if r.held.read > r.held.held {
-		if failure := r.held.Grow(bodyStep); failure != nil {
+		if failure := r.held.Grow(bodyGrowBytes); failure != nil {
 			return count, failure
 		}
 	}
 	return count, err
 }
 
-// addHeldBytes builds the metrics of what is held for others.
-func (m *metrics) addHeldBytes(registry *prometheus.Registry) {
+// addHeldBytesMetrics registers the metrics of buffered bytes.
+func (m *metrics) addHeldBytesMetrics(registry *prometheus.Registry) {
 	m.callersStalled = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "corkpulley_hosted_callers_stalled_total", Help: "Callers cut off since they took nothing of their answer.",
 	})
@@ -124,28 +123,30 @@
 		Name: "corkpulley_hosted_memory_refused_total",
 		Help: "Calls refused since the node held too much for others, by what they asked to hold.",
 	}, []string{"kind"})
-	registry.MustRegister(m.callersStalled, m.memoryRefused, &heldBytes{budget: &m.bytes})
+	registry.MustRegister(m.callersStalled, m.memoryRefused, &heldBytesCollector{budget: &m.bytes})
 }
 
-// heldBytesMetric describes the gauges of what a node holds.
-var heldBytesMetric = prometheus.NewDesc(
+// heldBytesDesc describes the gauge of buffered bytes.
+var heldBytesDesc = prometheus.NewDesc(
 	"corkpulley_hosted_held_bytes", "Bytes held for callers and engines, by kind.", []string{"kind"}, nil,
 )
 
-// heldBytes tells what a node holds. It implements prometheus.Collector.
-type heldBytes struct {
+// heldBytesCollector exports the buffered bytes by kind. It implements prometheus.Collector.
+type heldBytesCollector struct {
 	budget *atomic.Pointer[bytebudget.Budget]
 }
 
 // Describe implements prometheus.Collector.
-func (h *heldBytes) Describe(descriptions chan<- *prometheus.Desc) { descriptions <- heldBytesMetric }
+func (h *heldBytesCollector) Describe(descriptions chan<- *prometheus.Desc) {
+	descriptions <- heldBytesDesc
+}
 
 // Collect implements prometheus.Collector.
-func (h *heldBytes) Collect(metrics chan<- prometheus.Metric) {
+func (h *heldBytesCollector) Collect(metrics chan<- prometheus.Metric) {
 	budget := h.budget.Load()
 	for _, kind := range bytebudget.Kinds() {
 		metrics <- prometheus.MustNewConstMetric(
-			heldBytesMetric, prometheus.GaugeValue, float64(budget.Held(kind)), kind.String(),
+			heldBytesDesc, prometheus.GaugeValue, float64(budget.Held(kind)), kind.String(),
 		)
 	}
 }
--- a/internal/hosted/homes.go
+++ b/internal/hosted/homes.go
@@ -13,11 +13,11 @@
 	"github.com/corkpulley/corkpulley/internal/core/routes"
 )
 
-// directoryWait bounds the wait of a node that has just started for what it knows of the others, before
-// it takes a job that none of its own region may run.
+// directoryWait bounds how long a newly started node waits for the list of other nodes before it decides whether
+// any node may run a job.
 const directoryWait = time.Second
 
-// configVersion is the version of the configuration in force; zero for none.
+// configVersion returns the version of the configuration in force; zero without one.
 func (n *node) configVersion() int64 {
 	table := n.state.table()
 	if table == nil {
@@ -26,9 +26,9 @@
 	return table.Version
 }
 
-// jobHomes returns the regions that alone may serve and keep a job, by the configuration in force. Where
-// the node that took the job knew a newer one, or its route or tenant is not there any more, they are
-// those by which it was taken.
+// jobHomes returns the regions that may serve and store a job under the configuration in force. The regions
+// recorded in the job apply if it was accepted under a newer configuration, or its route or tenant no longer
+// exists.
 func (n *node) jobHomes(job *batch.JobRecord) homes.Set {
 	taken := homes.Of(job.Homes)
 	table := n.state.table()
@@ -42,13 +42,13 @@
 	return set
 }
 
-// acceptAtHome keeps a job, unless no node may run it or a node may be live that would run it elsewhere.
-func (n *node) acceptAtHome(ctx context.Context, submission batchjobs.Submission, within homes.Set) error {
-	refusal := n.refusalAtHome(ctx, within)
+// acceptWithin accepts a job unless no node in the regions can run it, or a live node might run it outside of them.
+func (n *node) acceptWithin(ctx context.Context, submission batchjobs.Submission, within homes.Set) error {
+	refusal := n.checkRegions(ctx, within)
 	if refusal == nil {
 		return n.jobs.Accept(ctx, submission)
 	}
-	// An earlier call may have had the job kept; then it may run, and a refusal would not be true.
+	// An earlier attempt may have stored the job, which then runs: a refusal would be wrong.
 	known, err := n.jobs.Knows(ctx, submission.Job.ID)
 	switch {
 	case known:
@@ -60,53 +60,52 @@
 	}
 }
 
-// refusalAtHome returns why a job is refused that is bound to the regions; nil when it may be kept.
-func (n *node) refusalAtHome(ctx context.Context, within homes.Set) error {
-	if !n.hasRunnerFor(ctx, within) {
+// checkRegions returns an error if a job bound to the regions must be refused.
+func (n *node) checkRegions(ctx context.Context, within homes.Set) error {
+	if !n.hasNodeIn(ctx, within) {
 		return errkind.New(errkind.OutsideHomes, "no node is in %s", within)
 	}
-	if within.Bound() && !n.mayBind(ctx) {
+	if within.Bound() && !n.nodesSupportHomes(ctx) {
 		return errkind.New(errkind.UpgradeInProgress, "a node may be live whose build does not know home regions")
 	}
 	return nil
 }
 
-// mayBind reports whether all nodes know home regions: one that does not would run a job that is bound to regions
+// nodesSupportHomes reports whether all nodes support home regions. One that does not would run region-bound jobs
 // anywhere.
-func (n *node) mayBind(ctx context.Context) bool {
-	awaitAtMost(ctx, n.directory.Known(), directoryWait)
+func (n *node) nodesSupportHomes(ctx context.Context) bool {
+	awaitWithTimeout(ctx, n.directory.Known(), directoryWait)
 	return n.clusterVersion.Serves(clusterversion.Homes)
 }
 
-// hasRunnerFor tells whether a node may run a job that is bound to the regions, as far as this node knows
-// of the others.
-func (n *node) hasRunnerFor(ctx context.Context, within homes.Set) bool {
+// hasNodeIn reports whether a known node may run a job that is bound to the regions.
+func (n *node) hasNodeIn(ctx context.Context, within homes.Set) bool {
 	if n.directory.HasNodeIn(within) {
 		return true
 	}
 	if within.Nowhere() {
 		return false
 	}
-	awaitAtMost(ctx, n.directory.Known(), directoryWait)
+	awaitWithTimeout(ctx, n.directory.Known(), directoryWait)
 	return n.directory.HasNodeIn(within)
 }
 
-// regionOf returns the region of an engine's zone. One of an unknown zone serves no request that is bound
-// to regions, which is told once for each.
+// regionOf returns the region of an engine's zone. An engine in an unknown zone gets no region-bound requests; each
+// such zone is logged once.
 func (n *node) regionOf(engine fleet.Engine) string {
 	region := n.topology.Region(engine.Zone)
 	if region != "" {
 		return region
 	}
-	if _, told := n.unknownZones.LoadOrStore(engine.Zone, true); !told {
+	if _, logged := n.loggedUnknownZones.LoadOrStore(engine.Zone, true); !logged {
 		n.logger.Warn().Str("zone", engine.Zone).Str("engine", engine.ID).
 			Msg("zone of unknown region")
 	}
 	return ""
 }
 
-// checkHomes tells of home regions in which no zone lies: nothing can be served there.
-func (n *node) checkHomes(table *routes.Table) {
+// warnUnknownHomes logs home regions that contain no zone, where nothing can be served.
+func (n *node) warnUnknownHomes(table *routes.Table) {
 	for _, region := range table.NamedHomes() {
 		if !n.topology.HasRegion(region) {
 			n.logger.Warn().Str("region", region).Int64("config", table.Version).Msg("home region without a zone")
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -1,7 +1,6 @@
-// Package hosted wires one corkpulley process that runs on a platform which
-// keeps everything durable in one partitioned log: configuration and engine
-// list are followed from it, batch jobs are kept in it, and it elects the
-// leader that runs the items of batch jobs and orders weight versions.
+// Package hosted implements a corkpulley node that runs on a platform whose partitioned log is the only durable
+// storage. The node follows the configuration and the engine list from the log, stores batch jobs in it, and uses
+// it to elect the leader, which runs the items of batch jobs and manages weight versions.
 package hosted
 
 import (
@@ -41,62 +40,62 @@
 	"github.com/corkpulley/corkpulley/internal/settings"
 )
 
-// node is one running process.
 type node struct {
 	config   settings.Settings
 	platform Platform
 	logger   zerolog.Logger
 	registry *prometheus.Registry
 	metrics  *metrics
-	// holder names this process start.
+	// holder identifies this process in leases and records; it differs between restarts of a node.
 	holder string
 
 	state *state
 	fleet *fleet.Fleet
-	// gate is asked before requests leave for engines.
+	// gate performs the final check before a request is sent to an engine.
 	gate *sendgate.Gate
-	// knowledge is whether the node knows the evacuations and the engine list.
-	knowledge  *placementKnowledge
+	// placement tracks whether the evacuations and the engine list are known.
+	placement  *placementKnowledge
 	standstill *standstill.Watch
-	// bytes bounds what is held for callers and engines, callerLimits that for callers who read slowly.
+	// bytes bounds the bytes buffered for callers and engines; callerLimits bounds those for one slow caller.
 	bytes        *bytebudget.Budget
 	callerLimits callerwrite.Limits
-	// unreadableLoads are the engines of whose loads it was told that they cannot be read.
-	unreadableLoads sync.Map
-	// coverage is which part of the engine list this node follows.
+	// loggedUnreadableLoads holds the engines whose unreadable load reports have been logged.
+	loggedUnreadableLoads sync.Map
+	// coverage tracks which part of the engine list this node follows.
 	coverage coverage
-	// itemRunners counts the runners of batch items on this node.
+	// itemRunners is the number of batch item runners on this node.
 	itemRunners atomic.Int32
 	// runner runs the items of batch jobs while this node leads; nil otherwise.
 	runner  atomic.Pointer[batchrun.Runner]
 	control *follow.Follower
 	engines *follow.Follower
-	// unusable holds the entries of the engine list that name no engine to use.
-	unusable unusableEntries
-	jobs     *batchjobs.Service
-	// askedJobs answers questions about jobs, through other nodes in a large cluster.
-	askedJobs *jobrelay.Relay
-	relay     *ingress.Relay
-	guard     *crashes.Guard
-	ended     *follow.Follower
-	elector   *leadership.Elector
-	// coldDecider admits requests to cold engines while this node leads, coldPermits asks whichever leads.
+	// loggedUnusable holds the unusable engine list entries that have been logged.
+	loggedUnusable unusableEntries
+	jobs           *batchjobs.Service
+	// jobRelay answers queries about jobs, in a large cluster through other nodes.
+	jobRelay      *jobrelay.Relay
+	relay         *ingress.Relay
+	crashGuard    *crashes.Guard
+	crashFollower *follow.Follower
+	elector       *leadership.Elector
+	// coldDecider admits requests to cold engines while this node leads; coldPermits requests permits from the
+	// leader.
 	coldDecider *coldpermits.Decider
 	coldPermits *coldpermits.Asker
-	// homeRunners elect who runs the batch jobs that are bound to regions.
-	homeRunners *homeRunners
-	topology    *topology.Map
-	// unknownZones holds the zones of engines whose region is not known.
-	unknownZones sync.Map
-	// log is the platform's log, directly or by way of another node.
+	// regionRunners elects the runners of region-bound batch jobs.
+	regionRunners *regionRunners
+	topology      *topology.Map
+	// loggedUnknownZones holds the zones without a known region that have been logged.
+	loggedUnknownZones sync.Map
+	// log is the platform's log, accessed directly or through another node.
 	log      eventlog.Log
 	logCalls *logCalls
 	counter  *duties.Counter
-	// engineCalls sends requests to engines and counts them.
+	// engineCalls sends requests to engines and counts the traffic.
 	engineCalls Engines
 
 	directory *logrelay.Directory
-	// clusterVersion is the protocol version that all nodes speak.
+	// clusterVersion follows the protocol version that all nodes support.
 	clusterVersion *clusterVersion
 
 	callers   *server
@@ -104,9 +103,8 @@
 	peers     *server
 }
 
-// Run runs a node until ctx ends, and then the planned stop. Settings that come
-// from reloads while it runs change what can be changed then: the grace period
-// and the log level. Logs are written as JSON lines.
+// Run runs a node until ctx ends, and then performs a planned stop. Settings received from reloads change what does
+// not need a restart: the grace period and the log level. Logs are written as JSON lines.
 func Run(
 	ctx context.Context, config settings.Settings, platform Platform, reloads <-chan settings.Settings, logs io.Writer,
 ) error {
@@ -115,7 +113,7 @@
 	registry := prometheus.NewRegistry()
 	metrics := newMetrics(registry)
 	output.onDropped(metrics.linesDropped)
-	limit := newLineLimit(metrics.lineLeftOut)
+	limit := newLineLimit(metrics.lineSuppressed)
 	logger := newLogger(config, output)
 	go limit.report(ctx, logger)
 	n, err := newNode(ctx, config, platform, registry, metrics, logger.Hook(limit))
@@ -135,7 +133,7 @@
 		registry: registry, metrics: metrics,
 		holder: config.Node.ID + "-" + xid.New().String(),
 		state:  newState(time.Duration(config.Shutdown.Grace)),
-		fleet:  fleet.New(), unusable: make(unusableEntries), standstill: standstill.New(),
+		fleet:  fleet.New(), loggedUnusable: make(unusableEntries), standstill: standstill.New(),
 
 		topology: topology.NewMap(config.Topology.Zones, config.Node.Zone, config.Node.Region),
 	}
@@ -146,64 +144,65 @@
 		platform.Engines(), metrics.traffic, topology.Place{Zone: config.Node.Zone, Region: config.Node.Region},
 	}
 	n.logCalls = newLogCalls(metrics, logger)
-	direct := n.logCalls.counted(platform.Log(), false)
+	direct := n.logCalls.countCalls(platform.Log(), false)
 	n.directory = logrelay.NewDirectory(direct, logrelay.Self{
 		Node: config.Node.ID, Address: config.Listen.Peers, Zone: config.Node.Zone, Region: config.Node.Region,
 		Processors: config.Node.Processors, Version: clusterversion.Build,
 	}, logLimits(config.Hosted), logger)
-	log := logrelay.NewFallback(direct, n.directory.Others, n.counted(logrelay.NewClient(), logTraffic), logger)
+	log := logrelay.NewFallback(direct, n.directory.Others, n.countCalls(logrelay.NewClient(), logTraffic), logger)
 	n.directory.SetLog(log)
 	replicas := logrelay.NewReplicaReader(log, logrelay.ReplicaOptions{
 		Sources: n.directory.Sources, AwaitSources: n.directory.AwaitSettled,
-		LeftOut: n.leftOutOf, Client: n.counted(logrelay.NewClient(), replicaTraffic),
+		LeftOut: n.excludedClasses, Client: n.countCalls(logrelay.NewClient(), replicaTraffic),
 	})
-	n.control = follow.New(replicas, platform.ControlTopic(), n.takeControl, n.directory.Budget(), logger)
-	n.engines = follow.New(replicas, platform.EngineTopic(), n.takeEngine, n.directory.Budget(), logger)
+	n.control = follow.New(replicas, platform.ControlTopic(), n.applyControlRecord, n.directory.Budget(), logger)
+	n.engines = follow.New(replicas, platform.EngineTopic(), n.applyEngineRecord, n.directory.Budget(), logger)
 	n.engines.Classify(n.engineClass)
-	n.knowledge = newPlacementKnowledge(n.standstill, n.control, n.engines, logger)
-	n.gate = sendgate.New(sendgate.Options{Fleet: n.fleet, Known: n.knowledge.known, HeldBack: metrics.heldBackAt})
+	n.placement = newPlacementKnowledge(n.standstill, n.control, n.engines, logger)
+	n.gate = sendgate.New(sendgate.Options{Fleet: n.fleet, Known: n.placement.isKnown, HeldBack: metrics.requestHeldBack})
 	n.jobs = batchjobs.New(log, batchjobs.Options{
 		Partitions:  config.Hosted.Partitions,
 		RecordBytes: config.Hosted.RecordBytes, CallBytes: config.Hosted.CallBytes,
 		KeepJobs: time.Duration(config.Hosted.KeepJobs), Budget: n.directory.Budget(), Hold: n.HoldResult, Logger: logger,
 	})
-	n.askedJobs = jobrelay.NewRelay(
-		n.jobs, n.directory.SourcesWithin, n.directory.Known(), n.counted(logrelay.NewClient(), jobTraffic), logger,
+	n.jobRelay = jobrelay.NewRelay(
+		n.jobs, n.directory.SourcesWithin, n.directory.Known(), n.countCalls(logrelay.NewClient(), jobTraffic), logger,
 	)
 	n.log = log
 	n.counter = duties.NewCounter(log, n.holder, usageWindow(config.Hosted), n.directory.Budget(), logger)
-	n.guard = n.newGuard(log)
-	n.ended = follow.New(replicas, platform.CrashTopic(), n.guard.Take, n.directory.Budget(), logger)
+	n.crashGuard = n.newCrashGuard(log)
+	n.crashFollower = follow.New(replicas, platform.CrashTopic(), n.crashGuard.Take, n.directory.Budget(), logger)
 	n.coldDecider, n.coldPermits = n.newColdPermits()
 	n.relay = ingress.New(ingress.Options{
-		Engines: n.engineCalls, Fleet: n.fleet, Guard: n.guard, Gate: n.gate, ColdPermits: n.coldPermits,
-		Callers: n.callerLimits, LoadUnreadable: n.loadUnreadable,
+		Engines: n.engineCalls, Fleet: n.fleet, Guard: n.crashGuard, Gate: n.gate, ColdPermits: n.coldPermits,
+		Callers: n.callerLimits, LoadUnreadable: n.reportUnreadableLoad,
 		Table: n.state.table, Current: n.isCurrent,
-		Zone: config.Node.Zone, Region: config.Node.Region, Seed: seedOf(n.holder), Logger: logger, Observe: n.metrics.requestEnded,
-		Began: n.counter.Began,
+		Zone: config.Node.Zone, Region: config.Node.Region, Seed: seedOf(n.holder), Logger: logger,
+		Observe: n.metrics.requestEnded,
+		Began:   n.counter.Began,
 	})
 	n.elector = leadership.New(log, n.leaseOptions(), n.lead)
-	n.homeRunners = newHomeRunners(n)
+	n.regionRunners = newRegionRunners(n)
 	n.clusterVersion = newClusterVersion(n.clusterVersionOptions())
 	if err := n.clusterVersion.checkBuild(ctx); err != nil {
 		return nil, err
 	}
-	return n, n.listen(n.peersHandler(n.logCalls.counted(platform.Log(), true), log))
+	return n, n.listen(n.peersHandler(n.logCalls.countCalls(platform.Log(), true), log))
 }
 
-// logLimits is what the log serves to all nodes together.
+// logLimits returns the read limits of the log, shared by all nodes.
 func logLimits(hosted settings.Hosted) pacing.Limits {
 	return pacing.Limits{
 		ReadsPerSecond: hosted.ReadsPerSecond, BytesPerSecond: int(hosted.ReadMBPerSecond * 1e6),
 	}
 }
 
-// peersHandler serves other nodes.
+// peersHandler serves requests of other nodes.
 func (n *node) peersHandler(direct eventlog.Log, log *logrelay.Fallback) http.Handler {
 	router := mux.NewRouter()
 	router.Handle(logrelay.Path, logrelay.NewHandler(direct, log.Direct, n))
 	router.Handle(jobrelay.Path, jobrelay.NewHandler(n.jobs, n.directory.AnswersWithin)).Methods(http.MethodPost)
-	router.Handle(crashes.Path, n.guard.Handler()).Methods(http.MethodPost)
+	router.Handle(crashes.Path, n.crashGuard.Handler()).Methods(http.MethodPost)
 	router.Handle(coldpermits.Path, n.coldDecider.Handler(n.fleet.SlowStart)).Methods(http.MethodPost)
 	return router
 }
@@ -217,9 +216,9 @@
 	case n.platform.ControlTopic():
 		return n.control.Replica(), true
 	case n.platform.EngineTopic():
-		return n.engines.Replica(), n.coverage.isWhole()
+		return n.engines.Replica(), n.coverage.isComplete()
 	case n.platform.CrashTopic():
-		return n.ended.Replica(), true
+		return n.crashFollower.Replica(), true
 	default:
 		return nil, false
 	}
@@ -227,14 +226,14 @@
 
 func (n *node) listen(peers http.Handler) error {
 	var err error
-	if n.peers, err = listen(n.config.Listen.Peers, peers, fixedIdleTime); err != nil {
+	if n.peers, err = listen(n.config.Listen.Peers, peers, fixedIdleTimeout); err != nil {
 		return err
 	}
-	if n.callers, err = listen(n.config.Listen.Callers, n.platform.CallersHandler(n), n.idleTime); err != nil {
+	if n.callers, err = listen(n.config.Listen.Callers, n.platform.CallersHandler(n), n.idleTimeout); err != nil {
 		return err
 	}
 	operators := n.operatorsHandler(n.platform.OperatorsHandler(n.ready, n.metrics.handler(n.registry)))
-	n.operators, err = listen(n.config.Listen.Operators, operators, fixedIdleTime)
+	n.operators, err = listen(n.config.Listen.Operators, operators, fixedIdleTimeout)
 	return err
 }
 
@@ -246,9 +245,9 @@
 	group.Go(n.operators.serve)
 	group.Go(n.peers.serve)
 	for _, role := range []func(context.Context) error{
-		n.control.Run, n.followEngines, n.ended.Run, n.guard.Run, n.jobs.Run, n.directory.Run, n.counter.Run,
+		n.control.Run, n.followEngines, n.crashFollower.Run, n.crashGuard.Run, n.jobs.Run, n.directory.Run, n.counter.Run,
 		n.applyDeferred, n.standstill.Run, n.watchColdEngines, n.logCalls.summary.Run, n.clusterVersion.Run,
-		n.whenCurrent(n.elector.Run), n.whenCurrent(n.homeRunners.Run),
+		n.afterFirstRead(n.elector.Run), n.afterFirstRead(n.regionRunners.Run),
 	} {
 		group.Go(func() error { return role(groupContext) })
 	}
@@ -260,8 +259,8 @@
 	case <-groupContext.Done():
 	case tooOld = <-n.clusterVersion.tooOld:
 	}
-	left := n.stop(stopRoles)
-	err := waitAtMost(group.Wait, left)
+	remaining := n.stop(stopRoles)
+	err := waitForRoles(group.Wait, remaining)
 	if tooOld != nil {
 		err = tooOld
 	}
@@ -269,17 +268,16 @@
 	return err
 }
 
-// errRolesHang is returned when a role does not end in time.
-var errRolesHang = errors.New("a role did not end in time")
+var errRoleTimeout = errors.New("the roles of the node did not end within the grace period")
 
-// waitAtMost waits for the roles, but not beyond the grace period.
-func waitAtMost(wait func() error, limit time.Duration) error {
+// waitForRoles waits for the node's roles to end, at most for limit.
+func waitForRoles(wait func() error, limit time.Duration) error {
 	ended := make(chan error, 1)
 	go func() { ended <- wait() }()
 	select {
 	case err := <-ended:
 		return err
 	case <-time.After(limit):
-		return errRolesHang
+		return errRoleTimeout
 	}
 }
--- a/internal/hosted/idle.go
+++ b/internal/hosted/idle.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// fixedIdleTime is the idle time of listeners that no configuration bounds.
-func fixedIdleTime() time.Duration { return defaultIdleTime }
+// fixedIdleTimeout is the idle timeout of listeners for which it is not configurable.
+func fixedIdleTimeout() time.Duration { return defaultIdleTimeout }
 
-// idleListener gives its connections an idle time that may change while the
-// server runs, which the server's own cannot.
+// idleListener gives its connections an idle timeout that may change while the server runs. http.Server reads its
+// own only once.
 type idleListener struct {
 	net.Listener
-	idleTime func() time.Duration
+	idleTimeout func() time.Duration
 }
 
 // Accept implements net.Listener.
@@ -23,29 +23,28 @@
 	if err != nil {
 		return nil, err
 	}
-	return &idleConnection{Conn: connection, idleTime: l.idleTime}, nil
+	return &idleConnection{Conn: connection, idleTimeout: l.idleTimeout}, nil
 }
 
-// idleConnection bounds the wait for the next request. The server takes the read
-// deadline away when a connection becomes idle; this one sets its own in place.
+// idleConnection bounds the wait for the next request. http.Server clears the read deadline when a connection
+// becomes idle; this type sets the idle timeout instead.
 type idleConnection struct {
 	net.Conn
-	idleTime func() time.Duration
-	idle     atomic.Bool
+	idleTimeout func() time.Duration
+	idle        atomic.Bool
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *idleConnection) SetReadDeadline(deadline time.Time) error {
 	if deadline.IsZero() && c.idle.Load() {
-		deadline = time.Now().Add(c.idleTime())
+		deadline = time.Now().Add(c.idleTimeout())
 	}
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// noteIdle tells a connection whether it waits for a request. The server takes
-// the header's deadline away before it says that the connection is active, so
-// the idle time that was set instead goes here.
-func noteIdle(connection net.Conn, state http.ConnState) {
+// trackIdle records whether a connection is waiting for a request. http.Server clears the header deadline before it
+// reports a connection as active, so the idle deadline set in its place is cleared here.
+func trackIdle(connection net.Conn, state http.ConnState) {
 	known, ours := connection.(*idleConnection)
 	if !ours {
 		return
--- a/internal/hosted/idle_test.go
+++ b/internal/hosted/idle_test.go
@@ -13,9 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestIdleTimeFollowsTheConfiguration: a connection is closed when it has been
-// idle for the time in force, and not while a request is being answered.
-func TestIdleTimeFollowsTheConfiguration(t *testing.T) {
+// A connection must be closed when it has been idle for the current timeout, but not while a request is handled.
+func TestIdleTimeoutFollowsConfiguration(t *testing.T) {
 	var idle atomic.Int64
 	idle.Store(int64(time.Hour))
 	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(150 * time.Millisecond) })
@@ -37,7 +36,7 @@
 	}
 	ask()
 	idle.Store(int64(50 * time.Millisecond))
-	ask() // longer than the idle time, but not idle
+	ask() // takes longer than the idle timeout, but is not idle
 	assert.NilError(t, connection.SetReadDeadline(time.Now().Add(20*time.Second)))
 	_, err = reader.ReadByte()
 	assert.Assert(t, errors.Is(err, io.EOF), "the idle connection was not closed: %v", err)
--- a/internal/hosted/lead.go
+++ b/internal/hosted/lead.go
@@ -11,8 +11,8 @@
 	"github.com/corkpulley/corkpulley/internal/weightorders"
 )
 
-// lead is the leader's part: it runs the items of batch jobs that are bound to no regions, and orders
-// weights for all.
+// lead runs the leader's roles: the items of batch jobs that are not bound to regions, weight versions for all
+// services, and the platform duties.
 func (n *node) lead(ctx context.Context, term leadership.Term) {
 	n.itemRunners.Add(1)
 	defer n.itemRunners.Add(-1)
@@ -26,7 +26,7 @@
 	})
 	defer n.coldDecider.Lead(term.Valid)()
 	runner = batchrun.New(batchrun.Options{
-		Jobs: n.jobs, Engines: n.engineCalls, Fleet: n.fleet, Scorer: n, Guard: n.guard, Gate: n.gate,
+		Jobs: n.jobs, Engines: n.engineCalls, Fleet: n.fleet, Scorer: n, Guard: n.crashGuard, Gate: n.gate,
 		ColdStarts: n.coldDecider, RouteOf: n.batchRoute, HomesOf: n.jobHomes, Config: n.configVersion,
 		Loading: orders.Loading, AllLoading: orders.AllLoading, Term: strconv.FormatInt(term.Epoch, 10), Logger: n.logger,
 	})
@@ -38,11 +38,11 @@
 	n.startDuties(ctx, &roles, term, runner)
 	roles.Go(func() { runner.Run(ctx) })
 	roles.Go(func() { orders.Run(ctx) })
-	roles.Go(func() { n.guard.Sweep(ctx) })
+	roles.Go(func() { n.crashGuard.Sweep(ctx) })
 	roles.Wait()
 }
 
-// batchRoute returns how items of a job are run under the table in force.
+// batchRoute returns how a job's items are run under the configuration in force.
 func (n *node) batchRoute(host, path string) (batchrun.Route, bool) {
 	table := n.state.table()
 	if table == nil {
@@ -59,13 +59,13 @@
 	}, true
 }
 
-// weightTargets returns the services whose models have named versions.
+// weightTargets returns the named model versions of each service on a batch route.
 func (n *node) weightTargets() []weightorders.Target {
 	table := n.state.table()
 	if table == nil {
 		return nil
 	}
-	named := n.state.named()
+	namedVersions := n.state.namedVersions()
 	byService := make(map[string]*weightorders.Target)
 	var targets []weightorders.Target
 	for _, route := range table.Batch() {
@@ -81,7 +81,7 @@
 			}
 			target.SingleVersion = target.SingleVersion || route.SingleVersion
 			for _, model := range service.Models {
-				target.Versions[model] = named[model]
+				target.Versions[model] = namedVersions[model]
 			}
 		}
 	}
--- a/internal/hosted/linelimit.go
+++ b/internal/hosted/linelimit.go
@@ -12,51 +12,51 @@
 )
 
 const (
-	// linesPerSecond bounds each kind of line, failuresPerSecond each kind that tells
-	// of a failure or a refusal (level warn and above), which are worth more.
+	// linesPerSecond limits the rate of each kind of line, failuresPerSecond that of each kind at level warn or
+	// above.
 	linesPerSecond    = 200
 	failuresPerSecond = 800
-	// burstSeconds is the time for which the lines of a calm while may come at once.
+	// burstSeconds is the burst size in seconds of the permitted rate.
 	burstSeconds = 2
-	// leftOutPeriod is the time between two reports of lines that were left out.
-	leftOutPeriod = 10 * time.Second
+	// suppressedReportPeriod is the interval between reports of suppressed lines.
+	suppressedReportPeriod = 10 * time.Second
 )
 
-// lineKind is what is bounded: lines with the same message and weight.
+// lineKind is the unit of rate limiting: lines with the same message, split at level warn.
 type lineKind struct {
 	message string
 	failure bool
 }
 
-// lineLimit bounds the lines of each kind and counts those left out. It implements
-// zerolog.Hook and is safe for concurrent use.
+// lineLimit limits the rate of log lines of each kind and counts the suppressed ones. It implements zerolog.Hook
+// and is safe for concurrent use.
 type lineLimit struct {
-	// leftOut is told of each line that is left out.
-	leftOut func()
+	// onSuppressed is called for each suppressed line.
+	onSuppressed func()
 
 	mu    sync.Mutex
-	kinds map[lineKind]*kindState
+	kinds map[lineKind]*lineKindState
 }
 
-type kindState struct {
-	limiter *rate.Limiter
-	leftOut int
+type lineKindState struct {
+	limiter    *rate.Limiter
+	suppressed int
 }
 
-func newLineLimit(leftOut func()) *lineLimit {
-	return &lineLimit{leftOut: leftOut, kinds: make(map[lineKind]*kindState)}
+func newLineLimit(onSuppressed func()) *lineLimit {
+	return &lineLimit{onSuppressed: onSuppressed, kinds: make(map[lineKind]*lineKindState)}
 }
 
 // Run implements zerolog.Hook.
 func (l *lineLimit) Run(event *zerolog.Event, level zerolog.Level, message string) {
-	if !l.take(lineKind{message: message, failure: level >= zerolog.WarnLevel}, time.Now()) {
+	if !l.allow(lineKind{message: message, failure: level >= zerolog.WarnLevel}, time.Now()) {
 		event.Discard()
-		l.leftOut()
+		l.onSuppressed()
 	}
 }
 
-// take tells whether a line of the kind may be written now.
-func (l *lineLimit) take(kind lineKind, now time.Time) bool {
+// allow reports whether a line of the kind may be written now.
+func (l *lineLimit) allow(kind lineKind, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	state, found := l.kinds[kind]
@@ -65,34 +65,34 @@
 		if kind.failure {
 			perSecond = failuresPerSecond
 		}
-		state = &kindState{limiter: rate.NewLimiter(rate.Limit(perSecond), burstSeconds*perSecond)}
+		state = &lineKindState{limiter: rate.NewLimiter(rate.Limit(perSecond), burstSeconds*perSecond)}
 		l.kinds[kind] = state
 	}
 	if state.limiter.AllowN(now, 1) {
 		return true
 	}
-	state.leftOut++
+	state.suppressed++
 	return false
 }
 
-// drain returns how many lines of each message were left out since the last call.
-func (l *lineLimit) drain() map[string]int {
+// drainSuppressed returns the number of suppressed lines for each message since the last call.
+func (l *lineLimit) drainSuppressed() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	counts := make(map[string]int)
 	for kind, state := range l.kinds {
-		if state.leftOut > 0 {
-			counts[kind.message] += state.leftOut
-			state.leftOut = 0
+		if state.suppressed > 0 {
+			counts[kind.message] += state.suppressed
+			state.suppressed = 0
 		}
 	}
 	return counts
 }
 
-// report logs now and then which lines were left out, until ctx ends.
+// report periodically logs the numbers of suppressed lines until ctx ends.
 func (l *lineLimit) report(ctx context.Context, logger zerolog.Logger) {
-	for retry.Sleep(ctx, leftOutPeriod) {
-		for message, count := range l.drain() {
+	for retry.Sleep(ctx, suppressedReportPeriod) {
+		for message, count := range l.drainSuppressed() {
 			logger.Warn().Str("left_out", message).Int("lines", count).Msg("log lines left out")
 		}
 	}
--- a/internal/hosted/logcalls.go
+++ b/internal/hosted/logcalls.go
@@ -10,7 +10,7 @@
 	"github.com/corkpulley/corkpulley/internal/logusage"
 )
 
-// logCalls counts the calls that this node makes of the log.
+// logCalls counts this node's calls to the event log.
 type logCalls struct {
 	summary *logusage.Summary
 	calls   *prometheus.CounterVec
@@ -21,8 +21,8 @@
 	return &logCalls{summary: logusage.NewSummary(logger), calls: metrics.logCalls, bytes: metrics.logBytes}
 }
 
-// counted returns the log with its calls counted; relayed calls are made for other nodes.
-func (c *logCalls) counted(log eventlog.Log, relayed bool) eventlog.Log {
+// countCalls returns a log that counts its calls; relayed marks calls made on behalf of other nodes.
+func (c *logCalls) countCalls(log eventlog.Log, relayed bool) eventlog.Log {
 	label := strconv.FormatBool(relayed)
 	return logusage.New(log, func(call logusage.Call) {
 		c.summary.Add(call, relayed)
@@ -31,8 +31,8 @@
 	})
 }
 
-// addLogCalls builds the metrics of calls of the log.
-func (m *metrics) addLogCalls(registry *prometheus.Registry) {
+// addLogCallMetrics registers the metrics of event log calls.
+func (m *metrics) addLogCallMetrics(registry *prometheus.Registry) {
 	m.logCalls = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "corkpulley_hosted_log_calls_total", Help: "Calls of the log by this node, by how they ended.",
 	}, []string{"topic", "operation", "outcome", "relayed"})
--- a/internal/hosted/logger.go
+++ b/internal/hosted/logger.go
@@ -11,11 +11,11 @@
 	"github.com/corkpulley/corkpulley/internal/settings"
 )
 
-// logBuffer is the number of lines that wait for a slow reader; further ones
-// replace the oldest and are counted.
-const logBuffer = 2000
+// logBufferLines is the number of lines buffered for a slow reader. Further lines overwrite the oldest, and are
+// counted.
+const logBufferLines = 2000
 
-// logOutput writes log lines without ever blocking their writers.
+// logOutput writes log lines without blocking the caller.
 type logOutput struct {
 	diode.Writer
 	dropped atomic.Int64
@@ -24,7 +24,7 @@
 
 func newLogOutput(to io.Writer) *logOutput {
 	output := &logOutput{}
-	output.Writer = diode.NewWriter(to, logBuffer, 0, func(missed int) {
+	output.Writer = diode.NewWriter(to, logBufferLines, 0, func(missed int) {
 		output.dropped.Add(int64(missed))
 		if report := output.report.Load(); report != nil {
 			(*report)(missed)
@@ -33,10 +33,10 @@
 	return output
 }
 
-// onDropped sets who is told of lines that were left out.
+// onDropped sets the function that receives the numbers of dropped lines.
 func (o *logOutput) onDropped(report func(int)) { o.report.Store(&report) }
 
-// newLogger returns the logger of a node: JSON lines with its ID and zone.
+// newLogger returns a logger that writes JSON lines with the node's ID and zone.
 func newLogger(config settings.Settings, output io.Writer) zerolog.Logger {
 	level, err := zerolog.ParseLevel(config.Log.Level)
 	if err != nil {
@@ -46,7 +46,7 @@
 		Str("node", config.Node.ID).Str("zone", config.Node.Zone).Logger().Hook(timestampHook{})
 }
 
-// timestampHook adds the time to each line, in milliseconds since 1970.
+// timestampHook adds the time to each line, in milliseconds since the Unix epoch.
 type timestampHook struct{}
 
 // Run implements zerolog.Hook.
--- a/internal/hosted/logger_test.go
+++ b/internal/hosted/logger_test.go
@@ -12,23 +12,22 @@
 	"github.com/corkpulley/corkpulley/internal/settings"
 )
 
-// stalledReader takes no line until it is released.
-type stalledReader struct{ release chan struct{} }
+// stalledWriter blocks each write until it is released.
+type stalledWriter struct{ release chan struct{} }
 
-func (s *stalledReader) Write(data []byte) (int, error) {
+func (s *stalledWriter) Write(data []byte) (int, error) {
 	<-s.release
 	return len(data), nil
 }
 
-// TestLogNeverBlocksItsWriters stalls the reader of the log: lines are written
-// on, and those left out are counted.
-func TestLogNeverBlocksItsWriters(t *testing.T) {
-	reader := &stalledReader{release: make(chan struct{})}
+// Guards against a slow log reader that blocks the node, and against dropped lines that are not counted.
+func TestLogOutputNeverBlocks(t *testing.T) {
+	reader := &stalledWriter{release: make(chan struct{})}
 	output := newLogOutput(reader)
 	var dropped atomic.Int64
 	output.onDropped(func(missed int) { dropped.Add(int64(missed)) })
 	logger := newLogger(settings.Default(), output)
-	const lines = 5 * logBuffer
+	const lines = 5 * logBufferLines
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -39,17 +38,17 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("a writer was blocked")
+		t.Fatal("a log call was blocked by the reader")
 	}
 	close(reader.release)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if dropped.Load() >= lines-2*logBuffer {
+		if dropped.Load() >= lines-2*logBufferLines {
 			return poll.Success()
 		}
-		return poll.Continue("%d counted", dropped.Load())
+		return poll.Continue("%d dropped lines counted", dropped.Load())
 	}, poll.WithTimeout(20*time.Second))
 	assert.Equal(t, output.dropped.Load(), dropped.Load())
 	assert.NilError(t, output.Close())
 }
 
-var _ io.Writer = (*stalledReader)(nil)
+var _ io.Writer = (*stalledWriter)(nil)
--- a/internal/hosted/metrics.go
+++ b/internal/hosted/metrics.go
@@ -15,40 +15,40 @@
 	"github.com/corkpulley/corkpulley/internal/core/lease"
 )
 
-// metrics are the counters and histograms of a hosted node.
+// metrics are the Prometheus metrics of a node.
 type metrics struct {
-	requests     *prometheus.HistogramVec
-	refused      *prometheus.CounterVec
-	jobs         *prometheus.CounterVec
-	tableVersion prometheus.Gauge
-	leading      prometheus.Gauge
-	scoring      *prometheus.HistogramVec
-	lost         *prometheus.CounterVec
-	suspected    prometheus.Gauge
-	unusable     *prometheus.CounterVec
-	// enginesStartedAgain counts engines that started again under their ID.
-	enginesStartedAgain prometheus.Counter
-	behind              *prometheus.CounterVec
-	dropped             prometheus.Counter
-	leftOut             prometheus.Counter
-	evacuated           prometheus.Gauge
-	heldBack            *prometheus.CounterVec
-	cold                prometheus.Gauge
-	admissions          *prometheus.CounterVec
-	coldPermits         *prometheus.CounterVec
-	// runningAtHome is by the regions to which the jobs are bound that the node runs.
-	runningAtHome *prometheus.GaugeVec
+	requests          *prometheus.HistogramVec
+	refused           *prometheus.CounterVec
+	jobs              *prometheus.CounterVec
+	tableVersion      prometheus.Gauge
+	leading           prometheus.Gauge
+	scoring           *prometheus.HistogramVec
+	connectionsLost   *prometheus.CounterVec
+	suspectedRequests prometheus.Gauge
+	unusableEntries   *prometheus.CounterVec
+	// engineRestarts counts engines that restarted under the same ID.
+	engineRestarts    prometheus.Counter
+	staleLeaseRecords *prometheus.CounterVec
+	droppedLines      prometheus.Counter
+	suppressedLines   prometheus.Counter
+	evacuatedZones    prometheus.Gauge
+	heldBack          *prometheus.CounterVec
+	coldEngines       prometheus.Gauge
+	coldAdmissions    *prometheus.CounterVec
+	coldPermits       *prometheus.CounterVec
+	// runningHomes is 1 for each region set whose jobs this node runs.
+	runningHomes *prometheus.GaugeVec
 	// versions holds the cluster version and the lowest version of the live nodes.
 	versions *prometheus.GaugeVec
-	// loadsUnreadable counts answers whose load cannot be read.
+	// loadsUnreadable counts responses whose load report cannot be parsed.
 	loadsUnreadable prometheus.Counter
-	// bytes is what the node holds for others; nil before it is built.
+	// bytes is the budget of the node, which is set before the metrics are served.
 	bytes          atomic.Pointer[bytebudget.Budget]
 	callersStalled prometheus.Counter
 	memoryRefused  *prometheus.CounterVec
 	// traffic counts messages to other machines.
 	traffic *traffic
-	// logCalls and logBytes count calls of the log.
+	// logCalls and logBytes count calls to the event log.
 	logCalls *prometheus.CounterVec
 	logBytes *prometheus.CounterVec
 }
@@ -74,40 +74,40 @@
 		leading: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "corkpulley_hosted_leading", Help: "1 while this node leads.",
 		}),
-		runningAtHome: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		runningHomes: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "corkpulley_hosted_running_homes", Help: "1 while this node runs the batch jobs that are bound to the regions.",
 		}, []string{"homes"}),
 		scoring: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "corkpulley_hosted_scoring_seconds", Help: "Time of a try of a scoring call, by its outcome.",
 			Buckets: requestBuckets,
 		}, []string{"outcome"}),
-		lost: prometheus.NewCounterVec(prometheus.CounterOpts{
+		connectionsLost: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "corkpulley_hosted_engine_connections_lost_total",
 			Help: "Connections that an engine ended while a request was there, by what became of the engine.",
 		}, []string{"service", "liveness"}),
-		suspected: prometheus.NewGauge(prometheus.GaugeOpts{
+		suspectedRequests: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "corkpulley_hosted_suspected_requests", Help: "Requests under which an engine ended, as this node knows.",
 		}),
-		unusable: prometheus.NewCounterVec(prometheus.CounterOpts{
+		unusableEntries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "corkpulley_hosted_engine_entries_unusable_total",
 			Help: "Entries of the engine list that name no engine to use, by what is wrong with them.",
 		}, []string{"fault"}),
-		enginesStartedAgain: prometheus.NewCounter(prometheus.CounterOpts{
+		engineRestarts: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "corkpulley_hosted_engines_started_again_total",
 			Help: "Engines that started again under their ID, as the engine list told this node.",
 		}),
-		behind: prometheus.NewCounterVec(prometheus.CounterOpts{
+		staleLeaseRecords: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "corkpulley_hosted_earlier_lease_records_total",
 			Help: "Records that a holder of the lease wrote after another claim had won, by kind.",
 		}, []string{"kind"}),
-		dropped: prometheus.NewCounter(prometheus.CounterOpts{
+		droppedLines: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "corkpulley_hosted_log_lines_dropped_total", Help: "Log lines left out because their reader was slow.",
 		}),
 	}
-	m.leftOut = prometheus.NewCounter(prometheus.CounterOpts{
+	m.suppressedLines = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "corkpulley_hosted_log_lines_left_out_total", Help: "Log lines left out because too many of their kind came.",
 	})
-	m.evacuated = prometheus.NewGauge(prometheus.GaugeOpts{
+	m.evacuatedZones = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "corkpulley_hosted_evacuated_zones", Help: "Zones whose engines get no new work, as this node knows.",
 	})
 	m.heldBack = prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -121,15 +121,16 @@
 		Name: "corkpulley_hosted_engine_loads_unreadable_total", Help: "Answers of engines whose load cannot be read.",
 	})
 	registry.MustRegister(m.loadsUnreadable)
-	m.addVersions(registry)
-	m.addSlowStart()
-	m.addHeldBytes(registry)
+	m.addVersionMetrics(registry)
+	m.addSlowStartMetrics()
+	m.addHeldBytesMetrics(registry)
 	m.traffic = newTraffic(registry)
-	m.addLogCalls(registry)
+	m.addLogCallMetrics(registry)
 	registry.MustRegister(
-		m.requests, m.refused, m.jobs, m.tableVersion, m.leading, m.scoring, m.lost, m.suspected, m.behind,
-		m.dropped, m.leftOut, m.unusable, m.enginesStartedAgain, m.evacuated, m.heldBack,
-		m.cold, m.admissions, m.coldPermits, m.runningAtHome,
+		m.requests, m.refused, m.jobs, m.tableVersion, m.leading, m.scoring,
+		m.connectionsLost, m.suspectedRequests, m.staleLeaseRecords,
+		m.droppedLines, m.suppressedLines, m.unusableEntries, m.engineRestarts, m.evacuatedZones, m.heldBack,
+		m.coldEngines, m.coldAdmissions, m.coldPermits, m.runningHomes,
 	)
 	return m
 }
@@ -142,7 +143,7 @@
 	m.requests.WithLabelValues(route, kind).Observe(took.Seconds())
 }
 
-// scored counts a try of a scoring call.
+// scored records one attempt of a scoring call.
 func (m *metrics) scored(scoring batchrun.Scoring, took time.Duration) {
 	outcome := "failed"
 	switch {
@@ -155,25 +156,29 @@
 }
 
 func (m *metrics) connectionLost(service, liveness string) {
-	m.lost.WithLabelValues(service, liveness).Inc()
+	m.connectionsLost.WithLabelValues(service, liveness).Inc()
 }
 
-func (m *metrics) requestsSuspected(requests int) { m.suspected.Set(float64(requests)) }
+func (m *metrics) requestsSuspected(requests int) { m.suspectedRequests.Set(float64(requests)) }
 
-// entryUnusable counts an entry that names no engine to use.
-func (m *metrics) entryUnusable(fault EntryFault) { m.unusable.WithLabelValues(fault.String()).Inc() }
+func (m *metrics) entryUnusable(fault EntryFault) {
+	m.unusableEntries.WithLabelValues(fault.String()).Inc()
+}
 
-// recordBehind counts a record of an earlier holder of the lease.
-func (m *metrics) recordBehind(kind lease.RecordKind) { m.behind.WithLabelValues(kind.String()).Inc() }
+// staleLeaseRecord counts a record written by a lease holder after another claim had won.
+func (m *metrics) staleLeaseRecord(kind lease.RecordKind) {
+	m.staleLeaseRecords.WithLabelValues(kind.String()).Inc()
+}
 
-// heldBackAt counts a request that was held back.
-func (m *metrics) heldBackAt(reason fleet.Hold) { m.heldBack.WithLabelValues(reason.String()).Inc() }
+func (m *metrics) requestHeldBack(reason fleet.Hold) {
+	m.heldBack.WithLabelValues(reason.String()).Inc()
+}
 
-func (m *metrics) lineLeftOut() { m.leftOut.Inc() }
+func (m *metrics) lineSuppressed() { m.suppressedLines.Inc() }
 
-func (m *metrics) linesDropped(missed int) { m.dropped.Add(float64(missed)) }
+func (m *metrics) linesDropped(missed int) { m.droppedLines.Add(float64(missed)) }
 
-func (m *metrics) jobHandedIn(err error) {
+func (m *metrics) jobSubmitted(err error) {
 	kind := "ok"
 	if err != nil {
 		kind = errkind.KindOf(err).String()
--- a/internal/hosted/platform.go
+++ b/internal/hosted/platform.go
@@ -18,7 +18,7 @@
 	"github.com/corkpulley/corkpulley/internal/weightorders"
 )
 
-// Engines calls the model engines for all roles.
+// Engines sends requests to engines, for all roles of a node.
 type Engines interface {
 	ingress.Engines
 	batchrun.Engines
@@ -26,8 +26,8 @@
 	crashes.Prober
 }
 
-// ControlChange is one change by the operator or a trainer: a new table, a named weight
-// version, or an evacuation. All are empty for records of no interest.
+// ControlChange is one change made by an operator or a trainer: a new routing table, a named weight version, or an
+// evacuation. It is empty for irrelevant records.
 type ControlChange struct {
 	Table        *routes.Table
 	Model        string
@@ -35,70 +35,68 @@
 	Evacuation   *Evacuation
 }
 
-// Evacuation says whether the engines of a zone are to get no new work.
+// Evacuation starts or ends the evacuation of a zone, whose engines get no new work.
 type Evacuation struct {
 	Zone string
-	// InForce is false once the operator has taken the evacuation back.
+	// InForce is false if the evacuation has ended.
 	InForce bool
 }
 
-// JobName is how a caller names a batch job.
+// JobName identifies a batch job in a caller's request.
 type JobName struct {
-	// Host is that of the call.
+	// Host is the host that the request was sent to.
 	Host        string
 	Credentials routes.Credentials
-	// ID is the name that its submitter gave the job.
+	// ID is the job's name as submitted.
 	ID string
 }
 
-// Callers is what a node does for those who call it.
+// Callers handles the requests of callers. Its methods are safe for concurrent use.
 type Callers interface {
 	// Relay answers a live request; see ingress.Relay.
 	Relay(w http.ResponseWriter, ctx context.Context, request *ingress.Request) *errkind.Error
-	// TakesBatch tells whether a batch job is handed in under the path.
+	// TakesBatch reports whether the host and path belong to a batch route.
 	TakesBatch(host, path string) bool
-	// Accept keeps a job that was handed in on its host and path.
+	// Accept durably accepts a submitted job.
 	Accept(ctx context.Context, credentials routes.Credentials, submission batchjobs.Submission) error
 	Results(ctx context.Context, job JobName, from int, wait time.Duration) (batchjobs.Results, error)
 	Body(ctx context.Context, job JobName, itemID string) ([]byte, error)
 	End(ctx context.Context, job JobName) error
-	// Stopping is true during the planned stop.
+	// Stopping reports whether the node is performing a planned stop.
 	Stopping() bool
-	// MaxBodyBytes and MaxHeaderBytes bound what a client may send.
+	// MaxBodyBytes and MaxHeaderBytes bound the size of a request.
 	MaxBodyBytes() int64
 	MaxHeaderBytes() int
-	// HoldBody and HoldResult hold memory of the node for a body that is being received, and for an answer about
-	// a batch job until its caller has taken it. Where none is left the error says when to come back.
+	// HoldBody reserves memory for a request body while it is received, HoldResult for a response about a batch job
+	// until its caller has read it. Without free memory the error has a retry delay.
 	HoldBody() *HeldBody
 	HoldResult(bytes int) (release func(), err error)
-	// CallerLimits bounds what is held for callers that read slowly.
+	// CallerLimits returns the limits for callers that read slowly.
 	CallerLimits() callerwrite.Limits
-	// Refused is told of each error answer.
+	// Refused records an error response.
 	Refused(id string, failure *errkind.Error)
 }
 
-// Platform is what a node needs of the platform that hosts it: names, formats
-// and calls.
+// Platform is the interface to the platform that hosts a node: names, formats and calls.
 type Platform interface {
 	Log() eventlog.Log
 	Engines() Engines
-	// Duties makes the calls that one node at a time makes.
+	// Duties makes the calls that only one node at a time may make.
 	Duties() duties.Platform
-	// ControlTopic and EngineTopic name the compacted topics with the operator's
-	// records and the engine list.
+	// ControlTopic and EngineTopic name the compacted topics of the control records and of the engine list.
 	ControlTopic() string
 	EngineTopic() string
-	// CrashTopic names the compacted topic with the requests under which engines ended.
+	// CrashTopic names the compacted topic of requests during which engines crashed.
 	CrashTopic() string
-	// VersionTopic names the compacted topic with the cluster version.
+	// VersionTopic names the compacted topic of the cluster version.
 	VersionTopic() string
 	DecodeControl(record eventlog.KeyedRecord) (ControlChange, error)
-	// EncodeEvacuation returns the record of the control topic that says so.
+	// EncodeEvacuation returns the control record of an evacuation.
 	EncodeEvacuation(evacuation Evacuation) eventlog.KeyedRecord
-	// DecodeEngine reads an entry of the engine list; its error is an *EntryError.
+	// DecodeEngine decodes an entry of the engine list. Its error is an *EntryError.
 	DecodeEngine(record eventlog.KeyedRecord) (fleet.Engine, error)
 	// CallersHandler serves live callers and trainers.
 	CallersHandler(node Callers) http.Handler
-	// OperatorsHandler serves the question whether the node is ready, and metrics.
+	// OperatorsHandler serves readiness checks and metrics.
 	OperatorsHandler(ready func() error, metrics http.Handler) http.Handler
 }
--- a/internal/hosted/homerunners_test.go
+++ b/internal/hosted/regionrunners_test.go
@@ -20,44 +20,44 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// slowEnd is how long a roleLog's role goes on after it was told to end: longer than a node takes to
-// read a lease.
-const slowEnd = 300 * time.Millisecond
+// roleEndDelay is how long a recorded role continues after its context has ended: longer than a node needs to read
+// a lease.
+const roleEndDelay = 300 * time.Millisecond
 
-// roleLog notes the terms in which a role ran.
-type roleLog struct {
-	mu      sync.Mutex
-	epochs  []int64
-	running int
-	most    int
-	// told counts the terms that were told to end.
-	told int
+// roleRecorder records the terms in which a role ran.
+type roleRecorder struct {
+	mu         sync.Mutex
+	epochs     []int64
+	running    int
+	maxRunning int
+	// cancelled is the number of terms whose context has ended.
+	cancelled int
 }
 
-func (r *roleLog) run(ctx context.Context, term leadership.Term, _ homes.Set) {
+func (r *roleRecorder) run(ctx context.Context, term leadership.Term, _ homes.Set) {
 	r.mu.Lock()
 	r.epochs = append(r.epochs, term.Epoch)
 	r.running++
-	r.most = max(r.most, r.running)
+	r.maxRunning = max(r.maxRunning, r.running)
 	r.mu.Unlock()
 	<-ctx.Done()
 	r.mu.Lock()
-	r.told++
+	r.cancelled++
 	r.mu.Unlock()
-	time.Sleep(slowEnd)
+	time.Sleep(roleEndDelay)
 	r.mu.Lock()
 	r.running--
 	r.mu.Unlock()
 }
 
-func (r *roleLog) counts() (began, told int) {
+func (r *roleRecorder) counts() (began, cancelled int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.epochs), r.told
+	return len(r.epochs), r.cancelled
 }
 
-// TestASetThatIsNamedAgainBeginsANewTerm: two runners of one term would name what they keep alike.
-func TestASetThatIsNamedAgainBeginsANewTerm(t *testing.T) {
+// Guards against two runners in one term, whose records could not be told apart.
+func TestRemovedAndReaddedSetStartsNewTerm(t *testing.T) {
 	n := &node{
 		state: newState(0), log: memlog.New(), logger: zerolog.Nop(), metrics: newMetrics(prometheus.NewRegistry()),
 		holder: "a-1",
@@ -65,9 +65,9 @@
 	n.config.Node.ID, n.config.Node.Region = "a", "north"
 	n.config.Hosted.Lease = settings.Duration(600 * time.Millisecond)
 	n.directory = logrelay.NewDirectory(n.log, logrelay.Self{Node: "a", Region: "north"}, pacing.Limits{}, n.logger)
-	n.coverage.read(nil)
-	ran := &roleLog{}
-	runners := newHomeRunners(n)
+	n.coverage.recordRead(nil)
+	ran := &roleRecorder{}
+	runners := newRegionRunners(n)
 	runners.role = ran.run
 	version := int64(0)
 	put := func(regions ...string) {
@@ -75,7 +75,7 @@
 		n.state.setTable(routes.NewTable(routes.Definition{
 			Version: version, Routes: []routes.Route{{Name: "r", Host: "h", Prefix: "/x/", Kind: routes.Batch, Homes: regions}},
 		}))
-		runners.TableChanged()
+		runners.NotifyTableChanged()
 	}
 	put("north")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -83,11 +83,11 @@
 	go func() { ended <- runners.Run(ctx) }()
 	testwait.Until(t, "the role runs", func() bool { began, _ := ran.counts(); return began == 1 })
 	put()
-	testwait.Until(t, "the role is told to end", func() bool { _, told := ran.counts(); return told == 1 })
+	testwait.Until(t, "the role is cancelled", func() bool { _, cancelled := ran.counts(); return cancelled == 1 })
 	put("north")
 	testwait.Until(t, "the role runs again", func() bool { began, _ := ran.counts(); return began == 2 })
 	cancel()
 	assert.NilError(t, <-ended)
-	assert.Equal(t, ran.most, 1, "two run at one time")
+	assert.Equal(t, ran.maxRunning, 1, "two roles ran at the same time")
 	assert.Assert(t, ran.epochs[1] > ran.epochs[0], "epochs %v", ran.epochs)
 }
--- a/internal/hosted/reload.go
+++ b/internal/hosted/reload.go
@@ -10,7 +10,7 @@
 	"github.com/corkpulley/corkpulley/internal/settings"
 )
 
-// followReloads takes settings that were read anew while the node runs.
+// followReloads applies reloaded settings until ctx ends or reloads is closed.
 func (n *node) followReloads(ctx context.Context, reloads <-chan settings.Settings) {
 	for {
 		select {
@@ -25,8 +25,7 @@
 	}
 }
 
-// reload puts in force what can change without a restart. The rest of the
-// settings is that of the start; a difference is told.
+// reload applies the settings that can change without a restart, and logs whether others have changed.
 func (n *node) reload(reloaded settings.Settings) {
 	grace := time.Duration(reloaded.Shutdown.Grace)
 	n.state.setGrace(grace)
--- a/internal/hosted/scorer.go
+++ b/internal/hosted/scorer.go
@@ -13,18 +13,18 @@
 	"github.com/corkpulley/corkpulley/internal/ingress"
 )
 
-// scoringBudget is the time that one try of a scoring call has.
-const scoringBudget = 1500 * time.Millisecond
+// scoringTimeout bounds one attempt of a scoring call.
+const scoringTimeout = 1500 * time.Millisecond
 
 var _ batchrun.Scorer = (*node)(nil)
 
-// Score implements batchrun.Scorer: a scoring call goes the way of a live request.
+// Score implements batchrun.Scorer. A scoring call is relayed like a live request.
 func (n *node) Score(ctx context.Context, tenant string, call batch.ScoringCall) batchrun.Scoring {
 	began := time.Now()
 	sender := routes.Sender{Tenant: tenant, Checked: tenant != ""}
 	reply, failure := n.relay.Call(ctx, &ingress.Request{
 		ID: call.ID, Method: http.MethodPost, Target: call.Path, Path: call.Path, Host: call.Host,
-		Header: http.Header{}, Body: call.Body, Sender: &sender, Budget: scoringBudget, Received: began,
+		Header: http.Header{}, Body: call.Body, Sender: &sender, Budget: scoringTimeout, Received: began,
 	})
 	scoring := batchrun.Scoring{Failures: reply.ServerErrors, MaxAttempts: reply.MaxAttempts}
 	switch {
--- a/internal/hosted/server.go
+++ b/internal/hosted/server.go
@@ -15,48 +15,47 @@
 )
 
 const (
-	// headerTimeout is beyond any that a configuration is known to allow.
+	// headerTimeout must exceed any header timeout that a configuration allows.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes bounds what is read at all; the configuration's bound is lower.
+	// maxHeaderBytes is the hard limit of header sizes; the configured one is lower.
 	maxHeaderBytes = 64 << 10
 )
 
-// sendBufferBytes is what the kernel holds of an answer for a caller that does not read, twice at most: memory of
-// the machine that no budget of the process counts. A thousand such callers take 256 MB of it, in place of some 4 GB.
+// sendBufferBytes bounds the kernel memory used for a caller that does not read its response, to at most twice as
+// much. No budget of the process covers this memory.
 const sendBufferBytes = 128 << 10
 
-// boundSendBuffer sets the send buffer of a listener, which its connections inherit. A system that does not bound it
-// keeps its own.
-func boundSendBuffer(_, _ string, raw syscall.RawConn) error {
+// setSendBuffer sets the send buffer of a listener, which its connections inherit. Failure is ignored: the system's
+// default then applies.
+func setSendBuffer(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(descriptor uintptr) {
 		_ = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_SNDBUF, sendBufferBytes)
 	})
 }
 
-// server is one listener with its handler.
 type server struct {
 	listener net.Listener
 	http     *http.Server
-	// inFlight counts the requests being answered.
+	// inFlight is the number of requests being handled.
 	inFlight atomic.Int64
 }
 
-// listen returns a server at the address. Idle connections are closed after
-// idleTime, which is asked each time and may change.
-func listen(address string, handler http.Handler, idleTime func() time.Duration) (*server, error) {
-	config := net.ListenConfig{Control: boundSendBuffer}
+// listen returns a server at the address. It closes connections that are idle for longer than idleTimeout, which is
+// called for each idle period and may change.
+func listen(address string, handler http.Handler, idleTimeout func() time.Duration) (*server, error) {
+	config := net.ListenConfig{Control: setSendBuffer}
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", address)
 	}
-	s := &server{listener: &idleListener{Listener: listener, idleTime: idleTime}}
+	s := &server{listener: &idleListener{Listener: listener, idleTimeout: idleTimeout}}
 	counted := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.inFlight.Add(1)
 		defer s.inFlight.Add(-1)
 		handler.ServeHTTP(w, r)
 	})
 	s.http = &http.Server{
-		Handler: counted, ReadHeaderTimeout: headerTimeout, ConnState: noteIdle,
+		Handler: counted, ReadHeaderTimeout: headerTimeout, ConnState: trackIdle,
 		MaxHeaderBytes: maxHeaderBytes, ErrorLog: stdlog.New(io.Discard, "", 0),
 	}
 	return s, nil
@@ -71,7 +70,7 @@
 	return nil
 }
 
-// drain waits until no request is being answered or ctx ends.
+// drain waits until no request is being handled or ctx ends.
 func (s *server) drain(ctx context.Context) {
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
--- a/internal/hosted/slowstart.go
+++ b/internal/hosted/slowstart.go
@@ -12,10 +12,11 @@
 	"github.com/corkpulley/corkpulley/internal/logrelay"
 )
 
-// coldWatchPeriod is the time between two looks at which engines count as cold, for logs and metrics.
+// coldWatchPeriod is the interval at which cold engines are logged and counted.
 const coldWatchPeriod = 500 * time.Millisecond
 
-// newColdPermits returns what admits requests to cold engines, and what asks for that.
+// newColdPermits returns the decider that admits requests to cold engines, and the asker that requests permits from
+// the leader.
 func (n *node) newColdPermits() (*coldpermits.Decider, *coldpermits.Asker) {
 	decider := coldpermits.NewDecider(n.metrics.coldAdmission)
 	return decider, coldpermits.NewAsker(coldpermits.Options{
@@ -27,8 +28,8 @@
 	})
 }
 
-// leaderAddress is where the node that leads listens for others, as far as is known; empty otherwise. A
-// wrong one is asked in vain: whoever does not lead says so.
+// leaderAddress returns the peer address of the leader; empty if the leader is unknown or this node. It may be out of
+// date: a node that does not lead rejects the request.
 func (n *node) leaderAddress() string {
 	leader := n.elector.Holder()
 	if leader.Node == n.config.Node.ID {
@@ -40,42 +41,43 @@
 	return n.directory.AddressOf(leader.Node)
 }
 
-// doubtNew counts an engine as cold that this process saw start: unlike one that was there when the
-// list was first read, or read for a service that this node had left out, which is as warm as its entry says.
-func (n *node) doubtNew(engine fleet.Engine, known bool) {
-	if !known && n.engines.IsLoaded() && !n.coverage.wasLeftOut(engine.Service) {
+// markNewEngineCold marks an engine as cold if this process saw it start. Engines found by the first read of the
+// list, or of a service excluded until now, are as warm as their entries say.
+func (n *node) markNewEngineCold(engine fleet.Engine, known bool) {
+	if !known && n.engines.IsLoaded() && !n.coverage.wasExcluded(engine.Service) {
 		n.fleet.MarkDoubtful(engine.Incarnation(), fleet.FirstSeen, time.Now())
 	}
 }
 
-// watchColdEngines tells which engines count as cold, and why.
+// watchColdEngines logs and counts cold engines until ctx ends.
 func (n *node) watchColdEngines(ctx context.Context) error {
 	ticker := time.NewTicker(coldWatchPeriod)
 	defer ticker.Stop()
-	told := make(map[incarnation.ID]fleet.ColdReason)
+	logged := make(map[incarnation.ID]fleet.ColdReason)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			told = n.tellColdEngines(told)
+			logged = n.logColdEngines(logged)
 			n.coldDecider.Forget()
 		}
 	}
 }
 
-// tellColdEngines writes a line for each engine that counts as cold for another reason than was told.
-func (n *node) tellColdEngines(told map[incarnation.ID]fleet.ColdReason) map[incarnation.ID]fleet.ColdReason {
+// logColdEngines logs the engines that are cold for another reason than the one in logged, and returns the new
+// reasons.
+func (n *node) logColdEngines(logged map[incarnation.ID]fleet.ColdReason) map[incarnation.ID]fleet.ColdReason {
 	engines := n.fleet.ColdEngines(time.Now())
-	n.metrics.cold.Set(float64(len(engines)))
-	if len(engines) == 0 && len(told) == 0 {
-		return told
+	n.metrics.coldEngines.Set(float64(len(engines)))
+	if len(engines) == 0 && len(logged) == 0 {
+		return logged
 	}
 	now := make(map[incarnation.ID]fleet.ColdReason, len(engines))
 	for _, each := range engines {
 		id := each.Engine.Incarnation()
 		now[id] = each.Reason
-		if told[id] == each.Reason {
+		if logged[id] == each.Reason {
 			continue
 		}
 		n.logger.Info().Stringer("engine", id).Str("service", each.Engine.Service).Str("engine_zone", each.Engine.Zone).
@@ -85,12 +87,12 @@
 	return now
 }
 
-// addSlowStart builds the metrics of cold engines.
-func (m *metrics) addSlowStart() {
-	m.cold = prometheus.NewGauge(prometheus.GaugeOpts{
+// addSlowStartMetrics creates the metrics of cold engines.
+func (m *metrics) addSlowStartMetrics() {
+	m.coldEngines = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "corkpulley_hosted_cold_engines", Help: "Engines that count as cold, as this node knows.",
 	})
-	m.admissions = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.coldAdmissions = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "corkpulley_hosted_cold_admissions_total",
 		Help: "Decisions of the leader on requests to cold engines, by who wanted to send and the outcome.",
 	}, []string{"sender", "outcome"})
@@ -101,7 +103,7 @@
 }
 
 func (m *metrics) coldAdmission(sender coldpermits.Sender, outcome coldpermits.Outcome) {
-	m.admissions.WithLabelValues(sender.String(), outcome.String()).Inc()
+	m.coldAdmissions.WithLabelValues(sender.String(), outcome.String()).Inc()
 }
 
 func (m *metrics) coldPermitAsked(outcome coldpermits.Outcome) {
--- a/internal/hosted/standstill.go
+++ b/internal/hosted/standstill.go
@@ -11,25 +11,25 @@
 	"github.com/corkpulley/corkpulley/internal/follow"
 )
 
-// unknownAtMost bounds how long after a standstill this node sends nothing because it has not read the
-// evacuations and the engine list again. Reads of the log, directly or by way of other nodes, that have not
-// worked by then mean that the log is away for all: no operator could have written an evacuation.
-const unknownAtMost = 1500 * time.Millisecond
+// maxUnknownTime bounds how long a node that resumed from a suspension sends nothing because it has not read the
+// evacuations and the engine list again. If reads still fail by then, the log is taken to be down for all nodes, so
+// that no new evacuation can have been recorded.
+const maxUnknownTime = 1500 * time.Millisecond
 
-// lateOrderTime bounds how long after a standstill a call may still be handled that arrived before it.
-const lateOrderTime = 2 * time.Second
+// lateCallTime bounds how long after a suspension a call may be handled that arrived before it.
+const lateCallTime = 2 * time.Second
 
-// placementKnowledge reports whether this node knows which engines may get requests, and at which rate. After
-// a standstill it does not until it has read both the evacuations and the engine list again. It is safe for
-// concurrent use.
+// placementKnowledge tracks whether this node knows which engines may get requests, and at which rate. After a
+// suspension of the process this is unknown until the evacuations and the engine list have been read again. It is
+// safe for concurrent use.
 type placementKnowledge struct {
-	// wokeAt is when the newest standstill ended, zero when there was none; age is how old the older one of
-	// the two is, now a clock that goes on while the machine is suspended.
-	wokeAt func() time.Time
-	age    func() time.Duration
-	now    func() time.Time
-	logger zerolog.Logger
-	// settled is the newest standstill after which both were read again.
+	// resumedAt returns the end of the newest suspension, zero without one. age returns the age of the older of the
+	// two reads. now is a clock that keeps running while the machine is suspended.
+	resumedAt func() time.Time
+	age       func() time.Duration
+	now       func() time.Time
+	logger    zerolog.Logger
+	// settled is the end of the newest suspension after which both have been read again.
 	settled atomic.Pointer[time.Time]
 }
 
@@ -37,29 +37,29 @@
 	watch *standstill.Watch, evacuations, engines *follow.Follower, logger zerolog.Logger,
 ) *placementKnowledge {
 	return &placementKnowledge{
-		wokeAt: watch.WokeAt, now: boottime.Now, logger: logger,
+		resumedAt: watch.WokeAt, now: boottime.Now, logger: logger,
 		age: func() time.Duration { return max(evacuations.Age(), engines.Age()) },
 	}
 }
 
-// known reports whether requests may be sent. The first call after a standstill that does logs it.
-func (k *placementKnowledge) known() bool {
-	woke := k.wokeAt()
-	if settled := k.settled.Load(); woke.IsZero() || settled != nil && settled.Equal(woke) {
+// isKnown reports whether requests may be sent. The first true result after a suspension is logged.
+func (k *placementKnowledge) isKnown() bool {
+	resumed := k.resumedAt()
+	if settled := k.settled.Load(); resumed.IsZero() || settled != nil && settled.Equal(resumed) {
 		return true
 	}
-	age, awake := k.age(), k.now().Sub(woke)
-	if age >= follow.StaleAge && awake < unknownAtMost {
+	age, awake := k.age(), k.now().Sub(resumed)
+	if age >= follow.StaleAge && awake < maxUnknownTime {
 		return false
 	}
-	if before := k.settled.Swap(&woke); before == nil || !before.Equal(woke) {
+	if before := k.settled.Swap(&resumed); before == nil || !before.Equal(resumed) {
 		k.logger.Info().Dur("age_ms", age).Dur("awake_ms", awake).Msg("sending on after a standstill")
 	}
 	return true
 }
 
-// ordersMayBeLate reports whether a call that is handled now may have come before a standstill.
-func (k *placementKnowledge) ordersMayBeLate() bool {
-	woke := k.wokeAt()
-	return !woke.IsZero() && k.now().Sub(woke) < lateOrderTime
+// callsMayBeLate reports whether a call handled now may have arrived before a suspension.
+func (k *placementKnowledge) callsMayBeLate() bool {
+	resumed := k.resumedAt()
+	return !resumed.IsZero() && k.now().Sub(resumed) < lateCallTime
 }
--- a/internal/hosted/standstill_test.go
+++ b/internal/hosted/standstill_test.go
@@ -17,7 +17,7 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// logPlatform is a platform with a log in memory, and no callers.
+// logPlatform is a platform with an in-memory log and without callers.
 type logPlatform struct {
 	entryDecoder
 	log *memlog.Log
@@ -41,8 +41,8 @@
 	return http.NotFoundHandler()
 }
 
-// wokenNode returns a node that has just woken from a standstill and knows nothing yet.
-func wokenNode(t *testing.T) *node {
+// newResumedNode returns a node that has just resumed from a suspension and has read nothing since.
+func newResumedNode(t *testing.T) *node {
 	t.Helper()
 	config := settings.Default()
 	config.Node.ID = "n"
@@ -53,13 +53,13 @@
 	for _, each := range []*server{n.callers, n.operators, n.peers} {
 		t.Cleanup(func() { _ = each.listener.Close() })
 	}
-	woke := boottime.Now()
-	n.knowledge.wokeAt = func() time.Time { return woke }
-	n.knowledge.now = func() time.Time { return woke }
+	resumed := boottime.Now()
+	n.placement.resumedAt = func() time.Time { return resumed }
+	n.placement.now = func() time.Time { return resumed }
 	return n
 }
 
-// runRole runs one of the node's roles until the test ends.
+// runRole runs a role of the node until the test ends.
 func runRole(t *testing.T, role func(context.Context) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -74,23 +74,23 @@
 	})
 }
 
-// TestAfterAStandstillNothingIsSentUntilTheEngineListIsRead guards against a burst to an engine that turned cold
-// while this node stood still, after the control topic was read and before the engine list was.
-func TestAfterAStandstillNothingIsSentUntilTheEngineListIsRead(t *testing.T) {
-	n := wokenNode(t)
+// Guards against a burst to an engine that turned cold during the suspension, after the control topic has been read
+// and before the engine list has.
+func TestGateClosedUntilEngineListIsRead(t *testing.T) {
+	n := newResumedNode(t)
 	runRole(t, n.control.Run)
 	testwait.Until(t, "the control topic is read", n.control.IsLoaded)
-	assert.Assert(t, !n.gate.Known(), "requests leave by the engine list of before the standstill")
+	assert.Assert(t, !n.gate.Known(), "the gate is open with the engine list from before the suspension")
 	runRole(t, n.engines.Run)
-	testwait.Until(t, "requests leave", n.gate.Known)
+	testwait.Until(t, "the gate opens", n.gate.Known)
 }
 
-// TestAfterAStandstillTheEngineListAloneIsNotEnough: the evacuations are missing.
-func TestAfterAStandstillTheEngineListAloneIsNotEnough(t *testing.T) {
-	n := wokenNode(t)
+// Guards against sending before the evacuations have been read again.
+func TestGateClosedUntilControlTopicIsRead(t *testing.T) {
+	n := newResumedNode(t)
 	runRole(t, n.engines.Run)
 	testwait.Until(t, "the engine list is read", n.engines.IsLoaded)
 	assert.Assert(t, !n.gate.Known())
 	runRole(t, n.control.Run)
-	testwait.Until(t, "requests leave", n.gate.Known)
+	testwait.Until(t, "the gate opens", n.gate.Known)
 }
--- a/internal/hosted/state.go
+++ b/internal/hosted/state.go
@@ -11,15 +11,16 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// state is the configuration in force and the named weight versions.
+// state holds the configuration in force, the named weight versions and the stop state. It is safe for concurrent
+// use.
 type state struct {
 	mu      sync.RWMutex
 	current *routes.Table
-	// configuredAt is when the first table was put in force.
+	// configuredAt is the time at which the first table was applied.
 	configuredAt time.Time
 	versions     map[string]int64
 	stopping     bool
-	// grace is the time that a planned stop may take.
+	// grace is the maximum duration of a planned stop.
 	grace time.Duration
 }
 
@@ -33,7 +34,7 @@
 	return s.current
 }
 
-// setTable puts a table in force unless a newer one is.
+// setTable applies a table unless its version is not newer than the current one. It reports whether it did.
 func (s *state) setTable(table *routes.Table) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +48,7 @@
 	return true
 }
 
-// configuredFor is the time since a first table was put in force; zero before.
+// configuredFor returns the time since the first table was applied; zero without one.
 func (s *state) configuredFor() time.Duration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -67,7 +68,7 @@
 	return true
 }
 
-func (s *state) named() map[string]int64 {
+func (s *state) namedVersions() map[string]int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return maps.Clone(s.versions)
@@ -79,7 +80,7 @@
 	s.stopping = true
 }
 
-func (s *state) graceTime() time.Duration {
+func (s *state) gracePeriod() time.Duration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.grace
@@ -97,9 +98,8 @@
 	return s.stopping
 }
 
-// takeControl takes a record of the operator or a trainer. One that cannot be
-// read leaves what is in force.
-func (n *node) takeControl(record eventlog.KeyedRecord) {
+// applyControlRecord applies a record of the control topic. One that cannot be decoded has no effect.
+func (n *node) applyControlRecord(record eventlog.KeyedRecord) {
 	change, err := n.platform.DecodeControl(record)
 	if err != nil {
 		n.logger.Error().Err(err).Str("key", record.Key).Int64("offset", record.Offset).Msg("control record passed over")
@@ -108,8 +108,8 @@
 	if change.Table != nil && n.state.setTable(change.Table) {
 		n.metrics.tableVersion.Set(float64(change.Table.Version))
 		n.fleet.SetSlowStarts(change.Table.SlowStarts())
-		n.checkHomes(change.Table)
-		n.homeRunners.TableChanged()
+		n.warnUnknownHomes(change.Table)
+		n.regionRunners.NotifyTableChanged()
 		n.logger.Info().Int64("config", change.Table.Version).Int64("offset", record.Offset).Msg("configuration in force")
 	}
 	if change.Model != "" && n.state.setVersion(change.Model, change.ModelVersion) {
@@ -117,7 +117,7 @@
 			Int64("offset", record.Offset).Msg("version named")
 	}
 	if change.Evacuation != nil {
-		n.takeEvacuation(*change.Evacuation, record.Offset)
+		n.applyEvacuation(*change.Evacuation, record.Offset)
 	}
 }
 
--- a/internal/hosted/stop.go
+++ b/internal/hosted/stop.go
@@ -7,34 +7,31 @@
 )
 
 const (
-	// takenOut is the time after which a node that is not ready gets no new
-	// connections: two questions a second apart, and some slack.
-	takenOut = 2600 * time.Millisecond
-	// exitSlack is what is left of the grace period when the process ends.
-	exitSlack = 700 * time.Millisecond
-	// minRoleTime is the least time that the roles have to end; as much is left to the
-	// process after them.
-	minRoleTime = exitSlack / 2
-	// releaseTimeout bounds giving up the leadership, for which the last part of
-	// the grace period is kept.
+	// deregistrationTime is the time after which a node that is not ready gets no new connections: two readiness
+	// checks at an interval of one second, plus a margin.
+	deregistrationTime = 2600 * time.Millisecond
+	// exitReserve is the part of the grace period reserved for the exit of the process.
+	exitReserve = 700 * time.Millisecond
+	// minRoleTime is the minimum time for the roles to end; the same time remains for the exit of the process.
+	minRoleTime = exitReserve / 2
+	// releaseTimeout bounds the release of leases, for which the end of the grace period is reserved.
 	releaseTimeout = 1500 * time.Millisecond
 )
 
-// stop carries out the planned stop: no longer ready, requests answered until
-// none comes any more or the grace period is nearly over, and then the
-// leadership released. It is kept until then, since in a rolling restart all
-// other nodes may be stopping or starting. It returns the time that the roles, told to
-// end, still have: they write what is left, and the log may be slow to take it.
+// stop performs the planned stop: it reports not ready, serves requests until there are none left or the grace
+// period is nearly over, and then releases leadership. Leadership is kept that long because in a rolling restart
+// all other nodes may be stopping or starting. It returns the time that the cancelled roles have to write their
+// remaining records to a possibly slow log.
 func (n *node) stop(stopRoles context.CancelFunc) time.Duration {
 	began := time.Now()
 	n.state.beginStop()
 	n.logger.Info().Int64("in_flight", n.callers.inFlight.Load()).Msg("node stopping")
-	grace := n.state.graceTime()
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-exitSlack))
+	grace := n.state.gracePeriod()
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-exitReserve))
 	defer cancel()
 	n.elector.Hesitate()
-	n.homeRunners.Hesitate()
-	timer := time.NewTimer(time.Until(began.Add(min(takenOut, grace/2))))
+	n.regionRunners.Hesitate()
+	timer := time.NewTimer(time.Until(began.Add(min(deregistrationTime, grace/2))))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -45,7 +42,7 @@
 		defer close(drained)
 		n.callers.drain(ctx)
 	}()
-	n.releaseOnce(ctx, drained, began.Add(grace-exitSlack-releaseTimeout))
+	n.releaseOnce(ctx, drained, began.Add(grace-exitReserve-releaseTimeout))
 	<-drained
 	_ = n.callers.http.Shutdown(ctx)
 	stopRoles()
@@ -56,8 +53,7 @@
 	return max(minRoleTime, time.Until(began.Add(grace-minRoleTime)))
 }
 
-// releaseOnce gives up the leadership once all requests are answered, or when
-// just enough of the grace period is left for it.
+// releaseOnce releases leadership once drained is closed, or at latest.
 func (n *node) releaseOnce(ctx context.Context, drained <-chan struct{}, latest time.Time) {
 	timer := time.NewTimer(time.Until(latest))
 	defer timer.Stop()
@@ -69,6 +65,6 @@
 	defer cancel()
 	var released sync.WaitGroup
 	released.Go(func() { n.elector.Stop(ctx) })
-	released.Go(func() { n.homeRunners.Stop(ctx) })
+	released.Go(func() { n.regionRunners.Stop(ctx) })
 	released.Wait()
 }
--- a/internal/hosted/traffic.go
+++ b/internal/hosted/traffic.go
@@ -13,10 +13,10 @@
 	"github.com/corkpulley/corkpulley/internal/ingress"
 )
 
-// trafficKind is what a message to another machine is about.
+// trafficKind is the purpose of a message to another machine.
 type trafficKind string
 
-// The kinds of traffic: to engines, and to other nodes.
+// Kinds of traffic to engines and to other nodes.
 const (
 	liveTraffic    trafficKind = "live"
 	scoringTraffic trafficKind = "scoring"
@@ -26,7 +26,7 @@
 	logTraffic     trafficKind = "log_call"
 )
 
-// traffic counts what this node sends to other machines and what they answer, by how far they are.
+// traffic counts messages and bytes exchanged with other machines, by kind and distance.
 type traffic struct {
 	messages *prometheus.CounterVec
 	bytes    *prometheus.CounterVec
@@ -46,15 +46,15 @@
 	return t
 }
 
-// sent counts a message and returns what counts more of its bytes.
-func (t *traffic) sent(kind trafficKind, distance topology.Distance, bytes int) func(bytes int) {
+// countMessage counts a message with its bytes, and returns a function that counts further bytes of it.
+func (t *traffic) countMessage(kind trafficKind, distance topology.Distance, bytes int) func(bytes int) {
 	t.messages.WithLabelValues(string(kind), distance.String()).Inc()
 	counter := t.bytes.WithLabelValues(string(kind), distance.String())
 	counter.Add(float64(bytes))
 	return func(bytes int) { counter.Add(float64(bytes)) }
 }
 
-// countedBody counts the bytes of an answer.
+// countedBody counts the bytes of a response body.
 type countedBody struct {
 	io.ReadCloser
 	count func(bytes int)
@@ -67,7 +67,7 @@
 	return count, err
 }
 
-// countedEngines counts the requests to engines. It implements Engines.
+// countedEngines counts the traffic to engines. It implements Engines.
 type countedEngines struct {
 	Engines
 	traffic *traffic
@@ -84,7 +84,7 @@
 	if call.Request.Sender != nil {
 		kind = scoringTraffic
 	}
-	count := e.traffic.sent(kind, e.distance(engine), len(call.Request.Body))
+	count := e.traffic.countMessage(kind, e.distance(engine), len(call.Request.Body))
 	answer, err := e.Engines.Send(ctx, engine, call)
 	if err == nil {
 		answer.Body = &countedBody{answer.Body, count}
@@ -96,7 +96,7 @@
 func (e *countedEngines) Stream(
 	ctx context.Context, engine fleet.Engine, call batchrun.Call,
 ) (batchrun.Stream, error) {
-	count := e.traffic.sent(itemTraffic, e.distance(engine), len(call.Payload.Body))
+	count := e.traffic.countMessage(itemTraffic, e.distance(engine), len(call.Payload.Body))
 	stream, err := e.Engines.Stream(ctx, engine, call)
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	return &countedStream{stream, count}, nil
 }
 
-// countedStream counts the bytes of the events.
+// countedStream counts the bytes of stream events.
 type countedStream struct {
 	batchrun.Stream
 	count func(bytes int)
@@ -117,18 +117,18 @@
 	return event, err
 }
 
-// countedTransport counts the calls of other nodes. It implements http.RoundTripper.
+// countedTransport counts calls to other nodes. It implements http.RoundTripper.
 type countedTransport struct {
 	http.RoundTripper
 	traffic *traffic
 	kind    trafficKind
-	// distanceOf tells how far the node at an address is.
+	// distanceOf returns the distance to the node at an address.
 	distanceOf func(address string) topology.Distance
 }
 
 // RoundTrip implements http.RoundTripper.
 func (c *countedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	count := c.traffic.sent(c.kind, c.distanceOf(request.URL.Host), int(max(0, request.ContentLength)))
+	count := c.traffic.countMessage(c.kind, c.distanceOf(request.URL.Host), int(max(0, request.ContentLength)))
 	response, err := c.RoundTripper.RoundTrip(request)
 	if err == nil {
 		response.Body = &countedBody{response.Body, count}
@@ -136,8 +136,8 @@
 	return response, err
 }
 
-// counted has a client count its calls.
-func (n *node) counted(client *http.Client, kind trafficKind) *http.Client {
+// countCalls makes a client count its calls and returns it.
+func (n *node) countCalls(client *http.Client, kind trafficKind) *http.Client {
 	client.Transport = &countedTransport{client.Transport, n.metrics.traffic, kind, n.directory.DistanceOf}
 	return client
 }
--- a/internal/hosted/traffic_test.go
+++ b/internal/hosted/traffic_test.go
@@ -19,7 +19,7 @@
 	"github.com/corkpulley/corkpulley/internal/ingress"
 )
 
-// echoEngines answer with five bytes.
+// echoEngines answers every request with five bytes.
 type echoEngines struct{ Engines }
 
 func (echoEngines) Send(context.Context, fleet.Engine, ingress.Call) (*ingress.Answer, error) {
@@ -27,24 +27,24 @@
 }
 
 func (echoEngines) Stream(context.Context, fleet.Engine, batchrun.Call) (batchrun.Stream, error) {
-	return &oneEvent{}, nil
+	return &singleEventStream{}, nil
 }
 
-// oneEvent is a stream of one event of four bytes.
-type oneEvent struct{ told bool }
+// singleEventStream is a stream of one event of four bytes.
+type singleEventStream struct{ sent bool }
 
-func (o *oneEvent) Next() (batchrun.Event, error) {
-	if o.told {
+func (o *singleEventStream) Next() (batchrun.Event, error) {
+	if o.sent {
 		return batchrun.Event{}, io.EOF
 	}
-	o.told = true
+	o.sent = true
 	return batchrun.Event{Data: []byte("data")}, nil
 }
 
-func (*oneEvent) Close() {}
+func (*singleEventStream) Close() {}
 
-// counts returns the value of each counter, by its labels.
-func counts(t *testing.T, registry *prometheus.Registry, name string) map[string]float64 {
+// counterValues returns the values of a counter by kind and distance.
+func counterValues(t *testing.T, registry *prometheus.Registry, name string) map[string]float64 {
 	t.Helper()
 	families, err := registry.Gather()
 	assert.NilError(t, err)
@@ -64,7 +64,7 @@
 	return found
 }
 
-func TestMessagesAreCountedByTheirKindAndWay(t *testing.T) {
+func TestTrafficByKindAndDistance(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	traffic := newTraffic(registry)
 	engines := &countedEngines{echoEngines{}, traffic, topology.Place{Zone: "a1", Region: "a"}}
@@ -94,10 +94,10 @@
 	assert.NilError(t, err)
 	assert.NilError(t, response.Body.Close())
 
-	assert.DeepEqual(t, counts(t, registry, "corkpulley_hosted_messages_total"), map[string]float64{
+	assert.DeepEqual(t, counterValues(t, registry, "corkpulley_hosted_messages_total"), map[string]float64{
 		"live same_region": 1, "scoring same_region": 1, "item other_region": 1, "log_call same_zone": 1,
 	})
-	assert.DeepEqual(t, counts(t, registry, "corkpulley_hosted_message_bytes_total"), map[string]float64{
+	assert.DeepEqual(t, counterValues(t, registry, "corkpulley_hosted_message_bytes_total"), map[string]float64{
 		"live same_region": 8, "scoring same_region": 8, "item other_region": 6, "log_call same_zone": 10,
 	})
 }
--- a/internal/hosted/zonesapi.go
+++ b/internal/hosted/zonesapi.go
@@ -16,15 +16,15 @@
 	"github.com/corkpulley/corkpulley/internal/operatorapi"
 )
 
-// evacuationTimeout bounds the writing of an evacuation.
+// evacuationTimeout bounds the write of an evacuation record.
 const evacuationTimeout = 3 * time.Second
 
-// operatorsHandler serves the operators' calls about zones, and all others by next.
+// operatorsHandler serves the zone endpoints of the operator API; next serves all other requests.
 func (n *node) operatorsHandler(next http.Handler) http.Handler {
 	router := httpapi.NewRouter()
 	router.HandleFunc(operatorapi.PathZones, n.getZones).Methods(http.MethodGet)
 	router.HandleFunc(operatorapi.PathEvacuation, n.evacuate).Methods(http.MethodPut)
-	router.HandleFunc(operatorapi.PathEvacuation, n.takeBack).Methods(http.MethodDelete)
+	router.HandleFunc(operatorapi.PathEvacuation, n.endEvacuation).Methods(http.MethodDelete)
 	router.NotFoundHandler = next
 	return router
 }
@@ -33,9 +33,11 @@
 	httpapi.WriteJSON(w, http.StatusOK, n.zones())
 }
 
-// zones returns this node's view of the zones.
 func (n *node) zones() api.Zones {
-	zones := api.Zones{Node: n.config.Node.ID, AgeMs: n.control.Age().Milliseconds(), LeftOut: n.coverage.leftOutNow(), Zones: []api.ZoneStatus{}}
+	zones := api.Zones{
+		Node: n.config.Node.ID, AgeMs: n.control.Age().Milliseconds(), LeftOut: n.coverage.excludedServices(),
+		Zones: []api.ZoneStatus{},
+	}
 	runner := n.runner.Load()
 	zones.Leading = runner != nil
 	for _, zone := range n.fleet.Zones() {
@@ -55,13 +57,13 @@
 	return zones
 }
 
-func (n *node) evacuate(w http.ResponseWriter, r *http.Request) { n.orderEvacuation(w, r, true) }
+func (n *node) evacuate(w http.ResponseWriter, r *http.Request) { n.handleEvacuation(w, r, true) }
 
-func (n *node) takeBack(w http.ResponseWriter, r *http.Request) { n.orderEvacuation(w, r, false) }
+func (n *node) endEvacuation(w http.ResponseWriter, r *http.Request) { n.handleEvacuation(w, r, false) }
 
-// orderEvacuation writes the operator's order for a zone into the log. It is in force at each node
-// once that has read it.
-func (n *node) orderEvacuation(w http.ResponseWriter, r *http.Request, inForce bool) {
+// handleEvacuation writes an operator's request for a zone to the log. It takes effect on each node when that node
+// has read it.
+func (n *node) handleEvacuation(w http.ResponseWriter, r *http.Request, inForce bool) {
 	evacuation := Evacuation{Zone: mux.Vars(r)["zone"], InForce: inForce}
 	err := n.writeEvacuation(r.Context(), evacuation)
 	n.logger.Info().Err(err).Str("engine_zone", evacuation.Zone).Bool("evacuate", inForce).Str("from", r.RemoteAddr).
@@ -77,7 +79,7 @@
 	if err := fleet.CheckZoneName(evacuation.Zone); err != nil {
 		return errkind.New(errkind.InvalidRequest, "%v", err)
 	}
-	if n.knowledge.ordersMayBeLate() {
+	if n.placement.callsMayBeLate() {
 		return errkind.New(errkind.NotReady, "this node stood still, and the order may have lain here; repeat it")
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), evacuationTimeout)
--- a/internal/hosted/zonesapi_test.go
+++ b/internal/hosted/zonesapi_test.go
@@ -12,9 +12,8 @@
 	"github.com/corkpulley/corkpulley/internal/httpapi"
 )
 
-// TestCallsAboutZonesThatAreNoneAreAnsweredWithAnError: of the table, and no path is redirected, which
-// would turn a PUT into a GET.
-func TestCallsAboutZonesThatAreNoneAreAnsweredWithAnError(t *testing.T) {
+// Guards against error responses without an API error code, and against redirects, which turn a PUT into a GET.
+func TestZoneEndpointErrors(t *testing.T) {
 	handler := (&node{}).operatorsHandler(http.HandlerFunc(httpapi.NotFound))
 	for _, each := range []struct {
 		method, path string
