--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -159,7 +159,7 @@
 	n.engines = follow.New(replicas, platform.EngineTopic(), n.applyEngineRecord, n.directory.Budget(), logger)
 	n.engines.Classify(n.engineClass)
 	n.placement = newPlacementKnowledge(n.standstill, n.control, n.engines, logger)
-	n.gate = sendgate.New(sendgate.Options{Fleet: n.fleet, Known: n.placement.isKnown, HeldBack: metrics.requestHeldBack})
+	n.gate = sendgate.New(sendgate.Options{Fleet: n.fleet, Known: n.placement.isKnown, OnHeldBack: metrics.requestHeldBack})
 	n.jobs = batchjobs.New(log, batchjobs.Options{
 		Partitions:  config.Hosted.Partitions,
 		RecordBytes: config.Hosted.RecordBytes, CallBytes: config.Hosted.CallBytes,
--- a/internal/sendgate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -1,8 +1,8 @@
-// Package sendgate decides whether a request may still be sent to the engine that was chosen for it.
+// Package sendgate performs the final check before a request is sent to the engine chosen for it.
 //
-// Dialing, queueing or a suspension of the process may take time between the choice and the first
-// byte, so the conditions of the choice are checked again right before the bytes are written. A
-// request that is held back there has not run and may be sent to another engine.
+// Time may pass between the choice and the first byte, for example while dialing, queueing, or during a suspension
+// of the process. The conditions of the choice are therefore checked again right before the bytes are written. A
+// request that is held back here has not been executed and may be sent to another engine.
 package sendgate
 
 import (
@@ -16,30 +16,29 @@
 )
 
 const (
-	// knowledgeWait bounds how long a request waits until it is known which engines may get it. It covers a
-	// read of the log and a retry; after that another node serves the caller sooner.
-	knowledgeWait = 300 * time.Millisecond
-	// knowledgeCheck is the interval between two checks during the wait.
-	knowledgeCheck = 10 * time.Millisecond
+	// maxKnownWait bounds how long a request waits until it is known which engines may get requests. It covers one
+	// read of the log and one retry; after that, another node answers sooner.
+	maxKnownWait = 300 * time.Millisecond
+	// knownPollInterval is the interval between two checks during that wait.
+	knownPollInterval = 10 * time.Millisecond
 )
 
-// Options are the parts that a gate works with.
+// Options are the dependencies of a gate.
 type Options struct {
 	Fleet *fleet.Fleet
-	// Known reports whether it is known which zones are evacuated and which engines are listed; nil if that
-	// never lapses.
+	// Known reports whether the evacuated zones and the listed engines are known; nil if they always are.
 	Known func() bool
-	// HeldBack, if set, is called for each request that is held back after its engine was chosen.
-	HeldBack func(reason fleet.Hold)
+	// OnHeldBack, if set, is called once for each request that is held back.
+	OnHeldBack func(reason fleet.Hold)
 }
 
-// Gate is checked before requests are sent. It is safe for concurrent use.
+// Gate creates the final checks of requests. It is safe for concurrent use.
 type Gate struct{ options Options }
 
-// New returns a gate.
+// New returns a gate with the options.
 func New(options Options) *Gate { return &Gate{options: options} }
 
-// OrNew returns the gate, or one that checks the fleet only if it is nil.
+// OrNew returns gate, or a new one that checks only the fleet if gate is nil.
 func OrNew(gate *Gate, engines *fleet.Fleet) *Gate {
 	if gate == nil {
 		return New(Options{Fleet: engines})
@@ -50,14 +49,14 @@
 // Known reports whether it is known which engines may get requests.
 func (g *Gate) Known() bool { return g.options.Known == nil || g.options.Known() }
 
-// AwaitKnown waits at most knowledgeWait until it is known which engines may get requests, and reports whether it is.
+// AwaitKnown waits for at most maxKnownWait until Known is true, and reports whether it became true.
 func (g *Gate) AwaitKnown(ctx context.Context) bool {
 	if g.Known() {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, knowledgeWait)
+	ctx, cancel := context.WithTimeout(ctx, maxKnownWait)
 	defer cancel()
-	for retry.Sleep(ctx, knowledgeCheck) {
+	for retry.Sleep(ctx, knownPollInterval) {
 		if g.Known() {
 			return true
 		}
@@ -65,8 +64,8 @@
 	return false
 }
 
-// Look returns the final check of one request for an engine. permit reports whether the permit of a request to a
-// cold engine is valid; without one, nil, a request leaves only while its engine does not count as cold.
+// Look returns the final check of a request to an engine. permit reports whether the request's permit for a cold
+// engine is valid. Without a permit function, the request may be sent only while the engine is not cold.
 func (g *Gate) Look(engine incarnation.ID, permit func() bool) *Look {
 	if permit == nil {
 		permit = func() bool { return !g.isCold(engine) }
@@ -74,7 +73,8 @@
 	return &Look{gate: g, engine: engine, permit: permit}
 }
 
-// LookAtOrder is Look for an order of weights, which does not count in an engine's rate.
+// LookAtOrder returns the final check of an order to load weights. It does not count towards an engine's request rate
+// and needs no permit for a cold engine.
 func (g *Gate) LookAtOrder(engine incarnation.ID) *Look {
 	return &Look{gate: g, engine: engine, permit: func() bool { return true }}
 }
@@ -92,20 +92,19 @@
 	held   atomic.Uint32
 }
 
-// MayLeave reports whether the request may be sent now. It is called right before its first byte is
-// written, from any goroutine.
+// MayLeave reports whether the request may be sent now. It must be called right before the first byte is written.
 func (l *Look) MayLeave() bool {
 	reason := l.reason()
 	if reason == fleet.NotHeld {
 		return true
 	}
-	if l.held.CompareAndSwap(uint32(fleet.NotHeld), uint32(reason)) && l.gate.options.HeldBack != nil {
-		l.gate.options.HeldBack(reason)
+	if l.held.CompareAndSwap(uint32(fleet.NotHeld), uint32(reason)) && l.gate.options.OnHeldBack != nil {
+		l.gate.options.OnHeldBack(reason)
 	}
 	return false
 }
 
-// Held returns why the request was held back; fleet.NotHeld if it was not.
+// Held returns why the request was held back, or fleet.NotHeld.
 func (l *Look) Held() fleet.Hold { return fleet.Hold(l.held.Load()) }
 
 func (l *Look) reason() fleet.Hold {
--- a/internal/sendgate/sendgate_test.go
+++ b/internal/sendgate/sendgate_test.go
@@ -19,11 +19,11 @@
 	return known, engine
 }
 
-// TestARequestThatIsHeldBackIsCountedOnce: HeldBack is called once for several calls of MayLeave.
-func TestARequestThatIsHeldBackIsCountedOnce(t *testing.T) {
+// OnHeldBack must be called once even if MayLeave is called several times.
+func TestOnHeldBackIsCalledOnce(t *testing.T) {
 	known, engine := engineInZone("za")
 	var reasons []fleet.Hold
-	gate := New(Options{Fleet: known, HeldBack: func(reason fleet.Hold) { reasons = append(reasons, reason) }})
+	gate := New(Options{Fleet: known, OnHeldBack: func(reason fleet.Hold) { reasons = append(reasons, reason) }})
 	look := gate.Look(engine.Incarnation(), nil)
 	assert.Assert(t, look.MayLeave())
 	assert.Equal(t, look.Held(), fleet.NotHeld)
@@ -34,8 +34,8 @@
 	assert.DeepEqual(t, reasons, []fleet.Hold{fleet.HeldEvacuated})
 }
 
-// TestNothingLeavesWhileTheEvacuationsAreNotKnown: the zone may be evacuated.
-func TestNothingLeavesWhileTheEvacuationsAreNotKnown(t *testing.T) {
+// Guards against sending while the engine's zone may be evacuated.
+func TestMayLeaveWhileEvacuationsAreUnknown(t *testing.T) {
 	known, engine := engineInZone("za")
 	var learned atomic.Bool
 	gate := New(Options{Fleet: known, Known: learned.Load})
@@ -48,8 +48,8 @@
 	assert.Assert(t, gate.Look(engine.Incarnation(), nil).MayLeave())
 }
 
-// TestACallerThatLeavesEndsTheWait: AwaitKnown ends with its context.
-func TestACallerThatLeavesEndsTheWait(t *testing.T) {
+// Guards against a wait that outlasts the caller's context.
+func TestAwaitKnownWithCancelledContext(t *testing.T) {
 	known, _ := engineInZone("za")
 	gate := New(Options{Fleet: known, Known: func() bool { return false }})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -57,9 +57,8 @@
 	assert.Assert(t, !gate.AwaitKnown(ctx))
 }
 
-// TestOnlyOrdersLeaveWithoutAPermitForAnEngineThatTurnedCold guards against requests that were chosen for an engine
-// while it was warm.
-func TestOnlyOrdersLeaveWithoutAPermitForAnEngineThatTurnedCold(t *testing.T) {
+// Guards against requests to a cold engine that was warm when it was chosen.
+func TestMayLeaveWithoutPermitAfterEngineTurnedCold(t *testing.T) {
 	known, engine := engineInZone("za")
 	known.SetSlowStarts(map[string]routes.SlowStart{"s": {Period: time.Hour, RatePerSecond: 4}})
 	gate := New(Options{Fleet: known})
@@ -71,8 +70,8 @@
 	assert.Assert(t, order.MayLeave())
 }
 
-// TestARequestToAColdEngineLeavesWhileItsPermitIsOpen: an evacuation takes precedence over a permit.
-func TestARequestToAColdEngineLeavesWhileItsPermitIsOpen(t *testing.T) {
+// Guards against a permit that does not expire or that overrides an evacuation.
+func TestMayLeaveWithPermitForColdEngine(t *testing.T) {
 	known, engine := engineInZone("za")
 	var open atomic.Bool
 	open.Store(true)
