--- a/internal/callerwrite/callerwrite.go
+++ b/internal/callerwrite/callerwrite.go
@@ -1,9 +1,9 @@
-// Package callerwrite writes answers to callers that may read slowly, or not at all.
+// Package callerwrite writes responses to callers that read slowly or not at all.
 //
-// Whoever makes an answer goes on at its own pace: an engine breaks an answer off that is not read for some
-// seconds, and its connection would be lost for what the caller does. So the bytes are held here until the caller
-// takes them, within a bound for each caller, and count as memory of the node. A caller that takes nothing for a
-// while is cut off.
+// It decouples the source of a response from its caller: an engine aborts a response that is not read for some
+// seconds, which would cost its connection. Bytes are therefore buffered until the caller reads them, up to a limit
+// for each caller, and count against the node's memory budget. A caller that reads nothing for the stall timeout is
+// disconnected.
 package callerwrite
 
 import (
@@ -17,56 +17,57 @@
 )
 
 const (
-	// pieceBytes is what is written at once: the time without progress counts anew for each piece.
-	pieceBytes = 32 << 10
-	// MaxHeld bounds the bytes held for one caller: a minute of an event stream, or the whole of most answers.
+	// chunkBytes is the size of one write. The stall timeout starts anew for each.
+	chunkBytes = 32 << 10
+	// MaxHeld bounds the bytes buffered for one caller: about a minute of an event stream, or most responses in
+	// full.
 	MaxHeld = 1 << 20
 )
 
-// Limits bound what is held for callers and for how long. The zero value bounds nothing but MaxHeld.
+// Limits bound the memory and the time spent on slow callers. The zero value enforces only MaxHeld.
 type Limits struct {
 	Budget *bytebudget.Budget
-	// Stall is how long a caller may take no byte of its answer before it is cut off; zero for ever.
-	Stall time.Duration
-	// Stalled, if set, is told of each caller that was cut off, with the bytes that it had not taken.
-	Stalled func(left int)
+	// StallTimeout is how long a caller may read nothing before it is disconnected; zero for no limit.
+	StallTimeout time.Duration
+	// OnStalled, if set, is called for each disconnected caller with the number of unread bytes.
+	OnStalled func(left int)
 }
 
-// Write writes content to a caller, piece by piece, and returns when it has taken all, or the error of the first
-// piece that it did not take. The bytes count in the budget meanwhile.
+// Write writes content to a caller in chunks. It returns when all of it has been written, or the error of the first
+// write that failed. Until then content counts against the budget.
 func (l Limits) Write(w http.ResponseWriter, content []byte) error {
 	left := content
 	l.Budget.Take(bytebudget.Answers, int64(len(content)))
 	defer l.Budget.Release(bytebudget.Answers, int64(len(content)))
 	for len(left) > 0 {
-		piece := left[:min(pieceBytes, len(left))]
-		if err := l.writePiece(w, piece); err != nil {
-			l.tell(err, len(left))
+		chunk := left[:min(chunkBytes, len(left))]
+		if err := l.writeChunk(w, chunk); err != nil {
+			l.reportStall(err, len(left))
 			return err
 		}
-		left = left[len(piece):]
+		left = left[len(chunk):]
 	}
 	l.setDeadline(w, time.Time{})
 	return nil
 }
 
-func (l Limits) writePiece(w http.ResponseWriter, piece []byte) error {
-	if l.Stall > 0 {
-		l.setDeadline(w, time.Now().Add(l.Stall))
+func (l Limits) writeChunk(w http.ResponseWriter, chunk []byte) error {
+	if l.StallTimeout > 0 {
+		l.setDeadline(w, time.Now().Add(l.StallTimeout))
 	}
-	_, err := w.Write(piece)
+	_, err := w.Write(chunk)
 	return err
 }
 
-// setDeadline sets when a write ends that makes no progress; the zero time for never. Callers whose connection has
-// no deadlines, those of tests, are waited for.
+// setDeadline sets the deadline of further writes; the zero time for none. Errors are ignored: connections that do
+// not support deadlines, as in tests, have none.
 func (l Limits) setDeadline(w http.ResponseWriter, at time.Time) {
 	_ = http.NewResponseController(w).SetWriteDeadline(at)
 }
 
-// tell tells of a caller that was cut off; one that left by itself is no news.
-func (l Limits) tell(err error, left int) {
-	if l.Stalled != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		l.Stalled(left)
+// reportStall calls OnStalled if the write timed out. A caller that disconnected by itself is not reported.
+func (l Limits) reportStall(err error, left int) {
+	if l.OnStalled != nil && errors.Is(err, os.ErrDeadlineExceeded) {
+		l.OnStalled(left)
 	}
 }
--- a/internal/callerwrite/callerwrite_test.go
+++ b/internal/callerwrite/callerwrite_test.go
@@ -17,10 +17,10 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// stall is short, since the callers of these tests read at once or never.
-const stall = 200 * time.Millisecond
+// stallTimeout can be short, since the callers of these tests read at once or never.
+const stallTimeout = 200 * time.Millisecond
 
-// serve answers each call by the handler and returns the server's address.
+// serve starts a server and returns its address.
 func serve(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -28,23 +28,23 @@
 	return server.Listener.Addr().String()
 }
 
-// call asks for an answer and reads nothing of it.
+// call sends a request and does not read the response.
 func call(t *testing.T, address string) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = connection.Close() })
-	// A small window, so that the answer does not fit into the sockets.
+	// A small receive buffer, so that the response does not fit into the sockets.
 	assert.NilError(t, connection.(*net.TCPConn).SetReadBuffer(4<<10))
 	_, err = io.WriteString(connection, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	assert.NilError(t, err)
 	return connection
 }
 
-func TestACallerThatTakesNothingIsCutOff(t *testing.T) {
+func TestWriteToStalledCaller(t *testing.T) {
 	var left atomic.Int64
 	budget := bytebudget.New(1 << 30)
-	limits := Limits{Budget: budget, Stall: stall, Stalled: func(bytes int) { left.Store(int64(bytes)) }}
+	limits := Limits{Budget: budget, StallTimeout: stallTimeout, OnStalled: func(bytes int) { left.Store(int64(bytes)) }}
 	ended := make(chan error, 1)
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		ended <- limits.Write(w, make([]byte, 32<<20))
@@ -55,9 +55,9 @@
 	assert.Equal(t, budget.Held(bytebudget.Answers), int64(0))
 }
 
-func TestACallerThatReadsGetsAll(t *testing.T) {
+func TestWriteToReadingCaller(t *testing.T) {
 	content := bytes.Repeat([]byte("answer "), 1<<20)
-	limits := Limits{Stall: stall}
+	limits := Limits{StallTimeout: stallTimeout}
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/whole" {
 			_ = limits.Write(w, content)
@@ -65,12 +65,12 @@
 		}
 		spool := NewSpool(w, limits)
 		for rest := content; len(rest) > 0; {
-			piece := rest[:min(1000, len(rest))]
-			if err := spool.Write(piece); errors.Is(err, ErrFull) {
+			chunk := rest[:min(1000, len(rest))]
+			if err := spool.Write(chunk); errors.Is(err, ErrFull) {
 				spool.Await(r.Context())
 				continue
 			}
-			rest = rest[len(piece):]
+			rest = rest[len(chunk):]
 		}
 		assert.NilError(t, spool.Close())
 	})
@@ -84,14 +84,14 @@
 	}
 }
 
-// TestWhoMakesAnAnswerNeverWaitsForItsCaller: up to what is held for one caller.
-func TestWhoMakesAnAnswerNeverWaitsForItsCaller(t *testing.T) {
+// Up to MaxHeld bytes must be accepted without waiting for the caller.
+func TestSpoolAcceptsMaxHeldForStalledCaller(t *testing.T) {
 	budget := bytebudget.New(1 << 30)
 	ended := make(chan error, 1)
 	full := make(chan int, 1)
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusOK)
-		spool := NewSpool(w, Limits{Budget: budget, Stall: stall})
+		spool := NewSpool(w, Limits{Budget: budget, StallTimeout: stallTimeout})
 		taken, told := 0, false
 		for taken < 64<<20 {
 			err := spool.Write(make([]byte, 8<<10))
@@ -113,16 +113,16 @@
 	call(t, address)
 	assert.Assert(t, <-full >= MaxHeld-8<<10)
 	assert.Assert(t, <-ended != nil)
-	testwait.Until(t, "all bytes given back", func() bool { return budget.Held(bytebudget.Answers) == 0 })
+	testwait.Until(t, "all bytes are released", func() bool { return budget.Held(bytebudget.Answers) == 0 })
 }
 
-// TestNothingMoreIsTakenWhileTheNodeHoldsTooMuch: others than this caller hold it.
-func TestNothingMoreIsTakenWhileTheNodeHoldsTooMuch(t *testing.T) {
+// Guards against a caller whose buffer grows while others exhaust the node's budget.
+func TestSpoolIsFullWhileBudgetIsShort(t *testing.T) {
 	budget := bytebudget.New(1 << 20)
 	budget.Take(bytebudget.Answers, 2<<20)
 	failure := make(chan error, 1)
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
-		spool := NewSpool(w, Limits{Budget: budget, Stall: stall})
+		spool := NewSpool(w, Limits{Budget: budget, StallTimeout: stallTimeout})
 		err := error(nil)
 		for err == nil {
 			err = spool.Write(make([]byte, 64<<10))
--- a/internal/callerwrite/spool.go
+++ b/internal/callerwrite/spool.go
@@ -11,11 +11,11 @@
 	"github.com/corkpulley/corkpulley/internal/core/bytebudget"
 )
 
-// ErrFull says that a caller has not taken MaxHeld bytes yet.
+// ErrFull is returned while the caller has not read enough of the buffered bytes.
 var ErrFull = errors.New("the caller reads too slowly")
 
-// Spool holds an answer that is being made until its caller takes it. One goroutine may use it; the head of the
-// answer must have been written.
+// Spool buffers a response until its caller reads it. It is not safe for concurrent use. The response header must
+// have been written before.
 type Spool struct {
 	limits Limits
 	w      http.ResponseWriter
@@ -23,23 +23,23 @@
 	mu    sync.Mutex
 	queue [][]byte
 	held  int
-	// err is the error of the write that failed.
+	// err is the error of the first write that failed.
 	err    error
 	closed bool
-	// changed is closed and replaced at each change; done is closed once nothing is written any more.
+	// changed is closed and replaced at each change. done is closed once the writer goroutine has ended.
 	changed chan struct{}
 	done    chan struct{}
 }
 
-// NewSpool returns a spool. Whoever made it closes it.
+// NewSpool returns a spool, which must be closed.
 func NewSpool(w http.ResponseWriter, limits Limits) *Spool {
 	s := &Spool{limits: limits, w: w, changed: make(chan struct{}), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write takes content, which it copies. It returns ErrFull where that is more than the caller may leave untaken,
-// unless nothing is held, and the error of an earlier write to the caller.
+// Write buffers a copy of content. It returns ErrFull if bytes are buffered already and either content would exceed
+// MaxHeld or the node's budget is short. It returns the error of an earlier write to the caller, if any.
 func (s *Spool) Write(content []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,11 +52,12 @@
 	s.queue = append(s.queue, append([]byte(nil), content...))
 	s.held += len(content)
 	s.limits.Budget.Take(bytebudget.Answers, int64(len(content)))
-	s.signal()
+	s.notify()
 	return nil
 }
 
-// Await waits until the caller has taken something, the write to it has failed or ctx has ended.
+// Await waits until the caller has read something, a write to it has failed, or ctx ends. It does not wait if
+// nothing is buffered.
 func (s *Spool) Await(ctx context.Context) {
 	s.mu.Lock()
 	held, changed, failed := s.held, s.changed, s.err != nil
@@ -70,18 +71,18 @@
 	}
 }
 
-// Close waits until the caller has taken all, and returns the error if it has not.
+// Close waits until the caller has read everything, and returns the error of a failed write.
 func (s *Spool) Close() error {
 	s.mu.Lock()
 	s.closed = true
-	s.signal()
+	s.notify()
 	s.mu.Unlock()
 	<-s.done
 	return s.err
 }
 
-// signal wakes whoever waits; mu is held.
-func (s *Spool) signal() {
+// notify wakes all waiting goroutines. Must be called with mu held.
+func (s *Spool) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -103,14 +104,14 @@
 				err = nil
 			}
 		}
-		s.taken(len(content), err)
+		s.recordWritten(len(content), err)
 		if err != nil {
 			return
 		}
 	}
 }
 
-// next waits for what is to be written next; found is false once there is nothing more.
+// next waits for the next content to write; found is false once the spool is closed and empty.
 func (s *Spool) next() (content []byte, found bool) {
 	for {
 		s.mu.Lock()
@@ -131,26 +132,26 @@
 
 func (s *Spool) writeAll(content []byte) error {
 	for len(content) > 0 {
-		piece := content[:min(pieceBytes, len(content))]
-		if err := s.limits.writePiece(s.w, piece); err != nil {
+		chunk := content[:min(chunkBytes, len(content))]
+		if err := s.limits.writeChunk(s.w, chunk); err != nil {
 			return err
 		}
-		content = content[len(piece):]
+		content = content[len(chunk):]
 	}
 	return nil
 }
 
-// taken notes that the caller has taken bytes, or will take no more.
-func (s *Spool) taken(bytes int, err error) {
+// recordWritten releases written bytes, or all buffered bytes if the write failed.
+func (s *Spool) recordWritten(bytes int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	released := bytes
 	if err != nil {
 		s.err = err
 		released, s.queue = s.held, nil
-		s.limits.tell(err, s.held)
+		s.limits.reportStall(err, s.held)
 	}
 	s.held -= released
 	s.limits.Budget.Release(bytebudget.Answers, int64(released))
-	s.signal()
+	s.notify()
 }
--- a/internal/hosted/heldbytes.go
+++ b/internal/hosted/heldbytes.go
@@ -37,8 +37,8 @@
 // newCallerLimits returns the limits for callers that read slowly.
 func (n *node) newCallerLimits() callerwrite.Limits {
 	return callerwrite.Limits{
-		Budget: n.bytes, Stall: time.Duration(n.config.Hosted.CallerStall),
-		Stalled: func(left int) {
+		Budget: n.bytes, StallTimeout: time.Duration(n.config.Hosted.CallerStall),
+		OnStalled: func(left int) {
 			n.metrics.callersStalled.Inc()
 			n.logger.Warn().Int("bytes_left", left).Dur("stall_ms", time.Duration(n.config.Hosted.CallerStall)).
 				Msg("caller cut off, it takes nothing of its answer")
