--- a/internal/hosted/homes.go
+++ b/internal/hosted/homes.go
@@ -30,14 +30,14 @@
 // recorded in the job apply if it was accepted under a newer configuration, or its route or tenant no longer
 // exists.
 func (n *node) jobHomes(job *batch.JobRecord) homes.Set {
-	taken := homes.Of(job.Homes)
+	recorded := homes.Of(job.Homes)
 	table := n.state.table()
 	if table == nil || job.Config > table.Version {
-		return taken
+		return recorded
 	}
 	set, known := table.HomesOf(job.Host, job.Path, job.Tenant)
 	if !known {
-		return taken
+		return recorded
 	}
 	return set
 }
--- a/internal/hosted/stop.go
+++ b/internal/hosted/stop.go
@@ -42,7 +42,7 @@
 		defer close(drained)
 		n.callers.drain(ctx)
 	}()
-	n.releaseOnce(ctx, drained, began.Add(grace-exitReserve-releaseTimeout))
+	n.releaseWhenDrained(ctx, drained, began.Add(grace-exitReserve-releaseTimeout))
 	<-drained
 	_ = n.callers.http.Shutdown(ctx)
 	stopRoles()
@@ -53,8 +53,8 @@
 	return max(minRoleTime, time.Until(began.Add(grace-minRoleTime)))
 }
 
-// releaseOnce releases leadership once drained is closed, or at latest.
-func (n *node) releaseOnce(ctx context.Context, drained <-chan struct{}, latest time.Time) {
+// releaseWhenDrained releases leadership once drained is closed, or at the time latest if that comes first.
+func (n *node) releaseWhenDrained(ctx context.Context, drained <-chan struct{}, latest time.Time) {
 	timer := time.NewTimer(time.Until(latest))
 	defer timer.Stop()
 	select {
