--- a/internal/leadership/answers_test.go
+++ b/internal/leadership/answers_test.go
@@ -17,12 +17,11 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// TestAPermitWaitsForAnOrderReadWhileItsRecordWasWritten: an older version, which appends without a
-// condition, records an order of its epoch after the claim of the next holder. That one reads it only
-// when the append of its own order conflicts.
-func TestAPermitWaitsForAnOrderReadWhileItsRecordWasWritten(t *testing.T) {
+// TestPermitRespectsOrderReadDuringAppend: a node of an older version, which appends unconditionally, records an
+// order after the next holder's claim. The next holder reads it only when its own append conflicts.
+func TestPermitRespectsOrderReadDuringAppend(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	first := join(t, log, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	earlier := first.lastTerm().Epoch
@@ -44,9 +43,10 @@
 	assert.Assert(t, err != nil || !time.Now().Before(until), "permit given, quiet for another %s", time.Until(until))
 }
 
-// TestAConflictThatNothingExplainsDoesNotSpin: the conflict names the end at which the holder appends.
-func TestAConflictThatNothingExplainsDoesNotSpin(t *testing.T) {
-	path := newLink(memlog.New())
+// TestUnexplainedConflictDoesNotSpin guards against a retry loop when a conflict reports the offset that the append
+// expected.
+func TestUnexplainedConflictDoesNotSpin(t *testing.T) {
+	path := newFaultyLog(memlog.New())
 	first := join(t, path, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	var count atomic.Int64
@@ -59,10 +59,9 @@
 	assert.Assert(t, count.Load() < most, "%d appends in a second", count.Load())
 }
 
-// TestARecordProvesTimeOnlyUntilItWasComposed: the machine may be suspended between two readings of the
-// clock. With one for the time held and another for the permit, a record would prove time in which an
-// order may still be sent.
-func TestARecordProvesTimeOnlyUntilItWasComposed(t *testing.T) {
+// TestHeldTimeEndsWhenRecordIsComposed: the machine may be suspended between two clock readings, so the time
+// held and the start of the permit must come from the same one.
+func TestHeldTimeEndsWhenRecordIsComposed(t *testing.T) {
 	elector := New(memlog.New(), Options{Holder: "a1", Node: "a", TTL: testTTL}, nil)
 	clock := elector.now()
 	elector.now = func() time.Time {
@@ -70,15 +69,15 @@
 		return clock
 	}
 	elector.state.Apply(elector.state.NewClaim("a", "a1", ""), clock)
-	elector.termBegan = clock
+	elector.termStart = clock
 	next, err := elector.compose(elector.state.Epoch, lease.Order, []string{"engine"})
 	assert.NilError(t, err)
-	assert.Equal(t, next.record.Held, next.pending.sent.Sub(elector.termBegan))
+	assert.Equal(t, next.record.Held, next.pending.sent.Sub(elector.termStart))
 }
 
-// TestAStopWhoseReleaseGetsNoAnswerEnds: the release took effect.
-func TestAStopWhoseReleaseGetsNoAnswerEnds(t *testing.T) {
-	path := newLink(memlog.New())
+// TestStopReturnsWhenReleaseIsUnanswered: the release takes effect, but its answer is lost.
+func TestStopReturnsWhenReleaseIsUnanswered(t *testing.T) {
+	path := newFaultyLog(memlog.New())
 	first := join(t, path, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	path.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
@@ -92,8 +91,8 @@
 	assert.NilError(t, ctx.Err(), "the stop waited for an answer until its time was over")
 }
 
-// TestANodeThatStopsClaimsNothing: the node was about to claim.
-func TestANodeThatStopsClaimsNothing(t *testing.T) {
+// TestStoppedNodeDoesNotClaim: the node stops during its claim delay.
+func TestStoppedNodeDoesNotClaim(t *testing.T) {
 	log := memlog.New()
 	const delay = 200 * time.Millisecond
 	first := joinAfter(t, log, "a", "a1", delay)
@@ -103,15 +102,15 @@
 		return !first.elector.contactSince.IsZero()
 	})
 	first.elector.Stop(t.Context())
-	time.Sleep(2 * delay) // in which it would claim
+	time.Sleep(2 * delay) // longer than the claim delay
 	assert.Equal(t, log.End(eventlog.Partition{Topic: topic}), int64(0), "it claimed after it had stopped")
 }
 
-// TestAHolderRenewsWhileItsReadHangs: the answer to a renewal was lost, so that the next one conflicts,
-// and the tail's read never ends.
-func TestAHolderRenewsWhileItsReadHangs(t *testing.T) {
+// TestRenewalContinuesWhileReadHangs: a renewal's answer is lost, so the next one conflicts, and the tail's
+// read hangs.
+func TestRenewalContinuesWhileReadHangs(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	first := join(t, path, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	// The first read never returns, all later ones work.
@@ -141,9 +140,8 @@
 	}
 }
 
-// TestAClaimWhoseAnswerIsLostLeads: the claim takes effect once it is read back, before its call
-// ends.
-func TestAClaimWhoseAnswerIsLostLeads(t *testing.T) {
+// TestClaimTakesEffectWhenAnswerIsLost: the node leads once it has read the claim back, before the append times out.
+func TestClaimTakesEffectWhenAnswerIsLost(t *testing.T) {
 	log := memlog.New()
 	const hang = 1500 * time.Millisecond
 	claimsUnanswered := func(ctx context.Context, record lease.Record, _ int64, call func() (int64, error)) (int64, error) {
@@ -157,7 +155,7 @@
 	began := time.Now()
 	var all []*candidate
 	for _, node := range []string{"a", "b", "c"} {
-		path := newLink(log)
+		path := newFaultyLog(log)
 		path.faults(claimsUnanswered, nil)
 		all = append(all, join(t, path, node, node+"1"))
 	}
--- a/internal/leadership/arrival_test.go
+++ b/internal/leadership/arrival_test.go
@@ -11,25 +11,24 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// latestArrival returns the latest arrival of an order that is sent at the last moment.
+// latestArrival returns when an order that is sent at the end of its permit arrives at the latest.
 func latestArrival(given lease.Permit) time.Time {
 	last := given.(*permit)
 	left := last.until.Sub(last.term.elector.now())
 	return time.Now().Add(left + lease.InFlight)
 }
 
-// TestQuietTimeFollowsTheLatestArrivalOfAnOrder: an order is sent once its record is
-// acknowledged, which may be long after others have read it, and arrives up to a call's
-// duration after that.
-func TestQuietTimeFollowsTheLatestArrivalOfAnOrder(t *testing.T) {
+// TestQuietTimeCoversLatestArrival: an order is sent once its record is acknowledged, possibly long after others have
+// read the record, and may be in transit for lease.InFlight.
+func TestQuietTimeCoversLatestArrival(t *testing.T) {
 	log := memlog.New()
-	const delay = 350 * time.Millisecond // below the timeout of a record
-	path := newLink(log)
-	path.faults(appendsAnsweredAfter(delay), readsAnsweredAfter(delay)) // the record is not read back sooner
+	const delay = 350 * time.Millisecond // below recordTimeout
+	path := newFaultyLog(log)
+	path.faults(appendsAnsweredAfter(delay), readsAnsweredAfter(delay)) // so that the record is not read back earlier
 	first := join(t, path, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	second := join(t, log, "b", "b1")
-	second.knows(t, "a1")
+	second.awaitHolder(t, "a1")
 	given := first.permit(t, "ordered")
 	arrives := latestArrival(given)
 	first.cancel()
@@ -39,9 +38,9 @@
 	assert.Assert(t, gap >= testTTL, "b may order %s after the order of a arrives, quiet is %s", gap, testTTL)
 }
 
-// TestQuietTimeFollowsAnOrderOfAnEarlierProcess: bytes of a process that has ended may arrive
-// together with the first orders of the next one, which have a higher fencing token.
-func TestQuietTimeFollowsAnOrderOfAnEarlierProcess(t *testing.T) {
+// TestQuietTimeCoversOrdersOfPreviousProcess: bytes sent by a process that has ended may arrive together with the
+// first orders of its successor.
+func TestQuietTimeCoversOrdersOfPreviousProcess(t *testing.T) {
 	log := memlog.New()
 	const address = "10.0.0.1:7000"
 	first := joinAt(t, log, "a", "a1", address)
@@ -56,11 +55,10 @@
 		time.Until(arrives))
 }
 
-// TestAnEarlierProcessOfTheMachineMayNotActBesideTheNext: the earlier process still runs, and its
-// reads hang.
-func TestAnEarlierProcessOfTheMachineMayNotActBesideTheNext(t *testing.T) {
+// TestPreviousProcessLosesLeaseToSuccessor: the previous process on the machine still runs but cannot reach the log.
+func TestPreviousProcessLosesLeaseToSuccessor(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	first := join(t, path, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	epoch := first.lastTerm().Epoch
@@ -71,16 +69,16 @@
 	assert.Assert(t, !first.elector.Valid(epoch) || !second.elector.Valid(newest), "both hold the lease")
 }
 
-// TestQuietTimeFollowsAnOrderOfAnEarlierTerm: the node leads again after a leader that ordered
-// nothing. Orders of its earlier term may still be in transit.
-func TestQuietTimeFollowsAnOrderOfAnEarlierTerm(t *testing.T) {
+// TestQuietTimeCoversOrdersOfEarlierTerm: the node leads again after another leader that sent no orders. Orders of its
+// earlier term may still be in transit.
+func TestQuietTimeCoversOrdersOfEarlierTerm(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	first := join(t, path, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	earlier := first.lastTerm().Epoch
 	second := join(t, log, "b", "b1")
-	second.knows(t, "a1")
+	second.awaitHolder(t, "a1")
 	given := first.permit(t, "ordered")
 	arrives := latestArrival(given)
 	path.refuse(true)
--- a/internal/leadership/holder_test.go
+++ b/internal/leadership/holder_test.go
@@ -10,8 +10,7 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// TestOthersKnowWhereTheLeaderListens for as long as it holds the lease.
-func TestOthersKnowWhereTheLeaderListens(t *testing.T) {
+func TestHolderReportsLeaderAddress(t *testing.T) {
 	log := memlog.New()
 	first := joinAt(t, log, "a", "a1", "10.0.0.1:8546")
 	testwait.Until(t, "a leads", first.leads)
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -1,5 +1,5 @@
-// Package leadership elects one leader among the nodes through the log and grants it
-// permits for its orders. See internal/core/lease for the rules.
+// Package leadership elects one leader among the nodes through the log and issues its permits to send orders.
+// See internal/core/lease for the rules.
 package leadership
 
 import (
@@ -21,57 +21,54 @@
 
 const (
 	// topic holds the lease's records in its only partition, unless the options name another one.
-	topic = "corkpulley.lease"
-	// renewalsPerTTL is the number of renewals within a TTL.
-	renewalsPerTTL = 5
-	// minRenewalGap is the least time between two renewals.
-	minRenewalGap = 100 * time.Millisecond
-	// marginShare: a holder stops TTL/marginShare before its lease ends.
-	marginShare = 6
-	// pollWait is short, since a claim requires an answered read without a renewal.
+	topic              = "corkpulley.lease"
+	renewalsPerTTL     = 5
+	minRenewalInterval = 100 * time.Millisecond
+	// marginDivisor sets the safety margin: a holder treats its lease as expired TTL/marginDivisor early.
+	marginDivisor = 6
+	// pollWait bounds a long poll. It is short because a node may claim only after an answered read that shows
+	// no renewal. It grows with the number of nodes, up to maxPollWait.
 	pollWait    = 300 * time.Millisecond
 	maxPollWait = time.Second
-	// readGap is the pause between two reads of a node that does not lead, as every renewal
-	// ends a long poll. It grows with the number of nodes.
-	readGap    = 20 * time.Millisecond
-	maxReadGap = 400 * time.Millisecond
-	readLimit  = 256 << 10
-	// retryDelay is the time between two attempts of a read; it grows with the number of nodes, up to maxRetryDelay.
+	// readInterval is the pause between two reads of a node that does not lead, since every renewal ends a long
+	// poll. It grows with the number of nodes, up to maxReadInterval.
+	readInterval    = 20 * time.Millisecond
+	maxReadInterval = 400 * time.Millisecond
+	maxReadBytes    = 256 << 10
+	// retryDelay is the pause after a failed read. It grows with the number of nodes, up to maxRetryDelay.
 	retryDelay    = 100 * time.Millisecond
 	maxRetryDelay = time.Second
-	// recordTimeout bounds the append of one record, and how long the next one waits for it.
+	// recordTimeout bounds the append of one record, and thus how long the next append waits for it.
 	recordTimeout = 400 * time.Millisecond
-	// permitTimeout bounds the wait for a permit: for the append in progress, and for the one with
-	// the order.
+	// permitTimeout covers the append in progress and the one that records the order.
 	permitTimeout = 2 * recordTimeout
-	// hesitantDelay is how long a node that is about to stop defers a claim.
-	hesitantDelay = 250 * time.Millisecond
+	// deferredClaimDelay is added to the claim delay of a node that is about to stop.
+	deferredClaimDelay = 250 * time.Millisecond
 	// handoverTimeout bounds how long a release waits for the role to end.
-	handoverTimeout = time.Second
-	handoverCheck   = 10 * time.Millisecond
-	// checkPeriod is the interval between two checks of the lease.
-	checkPeriod = 50 * time.Millisecond
-	// sendWindow is how long after its record was composed an order may be sent. It has to cover the
-	// append, dialing and scheduling delays.
+	handoverTimeout       = time.Second
+	handoverCheckInterval = 10 * time.Millisecond
+	checkInterval         = 50 * time.Millisecond
+	// sendWindow is how long after its record was composed an order may be sent. It must cover the append, dialing
+	// and scheduling delays.
 	sendWindow = 500 * time.Millisecond
-	// arrivalTime is how long after its record was composed an order may arrive.
+	// arrivalTime is how long after its record was composed an order may still arrive.
 	arrivalTime = sendWindow + lease.InFlight
 	// claimJitter spreads the claims of nodes that find the lease free at the same time.
 	claimJitter = 60 * time.Millisecond
-	// observerGap is the pause between two reads of a node that is not eligible. It needs the leader only to
-	// request permits for cold engines.
-	observerGap = time.Second
+	// observerReadInterval is the pause between two reads of a node that is not eligible. Such a node needs to know
+	// the leader only to request permits for cold engines.
+	observerReadInterval = time.Second
 )
 
-// Role runs while the node leads. It must return soon after ctx ends.
+// Role is run while the node leads. It must return soon after ctx ends.
 type Role func(ctx context.Context, term Term)
 
 // Options configure an elector.
 type Options struct {
-	// Topic holds the lease's records in its only partition; empty for the cluster's leader. Each topic
-	// is a lease of its own.
+	// Topic holds the lease's records in its only partition; empty for the cluster leader's lease. Each topic
+	// is a separate lease.
 	Topic string
-	// Holder identifies this process, Node its machine.
+	// Holder identifies this process. Node identifies its machine.
 	Holder string
 	Node   string
 	// Address is bound by this process for its lifetime; empty for none. A process that has bound the
@@ -81,7 +78,7 @@
 	TTL time.Duration
 	// ClaimDelay is how long this node defers a claim in favor of more capable nodes.
 	ClaimDelay time.Duration
-	// Quiet is the minimum time between orders of two machines.
+	// Quiet is the minimum time between the orders of two machines to the same engine.
 	Quiet time.Duration
 	// EnginesFence is true when engines reject fencing tokens lower than the highest one seen.
 	EnginesFence bool
@@ -89,7 +86,7 @@
 	Eligible func() bool
 	// Budget bounds the log reads of all nodes together.
 	Budget pacing.Budget
-	// Behind, if set, is called for each record that a holder wrote after another claim had won.
+	// Behind, if set, is called for each record that a holder wrote after a newer claim took effect.
 	Behind func(kind lease.RecordKind)
 	Logger zerolog.Logger
 }
@@ -100,40 +97,41 @@
 	partition eventlog.Partition
 	options   Options
 	role      Role
-	// now reads the clock of all times below. It must advance while the machine is suspended, so
-	// that a leader that resumes knows that its lease is over.
+	// now is the clock of all times below. It must advance while the machine is suspended, so that a leader's
+	// lease expires during suspension.
 	now func() time.Time
 
 	mu    sync.Mutex
 	state lease.State
 	// contactSince is when reads began to succeed without interruption; zero without contact.
 	contactSince time.Time
-	// readAt is when the newest read that reached the end was answered.
+	// readAt is when the last read that reached the end of the log was answered.
 	readAt time.Time
 	// validUntil is when this node's lease ends unless renewed.
 	validUntil time.Time
-	// claimSent is when the newest claim was sent.
+	// claimSent is when this node sent its last claim.
 	claimSent time.Time
-	// termBegan is when this node read back its newest claim.
-	termBegan time.Time
-	// sequence numbers this node's records, pending holds those not read back yet.
+	// termStart is when this node read back its last claim.
+	termStart time.Time
+	// sequence is the number of this node's last record. pending holds the records not read back yet, by number.
 	sequence int64
 	pending  map[int64]*pendingRecord
-	// knownEnd is the offset after this node's newest acknowledged record.
+	// knownEnd is the offset after this node's last acknowledged record.
 	knownEnd int64
-	// waiting are the orders for the next Order record.
+	// waiting holds the requests for the next Order record.
 	waiting  []*orderRequest
 	stopping bool
-	// hesitant is true while the node is about to stop.
-	hesitant bool
-	// leading is true while the role runs.
+	// deferClaims is set when the node is about to stop.
+	deferClaims bool
+	// leading is true while the role is running.
 	leading bool
-	// unknownKinds holds the kinds of records that were logged as unknown.
+	// unknownKinds limits the warning about unknown record kinds to one for each kind.
 	unknownKinds once.PerKey
 
 	// writeSlot is a semaphore: records are appended one at a time.
 	writeSlot chan struct{}
-	changed   chan struct{}
+	// changed wakes Run after records were read.
+	changed chan struct{}
 }
 
 // New returns an elector; Run starts it.
@@ -160,7 +158,7 @@
 		select {
 		case <-ctx.Done():
 		case <-e.changed:
-		case <-time.After(checkPeriod):
+		case <-time.After(checkInterval):
 		}
 		if epoch, held := e.heldEpoch(); held {
 			e.lead(ctx, epoch)
@@ -171,8 +169,8 @@
 	return nil
 }
 
-// Valid reports whether this node holds the epoch, as far as it knows. An order needs a permit as
-// well, see Term.Permit.
+// Valid reports whether this node holds an unexpired lease of the epoch. Sending an order also needs a permit, see
+// Term.Permit.
 func (e *Elector) Valid(epoch int64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -189,11 +187,11 @@
 // Holder is the process that holds the lease, as last read.
 type Holder struct {
 	Node string
-	// Address is where it listens for other nodes; empty if not announced.
+	// Address is where the process listens for other nodes; empty if not announced.
 	Address string
 }
 
-// Holder returns the holder of the lease, as last read; the zero value if it is released.
+// Holder returns the holder of the lease, as last read; the zero value if the lease is released.
 func (e *Elector) Holder() Holder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -203,12 +201,12 @@
 	return Holder{Node: e.state.Node, Address: e.state.Address}
 }
 
-// Hesitate defers claims from now on, since this node is about to stop. It keeps a lease that it
-// holds until Stop, since all other nodes may be stopping too.
+// Hesitate defers claims from now on, since this node is about to stop. A lease that it holds is kept until Stop, since
+// all other nodes may be stopping too.
 func (e *Elector) Hesitate() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.hesitant = true
+	e.deferClaims = true
 }
 
 // Stop releases the lease, if held, and stops claiming.
@@ -231,7 +229,7 @@
 			return
 		}
 		if errors.Is(err, errNotHeld) {
-			// Another node leads, or an earlier release whose answer was lost took effect.
+			// Another node leads, or an earlier release took effect without an answer.
 			return
 		}
 		retry.Sleep(ctx, retryDelay)
@@ -250,11 +248,10 @@
 	return e.state.HeldBy(e.options.Holder, epoch)
 }
 
-// isEligible reports whether this node may claim the lease.
 func (e *Elector) isEligible() bool { return e.options.Eligible == nil || e.options.Eligible() }
 
-// Unheld reports whether no node has renewed the lease for its TTL and the given period, while this node
-// was in contact with the log.
+// Unheld reports whether no node has renewed the lease for its TTL plus the given period, while this node was in
+// contact with the log.
 func (e *Elector) Unheld(period time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -268,6 +265,7 @@
 	return e.readAt.Sub(since) >= e.options.TTL+period
 }
 
+// claimIfFree claims the lease if this node is eligible and the lease is free.
 func (e *Elector) claimIfFree(ctx context.Context) {
 	if !e.isEligible() {
 		return
@@ -279,8 +277,8 @@
 		e.state.Claimable(e.options.Node, e.options.Holder, e.options.Address, e.readAt, e.contactSince, e.options.TTL)
 	ownMachine := e.state.Node == e.options.Node
 	delay := e.options.ClaimDelay
-	if e.hesitant {
-		delay += hesitantDelay
+	if e.deferClaims {
+		delay += deferredClaimDelay
 	}
 	next := e.state.Next
 	claimPending := now.Sub(e.claimSent) < e.options.TTL/renewalsPerTTL
@@ -294,6 +292,7 @@
 	e.claim(ctx, next)
 }
 
+// signal wakes Run.
 func (e *Elector) signal() {
 	select {
 	case e.changed <- struct{}{}:
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -19,7 +19,7 @@
 
 const testTTL = 600 * time.Millisecond
 
-// candidate is one elector with its role's terms.
+// candidate is an elector whose role records its terms.
 type candidate struct {
 	elector *Elector
 	cancel  context.CancelFunc
@@ -59,18 +59,19 @@
 	return given
 }
 
+// join starts a candidate.
 func join(t *testing.T, log eventlog.Log, node, holder string) *candidate {
 	t.Helper()
 	return joinAfter(t, log, node, holder, 0)
 }
 
-// joinAfter joins a node with a claim delay.
+// joinAfter starts a candidate with a claim delay.
 func joinAfter(t *testing.T, log eventlog.Log, node, holder string, delay time.Duration) *candidate {
 	t.Helper()
 	return joinWith(t, log, Options{Holder: holder, Node: node, ClaimDelay: delay})
 }
 
-// joinAt joins a process that has bound an address.
+// joinAt starts a candidate that has bound an address.
 func joinAt(t *testing.T, log eventlog.Log, node, holder, address string) *candidate {
 	t.Helper()
 	return joinWith(t, log, Options{Holder: holder, Node: node, Address: address})
@@ -88,7 +89,7 @@
 	return c
 }
 
-func TestOneOfManyLeads(t *testing.T) {
+func TestExactlyOneNodeLeads(t *testing.T) {
 	log := memlog.New()
 	candidates := []*candidate{join(t, log, "a", "a1"), join(t, log, "b", "b1"), join(t, log, "c", "c1")}
 	count := func() int {
@@ -105,7 +106,7 @@
 	assert.Assert(t, leader != "" && epoch > 0)
 }
 
-func TestAnotherTakesOverWhenTheLeaderDies(t *testing.T) {
+func TestFailoverWhenLeaderDies(t *testing.T) {
 	log := memlog.New()
 	first := join(t, log, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
@@ -120,23 +121,23 @@
 	assert.Assert(t, second.lastTerm().QuietUntil("another").IsZero(), "the other machine ordered only one engine")
 }
 
-// TestARestartedProcessLeadsAtOnce: it has bound the address of the earlier process, which has therefore
-// ended; the others wait for a TTL.
-func TestARestartedProcessLeadsAtOnce(t *testing.T) {
+// TestRestartedProcessTakesOverImmediately: a process that has bound the previous holder's address need not wait for
+// the TTL, since that holder has ended.
+func TestRestartedProcessTakesOverImmediately(t *testing.T) {
 	log := memlog.New()
 	const address = "10.0.0.1:7000"
 	first := joinAt(t, log, "a", "a1", address)
 	testwait.Until(t, "a leads", first.leads)
 	first.cancel()
 	testwait.Until(t, "a has ended", func() bool { return !first.leads() })
-	// It claims before the other one only if it does not wait for a TTL as well.
+	// b waits for the TTL, so a2 claims before it only if it does not wait.
 	join(t, log, "b", "b1")
 	second := joinAt(t, log, "a", "a2", address)
 	testwait.Until(t, "the next process leads", second.leads)
 }
 
-// TestAbleNodesLead: a node with a claim delay leads only if no other node claims.
-func TestAbleNodesLead(t *testing.T) {
+// TestClaimDelayYieldsToOtherNodes checks that a node with a claim delay leads only if no other node claims.
+func TestClaimDelayYieldsToOtherNodes(t *testing.T) {
 	log := memlog.New()
 	const delay = 2 * time.Second
 	weak := joinAfter(t, log, "weak", "weak1", delay)
@@ -147,7 +148,7 @@
 	testwait.Until(t, "the weak node leads", weak.leads)
 }
 
-func TestReleaseHandsOver(t *testing.T) {
+func TestStopHandsOverLeadership(t *testing.T) {
 	log := memlog.New()
 	first := join(t, log, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
@@ -157,11 +158,11 @@
 	assert.Assert(t, !first.elector.Valid(first.lastTerm().Epoch))
 }
 
-// TestLeaderOutOfReachOfTheLogMayNotOrderOnceAnotherLeads partitions only the leader
-// from the log. Its role continues, without permits, until it reads the other's claim.
-func TestLeaderOutOfReachOfTheLogMayNotOrderOnceAnotherLeads(t *testing.T) {
+// TestPartitionedLeaderLosesLease cuts only the leader off from the log. Its role continues without permits until it
+// reads the other node's claim.
+func TestPartitionedLeaderLosesLease(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	first := join(t, path, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	second := join(t, log, "b", "b1")
@@ -174,9 +175,8 @@
 	assert.Assert(t, second.leads())
 }
 
-// TestLeaderSurvivesLostAnswers loses the answer of every append: renewals take effect
-// once they are read back.
-func TestLeaderSurvivesLostAnswers(t *testing.T) {
+// TestLeaderKeepsLeaseWhenAppendAnswersAreLost: renewals take effect once they are read back.
+func TestLeaderKeepsLeaseWhenAppendAnswersAreLost(t *testing.T) {
 	log := memlog.New()
 	first := join(t, log, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
@@ -193,18 +193,18 @@
 	assert.Equal(t, len(first.terms), 1)
 }
 
-// TestOutageMovesNoLeadership makes the log unavailable for longer than a TTL: the
-// leader may not order meanwhile, and continues to lead afterwards.
-func TestOutageMovesNoLeadership(t *testing.T) {
+// TestLogOutageKeepsLeadership makes the log unavailable for longer than a TTL: the leader may send no orders
+// meanwhile, and continues to lead afterwards.
+func TestLogOutageKeepsLeadership(t *testing.T) {
 	log := memlog.New()
 	first := join(t, log, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	epoch := first.lastTerm().Epoch
 	second := join(t, log, "b", "b1")
-	second.knows(t, "a1")
+	second.awaitHolder(t, "a1")
 	log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
 	testwait.Until(t, "a may not order", func() bool { return !first.elector.Valid(epoch) })
-	time.Sleep(2 * testTTL) // an outage, not a wait for a condition
+	time.Sleep(2 * testTTL) // duration of the outage
 	assert.Assert(t, first.leads(), "the role ended in the outage")
 	log.SetFault(nil)
 	testwait.Until(t, "a may order again", func() bool { return first.elector.Valid(epoch) })
@@ -214,21 +214,20 @@
 	assert.Equal(t, newest, epoch)
 }
 
-// suspendableClock is a clock that advances while the machine is suspended.
+// suspendableClock simulates a clock that advances while the machine is suspended.
 type suspendableClock struct{ suspended atomic.Int64 }
 
 func (c *suspendableClock) now() time.Time {
 	return boottime.Now().Add(time.Duration(c.suspended.Load()))
 }
 
-// suspend advances this clock only.
+// suspend advances this clock without letting real time pass.
 func (c *suspendableClock) suspend(lasting time.Duration) { c.suspended.Add(int64(lasting)) }
 
-// TestASuspendedLeaderKnowsThatItsLeaseIsOver: the monotonic clock does not count the suspension, and
-// its reads fail when it resumes.
-func TestASuspendedLeaderKnowsThatItsLeaseIsOver(t *testing.T) {
+// TestLeaseExpiresDuringSuspension: Go's monotonic clock stops during suspension, and reads fail after the resume.
+func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	clock := &suspendableClock{}
 	first := &candidate{}
 	first.elector = New(path, Options{
@@ -243,7 +242,7 @@
 	path.faults(nil, readsRefused)
 	clock.suspend(testTTL)
 	assert.Assert(t, !first.elector.Valid(epoch), "the lease counts as valid after it was suspended")
-	time.Sleep(testTTL) // time in which it might renew without having read, not a wait for a condition
+	time.Sleep(testTTL) // long enough for a renewal without a read
 	assert.Assert(t, !first.elector.Valid(epoch), "renewed without knowing who leads")
 	path.faults(nil, nil)
 	testwait.Until(t, "a may order again, since nobody else leads", func() bool { return first.elector.Valid(epoch) })
--- a/internal/leadership/link_test.go
+++ b/internal/leadership/link_test.go
@@ -11,8 +11,8 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// link is a node's connection to the log, with separate faults for appends and reads.
-type link struct {
+// faultyLog is a node's connection to the log. Faults of appends and reads are set separately.
+type faultyLog struct {
 	eventlog.Log
 
 	mu       sync.Mutex
@@ -26,35 +26,35 @@
 // readFault handles a read; call executes it.
 type readFault func(ctx context.Context, call func() (eventlog.Batch, error)) (eventlog.Batch, error)
 
-func newLink(log eventlog.Log) *link { return &link{Log: log} }
+func newFaultyLog(log eventlog.Log) *faultyLog { return &faultyLog{Log: log} }
 
-// faults replaces the faults; nil for none.
-func (l *link) faults(appends appendFault, reads readFault) {
+// faults sets the faults of appends and reads; nil for none.
+func (l *faultyLog) faults(appends appendFault, reads readFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.onAppend, l.onRead = appends, reads
 }
 
-func (l *link) current() (appendFault, readFault) {
+func (l *faultyLog) current() (appendFault, readFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.onAppend, l.onRead
 }
 
-// anyEnd is the end of an unconditional append.
-const anyEnd = -1
+// unconditional stands for the expected end in an append without a condition.
+const unconditional = -1
 
 // Append implements eventlog.Log.
-func (l *link) Append(ctx context.Context, name eventlog.Partition, records [][]byte) (int64, error) {
-	return l.append(ctx, anyEnd, records, func() (int64, error) { return l.Log.Append(ctx, name, records) })
+func (l *faultyLog) Append(ctx context.Context, name eventlog.Partition, records [][]byte) (int64, error) {
+	return l.append(ctx, unconditional, records, func() (int64, error) { return l.Log.Append(ctx, name, records) })
 }
 
 // AppendAt implements eventlog.Log.
-func (l *link) AppendAt(ctx context.Context, name eventlog.Partition, at int64, records [][]byte) (int64, error) {
+func (l *faultyLog) AppendAt(ctx context.Context, name eventlog.Partition, at int64, records [][]byte) (int64, error) {
 	return l.append(ctx, at, records, func() (int64, error) { return l.Log.AppendAt(ctx, name, at, records) })
 }
 
-func (l *link) append(ctx context.Context, at int64, records [][]byte, call func() (int64, error)) (int64, error) {
+func (l *faultyLog) append(ctx context.Context, at int64, records [][]byte, call func() (int64, error)) (int64, error) {
 	fault, _ := l.current()
 	if fault == nil {
 		return call()
@@ -67,7 +67,7 @@
 }
 
 // Read implements eventlog.Log. A fault that begins during a read applies to its answer.
-func (l *link) Read(
+func (l *faultyLog) Read(
 	ctx context.Context, name eventlog.Partition, from int64, limit int, wait time.Duration,
 ) (eventlog.Batch, error) {
 	call := func() (eventlog.Batch, error) { return l.Log.Read(ctx, name, from, limit, wait) }
@@ -91,7 +91,7 @@
 	return eventlog.Batch{}, eventlog.ErrNotDone
 }
 
-// appendsUnanswered executes appends and never answers them.
+// appendsUnanswered executes appends but never answers them.
 func appendsUnanswered(
 	ctx context.Context, _ lease.Record, _ int64, call func() (int64, error),
 ) (int64, error) {
@@ -130,8 +130,8 @@
 	}
 }
 
-// refuse breaks or restores the link.
-func (l *link) refuse(all bool) {
+// refuse makes all calls fail, or none.
+func (l *faultyLog) refuse(all bool) {
 	if all {
 		l.faults(appendsRefused, readsRefused)
 		return
--- a/internal/leadership/overlap_test.go
+++ b/internal/leadership/overlap_test.go
@@ -13,15 +13,15 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// readSince returns how long after a moment the newest read was answered.
+// readSince returns how long after the given time the last read was answered.
 func (e *Elector) readSince(moment time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return time.Since(moment) - e.now().Sub(e.readAt)
 }
 
-// knows waits until a candidate has read the leader's claim.
-func (c *candidate) knows(t *testing.T, holder string) {
+// awaitHolder waits until the candidate has read the holder's claim.
+func (c *candidate) awaitHolder(t *testing.T, holder string) {
 	t.Helper()
 	testwait.Until(t, "it knows that "+holder+" leads", func() bool {
 		known, _ := c.elector.Leader()
@@ -29,7 +29,7 @@
 	})
 }
 
-// overlap counts how often two leases were valid at the same time.
+// overlap polls both leases once a millisecond and returns how often both were valid.
 func overlap(one, other *candidate, first, second int64, lasting time.Duration) int {
 	count := 0
 	for until := time.Now().Add(lasting); time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -41,18 +41,16 @@
 	return count
 }
 
-// TestARenewalThatTheLogTookAfterAnotherClaimDoesNotHold: for a TTL the log rejects the
-// leader's renewals, so another node claims. Then it accepts appends again, while the
-// leader's reads hang. An acknowledgement of an unconditional append proves only that the
-// record was appended, not that the epoch is in force there.
-func TestARenewalThatTheLogTookAfterAnotherClaimDoesNotHold(t *testing.T) {
+// TestRenewalAfterAnotherClaimDoesNotExtendLease: the log rejects the leader's renewals until another node
+// claims, then accepts appends again while the leader's reads hang.
+func TestRenewalAfterAnotherClaimDoesNotExtendLease(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	first := join(t, path, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	epoch := first.lastTerm().Epoch
 	second := join(t, log, "b", "b1")
-	second.knows(t, "a1")
+	second.awaitHolder(t, "a1")
 	released := make(chan struct{})
 	defer close(released)
 	path.faults(appendsRefused, nil)
@@ -70,11 +68,11 @@
 	assert.Assert(t, recorded != nil, "an order of the earlier holder was recorded after the claim of the next one")
 }
 
-// TestNoPermitBehindAnotherClaim: the next process of the machine takes the lease over at once, while the
-// earlier one's lease is valid by its own clock and its reads hang. Only the log can reject its order.
-func TestNoPermitBehindAnotherClaim(t *testing.T) {
+// TestNoPermitAfterSupersedingClaim: the next process on the machine takes over while the previous one considers its
+// lease valid and its reads hang. Only the conditional append can reject its order.
+func TestNoPermitAfterSupersedingClaim(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	const address = "10.0.0.1:7000"
 	first := joinAt(t, path, "a", "a1", address)
 	testwait.Until(t, "a leads", first.leads)
@@ -88,12 +86,11 @@
 	assert.Assert(t, err != nil, "an order of the earlier process was recorded after the claim of the next one")
 }
 
-// TestALeaseIsCountedFromTheClaimThatTookEffect: a claim takes effect, its answer is lost and
-// the reads hang. The claimer retries with claims that cannot win. Once read back, the lease
-// counts from the sending of the first claim, since all other nodes count from reading it.
-func TestALeaseIsCountedFromTheClaimThatTookEffect(t *testing.T) {
+// TestLeaseCountsFromEffectiveClaim: a claim takes effect, its answer is lost and reads hang, so the node retries. Its
+// lease counts from when the first claim was sent, since other nodes count from reading that one.
+func TestLeaseCountsFromEffectiveClaim(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	released, claimed := make(chan struct{}), make(chan struct{})
 	path.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
 		_, err := call()
@@ -105,12 +102,12 @@
 	first := join(t, path, "a", "a1")
 	<-claimed
 	second := join(t, log, "b", "b1")
-	second.knows(t, "a1")
+	second.awaitHolder(t, "a1")
 	_, epoch := second.elector.Leader()
 	time.Sleep(testTTL - testTTL/10) // just before b may claim
 	path.faults(appendsRefused, nil) // so that a cannot renew
 	close(released)
-	first.knows(t, "a1")
+	first.awaitHolder(t, "a1")
 	never := make(chan struct{})
 	defer close(never)
 	path.faults(appendsRefused, readsHangUntil(never))
@@ -119,11 +116,11 @@
 		"two leases held at one time, for about so many milliseconds")
 }
 
-// TestAnOldAnswerToAReadProvesNothing: answers to reads are delayed, as through a slow node, so
-// each shows the log of more than a TTL ago. Appends are rejected until another node leads.
-func TestAnOldAnswerToAReadProvesNothing(t *testing.T) {
+// TestDelayedReadDoesNotExtendLease: each read answer shows the log of more than a TTL ago, and appends are rejected
+// until another node leads.
+func TestDelayedReadDoesNotExtendLease(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	first := join(t, path, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	epoch := first.lastTerm().Epoch
--- a/internal/leadership/permit.go
+++ b/internal/leadership/permit.go
@@ -10,12 +10,12 @@
 	"github.com/corkpulley/corkpulley/internal/core/lease"
 )
 
-// errQuiet is returned when another holder may have ordered the engine recently.
+// errQuiet is returned when an order of another holder may recently have reached the engine.
 var errQuiet = errors.New("the quiet time after another holder's order is not over")
 
 // Term is one term of leadership. It implements lease.Term.
 type Term struct {
-	// Epoch is the fencing token. It is higher than that of every earlier term.
+	// Epoch is the fencing token. It is higher than that of any earlier term.
 	Epoch int64
 
 	elector *Elector
@@ -40,8 +40,8 @@
 	return time.Now().Add(left)
 }
 
-// Permit implements lease.Term. The next holder reads the record before it may claim, so it knows
-// until when the order may still arrive.
+// Permit implements lease.Term. It records the order in the log first: the next holder reads the record before it may
+// claim, so it knows until when the order may still arrive.
 func (t Term) Permit(ctx context.Context, subject string) (lease.Permit, error) {
 	if !t.Valid() {
 		return nil, errNotHeld
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Records that were read during the append may contain another order.
+	// Records read during the append may contain an order of another holder.
 	if time.Now().Before(t.QuietUntil(subject)) {
 		return nil, errQuiet
 	}
@@ -67,8 +67,7 @@
 // permit is the permission to send one order. It implements lease.Permit.
 type permit struct {
 	term Term
-	// until is a time of the elector's clock, counted from the sending of the record and not from
-	// its answer.
+	// until is a time of the elector's clock, counted from when the record was sent, not acknowledged.
 	until time.Time
 }
 
@@ -83,7 +82,7 @@
 	return context.WithTimeout(ctx, left)
 }
 
-// orderRequest is an order that waits for its Order record.
+// orderRequest is an order that waits to be recorded.
 type orderRequest struct {
 	epoch  int64
 	engine string
@@ -93,8 +92,8 @@
 	err      error
 }
 
-// recordOrder records that an engine is about to be ordered. Concurrent requests are batched into
-// one record, so that their latency does not grow with their number.
+// recordOrder records that an order is about to be sent to an engine. Concurrent requests are batched into one record,
+// so that latency does not grow with their number.
 func (e *Elector) recordOrder(ctx context.Context, epoch int64, engine string) (receipt, error) {
 	request := &orderRequest{epoch: epoch, engine: engine, done: make(chan struct{})}
 	e.mu.Lock()
@@ -109,7 +108,7 @@
 		e.withdraw(request)
 		return receipt{}, ctx.Err()
 	}
-	// The request was part of an earlier batch or of the one just written.
+	// The request was in an earlier batch or in the one just written.
 	<-request.done
 	return request.accepted, request.err
 }
@@ -127,7 +126,7 @@
 	for i, each := range requests {
 		engines[i] = each.engine
 	}
-	// The caller's cancellation must not affect the other orders.
+	// Canceling one caller must not affect the other orders of the batch.
 	accepted, err := e.writeWithSlot(context.WithoutCancel(ctx), epoch, lease.Order, engines)
 	for _, each := range requests {
 		each.accepted, each.err = accepted, err
@@ -138,15 +137,15 @@
 	}
 }
 
-// withdraw removes a request that is in no record yet.
+// withdraw removes a request that is not yet part of a batch.
 func (e *Elector) withdraw(request *orderRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.waiting = slices.DeleteFunc(e.waiting, func(each *orderRequest) bool { return each == request })
 }
 
-// logOrder logs what an order's permit rests on: the offset of its record, the age of the newest read,
-// and the remaining time of the lease.
+// logOrder logs the basis of a permit: the offset of the order's record, the age of the last read, and the remaining
+// time of the lease.
 func (e *Elector) logOrder(engine string, epoch int64, accepted receipt, began time.Time, err error) {
 	now := e.now()
 	e.mu.Lock()
--- a/internal/leadership/permit_test.go
+++ b/internal/leadership/permit_test.go
@@ -16,9 +16,9 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// TestAPermitEndsWithItsWindow: an order that was not sent by then must not be sent, and bytes in transit
-// are dropped within the time that the next holder waits.
-func TestAPermitEndsWithItsWindow(t *testing.T) {
+// TestPermitExpiresAfterSendWindow checks that an order is not sent after its send window, and that the call's deadline
+// is within the time that the next holder waits.
+func TestPermitExpiresAfterSendWindow(t *testing.T) {
 	first := join(t, memlog.New(), "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	asked := time.Now()
@@ -34,8 +34,8 @@
 	assert.Assert(t, deadline.Before(time.Now().Add(lease.InFlight+time.Millisecond)))
 }
 
-// TestAPermitEndsWithTheSuspensionOfItsMachine: the monotonic clock does not count the suspension.
-func TestAPermitEndsWithTheSuspensionOfItsMachine(t *testing.T) {
+// TestPermitExpiresDuringSuspension: Go's monotonic clock stops during suspension.
+func TestPermitExpiresDuringSuspension(t *testing.T) {
 	clock := &suspendableClock{}
 	first := &candidate{}
 	first.elector = New(memlog.New(), Options{Holder: "a1", Node: "a", TTL: time.Minute}, first.role)
@@ -48,8 +48,8 @@
 	assert.Assert(t, !given.Open(), "an order may leave although the machine was suspended since")
 }
 
-// TestAPermitEndsWithTheLease: the node releases the lease while an order is about to be sent.
-func TestAPermitEndsWithTheLease(t *testing.T) {
+// TestPermitExpiresWithLease: the node releases the lease while an order is about to be sent.
+func TestPermitExpiresWithLease(t *testing.T) {
 	first := join(t, memlog.New(), "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	given := first.permit(t, "engine")
@@ -57,14 +57,14 @@
 	assert.Assert(t, !given.Open())
 }
 
-// TestNoPermitInTheQuietTime: another machine has recently ordered the engine.
-func TestNoPermitInTheQuietTime(t *testing.T) {
+// TestPermitRefusedDuringQuietTime: another machine has recently sent an order to the engine.
+func TestPermitRefusedDuringQuietTime(t *testing.T) {
 	log := memlog.New()
 	first := join(t, log, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	first.permit(t, "engine")
 	second := join(t, log, "b", "b1")
-	second.knows(t, "a1")
+	second.awaitHolder(t, "a1")
 	first.elector.Stop(t.Context())
 	testwait.Until(t, "b leads", second.leads)
 	_, err := second.lastTerm().Permit(t.Context(), "engine")
@@ -72,10 +72,10 @@
 	second.permit(t, "another")
 }
 
-// TestOrdersThatWaitTogetherShareARecord: with a slow log, a hundred orders take no longer than a few.
-func TestOrdersThatWaitTogetherShareARecord(t *testing.T) {
+// TestConcurrentOrdersShareRecords guards against one append for each order, which is slow when the log is.
+func TestConcurrentOrdersShareRecords(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	const pause = 50 * time.Millisecond
 	var appends atomic.Int64
 	path.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
@@ -96,10 +96,10 @@
 	for i := range orders {
 		assert.NilError(t, failed[i])
 	}
-	const most = 12 // renewals among them
+	const most = 12 // includes renewals
 	assert.Assert(t, appends.Load()-before <= most, "%d appends", appends.Load()-before)
 	second := join(t, log, "b", "b1")
-	second.knows(t, "a1")
+	second.awaitHolder(t, "a1")
 	first.cancel()
 	testwait.Until(t, "b leads", second.leads)
 	for i := range orders {
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestAnOrderWhoseCallerLeftIsInNoLaterRecord: the request was withdrawn while it waited for the write slot.
-func TestAnOrderWhoseCallerLeftIsInNoLaterRecord(t *testing.T) {
+// TestCanceledOrderIsNotRecorded: the caller cancels while the request waits for the write slot.
+func TestCanceledOrderIsNotRecorded(t *testing.T) {
 	first := join(t, memlog.New(), "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	elector := first.elector
@@ -124,14 +124,13 @@
 	<-elector.writeSlot
 }
 
-// TestARecordCountsOnceItIsReadBack: answers are lost, and the next record must not wait for their
-// timeout.
-func TestARecordCountsOnceItIsReadBack(t *testing.T) {
-	path := newLink(memlog.New())
+// TestRecordIsAcceptedOnceReadBack: the next record must not wait for the timeout of a lost answer.
+func TestRecordIsAcceptedOnceReadBack(t *testing.T) {
+	path := newFaultyLog(memlog.New())
 	first := join(t, path, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	path.faults(appendsUnanswered, nil)
 	began := time.Now()
 	first.permit(t, "engine")
-	assert.Assert(t, time.Since(began) < recordTimeout, "the order waited for a time-out: %s", time.Since(began))
+	assert.Assert(t, time.Since(began) < recordTimeout, "the order waited for a timeout: %s", time.Since(began))
 }
--- a/internal/leadership/hunt_test.go
+++ b/internal/leadership/randomfaults_test.go
@@ -19,67 +19,70 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// Longer runs are started by hand: go test ./internal/leadership -run TestRandomFaults -hunt-seconds 120 -hunt-seeds 12.
+// A longer run: go test ./internal/leadership -run TestRandomFaults -hunt-seconds 120 -hunt-seeds 12.
 var (
-	huntSeconds = flag.Int("hunt-seconds", 6, "length of a hunt")
-	huntSeeds   = flag.Int("hunt-seeds", 1, "hunts of each kind, each with its seed")
-	huntFirst   = flag.Uint64("hunt-first", 1, "the first seed")
+	faultSeconds = flag.Int("hunt-seconds", 6, "duration of each run in seconds")
+	faultSeeds   = flag.Int("hunt-seeds", 1, "number of seeds to run for each configuration")
+	firstSeed    = flag.Uint64("hunt-first", 1, "first seed")
 )
 
-// mode is the fault of a machine's calls to the log.
-type mode string
+// logFault is how a machine's calls to the log fail.
+type logFault string
 
 const (
-	works    mode = "works"
-	refused  mode = "refused"
-	lost     mode = "lost answers"
-	hanging  mode = "hanging"
-	late     mode = "late"
-	slow     mode = "slow"
-	anything mode = "anything"
+	noFault         logFault = "works"
+	refused         logFault = "refused"
+	answerLost      logFault = "lost answers"
+	hanging         logFault = "hanging"
+	takesEffectLate logFault = "late"
+	slow            logFault = "slow"
+	anyFault        logFault = "anything"
 )
 
 const (
-	// callLimit is how long the adapter waits for the answer to an append, readHangLimit for one to a read.
-	callLimit     = 1500 * time.Millisecond
-	readHangLimit = 1200 * time.Millisecond
-	diceSides     = 1000
+	// appendTimeout and readTimeout are how long the log client waits for an answer.
+	appendTimeout = 1500 * time.Millisecond
+	readTimeout   = 1200 * time.Millisecond
+	// drawRange bounds the random number that accompanies each call.
+	drawRange = 1000
 )
 
-// huntedMachine is a machine with its connection to the log, its clock, and whether it is frozen.
-type huntedMachine struct {
-	log    *memlog.Log
+// faultyMachine simulates a machine: its connection to the log, its clock, and whether it is frozen. It implements
+// eventlog.Log.
+type faultyMachine struct {
+	log *memlog.Log
+	// rate is by how much the clock is fast, as a fraction of elapsed time; negative for a slow clock.
 	rate   float64
 	origin time.Time
 	frozen sync.RWMutex
 
 	mu      sync.Mutex
 	random  *rand.Rand
-	appends mode
-	reads   mode
+	appends logFault
+	reads   logFault
 	changed chan struct{}
 }
 
-// pass blocks while the machine is frozen.
-func (m *huntedMachine) pass() {
+func (m *faultyMachine) waitWhileFrozen() {
 	m.frozen.RLock()
 	defer m.frozen.RUnlock()
 }
 
 // now is the machine's clock, which runs at its own rate.
-func (m *huntedMachine) now() time.Time {
-	m.pass()
+func (m *faultyMachine) now() time.Time {
+	m.waitWhileFrozen()
 	real := boottime.Now()
 	return m.origin.Add(time.Duration(float64(real.Sub(m.origin)) * (1 + m.rate)))
 }
 
-func (m *huntedMachine) modes() (appends, reads mode, changed <-chan struct{}, dice int) {
+// callFaults returns the faults in force, a channel that is closed when they change, and a random number.
+func (m *faultyMachine) callFaults() (appends, reads logFault, changed <-chan struct{}, draw int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.appends, m.reads, m.changed, m.random.IntN(diceSides)
+	return m.appends, m.reads, m.changed, m.random.IntN(drawRange)
 }
 
-func (m *huntedMachine) set(appends, reads mode) {
+func (m *faultyMachine) setFaults(appends, reads logFault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.appends, m.reads = appends, reads
@@ -87,64 +90,64 @@
 	m.changed = make(chan struct{})
 }
 
-// Append implements eventlog.Log. The elector only appends conditionally; this serves mutants that do not, which
-// the test must find.
-func (m *huntedMachine) Append(ctx context.Context, name eventlog.Partition, records [][]byte) (int64, error) {
-	return m.AppendAt(ctx, name, anyEnd, records)
+// Append implements eventlog.Log. The elector appends only conditionally; a faulty one that does not must fail the
+// test.
+func (m *faultyMachine) Append(ctx context.Context, name eventlog.Partition, records [][]byte) (int64, error) {
+	return m.AppendAt(ctx, name, unconditional, records)
 }
 
-func (m *huntedMachine) take(name eventlog.Partition, at int64, records [][]byte) (int64, error) {
-	if at == anyEnd {
+func (m *faultyMachine) forward(name eventlog.Partition, at int64, records [][]byte) (int64, error) {
+	if at == unconditional {
 		return m.log.Append(context.Background(), name, records)
 	}
 	return m.log.AppendAt(context.Background(), name, at, records)
 }
 
 // AppendAt implements eventlog.Log.
-func (m *huntedMachine) AppendAt(ctx context.Context, name eventlog.Partition, at int64, records [][]byte) (int64, error) {
-	m.pass()
-	current, _, _, dice := m.modes()
-	if current == anything {
-		each := []mode{works, works, lost, late, hanging, refused, slow}
-		current = each[dice%len(each)]
+func (m *faultyMachine) AppendAt(ctx context.Context, name eventlog.Partition, at int64, records [][]byte) (int64, error) {
+	m.waitWhileFrozen()
+	current, _, _, draw := m.callFaults()
+	if current == anyFault {
+		faults := []logFault{noFault, noFault, answerLost, takesEffectLate, hanging, refused, slow}
+		current = faults[draw%len(faults)]
 	}
-	defer m.pass()
+	defer m.waitWhileFrozen()
 	switch current {
 	case refused:
 		return 0, eventlog.ErrNotDone
-	case lost:
-		_, _ = m.take(name, at, records)
+	case answerLost:
+		_, _ = m.forward(name, at, records)
 		return 0, eventlog.ErrOutcomeUnknown
 	case hanging:
-		_, _ = m.take(name, at, records)
-		retry.Sleep(ctx, callLimit)
+		_, _ = m.forward(name, at, records)
+		retry.Sleep(ctx, appendTimeout)
 		return 0, eventlog.ErrOutcomeUnknown
-	case late:
-		// Takes effect seconds later, if the condition still holds, even if the sender has ended.
-		time.AfterFunc(time.Duration(dice)*3*time.Millisecond, func() {
-			_, _ = m.take(name, at, records)
+	case takesEffectLate:
+		// Takes effect up to 3 s later if the condition still holds, even if the sender has ended.
+		time.AfterFunc(time.Duration(draw)*3*time.Millisecond, func() {
+			_, _ = m.forward(name, at, records)
 		})
-		retry.Sleep(ctx, callLimit)
+		retry.Sleep(ctx, appendTimeout)
 		return 0, eventlog.ErrOutcomeUnknown
 	case slow:
-		time.Sleep(time.Duration(dice/4) * time.Millisecond)
-		offset, err := m.take(name, at, records)
-		time.Sleep(time.Duration(dice/4) * time.Millisecond)
+		time.Sleep(time.Duration(draw/4) * time.Millisecond)
+		offset, err := m.forward(name, at, records)
+		time.Sleep(time.Duration(draw/4) * time.Millisecond)
 		if ctx.Err() != nil {
 			return 0, eventlog.ErrOutcomeUnknown
 		}
 		return offset, err
 	}
-	return m.take(name, at, records)
+	return m.forward(name, at, records)
 }
 
 // Read implements eventlog.Log.
-func (m *huntedMachine) Read(
+func (m *faultyMachine) Read(
 	ctx context.Context, name eventlog.Partition, from int64, limit int, wait time.Duration,
 ) (eventlog.Batch, error) {
-	m.pass()
-	_, current, changed, dice := m.modes()
-	defer m.pass()
+	m.waitWhileFrozen()
+	_, current, changed, draw := m.callFaults()
+	defer m.waitWhileFrozen()
 	switch current {
 	case refused:
 		return eventlog.Batch{}, eventlog.ErrNotDone
@@ -152,29 +155,29 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-		case <-time.After(readHangLimit):
+		case <-time.After(readTimeout):
 			return eventlog.Batch{}, eventlog.ErrNotDone
 		}
-	case late:
+	case takesEffectLate:
 		batch, err := m.log.Read(ctx, name, from, limit, wait)
-		time.Sleep(time.Duration(dice*3/2) * time.Millisecond)
+		time.Sleep(time.Duration(draw*3/2) * time.Millisecond)
 		return batch, err
 	}
 	return m.log.Read(ctx, name, from, limit, wait)
 }
 
 // PutKeyed implements eventlog.Log.
-func (m *huntedMachine) PutKeyed(context.Context, string, []eventlog.KeyedRecord) error {
+func (m *faultyMachine) PutKeyed(context.Context, string, []eventlog.KeyedRecord) error {
 	panic("the election uses no keyed topic")
 }
 
 // Newest implements eventlog.Log.
-func (m *huntedMachine) Newest(context.Context, string) (eventlog.KeyedBatch, error) {
+func (m *faultyMachine) Newest(context.Context, string) (eventlog.KeyedBatch, error) {
 	panic("the election uses no keyed topic")
 }
 
 // ReadKeyed implements eventlog.Log.
-func (m *huntedMachine) ReadKeyed(context.Context, string, int64, time.Duration) (eventlog.KeyedBatch, error) {
+func (m *faultyMachine) ReadKeyed(context.Context, string, int64, time.Duration) (eventlog.KeyedBatch, error) {
 	panic("the election uses no keyed topic")
 }
 
@@ -182,14 +185,15 @@
 type arrival struct {
 	engine, node string
 	epoch        int64
-	left, at     time.Time
+	// left is when the order was sent, at when it arrived.
+	left, at time.Time
 }
 
-// spell is the period in which a lease was found valid.
-type spell struct{ first, last time.Time }
+// validPeriod is the period in which a lease was observed to be valid.
+type validPeriod struct{ first, last time.Time }
 
-// hunt is one run: machines, their orders, and their leases.
-type hunt struct {
+// faultRun is one run: its machines, their orders, and their leases.
+type faultRun struct {
 	t     *testing.T
 	log   *memlog.Log
 	quiet time.Duration
@@ -198,13 +202,13 @@
 
 	mu       sync.Mutex
 	arrivals []arrival
-	valid    map[int64]*spell
+	valid    map[int64]*validPeriod
 	holders  map[int64]string
 	wait     sync.WaitGroup
 }
 
-// process runs one process of a machine until it is killed or stopped.
-func (h *hunt) process(link *huntedMachine, node string, number int, seed uint64) (stop func(planned bool)) {
+// process starts a process on a machine. stop ends it, and releases its lease before if planned is true.
+func (h *faultRun) process(link *faultyMachine, node string, number int, seed uint64) (stop func(planned bool)) {
 	random := rand.New(rand.NewPCG(seed, uint64(number)))
 	ctx, cancel := context.WithCancel(context.Background())
 	holder := fmt.Sprintf("%s-%d", node, number)
@@ -234,8 +238,8 @@
 	}
 }
 
-// order repeatedly orders an engine while the term lasts.
-func (h *hunt) order(ctx context.Context, dead *atomic.Bool, term Term, node, holder, engine string, random *rand.Rand) {
+// order repeatedly sends orders to an engine while the term lasts.
+func (h *faultRun) order(ctx context.Context, dead *atomic.Bool, term Term, node, holder, engine string, random *rand.Rand) {
 	for ctx.Err() == nil {
 		permit, err := term.Permit(ctx, engine)
 		if err == nil {
@@ -261,8 +265,8 @@
 	}
 }
 
-// sample records when a lease was valid, as a moment between two readings of the clock.
-func (h *hunt) sample(ctx context.Context, elector *Elector, epoch int64) {
+// sample records when a lease was valid: at some time between the two clock readings.
+func (h *faultRun) sample(ctx context.Context, elector *Elector, epoch int64) {
 	for ctx.Err() == nil {
 		before := boottime.Now()
 		valid := elector.Valid(epoch)
@@ -271,7 +275,7 @@
 			h.mu.Lock()
 			s := h.valid[epoch]
 			if s == nil {
-				s = &spell{first: after}
+				s = &validPeriod{first: after}
 				h.valid[epoch] = s
 			}
 			s.last = before
@@ -281,8 +285,8 @@
 	}
 }
 
-// check returns the shortest time between orders of two machines to one engine.
-func (h *hunt) check(tolerance time.Duration) (worst time.Duration) {
+// check verifies the invariants and returns the shortest time between orders of two machines to one engine.
+func (h *faultRun) check(tolerance time.Duration) (worst time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for a, one := range h.valid {
@@ -294,10 +298,10 @@
 	}
 	worst = time.Hour
 	sort.Slice(h.arrivals, func(i, j int) bool { return h.arrivals[i].at.Before(h.arrivals[j].at) })
-	newest := make(map[string]arrival)
+	latest := make(map[string]arrival)
 	for _, each := range h.arrivals {
-		before, found := newest[each.engine]
-		newest[each.engine] = each
+		before, found := latest[each.engine]
+		latest[each.engine] = each
 		if !found {
 			continue
 		}
@@ -314,20 +318,20 @@
 	return worst
 }
 
-// run starts three machines, injects independent faults into each, and waits for all to end.
-func (h *hunt) run(seed uint64, lasting time.Duration, rates float64, trims bool) {
+// run starts three machines, injects faults into each independently, and waits for all to end.
+func (h *faultRun) run(seed uint64, lasting time.Duration, rates float64, trims bool) {
 	random := rand.New(rand.NewPCG(seed, 99))
-	h.valid, h.holders, h.log = make(map[int64]*spell), make(map[int64]string), memlog.New()
-	appends := []mode{works, works, refused, lost, hanging, late, slow, anything, anything}
-	reads := []mode{works, works, works, refused, hanging, late, hanging}
+	h.valid, h.holders, h.log = make(map[int64]*validPeriod), make(map[int64]string), memlog.New()
+	appends := []logFault{noFault, noFault, refused, answerLost, hanging, takesEffectLate, slow, anyFault, anyFault}
+	reads := []logFault{noFault, noFault, noFault, refused, hanging, takesEffectLate, hanging}
 	var machines sync.WaitGroup
 	end := time.Now().Add(lasting)
 	for i := range 3 {
 		node := fmt.Sprint("n", i)
 		seed := random.Uint64()
-		link := &huntedMachine{
+		link := &faultyMachine{
 			log: h.log, rate: rates * float64(i-1), origin: boottime.Now(), random: rand.New(rand.NewPCG(seed, 5)),
-			appends: works, reads: works, changed: make(chan struct{}),
+			appends: noFault, reads: noFault, changed: make(chan struct{}),
 		}
 		machines.Go(func() {
 			own := rand.New(rand.NewPCG(seed, 6))
@@ -336,26 +340,26 @@
 			for time.Now().Before(end) {
 				time.Sleep(time.Duration(50+own.IntN(500)) * time.Millisecond)
 				switch own.IntN(14) {
-				case 0: // killed or stopped and started again
+				case 0: // restart after a kill or a planned stop
 					stop(own.IntN(2) == 0)
 					number++
 					stop = h.process(link, node, number, seed)
-				case 1, 2: // frozen
+				case 1, 2: // freeze
 					link.frozen.Lock()
 					time.Sleep(time.Duration(own.IntN(1500)) * time.Millisecond)
 					link.frozen.Unlock()
 				case 3, 4, 5, 6:
-					link.set(works, works)
+					link.setFaults(noFault, noFault)
 				case 7:
 					if trims {
 						name := eventlog.Partition{Topic: topic}
 						h.log.Trim(name, h.log.End(name)-int64(own.IntN(3)))
 					}
 				default:
-					link.set(appends[own.IntN(len(appends))], reads[own.IntN(len(reads))])
+					link.setFaults(appends[own.IntN(len(appends))], reads[own.IntN(len(reads))])
 				}
 			}
-			link.set(works, works)
+			link.setFaults(noFault, noFault)
 			stop(false)
 		})
 	}
@@ -363,12 +367,12 @@
 	h.wait.Wait()
 }
 
-// TestRandomFaults: no two leases at the same time, no token with two holders, no lower token after a higher one, and
-// no orders of two machines within the quiet time, while machines freeze, end, restart, have fast and slow clocks, and
-// the log rejects, loses, delays and drops records, independently for each machine.
+// TestRandomFaults checks that leases do not overlap, that each token has one holder, that tokens do not decrease, and
+// that orders of two machines are separated by the quiet time. Machines freeze, restart and have skewed clocks; the log
+// rejects, loses, delays and trims records.
 func TestRandomFaults(t *testing.T) {
-	lasting := time.Duration(*huntSeconds) * time.Second
-	for seed := *huntFirst; seed < *huntFirst+uint64(*huntSeeds); seed++ {
+	lasting := time.Duration(*faultSeconds) * time.Second
+	for seed := *firstSeed; seed < *firstSeed+uint64(*faultSeeds); seed++ {
 		for _, c := range []struct {
 			name       string
 			ttl, quiet time.Duration
@@ -382,7 +386,7 @@
 		} {
 			t.Run(fmt.Sprintf("%s/%d", c.name, seed), func(t *testing.T) {
 				t.Parallel()
-				h := &hunt{t: t, ttl: c.ttl, quiet: c.quiet}
+				h := &faultRun{t: t, ttl: c.ttl, quiet: c.quiet}
 				h.run(seed, lasting, c.rates, c.trims)
 				tolerance := time.Duration(2*c.rates*float64(c.quiet+arrivalTime)) + time.Millisecond
 				worst := h.check(tolerance)
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -8,7 +8,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/lease"
 )
 
-// awaitRole waits until the role has ended and handed its work over.
+// awaitRole waits until the role has returned, for handoverTimeout at most.
 func (e *Elector) awaitRole(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
@@ -19,7 +19,7 @@
 		if !leading {
 			return
 		}
-		retry.Sleep(ctx, handoverCheck)
+		retry.Sleep(ctx, handoverCheckInterval)
 	}
 }
 
@@ -49,10 +49,9 @@
 		Msg("leadership lost")
 }
 
-// renewWhileHeld renews until another epoch is in force or the node stops. The role
-// continues while the log is unreachable, which breaks no guarantee: orders need a permit, and
-// records of the role are judged when they are read. Without a recent read no renewal is sent,
-// so that a node that can write but not read does not block other leaders.
+// renewWhileHeld renews until another epoch is in force or the node stops. The role may continue while the log is
+// unreachable: orders need a permit, and records of the role are validated when they are read. Without a recent
+// read no renewal is sent, so that a node that can write but not read does not keep the lease.
 func (e *Elector) renewWhileHeld(ctx context.Context, epoch int64) {
 	period := e.options.TTL / renewalsPerTTL
 	for ctx.Err() == nil && e.inForce(epoch) {
@@ -60,7 +59,7 @@
 		if e.readWithin(e.options.TTL) {
 			e.renew(ctx, epoch)
 		}
-		e.sleepWhileInForce(ctx, epoch, max(period-e.now().Sub(sent), minRenewalGap))
+		e.sleepWhileInForce(ctx, epoch, max(period-e.now().Sub(sent), minRenewalInterval))
 	}
 }
 
@@ -86,18 +85,18 @@
 	return e.now().Sub(e.readAt) < period
 }
 
-// sleepWhileInForce sleeps until the period is over or the lease is lost.
+// sleepWhileInForce sleeps for the period, or until the lease is lost.
 func (e *Elector) sleepWhileInForce(ctx context.Context, epoch int64, period time.Duration) {
 	for until := e.now().Add(period); ctx.Err() == nil && e.inForce(epoch); {
 		left := until.Sub(e.now())
 		if left <= 0 {
 			return
 		}
-		retry.Sleep(ctx, min(left, checkPeriod))
+		retry.Sleep(ctx, min(left, checkInterval))
 	}
 }
 
-// extend extends the lease, counted from the sending of the accepted record.
+// extend extends the lease. sent is when the accepted record was sent.
 func (e *Elector) extend(epoch int64, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,7 +108,7 @@
 	if !e.holdsLocked(epoch) || e.stopping {
 		return
 	}
-	if until := sent.Add(e.options.TTL - e.options.TTL/marginShare); until.After(e.validUntil) {
+	if until := sent.Add(e.options.TTL - e.options.TTL/marginDivisor); until.After(e.validUntil) {
 		e.validUntil = until
 	}
 }
--- a/internal/leadership/tail.go
+++ b/internal/leadership/tail.go
@@ -21,14 +21,13 @@
 			retry.Sleep(ctx, e.options.Budget.Stretch(retryDelay, maxRetryDelay))
 			continue
 		}
-		retry.Sleep(ctx, e.gap())
+		retry.Sleep(ctx, e.readDelay())
 	}
 }
 
-// read reads and applies the records after the newest known one, with a long poll. It may run
-// concurrently.
+// read reads and applies the records from the next offset on, with a long poll. It may be called concurrently.
 func (e *Elector) read(ctx context.Context, wait time.Duration) error {
-	batch, err := e.log.Read(ctx, e.partition, e.next(), readLimit, wait)
+	batch, err := e.log.Read(ctx, e.partition, e.next(), maxReadBytes, wait)
 	var gone *eventlog.GoneError
 	if errors.As(err, &gone) {
 		e.skipTo(gone.First)
@@ -48,8 +47,8 @@
 	return e.state.Next
 }
 
-// gap returns the pause before the next read.
-func (e *Elector) gap() time.Duration {
+// readDelay returns the pause before the next read.
+func (e *Elector) readDelay() time.Duration {
 	e.mu.Lock()
 	leading := e.leading
 	e.mu.Unlock()
@@ -57,12 +56,12 @@
 		return 0
 	}
 	if !e.isEligible() {
-		return observerGap
+		return observerReadInterval
 	}
-	return e.options.Budget.Stretch(readGap, maxReadGap)
+	return e.options.Budget.Stretch(readInterval, maxReadInterval)
 }
 
-// apply applies the records that a concurrent read has not applied.
+// apply applies the records of a batch, except those that a concurrent read has already applied.
 func (e *Elector) apply(batch eventlog.Batch) {
 	now := e.now()
 	e.mu.Lock()
@@ -75,7 +74,7 @@
 		}
 		e.logUnknown(record.Kind)
 		if e.state.IsBehind(record) {
-			e.reportBehind(record)
+			e.reportSuperseded(record)
 		}
 		if e.state.Apply(record, now) {
 			e.epochChanged(record)
@@ -94,8 +93,8 @@
 	}
 }
 
-// logUnknown logs a kind of record that only a newer build knows. Such a record proves its epoch and has no other
-// effect here. Must be called with mu held.
+// logUnknown logs a record kind that only a newer version knows, once for each kind. Such a record confirms its epoch
+// and has no other effect. Must be called with mu held.
 func (e *Elector) logUnknown(kind lease.RecordKind) {
 	if !kind.IsKnown() && e.unknownKinds.First(strconv.Itoa(int(kind))) {
 		e.options.Logger.Warn().Uint8("kind", uint8(kind)).Str("topic", e.partition.Topic).Int64("offset", e.state.Next).
@@ -103,9 +102,9 @@
 	}
 }
 
-// reportBehind reports a record that a holder wrote after another claim had won: two nodes
-// believed that they led. Must be called with mu held.
-func (e *Elector) reportBehind(record lease.Record) {
+// reportSuperseded reports a record that a holder wrote after a newer claim took effect, which means that two nodes
+// acted as leader. Must be called with mu held.
+func (e *Elector) reportSuperseded(record lease.Record) {
 	e.options.Logger.Warn().Stringer("kind", record.Kind).Str("holder", record.Holder).Int64("epoch", record.Epoch).
 		Int64("newest_epoch", e.state.Epoch).Int64("offset", e.state.Next).Strs("engines", record.Engines).
 		Msg("record of an earlier lease")
@@ -114,17 +113,18 @@
 	}
 }
 
-// epochChanged ends this node's lease of an earlier epoch, if any. Must be called with mu held.
+// epochChanged ends this node's lease of an earlier epoch, if any, and notes the start of its term if it wrote the
+// record. Must be called with mu held.
 func (e *Elector) epochChanged(record lease.Record) {
 	e.validUntil = time.Time{}
 	if record.Holder == e.options.Holder {
-		e.termBegan = e.now()
+		e.termStart = e.now()
 	}
 	e.options.Logger.Info().Str("holder", e.state.Holder).Int64("epoch", e.state.Epoch).Msg("leader changed")
 }
 
-// skipTo skips records that the log has dropped. Until a record proves the epoch in force this node
-// neither claims without waiting for the TTL nor writes as the holder.
+// skipTo skips records that the log has trimmed. Until a record confirms the epoch in force, this node neither claims
+// without waiting for the TTL nor writes as the holder.
 func (e *Elector) skipTo(first int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/leadership/gap_test.go
+++ b/internal/leadership/trim_test.go
@@ -11,14 +11,14 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// forget trims all records of the lease.
-func forget(log *memlog.Log) {
+// trimAll removes all lease records from the log.
+func trimAll(log *memlog.Log) {
 	partition := eventlog.Partition{Topic: topic}
 	log.Trim(partition, log.End(partition))
 }
 
-// assertAlone checks that the second holds no lease while the first does.
-func assertAlone(t *testing.T, first, second *candidate, epoch int64) {
+// assertNoOverlap checks that the second candidate does not hold the lease while the first does.
+func assertNoOverlap(t *testing.T, first, second *candidate, epoch int64) {
 	t.Helper()
 	for first.elector.Valid(epoch) {
 		holder, newest := second.elector.Leader()
@@ -28,35 +28,35 @@
 	}
 }
 
-// TestANodeThatStartsLeavesALeaseThatItCannotReadOf: the log has dropped all records when the
-// node starts, and the leader has no contact with it for less than a TTL.
-func TestANodeThatStartsLeavesALeaseThatItCannotReadOf(t *testing.T) {
+// TestStartingNodeDoesNotClaimAfterTrim: all lease records are trimmed before the node starts, while the leader is
+// cut off from the log but its lease is still valid.
+func TestStartingNodeDoesNotClaimAfterTrim(t *testing.T) {
 	log := memlog.New()
-	path := newLink(log)
+	path := newFaultyLog(log)
 	first := join(t, path, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	epoch := first.lastTerm().Epoch
 	path.refuse(true)
-	forget(log)
+	trimAll(log)
 	second := join(t, log, "b", "b1")
-	assertAlone(t, first, second, epoch)
+	assertNoOverlap(t, first, second, epoch)
 }
 
-// TestANodeThatMissedRenewalsClaimsNothing: a read of the node takes longer than a TTL. When it is
-// answered the log has dropped all records, and the leader's next renewal is late.
-func TestANodeThatMissedRenewalsClaimsNothing(t *testing.T) {
+// TestNodeThatMissedTrimmedRenewalsDoesNotClaim: a read hangs for longer than a TTL, and the records are trimmed
+// before it is answered.
+func TestNodeThatMissedTrimmedRenewalsDoesNotClaim(t *testing.T) {
 	log := memlog.New()
-	leaders, others := newLink(log), newLink(log)
+	leaders, others := newFaultyLog(log), newFaultyLog(log)
 	first := join(t, leaders, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	epoch := first.lastTerm().Epoch
 	second := join(t, others, "b", "b1")
-	second.knows(t, "a1")
+	second.awaitHolder(t, "a1")
 	released := make(chan struct{})
 	others.faults(nil, readsHangUntil(released))
-	time.Sleep(testTTL + testTTL/2) // in which b's read waits
+	time.Sleep(testTTL + testTTL/2) // while b's read hangs
 	leaders.refuse(true)
-	forget(log)
+	trimAll(log)
 	close(released)
-	assertAlone(t, first, second, epoch)
+	assertNoOverlap(t, first, second, epoch)
 }
--- a/internal/leadership/unknownkind_test.go
+++ b/internal/leadership/unknownkind_test.go
@@ -15,32 +15,33 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// lines collects log lines.
-type lines struct {
+// logBuffer collects log output.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *lines) count(message string) int {
+func (l *logBuffer) count(message string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), message)
 }
 
-// Guards against a record of a newer build that takes the lease from its holder, or that is logged again and again.
-func TestALeaseRecordOfUnknownKindChangesNothing(t *testing.T) {
+// TestUnknownRecordKindIsIgnored guards against a newer version's record that ends the lease, and against one warning
+// for each such record.
+func TestUnknownRecordKindIsIgnored(t *testing.T) {
 	log := memlog.New()
 	leader := join(t, log, "a", "a1")
 	testwait.Until(t, "a leads", leader.leads)
 	epoch := leader.lastTerm().Epoch
-	logged := &lines{}
+	logged := &logBuffer{}
 	reader := New(log, Options{Holder: "b1", Node: "b", TTL: testTTL, Logger: zerolog.New(logged)}, leader.role)
 	const newKind = lease.Order + 1
 	raw, err := msgpack.Marshal(&lease.Record{Kind: newKind, Holder: "a1", Node: "a", Epoch: epoch})
--- a/internal/leadership/write.go
+++ b/internal/leadership/write.go
@@ -15,33 +15,33 @@
 // errNotHeld is returned when this node does not hold the lease, as far as it has read.
 var errNotHeld = errors.New("this node does not hold the lease")
 
-// pendingRecord is a record of this node that was not read back yet.
+// pendingRecord is a record of this node that has not been read back yet.
 type pendingRecord struct {
-	// sent is when it was composed, before the append.
+	// sent is when the record was composed, before the append.
 	sent time.Time
-	// readBack is closed once it was read.
+	// readBack is closed once the record was read back.
 	readBack chan struct{}
 }
 
-// draft is a record to be appended on the condition that the log ends at the offset.
+// draft is a record to be appended on the condition that the log ends at offset at.
 type draft struct {
 	record  lease.Record
 	at      int64
 	pending *pendingRecord
 }
 
-// receipt identifies a record that the log accepted in its holder's epoch.
+// receipt describes a record that was accepted while its holder's epoch was in force.
 type receipt struct {
 	offset int64
 	sent   time.Time
 }
 
-// maxPending is the number of pending records above which expired ones are dropped.
+// maxPending is the number of pending records from which on expired ones are dropped.
 const maxPending = 32
 
-// write appends a record of the epoch that this node holds, on the condition that the log ends where
-// this node has read to. An acknowledgement thus proves that the epoch is in force at the record's
-// offset; a node that has missed a newer claim gets none.
+// write appends a record of the epoch that this node holds, on the condition that the log ends at the offset up to
+// which this node has read. An acknowledgement therefore proves that the epoch is in force at the record's offset;
+// the append of a node that has missed a newer claim fails.
 func (e *Elector) write(ctx context.Context, epoch int64, kind lease.RecordKind, engines []string) (receipt, error) {
 	select {
 	case e.writeSlot <- struct{}{}:
@@ -85,14 +85,14 @@
 		Epoch: epoch, Engines: engines,
 	}
 	pending := e.trackLocked(&record)
-	if !e.termBegan.IsZero() {
-		// Both times come from one reading of the clock: the record must not prove time that a permit still has.
-		record.Held = pending.sent.Sub(e.termBegan)
+	if !e.termStart.IsZero() {
+		// Both times come from one clock reading, so that Held does not reach into the time of an open permit.
+		record.Held = pending.sent.Sub(e.termStart)
 	}
 	return draft{record: record, at: max(e.state.Next, e.knownEnd), pending: pending}, nil
 }
 
-// trackLocked numbers a record and adds it to the pending ones. Must be called with mu held.
+// trackLocked assigns a record its sequence number and adds it to the pending ones. Must be called with mu held.
 func (e *Elector) trackLocked(record *lease.Record) *pendingRecord {
 	now := e.now()
 	if len(e.pending) >= maxPending {
@@ -105,8 +105,7 @@
 	return entry
 }
 
-// dropExpired drops pending records that could no longer extend the lease if read back. Must be
-// called with mu held.
+// dropExpired drops pending records that are too old to extend the lease. Must be called with mu held.
 func (e *Elector) dropExpired(now time.Time) {
 	for sequence, entry := range e.pending {
 		if now.Sub(entry.sent) > e.options.TTL+recordTimeout {
@@ -115,13 +114,13 @@
 	}
 }
 
-// appendDraft appends a record. The record is accepted once it is acknowledged or read back, whichever
-// is first, so that the next record does not wait for the timeout of a lost answer.
+// appendDraft appends a record. It returns once the record is acknowledged or read back, so that a lost answer does not
+// delay the next record until the timeout.
 func (e *Elector) appendDraft(ctx context.Context, next draft, timeout time.Duration) error {
 	answered := make(chan error, 1)
 	go func() {
-		// The append continues after the record is read back or the caller has left: canceling it would
-		// close the connection and leave the outcome unknown.
+		// The append is not canceled when the record is read back or the caller returns: canceling would close the
+		// connection and leave the outcome unknown.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 		defer cancel()
 		answered <- e.appendAt(ctx, next.at, next.record)
@@ -151,12 +150,12 @@
 	return err
 }
 
-// catchUp reads up to the offset and reports whether it got there before ctx ended. It makes its own
-// reads, since the tail's read may hang.
+// catchUp reads up to the offset and reports whether it reached it before ctx ended. It does not rely on the tail's
+// read, which may hang.
 func (e *Elector) catchUp(ctx context.Context, end int64) bool {
 	for e.next() < end {
 		if err := e.read(ctx, 0); err != nil {
-			retry.Sleep(ctx, readGap)
+			retry.Sleep(ctx, readInterval)
 		}
 		if ctx.Err() != nil {
 			return false
@@ -165,8 +164,8 @@
 	return true
 }
 
-// claim appends a claim, unless records were read since the lease was found free at the offset, or the
-// node is stopping.
+// claim appends a claim at the offset at which the lease was found free, unless records were read since or the node is
+// stopping.
 func (e *Elector) claim(ctx context.Context, next int64) {
 	e.mu.Lock()
 	if e.state.Next != next || e.stopping {
@@ -178,14 +177,14 @@
 	pending := e.trackLocked(&record)
 	e.claimSent = pending.sent
 	e.mu.Unlock()
-	// Other nodes wait for a TTL from reading the claim, also if its answer is lost, so reading it
-	// back is sufficient.
+	// Other nodes wait for a TTL after they read the claim, whether or not its answer is lost, so reading it back is
+	// sufficient.
 	err := e.appendDraft(ctx, draft{record: record, at: next, pending: pending}, e.options.TTL)
 	e.options.Logger.Info().Err(err).Int64("follows_epoch", previous).Int64("offset", next).Msg("leadership claimed")
 }
 
-// confirm processes a record of this node that was read back. A record whose answer was lost extends
-// the lease from its own sending, not from that of a later retry. Must be called with mu held.
+// confirm processes a record of this node that was read back. The lease is extended from when this record was sent, not
+// from when a retry was. Must be called with mu held.
 func (e *Elector) confirm(record lease.Record) {
 	if record.Holder != e.options.Holder {
 		return
@@ -201,7 +200,7 @@
 	}
 }
 
-// epochOf returns the epoch of a record of this node.
+// epochOf returns the epoch that a record of this node belongs to; for a claim, the one that it begins.
 func (e *Elector) epochOf(record lease.Record) int64 {
 	if record.Kind == lease.Claim {
 		return record.Begins
