--- a/internal/duties/arrival_test.go
+++ b/internal/duties/arrival_test.go
@@ -17,12 +17,11 @@
 )
 
 const (
-	// leaseTime and quietTime are those of the electors below.
 	leaseTime = 600 * time.Millisecond
 	quietTime = 600 * time.Millisecond
 )
 
-// latePlatform sends a call at the last permitted moment and delays its arrival to the latest one.
+// latePlatform sends a call at the end of its permit and delays its arrival as long as possible.
 type latePlatform struct {
 	fakePlatform
 	arrived time.Time
@@ -38,49 +37,48 @@
 	return Unanswered, context.DeadlineExceeded
 }
 
-// leadingTerm holds the newest term of an elector.
-type leadingTerm struct {
+// latestTerm holds the latest term of an elector.
+type latestTerm struct {
 	mu     sync.Mutex
-	newest lease.Term
+	latest lease.Term
 }
 
-func (l *leadingTerm) lead(ctx context.Context, term leadership.Term) {
+func (l *latestTerm) lead(ctx context.Context, term leadership.Term) {
 	l.mu.Lock()
-	l.newest = term
+	l.latest = term
 	l.mu.Unlock()
 	<-ctx.Done()
 }
 
-// term returns the newest term; nil before the first.
-func (l *leadingTerm) term() lease.Term {
+// term returns the latest term; nil before the first.
+func (l *latestTerm) term() lease.Term {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.newest
+	return l.latest
 }
 
-func (l *leadingTerm) leads() bool {
+func (l *latestTerm) leads() bool {
 	term := l.term()
 	return term != nil && term.Valid()
 }
 
-// electing takes part in the election until the test ends or the returned function is called.
-func electing(t *testing.T, log *memlog.Log, node string) (term *leadingTerm, stop func()) {
+// startElector runs an elector until the test ends or stop is called.
+func startElector(t *testing.T, log *memlog.Log, node string) (term *latestTerm, stop func()) {
 	t.Helper()
-	term = &leadingTerm{}
+	term = &latestTerm{}
 	elector := leadership.New(log, leadership.Options{
 		Holder: node + "1", Node: node, TTL: leaseTime, Quiet: quietTime, Logger: zerolog.Nop(),
 	}, term.lead)
 	return term, start(t, func(ctx context.Context) { _ = elector.Run(ctx) })
 }
 
-// TestQuietTimeFollowsTheLatestArrivalOfACall: a call to the platform may take longer than an order
-// to an engine, and needs the same permit.
-func TestQuietTimeFollowsTheLatestArrivalOfACall(t *testing.T) {
+// TestQuietTimeCoversLatestArrivalOfCall guards against a quiet time that ends before a delayed call has arrived.
+func TestQuietTimeCoversLatestArrivalOfCall(t *testing.T) {
 	t.Parallel()
 	log, platform := memlog.New(), &latePlatform{}
-	first, stop := electing(t, log, "a")
+	first, stop := startElector(t, log, "a")
 	testwait.Until(t, "a leads", first.leads)
-	second, _ := electing(t, log, "b")
+	second, _ := startElector(t, log, "b")
 	calls := caller{term: first.term(), holder: Holder{Node: "a", Fence: 1}}
 	_, err := calls.call(t.Context(), usageSubject, func(ctx context.Context, holder Holder) (Answer, error) {
 		go stop()
--- a/internal/duties/counter.go
+++ b/internal/duties/counter.go
@@ -17,20 +17,20 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// Partitions for counts and reports.
+// The log partitions of counts and reports.
 var (
 	countPartition  = eventlog.Partition{Topic: "corkpulley.usage"}
 	reportPartition = eventlog.Partition{Topic: "corkpulley.usagereports"}
 )
 
 const (
-	// countDelay is how long counts are batched before they are written; a process that is
-	// killed loses them. It grows with the number of nodes, which share a partition's write rate.
+	// countDelay is how long counts are batched before they are written; a killed process loses unwritten counts.
+	// It grows with the number of nodes, up to maxCountDelay, since they share the partition's write rate.
 	countDelay    = 200 * time.Millisecond
 	maxCountDelay = 2 * time.Second
-	// countTTL is how long unwritten counts are kept: reports of older windows are skipped.
+	// countTTL is how long unwritten counts are kept; reports of older windows are skipped.
 	countTTL = 5 * time.Minute
-	// finalWriteTimeout bounds the write at shutdown. It must be below the time that roles have to end.
+	// finalWriteTimeout bounds the write at shutdown. It must be below the shutdown time of roles.
 	finalWriteTimeout = 300 * time.Millisecond
 )
 
@@ -45,8 +45,8 @@
 	logger zerolog.Logger
 
 	mu sync.Mutex
-	// counts holds the counts of the windows within countTTL, unwritten the windows whose
-	// newest counts are not in the log.
+	// counts holds the counts of the windows within countTTL. unwritten holds the windows whose latest counts are
+	// not in the log.
 	counts    map[usage.Window]usage.Counts
 	unwritten map[usage.Window]bool
 	added     chan struct{}
@@ -64,7 +64,7 @@
 	}
 }
 
-// Began counts a request of a tenant that began to run.
+// Began counts a request of a tenant that an engine began to run at the given time.
 func (c *Counter) Began(tenant string, at time.Time) {
 	if c.span <= 0 || tenant == "" {
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// Run writes counts until ctx ends, and then once more.
+// Run writes counts until ctx ends, and a last time after it has ended.
 func (c *Counter) Run(ctx context.Context) error {
 	if c.span <= 0 {
 		return nil
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// drain returns the records of the unwritten windows and marks these as written.
+// drain returns the records of the unwritten windows, and the windows, and marks them as written.
 func (c *Counter) drain() ([][]byte, []usage.Window, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -1,6 +1,5 @@
-// Package duties makes the calls to the platform that one node at a time may make: it
-// reports the tenants' usage and orders engines. Both depend on the leader's lease: the epoch is
-// the fencing token, and each call needs a permit from the log.
+// Package duties makes the calls to the platform that are reserved to the leader: it reports the tenants' usage and
+// orders engines. The leader's epoch is the fencing token of a call, and each call needs a permit from the log.
 package duties
 
 import (
@@ -15,10 +14,10 @@
 type Holder struct {
 	// Node is the machine's name.
 	Node string
-	// Fence is the fencing token, which increases with each holder.
+	// Fence is the fencing token. It increases with each term.
 	Fence int64
-	// MayLeave reports whether the call may still be sent. It is called right before its
-	// first byte is written, from any goroutine; nil means no limit.
+	// MayLeave reports whether the call may still be sent. It is called right before the first byte is written, from
+	// any goroutine; nil means always.
 	MayLeave func() bool
 }
 
@@ -31,11 +30,11 @@
 	Unanswered Answer = iota
 	// Done: the call took effect.
 	Done
-	// Conflict: the platform has seen a higher fencing token, or cannot satisfy the order.
+	// Conflict: the platform has seen a higher fencing token, or lacks the capacity for the order.
 	Conflict
 	// NotDone: the call had no effect and may be retried.
 	NotDone
-	// Refused: the platform rejected the call as invalid; a retry is useless.
+	// Refused: the platform rejected the call as invalid; it must not be retried.
 	Refused
 )
 
@@ -55,19 +54,19 @@
 	Preemptible bool
 }
 
-// Platform makes the calls. An error explains an answer other than Done.
+// Platform is the client of the platform. An error explains an answer other than Done.
 type Platform interface {
 	ReportUsage(ctx context.Context, holder Holder, window usage.Window, counts usage.Counts) (Answer, error)
 	OrderEngines(ctx context.Context, holder Holder, order EngineOrder) (Answer, error)
 }
 
-// caller makes calls within a term.
+// caller makes calls during a term.
 type caller struct {
 	term   lease.Term
 	holder Holder
 }
 
-// call makes a call about a subject if this node holds a permit, and returns NotDone otherwise.
+// call makes a call about a subject if a permit is granted. Otherwise, it returns NotDone.
 func (c *caller) call(
 	ctx context.Context, subject string, call func(context.Context, Holder) (Answer, error),
 ) (Answer, error) {
--- a/internal/duties/fakes_test.go
+++ b/internal/duties/fakes_test.go
@@ -8,14 +8,14 @@
 	"github.com/corkpulley/corkpulley/internal/core/usage"
 )
 
-// fakePlatform checks fencing tokens as the platform does and records accepted calls.
+// fakePlatform checks fencing tokens like the platform and records the accepted calls.
 type fakePlatform struct {
 	mu sync.Mutex
-	// answer overrides the platform's answer when set.
+	// answer, if set, overrides the answer when it returns true.
 	answer  func() (Answer, bool)
 	fence   map[string]int64
 	reports map[usage.Window]usage.Counts
-	// calls counts the received reports, changed those that differ from an earlier one of their window.
+	// calls counts the received reports. changed counts those that differ from an earlier report of the window.
 	calls   int
 	changed int
 	orders  []EngineOrder
@@ -25,8 +25,8 @@
 	return &fakePlatform{fence: make(map[string]int64), reports: make(map[usage.Window]usage.Counts)}
 }
 
-// take checks a call. Must be called with mu held.
-func (p *fakePlatform) take(subject string, holder Holder) (Answer, bool) {
+// accept returns the answer to a call and whether the call takes effect. Must be called with mu held.
+func (p *fakePlatform) accept(subject string, holder Holder) (Answer, bool) {
 	if p.answer != nil {
 		if answer, given := p.answer(); given {
 			return answer, answer == Unanswered
@@ -45,7 +45,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
-	answer, effect := p.take(usageSubject, holder)
+	answer, effect := p.accept(usageSubject, holder)
 	if effect {
 		if known, found := p.reports[window]; found && !maps.Equal(known, counts) {
 			p.changed++
@@ -58,7 +58,7 @@
 func (p *fakePlatform) OrderEngines(_ context.Context, holder Holder, order EngineOrder) (Answer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	answer, effect := p.take(order.Service+"/"+order.Zone, holder)
+	answer, effect := p.accept(order.Service+"/"+order.Zone, holder)
 	if effect {
 		p.orders = append(p.orders, order)
 	}
--- a/internal/duties/reporter.go
+++ b/internal/duties/reporter.go
@@ -17,31 +17,29 @@
 const (
 	// usageSubject is the subject of the permits for reports of all windows.
 	usageSubject = "usage"
-	// settleShare is the share of the time until a report is due in which late counts are
-	// awaited. The rest is left for a change of leaders or an outage.
-	settleShare = 0.5
-	// recoverTime is how long the reporter waits after a failure of the log. It must exceed the
-	// longest pause between two attempts of a Counter.
-	recoverTime = time.Second
-	// maxBacklog is the age above which a window is skipped, since the log no longer holds
-	// its counts.
-	maxBacklog = 4 * time.Minute
-	// reportPause is the time between two steps.
-	reportPause = 150 * time.Millisecond
-	// conflictPause follows a conflict, which does not happen to the holder of a valid lease.
-	// After maxConflicts this term sends no more reports.
-	conflictPause  = 5 * time.Second
-	maxConflicts   = 2
-	usageReadLimit = 512 << 10
+	// countWaitFraction is the fraction of the time until a report is due that is spent waiting for late counts. The
+	// rest is a reserve for a change of leaders or an outage.
+	countWaitFraction = 0.5
+	// logRecoveryDelay is how long the reporter waits after the log failed, so that counters write first. It must
+	// exceed the longest retry delay of a Counter.
+	logRecoveryDelay = time.Second
+	// maxReportAge is the age above which a window is skipped, since the log no longer holds its counts.
+	maxReportAge   = 4 * time.Minute
+	reportInterval = 150 * time.Millisecond
+	// conflictDelay is the pause after a conflict, which the holder of a valid lease does not get. After
+	// maxConflicts no more reports are sent in the term.
+	conflictDelay = 5 * time.Second
+	maxConflicts  = 2
+	maxReadBytes  = 512 << 10
 )
 
-// ReporterOptions are the parts that a reporter works with.
+// ReporterOptions configure a reporter.
 type ReporterOptions struct {
 	Log      eventlog.Log
 	Platform Platform
 	Term     lease.Term
 	Holder   Holder
-	// Span is the length of a window, Late the time after its end at which its report is due.
+	// Span is the length of a window. Late is how long after the end of a window its report is due.
 	Span   time.Duration
 	Late   time.Duration
 	Logger zerolog.Logger
@@ -54,9 +52,9 @@
 	ledger  *usage.Ledger
 	// failedAt is when the log last failed.
 	failedAt time.Time
-	// sent is the newest window that was reported to the platform in this term.
-	sent usage.Window
-	// conflicts counts the calls that were rejected for a higher fencing token.
+	// lastReported is the latest window that was reported to the platform in this term.
+	lastReported usage.Window
+	// conflicts counts the calls that the platform answered with Conflict.
 	conflicts int
 }
 
@@ -67,7 +65,7 @@
 	}
 }
 
-// Run reports windows in order as they become due, until ctx ends.
+// Run reports windows in order as they become due, until ctx ends or after too many conflicts.
 func (r *Reporter) Run(ctx context.Context) {
 	began := usage.WindowOf(time.Now(), r.options.Span)
 	for ctx.Err() == nil && r.conflicts < maxConflicts {
@@ -75,39 +73,39 @@
 			r.failedAt = time.Now()
 			r.options.Logger.Warn().Err(err).Int64("window", int64(r.ledger.Next(began))).Msg("use not reported yet")
 		}
-		retry.Sleep(ctx, reportPause)
+		retry.Sleep(ctx, reportInterval)
 	}
 }
 
-// step sends the newest decided report if it was not sent yet, and otherwise decides the
-// report of the next window if it is due.
+// step sends the latest decided report unless it was sent already. Otherwise, it decides the report of the next window
+// if that is due.
 func (r *Reporter) step(ctx context.Context, began usage.Window) error {
 	if r.ledger.NextReport == 0 {
-		// Reports of earlier leaders must be known first.
+		// The reports that earlier leaders decided must be known first.
 		if err := r.readReports(ctx); err != nil {
 			return err
 		}
 	}
-	if newest, found := r.ledger.Newest(); found && newest.Window > r.sent {
+	if newest, found := r.ledger.Newest(); found && newest.Window > r.lastReported {
 		return r.send(ctx, newest)
 	}
 	next := r.ledger.Next(began)
-	ready := next.End(r.options.Span).Add(time.Duration(settleShare * float64(r.options.Late)))
-	if now := time.Now(); now.Before(ready) || now.Sub(r.failedAt) < recoverTime || !r.options.Term.Valid() {
+	ready := next.End(r.options.Span).Add(time.Duration(countWaitFraction * float64(r.options.Late)))
+	if now := time.Now(); now.Before(ready) || now.Sub(r.failedAt) < logRecoveryDelay || !r.options.Term.Valid() {
 		return nil
 	}
 	if err := r.readCounts(ctx); err != nil {
 		return err
 	}
-	return r.decide(ctx, max(r.ledger.Next(began), r.oldest()))
+	return r.decide(ctx, max(r.ledger.Next(began), r.oldestWindow()))
 }
 
-// oldest returns the first window whose counts the log still holds.
-func (r *Reporter) oldest() usage.Window {
-	return usage.WindowOf(time.Now().Add(-maxBacklog), r.options.Span)
+// oldestWindow returns the first window that is not too old to be reported.
+func (r *Reporter) oldestWindow() usage.Window {
+	return usage.WindowOf(time.Now().Add(-maxReportAge), r.options.Span)
 }
 
-// decide appends the report of a window, unless another leader has appended one.
+// decide appends the report of a window to the log, unless another leader has appended one.
 func (r *Reporter) decide(ctx context.Context, window usage.Window) error {
 	raw, err := msgpack.Marshal(r.ledger.Report(window))
 	if err != nil {
@@ -127,7 +125,7 @@
 		return r.options.Platform.ReportUsage(ctx, holder, report.Window, report.Counts)
 	})
 	if answer == NotDone && err == nil {
-		// This node may not call now.
+		// No permit.
 		return nil
 	}
 	late := time.Since(report.Window.End(r.options.Span)) - r.options.Late
@@ -136,10 +134,10 @@
 		Int64("fence", r.caller.holder.Fence).Msg("use reported")
 	switch answer {
 	case Done, Refused:
-		r.sent = report.Window
+		r.lastReported = report.Window
 	case Conflict:
 		r.conflicts++
-		retry.Sleep(ctx, conflictPause)
+		retry.Sleep(ctx, conflictDelay)
 	}
 	return nil
 }
@@ -148,7 +146,7 @@
 	lost := func(first int64) {
 		unreported := usage.WindowOf(time.Now(), r.options.Span)
 		r.options.Logger.Warn().Int64("offset", r.ledger.NextReport).Int64("first_kept", first).
-			Int64("window", int64(unreported)).Msg("reports of use lost")
+			Int64("window", int64(unreported)).Msg("usage reports were trimmed before they were read")
 		r.ledger.LoseReports(first, unreported)
 	}
 	return readToEnd(ctx, r.options.Log, reportPartition, &r.ledger.NextReport, lost, func(raw []byte) error {
@@ -178,14 +176,14 @@
 	})
 }
 
-// readToEnd reads a partition from next to its end. handle must advance next by one for each
-// record, lost must set it to the first offset that the log still holds.
+// readToEnd reads a partition from next to its end. handle must advance next by one for each record. lost is called
+// when records were trimmed and must set next to the first offset that the log still holds.
 func readToEnd(
 	ctx context.Context, log eventlog.Log, partition eventlog.Partition, next *int64,
 	lost func(first int64), handle func(raw []byte) error,
 ) error {
 	for {
-		batch, err := log.Read(ctx, partition, *next, usageReadLimit, 0)
+		batch, err := log.Read(ctx, partition, *next, maxReadBytes, 0)
 		var gone *eventlog.GoneError
 		if errors.As(err, &gone) {
 			lost(gone.First)
--- a/internal/duties/reporter_test.go
+++ b/internal/duties/reporter_test.go
@@ -17,13 +17,13 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// span and due are short to keep the tests fast.
+// span and due are the Span and Late of the reporters.
 const (
 	span = 400 * time.Millisecond
 	due  = 800 * time.Millisecond
 )
 
-// start runs a function until the test ends or the returned function is called.
+// start runs a function until the test ends or stop is called.
 func start(t *testing.T, run func(ctx context.Context)) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -40,13 +40,13 @@
 	return stop
 }
 
-func counting(t *testing.T, log *memlog.Log, source string) (counter *Counter, stop func()) {
+func startCounter(t *testing.T, log *memlog.Log, source string) (counter *Counter, stop func()) {
 	t.Helper()
 	counter = NewCounter(log, source, span, pacing.Budget{}, zerolog.Nop())
 	return counter, start(t, func(ctx context.Context) { _ = counter.Run(ctx) })
 }
 
-func reporting(t *testing.T, log *memlog.Log, platform Platform, term *leaseterm.Term, fence int64) (stop func()) {
+func startReporter(t *testing.T, log *memlog.Log, platform Platform, term *leaseterm.Term, fence int64) (stop func()) {
 	t.Helper()
 	reporter := NewReporter(ReporterOptions{
 		Log: log, Platform: platform, Term: term, Holder: Holder{Node: "n", Fence: fence},
@@ -65,13 +65,13 @@
 	return counts
 }
 
-func TestAWindowIsReportedWithTheCountsOfAllNodes(t *testing.T) {
+func TestReportSumsCountsOfAllNodes(t *testing.T) {
 	t.Parallel()
 	log, platform, term := memlog.New(), newFakePlatform(), &leaseterm.Term{}
-	one, _ := counting(t, log, "one")
-	two, _ := counting(t, log, "two")
+	one, _ := startCounter(t, log, "one")
+	two, _ := startCounter(t, log, "two")
 	now := time.Now()
-	reporting(t, log, platform, term, 1)
+	startReporter(t, log, platform, term, 1)
 	for range 3 {
 		one.Began("a", now)
 	}
@@ -79,35 +79,35 @@
 	two.Began("b", now)
 	two.Began("", now)
 	assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)), usage.Counts{"a": 4, "b": 1})
-	// A window in which nothing began is reported as well.
+	// A window without requests is reported as well.
 	assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)+1), usage.Counts{})
 	assert.Assert(t, len(term.Permitted()) >= 2)
 	assert.Equal(t, term.Permitted()[0], usageSubject)
 }
 
-func TestWhatAStoppingNodeCountedIsWritten(t *testing.T) {
+func TestCounterWritesCountsAtShutdown(t *testing.T) {
 	t.Parallel()
 	log, platform := memlog.New(), newFakePlatform()
-	counter, stop := counting(t, log, "one")
+	counter, stop := startCounter(t, log, "one")
 	now := time.Now()
 	counter.Began("a", now)
 	stop()
-	reporting(t, log, platform, &leaseterm.Term{}, 1)
+	startReporter(t, log, platform, &leaseterm.Term{}, 1)
 	assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)), usage.Counts{"a": 1})
 }
 
-// silentLog never answers appends.
-type silentLog struct{ *memlog.Log }
+// unresponsiveLog blocks appends until their context ends.
+type unresponsiveLog struct{ *memlog.Log }
 
-func (silentLog) Append(ctx context.Context, _ eventlog.Partition, _ [][]byte) (int64, error) {
+func (unresponsiveLog) Append(ctx context.Context, _ eventlog.Partition, _ [][]byte) (int64, error) {
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
 
-// TestANodeThatStopsDoesNotWaitForASilentLog: roles may have only 350 ms to end.
-func TestANodeThatStopsDoesNotWaitForASilentLog(t *testing.T) {
+// TestCounterShutdownWithUnresponsiveLog: roles have only 350 ms to shut down.
+func TestCounterShutdownWithUnresponsiveLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		counter := NewCounter(silentLog{memlog.New()}, "one", span, pacing.Budget{}, zerolog.Nop())
+		counter := NewCounter(unresponsiveLog{memlog.New()}, "one", span, pacing.Budget{}, zerolog.Nop())
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
@@ -123,8 +123,9 @@
 	})
 }
 
-// TestCountsOutliveLostAnswersAndOutages: records that are written twice count once.
-func TestCountsOutliveLostAnswersAndOutages(t *testing.T) {
+// TestCountsSurviveAppendFaults guards against lost counts, and against double counting of records that are written
+// twice.
+func TestCountsSurviveAppendFaults(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]memlog.Fault{
 		"lost answers": memlog.LostAnswer, "refused": memlog.Refused, "lost calls": memlog.LostCall,
@@ -138,11 +139,11 @@
 				}
 				return memlog.None
 			})
-			counter, _ := counting(t, log, "one")
-			// The report is decided once the faults are over.
+			counter, _ := startCounter(t, log, "one")
+			// The report of this window is decided after the faults have ended.
 			now := time.Now().Add(due)
 			counter.Began("a", now)
-			reporting(t, log, platform, &leaseterm.Term{}, 1)
+			startReporter(t, log, platform, &leaseterm.Term{}, 1)
 			time.Sleep(2 * countDelay)
 			counter.Began("a", now)
 			time.Sleep(2 * countDelay)
@@ -154,18 +155,18 @@
 	}
 }
 
-// TestANewHolderRepeatsTheReportExactly: the previous holder has decided the report, and its call
-// got no answer. Later counts must not change the report.
-func TestANewHolderRepeatsTheReportExactly(t *testing.T) {
+// TestNewHolderRepeatsReportUnchanged: the previous holder decided the report, and its call got no answer. Later
+// counts must not change the report.
+func TestNewHolderRepeatsReportUnchanged(t *testing.T) {
 	t.Parallel()
 	log, platform := memlog.New(), newFakePlatform()
 	platform.answer = func() (Answer, bool) { return Unanswered, true }
-	counter, _ := counting(t, log, "one")
+	counter, _ := startCounter(t, log, "one")
 	now := time.Now()
 	window := usage.WindowOf(now, span)
 	counter.Began("a", now)
 	first := &leaseterm.Term{}
-	stop := reporting(t, log, platform, first, 1)
+	stop := startReporter(t, log, platform, first, 1)
 	awaitReport(t, platform, window)
 	first.SetOver(true)
 	stop()
@@ -175,7 +176,7 @@
 	platform.answer = nil
 	before := platform.calls
 	platform.mu.Unlock()
-	reporting(t, log, platform, &leaseterm.Term{}, 2)
+	startReporter(t, log, platform, &leaseterm.Term{}, 2)
 	awaitReport(t, platform, window+2)
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
@@ -184,11 +185,11 @@
 	assert.DeepEqual(t, platform.reports[window], usage.Counts{"a": 1})
 }
 
-// TestTwoLeadersDecideOnce: both believe that they lead and have read different counts.
-func TestTwoLeadersDecideOnce(t *testing.T) {
+// TestConcurrentLeadersDecideOneReport: two nodes act as leader and have read different counts.
+func TestConcurrentLeadersDecideOneReport(t *testing.T) {
 	t.Parallel()
 	log, platform := memlog.New(), newFakePlatform()
-	counter, _ := counting(t, log, "one")
+	counter, _ := startCounter(t, log, "one")
 	stopped := make(chan struct{})
 	start(t, func(ctx context.Context) {
 		defer close(stopped)
@@ -197,20 +198,20 @@
 			time.Sleep(time.Millisecond)
 		}
 	})
-	reporting(t, log, platform, &leaseterm.Term{}, 1)
-	reporting(t, log, platform, &leaseterm.Term{}, 2)
+	startReporter(t, log, platform, &leaseterm.Term{}, 1)
+	startReporter(t, log, platform, &leaseterm.Term{}, 2)
 	awaitReport(t, platform, usage.WindowOf(time.Now(), span)+4)
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
 	assert.Equal(t, platform.changed, 0, "two reports of a window")
 }
 
-// TestAHolderThatWasRefusedDoesNotHurry: a holder whose term is over does not call at all.
-func TestAHolderThatWasRefusedDoesNotHurry(t *testing.T) {
+// TestReporterWaitsAfterConflict guards against retrying at once while another node has a higher fencing token.
+func TestReporterWaitsAfterConflict(t *testing.T) {
 	t.Parallel()
 	log, platform, term := memlog.New(), newFakePlatform(), &leaseterm.Term{}
 	platform.fence[usageSubject] = 9
-	reporting(t, log, platform, term, 1)
+	startReporter(t, log, platform, term, 1)
 	testwait.Until(t, "one call", func() bool {
 		platform.mu.Lock()
 		defer platform.mu.Unlock()
@@ -224,13 +225,12 @@
 	assert.Equal(t, len(platform.reports), 0)
 }
 
-// TestAHolderThatWasRefusedTwiceReportsNoMore: it sends no more reports in this term.
-func TestAHolderThatWasRefusedTwiceReportsNoMore(t *testing.T) {
+func TestReporterStopsAfterMaxConflicts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, platform := memlog.New(), newFakePlatform()
 		platform.fence[usageSubject] = 9
-		stop := reporting(t, log, platform, &leaseterm.Term{}, 1)
-		time.Sleep(6 * conflictPause)
+		stop := startReporter(t, log, platform, &leaseterm.Term{}, 1)
+		time.Sleep(6 * conflictDelay)
 		synctest.Wait()
 		platform.mu.Lock()
 		calls := platform.calls
@@ -240,19 +240,19 @@
 	})
 }
 
-func TestNobodyCallsInTheQuietTimeAfterAnotherHolder(t *testing.T) {
+func TestReporterWaitsForQuietTime(t *testing.T) {
 	t.Parallel()
 	log, platform := memlog.New(), newFakePlatform()
 	quietUntil := time.Now().Add(3 * due)
 	term := &leaseterm.Term{Quiet: func(string) time.Time { return quietUntil }}
 	now := time.Now()
-	reporting(t, log, platform, term, 2)
+	startReporter(t, log, platform, term, 2)
 	awaitReport(t, platform, usage.WindowOf(now, span))
 	assert.Assert(t, time.Now().After(quietUntil))
 }
 
-// TestWhereNothingIsReportedNothingIsCounted: not at shutdown either.
-func TestWhereNothingIsReportedNothingIsCounted(t *testing.T) {
+// TestZeroSpanDisablesCounter checks that nothing is written, not even at shutdown.
+func TestZeroSpanDisablesCounter(t *testing.T) {
 	t.Parallel()
 	log := memlog.New()
 	counter := NewCounter(log, "one", 0, pacing.Budget{}, zerolog.Nop())
--- a/internal/duties/scaler.go
+++ b/internal/duties/scaler.go
@@ -14,27 +14,26 @@
 )
 
 const (
-	// scalePeriod is the interval between two evaluations of the services.
-	scalePeriod = 300 * time.Millisecond
-	// orderSlack is how long an engine may take to be listed beyond its boot time. An order
-	// whose engines are missing by then is repeated.
-	orderSlack = 3 * time.Second
-	// soldOutPause follows an order that the platform could not satisfy.
-	soldOutPause = 2 * time.Second
+	scaleInterval = 300 * time.Millisecond
+	// listingGracePeriod is how long after its boot time an engine may be listed. An order whose engines are missing
+	// after that is repeated.
+	listingGracePeriod = 3 * time.Second
+	// capacityRetryDelay is the pause after an order that the platform could not satisfy.
+	capacityRetryDelay = 2 * time.Second
 )
 
-// ScaledService is a service whose engines may be ordered.
+// ScaledService is a service that is scaled by ordering engines.
 type ScaledService struct {
 	Name   string
 	Bounds scaling.Bounds
-	// BootTime is how long a new engine takes until it serves.
+	// BootTime is how long a new engine takes until it serves requests.
 	BootTime time.Duration
 	Demand   scaling.Demand
-	// Engines is the number of engines in each zone, excluding those that leave.
+	// Engines is the number of engines in each zone, excluding draining ones.
 	Engines map[string]int
 }
 
-// ScalerOptions are the parts that a scaler works with.
+// ScalerOptions configure a scaler.
 type ScalerOptions struct {
 	Platform Platform
 	Term     lease.Term
@@ -55,10 +54,10 @@
 // subject is a service in a zone.
 type subject struct{ service, zone string }
 
-// String returns the subject of permits.
+// String returns the subject as named in permits.
 func (s subject) String() string { return "scale/" + s.service + "/" + s.zone }
 
-// lastOrder is the last order for a subject in this term.
+// lastOrder is the latest order for a subject in this term.
 type lastOrder struct {
 	count int
 	// repeatAt is when the order is repeated if its engines are missing.
@@ -75,14 +74,14 @@
 
 // Run orders engines until ctx ends.
 func (s *Scaler) Run(ctx context.Context) {
-	for retry.Sleep(ctx, scalePeriod) {
+	for retry.Sleep(ctx, scaleInterval) {
 		for _, service := range s.options.Services() {
 			s.scale(ctx, service)
 		}
 	}
 }
 
-// scale orders the missing engines of a service.
+// scale evaluates a service and orders its missing engines.
 func (s *Scaler) scale(ctx context.Context, service ScaledService) {
 	planner, known := s.planners[service.Name]
 	if !known {
@@ -113,15 +112,15 @@
 		return s.options.Platform.OrderEngines(ctx, holder, order)
 	})
 	if answer == NotDone && err == nil {
-		// This node may not call now.
+		// No permit.
 		return
 	}
 	s.options.Logger.Info().Err(err).Str("service", service.Name).Str("zone_ordered", zone).Int("count", count).
 		Int("present", present).Int("items", service.Demand.Items).Stringer("answer", answer).
 		Int64("fence", s.caller.holder.Fence).Msg("engines ordered")
-	pause := soldOutPause
+	pause := capacityRetryDelay
 	if answer == Done || answer == Unanswered {
-		pause = service.BootTime + orderSlack
+		pause = service.BootTime + listingGracePeriod
 	}
 	s.orders[about] = &lastOrder{count: count, repeatAt: time.Now().Add(pause)}
 }
--- a/internal/duties/scaler_test.go
+++ b/internal/duties/scaler_test.go
@@ -14,7 +14,7 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-func scalerOf(t *testing.T, platform Platform, term lease.Term, services func() []ScaledService) {
+func startScaler(t *testing.T, platform Platform, term lease.Term, services func() []ScaledService) {
 	t.Helper()
 	scaler := NewScaler(ScalerOptions{
 		Platform: platform, Term: term, Holder: Holder{Node: "n", Fence: 1}, Services: services, Logger: zerolog.Nop(),
@@ -29,7 +29,7 @@
 	}
 }
 
-// awaitEvaluation waits until the scaler has completed an evaluation: the second begins after the first.
+// awaitEvaluation waits until the scaler has completed its first evaluation, which is when the second begins.
 func awaitEvaluation(t *testing.T, begun *atomic.Int64) {
 	t.Helper()
 	testwait.Until(t, "a completed evaluation", func() bool { return begun.Load() >= 2 })
@@ -41,34 +41,34 @@
 	return append([]EngineOrder(nil), p.orders...)
 }
 
-func TestEnginesThatAreMissingAreOrderedOnce(t *testing.T) {
+func TestScalerOrdersMissingEnginesOnce(t *testing.T) {
 	t.Parallel()
 	platform, term := newFakePlatform(), &leaseterm.Term{}
-	scalerOf(t, platform, term, func() []ScaledService { return []ScaledService{service(30, map[string]int{"a": 2, "b": 2})} })
+	startScaler(t, platform, term, func() []ScaledService { return []ScaledService{service(30, map[string]int{"a": 2, "b": 2})} })
 	testwait.Until(t, "an order", func() bool { return len(platform.ordered()) == 1 })
-	time.Sleep(3 * scalePeriod)
+	time.Sleep(3 * scaleInterval)
 	assert.DeepEqual(t, platform.ordered(), []EngineOrder{{Service: "s", Zone: "a", Count: 3}})
 	assert.DeepEqual(t, term.Permitted(), []string{"scale/s/a"})
 }
 
-// idleTime is longer than the planner takes to order what it wants.
-const idleTime = 12 * time.Second
+// plannerTime is longer than the planner takes to order all engines it wants.
+const plannerTime = 12 * time.Second
 
-// TestWhatStandsIsNotOrdered guards against orders of engines that are there.
-func TestWhatStandsIsNotOrdered(t *testing.T) {
+// TestScalerSendsNoOrderWhenEnginesSuffice guards against orders of engines that are already listed.
+func TestScalerSendsNoOrderWhenEnginesSuffice(t *testing.T) {
 	t.Parallel()
 	platform := newFakePlatform()
-	scalerOf(t, platform, &leaseterm.Term{}, func() []ScaledService { return []ScaledService{service(0, map[string]int{"a": 2, "b": 1})} })
-	time.Sleep(idleTime)
+	startScaler(t, platform, &leaseterm.Term{}, func() []ScaledService { return []ScaledService{service(0, map[string]int{"a": 2, "b": 1})} })
+	time.Sleep(plannerTime)
 	assert.Equal(t, len(platform.ordered()), 0)
 }
 
-func TestEnginesThatWereTakenAwayAreReplaced(t *testing.T) {
+func TestScalerReplacesReclaimedEngines(t *testing.T) {
 	t.Parallel()
 	platform := newFakePlatform()
 	var taken atomic.Bool
 	var begun atomic.Int64
-	scalerOf(t, platform, &leaseterm.Term{}, func() []ScaledService {
+	startScaler(t, platform, &leaseterm.Term{}, func() []ScaledService {
 		begun.Add(1)
 		if taken.Load() {
 			return []ScaledService{service(0, map[string]int{"a": 2})}
@@ -81,36 +81,37 @@
 	assert.DeepEqual(t, platform.ordered()[0], EngineOrder{Service: "s", Zone: "b", Count: 3})
 }
 
-// TestWhereNothingIsToBeHadTheOrderComesAgain: the order is repeated after a pause.
-func TestWhereNothingIsToBeHadTheOrderComesAgain(t *testing.T) {
+// TestScalerRetriesAfterConflict: an order that the platform could not satisfy is repeated after a pause.
+func TestScalerRetriesAfterConflict(t *testing.T) {
 	t.Parallel()
 	platform := newFakePlatform()
 	var refused atomic.Int64
 	platform.answer = func() (Answer, bool) { return Conflict, refused.Add(1) <= 2 }
 	began := time.Now()
-	scalerOf(t, platform, &leaseterm.Term{}, func() []ScaledService { return []ScaledService{service(30, map[string]int{"a": 2, "b": 2})} })
+	startScaler(t, platform, &leaseterm.Term{}, func() []ScaledService { return []ScaledService{service(30, map[string]int{"a": 2, "b": 2})} })
 	testwait.Until(t, "an order", func() bool { return len(platform.ordered()) == 1 })
-	assert.Assert(t, time.Since(began) >= 2*soldOutPause)
+	assert.Assert(t, time.Since(began) >= 2*capacityRetryDelay)
 	assert.Equal(t, refused.Load(), int64(3))
 }
 
-func TestNobodyOrdersAfterItsTerm(t *testing.T) {
+func TestScalerSendsNoOrderAfterTerm(t *testing.T) {
 	t.Parallel()
 	platform, term := newFakePlatform(), &leaseterm.Term{}
 	term.SetOver(true)
-	scalerOf(t, platform, term, func() []ScaledService { return []ScaledService{service(30, nil)} })
-	time.Sleep(idleTime)
+	startScaler(t, platform, term, func() []ScaledService { return []ScaledService{service(30, nil)} })
+	time.Sleep(plannerTime)
 	assert.Equal(t, len(platform.ordered()), 0)
 	assert.Equal(t, len(term.Permitted()), 0)
 }
 
-// TestNothingIsOrderedInAnEvacuatedZone: its engines are lost meanwhile, and replacements are ordered elsewhere.
-func TestNothingIsOrderedInAnEvacuatedZone(t *testing.T) {
+// TestScalerOrdersNoEnginesInEvacuatedZone: replacements for the engines of an evacuated zone are ordered
+// elsewhere.
+func TestScalerOrdersNoEnginesInEvacuatedZone(t *testing.T) {
 	t.Parallel()
 	platform := newFakePlatform()
 	var lost atomic.Bool
 	var begun atomic.Int64
-	scalerOf(t, platform, &leaseterm.Term{}, func() []ScaledService {
+	startScaler(t, platform, &leaseterm.Term{}, func() []ScaledService {
 		begun.Add(1)
 		if !lost.Load() {
 			return []ScaledService{service(0, map[string]int{"a": 2, "b": 2})}
@@ -122,6 +123,6 @@
 	awaitEvaluation(t, &begun)
 	lost.Store(true)
 	testwait.Until(t, "an order", func() bool { return len(platform.ordered()) > 0 })
-	time.Sleep(3 * scalePeriod)
+	time.Sleep(3 * scaleInterval)
 	assert.DeepEqual(t, platform.ordered(), []EngineOrder{{Service: "s", Zone: "a", Count: 4}})
 }
