--- a/internal/crashes/adopt.go
+++ b/internal/crashes/adopt.go
@@ -9,55 +9,54 @@
 )
 
 const (
-	// A record received from a peer that is not in the log after adoptAfter and a random part of
-	// adoptSpread is written by this node, since the peer may have ended. The random part makes
-	// it likely that only one node does so.
-	adoptAfter  = 5 * time.Second
-	adoptSpread = 10 * time.Second
-	adoptPeriod = time.Second
+	// A record received from a peer that is not in the log after adoptDelay plus a random part of adoptJitter is
+	// written by this node, since the peer may have ended. The jitter makes it likely that only one node does so.
+	adoptDelay    = 5 * time.Second
+	adoptJitter   = 10 * time.Second
+	adoptInterval = time.Second
 )
 
-// adoption is a record that was received from a peer.
-type adoption struct {
+// peerRecord is a record received from a peer that is not known to be in the log.
+type peerRecord struct {
 	record eventlog.KeyedRecord
-	// due is when this node writes the record.
+	// due is when this node writes the record itself.
 	due time.Time
 }
 
-// applyFromPeer applies a record that a peer could not write.
+// applyFromPeer applies a record that a peer could not write to the log.
 func (g *Guard) applyFromPeer(from eventlog.KeyedRecord) {
 	from.Offset = quarantine.Unlogged
 	record, err := decode(from)
 	if err != nil {
-		g.logger.Error().Err(err).Str("key", from.Key).Msg("record of an ended engine passed over")
+		g.logger.Error().Err(err).Str("key", from.Key).Msg("crash record skipped: it cannot be decoded")
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if from.Deleted {
 		g.ledger.Drop(record.Fingerprint, record.Name())
-		g.count()
+		g.updateCount()
 		g.clear(from.Key, false)
 		return
 	}
-	if g.isCleared(from.Key) {
+	if g.isDeleted(from.Key) {
 		return
 	}
 	g.put(record, "peer")
-	g.adopted[from.Key] = adoption{record: from, due: time.Now().Add(adoptAfter + rand.N(adoptSpread))}
+	g.peerRecords[from.Key] = peerRecord{record: from, due: time.Now().Add(adoptDelay + rand.N(adoptJitter))}
 }
 
-// writeAdopted writes records of peers that are due and still not in the log.
-func (g *Guard) writeAdopted(now time.Time) {
+// writePeerRecords writes the records of peers that are due and still not in the log.
+func (g *Guard) writePeerRecords(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for key, each := range g.adopted {
+	for key, each := range g.peerRecords {
 		record, err := decode(each.record)
 		switch {
 		case err != nil || g.ledger.Logged(record):
-			delete(g.adopted, key)
+			delete(g.peerRecords, key)
 		case !now.Before(each.due):
-			delete(g.adopted, key)
+			delete(g.peerRecords, key)
 			g.writer.add(each.record)
 		}
 	}
--- a/internal/crashes/golden_test.go
+++ b/internal/crashes/golden_test.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/goldenrecord"
 )
 
-// Guards against a record or message that an earlier build misreads, or whose earlier form this build does.
+// TestRecordsOfEarlierBuilds guards against incompatible changes of the encoding of records and messages.
 func TestRecordsOfEarlierBuilds(t *testing.T) {
 	goldenrecord.Check(t,
 		goldenrecord.Sample{Name: "value", Value: &value{}},
@@ -20,7 +20,7 @@
 	)
 }
 
-// Guards against a key that another build reads as another engine, or not at all.
+// TestKeysOfEarlierBuilds guards against incompatible changes of the keys of records.
 func TestKeysOfEarlierBuilds(t *testing.T) {
 	record := quarantine.Record{Engine: "e-1", At: time.UnixMilli(1234), Isolated: true, Offset: 7}
 	record.Fingerprint[0] = 0xab
--- a/internal/crashes/guard.go
+++ b/internal/crashes/guard.go
@@ -13,43 +13,40 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// sweepPeriod is the interval between two sweeps of expired records.
-const sweepPeriod = time.Minute
+const sweepInterval = time.Minute
 
-// Guard quarantines requests under which engines ended. Nodes write their observations to
-// the log, which all nodes follow; while the log is unavailable, they send them to each other.
-// It is safe for concurrent use.
+// Guard quarantines requests during which engines crashed. Nodes write the crashes that they observe to the log, which
+// all nodes follow; while the log is unavailable, they send them to each other. It is safe for concurrent use.
 type Guard struct {
 	watch   *Watch
 	writer  *writer
 	observe func(requests int)
 	logger  zerolog.Logger
 
-	// known is the number of requests in the ledger. While it is zero, no fingerprints are
-	// computed.
-	known atomic.Int64
+	// requestCount is the number of requests in the ledger. While it is zero, no fingerprints are computed.
+	requestCount atomic.Int64
 
 	mu     sync.Mutex
 	ledger *quarantine.Ledger
 	// changed is closed and replaced when records are read from the log.
 	changed chan struct{}
-	// asking holds the requests for which this node is claiming a trial.
-	asking map[quarantine.Fingerprint]bool
-	// adopted holds records of peers by key.
-	adopted map[string]adoption
-	// cleared holds deleted records by key.
-	cleared map[string]clearing
+	// claiming holds the requests whose trial this node is claiming.
+	claiming map[quarantine.Fingerprint]bool
+	// peerRecords holds the records received from peers, by key.
+	peerRecords map[string]peerRecord
+	// tombstones holds the deleted records, by key.
+	tombstones map[string]tombstone
 }
 
-// GuardOptions are the parts that a guard works with.
+// GuardOptions configure a guard.
 type GuardOptions struct {
 	Watch *Watch
 	Log   Log
-	// Topic is a compacted topic of the log.
+	// Topic is the compacted topic of the records.
 	Topic string
-	// Unwritten is called with records that could not be written.
+	// Unwritten is called with records that could not be written to the log.
 	Unwritten func(ctx context.Context, records []eventlog.KeyedRecord)
-	// Observe is called with the number of requests whenever it may have changed.
+	// Observe is called with the number of requests in the ledger whenever it may have changed.
 	Observe func(requests int)
 	Logger  zerolog.Logger
 }
@@ -60,23 +57,23 @@
 		watch:   options.Watch,
 		writer:  newWriter(options.Log, options.Topic, options.Unwritten, options.Logger),
 		observe: options.Observe, logger: options.Logger, ledger: quarantine.NewLedger(), changed: make(chan struct{}),
-		asking: make(map[quarantine.Fingerprint]bool), adopted: make(map[string]adoption),
-		cleared: make(map[string]clearing),
+		claiming: make(map[quarantine.Fingerprint]bool), peerRecords: make(map[string]peerRecord),
+		tombstones: make(map[string]tombstone),
 	}
 }
 
-// Run writes observations until ctx ends.
+// Run writes records until ctx ends.
 func (g *Guard) Run(ctx context.Context) error {
 	var group sync.WaitGroup
 	group.Go(func() { g.writer.run(ctx) })
-	ticker := time.NewTicker(adoptPeriod)
+	ticker := time.NewTicker(adoptInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case now := <-ticker.C:
-			g.writeAdopted(now)
-			g.forgetCleared(now)
+			g.writePeerRecords(now)
+			g.expireTombstones(now)
 		}
 	}
 	group.Wait()
@@ -87,7 +84,8 @@
 func (g *Guard) Take(from eventlog.KeyedRecord) {
 	record, err := decode(from)
 	if err != nil {
-		g.logger.Error().Err(err).Str("key", from.Key).Int64("offset", from.Offset).Msg("record of an ended engine passed over")
+		g.logger.Error().Err(err).Str("key", from.Key).Int64("offset", from.Offset).
+			Msg("crash record skipped: it cannot be decoded")
 		return
 	}
 	g.mu.Lock()
@@ -96,19 +94,19 @@
 	case from.Deleted:
 		g.ledger.Drop(record.Fingerprint, record.Name())
 		g.clear(from.Key, false)
-	case g.isCleared(from.Key):
-		g.clearAgain(from)
+	case g.isDeleted(from.Key):
+		g.deleteAgain(from)
 	default:
 		g.put(record, "log")
 	}
-	g.count()
+	g.updateCount()
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// count updates the number of requests. Must be called with mu held.
-func (g *Guard) count() {
-	g.known.Store(int64(g.ledger.Len()))
+// updateCount updates and reports the number of requests in the ledger. Must be called with mu held.
+func (g *Guard) updateCount() {
+	g.requestCount.Store(int64(g.ledger.Len()))
 	g.observe(g.ledger.Len())
 }
 
@@ -117,7 +115,7 @@
 	if !g.ledger.Put(record) {
 		return
 	}
-	g.count()
+	g.updateCount()
 	standing := g.ledger.Standing(record.Fingerprint, time.Now())
 	if standing.Crashes < quarantine.RequestLimit {
 		return
@@ -127,8 +125,7 @@
 		Msg("request kept away from engines")
 }
 
-// ConnectionLost reports whether the engine has ended under the request, and records
-// it.
+// ConnectionLost reports whether the engine crashed during the request, and records the crash.
 func (g *Guard) ConnectionLost(ctx context.Context, loss Loss) bool {
 	if !g.watch.ConnectionLost(ctx, loss) {
 		return false
@@ -138,7 +135,7 @@
 		At: time.Now(), Offset: quarantine.Unlogged,
 	}
 	g.mu.Lock()
-	cleared := g.isCleared(keyOf(record))
+	cleared := g.isDeleted(keyOf(record))
 	if !cleared {
 		g.put(record, "self")
 	}
@@ -152,17 +149,16 @@
 func (g *Guard) write(record quarantine.Record) {
 	encoded, err := encode(record)
 	if err != nil {
-		g.logger.Error().Err(err).Stringer("fingerprint", record.Fingerprint).Msg("record of an ended engine not written")
+		g.logger.Error().Err(err).Stringer("fingerprint", record.Fingerprint).Msg("crash record not written")
 		return
 	}
 	g.writer.add(encoded)
 }
 
-// Answered clears a request that an engine completed successfully: it did not cause the ends
-// of other engines. Failures prove nothing, since an engine may reject a request without
-// starting it.
+// Answered clears a request that an engine completed successfully, since it did not cause the crashes. A failed request
+// must not be cleared: an engine may have rejected it without starting it.
 func (g *Guard) Answered(fingerprint func() quarantine.Fingerprint) {
-	if g.known.Load() == 0 {
+	if g.requestCount.Load() == 0 {
 		return
 	}
 	of := fingerprint()
@@ -172,16 +168,16 @@
 		g.ledger.Drop(of, record.Name())
 		g.clear(keyOf(record), true)
 	}
-	g.count()
+	g.updateCount()
 	g.mu.Unlock()
 	if len(records) == 0 {
 		return
 	}
 	g.logger.Info().Stringer("fingerprint", of).Int("records", len(records)).Msg("request cleared by its answer")
-	g.remove(records)
+	g.writeDeletions(records)
 }
 
-func (g *Guard) remove(records []quarantine.Record) {
+func (g *Guard) writeDeletions(records []quarantine.Record) {
 	deletions := make([]eventlog.KeyedRecord, len(records))
 	for i, record := range records {
 		deletions[i] = deletion(record)
@@ -189,9 +185,9 @@
 	g.writer.add(deletions...)
 }
 
-// Standing returns the state of a request.
+// Standing returns the quarantine state of a request.
 func (g *Guard) Standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing {
-	if g.known.Load() == 0 {
+	if g.requestCount.Load() == 0 {
 		return quarantine.Standing{}
 	}
 	of := fingerprint()
@@ -200,8 +196,8 @@
 	return g.ledger.Standing(of, time.Now())
 }
 
-// Admit returns nil if a live request may be sent to an engine, or why it may not. After the end of
-// a quarantine one request is admitted as a trial, at the node that claims it first.
+// Admit returns nil if a live request may be sent to an engine, and the reason otherwise. When a quarantine has ended,
+// one request is admitted as a trial, at the node that claims it first.
 func (g *Guard) Admit(ctx context.Context, fingerprint func() quarantine.Fingerprint) *errkind.Error {
 	now := time.Now()
 	standing := g.Standing(fingerprint)
@@ -217,10 +213,9 @@
 	return failure
 }
 
-// Sweep deletes expired records from the log until ctx ends. It must run on one node at a
-// time.
+// Sweep deletes expired records from the log until ctx ends. It must run on one node at a time.
 func (g *Guard) Sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepPeriod)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -239,10 +234,10 @@
 		g.ledger.Drop(record.Fingerprint, record.Name())
 		g.clear(keyOf(record), true)
 	}
-	g.count()
+	g.updateCount()
 	g.mu.Unlock()
 	if len(expired) > 0 {
-		g.logger.Info().Int("records", len(expired)).Msg("records of ended engines forgotten")
-		g.remove(expired)
+		g.logger.Info().Int("records", len(expired)).Msg("expired crash records deleted")
+		g.writeDeletions(expired)
 	}
 }
--- a/internal/crashes/guard_test.go
+++ b/internal/crashes/guard_test.go
@@ -23,15 +23,15 @@
 
 const topic = "keyed.crashes"
 
-// cluster is the guards of some nodes on one log, in a synctest bubble.
+// cluster holds the guards of several nodes that share a log, in a synctest bubble.
 type cluster struct {
 	t      *testing.T
 	log    *memlog.Log
 	guards []*Guard
 }
 
-// inCluster runs a test with the given number of nodes.
-func inCluster(t *testing.T, nodes int, test func(c *cluster)) {
+// runCluster runs a test with the given number of nodes.
+func runCluster(t *testing.T, nodes int, test func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{t: t, log: memlog.New()}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -48,10 +48,10 @@
 	})
 }
 
-// node adds a guard and the follower of its topic.
+// node adds a guard and returns it with the follower of its topic.
 func (c *cluster) node() (*Guard, *follow.Follower) {
 	guard := NewGuard(GuardOptions{
-		Watch: watchOf(&fakeProber{answer: Ended}, engineAt("a", "a:1"), engineAt("b", "b:1"), engineAt("c", "c:1")),
+		Watch: newTestWatch(&fakeProber{answer: Ended}, engineAt("a", "a:1"), engineAt("b", "b:1"), engineAt("c", "c:1")),
 		Log:   c.log, Topic: topic, Logger: zerolog.Nop(), Observe: func(int) {},
 		Unwritten: func(_ context.Context, records []eventlog.KeyedRecord) {
 			for _, other := range c.guards {
@@ -65,25 +65,25 @@
 	return guard, follow.New(c.log, topic, guard.Take, pacing.Budget{}, zerolog.Nop())
 }
 
-// settle waits until all effects within some seconds have happened.
+// settle waits for 3 s and until all goroutines are idle.
 func (c *cluster) settle() {
 	time.Sleep(3 * time.Second)
 	synctest.Wait()
 }
 
-func fingerprint() quarantine.Fingerprint { return crashing }
+func fingerprint() quarantine.Fingerprint { return crashingFingerprint }
 
-// lose makes a node observe the end of an engine under the request.
-func (c *cluster) lose(node int, engine string) {
+// observeCrash makes a node observe the crash of an engine during the request.
+func (c *cluster) observeCrash(node int, engine string) {
 	c.t.Helper()
 	crashed := c.guards[node].ConnectionLost(c.t.Context(), Loss{
-		Engine: fleet.Engine{ID: engine, Service: "s", Address: engine + ":1"}, Fingerprint: crashing,
+		Engine: fleet.Engine{ID: engine, Service: "s", Address: engine + ":1"}, Fingerprint: crashingFingerprint,
 	})
 	assert.Assert(c.t, crashed)
 }
 
-// assertHeld checks at each node whether the request is quarantined.
-func (c *cluster) assertHeld(held bool) {
+// assertQuarantined checks on each node whether the request is quarantined.
+func (c *cluster) assertQuarantined(held bool) {
 	c.t.Helper()
 	for i, guard := range c.guards {
 		failure := guard.Admit(c.t.Context(), fingerprint)
@@ -95,22 +95,22 @@
 	}
 }
 
-func TestEndsSeenByTwoNodesHoldTheRequestAtAllNodes(t *testing.T) {
-	inCluster(t, 3, func(c *cluster) {
-		c.lose(0, "a")
+func TestCrashesOnTwoNodesQuarantineRequestOnAllNodes(t *testing.T) {
+	runCluster(t, 3, func(c *cluster) {
+		c.observeCrash(0, "a")
 		c.settle()
-		c.assertHeld(false)
-		c.lose(1, "b")
+		c.assertQuarantined(false)
+		c.observeCrash(1, "b")
 		c.settle()
-		c.assertHeld(true)
+		c.assertQuarantined(true)
 	})
 }
 
-// TestANodeThatStartsKnowsWhatOthersSaw: also after a restart of all nodes.
-func TestANodeThatStartsKnowsWhatOthersSaw(t *testing.T) {
-	inCluster(t, 1, func(c *cluster) {
-		c.lose(0, "a")
-		c.lose(0, "b")
+// TestStartingNodeLoadsQuarantine checks that a quarantine survives restarts.
+func TestStartingNodeLoadsQuarantine(t *testing.T) {
+	runCluster(t, 1, func(c *cluster) {
+		c.observeCrash(0, "a")
+		c.observeCrash(0, "b")
 		c.settle()
 		guard, follower := c.node()
 		ctx, cancel := context.WithCancel(c.t.Context())
@@ -123,72 +123,70 @@
 	})
 }
 
-func TestNodesTellEachOtherWhileTheLogIsAway(t *testing.T) {
-	inCluster(t, 3, func(c *cluster) {
+func TestCrashesReachPeersDuringLogOutage(t *testing.T) {
+	runCluster(t, 3, func(c *cluster) {
 		c.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
-		c.lose(0, "a")
-		c.lose(1, "b")
+		c.observeCrash(0, "a")
+		c.observeCrash(1, "b")
 		c.settle()
-		c.assertHeld(true)
+		c.assertQuarantined(true)
 		c.log.SetFault(nil)
 		c.settle()
-		c.assertHeld(true)
+		c.assertQuarantined(true)
 		assert.Equal(c.t, c.log.End(eventlog.Partition{Topic: topic}), int64(2), "each record once")
 	})
 }
 
-// TestNodesTellEachOtherOfAnAnswerWhileTheLogIsAway: the deletion of records that were sent to
-// peers is sent to them as well.
-func TestNodesTellEachOtherOfAnAnswerWhileTheLogIsAway(t *testing.T) {
-	inCluster(t, 3, func(c *cluster) {
+// TestDeletionsReachPeersDuringLogOutage: deletions are sent to the peers that received the records.
+func TestDeletionsReachPeersDuringLogOutage(t *testing.T) {
+	runCluster(t, 3, func(c *cluster) {
 		c.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
-		c.lose(0, "a")
-		c.lose(0, "b")
+		c.observeCrash(0, "a")
+		c.observeCrash(0, "b")
 		c.settle()
-		c.assertHeld(true)
+		c.assertQuarantined(true)
 		c.guards[0].Answered(fingerprint)
 		c.settle()
-		c.assertHeld(false)
+		c.assertQuarantined(false)
 		c.log.SetFault(nil)
 		c.settle()
 	})
 }
 
-// TestWhatAnotherNodeToldOfReachesTheLogAlthoughItEnded: the node that observed the ends stops
-// during an outage of the log.
-func TestWhatAnotherNodeToldOfReachesTheLogAlthoughItEnded(t *testing.T) {
-	inCluster(t, 2, func(c *cluster) {
+// TestPeerRecordIsWrittenAfterItsNodeEnded: the node that observed the crashes stops during an outage of the log.
+func TestPeerRecordIsWrittenAfterItsNodeEnded(t *testing.T) {
+	runCluster(t, 2, func(c *cluster) {
 		c.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
 		for _, engine := range []string{"a", "b"} {
-			record, err := encode(quarantine.Record{Fingerprint: crashing, Engine: engine, At: time.Now()})
+			record, err := encode(quarantine.Record{Fingerprint: crashingFingerprint, Engine: engine, At: time.Now()})
 			assert.NilError(c.t, err)
 			c.guards[0].applyFromPeer(record)
 		}
-		time.Sleep(adoptAfter + adoptSpread + adoptPeriod)
+		time.Sleep(adoptDelay + adoptJitter + adoptInterval)
 		c.log.SetFault(nil)
 		c.settle()
-		c.assertHeld(true)
+		c.assertQuarantined(true)
 	})
 }
 
-// TestLostAndLateAnswersOfTheLogChangeNothing: each write takes effect and reports an unknown outcome.
-func TestLostAndLateAnswersOfTheLogChangeNothing(t *testing.T) {
+// TestWritesWithUnknownOutcomeCountOnce: writes take effect, at once or late, but report an unknown outcome.
+func TestWritesWithUnknownOutcomeCountOnce(t *testing.T) {
 	for name, fault := range map[string]memlog.Fault{"lost": memlog.LostAnswer, "late": memlog.LateEffect} {
 		t.Run(name, func(t *testing.T) {
-			inCluster(t, 2, func(c *cluster) {
+			runCluster(t, 2, func(c *cluster) {
 				c.log.SetFault(func(call memlog.Call) memlog.Fault {
 					if call.Append {
 						return fault
 					}
 					return memlog.None
 				})
-				c.lose(0, "a")
-				c.lose(0, "b")
+				c.observeCrash(0, "a")
+				c.observeCrash(0, "b")
 				c.settle()
 				c.log.SetFault(nil)
 				c.log.Release()
 				c.settle()
-				c.assertHeld(true)
+				c.assertQuarantined(true)
 				standing := c.guards[1].Standing(fingerprint)
 				assert.Equal(c.t, standing.Crashes, 2)
 			})
@@ -196,26 +194,25 @@
 	}
 }
 
-func TestAnAnswerClearsTheRequestAtAllNodes(t *testing.T) {
-	inCluster(t, 3, func(c *cluster) {
-		c.lose(0, "a")
-		c.lose(1, "b")
+func TestAnswerClearsRequestOnAllNodes(t *testing.T) {
+	runCluster(t, 3, func(c *cluster) {
+		c.observeCrash(0, "a")
+		c.observeCrash(1, "b")
 		c.settle()
 		c.guards[2].Answered(fingerprint)
 		c.settle()
-		c.assertHeld(false)
+		c.assertQuarantined(false)
 		for _, guard := range c.guards {
-			assert.Equal(c.t, guard.known.Load(), int64(0))
+			assert.Equal(c.t, guard.requestCount.Load(), int64(0))
 		}
 	})
 }
 
-// TestOneNodeIsGrantedATrial: after the hold, all nodes receive the request concurrently and
-// repeatedly.
-func TestOneNodeIsGrantedATrial(t *testing.T) {
-	inCluster(t, 5, func(c *cluster) {
-		c.lose(0, "a")
-		c.lose(0, "b")
+// TestTrialIsGrantedToOneNode: after the quarantine, all nodes receive the request concurrently and repeatedly.
+func TestTrialIsGrantedToOneNode(t *testing.T) {
+	runCluster(t, 5, func(c *cluster) {
+		c.observeCrash(0, "a")
+		c.observeCrash(0, "b")
 		c.settle()
 		time.Sleep(time.Minute)
 		var admitted atomic.Int64
@@ -234,27 +231,27 @@
 			c.settle()
 		}
 		assert.Equal(c.t, admitted.Load(), int64(1))
-		// It ends one engine more, and the request is held for longer.
-		c.lose(1, "c")
+		// Another crash extends the quarantine.
+		c.observeCrash(1, "c")
 		c.settle()
-		c.assertHeld(true)
+		c.assertQuarantined(true)
 		assert.Equal(c.t, c.guards[4].Standing(fingerprint).Crashes, 3)
 	})
 }
 
-// TestNoTrialWithoutTheLog: no node can know whether it is the only one.
-func TestNoTrialWithoutTheLog(t *testing.T) {
+// TestNoTrialDuringLogOutage: without the log, a node cannot know whether another one claimed the trial.
+func TestNoTrialDuringLogOutage(t *testing.T) {
 	for name, fault := range map[string]memlog.Fault{
 		"refused": memlog.Refused, "lost": memlog.LostAnswer, "late": memlog.LateEffect,
 	} {
 		t.Run(name, func(t *testing.T) {
-			inCluster(t, 2, func(c *cluster) {
-				c.lose(0, "a")
-				c.lose(0, "b")
+			runCluster(t, 2, func(c *cluster) {
+				c.observeCrash(0, "a")
+				c.observeCrash(0, "b")
 				c.settle()
 				time.Sleep(time.Minute)
 				c.log.SetFault(func(memlog.Call) memlog.Fault { return fault })
-				c.assertHeld(true)
+				c.assertQuarantined(true)
 				c.log.SetFault(nil)
 				c.log.Release()
 				c.settle()
@@ -263,18 +260,18 @@
 	}
 }
 
-// silentLog never answers.
-type silentLog struct{}
+// unresponsiveLog blocks writes until their context ends.
+type unresponsiveLog struct{}
 
-func (silentLog) PutKeyed(ctx context.Context, _ string, _ []eventlog.KeyedRecord) error {
+func (unresponsiveLog) PutKeyed(ctx context.Context, _ string, _ []eventlog.KeyedRecord) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// TestANodeThatStopsDoesNotWaitForASilentLog: roles have 350 ms to end.
-func TestANodeThatStopsDoesNotWaitForASilentLog(t *testing.T) {
+// TestWriterShutdownWithUnresponsiveLog: roles have 350 ms to shut down.
+func TestWriterShutdownWithUnresponsiveLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		writer := newWriter(silentLog{}, topic, func(context.Context, []eventlog.KeyedRecord) {}, zerolog.Nop())
+		writer := newWriter(unresponsiveLog{}, topic, func(context.Context, []eventlog.KeyedRecord) {}, zerolog.Nop())
 		writer.add(eventlog.KeyedRecord{Key: "k", Value: []byte("v")})
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
@@ -290,34 +287,34 @@
 	})
 }
 
-func TestWhatIsOldIsTakenOutOfTheLog(t *testing.T) {
-	inCluster(t, 2, func(c *cluster) {
-		c.lose(0, "a")
+func TestSweepDeletesExpiredRecords(t *testing.T) {
+	runCluster(t, 2, func(c *cluster) {
+		c.observeCrash(0, "a")
 		c.settle()
 		c.guards[1].sweep(time.Now().Add(2 * time.Hour))
 		c.settle()
 		newest, err := c.log.Newest(c.t.Context(), topic)
 		assert.NilError(c.t, err)
 		assert.Equal(c.t, len(newest.Records), 0)
-		assert.Equal(c.t, c.guards[0].known.Load(), int64(0))
+		assert.Equal(c.t, c.guards[0].requestCount.Load(), int64(0))
 	})
 }
 
-func TestRecordsThatCannotBeReadArePassedOver(t *testing.T) {
-	inCluster(t, 1, func(c *cluster) {
+func TestUndecodableRecordIsSkipped(t *testing.T) {
+	runCluster(t, 1, func(c *cluster) {
 		c.log.Put(topic, "no record", []byte("x"))
-		c.lose(0, "a")
-		c.lose(0, "b")
+		c.observeCrash(0, "a")
+		c.observeCrash(0, "b")
 		c.settle()
-		c.assertHeld(true)
+		c.assertQuarantined(true)
 	})
 }
 
-// BenchmarkAdmit admits a request of a kilobyte while others are quarantined.
+// BenchmarkAdmit admits a request with a 1 KiB body while none or 100 others are quarantined.
 func BenchmarkAdmit(b *testing.B) {
 	for _, held := range []int{0, 100} {
 		b.Run(fmt.Sprintf("held-%d", held), func(b *testing.B) {
-			guard := NewGuard(GuardOptions{Watch: watchOf(&fakeProber{}), Log: memlog.New(), Topic: topic, Logger: zerolog.Nop(), Observe: func(int) {}})
+			guard := NewGuard(GuardOptions{Watch: newTestWatch(&fakeProber{}), Log: memlog.New(), Topic: topic, Logger: zerolog.Nop(), Observe: func(int) {}})
 			for i := range held {
 				other := quarantine.Request{Target: fmt.Sprint(i)}.Fingerprint()
 				guard.put(quarantine.Record{Fingerprint: other, Engine: "e", At: time.Now()}, "test")
--- a/internal/crashes/incarnation_test.go
+++ b/internal/crashes/incarnation_test.go
@@ -9,65 +9,65 @@
 	"github.com/corkpulley/corkpulley/internal/core/quarantine"
 )
 
-// start lists a new incarnation of the engine at all nodes.
-func (c *cluster) start(engine string, born int64) fleet.Engine {
-	started := startOf(engine, engine+":1", born)
+// startIncarnation lists a new incarnation of the engine on all nodes.
+func (c *cluster) startIncarnation(engine string, born int64) fleet.Engine {
+	started := incarnationOf(engine, engine+":1", born)
 	for _, guard := range c.guards {
 		guard.watch.options.Fleet.Put(started)
 	}
 	return started
 }
 
-// loseStart makes a node observe the end of an incarnation under the request.
-func (c *cluster) loseStart(node int, engine fleet.Engine) {
+// observeCrashOf makes a node observe the crash of an incarnation during the request.
+func (c *cluster) observeCrashOf(node int, engine fleet.Engine) {
 	c.t.Helper()
-	assert.Assert(c.t, c.guards[node].ConnectionLost(c.t.Context(), Loss{Engine: engine, Fingerprint: crashing}))
+	assert.Assert(c.t, c.guards[node].ConnectionLost(c.t.Context(), Loss{Engine: engine, Fingerprint: crashingFingerprint}))
 }
 
-// TestTwoStartsOfOneEngineThatEndAreTwoEnds: a service may have a single engine, which restarts under its
-// ID each time.
-func TestTwoStartsOfOneEngineThatEndAreTwoEnds(t *testing.T) {
-	inCluster(t, 2, func(c *cluster) {
-		c.loseStart(0, c.start("a", 1000))
+// TestCrashesOfTwoIncarnationsCountTwice: a service may have a single engine, which restarts under the same ID.
+func TestCrashesOfTwoIncarnationsCountTwice(t *testing.T) {
+	runCluster(t, 2, func(c *cluster) {
+		c.observeCrashOf(0, c.startIncarnation("a", 1000))
 		c.settle()
-		c.assertHeld(false)
-		c.loseStart(1, c.start("a", 2000))
+		c.assertQuarantined(false)
+		c.observeCrashOf(1, c.startIncarnation("a", 2000))
 		c.settle()
-		c.assertHeld(true)
+		c.assertQuarantined(true)
 	})
 }
 
-// TestAnEndThatTwoNodesSeeCountsOnce: one sees it before the next incarnation is listed, the other after.
-func TestAnEndThatTwoNodesSeeCountsOnce(t *testing.T) {
-	inCluster(t, 2, func(c *cluster) {
-		first := c.start("a", 1000)
-		c.loseStart(0, first)
-		c.start("a", 2000)
-		c.loseStart(1, first)
+// TestCrashObservedByTwoNodesCountsOnce: one node observes the crash before the next incarnation is listed, the
+// other one after.
+func TestCrashObservedByTwoNodesCountsOnce(t *testing.T) {
+	runCluster(t, 2, func(c *cluster) {
+		first := c.startIncarnation("a", 1000)
+		c.observeCrashOf(0, first)
+		c.startIncarnation("a", 2000)
+		c.observeCrashOf(1, first)
 		c.settle()
-		c.assertHeld(false)
+		c.assertQuarantined(false)
 		assert.Equal(t, c.guards[0].Standing(fingerprint).Crashes, 1)
 	})
 }
 
-// TestTheNextStartOfAnEngineIsNotClearedWithTheOneBefore: an answer cleared the end of an incarnation; the
-// ends of later ones count.
-func TestTheNextStartOfAnEngineIsNotClearedWithTheOneBefore(t *testing.T) {
-	inCluster(t, 1, func(c *cluster) {
-		c.loseStart(0, c.start("a", 1000))
+// TestClearingDoesNotCoverLaterIncarnations: an answer clears the crash of an incarnation, but crashes of later ones
+// count.
+func TestClearingDoesNotCoverLaterIncarnations(t *testing.T) {
+	runCluster(t, 1, func(c *cluster) {
+		c.observeCrashOf(0, c.startIncarnation("a", 1000))
 		c.guards[0].Answered(fingerprint)
-		c.loseStart(0, c.start("a", 2000))
-		c.loseStart(0, c.start("a", 3000))
+		c.observeCrashOf(0, c.startIncarnation("a", 2000))
+		c.observeCrashOf(0, c.startIncarnation("a", 3000))
 		c.settle()
-		c.assertHeld(true)
+		c.assertQuarantined(true)
 	})
 }
 
-// TestRecordsWithoutAStartAreRead: an engine that does not report its start time is identified by its ID alone.
-func TestRecordsWithoutAStartAreRead(t *testing.T) {
-	record := quarantine.Record{Fingerprint: crashing, Engine: engineAt("a", "").Incarnation().String()}
-	assert.Equal(t, keyOf(record), crashing.String()+"/engine/a")
-	record.Engine = startOf("a", "", 1000).Incarnation().String()
+// TestRecordWithoutStartTime: an engine that does not report its start time is identified by its ID alone.
+func TestRecordWithoutStartTime(t *testing.T) {
+	record := quarantine.Record{Fingerprint: crashingFingerprint, Engine: engineAt("a", "").Incarnation().String()}
+	assert.Equal(t, keyOf(record), crashingFingerprint.String()+"/engine/a")
+	record.Engine = incarnationOf("a", "", 1000).Incarnation().String()
 	encoded, err := encode(record)
 	assert.NilError(t, err)
 	decoded, err := decode(encoded)
--- a/internal/crashes/peers.go
+++ b/internal/crashes/peers.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// Path is the endpoint for records of other nodes.
+	// Path is the endpoint that receives records of other nodes.
 	Path = "/crashes"
 	// maxMessageBytes bounds a message of maxBatch records.
 	maxMessageBytes = 256 << 10
 	// maxAnswerBytes bounds the answer, which is empty.
 	maxAnswerBytes = 64
-	// sendTimeout bounds the sending to one node, maxConcurrentSends the concurrent sends.
+	// sendTimeout bounds the call to one node.
 	sendTimeout        = 500 * time.Millisecond
 	maxConcurrentSends = 16
 )
@@ -30,8 +30,8 @@
 	Records []eventlog.KeyedRecord `msgpack:"r"`
 }
 
-// received is the answer to a message.
-type received struct{}
+// emptyAnswer is the answer to a message.
+type emptyAnswer struct{}
 
 // Peers sends unwritten records to the other nodes.
 type Peers struct {
@@ -41,12 +41,12 @@
 	logger    zerolog.Logger
 }
 
-// NewPeers returns a sender to the nodes at the addresses.
+// NewPeers returns a sender to the nodes whose addresses the function returns.
 func NewPeers(addresses func() []string, client *http.Client, logger zerolog.Logger) *Peers {
 	return &Peers{addresses: addresses, client: client, logger: logger}
 }
 
-// Tell sends records to all other nodes. Unreachable nodes read them from the log later.
+// Tell sends records to all other nodes. A node that is not reached reads them from the log later.
 func (p *Peers) Tell(ctx context.Context, records []eventlog.KeyedRecord) {
 	addresses := p.addresses()
 	var group errgroup.Group
@@ -57,7 +57,7 @@
 		group.Go(func() error {
 			sending, cancel := context.WithTimeout(ctx, sendTimeout)
 			defer cancel()
-			err := msgpackhttp.Ask(sending, p.client, "http://"+address+Path, &message{Records: records}, &received{}, maxAnswerBytes)
+			err := msgpackhttp.Ask(sending, p.client, "http://"+address+Path, &message{Records: records}, &emptyAnswer{}, maxAnswerBytes)
 			if err == nil {
 				mu.Lock()
 				reached++
@@ -68,15 +68,15 @@
 	}
 	_ = group.Wait()
 	p.logger.Info().Int("records", len(records)).Int("nodes", len(addresses)).Int("reached", reached).
-		Msg("nodes told of ended engines")
+		Msg("crash records sent to peers")
 }
 
-// Handler receives records of other nodes.
+// Handler returns the handler that receives records of other nodes.
 func (g *Guard) Handler() http.Handler {
-	return msgpackhttp.Handle(maxMessageBytes, func(_ context.Context, sent message) received {
+	return msgpackhttp.Handle(maxMessageBytes, func(_ context.Context, sent message) emptyAnswer {
 		for _, record := range sent.Records {
 			g.applyFromPeer(record)
 		}
-		return received{}
+		return emptyAnswer{}
 	})
 }
--- a/internal/crashes/record.go
+++ b/internal/crashes/record.go
@@ -13,8 +13,8 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// A record's key in the log is FINGERPRINT/engine/ID or FINGERPRINT/trial/ID. Each
-// observation has a unique key, so writing it is idempotent.
+// A record's key in the log is FINGERPRINT/engine/ID or FINGERPRINT/trial/ID. Each crash and each trial has its own key,
+// so that writing its record is idempotent.
 const (
 	keySeparator = "/"
 	keyEngine    = "engine"
@@ -24,9 +24,9 @@
 
 // value is the value of a record, encoded as msgpack.
 type value struct {
-	// AtMs is the wall-clock time of the observation in Unix milliseconds.
+	// AtMs is the wall-clock time of the crash or claim in Unix milliseconds.
 	AtMs int64 `msgpack:"a"`
-	// Isolated is quarantine.Record.Isolated.
+	// Isolated is the field of the same name in quarantine.Record.
 	Isolated bool `msgpack:"i,omitempty"`
 }
 
@@ -38,7 +38,7 @@
 	return strings.Join([]string{record.Fingerprint.String(), kind, id}, keySeparator)
 }
 
-// encode returns the log record.
+// encode returns the log record of a crash or trial.
 func encode(record quarantine.Record) (eventlog.KeyedRecord, error) {
 	raw, err := msgpack.Marshal(&value{AtMs: record.At.UnixMilli(), Isolated: record.Isolated})
 	if err != nil {
@@ -47,21 +47,21 @@
 	return eventlog.KeyedRecord{Key: keyOf(record), Value: raw}, nil
 }
 
-// deletion returns the log record that deletes the record.
+// deletion returns the log record that deletes a record.
 func deletion(record quarantine.Record) eventlog.KeyedRecord {
 	return eventlog.KeyedRecord{Key: keyOf(record), Deleted: true}
 }
 
-// decode decodes a log record. For a deletion, it returns only the name and offset.
+// decode decodes a log record. Of a deletion, it returns only what the key holds and the offset.
 func decode(from eventlog.KeyedRecord) (quarantine.Record, error) {
 	parts := strings.SplitN(from.Key, keySeparator, keyParts)
 	if len(parts) != keyParts || parts[2] == "" {
-		return quarantine.Record{}, errors.Errorf("key %q", from.Key)
+		return quarantine.Record{}, errors.Errorf("malformed key %q", from.Key)
 	}
 	record := quarantine.Record{Offset: from.Offset}
 	fingerprint, err := hex.DecodeString(parts[0])
 	if err != nil || len(fingerprint) != len(record.Fingerprint) {
-		return quarantine.Record{}, errors.Errorf("fingerprint %q", parts[0])
+		return quarantine.Record{}, errors.Errorf("malformed fingerprint %q", parts[0])
 	}
 	copy(record.Fingerprint[:], fingerprint)
 	switch parts[1] {
@@ -70,7 +70,7 @@
 	case keyTrial:
 		record.Trial = parts[2]
 	default:
-		return quarantine.Record{}, errors.Errorf("kind %q", parts[1])
+		return quarantine.Record{}, errors.Errorf("unknown kind %q", parts[1])
 	}
 	if from.Deleted {
 		return record, nil
--- a/internal/crashes/record_test.go
+++ b/internal/crashes/record_test.go
@@ -10,12 +10,12 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-var crashing = quarantine.Request{Method: "POST", Host: "h", Target: "/crashing"}.Fingerprint()
+var crashingFingerprint = quarantine.Request{Method: "POST", Host: "h", Target: "/crashing"}.Fingerprint()
 
-func TestRecordsAreReadAsTheyWereWritten(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	for _, record := range []quarantine.Record{
-		{Fingerprint: crashing, Engine: "i-1/2", Isolated: true, At: time.UnixMilli(1234), Offset: 7},
-		{Fingerprint: crashing, Trial: "claim", At: time.UnixMilli(1234), Offset: 7},
+		{Fingerprint: crashingFingerprint, Engine: "i-1/2", Isolated: true, At: time.UnixMilli(1234), Offset: 7},
+		{Fingerprint: crashingFingerprint, Trial: "claim", At: time.UnixMilli(1234), Offset: 7},
 	} {
 		encoded, err := encode(record)
 		assert.NilError(t, err)
@@ -30,8 +30,8 @@
 	}
 }
 
-func TestWhatIsNoRecordIsAnError(t *testing.T) {
-	name := crashing.String()
+func TestDecodeRejectsInvalidRecords(t *testing.T) {
+	name := crashingFingerprint.String()
 	for _, wrong := range []eventlog.KeyedRecord{
 		{Key: ""}, {Key: name}, {Key: name + "/engine"}, {Key: name + "/engine/"}, {Key: name + "/other/a"},
 		{Key: "zz/engine/a"}, {Key: "abcd/engine/a"}, {Key: name + "/engine/a"},
@@ -43,14 +43,14 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	encoded, err := encode(quarantine.Record{Fingerprint: crashing, Engine: "e", At: time.UnixMilli(1)})
+	encoded, err := encode(quarantine.Record{Fingerprint: crashingFingerprint, Engine: "e", At: time.UnixMilli(1)})
 	assert.NilError(f, err)
 	f.Add(encoded.Key, encoded.Value, false)
 	f.Add(encoded.Key, []byte{}, true)
 	f.Fuzz(func(t *testing.T, key string, value []byte, deleted bool) {
 		record, err := decode(eventlog.KeyedRecord{Key: key, Value: value, Deleted: deleted})
 		if err == nil && (record.Engine == "") == (record.Trial == "") {
-			t.Errorf("%q is neither the end of an engine nor a trial, or both", key)
+			t.Errorf("%q must be either a crash or a trial", key)
 		}
 	})
 }
--- a/internal/crashes/trial.go
+++ b/internal/crashes/trial.go
@@ -10,24 +10,23 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// trialTimeout bounds how long a request waits for its trial to be granted, which takes a write
-// to the log and a read.
+// trialTimeout bounds how long a request waits for its trial to be granted, which takes a write and a read of the log.
 const trialTimeout = time.Second
 
-// claimTrial reports whether this node may send a quarantined request once. The first claim in
-// the log is granted, so at most one node sends the request under any faults.
+// claimTrial claims the trial of a quarantined request and reports whether it was granted: this node may then send the
+// request once. Only the first claim in the log is granted, so that at most one node sends the request.
 func (g *Guard) claimTrial(ctx context.Context, fingerprint quarantine.Fingerprint) bool {
 	g.mu.Lock()
-	if g.asking[fingerprint] {
+	if g.claiming[fingerprint] {
 		g.mu.Unlock()
 		return false
 	}
-	g.asking[fingerprint] = true
+	g.claiming[fingerprint] = true
 	g.mu.Unlock()
 	defer func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.asking, fingerprint)
+		delete(g.claiming, fingerprint)
 	}()
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
@@ -38,7 +37,7 @@
 	}
 	granted := err == nil && g.awaitTrial(ctx, claim)
 	g.logger.Info().Err(err).Stringer("fingerprint", fingerprint).Str("trial", claim.Trial).Bool("granted", granted).
-		Msg("trial of a held request")
+		Msg("trial of a quarantined request")
 	return granted
 }
 
--- a/internal/crashes/watch.go
+++ b/internal/crashes/watch.go
@@ -1,4 +1,4 @@
-// Package crashes detects engines that end while they run a request.
+// Package crashes detects engines that crash while they run a request, and quarantines such requests cluster-wide.
 package crashes
 
 import (
@@ -15,7 +15,7 @@
 // Liveness is the result of a probe of an engine.
 type Liveness uint8
 
-// The answers.
+// The results of a probe.
 const (
 	// Unknown: there was no answer in time.
 	Unknown Liveness = iota
@@ -32,44 +32,43 @@
 
 // Prober probes whether an engine is alive.
 type Prober interface {
-	// Probe may send a request to the engine only while mayAsk reports true. Connecting is always permitted.
+	// Probe connects to the engine. It may send a request only while mayAsk reports true.
 	Probe(ctx context.Context, engine fleet.Engine, mayAsk func() bool) Liveness
 }
 
-// probeTimeout bounds a probe. A request that lost its connection waits for the probe before it is
-// sent to another engine; an engine that has ended refuses connections at once.
+// probeTimeout bounds a probe. It is short because a request that lost its connection waits for the probe before it is
+// sent to another engine, and the address of an engine that has ended refuses connections immediately.
 const probeTimeout = 100 * time.Millisecond
 
 // Loss is a connection that the engine closed during a request.
 type Loss struct {
 	Engine fleet.Engine
-	// RequestID is the ID of the request or of the item.
+	// RequestID is the ID of the live request or of the batch item.
 	RequestID   string
 	Fingerprint quarantine.Fingerprint
-	// Isolated: no other request began at the engine shortly before.
+	// Isolated is true if no other request began at the engine shortly before.
 	Isolated bool
 }
 
-// Options are the parts that a watch works with.
+// Options configure a watch.
 type Options struct {
 	Prober Prober
 	Fleet  *fleet.Fleet
 	Logger zerolog.Logger
-	// Observe is called for each lost connection with the engine's service and liveness.
+	// Observe is called for each lost connection with the engine's service and its liveness.
 	Observe func(service, liveness string)
 }
 
 // Watch probes engines whose connections were lost. It is safe for concurrent use.
 type Watch struct {
 	options Options
-	// probes deduplicates concurrent probes of an engine, which loses all its connections at once.
+	// probes deduplicates concurrent probes of an engine, since a crash closes all its connections.
 	probes singleflight.Group
 }
 
-// NewWatch returns a watch.
 func NewWatch(options Options) *Watch { return &Watch{options: options} }
 
-// ConnectionLost probes and reports whether the engine has ended under the request.
+// ConnectionLost probes the engine and reports whether it crashed during the request.
 func (w *Watch) ConnectionLost(ctx context.Context, loss Loss) bool {
 	began := time.Now()
 	liveness, listed := w.probe(ctx, loss.Engine)
@@ -82,8 +81,8 @@
 	return crashed
 }
 
-// probe returns the liveness of an engine. listed is false for an engine that was leaving, whose
-// end was planned.
+// probe returns the liveness of an engine. listed is false if the engine was draining or is no longer listed: its end
+// was planned.
 func (w *Watch) probe(ctx context.Context, engine fleet.Engine) (liveness Liveness, listed bool) {
 	listing := w.options.Fleet.Listing(engine)
 	switch {
--- a/internal/crashes/watch_test.go
+++ b/internal/crashes/watch_test.go
@@ -14,18 +14,18 @@
 	"github.com/corkpulley/corkpulley/internal/core/fleet"
 )
 
-// fakeProber returns a fixed answer and counts its probes.
+// fakeProber counts probes and returns a fixed answer.
 type fakeProber struct {
 	answer Liveness
-	asked  atomic.Int64
-	// mayAsk is whether the last probe was permitted to send a request.
+	probes atomic.Int64
+	// mayAsk is whether the last probe could send a request.
 	mayAsk atomic.Bool
-	// hold, if set, delays the answer until it is closed.
+	// hold, if set, blocks probes until it is closed.
 	hold chan struct{}
 }
 
 func (p *fakeProber) Probe(_ context.Context, _ fleet.Engine, mayAsk func() bool) Liveness {
-	p.asked.Add(1)
+	p.probes.Add(1)
 	p.mayAsk.Store(mayAsk())
 	if p.hold != nil {
 		<-p.hold
@@ -37,7 +37,7 @@
 	return fleet.Engine{ID: id, Service: "s", Address: address, Slots: 4}
 }
 
-func watchOf(prober Prober, engines ...fleet.Engine) *Watch {
+func newTestWatch(prober Prober, engines ...fleet.Engine) *Watch {
 	known := fleet.New()
 	for _, engine := range engines {
 		known.Put(engine)
@@ -45,36 +45,36 @@
 	return NewWatch(Options{Prober: prober, Fleet: known, Logger: zerolog.Nop(), Observe: func(string, string) {}})
 }
 
-func TestOnlyAnEngineThatTakesNoConnectionsHasCrashed(t *testing.T) {
+func TestOnlyRefusedConnectionsCountAsCrash(t *testing.T) {
 	engine := engineAt("e", "a:1")
 	for answer, crashed := range map[Liveness]bool{Ended: true, Listening: false, Unknown: false} {
-		watch := watchOf(&fakeProber{answer: answer}, engine)
+		watch := newTestWatch(&fakeProber{answer: answer}, engine)
 		assert.Equal(t, watch.ConnectionLost(t.Context(), Loss{Engine: engine}), crashed, answer.String())
 	}
 }
 
-func TestAnEngineWhoseEndWasPlannedHasNotCrashed(t *testing.T) {
+func TestDrainingEngineHasNotCrashed(t *testing.T) {
 	leaving := engineAt("e", "a:1")
 	leaving.Draining = true
-	assert.Assert(t, !watchOf(&fakeProber{answer: Ended}, leaving).ConnectionLost(t.Context(), Loss{Engine: leaving}))
-	// Its entry was removed.
-	assert.Assert(t, !watchOf(&fakeProber{answer: Ended}).ConnectionLost(t.Context(), Loss{Engine: leaving}))
+	assert.Assert(t, !newTestWatch(&fakeProber{answer: Ended}, leaving).ConnectionLost(t.Context(), Loss{Engine: leaving}))
+	// The engine is no longer listed.
+	assert.Assert(t, !newTestWatch(&fakeProber{answer: Ended}).ConnectionLost(t.Context(), Loss{Engine: leaving}))
 }
 
-// TestAnEngineThatWasReplacedHasCrashed: a node that was suspended notices the lost connection
-// when another engine has the address.
-func TestAnEngineThatWasReplacedHasCrashed(t *testing.T) {
+// TestReplacedEngineHasCrashed: a node that was suspended notices the lost connection when another engine has the
+// address.
+func TestReplacedEngineHasCrashed(t *testing.T) {
 	engine := engineAt("e", "a:1")
-	watch := watchOf(&fakeProber{answer: Listening}, engine, engineAt("next", "a:1"))
+	watch := newTestWatch(&fakeProber{answer: Listening}, engine, engineAt("next", "a:1"))
 	assert.Assert(t, watch.ConnectionLost(t.Context(), Loss{Engine: engine}))
 }
 
-// TestConnectionsLostTogetherAreOneLook: an engine that ends loses all its connections at once.
-func TestConnectionsLostTogetherAreOneLook(t *testing.T) {
+// TestConcurrentLossesShareOneProbe: a crash closes all connections of an engine at the same time.
+func TestConcurrentLossesShareOneProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := engineAt("e", "a:1")
 		prober := &fakeProber{answer: Ended, hold: make(chan struct{})}
-		watch := watchOf(prober, engine)
+		watch := newTestWatch(prober, engine)
 		var group sync.WaitGroup
 		var crashed atomic.Int64
 		for range 16 {
@@ -88,48 +88,49 @@
 		close(prober.hold)
 		group.Wait()
 		assert.Equal(t, crashed.Load(), int64(16))
-		assert.Equal(t, prober.asked.Load(), int64(1))
+		assert.Equal(t, prober.probes.Load(), int64(1))
 	})
 }
 
-// startOf returns an engine with a start time.
-func startOf(id, address string, born int64) fleet.Engine {
+// incarnationOf returns an engine with the given start time.
+func incarnationOf(id, address string, born int64) fleet.Engine {
 	engine := engineAt(id, address)
 	engine.Born = born
 	return engine
 }
 
-// TestAnEngineThatStartedAgainHasCrashed: the next incarnation listens at the address before the probe.
-func TestAnEngineThatStartedAgainHasCrashed(t *testing.T) {
-	first, second := startOf("e", "a:1", 1000), startOf("e", "a:1", 2000)
+// TestRestartedEngineHasCrashed: the next incarnation listens at the address before the probe.
+func TestRestartedEngineHasCrashed(t *testing.T) {
+	first, second := incarnationOf("e", "a:1", 1000), incarnationOf("e", "a:1", 2000)
 	prober := &fakeProber{answer: Listening}
-	watch := watchOf(prober, first, second)
+	watch := newTestWatch(prober, first, second)
 	assert.Assert(t, watch.ConnectionLost(t.Context(), Loss{Engine: first}))
-	assert.Equal(t, prober.asked.Load(), int64(0), "who listens there is another start")
+	assert.Equal(t, prober.probes.Load(), int64(0), "another incarnation listens there")
 	assert.Assert(t, !watch.ConnectionLost(t.Context(), Loss{Engine: second}))
 }
 
-// TestAnEngineThatLeftAndStartedAgainHasNotCrashed: its end was planned.
-func TestAnEngineThatLeftAndStartedAgainHasNotCrashed(t *testing.T) {
-	first := startOf("e", "a:1", 1000)
+// TestDrainedAndRestartedEngineHasNotCrashed: the end of a draining engine is planned.
+func TestDrainedAndRestartedEngineHasNotCrashed(t *testing.T) {
+	first := incarnationOf("e", "a:1", 1000)
 	leaving := first
 	leaving.Draining = true
-	watch := watchOf(&fakeProber{answer: Ended}, first, leaving, startOf("e", "a:1", 2000))
+	watch := newTestWatch(&fakeProber{answer: Ended}, first, leaving, incarnationOf("e", "a:1", 2000))
 	assert.Assert(t, !watch.ConnectionLost(t.Context(), Loss{Engine: first}))
 }
 
-// TestAnEngineWhoseAddressHasPassedOnHasCrashed: an engine of another service is listed there.
-func TestAnEngineWhoseAddressHasPassedOnHasCrashed(t *testing.T) {
-	first, next := startOf("e", "a:1", 1000), startOf("f", "a:1", 2000)
+// TestEngineWithReassignedAddressHasCrashed: an engine of another service is listed at the address.
+func TestEngineWithReassignedAddressHasCrashed(t *testing.T) {
+	first, next := incarnationOf("e", "a:1", 1000), incarnationOf("f", "a:1", 2000)
 	next.Service = "other"
-	watch := watchOf(&fakeProber{answer: Listening}, first, next)
+	watch := newTestWatch(&fakeProber{answer: Listening}, first, next)
 	assert.Assert(t, watch.ConnectionLost(t.Context(), Loss{Engine: first}))
 }
 
-// TestEachStartOfAnEngineIsLookedAtApart: a hanging probe of an incarnation is not joined by probes of the next.
-func TestEachStartOfAnEngineIsLookedAtApart(t *testing.T) {
+// TestIncarnationsAreProbedSeparately: the probe of an incarnation must not share the result of a hanging probe of the
+// previous one.
+func TestIncarnationsAreProbedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second := startOf("e", "a:1", 1000), startOf("e", "a:1", 2000)
+		first, second := incarnationOf("e", "a:1", 1000), incarnationOf("e", "a:1", 2000)
 		known := fleet.New()
 		known.Put(first)
 		prober := &fakeProber{answer: Ended, hold: make(chan struct{})}
@@ -140,19 +141,19 @@
 		known.Put(second)
 		group.Go(func() { watch.ConnectionLost(t.Context(), Loss{Engine: second}) })
 		synctest.Wait()
-		assert.Equal(t, prober.asked.Load(), int64(2))
+		assert.Equal(t, prober.probes.Load(), int64(2))
 		close(prober.hold)
 		group.Wait()
 	})
 }
 
-// TestAnEngineInAnEvacuatedZoneIsAskedNothing: no request is sent there; refused connections are detected
-// without one.
-func TestAnEngineInAnEvacuatedZoneIsAskedNothing(t *testing.T) {
+// TestNoProbeRequestInEvacuatedZone: a probe must not send requests to an evacuated zone; connecting suffices to
+// detect a crash.
+func TestNoProbeRequestInEvacuatedZone(t *testing.T) {
 	engine := engineAt("e", "a:1")
 	engine.Zone = "za"
 	prober := &fakeProber{answer: Listening}
-	watch := watchOf(prober, engine)
+	watch := newTestWatch(prober, engine)
 	watch.ConnectionLost(t.Context(), Loss{Engine: engine})
 	assert.Assert(t, prober.mayAsk.Load())
 	watch.options.Fleet.Evacuate("za", time.Now(), 1)
--- a/internal/crashes/writer.go
+++ b/internal/crashes/writer.go
@@ -12,15 +12,13 @@
 )
 
 const (
-	// writeTimeout bounds one write, finalWriteTimeout the write at shutdown, which must be below
-	// the time that roles have to end.
-	writeTimeout      = 1500 * time.Millisecond
+	writeTimeout = 1500 * time.Millisecond
+	// finalWriteTimeout bounds the write at shutdown. It must be below the shutdown time of roles.
 	finalWriteTimeout = 200 * time.Millisecond
-	// maxBatch bounds the records of one write.
+	// maxBatch is the maximum number of records in one write.
 	maxBatch = 500
 )
 
-// writeRetries are the delays between attempts while writes fail.
 var writeRetries = retry.Policy{First: 50 * time.Millisecond, Longest: time.Second}
 
 // Log stores the records.
@@ -28,19 +26,18 @@
 	PutKeyed(ctx context.Context, topic string, records []eventlog.KeyedRecord) error
 }
 
-// writer retries writes until they are acknowledged. Duplicate and late records have no effect
-// (one that follows its deletion is deleted again, see Guard.clearAgain), so a write without an
-// answer can always be retried.
+// writer retries writes until they are acknowledged. Duplicate and late records have no effect (one that follows its
+// deletion is deleted again, see Guard.deleteAgain), so a write with an unknown outcome can always be retried.
 type writer struct {
 	log    Log
 	topic  string
 	logger zerolog.Logger
-	// unwritten is called once for records whose first write failed.
+	// unwritten is called once for each record whose first write failed.
 	unwritten func(ctx context.Context, records []eventlog.KeyedRecord)
 	wake      chan struct{}
 
 	mu sync.Mutex
-	// pending holds the newest record to write for each key.
+	// pending holds the latest record to write for each key.
 	pending map[string]eventlog.KeyedRecord
 	// reported holds the keys for which unwritten was called.
 	reported map[string]bool
@@ -55,7 +52,7 @@
 	}
 }
 
-// add queues records.
+// add queues records to be written.
 func (w *writer) add(records ...eventlog.KeyedRecord) {
 	if len(records) == 0 {
 		return
@@ -74,7 +71,7 @@
 	}
 }
 
-// run writes until ctx ends, and then once more.
+// run writes queued records until ctx ends, and a last batch after it has ended.
 func (w *writer) run(ctx context.Context) {
 	delays := writeRetries.Delays()
 	for {
@@ -110,7 +107,7 @@
 		return nil
 	}
 	if err := w.log.PutKeyed(ctx, w.topic, batch); err != nil {
-		w.logger.Warn().Err(err).Int("records", len(batch)).Msg("records of ended engines not written")
+		w.logger.Warn().Err(err).Int("records", len(batch)).Msg("crash records not written")
 		return err
 	}
 	w.mu.Lock()
