--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	// wholeBytes is up to which size an answer is read whole before its first
-	// byte goes to the caller, so that one cut off can be asked for again.
-	wholeBytes = 256 << 10
-	// copyBytes is what is read at once of a larger one.
-	copyBytes = 32 << 10
-	// heldUp is how long an engine must have waited for the caller that its breaking off is no failure of its own:
-	// they break off what is not read for some seconds, and this node's reads lag by less.
-	heldUp      = 500 * time.Millisecond
-	eventStream = "text/event-stream"
+	// maxBufferedBytes is the size up to which an answer is buffered before its first byte is sent to the caller, so
+	// that a truncated answer can be retried.
+	maxBufferedBytes = 256 << 10
+	// copyBufferBytes is the buffer size for copying larger answers.
+	copyBufferBytes = 32 << 10
+	// callerStallThreshold is how long an engine must have waited for a slow caller for a truncated answer not to
+	// count as the engine's failure: engines abort answers that are not read for some seconds.
+	callerStallThreshold = 500 * time.Millisecond
+	eventStream          = "text/event-stream"
 )
 
-// connectionHeaders concern one connection only and are not passed on.
+// connectionHeaders are the hop-by-hop headers, which are not forwarded.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// CopyHeader adds all headers but those that concern one connection.
+// CopyHeader copies all headers except hop-by-hop ones.
 func CopyHeader(to, from http.Header) {
 	dropped := make(map[string]bool)
 	for _, name := range connectionHeaders {
@@ -56,30 +56,30 @@
 	return answer.Status == http.StatusOK && strings.HasPrefix(answer.Header.Get("Content-Type"), eventStream)
 }
 
-// relayWhole passes on an answer that is no stream.
-func (x *exchange) relayWhole(answer *Answer, outcome *fleet.Outcome) verdict {
+// relayBuffered forwards an answer that is not an event stream. It buffers up to maxBufferedBytes first.
+func (x *exchange) relayBuffered(answer *Answer, outcome *fleet.Outcome) verdict {
 	var start bytes.Buffer
-	_, err := io.CopyN(&start, answer.Body, wholeBytes)
+	_, err := io.CopyN(&start, answer.Body, maxBufferedBytes)
 	switch {
 	case errors.Is(err, io.EOF):
-		x.writeHead(answer, strconv.Itoa(start.Len()))
+		x.writeHeader(answer, strconv.Itoa(start.Len()))
 		_ = x.relay.options.Callers.Write(x.w, start.Bytes())
-		x.whole = true
+		x.complete = true
 		return answered
 	case err != nil:
 		outcome.Failed, outcome.ConnectionLost = true, connlost.Is(err)
-		return x.again()
+		return x.retryVerdict()
 	}
-	x.writeHead(answer, answer.Header.Get("Content-Length"))
+	x.writeHeader(answer, answer.Header.Get("Content-Length"))
 	return x.relayLarge(io.MultiReader(&start, answer.Body), outcome)
 }
 
-// relayLarge passes on an answer that is too large to be read whole first, at the engine's pace for as long as
-// what the caller has not taken is within bounds.
+// relayLarge forwards an answer that exceeds maxBufferedBytes. It is read at the engine's pace while the spool
+// has room, and at the caller's pace otherwise.
 func (x *exchange) relayLarge(source io.Reader, outcome *fleet.Outcome) verdict {
 	spool := callerwrite.NewSpool(x.w, x.relay.options.Callers)
 	waited, readErr, writeErr := x.copyTo(spool, source)
-	engineFailed := waited < heldUp
+	engineFailed := waited < callerStallThreshold
 	if err := spool.Close(); writeErr == nil {
 		writeErr = err
 	}
@@ -90,15 +90,15 @@
 		outcome.Failed, outcome.ConnectionLost = engineFailed, engineFailed && connlost.Is(readErr)
 		return giveUp
 	default:
-		x.whole = true
+		x.complete = true
 		return answered
 	}
 }
 
-// copyTo reads an engine's answer into the spool until it ends. waited is how long the engine had to wait for the
+// copyTo copies an engine's answer to the spool until it ends. waited is how long the engine had to wait for the
 // caller.
 func (x *exchange) copyTo(spool *callerwrite.Spool, source io.Reader) (waited time.Duration, readErr, writeErr error) {
-	buffer := make([]byte, copyBytes)
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		count, err := source.Read(buffer)
 		if count > 0 {
@@ -121,11 +121,11 @@
 	}
 }
 
-func (x *exchange) writeHead(answer *Answer, length string) {
+func (x *exchange) writeHeader(answer *Answer, length string) {
 	header := x.w.Header()
 	CopyHeader(header, answer.Header)
 	if _, found := header["Content-Type"]; !found {
-		// Keeps the server from guessing one.
+		// Prevents the server from sniffing the content type.
 		header["Content-Type"] = nil
 	}
 	if length != "" && answer.Status != http.StatusNoContent && answer.Status != http.StatusNotModified {
@@ -135,53 +135,53 @@
 	x.w.WriteHeader(answer.Status)
 }
 
-// relayStream passes on events as they arrive. A stream that broke off is
-// continued at another engine, where the route allows it.
+// relayStream forwards events as they arrive. An interrupted stream is resumed at another engine if the route allows
+// it.
 func (x *exchange) relayStream(answer *Answer, outcome *fleet.Outcome) verdict {
-	if !x.streamed {
+	if !x.streaming {
 		answer.Header.Del("Content-Length")
-		x.writeHead(answer, "")
-		x.streamed = true
-		x.after = x.request.After
+		x.writeHeader(answer, "")
+		x.streaming = true
+		x.lastEventID = x.request.After
 	}
 	spool := callerwrite.NewSpool(x.w, x.relay.options.Callers)
 	result := x.relayEvents(answer, spool, outcome)
 	if err := spool.Close(); err != nil && result == answered {
-		x.whole = false
+		x.complete = false
 	}
 	return result
 }
 
-// relayEvents reads an engine's events into the spool until the stream ends.
+// relayEvents copies an engine's events to the spool until the stream ends.
 func (x *exchange) relayEvents(answer *Answer, spool *callerwrite.Spool, outcome *fleet.Outcome) verdict {
 	events := eventstream.NewReader(answer.Body)
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			x.whole = true
+			x.complete = true
 			return answered
 		}
-		if err != nil || event.HasID && x.after != 0 && event.ID != x.after+1 {
+		if err != nil || event.HasID && x.lastEventID != 0 && event.ID != x.lastEventID+1 {
 			outcome.Failed, outcome.ConnectionLost = true, connlost.Is(err)
-			return x.streamBroke()
+			return x.streamInterrupted()
 		}
 		err = spool.Write(event.Raw)
 		if errors.Is(err, callerwrite.ErrFull) {
-			// What was written must not look whole.
+			// The caller must not take the truncated stream for a complete one.
 			return giveUp
 		}
 		if err != nil {
 			return answered
 		}
 		if event.HasID {
-			x.after = event.ID
+			x.lastEventID = event.ID
 		}
 	}
 }
 
-// streamBroke decides whether a stream may go on at another engine.
-func (x *exchange) streamBroke() verdict {
-	if x.route.Resumable && x.ran < max(1, x.route.MaxAttempts) && x.ctx.Err() == nil {
+// streamInterrupted decides whether a stream may be resumed at another engine.
+func (x *exchange) streamInterrupted() verdict {
+	if x.route.Resumable && x.executions < max(1, x.route.MaxAttempts) && x.ctx.Err() == nil {
 		return tryNext
 	}
 	return giveUp
--- a/internal/ingress/call.go
+++ b/internal/ingress/call.go
@@ -7,23 +7,21 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-// Reply is the end of a request that this process made itself.
+// Reply is the result of a request that this process made itself.
 type Reply struct {
-	// Status and Stamp are those of the engine's whole answer; zero and empty when
-	// there is none.
+	// Status and Stamp are those of the engine's complete answer; zero and empty if there is none.
 	Status int
 	Stamp  string
-	// ServerErrors counts the engines that ran the request and answered 500.
+	// ServerErrors is the number of engines that ran the request and answered with status 500.
 	ServerErrors int
-	// MaxAttempts is the route's.
+	// MaxAttempts is the route's limit of attempts.
 	MaxAttempts int
 }
 
-// Call makes a request of this process's own, on the way of a live one: same
-// route, choice of engines and retries. The body of the answer is read whole and
-// dropped.
+// Call makes a request of this process itself, with the same routing, choice of engines and retries as a live one. The
+// body of the answer is read and discarded.
 func (r *Relay) Call(ctx context.Context, request *Request) (Reply, *errkind.Error) {
-	var answer answerHead
+	var answer discardWriter
 	x, cancel, failure := r.begin(&answer, ctx, request)
 	if failure != nil {
 		return Reply{}, failure
@@ -38,12 +36,11 @@
 	return reply, failure
 }
 
-// answerHead takes an answer of which only the head is wanted. It implements
-// http.ResponseWriter.
-type answerHead struct{ header http.Header }
+// discardWriter is an http.ResponseWriter that discards the body.
+type discardWriter struct{ header http.Header }
 
 // Header implements http.ResponseWriter.
-func (a *answerHead) Header() http.Header {
+func (a *discardWriter) Header() http.Header {
 	if a.header == nil {
 		a.header = make(http.Header)
 	}
@@ -51,7 +48,7 @@
 }
 
 // Write implements http.ResponseWriter.
-func (*answerHead) Write(content []byte) (int, error) { return len(content), nil }
+func (*discardWriter) Write(content []byte) (int, error) { return len(content), nil }
 
 // WriteHeader implements http.ResponseWriter.
-func (*answerHead) WriteHeader(int) {}
+func (*discardWriter) WriteHeader(int) {}
--- a/internal/ingress/call_test.go
+++ b/internal/ingress/call_test.go
@@ -19,7 +19,7 @@
 	"github.com/corkpulley/corkpulley/internal/crashes"
 )
 
-// noCrashes stands in for the guard where no engine ends.
+// noCrashes is a guard that admits all requests and reports no crashes.
 type noCrashes struct{}
 
 func (noCrashes) Admit(context.Context, func() quarantine.Fingerprint) *errkind.Error { return nil }
@@ -32,7 +32,7 @@
 
 func (noCrashes) Answered(func() quarantine.Fingerprint) {}
 
-// scriptedEngines answer as the engine's name says.
+// scriptedEngines holds the answer of each engine by ID. An engine with a zero answer loses the connection.
 type scriptedEngines map[string]Answer
 
 func (e scriptedEngines) Send(_ context.Context, engine fleet.Engine, _ Call) (*Answer, error) {
@@ -46,10 +46,10 @@
 }
 
 func callRelay(engines scriptedEngines, path string) (Reply, *errkind.Error) {
-	return callOf(newRelay(engines, noCrashes{}, 2), path)
+	return callPath(newRelay(engines, noCrashes{}, 2), path)
 }
 
-// newRelay returns a relay of a service whose engines answer as their names say.
+// newRelay returns a relay with one service that has the given engines.
 func newRelay(engines scriptedEngines, guard Guard, maxAttempts int) *Relay {
 	known := fleet.New()
 	for id := range engines {
@@ -66,19 +66,19 @@
 	})
 }
 
-func callOf(relay *Relay, path string) (Reply, *errkind.Error) {
+func callPath(relay *Relay, path string) (Reply, *errkind.Error) {
 	return relay.Call(context.Background(), &Request{
 		ID: "id", Method: http.MethodPost, Target: path, Path: path, Host: "h", Received: time.Now(),
 	})
 }
 
-func TestCallTellsTheStampOfAWholeAnswer(t *testing.T) {
+func TestCallReturnsStampOfCompleteAnswer(t *testing.T) {
 	reply, failure := callRelay(scriptedEngines{"a": {Status: http.StatusOK, Stamp: "stamp"}}, "/x/1")
 	assert.Assert(t, failure == nil)
 	assert.Equal(t, reply, Reply{Status: http.StatusOK, Stamp: "stamp", MaxAttempts: 2})
 }
 
-func TestCallCountsTheEnginesThatFailedIt(t *testing.T) {
+func TestCallCountsServerErrors(t *testing.T) {
 	reply, failure := callRelay(scriptedEngines{
 		"a": {Status: http.StatusInternalServerError}, "b": {Status: http.StatusInternalServerError},
 	}, "/x/1")
@@ -87,20 +87,19 @@
 	assert.Equal(t, reply.ServerErrors, 2)
 }
 
-func TestRefusalIsNoFailedAttemptOfACall(t *testing.T) {
+func TestRefusalIsNotCountedAsServerError(t *testing.T) {
 	reply, failure := callRelay(scriptedEngines{"a": {Status: http.StatusServiceUnavailable, NotExecuted: true}}, "/x/1")
 	assert.Equal(t, failure.Kind, errkind.NoCapacity)
 	assert.Equal(t, reply.ServerErrors, 0)
 }
 
-func TestCallWithoutARouteFails(t *testing.T) {
+func TestCallWithoutRouteFails(t *testing.T) {
 	_, failure := callRelay(scriptedEngines{"a": {Status: http.StatusOK}}, "/y/1")
 	assert.Equal(t, failure.Kind, errkind.UnknownService)
 }
 
-// TestASuspendedMachineGivesEnginesNoTimeThatIsOver: the machine is suspended after the
-// request came in, for longer than its caller waits.
-func TestASuspendedMachineGivesEnginesNoTimeThatIsOver(t *testing.T) {
+// TestDeadlineIncludesSuspension: the machine is suspended after it received the request, for longer than the timeout.
+func TestDeadlineIncludesSuspension(t *testing.T) {
 	relay := newRelay(scriptedEngines{"a": {Status: http.StatusOK, Stamp: "stamp"}}, noCrashes{}, 2)
 	suspended := time.Duration(0)
 	relay.now = func() time.Time {
@@ -108,11 +107,11 @@
 		suspended = 2 * time.Second
 		return now
 	}
-	_, failure := callOf(relay, "/x/1")
+	_, failure := callPath(relay, "/x/1")
 	assert.Equal(t, failure.Kind, errkind.NoCapacity)
 }
 
-// countingGuard counts the engines that ended under the only request there is.
+// countingGuard counts lost connections as crashes of one request, and successful answers.
 type countingGuard struct {
 	noCrashes
 	crashes  int
@@ -130,38 +129,37 @@
 	return quarantine.Standing{Crashes: g.crashes}
 }
 
-// TestAnExchangeEndsOnceTheLimitOfEnginesHasEnded: however many its route allows.
-func TestAnExchangeEndsOnceTheLimitOfEnginesHasEnded(t *testing.T) {
+// TestRequestStopsAtCrashLimit checks that the crash limit applies even if the route allows more attempts.
+func TestRequestStopsAtCrashLimit(t *testing.T) {
 	guard := &countingGuard{}
-	_, failure := callOf(newRelay(scriptedEngines{"a": {}, "b": {}, "c": {}, "d": {}}, guard, 4), "/x/1")
+	_, failure := callPath(newRelay(scriptedEngines{"a": {}, "b": {}, "c": {}, "d": {}}, guard, 4), "/x/1")
 	assert.Equal(t, failure.Kind, errkind.EngineFailed)
 	assert.Equal(t, guard.crashes, quarantine.RequestLimit)
 }
 
-// TestARequestThatIsKeptAwayReachesNoEngine: it is refused at once as not run.
-func TestARequestThatIsKeptAwayReachesNoEngine(t *testing.T) {
+// TestQuarantinedRequestReachesNoEngine checks that the request is refused as not executed.
+func TestQuarantinedRequestReachesNoEngine(t *testing.T) {
 	guard := &refusingGuard{}
-	_, failure := callOf(newRelay(scriptedEngines{"a": {}}, guard, 2), "/x/1")
+	_, failure := callPath(newRelay(scriptedEngines{"a": {}}, guard, 2), "/x/1")
 	assert.Equal(t, failure.Kind, errkind.Quarantined)
 	assert.Equal(t, failure.Kind.Answer().Execution, errkind.NotExecuted)
 	assert.Equal(t, guard.crashes, 0)
 }
 
-// refusingGuard admits nothing.
+// refusingGuard admits no request.
 type refusingGuard struct{ countingGuard }
 
 func (*refusingGuard) Admit(context.Context, func() quarantine.Fingerprint) *errkind.Error {
 	return errkind.New(errkind.Quarantined, "held")
 }
 
-// TestOnlyASuccessClearsARequest: an engine may fail a request that it has not begun, at its
-// deadline or because it fails whatever comes.
-func TestOnlyASuccessClearsARequest(t *testing.T) {
+// TestOnlySuccessClearsRequest: an engine may fail a request that it has not started, for example at its deadline.
+func TestOnlySuccessClearsRequest(t *testing.T) {
 	for status, cleared := range map[int]int{
 		http.StatusOK: 1, http.StatusBadRequest: 0, http.StatusInternalServerError: 0, http.StatusGatewayTimeout: 0,
 	} {
 		guard := &countingGuard{}
-		reply, failure := callOf(newRelay(scriptedEngines{"a": {Status: status, Stamp: "stamp"}}, guard, 1), "/x/1")
+		reply, failure := callPath(newRelay(scriptedEngines{"a": {Status: status, Stamp: "stamp"}}, guard, 1), "/x/1")
 		assert.Assert(t, failure == nil)
 		assert.Equal(t, reply.Status, status)
 		assert.Equal(t, guard.answered, cleared, "status %d", status)
--- a/internal/ingress/cold_test.go
+++ b/internal/ingress/cold_test.go
@@ -16,7 +16,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/routes"
 )
 
-// scriptedPermits deny as often as they are told, and grant the engine then.
+// scriptedPermits denies the given number of permit requests and then grants permits for one engine.
 type scriptedPermits struct {
 	denials int
 	wait    time.Duration
@@ -35,8 +35,8 @@
 	return coldpermits.Permit{Engine: incarnation.ID{Engine: s.grant}}, coldpermits.Denial{}
 }
 
-// withCold makes the relay's service one with a slow start and these of its engines cold.
-func withCold(relay *Relay, permits *scriptedPermits, cold ...string) *Relay {
+// withColdEngines configures a slow start for the relay's service and marks the given engines as cold.
+func withColdEngines(relay *Relay, permits *scriptedPermits, cold ...string) *Relay {
 	relay.options.ColdPermits = permits
 	known := relay.options.Fleet
 	known.SetSlowStarts(map[string]routes.SlowStart{"s": {Period: time.Hour, RatePerSecond: 5}})
@@ -46,43 +46,43 @@
 	return relay
 }
 
-var works = Answer{Status: http.StatusOK, Stamp: "stamp"}
+var successAnswer = Answer{Status: http.StatusOK, Stamp: "stamp"}
 
-func TestARequestGoesToTheColdEngineThatItsPermitNames(t *testing.T) {
+func TestRequestGoesToPermittedColdEngine(t *testing.T) {
 	permits := &scriptedPermits{grant: "b"}
-	engines := scriptedEngines{"a": {Status: http.StatusTeapot, Stamp: "stamp"}, "b": works}
-	reply, failure := callOf(withCold(newRelay(engines, noCrashes{}, 2), permits, "a", "b"), "/x/1")
+	engines := scriptedEngines{"a": {Status: http.StatusTeapot, Stamp: "stamp"}, "b": successAnswer}
+	reply, failure := callPath(withColdEngines(newRelay(engines, noCrashes{}, 2), permits, "a", "b"), "/x/1")
 	assert.Assert(t, failure == nil)
 	assert.Equal(t, reply.Status, http.StatusOK)
 	assert.Equal(t, len(permits.asked), 1)
 	assert.Equal(t, len(permits.asked[0]), 2)
 }
 
-func TestARequestWithoutAPermitIsRefusedAtOnceWithTheTime(t *testing.T) {
+func TestRequestWithoutPermitIsRefusedWithRetryAfter(t *testing.T) {
 	permits := &scriptedPermits{denials: 9, wait: 700 * time.Millisecond}
-	_, failure := callOf(withCold(newRelay(scriptedEngines{"a": works}, noCrashes{}, 2), permits, "a"), "/x/1")
+	_, failure := callPath(withColdEngines(newRelay(scriptedEngines{"a": successAnswer}, noCrashes{}, 2), permits, "a"), "/x/1")
 	assert.Equal(t, failure.Kind, errkind.NoCapacity)
 	assert.Equal(t, failure.Delay(), permits.wait)
 	assert.Equal(t, len(permits.asked), 1)
 }
 
-// TestAFullWarmEngineTakesWhatNoColdOneMay: it may still queue the request.
-func TestAFullWarmEngineTakesWhatNoColdOneMay(t *testing.T) {
+// TestDeniedRequestGoesToFullWarmEngine: a warm engine without a free slot may still queue the request.
+func TestDeniedRequestGoesToFullWarmEngine(t *testing.T) {
 	permits := &scriptedPermits{denials: 1}
-	relay := withCold(newRelay(scriptedEngines{"cold": works, "warm": works}, noCrashes{}, 2), permits, "cold")
+	relay := withColdEngines(newRelay(scriptedEngines{"cold": successAnswer, "warm": successAnswer}, noCrashes{}, 2), permits, "cold")
 	relay.options.Fleet.Began(incarnation.ID{Engine: "warm"})
-	reply, failure := callOf(relay, "/x/1")
+	reply, failure := callPath(relay, "/x/1")
 	assert.Assert(t, failure == nil)
 	assert.Equal(t, reply.Status, http.StatusOK)
 	assert.Equal(t, len(permits.asked), 1)
 }
 
-// TestARequestDoesNotLeaveForAnEngineThatTurnedColdSinceItWasChosen guards against requests beyond an engine's rate
-// that were chosen for it while it was warm and whose dials ended later.
-func TestARequestDoesNotLeaveForAnEngineThatTurnedColdSinceItWasChosen(t *testing.T) {
-	engines := &slowConnections{}
-	relay, known := relayOfZones(engines)
-	withCold(relay, &scriptedPermits{denials: 9})
+// TestRequestIsNotSentToEngineThatTurnedCold guards against requests beyond a cold engine's rate, which were
+// assigned to it while it was warm and whose dials ended later.
+func TestRequestIsNotSentToEngineThatTurnedCold(t *testing.T) {
+	engines := &slowDialEngines{}
+	relay, known := newZonedRelay(engines)
+	withColdEngines(relay, &scriptedPermits{denials: 9})
 	turnedCold := ""
 	engines.dial = func(engine fleet.Engine) {
 		if turnedCold == "" {
@@ -90,7 +90,7 @@
 			known.MarkDoubtful(engine.Incarnation(), fleet.Unreached, time.Now())
 		}
 	}
-	reply, failure := callOf(relay, "/x/1")
+	reply, failure := callPath(relay, "/x/1")
 	assert.Assert(t, failure == nil)
 	assert.Equal(t, len(engines.sent), 1)
 	assert.Assert(t, engines.sent[0] != turnedCold)
@@ -98,39 +98,38 @@
 	assert.Assert(t, !known.Suspected(incarnation.ID{Engine: turnedCold}, time.Now()))
 }
 
-// TestARequestThatHasBegunWaitsForAPermit: a refusal would say that it did not run.
-func TestARequestThatHasBegunWaitsForAPermit(t *testing.T) {
+// TestStartedRequestWaitsForPermit: a refusal would wrongly say that the request was not executed.
+func TestStartedRequestWaitsForPermit(t *testing.T) {
 	permits := &scriptedPermits{denials: 2, wait: time.Millisecond, grant: "cold"}
-	relay := withCold(newRelay(scriptedEngines{"lost": {}, "cold": works}, noCrashes{}, 3), permits, "cold")
-	reply, failure := callOf(relay, "/x/1")
+	relay := withColdEngines(newRelay(scriptedEngines{"lost": {}, "cold": successAnswer}, noCrashes{}, 3), permits, "cold")
+	reply, failure := callPath(relay, "/x/1")
 	assert.Assert(t, failure == nil)
 	assert.Equal(t, reply.Status, http.StatusOK)
 	assert.Equal(t, len(permits.asked), 3)
 }
 
-// TestAnEngineThatLostItsConnectionCountsAsCold for all requests after it.
-func TestAnEngineThatLostItsConnectionCountsAsCold(t *testing.T) {
-	relay := withCold(newRelay(scriptedEngines{"lost": {}}, noCrashes{}, 1), &scriptedPermits{})
-	_, failure := callOf(relay, "/x/1")
+func TestEngineIsColdAfterLostConnection(t *testing.T) {
+	relay := withColdEngines(newRelay(scriptedEngines{"lost": {}}, noCrashes{}, 1), &scriptedPermits{})
+	_, failure := callPath(relay, "/x/1")
 	assert.Equal(t, failure.Kind, errkind.EngineFailed)
 	found, cold := relay.options.Fleet.Cold(incarnation.ID{Engine: "lost"}, time.Now())
 	assert.Assert(t, cold)
 	assert.Equal(t, found.Reason, fleet.Unreached)
 }
 
-// leavingCaller is an engine that is being dialled when the caller leaves.
-type leavingCaller struct{ leave context.CancelFunc }
+// cancelingEngine is an engine during whose dial the caller cancels.
+type cancelingEngine struct{ leave context.CancelFunc }
 
-func (e leavingCaller) Send(context.Context, fleet.Engine, Call) (*Answer, error) {
+func (e cancelingEngine) Send(context.Context, fleet.Engine, Call) (*Answer, error) {
 	e.leave()
 	return nil, &SendError{Cause: io.ErrUnexpectedEOF}
 }
 
-// TestACallerThatLeavesSaysNothingOfTheEngine: it stays warm.
-func TestACallerThatLeavesSaysNothingOfTheEngine(t *testing.T) {
+// TestCallerCancellationKeepsEngineWarm: a canceled dial does not show that the engine is unreachable.
+func TestCallerCancellationKeepsEngineWarm(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
-	relay := withCold(newRelay(scriptedEngines{"a": works}, noCrashes{}, 2), &scriptedPermits{})
-	relay.options.Engines = leavingCaller{leave: leave}
+	relay := withColdEngines(newRelay(scriptedEngines{"a": successAnswer}, noCrashes{}, 2), &scriptedPermits{})
+	relay.options.Engines = cancelingEngine{leave: leave}
 	_, failure := relay.Call(ctx, &Request{
 		ID: "id", Method: http.MethodPost, Target: "/x/1", Path: "/x/1", Host: "h", Received: time.Now(),
 	})
@@ -139,10 +138,10 @@
 	assert.Assert(t, !cold)
 }
 
-// TestAPermitForAnEngineThatHasGoneIsADenial: the next question names the others.
-func TestAPermitForAnEngineThatHasGoneIsADenial(t *testing.T) {
+// TestPermitForRemovedEngineIsTreatedAsDenial: the engine is removed while its permit is requested.
+func TestPermitForRemovedEngineIsTreatedAsDenial(t *testing.T) {
 	permits := &scriptedPermits{grant: "gone"}
-	_, failure := callOf(withCold(newRelay(scriptedEngines{"a": works}, noCrashes{}, 2), permits, "a"), "/x/1")
+	_, failure := callPath(withColdEngines(newRelay(scriptedEngines{"a": successAnswer}, noCrashes{}, 2), permits, "a"), "/x/1")
 	assert.Equal(t, failure.Kind, errkind.NoCapacity)
 	assert.ErrorContains(t, failure, "only just started")
 }
--- a/internal/ingress/evacuation_test.go
+++ b/internal/ingress/evacuation_test.go
@@ -15,15 +15,14 @@
 	"github.com/corkpulley/corkpulley/internal/sendgate"
 )
 
-// slowConnections ask for the permission to send as a client of engines does, after a dial in which
-// anything may happen.
-type slowConnections struct {
+// slowDialEngines calls dial and then checks whether the request may still be sent, like the engine client.
+type slowDialEngines struct {
 	scriptedEngines
 	dial func(engine fleet.Engine)
 	sent []string
 }
 
-func (e *slowConnections) Send(ctx context.Context, engine fleet.Engine, call Call) (*Answer, error) {
+func (e *slowDialEngines) Send(ctx context.Context, engine fleet.Engine, call Call) (*Answer, error) {
 	e.dial(engine)
 	if !call.MayLeave() {
 		return nil, &SendError{HeldBack: true, Cause: errors.New("not permitted")}
@@ -32,8 +31,8 @@
 	return e.scriptedEngines.Send(ctx, engine, call)
 }
 
-// relayOfZones returns a relay of two engines, each in the zone of its name, and their fleet.
-func relayOfZones(engines *slowConnections) (*Relay, *fleet.Fleet) {
+// newZonedRelay returns a relay with two engines, each in a zone named like it, and their fleet.
+func newZonedRelay(engines *slowDialEngines) (*Relay, *fleet.Fleet) {
 	engines.scriptedEngines = scriptedEngines{"a": {Status: http.StatusOK, Stamp: "a"}, "b": {Status: http.StatusOK, Stamp: "b"}}
 	relay := newRelay(engines.scriptedEngines, noCrashes{}, 2)
 	relay.options.Engines = engines
@@ -43,11 +42,11 @@
 	return relay, relay.options.Fleet
 }
 
-// TestARequestChosenBeforeAnEvacuationGoesToAnotherEngine: its dial ended after it. The engine counts as
-// well, and the request as one that was never sent there.
-func TestARequestChosenBeforeAnEvacuationGoesToAnotherEngine(t *testing.T) {
-	engines := &slowConnections{}
-	relay, known := relayOfZones(engines)
+// TestEvacuationDuringDialMovesRequest: the request goes to another engine, and the evacuated engine is neither
+// suspected nor charged with it.
+func TestEvacuationDuringDialMovesRequest(t *testing.T) {
+	engines := &slowDialEngines{}
+	relay, known := newZonedRelay(engines)
 	evacuated := ""
 	engines.dial = func(engine fleet.Engine) {
 		if evacuated == "" {
@@ -55,7 +54,7 @@
 			known.Evacuate(engine.Zone, time.Now(), 1)
 		}
 	}
-	reply, failure := callOf(relay, "/x/1")
+	reply, failure := callPath(relay, "/x/1")
 	assert.Assert(t, failure == nil)
 	assert.Equal(t, len(engines.sent), 1)
 	assert.Assert(t, engines.sent[0] != evacuated)
@@ -66,32 +65,32 @@
 	assert.Equal(t, zones[0].InFlight+zones[1].InFlight, 0)
 }
 
-// TestWithoutAnEngineOutsideTheRequestIsRefusedAtOnce: it has not run, and is told so.
-func TestWithoutAnEngineOutsideTheRequestIsRefusedAtOnce(t *testing.T) {
-	engines := &slowConnections{dial: func(fleet.Engine) {}}
-	relay, known := relayOfZones(engines)
+func TestRequestIsRefusedWhenAllZonesAreEvacuated(t *testing.T) {
+	engines := &slowDialEngines{dial: func(fleet.Engine) {}}
+	relay, known := newZonedRelay(engines)
 	known.Evacuate("a", time.Now(), 1)
 	known.Evacuate("b", time.Now(), 2)
-	_, failure := callOf(relay, "/x/1")
+	_, failure := callPath(relay, "/x/1")
 	assert.Assert(t, failure != nil)
 	assert.Equal(t, failure.Kind, errkind.NoCapacity)
-	assert.Equal(t, failure.Delay(), evacuatedRetry)
+	assert.Equal(t, failure.Delay(), evacuatedRetryAfter)
 	assert.Equal(t, len(engines.sent), 0)
 }
 
-// TestARequestWaitsShortlyForTheEvacuationsToBeKnown: and is refused as not run where that takes longer.
-func TestARequestWaitsShortlyForTheEvacuationsToBeKnown(t *testing.T) {
-	engines := &slowConnections{dial: func(fleet.Engine) {}}
-	relay, known := relayOfZones(engines)
+// TestRequestWaitsForCurrentEvacuations checks that a request waits until the evacuations are known to be current, and
+// is refused if that takes too long.
+func TestRequestWaitsForCurrentEvacuations(t *testing.T) {
+	engines := &slowDialEngines{dial: func(fleet.Engine) {}}
+	relay, known := newZonedRelay(engines)
 	asked := 0
 	relay.options.Gate = sendgate.New(sendgate.Options{Fleet: known, Known: func() bool {
 		asked++
 		return asked > 3
 	}})
-	_, failure := callOf(relay, "/x/1")
+	_, failure := callPath(relay, "/x/1")
 	assert.Assert(t, failure == nil)
 	relay.options.Gate = sendgate.New(sendgate.Options{Fleet: known, Known: func() bool { return false }})
-	_, failure = callOf(relay, "/x/1")
+	_, failure = callPath(relay, "/x/1")
 	assert.Equal(t, failure.Kind, errkind.NotReady)
 	assert.Equal(t, len(engines.sent), 1)
 }
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -14,7 +14,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/routes"
 )
 
-// exchange is the way of one request through the relay.
+// exchange is the state of one request in the relay.
 type exchange struct {
 	relay   *Relay
 	request *Request
@@ -22,64 +22,65 @@
 	table   *routes.Table
 	sender  routes.Sender
 	service string
-	// ctx ends at the request's deadline or when the caller leaves, caller only
-	// when it leaves.
-	ctx    context.Context
-	caller context.Context
-	w      http.ResponseWriter
-	// endsAt is the deadline by the relay's clock: that of ctx does not count the time
-	// for which the machine is suspended.
+	// ctx ends at the request's deadline or when the caller disconnects; callerCtx only when it disconnects.
+	ctx       context.Context
+	callerCtx context.Context
+	w         http.ResponseWriter
+	// endsAt is the deadline by the relay's clock, which advances while the machine is suspended; the clock of ctx
+	// does not.
 	endsAt time.Time
 
+	// tried holds the IDs of the engines tried.
 	tried []string
-	// denial says why no cold engine was asked, if one was left.
+	// denial is why no cold engine was tried, if only cold engines were left.
 	denial coldpermits.Denial
-	// fingerprint is nil until it is asked for.
+	// fingerprint is computed on first use; see fingerprintOf.
 	fingerprint *quarantine.Fingerprint
-	// ran counts the engines that may have run the request.
-	ran int
-	// counted is true once the request was told of as begun.
-	counted bool
-	// serverErrors counts the engines that ran the request and answered 500.
+	// executions counts the engines that may have run the request.
+	executions int
+	// startReported is true once Options.Began was called for the request.
+	startReported bool
+	// serverErrors counts the engines that ran the request and answered with status 500.
 	serverErrors int
-	// status is what was written to the caller, zero when nothing was, and stamp
-	// the signature of the engine that made it.
+	// status is the status written to the caller; zero before. stamp is the signature of the engine that answered.
 	status int
 	stamp  string
-	// whole is true once the caller was given an engine's whole answer.
-	whole bool
-	// after and streamed are the state of a stream that was begun.
-	after    int64
-	streamed bool
+	// complete is true once an engine's complete answer was written to the caller.
+	complete bool
+	// lastEventID is the ID of the last event of a stream that was written to the caller. streaming is true once
+	// the stream's header was written.
+	lastEventID int64
+	streaming   bool
 }
 
-// verdict is what follows from one try.
+// verdict is the result of one try.
 type verdict uint8
 
 const (
-	// answered: the caller has its answer.
+	// answered: an answer was written to the caller.
 	answered verdict = iota
-	// tryNext: another engine may be asked.
+	// tryNext: the request may be sent to another engine.
 	tryNext
-	// giveUp: no other engine may be asked.
+	// giveUp: the request must not be sent again.
 	giveUp
 )
 
 var verdictNames = [...]string{answered: "answered", tryNext: "try_next", giveUp: "give_up"}
 
-// String returns the verdict as it stands in logs.
+// String returns the verdict as logged.
 func (v verdict) String() string { return verdictNames[v] }
 
+// run tries engines until one answers or no other may be tried.
 func (x *exchange) run() *errkind.Error {
 	if failure := x.relay.options.Guard.Admit(x.ctx, x.fingerprintOf); failure != nil {
 		return failure
 	}
 	for len(x.tried) < maxTries {
 		if x.ctx.Err() != nil {
-			return x.timedOut()
+			return x.timeoutFailure()
 		}
 		if !x.relay.options.Gate.AwaitKnown(x.ctx) {
-			return x.standstillFailure()
+			return x.staleStateFailure()
 		}
 		choice, mayLeave, found := x.choose()
 		if !found && x.waitForPermit() {
@@ -92,20 +93,20 @@
 		case answered:
 			return nil
 		case giveUp:
-			return x.failed()
+			return x.finalFailure()
 		}
-		if x.ran >= max(1, x.route.MaxAttempts) {
+		if x.executions >= max(1, x.route.MaxAttempts) {
 			break
 		}
 	}
 	if x.ctx.Err() != nil {
-		return x.timedOut()
+		return x.timeoutFailure()
 	}
-	return x.failed()
+	return x.finalFailure()
 }
 
-// homes returns the regions whose engines may run the request now: a newer configuration than the
-// request began with may have moved them.
+// homes returns the regions whose engines may run the request, by the latest configuration, which may be newer than the
+// one with which the request began.
 func (x *exchange) homes() homes.Set {
 	table := x.relay.options.Table()
 	if table == nil || table.Version <= x.table.Version {
@@ -117,50 +118,50 @@
 	return x.sender.Homes
 }
 
-// timedOut is the answer when the time is over. Nobody reads it if the caller left.
-func (x *exchange) timedOut() *errkind.Error {
-	if x.caller.Err() != nil && x.ran == 0 {
+// timeoutFailure is the error when ctx has ended. Nobody reads it if the caller has disconnected.
+func (x *exchange) timeoutFailure() *errkind.Error {
+	if x.callerCtx.Err() != nil && x.executions == 0 {
 		return errkind.New(errkind.Canceled, "the caller left")
 	}
-	return x.failed()
+	return x.finalFailure()
 }
 
-// failed is the answer when no engine gave one.
-func (x *exchange) failed() *errkind.Error {
+// finalFailure is the error when no engine gave a complete answer.
+func (x *exchange) finalFailure() *errkind.Error {
 	if x.status != 0 {
 		return errkind.New(errkind.EngineFailed, "the answer broke off and no engine continues it")
 	}
-	if x.ran > 0 {
-		return errkind.New(errkind.EngineFailed, "%d engines were asked and none answered in time", x.ran)
+	if x.executions > 0 {
+		return errkind.New(errkind.EngineFailed, "%d engines were asked and none answered in time", x.executions)
 	}
 	if regions := x.homes(); !x.relay.options.Fleet.Serves(x.service, regions) && regions.Bound() {
 		return errkind.New(errkind.OutsideHomes, "no engine of %s is in %s", x.service, regions)
 	}
 	if evacuated := x.relay.options.Fleet.Evacuated(x.service); evacuated > 0 && len(x.tried) == 0 {
 		failure := errkind.New(errkind.NoCapacity, "no engine of %s takes requests, %d are in evacuated zones", x.service, evacuated)
-		failure.RetryAfter = evacuatedRetry
+		failure.RetryAfter = evacuatedRetryAfter
 		return failure
 	}
 	if x.denial.Outcome != coldpermits.Granted {
-		return x.onlyColdLeft()
+		return x.coldOnlyFailure()
 	}
 	failure := errkind.New(errkind.NoCapacity, "no engine of %s took the request, %d were asked", x.service, len(x.tried))
-	failure.RetryAfter = refusalRetry
+	failure.RetryAfter = refusalRetryAfter
 	return failure
 }
 
-// standstillFailure is the answer while what this node knows of evacuations and engines is from before a standstill.
-// Other nodes know more, and so does this one a moment later.
-func (x *exchange) standstillFailure() *errkind.Error {
-	if x.ctx.Err() != nil || x.ran > 0 || x.status != 0 {
-		return x.timedOut()
+// staleStateFailure is the error while this node, after a pause of its process, has not yet read the evacuations and
+// the engine list again. The caller may retry at another node, or here shortly after.
+func (x *exchange) staleStateFailure() *errkind.Error {
+	if x.ctx.Err() != nil || x.executions > 0 || x.status != 0 {
+		return x.timeoutFailure()
 	}
 	failure := errkind.New(errkind.NotReady, "this node stood still and has not read the evacuations and the engine list again")
-	failure.RetryAfter = refusalRetry
+	failure.RetryAfter = refusalRetryAfter
 	return failure
 }
 
-// fingerprintOf returns the fingerprint of the request.
+// fingerprintOf returns the fingerprint of the request, which is computed once.
 func (x *exchange) fingerprintOf() quarantine.Fingerprint {
 	if x.fingerprint == nil {
 		fingerprint := quarantine.Request{
@@ -180,8 +181,8 @@
 	}
 	line := x.relay.options.Logger.WithLevel(level).Str("id", x.request.ID).Str("route", x.route.Name).
 		Str("service", x.service).Str("tenant", x.sender.Tenant).Int64("config", x.table.Version).
-		Int("tried", len(x.tried)).Int("ran", x.ran).Int("status", x.status).
-		Bool("caller_left", x.caller.Err() != nil).Dur("took_ms", took)
+		Int("tried", len(x.tried)).Int("ran", x.executions).Int("status", x.status).
+		Bool("caller_left", x.callerCtx.Err() != nil).Dur("took_ms", took)
 	if x.sender.Homes.Bound() {
 		line = line.Stringer("homes", x.sender.Homes)
 	}
--- a/internal/ingress/homes_test.go
+++ b/internal/ingress/homes_test.go
@@ -16,7 +16,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/routes"
 )
 
-// homedDeployment is a relay in the south whose routes and tenants name regions.
+// homedDeployment is a relay in region south with engines in three regions, and a route and tenant bound to regions.
 type homedDeployment struct {
 	*Relay
 	fleet *fleet.Fleet
@@ -24,27 +24,27 @@
 	mu sync.Mutex
 	// table is the configuration in force.
 	table *routes.Table
-	// asked are the regions of the engines that were sent a request, in order.
-	asked []string
-	// answers tells how the engine of a region answers; those of others break off.
+	// sentTo holds the regions of the engines to which the request was sent, in order.
+	sentTo []string
+	// answers holds the answers of engines by region; other engines lose the connection.
 	answers map[string]Answer
-	// sent is called, if set, with each request that is sent.
-	sent func()
+	// onSend, if set, is called for each request that is sent.
+	onSend func()
 }
 
 // Send implements Engines.
 func (d *homedDeployment) Send(ctx context.Context, engine fleet.Engine, call Call) (*Answer, error) {
 	d.mu.Lock()
-	d.asked = append(d.asked, engine.Region)
-	answer, sent := d.answers[engine.Region], d.sent
+	d.sentTo = append(d.sentTo, engine.Region)
+	answer, onSend := d.answers[engine.Region], d.onSend
 	d.mu.Unlock()
-	if sent != nil {
-		sent()
+	if onSend != nil {
+		onSend()
 	}
 	return scriptedEngines{engine.ID: answer}.Send(ctx, engine, call)
 }
 
-func (d *homedDeployment) put(table *routes.Table) {
+func (d *homedDeployment) setTable(table *routes.Table) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table = table
@@ -56,8 +56,8 @@
 	return d.table
 }
 
-// homedTable has a route and a tenant with the given homes.
-func homedTable(version int64, ofRoute, ofTenant []string) *routes.Table {
+// tableWithHomes returns a table with one route and one tenant that have the given homes.
+func tableWithHomes(version int64, ofRoute, ofTenant []string) *routes.Table {
 	return routes.NewTable(routes.Definition{
 		Version: version,
 		Routes: []routes.Route{{
@@ -69,7 +69,7 @@
 }
 
 func newHomedDeployment(ofRoute, ofTenant []string) *homedDeployment {
-	d := &homedDeployment{fleet: fleet.New(), table: homedTable(1, ofRoute, ofTenant), answers: map[string]Answer{}}
+	d := &homedDeployment{fleet: fleet.New(), table: tableWithHomes(1, ofRoute, ofTenant), answers: map[string]Answer{}}
 	for _, region := range []string{"north", "south", "west"} {
 		for _, name := range []string{"1", "2"} {
 			d.fleet.Put(fleet.Engine{
@@ -92,7 +92,7 @@
 	})
 }
 
-func TestRequestsAndTheirRetriesStayAtHome(t *testing.T) {
+func TestRequestsAndRetriesStayInHomeRegions(t *testing.T) {
 	for name, named := range map[string]struct{ ofRoute, ofTenant []string }{
 		"route":  {[]string{"north"}, nil},
 		"tenant": {nil, []string{"north"}},
@@ -101,11 +101,11 @@
 		d := newHomedDeployment(named.ofRoute, named.ofTenant)
 		_, failure := d.request()
 		assert.Equal(t, failure.Kind, errkind.EngineFailed, name)
-		assert.DeepEqual(t, d.asked, []string{"north", "north"})
+		assert.DeepEqual(t, d.sentTo, []string{"north", "north"})
 	}
 }
 
-func TestARequestWithoutAnEngineAtHomeIsRefusedAsNotRun(t *testing.T) {
+func TestRequestWithoutEngineInHomeRegionsIsRefused(t *testing.T) {
 	for name, named := range map[string]struct{ ofRoute, ofTenant []string }{
 		"no engine there":     {[]string{"east"}, nil},
 		"no region of both":   {[]string{"north"}, []string{"south"}},
@@ -117,22 +117,22 @@
 		assert.Equal(t, failure.Kind, errkind.OutsideHomes, name)
 		assert.Equal(t, failure.Kind.Answer().Execution, errkind.NotExecuted)
 		assert.Assert(t, failure.Delay() > 0)
-		assert.Equal(t, len(d.asked), 0, name)
+		assert.Equal(t, len(d.sentTo), 0, name)
 	}
 }
 
-// TestARetryGoesByTheNewestHomes: the configuration moves the homes while the first engine is asked.
-func TestARetryGoesByTheNewestHomes(t *testing.T) {
+// TestRetryUsesLatestHomes: the homes change during the first try.
+func TestRetryUsesLatestHomes(t *testing.T) {
 	d := newHomedDeployment([]string{"north"}, nil)
 	d.answers["west"] = Answer{Status: http.StatusOK}
-	d.sent = func() { d.put(homedTable(2, []string{"west"}, nil)) }
+	d.onSend = func() { d.setTable(tableWithHomes(2, []string{"west"}, nil)) }
 	_, failure := d.request()
 	assert.Assert(t, failure == nil)
-	assert.DeepEqual(t, d.asked, []string{"north", "west"})
+	assert.DeepEqual(t, d.sentTo, []string{"north", "west"})
 }
 
-// TestAnOwnCallIsBoundByTheHomesOfItsTenant: a scoring call shows no key.
-func TestAnOwnCallIsBoundByTheHomesOfItsTenant(t *testing.T) {
+// TestInternalCallStaysInTenantHomes: an internal call, such as a scoring call, has no credentials.
+func TestInternalCallStaysInTenantHomes(t *testing.T) {
 	d := newHomedDeployment(nil, []string{"west"})
 	d.answers["west"] = Answer{Status: http.StatusOK}
 	sender := routes.Sender{Tenant: "t", Checked: true}
@@ -140,9 +140,9 @@
 		ID: "id", Method: http.MethodPost, Target: "/x/1", Path: "/x/1", Host: "h", Received: time.Now(), Sender: &sender,
 	})
 	assert.Assert(t, failure == nil)
-	assert.DeepEqual(t, d.asked, []string{"west"})
+	assert.DeepEqual(t, d.sentTo, []string{"west"})
 
-	// The tenant is gone: what bound its job still does.
+	// The tenant was removed from the configuration: the homes of its job still apply.
 	d = newHomedDeployment(nil, nil)
 	d.answers["north"] = Answer{Status: http.StatusOK}
 	sender.Tenant = "gone"
@@ -150,5 +150,5 @@
 		ID: "id", Method: http.MethodPost, Target: "/x/1", Path: "/x/1", Host: "h", Received: time.Now(), Sender: &sender,
 	})
 	assert.Assert(t, failure == nil)
-	assert.DeepEqual(t, d.asked, []string{"north"})
+	assert.DeepEqual(t, d.sentTo, []string{"north"})
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,10 +1,11 @@
-// Package ingress answers the requests of live callers: it finds the route,
-// chooses an engine, and relays the engine's whole answer.
+// Package ingress serves the requests of live callers: it finds the route, chooses an engine, and relays the engine's
+// answer.
 //
-// Invariants: an answer goes to a caller only after it was seen to belong to the
-// caller's request; a request that is not repeatable is sent to another engine
-// only when the one before has said that it did not run it, or when no byte of
-// it was sent; an answer that says "not run" is given only then as well.
+// Invariants:
+//   - An answer is forwarded to a caller only after it was verified to belong to the caller's request.
+//   - A request that is not repeatable is sent to another engine only if the previous engine reported that it did not
+//     run it, or if no byte of it was sent.
+//   - An answer that says that the request was not executed is given only in these cases.
 package ingress
 
 import (
@@ -27,70 +28,70 @@
 	"github.com/corkpulley/corkpulley/internal/sendgate"
 )
 
-// Request is one request of a caller.
+// Request is a request of a caller.
 type Request struct {
-	// ID is the caller's name for it.
+	// ID is assigned by the caller.
 	ID     string
 	Method string
-	// Target is the request line's path and query, unaltered.
+	// Target is the path and query of the request line, unmodified.
 	Target string
 	Path   string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Credentials are what the caller shows of itself.
+	// Credentials are those that the caller presented.
 	Credentials routes.Credentials
-	// Sender is who sent a request that this process makes itself, whose credentials
-	// were checked before; nil for those of callers.
+	// Sender is the sender of a request that this process makes itself, whose credentials were checked before; nil for
+	// requests of callers.
 	Sender *routes.Sender
-	// Budget is the time that the caller waits; zero when it did not say.
+	// Budget is how long the caller waits; zero if it did not say.
 	Budget   time.Duration
 	Received time.Time
-	// After is the number of the last event the caller has; HasAfter is false
-	// when it asks from the start.
+	// After is the ID of the last event that the caller received. HasAfter is false if it requests the stream from
+	// the start.
 	After    int64
 	HasAfter bool
 }
 
-// Call is one try of a request at an engine.
+// Call is one try to send a request to an engine.
 type Call struct {
 	Request *Request
-	// Sender is who sent the request; engines are told the tenant and never the key.
+	// Sender is the sender of the request. Engines receive the tenant, but never the key.
 	Sender routes.Sender
-	// Remaining is the time that the engine has.
+	// Remaining is the time that is left for the engine.
 	Remaining time.Duration
-	// After and HasAfter say where a stream continues.
+	// After and HasAfter are where a stream is resumed; see Request.
 	After    int64
 	HasAfter bool
-	// MayLeave tells whether the request may still leave this node. It is asked right before its
-	// first byte does, in any goroutine; nil sets no limit.
+	// MayLeave reports whether the request may still be sent. It is called right before the first byte is written,
+	// from any goroutine; nil means always.
 	MayLeave func() bool
 }
 
-// Answer is an engine's answer, its body not yet read.
+// Answer is an engine's answer. Its body has not been read yet.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// NotExecuted: the engine says that it did not run the request.
+	// NotExecuted is true if the engine reported that it did not run the request.
 	NotExecuted bool
-	// WrongEngine: another engine answers at the address.
+	// WrongEngine is true if another engine answered at the address.
 	WrongEngine bool
-	// Load is what the engine said of itself; nil when it did not.
+	// Load is the load that the engine reported; nil if none.
 	Load *fleet.Load
-	// LoadFault says why what the engine said of its load cannot be read; nil where it can, or there is none.
+	// LoadFault is why the reported load cannot be decoded; nil if it can, or if there is none.
 	LoadFault error
-	// Stamp is the engine's signature of the answer; empty when there is none.
+	// Stamp is the engine's signature of the answer; empty if there is none.
 	Stamp string
 }
 
-// SendError is a try that gave no answer.
+// SendError is the error of a try that got no answer.
 type SendError struct {
-	// MayHaveRun is false when no byte of the request was sent.
+	// MayHaveRun is false if no byte of the request was sent.
 	MayHaveRun bool
-	// HeldBack: the request was not permitted to leave when its connection was there.
+	// HeldBack is true if Call.MayLeave reported false once the connection was established.
 	HeldBack bool
-	// ConnectionLost: the engine ended the connection before its answer was whole.
+	// ConnectionLost is true if the engine closed the connection before its answer was complete.
 	ConnectionLost bool
 	Cause          error
 }
@@ -103,59 +104,58 @@
 	Send(ctx context.Context, engine fleet.Engine, call Call) (*Answer, error)
 }
 
-// Guard keeps requests under which engines ended away from the others; see
-// crashes.Guard.
+// Guard quarantines requests during which engines crashed; see crashes.Guard.
 type Guard interface {
-	// Admit returns nil if the request may go to an engine, or why it may not.
+	// Admit returns nil if the request may be sent to an engine, and the reason otherwise.
 	Admit(ctx context.Context, fingerprint func() quarantine.Fingerprint) *errkind.Error
-	// ConnectionLost tells whether the engine has ended under the request.
+	// ConnectionLost reports whether the engine crashed during the request.
 	ConnectionLost(ctx context.Context, loss crashes.Loss) bool
-	// Standing returns what is known of a request.
+	// Standing returns the quarantine state of a request.
 	Standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing
-	// Answered notes that an engine ran the request to a good end.
+	// Answered notes that an engine completed the request successfully.
 	Answered(fingerprint func() quarantine.Fingerprint)
 }
 
-// ColdPermits lets requests go to engines that count as cold; see coldpermits.Asker.
+// ColdPermits grants permits to send requests to cold engines; see coldpermits.Asker.
 type ColdPermits interface {
-	// Ask returns a permit for one of the engines of a service.
+	// Ask returns a permit for one of the given engines of a service, or a denial.
 	Ask(ctx context.Context, service string, engines []fleet.Engine) (coldpermits.Permit, coldpermits.Denial)
 }
 
-// Options are the parts that a relay works with.
+// Options configure a relay.
 type Options struct {
 	Engines Engines
 	Fleet   *fleet.Fleet
 	Guard   Guard
-	// Gate is asked before requests leave; nil for one that asks Fleet.
+	// Gate checks whether requests may still be sent; nil for one based on Fleet.
 	Gate *sendgate.Gate
-	// ColdPermits is asked for the engines of services that have a slow start only.
+	// ColdPermits is used only for services with a slow start.
 	ColdPermits ColdPermits
-	// Table returns the configuration in force; nil when none is known.
+	// Table returns the configuration in force; nil if none is known.
 	Table func() *routes.Table
-	// Current tells whether Table is known to be the newest one, but for a few seconds.
+	// Current reports whether Table is known to be up to date within a few seconds.
 	Current func() bool
 	// Zone and Region are those of this node.
 	Zone   string
 	Region string
 	Seed   uint64
-	// Callers bounds what is held for callers that read slowly.
+	// Callers bounds the memory for answers to slow callers.
 	Callers callerwrite.Limits
 	Logger  zerolog.Logger
-	// Began is told once of each caller's request that an engine has begun to run, and
-	// when it did.
+	// Began is called once for each caller's request that an engine may have started, with the time at which it was
+	// sent.
 	Began func(tenant string, at time.Time)
-	// LoadUnreadable, if set, is told of each answer whose load cannot be read.
+	// LoadUnreadable, if set, is called for each answer whose load cannot be decoded.
 	LoadUnreadable func(engine fleet.Engine, fault error)
-	// Observe is told of each request's end.
+	// Observe is called at the end of each request.
 	Observe func(route string, kind string, took time.Duration)
 }
 
-// Relay answers requests.
+// Relay serves requests by relaying them to engines.
 type Relay struct {
 	options  Options
 	splitter *routes.Splitter
-	// now reads a clock that goes on while the machine is suspended.
+	// now is a clock that advances while the machine is suspended.
 	now func() time.Time
 }
 
@@ -166,24 +166,25 @@
 }
 
 const (
-	// maxTries bounds the engines asked, refusals included.
+	// maxTries bounds the number of engines tried, including those that refuse.
 	maxTries = 5
-	// defaultTimeout holds for requests for which neither caller nor route has one.
+	// defaultTimeout applies if the route has no timeout.
 	defaultTimeout = 30 * time.Second
-	// refusalRetry is the delay that a refused caller is told, evacuatedRetry one whose engines are all
-	// in evacuated zones: these come back when an operator says so, which takes seconds at least.
-	refusalRetry   = 150 * time.Millisecond
-	evacuatedRetry = time.Second
-	// minPatience and patienceObjectives say how long an engine may be silent
-	// before a repeatable request is tried at another: the larger of the two.
-	minPatience        = 200 * time.Millisecond
-	patienceObjectives = 2
-	// minRemaining is the least time with which an engine is still asked.
+	// refusalRetryAfter is the retry delay of a refused request.
+	refusalRetryAfter = 150 * time.Millisecond
+	// evacuatedRetryAfter is that of a request whose engines are all in evacuated zones. It is longer, since an
+	// operator must end the evacuation.
+	evacuatedRetryAfter = time.Second
+	// A try that may be repeated is given minTryTimeout or tryTimeoutObjectives times the route's latency objective,
+	// whichever is longer.
+	minTryTimeout        = 200 * time.Millisecond
+	tryTimeoutObjectives = 2
+	// minRemaining is the minimum remaining time with which an engine is still tried.
 	minRemaining = 5 * time.Millisecond
 )
 
-// Serve answers a request of a live route. It returns the error that the caller
-// is to be told; nil when an answer was written or nobody waits any more.
+// Serve serves a request of a live route. It returns the error to send to the caller; nil if an answer was written. It
+// panics with http.ErrAbortHandler if the answer was truncated.
 func (r *Relay) Serve(w http.ResponseWriter, callerContext context.Context, request *Request) *errkind.Error {
 	x, cancel, failure := r.begin(w, callerContext, request)
 	if failure != nil {
@@ -193,13 +194,13 @@
 	failure = x.run()
 	x.log(failure)
 	if failure != nil && x.status != 0 {
-		// Ends the caller's connection: what was written must not look whole.
+		// Closes the caller's connection, so that the truncated answer is not taken for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 	return failure
 }
 
-// begin finds the way of a request by the configuration in force.
+// begin routes a request by the configuration in force and returns its exchange.
 func (r *Relay) begin(
 	w http.ResponseWriter, callerContext context.Context, request *Request,
 ) (*exchange, context.CancelFunc, *errkind.Error) {
@@ -227,13 +228,13 @@
 	deadline := request.Received.Add(timeout)
 	ctx, cancel := context.WithDeadline(callerContext, deadline)
 	return &exchange{
-		relay: r, request: request, route: route, table: table, sender: sender, ctx: ctx, caller: callerContext, w: w,
+		relay: r, request: request, route: route, table: table, sender: sender, ctx: ctx, callerCtx: callerContext, w: w,
 		service: r.splitter.Pick(route), endsAt: r.now().Add(time.Until(deadline)),
 	}, cancel, nil
 }
 
-// senderOf returns who sent a request. An own one of a tenant that the configuration does not hold any
-// more is bound by the homes of the work that it is made for.
+// senderOf returns the sender of a request. An internal request for a tenant that was removed from the configuration is
+// bound to the homes in ctx, those of the work for which it is made.
 func (r *Relay) senderOf(
 	ctx context.Context, table *routes.Table, route *routes.Route, request *Request,
 ) (routes.Sender, *errkind.Error) {
--- a/internal/ingress/relay_bench_test.go
+++ b/internal/ingress/relay_bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/routes"
 )
 
-// instantEngines answer at once.
+// instantEngines answers without delay.
 type instantEngines struct{ answer string }
 
 func (e *instantEngines) Send(context.Context, fleet.Engine, Call) (*Answer, error) {
@@ -25,7 +25,7 @@
 	}, nil
 }
 
-// BenchmarkRelay measures the relay of an answer of 800 bytes without sockets.
+// BenchmarkRelay relays an answer of 800 bytes without network connections.
 func BenchmarkRelay(b *testing.B) {
 	engines := fleet.New()
 	for _, id := range []string{"a", "b", "c"} {
--- a/internal/ingress/slowcaller_test.go
+++ b/internal/ingress/slowcaller_test.go
@@ -18,45 +18,46 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// brokenOff is an answer of two megabytes that ends before it is whole.
-type brokenOff struct{}
+// truncatingEngine sends an answer that is cut off after twice the size of a spool.
+type truncatingEngine struct{}
 
-func (brokenOff) Send(context.Context, fleet.Engine, Call) (*Answer, error) {
+func (truncatingEngine) Send(context.Context, fleet.Engine, Call) (*Answer, error) {
 	part := bytes.NewReader(make([]byte, 2*callerwrite.MaxHeld))
 	return &Answer{
 		Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(io.MultiReader(part, failingReader{})),
 	}, nil
 }
 
-// failingReader is a connection that its other end has closed.
+// failingReader is a connection that the peer has closed.
 type failingReader struct{}
 
 func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// pausedCaller takes nothing until it goes on.
+// pausedCaller blocks writes until resume is closed.
 type pausedCaller struct {
-	answerHead
-	goOn chan struct{}
+	discardWriter
+	resume chan struct{}
 }
 
 func (c *pausedCaller) Write(content []byte) (int, error) {
-	<-c.goOn
+	<-c.resume
 	return len(content), nil
 }
 
-// suspectedAfter relays an answer that breaks off and tells whether its engine is suspected then.
-func suspectedAfter(t *testing.T, pause bool) bool {
+// suspectedAfterTruncation relays a truncated answer, to a stalled caller if pause is true, and reports whether its
+// engine is suspected afterwards.
+func suspectedAfterTruncation(t *testing.T, pause bool) bool {
 	t.Helper()
 	relay := newRelay(scriptedEngines{"a": {Status: http.StatusOK}}, noCrashes{}, 1)
-	relay.options.Engines = brokenOff{}
+	relay.options.Engines = truncatingEngine{}
 	budget := bytebudget.New(1 << 30)
 	relay.options.Callers = callerwrite.Limits{Budget: budget}
 	var passed atomic.Int64
 	began := time.Now()
 	relay.now = func() time.Time { return began.Add(time.Duration(passed.Load())) }
-	caller := &pausedCaller{goOn: make(chan struct{})}
+	caller := &pausedCaller{resume: make(chan struct{})}
 	if !pause {
-		close(caller.goOn)
+		close(caller.resume)
 	}
 	x, cancel, failure := relay.begin(caller, t.Context(), &Request{
 		ID: "r", Method: http.MethodGet, Target: "/x/1", Path: "/x/1", Host: "h", Received: time.Now(),
@@ -66,26 +67,26 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		assert.Check(t, x.run() != nil, "what broke off is told as whole")
+		assert.Check(t, x.run() != nil, "a truncated answer was reported as complete")
 	}()
 	if pause {
 		testwait.Until(t, "an engine that waits for the caller", func() bool {
-			return budget.Held(bytebudget.Answers) > callerwrite.MaxHeld-copyBytes
+			return budget.Held(bytebudget.Answers) > callerwrite.MaxHeld-copyBufferBytes
 		})
-		passed.Add(int64(heldUp))
-		close(caller.goOn)
+		passed.Add(int64(callerStallThreshold))
+		close(caller.resume)
 	}
 	<-ended
 	assert.Equal(t, budget.Held(bytebudget.Answers), int64(0))
 	return relay.options.Fleet.Suspected(incarnation.ID{Engine: "a"}, time.Now())
 }
 
-// TestAnEngineThatHadToWaitForTheCallerIsNotToBlame: it breaks off answers that nobody reads.
-func TestAnEngineThatHadToWaitForTheCallerIsNotToBlame(t *testing.T) {
-	assert.Assert(t, !suspectedAfter(t, true))
+// TestEngineStalledByCallerIsNotSuspected: engines abort answers that the caller does not read.
+func TestEngineStalledByCallerIsNotSuspected(t *testing.T) {
+	assert.Assert(t, !suspectedAfterTruncation(t, true))
 }
 
-// TestAnEngineThatBreaksOffByItselfIsSuspected: the caller took all there was.
-func TestAnEngineThatBreaksOffByItselfIsSuspected(t *testing.T) {
-	assert.Assert(t, suspectedAfter(t, false))
+// TestEngineThatTruncatesAnswerIsSuspected: the caller reads without delay.
+func TestEngineThatTruncatesAnswerIsSuspected(t *testing.T) {
+	assert.Assert(t, suspectedAfterTruncation(t, false))
 }
--- a/internal/ingress/try.go
+++ b/internal/ingress/try.go
@@ -14,7 +14,7 @@
 	"github.com/corkpulley/corkpulley/internal/crashes"
 )
 
-// try sends the request to one engine, if it may leave by then; nil sets no limit.
+// try sends the request to an engine, if mayLeave still reports true right before; nil means always.
 func (x *exchange) try(choice fleet.Choice, mayLeave func() bool) verdict {
 	engine := choice.Engine
 	x.tried = append(x.tried, engine.ID)
@@ -23,54 +23,54 @@
 	if remaining < minRemaining {
 		return giveUp
 	}
-	ctx, cancel := x.withPatience(remaining)
+	ctx, cancel := x.withTryTimeout(remaining)
 	defer cancel()
 	x.relay.options.Fleet.Began(engine.Incarnation())
 	look := x.relay.options.Gate.Look(engine.Incarnation(), mayLeave)
 	answer, err := x.relay.options.Engines.Send(ctx, engine, Call{
 		Request: x.request, Sender: x.sender, Remaining: remaining,
-		After: x.after, HasAfter: x.streamed && x.after > 0, MayLeave: look.MayLeave,
+		After: x.lastEventID, HasAfter: x.streaming && x.lastEventID > 0, MayLeave: look.MayLeave,
 	})
 	outcome := fleet.Outcome{}
-	x.countBegun(answer, err, began)
+	x.reportStart(answer, err, began)
 	var result verdict
 	if err != nil {
-		result = x.unanswered(err, &outcome)
+		result = x.handleSendError(err, &outcome)
 	} else {
-		x.tellLoadFault(engine, answer)
-		result = x.takeAnswer(answer, &outcome)
+		x.reportLoadFault(engine, answer)
+		result = x.handleAnswer(answer, &outcome)
 	}
 	outcome.At = time.Now()
 	if result == answered {
 		outcome.Latency = outcome.At.Sub(began)
 	}
-	if x.caller.Err() != nil {
+	if x.callerCtx.Err() != nil {
 		outcome.Failed = false
 	}
 	if x.ctx.Err() != nil {
-		// The try ended with the request's time, or its caller: nobody knows whether the engine is in reach.
+		// The try was ended by the deadline or the caller, which does not show whether the engine is reachable.
 		outcome.Unreached = false
 	}
 	x.relay.options.Fleet.Ended(engine.Incarnation(), outcome)
 	if outcome.ConnectionLost && x.quarantined(engine) {
 		result = giveUp
 	}
-	if x.whole && x.status/100 == 2 {
+	if x.complete && x.status/100 == 2 {
 		x.relay.options.Guard.Answered(x.fingerprintOf)
 	}
 	x.logTry(choice, look.Held(), answer, err, result, outcome.At.Sub(began))
 	return result
 }
 
-// tellLoadFault tells of a load that cannot be read.
-func (x *exchange) tellLoadFault(engine fleet.Engine, answer *Answer) {
+// reportLoadFault reports an answer whose load information cannot be decoded.
+func (x *exchange) reportLoadFault(engine fleet.Engine, answer *Answer) {
 	if tell := x.relay.options.LoadUnreadable; tell != nil && answer.LoadFault != nil {
 		tell(engine, answer.LoadFault)
 	}
 }
 
-// quarantined finds out whether the engine that lost the request has ended, and tells whether
-// the request is kept away from the others now.
+// quarantined checks whether the engine that lost the connection has crashed, and reports whether the request is
+// quarantined now.
 func (x *exchange) quarantined(engine fleet.Engine) bool {
 	guard := x.relay.options.Guard
 	crashed := guard.ConnectionLost(x.ctx, crashes.Loss{
@@ -79,29 +79,29 @@
 	return crashed && guard.Standing(x.fingerprintOf).Crashes >= quarantine.RequestLimit
 }
 
-// countBegun tells of a request that an engine may have begun, once.
-func (x *exchange) countBegun(answer *Answer, err error, sent time.Time) {
+// reportStart calls Options.Began once for a request that an engine may have started.
+func (x *exchange) reportStart(answer *Answer, err error, sent time.Time) {
 	var failure *SendError
 	refused := errors.As(err, &failure) && !failure.MayHaveRun ||
 		err == nil && (answer.NotExecuted || answer.WrongEngine)
-	if refused || x.counted || x.request.Sender != nil {
+	if refused || x.startReported || x.request.Sender != nil {
 		return
 	}
-	x.counted = true
+	x.startReported = true
 	x.relay.options.Began(x.sender.Tenant, sent)
 }
 
-// withPatience bounds a try after which another is possible.
-func (x *exchange) withPatience(remaining time.Duration) (context.Context, context.CancelFunc) {
-	last := x.ran+1 >= max(1, x.route.MaxAttempts)
+// withTryTimeout bounds a try if another one may follow it.
+func (x *exchange) withTryTimeout(remaining time.Duration) (context.Context, context.CancelFunc) {
+	last := x.executions+1 >= max(1, x.route.MaxAttempts)
 	if !x.route.Repeatable() || x.route.Kind != routes.Safe || last {
 		return context.WithCancel(x.ctx)
 	}
-	patience := max(minPatience, patienceObjectives*x.route.Objective)
+	patience := max(minTryTimeout, tryTimeoutObjectives*x.route.Objective)
 	return context.WithTimeout(x.ctx, min(patience, remaining/2))
 }
 
-func (x *exchange) unanswered(err error, outcome *fleet.Outcome) verdict {
+func (x *exchange) handleSendError(err error, outcome *fleet.Outcome) verdict {
 	var failure *SendError
 	known := errors.As(err, &failure)
 	outcome.Failed = !known || !failure.HeldBack
@@ -111,38 +111,38 @@
 	}
 	outcome.ConnectionLost = failure != nil && failure.ConnectionLost
 	outcome.Unreached = outcome.ConnectionLost
-	x.ran++
-	return x.again()
+	x.executions++
+	return x.retryVerdict()
 }
 
-// again tells whether a request that may have run may be sent once more.
-func (x *exchange) again() verdict {
+// retryVerdict decides whether a request that may have run may be sent again.
+func (x *exchange) retryVerdict() verdict {
 	if x.route.Repeatable() {
 		return tryNext
 	}
 	return giveUp
 }
 
-func (x *exchange) takeAnswer(answer *Answer, outcome *fleet.Outcome) verdict {
+func (x *exchange) handleAnswer(answer *Answer, outcome *fleet.Outcome) verdict {
 	defer answer.Body.Close()
 	outcome.Load = answer.Load
 	if answer.WrongEngine || answer.NotExecuted {
 		outcome.Gone = answer.WrongEngine
 		return tryNext
 	}
-	x.ran++
+	x.executions++
 	if answer.Status == http.StatusInternalServerError {
 		x.serverErrors++
 	}
 	retryable := answer.Status >= http.StatusInternalServerError && x.route.Repeatable()
-	if retryable && x.ran < max(1, x.route.MaxAttempts) && x.ctx.Err() == nil {
+	if retryable && x.executions < max(1, x.route.MaxAttempts) && x.ctx.Err() == nil {
 		outcome.Failed = true
 		return tryNext
 	}
 	if x.isStream(answer) {
 		return x.relayStream(answer, outcome)
 	}
-	return x.relayWhole(answer, outcome)
+	return x.relayBuffered(answer, outcome)
 }
 
 func (x *exchange) logTry(
