--- a/internal/leadership/arrival_test.go
+++ b/internal/leadership/arrival_test.go
@@ -35,7 +35,7 @@
 	testwait.Until(t, "b leads", second.leads)
 	until := second.lastTerm().QuietUntil("ordered")
 	gap := until.Sub(arrives)
-	assert.Assert(t, gap >= testTTL, "b may order %s after the order of a arrives, quiet is %s", gap, testTTL)
+	assert.Assert(t, gap >= testTTL, "b may send an order %s after the order of a arrives, the quiet time is %s", gap, testTTL)
 }
 
 // TestQuietTimeCoversOrdersOfPreviousProcess: bytes sent by a process that has ended may arrive together with the
@@ -51,7 +51,7 @@
 	testwait.Until(t, "the next process leads", second.leads)
 	until := second.lastTerm().QuietUntil("ordered")
 	arrives := latestArrival(given)
-	assert.Assert(t, !until.Before(arrives), "may order %s before the order of the earlier process has arrived",
+	assert.Assert(t, !until.Before(arrives), "an order is allowed %s before the order of the previous process has arrived",
 		time.Until(arrives))
 }
 
@@ -87,5 +87,5 @@
 	second.elector.Stop(t.Context())
 	testwait.Until(t, "a leads again", func() bool { return first.leads() && first.lastTerm().Epoch > earlier })
 	until := first.lastTerm().QuietUntil("ordered")
-	assert.Assert(t, !until.Before(arrives), "may order although the order of the earlier term may arrive until %s", arrives)
+	assert.Assert(t, !until.Before(arrives), "an order is allowed although the order of the earlier term may arrive until %s", arrives)
 }
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -117,8 +117,8 @@
 	testwait.Until(t, "b leads", second.leads)
 	assert.Assert(t, second.lastTerm().Epoch > first.lastTerm().Epoch)
 	until := second.lastTerm().QuietUntil("ordered")
-	assert.Assert(t, !until.Before(recorded.Add(testTTL)), "the other machine ordered it just now")
-	assert.Assert(t, second.lastTerm().QuietUntil("another").IsZero(), "the other machine ordered only one engine")
+	assert.Assert(t, !until.Before(recorded.Add(testTTL)), "the quiet time after the order of a is too short")
+	assert.Assert(t, second.lastTerm().QuietUntil("another").IsZero(), "quiet time for an engine without an order")
 }
 
 // TestRestartedProcessTakesOverImmediately: a process that has bound the previous holder's address need not wait for
@@ -168,7 +168,7 @@
 	second := join(t, log, "b", "b1")
 	path.refuse(true)
 	testwait.Until(t, "b leads", second.leads)
-	assert.Assert(t, !first.elector.Valid(first.lastTerm().Epoch), "a still counts its lease as valid")
+	assert.Assert(t, !first.elector.Valid(first.lastTerm().Epoch), "the lease of a is still valid")
 	path.refuse(false)
 	testwait.Until(t, "a learns of b", func() bool { holder, _ := first.elector.Leader(); return holder == "b1" })
 	testwait.Until(t, "a stops", func() bool { return !first.leads() })
@@ -203,11 +203,11 @@
 	second := join(t, log, "b", "b1")
 	second.awaitHolder(t, "a1")
 	log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
-	testwait.Until(t, "a may not order", func() bool { return !first.elector.Valid(epoch) })
+	testwait.Until(t, "the lease of a has expired", func() bool { return !first.elector.Valid(epoch) })
 	time.Sleep(2 * testTTL) // duration of the outage
 	assert.Assert(t, first.leads(), "the role ended in the outage")
 	log.SetFault(nil)
-	testwait.Until(t, "a may order again", func() bool { return first.elector.Valid(epoch) })
+	testwait.Until(t, "the lease of a is valid again", func() bool { return first.elector.Valid(epoch) })
 	assert.Assert(t, first.leads() && !second.leads())
 	holder, newest := second.elector.Leader()
 	assert.Equal(t, holder, "a1")
@@ -241,9 +241,9 @@
 	epoch := first.lastTerm().Epoch
 	path.faults(nil, readsRefused)
 	clock.suspend(testTTL)
-	assert.Assert(t, !first.elector.Valid(epoch), "the lease counts as valid after it was suspended")
+	assert.Assert(t, !first.elector.Valid(epoch), "the lease is still valid after the suspension")
 	time.Sleep(testTTL) // long enough for a renewal without a read
-	assert.Assert(t, !first.elector.Valid(epoch), "renewed without knowing who leads")
+	assert.Assert(t, !first.elector.Valid(epoch), "the lease was renewed without a read")
 	path.faults(nil, nil)
-	testwait.Until(t, "a may order again, since nobody else leads", func() bool { return first.elector.Valid(epoch) })
+	testwait.Until(t, "the lease of a is valid again", func() bool { return first.elector.Valid(epoch) })
 }
--- a/internal/leadership/overlap_test.go
+++ b/internal/leadership/overlap_test.go
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), testTTL)
 	defer cancel()
 	_, recorded := first.lastTerm().Permit(ctx, "engine")
-	assert.Equal(t, found, 0, "two leases held at one time, for about so many milliseconds")
+	assert.Equal(t, found, 0, "two leases valid at the same time, for about this many milliseconds")
 	assert.Assert(t, recorded != nil, "an order of the earlier holder was recorded after the claim of the next one")
 }
 
@@ -113,7 +113,7 @@
 	path.faults(appendsRefused, readsHangUntil(never))
 	testwait.Until(t, "b leads", second.leads)
 	assert.Equal(t, overlap(first, second, epoch, second.lastTerm().Epoch, testTTL), 0,
-		"two leases held at one time, for about so many milliseconds")
+		"two leases valid at the same time, for about this many milliseconds")
 }
 
 // TestDelayedReadDoesNotExtendLease: each read answer shows the log of more than a TTL ago, and appends are rejected
--- a/internal/leadership/permit_test.go
+++ b/internal/leadership/permit_test.go
@@ -30,7 +30,7 @@
 	assert.Assert(t, deadline.Sub(asked) >= sendWindow)
 	testwait.Until(t, "the permit has ended", func() bool { return !given.Open() })
 	assert.Assert(t, time.Since(asked) >= sendWindow-time.Millisecond)
-	assert.Assert(t, first.elector.Valid(first.lastTerm().Epoch), "the lease went on")
+	assert.Assert(t, first.elector.Valid(first.lastTerm().Epoch), "the lease must outlast the permit")
 	assert.Assert(t, deadline.Before(time.Now().Add(lease.InFlight+time.Millisecond)))
 }
 
@@ -45,7 +45,7 @@
 	given := first.permit(t, "engine")
 	assert.Assert(t, given.Open())
 	clock.suspend(sendWindow)
-	assert.Assert(t, !given.Open(), "an order may leave although the machine was suspended since")
+	assert.Assert(t, !given.Open(), "the permit is still open after the suspension")
 }
 
 // TestPermitExpiresWithLease: the node releases the lease while an order is about to be sent.
--- a/internal/leadership/randomfaults_test.go
+++ b/internal/leadership/randomfaults_test.go
@@ -255,7 +255,7 @@
 					at: left.Add(time.Duration(random.IntN(2)*random.IntN(500)) * time.Millisecond),
 				})
 				if known := h.holders[term.Epoch]; known != "" && known != holder {
-					h.t.Errorf("token %d of %s and %s", term.Epoch, known, holder)
+					h.t.Errorf("token %d has two holders: %s and %s", term.Epoch, known, holder)
 				}
 				h.holders[term.Epoch] = holder
 				h.mu.Unlock()
@@ -292,7 +292,7 @@
 	for a, one := range h.valid {
 		for b, other := range h.valid {
 			if a < b && one.last.After(other.first) {
-				h.t.Errorf("two leases: %d (%s) valid %s after %d (%s)", a, h.holders[a], one.last.Sub(other.first), b, h.holders[b])
+				h.t.Errorf("leases overlap: %d (%s) valid %s after %d (%s)", a, h.holders[a], one.last.Sub(other.first), b, h.holders[b])
 			}
 		}
 	}
@@ -311,7 +311,7 @@
 		if gap := each.at.Sub(before.at); each.node != before.node {
 			worst = min(worst, gap)
 			if !h.fence && gap < h.quiet-tolerance {
-				h.t.Errorf("%s: %s (%d) orders %s after %s (%d)", each.engine, each.node, each.epoch, gap, before.node, before.epoch)
+				h.t.Errorf("%s: order of %s (%d) arrives %s after that of %s (%d)", each.engine, each.node, each.epoch, gap, before.node, before.epoch)
 			}
 		}
 	}
@@ -390,7 +390,7 @@
 				h.run(seed, lasting, c.rates, c.trims)
 				tolerance := time.Duration(2*c.rates*float64(c.quiet+arrivalTime)) + time.Millisecond
 				worst := h.check(tolerance)
-				t.Logf("%d orders, %d terms with a lease, least gap of two machines %s", len(h.arrivals), len(h.valid), worst)
+				t.Logf("%d orders, %d terms with a lease, shortest time between orders of two machines %s", len(h.arrivals), len(h.valid), worst)
 			})
 		}
 	}
