--- a/internal/logrelay/addressof_test.go
+++ b/internal/logrelay/addressof_test.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-func TestDirectoryTellsWhereANodeListens(t *testing.T) {
+func TestAddressOfReturnsAddressesOfOtherNodesOnly(t *testing.T) {
 	log := memlog.New()
 	one := NewDirectory(log, Self{Node: "n1", Address: "127.0.0.1:1"}, pacing.Limits{}, zerolog.Nop())
 	two := NewDirectory(log, Self{Node: "n2", Address: "127.0.0.1:2"}, pacing.Limits{}, zerolog.Nop())
--- a/internal/logrelay/announce_test.go
+++ b/internal/logrelay/announce_test.go
@@ -15,9 +15,9 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// TestANodeThatStartsInALargeClusterIsNotForgotten: what it tells of its life holds until it announces itself again,
-// though it knows of few others at first. The times are virtual.
-func TestANodeThatStartsInALargeClusterIsNotForgotten(t *testing.T) {
+// TestAnnouncementStaysValidUntilTheNextOne guards against a node that expires at others after its start in a large
+// cluster, because its announcement period grows as it learns of them. The clock is virtual.
+func TestAnnouncementStaysValidUntilTheNextOne(t *testing.T) {
 	for _, nodes := range []int{3, 300, 600} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/logrelay/bootstrap.go
+++ b/internal/logrelay/bootstrap.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	// recentRecords is how many announcements one step backwards covers, recentBytes about their size.
-	recentRecords = 128
-	recentBytes   = 16 << 10
-	// endBytes bounds the read that finds the end of the directory.
+	// backwardStepRecords is the number of announcements read per backward step; backwardReadBytes is their
+	// approximate size.
+	backwardStepRecords = 128
+	backwardReadBytes   = 16 << 10
+	// endBytes limits the read that locates the end of the directory.
 	endBytes = 1 << 10
-	// newShare is one in how many announcements may be of a node that later ones did not name, in as many as there are
-	// nodes, once each node has been seen. Nodes that have restarted announce themselves more often than others, but
-	// each of the others does so once in its period.
-	newShare = 16
-	// minPatience and maxPatience bound the wait of a read after an earlier one failed; the first has none. The records
-	// exist, so that the wait only extends the read's timeout: an answer that arrives after it costs the log as much
-	// again.
-	minPatience = 500 * time.Millisecond
-	maxPatience = 4 * time.Second
+	// newNodeDivisor: the bootstrap ends once at most one in so many announcements is of a node not seen before.
+	// Recently restarted nodes announce themselves more often than others, so that a few announcements of known
+	// nodes do not mean that all have been seen.
+	newNodeDivisor = 16
+	// minRetryWait and maxRetryWait bound the wait of a read that follows a failed one; the first read has none.
+	// The records exist already, so the wait only extends the read's timeout: a reply that arrives too late costs
+	// the log another read.
+	minRetryWait = 500 * time.Millisecond
+	maxRetryWait = 4 * time.Second
 )
 
-// bootstrap reads the directory from its end backwards, until it holds an announcement of each node. What lies
-// before that is history, which grows with the time for which the log keeps records: a restart of all nodes at once
-// would read it as many times as there are nodes.
+// bootstrap reads the directory backwards from its end until it has an announcement of each node. Older records are
+// history that grows with the log's retention; reading all of it would make a restart of all nodes expensive.
 type bootstrap struct {
 	done bool
-	// located is true once the end is known; low is the offset of the oldest record read since, high that of the
-	// first one that is not read backwards.
+	// located is true once the end is known; low is the offset of the oldest record read so far, high that of the
+	// end when it was located.
 	located   bool
 	low, high int64
-	// nodes are those who announced themselves in what was read, and steps how many announcements of new and of known
-	// ones each step brought.
+	// nodes holds the announced nodes read so far; steps counts the announcements and new nodes of each backward
+	// step.
 	nodes map[string]bool
 	steps []bootstrapStep
-	// patience is the wait of the next read; it doubles with each read that fails.
-	patience time.Duration
+	// readWait is the wait of the next read; it doubles with each failed read.
+	readWait time.Duration
 }
 
-// bootstrapStep counts what a step backwards read.
+// bootstrapStep counts the announcements read in a backward step, and the nodes first seen in it.
 type bootstrapStep struct{ announcements, newNodes int }
 
-// isComplete reports whether the oldest announcements read, as many as there are nodes, name about no node that later
-// ones did not name.
+// isComplete reports whether the oldest announcements read, as many as there are nodes, contain almost no node that
+// later ones lack.
 func (b *bootstrap) isComplete() bool {
 	announcements, newNodes := 0, 0
 	for _, step := range slices.Backward(b.steps) {
@@ -58,15 +58,15 @@
 		announcements += step.announcements
 		newNodes += step.newNodes
 	}
-	return announcements >= len(b.nodes) && newNodes*newShare <= announcements
+	return announcements >= len(b.nodes) && newNodes*newNodeDivisor <= announcements
 }
 
-// readRecent goes on with the bootstrap as far as the log answers, and reports whether that ended it.
+// readRecent continues the bootstrap until it completes or a read fails; it reports whether it completed.
 func (d *Directory) readRecent(ctx context.Context) bool {
 	partition := eventlog.Partition{Topic: directoryTopic}
 	for !d.bootstrap.done {
-		if err := d.stepBack(ctx, partition); err != nil {
-			d.bootstrap.patience = min(max(minPatience, 2*d.bootstrap.patience), maxPatience)
+		if err := d.readOlder(ctx, partition); err != nil {
+			d.bootstrap.readWait = min(max(minRetryWait, 2*d.bootstrap.readWait), maxRetryWait)
 			return false
 		}
 	}
@@ -78,13 +78,13 @@
 	return true
 }
 
-// stepBack finds the end of the directory, or reads the records before those read so far.
-func (d *Directory) stepBack(ctx context.Context, partition eventlog.Partition) error {
+// readOlder locates the end of the directory, or reads the records that precede those read so far.
+func (d *Directory) readOlder(ctx context.Context, partition eventlog.Partition) error {
 	state := &d.bootstrap
 	if !state.located {
 		return d.locateEnd(ctx, partition)
 	}
-	from := max(0, state.low-recentRecords)
+	from := max(0, state.low-backwardStepRecords)
 	members, first, err := d.readRange(ctx, partition, from, state.low)
 	if err != nil {
 		return err
@@ -94,18 +94,18 @@
 	state.steps = append(state.steps, bootstrapStep{announcements: len(members), newNodes: len(state.nodes) - known})
 	state.low = first
 	d.recordRead()
-	// The log keeps no older records if the read began later than requested.
+	// A read that began later than requested means that the log keeps no older records.
 	state.done = first > from || first == 0 || state.isComplete()
 	return nil
 }
 
-// locateEnd reads a few of the oldest records, since a read also reports the partition's end.
+// locateEnd reads a few of the oldest records, because a read also reports the partition's end.
 func (d *Directory) locateEnd(ctx context.Context, partition eventlog.Partition) error {
 	state := &d.bootstrap
-	batch, err := d.log.Read(ctx, partition, 0, endBytes, state.patience)
+	batch, err := d.log.Read(ctx, partition, 0, endBytes, state.readWait)
 	var gone *eventlog.GoneError
 	if errors.As(err, &gone) {
-		batch, err = d.log.Read(ctx, partition, gone.First, endBytes, state.patience)
+		batch, err = d.log.Read(ctx, partition, gone.First, endBytes, state.readWait)
 	}
 	if err != nil {
 		return err
@@ -116,13 +116,14 @@
 	return nil
 }
 
-// readRange returns the announcements at offsets [from, to), and the first offset of them that the log still keeps.
+// readRange returns the announcements at offsets [from, to), and the first of these offsets that the log still
+// keeps.
 func (d *Directory) readRange(
 	ctx context.Context, partition eventlog.Partition, from, to int64,
 ) (members []member, first int64, err error) {
 	first = from
 	for next := from; next < to; {
-		batch, err := d.log.Read(ctx, partition, next, recentBytes, d.bootstrap.patience)
+		batch, err := d.log.Read(ctx, partition, next, backwardReadBytes, d.bootstrap.readWait)
 		var gone *eventlog.GoneError
 		if errors.As(err, &gone) && gone.First > next {
 			next = min(gone.First, to)
@@ -142,7 +143,7 @@
 	return members, first, nil
 }
 
-// applyOlder records announcements, the newest last, that lie before all that were read so far.
+// applyOlder adds announcements, newest last, that precede all those read so far.
 func (d *Directory) applyOlder(announced []member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/logrelay/bootstrap_test.go
+++ b/internal/logrelay/bootstrap_test.go
@@ -9,9 +9,9 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// TestNodesThatRestartedHideNoOthers guards against a new node that knows only a part of the cluster, and takes wrong
-// nodes for replicas, since those that have just restarted announce themselves more often than the others.
-func TestNodesThatRestartedHideNoOthers(t *testing.T) {
+// TestBootstrapFindsAllNodesAfterPartialRestart guards against a bootstrap that ends early, because restarted nodes
+// announce themselves more often than the others: the new node would then choose wrong replicas.
+func TestBootstrapFindsAllNodesAfterPartialRestart(t *testing.T) {
 	const tenths = 10
 	for _, check := range []struct {
 		nodes, periodTenths, restartedZones int
@@ -20,10 +20,10 @@
 	} {
 		log := memlog.New()
 		announce := func(number int) {
-			directory := NewDirectory(log, selfOf(number), narrowLimits, zerolog.Nop())
+			directory := NewDirectory(log, testSelf(number), narrowLimits, zerolog.Nop())
 			assert.NilError(t, directory.announce(t.Context(), maxAnnouncePeriod))
 		}
-		// The times are tenths of a second before the new node starts.
+		// Times are in tenths of a second before the new node starts.
 		for left := 10 * check.periodTenths; left > 0; left-- {
 			for number := range check.nodes {
 				hasRestarted := number%6 < check.restartedZones
--- a/internal/logrelay/client.go
+++ b/internal/logrelay/client.go
@@ -12,38 +12,36 @@
 )
 
 const (
-	// callTimeout bounds a call by way of another node beyond the time that it
-	// may wait there.
-	callTimeout = 1500 * time.Millisecond
-	// maxResponseBytes bounds an answer.
+	// callTimeout limits a relayed call, in addition to the time that a read may wait.
+	callTimeout      = 1500 * time.Millisecond
 	maxResponseBytes = 8 << 20
 )
 
-// peer is another node by whose way the log is called. It implements eventlog.Log.
-type peer struct {
+// relayClient calls the log through one other node. It implements eventlog.Log.
+type relayClient struct {
 	client  *http.Client
 	address string
 }
 
-var _ eventlog.Log = (*peer)(nil)
+var _ eventlog.Log = (*relayClient)(nil)
 
-func (p *peer) call(ctx context.Context, call request) (response, error) {
+func (p *relayClient) call(ctx context.Context, call request) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Wait+callTimeout)
 	defer cancel()
-	ask := msgpackhttp.Ask
-	if call.writes() {
-		ask = msgpackhttp.AskOnceHeard
-		call.Patience = callTimeout
+	post := msgpackhttp.Ask
+	if call.isWrite() {
+		post = msgpackhttp.AskOnceHeard
+		call.SenderTimeout = callTimeout
 	}
 	var decoded response
-	if err := ask(ctx, p.client, "http://"+p.address+Path, &call, &decoded, maxResponseBytes); err != nil {
+	if err := post(ctx, p.client, "http://"+p.address+Path, &call, &decoded, maxResponseBytes); err != nil {
 		return response{}, errors.Wrap(eventlog.ErrOutcomeUnknown, "through "+p.address+": "+err.Error())
 	}
 	return decoded, decoded.err()
 }
 
 // Append implements eventlog.Log.
-func (p *peer) Append(ctx context.Context, partition eventlog.Partition, records [][]byte) (int64, error) {
+func (p *relayClient) Append(ctx context.Context, partition eventlog.Partition, records [][]byte) (int64, error) {
 	answer, err := p.call(ctx, request{
 		Operation: opAppend, Topic: partition.Topic, Number: partition.Number, Records: records,
 	})
@@ -51,7 +49,7 @@
 }
 
 // AppendAt implements eventlog.Log.
-func (p *peer) AppendAt(
+func (p *relayClient) AppendAt(
 	ctx context.Context, partition eventlog.Partition, end int64, records [][]byte,
 ) (int64, error) {
 	answer, err := p.call(ctx, request{
@@ -61,7 +59,7 @@
 }
 
 // Read implements eventlog.Log.
-func (p *peer) Read(
+func (p *relayClient) Read(
 	ctx context.Context, partition eventlog.Partition, from int64, limit int, wait time.Duration,
 ) (eventlog.Batch, error) {
 	answer, err := p.call(ctx, request{
@@ -75,19 +73,19 @@
 }
 
 // PutKeyed implements eventlog.Log.
-func (p *peer) PutKeyed(ctx context.Context, topic string, records []eventlog.KeyedRecord) error {
+func (p *relayClient) PutKeyed(ctx context.Context, topic string, records []eventlog.KeyedRecord) error {
 	_, err := p.call(ctx, request{Operation: opPutKeyed, Topic: topic, Keyed: records})
 	return err
 }
 
 // Newest implements eventlog.Log.
-func (p *peer) Newest(ctx context.Context, topic string) (eventlog.KeyedBatch, error) {
+func (p *relayClient) Newest(ctx context.Context, topic string) (eventlog.KeyedBatch, error) {
 	answer, err := p.call(ctx, request{Operation: opNewest, Topic: topic})
 	return eventlog.KeyedBatch{Records: answer.Keyed, Next: answer.Offset}, err
 }
 
 // ReadKeyed implements eventlog.Log.
-func (p *peer) ReadKeyed(
+func (p *relayClient) ReadKeyed(
 	ctx context.Context, topic string, from int64, wait time.Duration,
 ) (eventlog.KeyedBatch, error) {
 	answer, err := p.call(ctx, request{Operation: opReadKeyed, Topic: topic, Offset: from, Wait: min(wait, maxWait)})
--- a/internal/logrelay/directory.go
+++ b/internal/logrelay/directory.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// directoryTopic holds where the nodes listen for each other.
+	// directoryTopic holds the announcements: which nodes exist and where they listen.
 	directoryTopic = "corkpulley.nodes"
-	// announcePeriod is the time between two records of a node; one that is silent
-	// for missedAnnouncements of them is forgotten.
+	// announcePeriod is the time between two announcements of a node; it grows with the cluster up to
+	// maxAnnouncePeriod. A node is considered gone after missedAnnouncements periods without one.
 	announcePeriod      = 5 * time.Second
 	maxAnnouncePeriod   = 30 * time.Second
 	missedAnnouncements = 4
@@ -33,63 +33,65 @@
 	readLimit           = 256 << 10
 )
 
-// directoryRetries are the delays between tries while the node cannot announce itself or read of the others.
+// directoryRetries are the delays between attempts while the node cannot announce itself or read the directory.
 var directoryRetries = retry.Policy{First: 100 * time.Millisecond, Longest: time.Second}
 
-// member is a record of the directory, encoded as msgpack.
+// member is an announcement in the directory, encoded as msgpack.
 type member struct {
 	Node    string `msgpack:"n"`
 	Address string `msgpack:"a"`
 	Zone    string `msgpack:"z,omitempty"`
 	Region  string `msgpack:"r,omitempty"`
-	// Processors is the node's share of processors; zero when unknown.
+	// Processors is the number of CPUs that the node may use; zero if unknown.
 	Processors float64 `msgpack:"p,omitempty"`
-	// Version is the protocol version of the node's build; zero in builds that announced none.
+	// Version is the protocol version of the node's build; zero for builds that announce none.
 	Version clusterversion.Version `msgpack:"v,omitempty"`
-	// TTL is how long the announcement stays valid.
+	// TTL is the validity of the announcement.
 	TTL time.Duration `msgpack:"l"`
 }
 
-// Directory knows where other nodes listen.
+// Directory tracks the nodes of the cluster, their addresses and locations, and which of them serve as replicas. It
+// is safe for concurrent use.
 type Directory struct {
 	log    eventlog.Log
 	own    member
 	limits pacing.Limits
 	logger zerolog.Logger
-	// bootstrap reads the newest announcements, and next is the offset to read from; used by Run's goroutine only.
+	// bootstrap reads the newest announcements; next is the offset to read from. Both are used by Run's goroutine
+	// only.
 	bootstrap bootstrap
 	next      int64
 
 	mu      sync.Mutex
 	members map[string]member
 	seenAt  map[string]time.Time
-	// sources are the replicas that this node asks, isReplica whether it is one.
+	// sources are the addresses of the replicas that this node reads from; isReplica is true if it is a replica
+	// itself.
 	sources   []string
 	isReplica bool
-	// known is closed once the directory was read for the first time, settled once two reads in a row have
-	// found about the same nodes.
+	// known is closed after the first complete read of the directory; settled is closed once two consecutive reads
+	// have found about the same number of nodes.
 	known   chan struct{}
 	settled chan struct{}
-	// lastSize is the number of nodes that the read before found; zero before the first one.
-	lastSize int
-	// lastReadAt is when the directory was read last.
+	// lastSize is the number of nodes after the previous read; zero before the first one.
+	lastSize   int
 	lastReadAt time.Time
 }
 
-// Self says who this node is.
+// Self describes this node.
 type Self struct {
 	Node string
-	// Address is where it listens for other nodes.
+	// Address is where the node listens for other nodes.
 	Address string
 	Zone    string
 	Region  string
-	// Processors is its share of processors; zero when unknown.
+	// Processors is the number of CPUs that the node may use; zero if unknown.
 	Processors float64
-	// Version is the protocol version of its build.
+	// Version is the protocol version of the node's build.
 	Version clusterversion.Version
 }
 
-// NewDirectory returns a directory for a node. The limits are those of the log for all nodes together.
+// NewDirectory returns a directory for a node. The limits are what the log serves to all nodes together.
 func NewDirectory(log eventlog.Log, self Self, limits pacing.Limits, logger zerolog.Logger) *Directory {
 	own := member{
 		Node: self.Node, Address: self.Address, Zone: self.Zone, Region: self.Region, Processors: self.Processors,
@@ -102,39 +104,39 @@
 	}
 }
 
-// SetLog sets the log that the directory reads; before Run only.
+// SetLog sets the log that the directory is read from. Must be called before Run.
 func (d *Directory) SetLog(log eventlog.Log) { d.log = log }
 
-// Peers returns the addresses of the other nodes.
+// Peers returns the addresses of the other live nodes.
 func (d *Directory) Peers() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var addresses []string
 	for node, each := range d.members {
-		if d.alive(node) {
+		if d.isAlive(node) {
 			addresses = append(addresses, each.Address)
 		}
 	}
 	return addresses
 }
 
-// AddressOf returns where another node listens; empty when it is not known to be there.
+// AddressOf returns the address of another node; empty if it is unknown or not live.
 func (d *Directory) AddressOf(node string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.alive(node) {
+	if !d.isAlive(node) {
 		return ""
 	}
 	return d.members[node].Address
 }
 
-// Others returns the other nodes.
+// Others returns the other live nodes.
 func (d *Directory) Others() []Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var others []Peer
 	for node, each := range d.members {
-		if d.alive(node) {
+		if d.isAlive(node) {
 			others = append(others, Peer{
 				Address: each.Address, Region: each.Region, Distance: topology.Between(d.own.place(), each.place()),
 			})
@@ -143,7 +145,7 @@
 	return others
 }
 
-// DistanceOf returns how far the node at an address is; far where it is not known.
+// DistanceOf returns the distance to the node at an address; OtherRegion if the address is unknown.
 func (d *Directory) DistanceOf(address string) topology.Distance {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,7 +157,7 @@
 	return topology.OtherRegion
 }
 
-// HasNodeIn tells whether a node within the regions is known, be it this one.
+// HasNodeIn reports whether this node, or another live one, is in one of the regions.
 func (d *Directory) HasNodeIn(regions homes.Set) bool {
 	if regions.Allows(d.own.Region) {
 		return true
@@ -163,33 +165,33 @@
 	return slices.ContainsFunc(d.Others(), func(other Peer) bool { return regions.Allows(other.Region) })
 }
 
-// Nodes returns the number of nodes known, this one included.
+// Nodes returns the number of live nodes, including this one.
 func (d *Directory) Nodes() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	nodes := 1
 	for node := range d.members {
-		if d.alive(node) {
+		if d.isAlive(node) {
 			nodes++
 		}
 	}
 	return nodes
 }
 
-// alive tells whether another node announced itself within its TTL; mu is held.
-func (d *Directory) alive(node string) bool {
+// isAlive reports whether another node announced itself within its TTL. Must be called with mu held.
+func (d *Directory) isAlive(node string) bool {
 	return node != d.own.Node && time.Since(d.seenAt[node]) < d.members[node].TTL
 }
 
-// Budget returns the pacing of this node's reads.
+// Budget returns the budget that paces this node's reads of the log.
 func (d *Directory) Budget() pacing.Budget {
 	return pacing.Budget{Limits: d.limits, Nodes: d.Nodes}
 }
 
-// Run announces this node and reads of the others until ctx ends.
+// Run announces this node and reads the announcements of others until ctx ends.
 func (d *Directory) Run(ctx context.Context) error {
-	// announcedFor is the period for which the newest announcement is valid. A node that has just started knows few
-	// others, so that its period grows; its announcement stays valid for the shorter one.
+	// announcedFor is the period for which the newest announcement is valid. The period grows as a starting node
+	// learns of others, but an announcement already made expires after the shorter one.
 	var announcedFor time.Duration
 	var announced time.Time
 	failures := directoryRetries.Delays()
@@ -220,22 +222,21 @@
 	own.TTL = missedAnnouncements * period
 	raw, err := msgpack.Marshal(&own)
 	if err != nil {
-		return errors.Wrap(err, "encode the member")
+		return errors.Wrap(err, "encode announcement")
 	}
 	_, err = d.log.Append(ctx, eventlog.Partition{Topic: directoryTopic}, [][]byte{raw})
 	return err
 }
 
-// Sources returns the addresses of the replicas that this node asks for followed
-// topics, the first choice first; none when it reads the log itself.
+// Sources returns the addresses of the replicas from which this node reads followed topics, in order of preference;
+// empty if it reads the log itself.
 func (d *Directory) Sources() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.sources
 }
 
-// SourcesWithin returns those of the replicas within the regions that this node asks, the first choice
-// first; none when it answers itself.
+// SourcesWithin is Sources restricted to the regions; empty if this node serves such reads itself.
 func (d *Directory) SourcesWithin(regions homes.Set) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -245,21 +246,21 @@
 	return d.sourcesAmong(d.candidates(), regions)
 }
 
-// AnswersWithin tells whether this node answers questions of others that are bound to the regions.
+// AnswersWithin reports whether this node serves other nodes' reads that are restricted to the regions.
 func (d *Directory) AnswersWithin(regions homes.Set) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.isReplica || replicaset.Answers(d.candidates(), d.own.candidate(), regions)
 }
 
-// IsReplica tells whether this node hands followed topics to others.
+// IsReplica reports whether this node serves followed topics to other nodes.
 func (d *Directory) IsReplica() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.isReplica
 }
 
-// chooseReplicas decides from the nodes known now.
+// chooseReplicas selects the replicas among the live nodes.
 func (d *Directory) chooseReplicas() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -271,24 +272,25 @@
 			Msg("sources of followed topics changed")
 	}
 	d.isReplica, d.sources = isReplica, sources
-	d.observeSize(len(members))
+	d.recordSize(len(members))
 	if !isClosed(d.known) {
 		close(d.known)
 	}
 }
 
-// candidates returns all nodes known, this one included; mu is held.
+// candidates returns all live nodes, including this one. Must be called with mu held.
 func (d *Directory) candidates() []replicaset.Member {
 	members := []replicaset.Member{d.own.candidate()}
 	for node, each := range d.members {
-		if d.alive(node) {
+		if d.isAlive(node) {
 			members = append(members, each.candidate())
 		}
 	}
 	return members
 }
 
-// sourcesAmong returns the replicas within the regions that this node asks; mu is held.
+// sourcesAmong returns the addresses of the replicas within the regions that this node reads from. Must be called
+// with mu held.
 func (d *Directory) sourcesAmong(members []replicaset.Member, regions homes.Set) []string {
 	var sources []string
 	for _, source := range replicaset.Sources(members, d.own.candidate(), regions) {
@@ -305,10 +307,10 @@
 
 func (m member) place() topology.Place { return topology.Place{Zone: m.Zone, Region: m.Region} }
 
-// Known is closed once the node has read of the others.
+// Known is closed after the first complete read of the directory.
 func (d *Directory) Known() <-chan struct{} { return d.known }
 
-// read applies what is new in the directory and reports whether it could be read.
+// read applies new announcements and reports whether the directory could be read.
 func (d *Directory) read(ctx context.Context) bool {
 	if !d.bootstrap.done {
 		return d.readRecent(ctx)
@@ -328,13 +330,13 @@
 	return true
 }
 
-// decodeMembers returns the announcements that can be read, in their order.
+// decodeMembers returns the announcements in their order, without those that cannot be decoded.
 func decodeMembers(records [][]byte, first int64, logger zerolog.Logger) []member {
 	members := make([]member, 0, len(records))
 	for i, raw := range records {
 		var each member
 		if msgpackguard.Check(raw) != nil || msgpack.Unmarshal(raw, &each) != nil || each.Node == "" {
-			logger.Error().Int64("offset", first+int64(i)).Msg("directory record passed over")
+			logger.Error().Int64("offset", first+int64(i)).Msg("skipping a directory record that cannot be decoded")
 			continue
 		}
 		members = append(members, each)
@@ -342,7 +344,7 @@
 	return members
 }
 
-// apply records announcements, the newest last.
+// apply adds announcements, newest last.
 func (d *Directory) apply(announced []member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -355,7 +357,7 @@
 		d.members[each.Node], d.seenAt[each.Node] = each, now
 	}
 	if listed > 0 {
-		// One line for all: nodes times nodes lines would outnumber all others.
+		// One line for all nodes: a line each would add up to the square of their number across the cluster.
 		d.logger.Info().Int("listed", listed).Int("known", len(d.members)).Msg("nodes listed")
 	}
 }
--- a/internal/logrelay/directoryretry_test.go
+++ b/internal/logrelay/directoryretry_test.go
@@ -13,9 +13,9 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// TestANodeThatCannotReadTheDirectoryAsksLessOften guards against nodes that have just started, and so know of no
-// others, asking a log that refuses their calls ten times a second each, for as long as it does.
-func TestANodeThatCannotReadTheDirectoryAsksLessOften(t *testing.T) {
+// TestDirectoryBacksOffWhileTheLogRefusesCalls guards against starting nodes, whose read period is short, that keep
+// overloading a log that refuses their calls.
+func TestDirectoryBacksOffWhileTheLogRefusesCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
 		announceNodes(t, log, 0, 300)
@@ -29,7 +29,7 @@
 		)
 		go func() { _ = directory.Run(t.Context()) }()
 		time.Sleep(10 * time.Second)
-		// An announcement and a read each second at the most, after the first few.
+		// At most an announcement and a read per second, after the first few.
 		assert.Assert(t, calls.Load() <= 30, "%d calls", calls.Load())
 		log.SetFault(nil)
 		time.Sleep(4 * time.Second)
--- a/internal/logrelay/fallback.go
+++ b/internal/logrelay/fallback.go
@@ -15,88 +15,84 @@
 )
 
 const (
-	// failuresToSwitch is how many direct calls in a row must fail before calls go
-	// by way of another node. A throttled call counts a quarter: another node's way
-	// helps only if this one alone is throttled.
+	// failuresToSwitch is how many consecutive direct calls must fail before calls are relayed. A throttled call
+	// counts as a quarter of a failure: relaying helps only if this node alone is throttled.
 	failuresToSwitch = 3
 	failureWeight    = 4
 	switchWeight     = failuresToSwitch * failureWeight
-	// probePeriod is the time between two tries of the direct way meanwhile, which
-	// are reads of their own, so that no call waits for them.
+	// probePeriod is the time between two checks of the direct connection while calls are relayed. The checks are
+	// separate reads, so no call waits for them.
 	probePeriod  = 400 * time.Millisecond
 	probeTimeout = time.Second
-	// maxPeersAsked bounds the nodes asked for one call while each says at once that
-	// it does not reach the log; after them the direct way is tried.
-	maxPeersAsked = 6
-	// peerPause is how long a node that could not help is left alone.
+	// maxPeersTried limits the peers tried for one call while each replies that it cannot reach the log; the direct
+	// connection is tried after them.
+	maxPeersTried = 6
+	// peerPause is how long a peer is skipped after a failed call.
 	peerPause = time.Second
-	// outagePause is how long no node is asked after as many as may be said that they do
-	// not reach the log: it is away for all, and in a large cluster each node would ask
-	// each other one within seconds. It is the time between two tries of the direct way.
+	// outagePause is how long calls stay direct after maxPeersTried peers could not reach the log. In such an
+	// outage of the log, every node of a large cluster would otherwise call every other one within seconds.
 	outagePause = probePeriod
 
 	dialTimeout = 300 * time.Millisecond
-	// unaskedTimeout is longer than any call that writes: none is sent before the other node
-	// asks for it; see msgpackhttp.AskOnceHeard.
-	unaskedTimeout = 2 * callTimeout
-	// Connections to other nodes: one costs some 20 KB at either end, so that those to
-	// hundreds of nodes were most of a node's memory after an outage.
+	// expectContinueTimeout exceeds the duration of any write: the body is sent only once the peer asks for it; see
+	// msgpackhttp.AskOnceHeard.
+	expectContinueTimeout = 2 * callTimeout
+	// Idle connections to peers are few and short-lived: each takes about 20 KB at either end, which adds up in
+	// large clusters.
 	idleConnections        = 4
 	idleConnectionsPerNode = 2
 	idleConnectionTime     = 3 * time.Second
 	bufferBytes            = 2 << 10
 )
 
-// Fallback calls the log directly, or by way of another node while the direct
-// way fails and another node's does not. It implements eventlog.Log.
+// Fallback calls the log directly, or through a peer while the direct connection fails. It implements eventlog.Log.
 type Fallback struct {
 	direct eventlog.Log
-	// peers returns the other nodes.
 	peers  func() []Peer
 	client *http.Client
 	logger zerolog.Logger
 
 	mu sync.Mutex
-	// failures is the weight of the direct calls that failed in a row.
+	// failures is the total weight of the consecutive failed direct calls.
 	failures int
-	// probing is true while the direct way is being tried.
+	// probing is true while probe runs.
 	probing bool
-	// current holds the node in use by the homes of the calls; none for the direct way.
-	current  map[homes.Set]string
-	pausedTo map[string]time.Time
-	// directUntil is when other nodes are asked again after an outage for all.
+	// current is the peer in use for calls of each home set; empty for a direct call.
+	current     map[homes.Set]string
+	pausedUntil map[string]time.Time
+	// directUntil is the time until which peers are not tried, after they could not reach the log either.
 	directUntil time.Time
-	// looking is true while the direct way is looked at since a write is not answered.
-	looking bool
-	// calls are the direct calls under way.
-	calls directCalls
+	// checkingStall is true while checkStall reads the log.
+	checkingStall bool
+	// directCalls cancels the direct calls in progress.
+	directCalls cancelGroup
 }
 
 var _ eventlog.Log = (*Fallback)(nil)
 
-// NewFallback returns a log that calls direct, or one of the peers over the client. A call whose context
-// names homes goes only by way of peers there.
+// NewFallback returns a log that calls direct, or one of the peers using client. A call whose context carries homes
+// is relayed only by peers in these regions.
 func NewFallback(direct eventlog.Log, peers func() []Peer, client *http.Client, logger zerolog.Logger) *Fallback {
 	return &Fallback{
 		direct: direct, peers: peers, logger: logger, client: client,
-		current: make(map[homes.Set]string), pausedTo: make(map[string]time.Time), calls: newDirectCalls(),
+		current: make(map[homes.Set]string), pausedUntil: make(map[string]time.Time), directCalls: newCancelGroup(),
 	}
 }
 
-// NewClient returns a client of other nodes.
+// NewClient returns an HTTP client for calls to other nodes.
 func NewClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, DisableCompression: true,
 		MaxIdleConns: idleConnections, MaxIdleConnsPerHost: idleConnectionsPerNode,
-		ExpectContinueTimeout: unaskedTimeout,
+		ExpectContinueTimeout: expectContinueTimeout,
 		IdleConnTimeout:       idleConnectionTime, ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes,
 	}}
 }
 
-// way returns how the next call of the given homes goes: the log and the node's address, which
-// is empty for the direct way.
-func (f *Fallback) way(within homes.Set) (eventlog.Log, string) {
+// route selects the log for the next call of the given homes, and the address of the peer; the address is empty for
+// a direct call.
+func (f *Fallback) route(within homes.Set) (eventlog.Log, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -104,45 +100,46 @@
 		return f.direct, ""
 	}
 	current := f.current[within]
-	if current == "" || now.Before(f.pausedTo[current]) {
-		current = choosePeer(f.peers(), within, f.pausedTo, now)
+	if current == "" || now.Before(f.pausedUntil[current]) {
+		current = choosePeer(f.peers(), within, f.pausedUntil, now)
 		f.current[within] = current
 	}
 	if current == "" {
 		return f.direct, ""
 	}
-	return &peer{client: f.client, address: current}, current
+	return &relayClient{client: f.client, address: current}, current
 }
 
-// ended notes how a call ended. Only answers of the log count as success.
-func (f *Fallback) ended(address string, err error) {
+// recordResult updates the state of the direct connection or the peer after a call. A ConflictError or GoneError
+// comes from the log and counts as success.
+func (f *Fallback) recordResult(address string, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
 	var conflicting *eventlog.ConflictError
 	var lost *eventlog.GoneError
-	works := err == nil || errors.As(err, &conflicting) || errors.As(err, &lost)
+	answered := err == nil || errors.As(err, &conflicting) || errors.As(err, &lost)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if address != "" {
-		if !works {
-			f.pausedTo[address] = time.Now().Add(peerPause)
+		if !answered {
+			f.pausedUntil[address] = time.Now().Add(peerPause)
 		}
 		return
 	}
 	switch {
-	case works:
-		f.switchLocked(0, err)
+	case answered:
+		f.setFailuresLocked(0, err)
 	case errors.Is(err, eventlog.ErrThrottled):
-		f.switchLocked(f.failures+1, err)
+		f.setFailuresLocked(f.failures+1, err)
 	default:
-		f.switchLocked(f.failures+failureWeight, err)
+		f.setFailuresLocked(f.failures+failureWeight, err)
 	}
 }
 
-// switchLocked sets the weight of the direct calls that failed in a row, and changes the way where that
-// asks for it; mu is held.
-func (f *Fallback) switchLocked(failures int, err error) {
+// setFailuresLocked sets the weight of the consecutive failed direct calls and switches between direct and relayed
+// calls when it crosses switchWeight. Must be called with mu held.
+func (f *Fallback) setFailuresLocked(failures int, err error) {
 	before, after := f.failures >= switchWeight, failures >= switchWeight
 	f.failures = failures
 	if after == before {
@@ -152,78 +149,79 @@
 	if !after {
 		return
 	}
-	f.calls.cancel()
-	f.calls = newDirectCalls()
+	f.directCalls.cancel()
+	f.directCalls = newCancelGroup()
 	if !f.probing {
 		f.probing = true
 		go f.probe()
 	}
 }
 
-// probe tries the direct way until it works again.
+// probe reads the log directly until it succeeds, then makes calls direct again.
 func (f *Fallback) probe() {
 	for {
 		time.Sleep(probePeriod)
-		if f.look(probeTimeout) == nil {
+		if f.readDirect(probeTimeout) == nil {
 			f.mu.Lock()
 			f.probing = false
 			f.mu.Unlock()
-			f.ended("", nil)
+			f.recordResult("", nil)
 			return
 		}
 	}
 }
 
-// call is one call of the log, by whichever way.
+// call makes one call of the given log, direct or relayed.
 type call[Result any] func(ctx context.Context, log eventlog.Log) (Result, error)
 
-// do makes a call by the way that works.
-func do[Result any](ctx context.Context, f *Fallback, call call[Result]) (Result, error) {
+// callThrough makes a call directly or through a peer. It tries further peers while they reply that they cannot
+// reach the log.
+func callThrough[Result any](ctx context.Context, f *Fallback, call call[Result]) (Result, error) {
 	within := homes.FromContext(ctx)
-	for range maxPeersAsked {
-		log, address := f.way(within)
+	for range maxPeersTried {
+		log, address := f.route(within)
 		if address == "" {
-			return doDirect(ctx, f, call)
+			return callDirect(ctx, f, call)
 		}
 		result, err := call(ctx, log)
-		f.ended(address, err)
-		if !errors.Is(err, errNoWay) {
+		f.recordResult(address, err)
+		if !errors.Is(err, errCannotRelay) {
 			return result, err
 		}
 	}
-	// The log may be away for all, and be back by now.
-	f.pauseAsking()
-	return doDirect(ctx, f, call)
+	// The outage may affect all nodes and be over by now.
+	f.pausePeers()
+	return callDirect(ctx, f, call)
 }
 
-// doDirect makes a call directly. It ends early once the direct way has fallen silent.
-func doDirect[Result any](ctx context.Context, f *Fallback, call call[Result]) (Result, error) {
-	direct, cancel := f.endedBySilence(ctx)
+// callDirect makes a direct call. The call is canceled when the direct connection is found to be stalled.
+func callDirect[Result any](ctx context.Context, f *Fallback, call call[Result]) (Result, error) {
+	direct, cancel := f.withStallCancel(ctx)
 	defer cancel()
 	result, err := call(direct, f.direct)
-	f.ended("", err)
+	f.recordResult("", err)
 	if errors.Is(err, context.Canceled) && ctx.Err() == nil {
-		// Its caller still waits, and may make it again by another way. An error that tells what
-		// became of the call stays: the refused call that brings the switch ends these as well.
-		err = errors.Wrap(eventlog.ErrOutcomeUnknown, "the way to the log fell silent: "+err.Error())
+		// Only the internal context was canceled: the caller may retry through a peer. A refusal or conflict is
+		// kept as is: the refused call that triggers the switch is canceled too.
+		err = errors.Wrap(eventlog.ErrOutcomeUnknown, "the direct connection to the log stalled: "+err.Error())
 	}
 	return result, err
 }
 
-// doWrite is do for a call that the log answers without waiting for anything.
-func doWrite[Result any](ctx context.Context, f *Fallback, call call[Result]) (Result, error) {
-	defer f.watchSilence()()
-	return do(ctx, f, call)
+// callWrite is callThrough for a write, which is watched for a stall.
+func callWrite[Result any](ctx context.Context, f *Fallback, call call[Result]) (Result, error) {
+	defer f.watchForStall()()
+	return callThrough(ctx, f, call)
 }
 
-// pauseAsking leaves the other nodes alone for a while.
-func (f *Fallback) pauseAsking() {
+// pausePeers keeps calls direct for outagePause.
+func (f *Fallback) pausePeers() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.directUntil = time.Now().Add(outagePause)
 }
 
-// Direct tells whether the log is called directly, as far as known.
+// Direct reports whether calls are made directly at present.
 func (f *Fallback) Direct() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -232,7 +230,7 @@
 
 // Append implements eventlog.Log.
 func (f *Fallback) Append(ctx context.Context, partition eventlog.Partition, records [][]byte) (int64, error) {
-	return doWrite(ctx, f, func(ctx context.Context, log eventlog.Log) (int64, error) {
+	return callWrite(ctx, f, func(ctx context.Context, log eventlog.Log) (int64, error) {
 		return log.Append(ctx, partition, records)
 	})
 }
@@ -241,7 +239,7 @@
 func (f *Fallback) AppendAt(
 	ctx context.Context, partition eventlog.Partition, end int64, records [][]byte,
 ) (int64, error) {
-	return doWrite(ctx, f, func(ctx context.Context, log eventlog.Log) (int64, error) {
+	return callWrite(ctx, f, func(ctx context.Context, log eventlog.Log) (int64, error) {
 		return log.AppendAt(ctx, partition, end, records)
 	})
 }
@@ -250,14 +248,14 @@
 func (f *Fallback) Read(
 	ctx context.Context, partition eventlog.Partition, from int64, limit int, wait time.Duration,
 ) (eventlog.Batch, error) {
-	return do(ctx, f, func(ctx context.Context, log eventlog.Log) (eventlog.Batch, error) {
+	return callThrough(ctx, f, func(ctx context.Context, log eventlog.Log) (eventlog.Batch, error) {
 		return log.Read(ctx, partition, from, limit, wait)
 	})
 }
 
 // PutKeyed implements eventlog.Log.
 func (f *Fallback) PutKeyed(ctx context.Context, topic string, records []eventlog.KeyedRecord) error {
-	_, err := doWrite(ctx, f, func(ctx context.Context, log eventlog.Log) (struct{}, error) {
+	_, err := callWrite(ctx, f, func(ctx context.Context, log eventlog.Log) (struct{}, error) {
 		return struct{}{}, log.PutKeyed(ctx, topic, records)
 	})
 	return err
@@ -265,7 +263,7 @@
 
 // Newest implements eventlog.Log.
 func (f *Fallback) Newest(ctx context.Context, topic string) (eventlog.KeyedBatch, error) {
-	return do(ctx, f, func(ctx context.Context, log eventlog.Log) (eventlog.KeyedBatch, error) {
+	return callThrough(ctx, f, func(ctx context.Context, log eventlog.Log) (eventlog.KeyedBatch, error) {
 		return log.Newest(ctx, topic)
 	})
 }
@@ -274,7 +272,7 @@
 func (f *Fallback) ReadKeyed(
 	ctx context.Context, topic string, from int64, wait time.Duration,
 ) (eventlog.KeyedBatch, error) {
-	return do(ctx, f, func(ctx context.Context, log eventlog.Log) (eventlog.KeyedBatch, error) {
+	return callThrough(ctx, f, func(ctx context.Context, log eventlog.Log) (eventlog.KeyedBatch, error) {
 		return log.ReadKeyed(ctx, topic, from, wait)
 	})
 }
--- a/internal/logrelay/golden_test.go
+++ b/internal/logrelay/golden_test.go
@@ -6,7 +6,8 @@
 	"github.com/corkpulley/corkpulley/internal/goldenrecord"
 )
 
-// Guards against a record or message that an earlier build misreads, or whose earlier form this build does.
+// TestRecordsOfEarlierBuilds guards against records and messages that are misread between this build and earlier
+// ones.
 func TestRecordsOfEarlierBuilds(t *testing.T) {
 	goldenrecord.Check(t,
 		goldenrecord.Sample{Name: "member", Value: &member{}, Added: map[string][]string{
@@ -19,13 +20,14 @@
 	)
 }
 
-// Guards against numbers that another build takes for another call, or another outcome.
+// TestNumbersOfEarlierBuilds guards against changed numbers of operations and outcomes, which other builds would
+// misinterpret.
 func TestNumbersOfEarlierBuilds(t *testing.T) {
 	goldenrecord.CheckNumbers(t, "numbers", map[string]int64{
 		"append": int64(opAppend), "append_at": int64(opAppendAt), "read": int64(opRead), "newest": int64(opNewest),
 		"read_keyed": int64(opReadKeyed), "replica_newest": int64(opReplicaNewest), "replica_read": int64(opReplicaRead),
 		"put_keyed": int64(opPutKeyed),
 		"done":      int64(done), "not_done": int64(notDone), "unknown": int64(unknown), "conflict": int64(conflict),
-		"gone": int64(gone), "no_way": int64(noWay),
+		"gone": int64(gone), "no_way": int64(cannotRelay),
 	})
 }
--- a/internal/logrelay/golden_versions_test.go
+++ b/internal/logrelay/golden_versions_test.go
@@ -10,8 +10,8 @@
 	"github.com/corkpulley/corkpulley/internal/goldenrecord"
 )
 
-// Guards against an earlier build that counts as one that knows more, or less, than it does.
-func TestTheVersionsOfEarlierBuilds(t *testing.T) {
+// TestVersionsOfEarlierBuilds guards against an earlier build being taken for one with another protocol version.
+func TestVersionsOfEarlierBuilds(t *testing.T) {
 	versions := map[string]clusterversion.Version{
 		"843b092": clusterversion.Unversioned, "0fdc9d0": clusterversion.Homes, "34585b3": clusterversion.Homes,
 	}
--- a/internal/logrelay/homes_test.go
+++ b/internal/logrelay/homes_test.go
@@ -21,35 +21,35 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// relayingNode is another node, with the number of calls that it was asked for.
-type relayingNode struct {
+// relayNode is another node that relays calls, and the number of requests it received.
+type relayNode struct {
 	peer  Peer
 	calls *atomic.Int64
 }
 
-// relayingNodes serve the log, one in each region; able tells whether they reach it.
-func relayingNodes(t *testing.T, log eventlog.Log, able func() bool) map[string]relayingNode {
+// newRelayNodes starts one node in each region that relays calls of the log.
+func newRelayNodes(t *testing.T, log eventlog.Log, canRelay func() bool) map[string]relayNode {
 	t.Helper()
-	nodes := make(map[string]relayingNode)
+	nodes := make(map[string]relayNode)
 	for distance, region := range []string{"north", "south", "west"} {
 		calls := new(atomic.Int64)
-		handler := NewHandler(log, able, noReplicas{})
+		handler := NewHandler(log, canRelay, noReplicas{})
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			calls.Add(1)
 			handler.ServeHTTP(w, r)
 		}))
 		t.Cleanup(server.Close)
-		nodes[region] = relayingNode{calls: calls, peer: Peer{
+		nodes[region] = relayNode{calls: calls, peer: Peer{
 			Address: strings.TrimPrefix(server.URL, "http://"), Region: region, Distance: topology.Distance(distance),
 		}}
 	}
 	return nodes
 }
 
-// refusedBy returns the log of a node that the log itself refuses.
-func refusedBy(t *testing.T, nodes map[string]relayingNode) *Fallback {
+// newRefusedFallback returns the fallback of a node whose direct calls are refused by the log.
+func newRefusedFallback(t *testing.T, nodes map[string]relayNode) *Fallback {
 	t.Helper()
-	fallback := NewFallback(refusing(), func() []Peer {
+	fallback := NewFallback(newRefusingLog(), func() []Peer {
 		var peers []Peer
 		for _, node := range nodes {
 			peers = append(peers, node.peer)
@@ -57,59 +57,60 @@
 		return peers
 	}, NewClient(), zerolog.Nop())
 	for range failuresToSwitch {
-		_, _ = fallback.Append(t.Context(), part, nil)
+		_, _ = fallback.Append(t.Context(), testPartition, nil)
 	}
 	assert.Assert(t, !fallback.Direct())
 	return fallback
 }
 
-func TestBoundCallsGoOnlyByWayOfNodesAtHome(t *testing.T) {
+func TestCallsWithHomesAreRelayedOnlyWithinThem(t *testing.T) {
 	log := memlog.New()
-	nodes := relayingNodes(t, log, always)
-	fallback := refusedBy(t, nodes)
+	nodes := newRelayNodes(t, log, canRelayAlways)
+	fallback := newRefusedFallback(t, nodes)
 	south := homes.NewContext(t.Context(), homes.Of([]string{"south"}))
 	for range 5 {
-		_, err := fallback.Append(south, part, [][]byte{[]byte("body")})
+		_, err := fallback.Append(south, testPartition, [][]byte{[]byte("body")})
 		assert.NilError(t, err)
-		_, err = fallback.Read(context.WithoutCancel(south), part, 0, 1024, 0)
+		_, err = fallback.Read(context.WithoutCancel(south), testPartition, 0, 1024, 0)
 		assert.NilError(t, err)
-		_, err = fallback.Append(t.Context(), part, [][]byte{[]byte("anywhere")})
+		_, err = fallback.Append(t.Context(), testPartition, [][]byte{[]byte("anywhere")})
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, nodes["south"].calls.Load(), int64(10))
 	assert.Equal(t, nodes["west"].calls.Load(), int64(0))
-	assert.Equal(t, nodes["north"].calls.Load(), int64(5), "the nearest, where nothing binds")
+	assert.Equal(t, nodes["north"].calls.Load(), int64(5), "the nearest peer, without homes")
 
-	// No node at home: the call ends as the log itself answers it.
-	end := log.End(part)
-	_, err := fallback.Append(homes.NewContext(t.Context(), homes.Of([]string{"east"})), part, [][]byte{[]byte("body")})
+	// Without a peer in the regions, the call ends with the result of the direct one.
+	end := log.End(testPartition)
+	_, err := fallback.Append(homes.NewContext(t.Context(), homes.Of([]string{"east"})), testPartition, [][]byte{[]byte("body")})
 	assert.ErrorIs(t, err, eventlog.ErrNotDone)
-	assert.Equal(t, log.End(part), end)
+	assert.Equal(t, log.End(testPartition), end)
 }
 
-// TestBoundCallsStayAtHomeWhenTheNodeThereFails: a node elsewhere would help.
-func TestBoundCallsStayAtHomeWhenTheNodeThereFails(t *testing.T) {
+// TestCallsWithHomesAreNotRelayedElsewhereOnFailure guards against falling back to a peer in another region when
+// the one within the homes cannot reach the log.
+func TestCallsWithHomesAreNotRelayedElsewhereOnFailure(t *testing.T) {
 	log := memlog.New()
-	nodes := relayingNodes(t, log, func() bool { return false })
-	fallback := refusedBy(t, nodes)
-	_, err := fallback.Append(homes.NewContext(t.Context(), homes.Of([]string{"south"})), part, [][]byte{[]byte("body")})
+	nodes := newRelayNodes(t, log, func() bool { return false })
+	fallback := newRefusedFallback(t, nodes)
+	_, err := fallback.Append(homes.NewContext(t.Context(), homes.Of([]string{"south"})), testPartition, [][]byte{[]byte("body")})
 	assert.ErrorIs(t, err, eventlog.ErrNotDone)
 	assert.Assert(t, nodes["south"].calls.Load() > 0)
 	assert.Equal(t, nodes["north"].calls.Load()+nodes["west"].calls.Load(), int64(0))
 }
 
-func TestNearNodesGoFirstUnlessTheyFailTogether(t *testing.T) {
+func TestChoosePeerPrefersNearPeersUnlessSeveralFail(t *testing.T) {
 	now := time.Now()
-	near, nearToo := Peer{Address: "near1"}, Peer{Address: "near2"}
-	nearest := Peer{Address: "near3"}
+	near, near2 := Peer{Address: "near1"}, Peer{Address: "near2"}
+	near3 := Peer{Address: "near3"}
 	far := Peer{Address: "far", Distance: topology.OtherRegion}
-	peers := []Peer{far, near, nearToo, nearest}
+	peers := []Peer{far, near, near2, near3}
 	paused := map[string]time.Time{}
 	for range 20 {
 		assert.Assert(t, choosePeer(peers, homes.Set{}, paused, now) != "far")
 	}
 	paused["near1"] = now.Add(time.Second)
-	assert.Assert(t, choosePeer(peers, homes.Set{}, paused, now) != "far", "one alone may have failed")
+	assert.Assert(t, choosePeer(peers, homes.Set{}, paused, now) != "far", "a single peer may have failed")
 	paused["near2"] = now.Add(time.Second)
 	assert.Equal(t, choosePeer(peers, homes.Set{}, paused, now), "far", "the zone may be cut off")
 	paused["far"] = now.Add(time.Second)
@@ -118,7 +119,7 @@
 	assert.Equal(t, choosePeer(peers, homes.Set{}, paused, now), "")
 }
 
-func TestTheDirectoryTellsWhereNodesLie(t *testing.T) {
+func TestDirectoryReportsRegionsAndDistances(t *testing.T) {
 	log := memlog.New()
 	own := NewDirectory(log, Self{Node: "n1", Address: "127.0.0.1:1", Zone: "a1", Region: "a"}, pacing.Limits{}, zerolog.Nop())
 	other := NewDirectory(log, Self{Node: "n2", Address: "127.0.0.1:2", Zone: "b1", Region: "b"}, pacing.Limits{}, zerolog.Nop())
@@ -138,8 +139,8 @@
 	assert.Assert(t, !own.HasNodeIn(homes.Of([]string{"c"})))
 }
 
-// TestReplicasForBoundQuestionsLieAtHome: a large cluster of two regions.
-func TestReplicasForBoundQuestionsLieAtHome(t *testing.T) {
+// TestSourcesWithinRegionsAreInThem guards against reads bound to a region that go to replicas in another one.
+func TestSourcesWithinRegionsAreInThem(t *testing.T) {
 	log := memlog.New()
 	regions := map[string]string{}
 	for number := range 320 {
--- a/internal/logrelay/logrelay.go
+++ b/internal/logrelay/logrelay.go
@@ -1,6 +1,6 @@
-// Package logrelay lets a node that the log refuses, throttles or does not hear
-// reach it through another node. A call by way of another node means just what
-// the direct call means: that node makes it once, and tells how it ended.
+// Package logrelay lets a node that cannot reach the log itself, or is refused or throttled by it, call it through
+// another node. A relayed call has the semantics of a direct one: the relaying node makes it once and reports its
+// outcome.
 package logrelay
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// operation says which call of the log a request asks for.
+// operation identifies the log call that a request asks for.
 type operation uint8
 
 const (
@@ -20,7 +20,7 @@
 	opRead
 	opNewest
 	opReadKeyed
-	// opReplicaNewest and opReplicaRead ask for what the other node itself has read.
+	// opReplicaNewest and opReplicaRead are answered from the relaying node's own copy of a followed topic.
 	opReplicaNewest
 	opReplicaRead
 	opPutKeyed
@@ -36,16 +36,15 @@
 	Offset    int64                  `msgpack:"f,omitempty"`
 	Limit     int                    `msgpack:"l,omitempty"`
 	Wait      time.Duration          `msgpack:"w,omitempty"`
-	// Patience is how long the sender of a call that writes waits for its end; zero when
-	// unknown.
-	Patience time.Duration `msgpack:"p,omitempty"`
-	// LeftOut are the classes of records that a reader of a replica does without. One that does not know the
-	// field is sent all.
+	// SenderTimeout is how long the sender of a write waits for the result; zero if unknown.
+	SenderTimeout time.Duration `msgpack:"p,omitempty"`
+	// LeftOut are the record classes that a reader of a replica does not need. Builds that predate the
+	// field send all records.
 	LeftOut []string `msgpack:"x,omitempty"`
 }
 
-// writes tells whether the call changes the log.
-func (r request) writes() bool {
+// isWrite reports whether the call changes the log.
+func (r request) isWrite() bool {
 	return r.Operation == opAppend || r.Operation == opAppendAt || r.Operation == opPutKeyed
 }
 
@@ -53,7 +52,7 @@
 	return eventlog.Partition{Topic: r.Topic, Number: r.Number}
 }
 
-// outcome says how a call ended.
+// outcome is the result of a call.
 type outcome uint8
 
 const (
@@ -62,14 +61,14 @@
 	unknown
 	conflict
 	gone
-	// noWay: the node cannot reach the log itself, so nothing was tried.
-	noWay
+	// cannotRelay means that the node has no direct connection to the log; nothing was attempted.
+	cannotRelay
 )
 
-// errNoWay means that another node was asked that cannot reach the log itself.
-var errNoWay = errors.Wrap(eventlog.ErrNotDone, "the other node does not reach the log")
+// errCannotRelay is returned for a peer that has no direct connection to the log; the call was not made.
+var errCannotRelay = errors.Wrap(eventlog.ErrNotDone, "the other node has no direct connection to the log")
 
-// response is the answer to a request, encoded as msgpack.
+// response is the reply to a request, encoded as msgpack.
 type response struct {
 	Outcome outcome                `msgpack:"o"`
 	Offset  int64                  `msgpack:"f,omitempty"`
@@ -77,12 +76,12 @@
 	Records [][]byte               `msgpack:"r,omitempty"`
 	Keyed   []eventlog.KeyedRecord `msgpack:"k,omitempty"`
 	Detail  string                 `msgpack:"d,omitempty"`
-	// Age is how old the knowledge of a replica is.
+	// Age is the time since the replica was last known to be up to date with the log.
 	Age time.Duration `msgpack:"g,omitempty"`
 }
 
-// failed returns the response that tells of an error.
-func failed(err error) response {
+// errorResponse encodes an error as a response.
+func errorResponse(err error) response {
 	var conflicting *eventlog.ConflictError
 	var lost *eventlog.GoneError
 	switch {
@@ -97,7 +96,7 @@
 	}
 }
 
-// err returns the error that the response tells of; nil when the call worked.
+// err returns the error that the response encodes; nil if the call succeeded.
 func (r response) err() error {
 	switch r.Outcome {
 	case done:
@@ -106,8 +105,8 @@
 		return &eventlog.ConflictError{End: r.Offset}
 	case gone:
 		return &eventlog.GoneError{First: r.Offset}
-	case noWay:
-		return errNoWay
+	case cannotRelay:
+		return errCannotRelay
 	case notDone:
 		return errors.Wrap(eventlog.ErrNotDone, "through another node: "+r.Detail)
 	default:
--- a/internal/logrelay/logrelay_test.go
+++ b/internal/logrelay/logrelay_test.go
@@ -21,17 +21,17 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-var part = eventlog.Partition{Topic: "t", Number: 2}
+var testPartition = eventlog.Partition{Topic: "t", Number: 2}
 
-// network is a log that one node reaches and another, which it refuses, does not.
-type network struct {
+// relayFixture is a log, and the fallback of a node that it refuses, with a peer that reaches the log.
+type relayFixture struct {
 	log      *memlog.Log
 	fallback *Fallback
 }
 
-func always() bool { return true }
+func canRelayAlways() bool { return true }
 
-// peersAt are nodes at the addresses, all equally near.
+// peersAt returns peers at the addresses, all at the same distance.
 func peersAt(addresses ...string) func() []Peer {
 	peers := make([]Peer, len(addresses))
 	for i, address := range addresses {
@@ -40,49 +40,49 @@
 	return func() []Peer { return peers }
 }
 
-func refusing() *memlog.Log {
+func newRefusingLog() *memlog.Log {
 	log := memlog.New()
 	log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
 	return log
 }
 
-func connect(t *testing.T) *network {
+func newRelayFixture(t *testing.T) *relayFixture {
 	t.Helper()
-	n := &network{log: memlog.New()}
-	server := httptest.NewServer(NewHandler(n.log, always, noReplicas{}))
+	n := &relayFixture{log: memlog.New()}
+	server := httptest.NewServer(NewHandler(n.log, canRelayAlways, noReplicas{}))
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
-	n.fallback = NewFallback(refusing(), peersAt(address), NewClient(), zerolog.Nop())
+	n.fallback = NewFallback(newRefusingLog(), peersAt(address), NewClient(), zerolog.Nop())
 	for range failuresToSwitch {
-		_, err := n.fallback.Append(t.Context(), part, nil)
+		_, err := n.fallback.Append(t.Context(), testPartition, nil)
 		assert.Assert(t, errors.Is(err, eventlog.ErrNotDone))
 	}
 	return n
 }
 
-func TestRefusedNodeReachesTheLogThroughAnother(t *testing.T) {
-	n := connect(t)
-	first, err := n.fallback.Append(t.Context(), part, [][]byte{[]byte("a"), []byte("b")})
+func TestRefusedNodeCallsTheLogThroughPeer(t *testing.T) {
+	n := newRelayFixture(t)
+	first, err := n.fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a"), []byte("b")})
 	assert.NilError(t, err)
 	assert.Equal(t, first, int64(0))
-	_, err = n.fallback.AppendAt(t.Context(), part, 1, [][]byte{[]byte("c")})
+	_, err = n.fallback.AppendAt(t.Context(), testPartition, 1, [][]byte{[]byte("c")})
 	var conflict *eventlog.ConflictError
 	assert.Assert(t, errors.As(err, &conflict))
 	assert.Equal(t, conflict.End, int64(2))
-	batch, err := n.fallback.Read(t.Context(), part, 1, 1024, time.Second)
+	batch, err := n.fallback.Read(t.Context(), testPartition, 1, 1024, time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, batch.First, int64(1))
 	assert.Equal(t, batch.End, int64(2))
 	assert.Equal(t, string(batch.Records[0]), "b")
-	n.log.Trim(part, 1)
-	_, err = n.fallback.Read(t.Context(), part, 0, 1024, 0)
+	n.log.Trim(testPartition, 1)
+	_, err = n.fallback.Read(t.Context(), testPartition, 0, 1024, 0)
 	var gone *eventlog.GoneError
 	assert.Assert(t, errors.As(err, &gone))
 	assert.Equal(t, gone.First, int64(1))
 }
 
-func TestKeyedTopicsAreFollowedThroughAnother(t *testing.T) {
-	n := connect(t)
+func TestKeyedTopicsAreReadThroughPeer(t *testing.T) {
+	n := newRelayFixture(t)
 	n.log.Put("keyed.x", "k", []byte("v1"))
 	newest, err := n.fallback.Newest(t.Context(), "keyed.x")
 	assert.NilError(t, err)
@@ -94,100 +94,98 @@
 	assert.Equal(t, changes.Next, int64(2))
 }
 
-// TestOutcomesKeepTheirMeaning: what another node could not tell of is unknown,
-// what the log refused there is not done.
-func TestOutcomesKeepTheirMeaning(t *testing.T) {
-	n := connect(t)
+// TestRelayedErrorsKeepTheirMeaning guards against an unknown outcome that is reported as not done, or the reverse.
+func TestRelayedErrorsKeepTheirMeaning(t *testing.T) {
+	n := newRelayFixture(t)
 	n.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.LostAnswer })
-	_, err := n.fallback.Append(t.Context(), part, [][]byte{[]byte("a")})
+	_, err := n.fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 	assert.Assert(t, errors.Is(err, eventlog.ErrOutcomeUnknown), "%v", err)
 	n.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		_, err := n.fallback.Append(t.Context(), part, [][]byte{[]byte("a")})
+		_, err := n.fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 		if errors.Is(err, eventlog.ErrNotDone) {
 			return poll.Success()
 		}
 		return poll.Continue("%v", err)
 	}, poll.WithTimeout(10*time.Second))
-	assert.Equal(t, n.log.End(part), int64(1))
+	assert.Equal(t, n.log.End(testPartition), int64(1))
 }
 
-func TestDirectWayIsTakenAgainOnceItWorks(t *testing.T) {
+func TestCallsAreDirectAgainAfterRecovery(t *testing.T) {
 	direct, other := memlog.New(), memlog.New()
-	server := httptest.NewServer(NewHandler(other, always, noReplicas{}))
+	server := httptest.NewServer(NewHandler(other, canRelayAlways, noReplicas{}))
 	t.Cleanup(server.Close)
 	fallback := NewFallback(direct, peersAt(strings.TrimPrefix(server.URL, "http://")), NewClient(), zerolog.Nop())
 	direct.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
 	for range failuresToSwitch {
-		_, _ = fallback.Append(t.Context(), part, nil)
+		_, _ = fallback.Append(t.Context(), testPartition, nil)
 	}
-	_, err := fallback.Append(t.Context(), part, [][]byte{[]byte("a")})
+	_, err := fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 	assert.NilError(t, err)
-	assert.Equal(t, other.End(part), int64(1))
+	assert.Equal(t, other.End(testPartition), int64(1))
 	direct.SetFault(nil)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		_, _ = fallback.Append(t.Context(), part, [][]byte{[]byte("b")})
-		if direct.End(part) > 0 {
+		_, _ = fallback.Append(t.Context(), testPartition, [][]byte{[]byte("b")})
+		if direct.End(testPartition) > 0 {
 			return poll.Success()
 		}
 		return poll.Continue("not direct yet")
 	}, poll.WithTimeout(10*time.Second))
 }
 
-func TestWithoutOtherNodesTheDirectWayIsKept(t *testing.T) {
-	fallback := NewFallback(refusing(), peersAt(), NewClient(), zerolog.Nop())
+func TestCallsStayDirectWithoutPeers(t *testing.T) {
+	fallback := NewFallback(newRefusingLog(), peersAt(), NewClient(), zerolog.Nop())
 	for range 3 * failuresToSwitch {
-		_, err := fallback.Append(t.Context(), part, nil)
+		_, err := fallback.Append(t.Context(), testPartition, nil)
 		assert.Assert(t, errors.Is(err, eventlog.ErrNotDone))
 	}
 }
 
-// TestNodesWithoutAWayAreLeftAtOnce: a call goes on from one node to the next
-// while they say that they do not reach the log themselves.
-func TestNodesWithoutAWayAreLeftAtOnce(t *testing.T) {
+// TestCallTriesNextPeerIfOneCannotRelay guards against a call that fails although another peer reaches the log.
+func TestCallTriesNextPeerIfOneCannotRelay(t *testing.T) {
 	log := memlog.New()
 	var addresses []string
-	for _, able := range []bool{false, false, true, false} {
-		server := httptest.NewServer(NewHandler(log, func() bool { return able }, noReplicas{}))
+	for _, canRelay := range []bool{false, false, true, false} {
+		server := httptest.NewServer(NewHandler(log, func() bool { return canRelay }, noReplicas{}))
 		t.Cleanup(server.Close)
 		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
 	}
-	fallback := NewFallback(refusing(), peersAt(addresses...), NewClient(), zerolog.Nop())
+	fallback := NewFallback(newRefusingLog(), peersAt(addresses...), NewClient(), zerolog.Nop())
 	for range failuresToSwitch {
-		_, _ = fallback.Append(t.Context(), part, nil)
+		_, _ = fallback.Append(t.Context(), testPartition, nil)
 	}
 	assert.Assert(t, !fallback.Direct())
-	_, err := fallback.Append(t.Context(), part, [][]byte{[]byte("a")})
+	_, err := fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 	assert.NilError(t, err)
-	assert.Equal(t, log.End(part), int64(1))
+	assert.Equal(t, log.End(testPartition), int64(1))
 }
 
-// TestAnOutageForAllEndsWithTheNextCall: the other nodes say that they have no
-// way, which they had when they last tried.
-func TestAnOutageForAllEndsWithTheNextCall(t *testing.T) {
-	log := refusing()
+// TestFirstCallAfterSharedOutageIsMadeDirectly guards against an outage of the log that lasts on because each node
+// waits for the others.
+func TestFirstCallAfterSharedOutageIsMadeDirectly(t *testing.T) {
+	log := newRefusingLog()
 	var addresses []string
-	for range 2 * maxPeersAsked {
+	for range 2 * maxPeersTried {
 		server := httptest.NewServer(NewHandler(log, func() bool { return false }, noReplicas{}))
 		t.Cleanup(server.Close)
 		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
 	}
 	fallback := NewFallback(log, peersAt(addresses...), NewClient(), zerolog.Nop())
 	for range failuresToSwitch {
-		_, _ = fallback.Append(t.Context(), part, nil)
+		_, _ = fallback.Append(t.Context(), testPartition, nil)
 	}
 	log.SetFault(nil)
-	_, err := fallback.Append(t.Context(), part, [][]byte{[]byte("a")})
+	_, err := fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 	assert.NilError(t, err)
 	assert.Assert(t, fallback.Direct())
 }
 
-// TestAnOutageForAllIsNoStormOfCalls: of many nodes, none of which reaches the log,
-// one asks a few, leaves them alone for a while, and keeps few connections.
-func TestAnOutageForAllIsNoStormOfCalls(t *testing.T) {
-	var asked, open atomic.Int64
-	handler := NewHandler(refusing(), func() bool {
-		asked.Add(1)
+// TestSharedOutageLimitsCallsToPeers guards against nodes that flood each other with calls, or keep many
+// connections open, during an outage of the log.
+func TestSharedOutageLimitsCallsToPeers(t *testing.T) {
+	var requests, open atomic.Int64
+	handler := NewHandler(newRefusingLog(), func() bool {
+		requests.Add(1)
 		return false
 	}, noReplicas{})
 	var addresses []string
@@ -205,15 +203,15 @@
 		t.Cleanup(server.Close)
 		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
 	}
-	fallback := NewFallback(refusing(), peersAt(addresses...), NewClient(), zerolog.Nop())
-	began := time.Now()
+	fallback := NewFallback(newRefusingLog(), peersAt(addresses...), NewClient(), zerolog.Nop())
+	started := time.Now()
 	for range 50 {
-		_, err := fallback.Append(t.Context(), part, nil)
+		_, err := fallback.Append(t.Context(), testPartition, nil)
 		assert.Assert(t, errors.Is(err, eventlog.ErrNotDone))
 	}
-	rounds := int64(time.Since(began)/outagePause) + 1
-	assert.Assert(t, asked.Load() <= rounds*maxPeersAsked, "%d calls to other nodes", asked.Load())
-	assert.Assert(t, asked.Load() > 0)
+	rounds := int64(time.Since(started)/outagePause) + 1
+	assert.Assert(t, requests.Load() <= rounds*maxPeersTried, "%d calls to other nodes", requests.Load())
+	assert.Assert(t, requests.Load() > 0)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if open.Load() <= idleConnections {
 			return poll.Success()
@@ -222,8 +220,8 @@
 	}, poll.WithTimeout(10*time.Second))
 }
 
-func TestUnreadableCallsAreRefused(t *testing.T) {
-	server := httptest.NewServer(NewHandler(memlog.New(), always, noReplicas{}))
+func TestUndecodableRequestsAreRejected(t *testing.T) {
+	server := httptest.NewServer(NewHandler(memlog.New(), canRelayAlways, noReplicas{}))
 	t.Cleanup(server.Close)
 	response, err := server.Client().Post(server.URL+Path, "", strings.NewReader("\xdf\xff\xff\xff\xff"))
 	assert.NilError(t, err)
@@ -231,7 +229,7 @@
 	assert.Equal(t, response.StatusCode, 400)
 }
 
-func TestDirectoryListsTheOthers(t *testing.T) {
+func TestDirectoryListsOtherNodes(t *testing.T) {
 	log := memlog.New()
 	one := NewDirectory(log, Self{Node: "n1", Address: "127.0.0.1:1"}, pacing.Limits{}, zerolog.Nop())
 	two := NewDirectory(log, Self{Node: "n2", Address: "127.0.0.1:2"}, pacing.Limits{}, zerolog.Nop())
@@ -247,9 +245,8 @@
 	}, poll.WithTimeout(20*time.Second))
 }
 
-// TestManyNodesAreToldOfByOneLine: with a line a node, the lines of all nodes grow
-// with the square of their number.
-func TestManyNodesAreToldOfByOneLine(t *testing.T) {
+// TestNewNodesAreLoggedInOneLine guards against logs that grow with the square of the number of nodes.
+func TestNewNodesAreLoggedInOneLine(t *testing.T) {
 	log := memlog.New()
 	for number := range 300 {
 		self := Self{Node: fmt.Sprint("n", number), Address: fmt.Sprint("127.0.0.1:", number)}
--- a/internal/logrelay/peers.go
+++ b/internal/logrelay/peers.go
@@ -8,22 +8,22 @@
 	"github.com/corkpulley/corkpulley/internal/core/topology"
 )
 
-// Peer is another node, by whose way the log may be called.
+// Peer is another node, which may relay calls of the log.
 type Peer struct {
 	Address string
-	// Region is where the node lies; empty where it is not known.
+	// Region is empty if unknown.
 	Region   string
 	Distance topology.Distance
 }
 
-// maxPausedPeers is the number of nodes at one distance that could not help just now from which on
-// nodes at other distances go first: what keeps a zone or a region from the log keeps all of it.
+// maxPausedPeers is the number of paused peers at one distance from which on peers at other distances are
+// preferred: the whole zone or region may be cut off from the log.
 const maxPausedPeers = 2
 
-// choosePeer returns a node within the regions that has not failed just now, one of the nearest;
-// empty when there is none.
+// choosePeer returns the address of a random peer within the regions that is not paused, as near as possible; empty
+// if there is none.
 func choosePeer(peers []Peer, within homes.Set, pausedTo map[string]time.Time, now time.Time) string {
-	able := make(map[topology.Distance][]string)
+	available := make(map[topology.Distance][]string)
 	paused := make(map[topology.Distance]int)
 	for _, peer := range peers {
 		switch {
@@ -31,21 +31,21 @@
 		case now.Before(pausedTo[peer.Address]):
 			paused[peer.Distance]++
 		default:
-			able[peer.Distance] = append(able[peer.Distance], peer.Address)
+			available[peer.Distance] = append(available[peer.Distance], peer.Address)
 		}
 	}
-	var failing []string
+	var fallbacks []string
 	for distance := topology.SameZone; distance <= topology.OtherRegion; distance++ {
 		switch {
-		case len(able[distance]) == 0:
+		case len(available[distance]) == 0:
 		case paused[distance] < maxPausedPeers:
-			return able[distance][rand.IntN(len(able[distance]))]
-		case failing == nil:
-			failing = able[distance]
+			return available[distance][rand.IntN(len(available[distance]))]
+		case fallbacks == nil:
+			fallbacks = available[distance]
 		}
 	}
-	if failing == nil {
+	if fallbacks == nil {
 		return ""
 	}
-	return failing[rand.IntN(len(failing))]
+	return fallbacks[rand.IntN(len(fallbacks))]
 }
--- a/internal/logrelay/patience_test.go
+++ b/internal/logrelay/replicabackoff_test.go
@@ -19,19 +19,19 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// budgetOf is the budget of a node that knows so many.
-func budgetOf(nodes int) pacing.Budget {
+// newBudget returns the budget of a node in a cluster of the given size.
+func newBudget(nodes int) pacing.Budget {
 	limits := pacing.Limits{ReadsPerSecond: 16_000, BytesPerSecond: 80_000_000}
 	return pacing.Budget{Limits: limits, Nodes: func() int { return nodes }}
 }
 
-// switchedLink reaches a replica, or nothing while it is cut.
-type switchedLink struct {
+// cuttableTransport connects to one replica, unless it is cut.
+type cuttableTransport struct {
 	cluster
 	handler http.Handler
 }
 
-func (s *switchedLink) RoundTrip(request *http.Request) (*http.Response, error) {
+func (s *cuttableTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	s.mu.Lock()
 	isCut := s.isCut
 	s.mu.Unlock()
@@ -42,7 +42,7 @@
 	return reached.RoundTrip(request)
 }
 
-func (s *switchedLink) cut(isCut bool) {
+func (s *cuttableTransport) cut(isCut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isCut = isCut
@@ -78,24 +78,24 @@
 	return l.Log.ReadKeyed(ctx, topic, from, wait)
 }
 
-// TestANodeThatNoReplicaAnswersLearnsOfChangesInTime guards against configurations that come into force too late at
-// a node that is cut off from the replicas and reads the log itself.
-func TestANodeThatNoReplicaAnswersLearnsOfChangesInTime(t *testing.T) {
+// TestReaderWithoutReplicasLearnsOfChangesInTime guards against configurations that take effect too late on a node
+// that is cut off from the replicas and reads the log itself.
+func TestReaderWithoutReplicasLearnsOfChangesInTime(t *testing.T) {
 	for _, nodes := range []int{300, 2000} {
 		synctest.Test(t, func(t *testing.T) {
 			log := memlog.New()
-			log.Put(followed, "k", []byte("0"))
+			log.Put(followedTopic, "k", []byte("0"))
 			reader := NewReplicaReader(log, ReplicaOptions{
 				Sources: func() []string { return []string{"10.0.0.1:1", "10.0.0.2:1"} },
-				Client:  &http.Client{Transport: &switchedLink{cluster: cluster{isCut: true}}},
+				Client:  &http.Client{Transport: &cuttableTransport{cluster: cluster{isCut: true}}},
 			})
 			var mu sync.Mutex
 			seen := ""
-			follower := follow.New(reader, followed, func(record eventlog.KeyedRecord) {
+			follower := follow.New(reader, followedTopic, func(record eventlog.KeyedRecord) {
 				mu.Lock()
 				defer mu.Unlock()
 				seen = string(record.Value)
-			}, budgetOf(nodes), zerolog.Nop())
+			}, newBudget(nodes), zerolog.Nop())
 			follower.UseClock(time.Now)
 			ctx, cancel := context.WithCancel(t.Context())
 			var running sync.WaitGroup
@@ -103,7 +103,7 @@
 			<-follower.Loaded()
 			for change := range 100 {
 				value := fmt.Sprint(change)
-				log.Put(followed, "k", []byte(value))
+				log.Put(followedTopic, "k", []byte(value))
 				changed := time.Now()
 				for isSeen := false; !isSeen; {
 					time.Sleep(20 * time.Millisecond)
@@ -120,65 +120,65 @@
 	}
 }
 
-// TestAFullReadThatFailedOnceIsMadeAgainSoon guards against one refused read that delays the start of a replica, and
-// with it of all nodes, by seconds.
-func TestAFullReadThatFailedOnceIsMadeAgainSoon(t *testing.T) {
+// TestFailedFullReadIsRetriedSoon guards against a single refused read that delays the start of a replica, and with
+// it of all nodes, by seconds.
+func TestFailedFullReadIsRetriedSoon(t *testing.T) {
 	for _, nodes := range []int{90, 300, 2000} {
 		synctest.Test(t, func(t *testing.T) {
 			log := &failingLog{Log: memlog.New(), left: 1}
-			log.Put(followed, "k", []byte("0"))
+			log.Put(followedTopic, "k", []byte("0"))
 			reader := NewReplicaReader(log, ReplicaOptions{Sources: func() []string { return nil }, Client: NewClient()})
-			follower := follow.New(reader, followed, func(eventlog.KeyedRecord) {}, budgetOf(nodes), zerolog.Nop())
+			follower := follow.New(reader, followedTopic, func(eventlog.KeyedRecord) {}, newBudget(nodes), zerolog.Nop())
 			follower.UseClock(time.Now)
 			ctx, cancel := context.WithCancel(t.Context())
 			var running sync.WaitGroup
 			running.Go(func() { _ = follower.Run(ctx) })
-			began := time.Now()
+			started := time.Now()
 			<-follower.Loaded()
-			assert.Assert(t, time.Since(began) <= 2*time.Second, "%d nodes: %s", nodes, time.Since(began))
+			assert.Assert(t, time.Since(started) <= 2*time.Second, "%d nodes: %s", nodes, time.Since(started))
 			cancel()
 			running.Wait()
 		})
 	}
 }
 
-// TestAnAnswerOfAReplicaEndsTheBackOff guards against failures of long ago that delay reads of the log.
-func TestAnAnswerOfAReplicaEndsTheBackOff(t *testing.T) {
+// TestReplicaReplyResetsBackOff guards against past failures that still delay reads of the log.
+func TestReplicaReplyResetsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
-		log.Put(followed, "k", []byte("0"))
-		replica := follow.New(log, followed, func(eventlog.KeyedRecord) {}, pacing.Budget{}, zerolog.Nop())
+		log.Put(followedTopic, "k", []byte("0"))
+		replica := follow.New(log, followedTopic, func(eventlog.KeyedRecord) {}, pacing.Budget{}, zerolog.Nop())
 		replica.UseClock(time.Now)
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { _ = replica.Run(ctx) })
 		<-replica.Loaded()
-		link := &switchedLink{handler: NewHandler(log, always, oneReplica{replica})}
+		link := &cuttableTransport{handler: NewHandler(log, canRelayAlways, oneReplica{replica})}
 		link.cut(true)
 		reader := NewReplicaReader(&failingLog{Log: log, left: 8}, ReplicaOptions{
 			Sources: func() []string { return []string{"10.0.0.1:1"} }, Client: &http.Client{Transport: link},
 		})
 		for range 8 {
-			_, err := reader.ReadKeyed(ctx, followed, 0, 0)
+			_, err := reader.ReadKeyed(ctx, followedTopic, 0, 0)
 			assert.ErrorIs(t, err, eventlog.ErrNotDone)
 		}
 		link.cut(false)
 		time.Sleep(time.Minute)
-		_, err := reader.ReadKeyed(ctx, followed, 0, 0)
+		_, err := reader.ReadKeyed(ctx, followedTopic, 0, 0)
 		assert.NilError(t, err)
 		link.cut(true)
-		began := time.Now()
-		_, err = reader.ReadKeyed(ctx, followed, 0, 0)
+		started := time.Now()
+		_, err = reader.ReadKeyed(ctx, followedTopic, 0, 0)
 		assert.NilError(t, err)
-		assert.Assert(t, time.Since(began) <= time.Second, "%s", time.Since(began))
+		assert.Assert(t, time.Since(started) <= time.Second, "%s", time.Since(started))
 		cancel()
 		running.Wait()
 	})
 }
 
-// TestNodesThatCannotReadTheDirectoryAllReadTheConfiguration guards against a pace that rests on knowledge of the
-// other nodes: the log may be away in part.
-func TestNodesThatCannotReadTheDirectoryAllReadTheConfiguration(t *testing.T) {
+// TestConfigurationIsReadWithoutDirectory guards against pacing that depends on knowing the other nodes: part of
+// the log may be unavailable.
+func TestConfigurationIsReadWithoutDirectory(t *testing.T) {
 	result := restart(t, 120, restartFaults{noDirectory: true})
 	assert.Assert(t, result.seconds < restartLimit, "%+v", result)
 }
--- a/internal/logrelay/replicareader_test.go
+++ b/internal/logrelay/replicareader_test.go
@@ -22,66 +22,66 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-const followed = "keyed.followed"
+const followedTopic = "keyed.followed"
 
-// noReplicas is a node that is no replica.
+// noReplicas is a node that serves no replica.
 type noReplicas struct{}
 
 func (noReplicas) Replica(string) (Replica, bool) { return nil, false }
 
-// oneReplica hands out what one follower has read.
+// oneReplica serves the replica of one follower.
 type oneReplica struct{ follower *follow.Follower }
 
 func (o oneReplica) Replica(topic string) (Replica, bool) {
-	return o.follower.Replica(), topic == followed
+	return o.follower.Replica(), topic == followedTopic
 }
 
-// keyedLog counts reads of compacted topics.
-type keyedLog struct {
+// countingLog counts reads of compacted topics.
+type countingLog struct {
 	*memlog.Log
 	reads atomic.Int64
 }
 
-func (l *keyedLog) Newest(ctx context.Context, topic string) (eventlog.KeyedBatch, error) {
+func (l *countingLog) Newest(ctx context.Context, topic string) (eventlog.KeyedBatch, error) {
 	l.reads.Add(1)
 	return l.Log.Newest(ctx, topic)
 }
 
-func (l *keyedLog) ReadKeyed(
+func (l *countingLog) ReadKeyed(
 	ctx context.Context, topic string, from int64, wait time.Duration,
 ) (eventlog.KeyedBatch, error) {
 	l.reads.Add(1)
 	return l.Log.ReadKeyed(ctx, topic, from, wait)
 }
 
-// newReader returns a reader that asks one replica.
+// newReader returns a reader with one replica.
 func newReader(log eventlog.Log, address string) *ReplicaReader {
 	return NewReplicaReader(log, ReplicaOptions{
 		Sources: func() []string { return []string{address} }, Client: NewClient(),
 	})
 }
 
-// chain is a log, a replica that follows it, and a node that follows the replica.
-type chain struct {
+// replicaChain is a log, a replica that follows it, and a reader that follows the replica.
+type replicaChain struct {
 	t *testing.T
-	// log is what the replica reads, own what the node reads without it.
+	// log is read by the replica, own by the reader when it bypasses the replica.
 	log *memlog.Log
-	own *keyedLog
-	// hold, where it is set, is waited for before the replica answers.
+	own *countingLog
+	// hold, if set, blocks the replica's replies until it is closed.
 	hold atomic.Pointer[chan struct{}]
 
 	mu     sync.Mutex
 	values map[string]string
 }
 
-func newChain(t *testing.T) *chain {
+func newReplicaChain(t *testing.T) *replicaChain {
 	t.Helper()
-	c := &chain{t: t, log: memlog.New(), values: make(map[string]string)}
-	c.own = &keyedLog{Log: c.log}
-	c.log.Put(followed, "first", []byte("1"))
+	c := &replicaChain{t: t, log: memlog.New(), values: make(map[string]string)}
+	c.own = &countingLog{Log: c.log}
+	c.log.Put(followedTopic, "first", []byte("1"))
 	replica := c.follow(c.log, func(eventlog.KeyedRecord) {})
 	<-replica.Loaded()
-	handler := NewHandler(c.log, always, oneReplica{replica})
+	handler := NewHandler(c.log, canRelayAlways, oneReplica{replica})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if hold := c.hold.Load(); hold != nil {
 			<-*hold
@@ -90,13 +90,13 @@
 	}))
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
-	c.follow(newReader(c.own, address), c.take)
+	c.follow(newReader(c.own, address), c.handle)
 	return c
 }
 
 // follow runs a follower for the rest of the test.
-func (c *chain) follow(log eventlog.Log, handler follow.Handler) *follow.Follower {
-	follower := follow.New(log, followed, handler, pacing.Budget{}, zerolog.Nop())
+func (c *replicaChain) follow(log eventlog.Log, handler follow.Handler) *follow.Follower {
+	follower := follow.New(log, followedTopic, handler, pacing.Budget{}, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -110,7 +110,7 @@
 	return follower
 }
 
-func (c *chain) take(record eventlog.KeyedRecord) {
+func (c *replicaChain) handle(record eventlog.KeyedRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if record.Deleted {
@@ -120,7 +120,7 @@
 	c.values[record.Key] = string(record.Value)
 }
 
-func (c *chain) await(key, value string) {
+func (c *replicaChain) await(key, value string) {
 	c.t.Helper()
 	testwait.Until(c.t, fmt.Sprintf("%s = %q", key, value), func() bool {
 		c.mu.Lock()
@@ -129,61 +129,63 @@
 	})
 }
 
-// TestChangesComeThroughTheReplica: values and deletions, without a read of the node's own.
-func TestChangesComeThroughTheReplica(t *testing.T) {
-	c := newChain(t)
+// TestChangesAreReadFromReplica guards against reads of the log by a node that has a working replica.
+func TestChangesAreReadFromReplica(t *testing.T) {
+	c := newReplicaChain(t)
 	c.await("first", "1")
 	for number := range 20 {
-		c.log.Put(followed, "second", fmt.Append(nil, number))
+		c.log.Put(followedTopic, "second", fmt.Append(nil, number))
 		c.await("second", fmt.Sprint(number))
 	}
-	c.log.Put(followed, "second", nil)
+	c.log.Put(followedTopic, "second", nil)
 	c.await("second", "")
 	assert.Equal(t, c.own.reads.Load(), int64(0))
 }
 
-// TestAReplicaThatLostTheLogIsNotBelieved: the node's own way to the log works.
-func TestAReplicaThatLostTheLogIsNotBelieved(t *testing.T) {
-	c := newChain(t)
+// TestReaderLeavesOutdatedReplica guards against stale data from a replica that lost the log while the reader can
+// reach it.
+func TestReaderLeavesOutdatedReplica(t *testing.T) {
+	c := newReplicaChain(t)
 	c.await("first", "1")
 	c.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
-	// The node itself reads a log of the same records that does not refuse.
+	// The reader's own log holds the same records and works.
 	healthy := memlog.New()
-	healthy.Put(followed, "first", []byte("1"))
+	healthy.Put(followedTopic, "first", []byte("1"))
 	c.own.Log = healthy
-	healthy.Put(followed, "second", []byte("2"))
+	healthy.Put(followedTopic, "second", []byte("2"))
 	c.await("second", "2")
 }
 
-// TestAReplicaThatAnswersNothingIsLeft: it accepts connections and is silent.
-func TestAReplicaThatAnswersNothingIsLeft(t *testing.T) {
-	c := newChain(t)
+// TestReaderLeavesUnresponsiveReplica covers a replica that accepts connections but does not reply.
+func TestReaderLeavesUnresponsiveReplica(t *testing.T) {
+	c := newReplicaChain(t)
 	c.await("first", "1")
 	hold := make(chan struct{})
 	c.hold.Store(&hold)
 	defer close(hold)
-	c.log.Put(followed, "second", []byte("2"))
-	began := time.Now()
+	c.log.Put(followedTopic, "second", []byte("2"))
+	started := time.Now()
 	c.await("second", "2")
 	assert.Assert(t, c.own.reads.Load() > 0)
-	t.Logf("learned after %v", time.Since(began))
+	t.Logf("learned after %v", time.Since(started))
 }
 
-func TestANodeThatIsNoReplicaSaysSo(t *testing.T) {
-	server := httptest.NewServer(NewHandler(memlog.New(), always, noReplicas{}))
+func TestReaderReadsTheLogIfPeerIsNoReplica(t *testing.T) {
+	server := httptest.NewServer(NewHandler(memlog.New(), canRelayAlways, noReplicas{}))
 	t.Cleanup(server.Close)
-	log := &keyedLog{Log: memlog.New()}
-	log.Put(followed, "k", []byte("v"))
+	log := &countingLog{Log: memlog.New()}
+	log.Put(followedTopic, "k", []byte("v"))
 	reader := newReader(log, strings.TrimPrefix(server.URL, "http://"))
-	batch, err := reader.Newest(t.Context(), followed)
+	batch, err := reader.Newest(t.Context(), followedTopic)
 	assert.NilError(t, err)
 	assert.Equal(t, string(batch.Records[0].Value), "v")
-	batch, err = reader.ReadKeyed(t.Context(), followed, 0, time.Second)
+	batch, err = reader.ReadKeyed(t.Context(), followedTopic, 0, time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, len(batch.Records), 1)
 }
 
-// TestNodesOfALargeClusterChooseTheSameReplicas: what the directories read decides.
+// TestNodesOfALargeClusterChooseTheSameReplicas guards against nodes that read from others which do not serve
+// replicas.
 func TestNodesOfALargeClusterChooseTheSameReplicas(t *testing.T) {
 	log := memlog.New()
 	var directories []*Directory
@@ -215,62 +217,61 @@
 	}
 }
 
-// lateReplica is no replica for the first calls.
-type lateReplica struct {
+// startingReplica serves no replica for the first calls.
+type startingReplica struct {
 	oneReplica
 	refused atomic.Int64
 }
 
-func (l *lateReplica) Replica(topic string) (Replica, bool) {
+func (l *startingReplica) Replica(topic string) (Replica, bool) {
 	if l.refused.Add(-1) >= 0 {
 		return nil, false
 	}
 	return l.oneReplica.Replica(topic)
 }
 
-// TestReadersWaitForReplicasThatHaveJustStarted: the log is spared the reads of all nodes at once.
-func TestReadersWaitForReplicasThatHaveJustStarted(t *testing.T) {
+// TestReadersWaitForStartingReplicas guards against a restart in which all nodes read from the log at once.
+func TestReadersWaitForStartingReplicas(t *testing.T) {
 	log := memlog.New()
-	log.Put(followed, "k", []byte("v"))
-	follower := follow.New(log, followed, func(eventlog.KeyedRecord) {}, pacing.Budget{}, zerolog.Nop())
+	log.Put(followedTopic, "k", []byte("v"))
+	follower := follow.New(log, followedTopic, func(eventlog.KeyedRecord) {}, pacing.Budget{}, zerolog.Nop())
 	go func() { _ = follower.Run(t.Context()) }()
 	<-follower.Loaded()
-	late := &lateReplica{oneReplica: oneReplica{follower}}
-	server := httptest.NewServer(NewHandler(log, always, late))
+	late := &startingReplica{oneReplica: oneReplica{follower}}
+	server := httptest.NewServer(NewHandler(log, canRelayAlways, late))
 	t.Cleanup(server.Close)
 	sources := func() []string { return []string{strings.TrimPrefix(server.URL, "http://")} }
 	for reader := range 5 {
 		late.refused.Store(3)
-		own := &keyedLog{Log: log}
-		batch, err := NewReplicaReader(own, ReplicaOptions{Sources: sources, Client: NewClient()}).Newest(t.Context(), followed)
+		own := &countingLog{Log: log}
+		batch, err := NewReplicaReader(own, ReplicaOptions{Sources: sources, Client: NewClient()}).Newest(t.Context(), followedTopic)
 		assert.NilError(t, err)
 		assert.Equal(t, len(batch.Records), 1)
 		assert.Equal(t, own.reads.Load(), int64(0), "reader %d", reader)
 	}
 }
 
-// TestReadersOfAReplicaGetWhatTheyDoNotLeaveOut: the class of a record decides.
-func TestReadersOfAReplicaGetWhatTheyDoNotLeaveOut(t *testing.T) {
+func TestReplicaOmitsExcludedClasses(t *testing.T) {
 	log := memlog.New()
 	for _, key := range []string{"a1", "a2", "b1"} {
-		log.Put(followed, key, []byte("v"))
+		log.Put(followedTopic, key, []byte("v"))
 	}
-	follower := follow.New(log, followed, func(eventlog.KeyedRecord) {}, pacing.Budget{}, zerolog.Nop())
+	follower := follow.New(log, followedTopic, func(eventlog.KeyedRecord) {}, pacing.Budget{}, zerolog.Nop())
 	follower.Classify(func(record eventlog.KeyedRecord) string { return record.Key[:1] })
 	go func() { _ = follower.Run(t.Context()) }()
 	<-follower.Loaded()
-	server := httptest.NewServer(NewHandler(log, always, oneReplica{follower}))
+	server := httptest.NewServer(NewHandler(log, canRelayAlways, oneReplica{follower}))
 	t.Cleanup(server.Close)
 	reader := newReader(log, strings.TrimPrefix(server.URL, "http://"))
 	reader.options.LeftOut = func(string) []string { return []string{"a"} }
-	batch, err := reader.Newest(t.Context(), followed)
+	batch, err := reader.Newest(t.Context(), followedTopic)
 	assert.NilError(t, err)
 	assert.Equal(t, len(batch.Records), 1)
-	log.Put(followed, "a3", []byte("v"))
-	log.Put(followed, "b2", []byte("v"))
+	log.Put(followedTopic, "a3", []byte("v"))
+	log.Put(followedTopic, "b2", []byte("v"))
 	var keys []string
 	for next := batch.Next; len(keys) == 0; {
-		changes, err := reader.ReadKeyed(t.Context(), followed, next, time.Second)
+		changes, err := reader.ReadKeyed(t.Context(), followedTopic, next, time.Second)
 		assert.NilError(t, err)
 		for _, record := range changes.Records {
 			keys = append(keys, record.Key)
--- a/internal/logrelay/restart_test.go
+++ b/internal/logrelay/restart_test.go
@@ -20,22 +20,22 @@
 	"github.com/corkpulley/corkpulley/internal/standin/narrowlog"
 )
 
-// narrowLimits are what the log serves to all nodes together.
+// narrowLimits is what the log serves to all nodes together.
 var narrowLimits = pacing.Limits{ReadsPerSecond: 16_000, BytesPerSecond: 32_000_000}
 
-// cluster is nodes that follow one topic, each through the others or from the log.
+// cluster is a set of nodes that follow one topic, through each other or from the log.
 type cluster struct {
 	log *narrowlog.Log
 
 	mu       sync.Mutex
 	handlers map[string]http.Handler
-	// loaded counts the nodes that have read the topic in full.
+	// loaded is the number of nodes that have completed a full read of the topic.
 	loaded int
-	// isCut is true where no node reaches another.
+	// isCut is true if no node can connect to another.
 	isCut bool
 }
 
-// RoundTrip implements http.RoundTripper: nodes reach each other without a network.
+// RoundTrip implements http.RoundTripper: it calls the handlers in memory.
 func (c *cluster) RoundTrip(request *http.Request) (*http.Response, error) {
 	c.mu.Lock()
 	handler, isCut := c.handlers[request.URL.Host], c.isCut
@@ -51,18 +51,18 @@
 	return recorder.Result(), nil
 }
 
-// followedBy is what a node hands out of the topic while it is a replica.
-type followedBy struct {
+// directoryReplica serves the topic while the directory selects this node as a replica.
+type directoryReplica struct {
 	directory *Directory
 	follower  *follow.Follower
 }
 
-func (f followedBy) Replica(string) (Replica, bool) {
+func (f directoryReplica) Replica(string) (Replica, bool) {
 	return f.follower.Replica(), f.directory.IsReplica()
 }
 
-// selfOf returns a node of one of six zones.
-func selfOf(number int) Self {
+// testSelf returns the node of a number, in one of six zones.
+func testSelf(number int) Self {
 	return Self{
 		Node: fmt.Sprintf("node-%04d", number), Address: fmt.Sprintf("10.0.%d.%d:7000", number/250, number%250),
 		Zone: fmt.Sprint("zone-", number%6), Region: "region", Processors: 1,
@@ -73,22 +73,21 @@
 func announceAll(t *testing.T, log eventlog.Log, nodes int) {
 	t.Helper()
 	for number := range nodes {
-		directory := NewDirectory(log, selfOf(number), narrowLimits, zerolog.Nop())
+		directory := NewDirectory(log, testSelf(number), narrowLimits, zerolog.Nop())
 		assert.NilError(t, directory.announce(t.Context(), time.Minute))
 	}
 }
 
-// start starts a node.
 func (c *cluster) start(ctx context.Context, number int, running *sync.WaitGroup) {
-	self := selfOf(number)
+	self := testSelf(number)
 	directory := NewDirectory(c.log, self, narrowLimits, zerolog.Nop())
 	reader := NewReplicaReader(c.log, ReplicaOptions{
 		Sources: directory.Sources, AwaitSources: directory.AwaitSettled,
 		Client: &http.Client{Transport: c},
 	})
-	follower := follow.New(reader, followed, func(eventlog.KeyedRecord) {}, directory.Budget(), zerolog.Nop())
+	follower := follow.New(reader, followedTopic, func(eventlog.KeyedRecord) {}, directory.Budget(), zerolog.Nop())
 	follower.UseClock(time.Now)
-	handler := NewHandler(c.log, always, followedBy{directory, follower})
+	handler := NewHandler(c.log, canRelayAlways, directoryReplica{directory, follower})
 	c.mu.Lock()
 	c.handlers[self.Address] = handler
 	c.mu.Unlock()
@@ -113,37 +112,37 @@
 	return c.loaded
 }
 
-// restarted is what a restart of all nodes took.
-type restarted struct {
-	// seconds until all nodes had read the configuration; restartLimit if they had not by then.
+// restartResult is the cost of a restart of all nodes.
+type restartResult struct {
+	// seconds is the time until all nodes had read the configuration; at most restartLimit.
 	seconds int
-	// bytes that the log handed out, and its full reads of the configuration.
+	// bytes is what the log served; fullReads counts the full reads of the configuration.
 	bytes, fullReads int
 }
 
-// restartLimit is how many seconds a restart is watched for.
+// restartLimit is the simulated time in seconds after which a restart is given up.
 const restartLimit = 30
 
-// configurationBytes is the size of a configuration that fills a page of the platform's log.
+// configurationBytes is the size of a configuration that fills a page of the log.
 const configurationBytes = 900_000
 
-// restartFaults are what goes wrong beside a restart.
+// restartFaults selects the faults during a restart.
 type restartFaults struct {
-	// isCut: the nodes do not reach each other. noDirectory: the log refuses reads of the directory.
+	// isCut: nodes cannot connect to each other. noDirectory: the log refuses reads of the directory.
 	isCut, noDirectory bool
 }
 
-// restart starts so many nodes at once, behind a history of eight announcements of each.
-func restart(t *testing.T, nodes int, faults restartFaults) (result restarted) {
+// restart starts all nodes at once, with eight old announcements of each in the directory.
+func restart(t *testing.T, nodes int, faults restartFaults) (result restartResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		below := memlog.New()
-		below.Put(followed, "configuration", make([]byte, configurationBytes))
+		backend := memlog.New()
+		backend.Put(followedTopic, "configuration", make([]byte, configurationBytes))
 		for range 8 {
-			announceAll(t, below, nodes)
+			announceAll(t, backend, nodes)
 		}
 		c := &cluster{
-			log:      narrowlog.New(below, narrowLimits.BytesPerSecond),
+			log:      narrowlog.New(backend, narrowLimits.BytesPerSecond),
 			handlers: make(map[string]http.Handler),
 			isCut:    faults.isCut,
 		}
@@ -160,7 +159,7 @@
 			time.Sleep(time.Second)
 			result.seconds++
 			usage := c.log.Usage()
-			t.Logf("%d nodes, %d s: %d KB served, %d KB of them in vain, %d nodes have the configuration",
+			t.Logf("%d nodes, %d s: %d KB served, %d KB of them discarded, %d nodes have the configuration",
 				nodes, result.seconds, usage.Bytes>>10, usage.Lost>>10, c.loadedNodes())
 		}
 		result.bytes, result.fullReads = c.log.Usage().Bytes, c.log.Usage().FullReads
@@ -170,51 +169,51 @@
 	return result
 }
 
-// restarts holds results by number of nodes. Tests that use it must not run in parallel.
-var restarts = make(map[int]restarted)
+// restartResults caches results by number of nodes. Tests that use it must not run in parallel.
+var restartResults = make(map[int]restartResult)
 
-// restartOnce is restart of nodes that reach each other, played once.
-func restartOnce(t *testing.T, nodes int) restarted {
+// restartOnce returns the cached result of a restart without faults.
+func restartOnce(t *testing.T, nodes int) restartResult {
 	t.Helper()
-	result, found := restarts[nodes]
+	result, found := restartResults[nodes]
 	if !found {
 		result = restart(t, nodes, restartFaults{})
-		restarts[nodes] = result
+		restartResults[nodes] = result
 	}
 	return result
 }
 
-// TestNodesThatRestartTogetherAllReadTheConfiguration guards against a restart of all nodes that asks the log for
-// more than it serves, and goes on asking: no node knew the others, routes or jobs from then on.
-func TestNodesThatRestartTogetherAllReadTheConfiguration(t *testing.T) {
+// TestSimultaneousRestartCompletes guards against a restart of all nodes that overloads the log for good, so that
+// no node learns of the others, the routes or the jobs.
+func TestSimultaneousRestartCompletes(t *testing.T) {
 	for _, nodes := range []int{120, 240} {
 		result := restartOnce(t, nodes)
 		assert.Assert(t, result.seconds <= 5, "%d nodes: %+v", nodes, result)
 	}
 }
 
-// TestOnlyReplicasReadTheConfigurationFromTheLog guards against full reads that grow with the nodes.
+// TestOnlyReplicasReadTheConfigurationFromTheLog guards against full reads that grow with the number of nodes.
 func TestOnlyReplicasReadTheConfigurationFromTheLog(t *testing.T) {
 	for _, nodes := range []int{120, 240} {
 		result := restartOnce(t, nodes)
-		// Three replicas in each of six zones; each may try again.
+		// Three replicas in each of six zones, with one retry each.
 		assert.Assert(t, result.fullReads <= 2*18, "%d nodes: %+v", nodes, result)
 	}
 }
 
-// TestNodesThatReadFromTheLogSpreadTheirReads guards against full reads that time out at all nodes at once, and are
-// made again at once, where there are no replicas: in a smaller cluster, or where no node reaches another.
-func TestNodesThatReadFromTheLogSpreadTheirReads(t *testing.T) {
+// TestDirectReadsOfManyNodesAreSpread guards against full reads that time out and are retried on all nodes at once
+// where there are no replicas: in a smaller cluster, or if nodes cannot connect to each other.
+func TestDirectReadsOfManyNodesAreSpread(t *testing.T) {
 	for _, nodes := range []int{90, 240} {
 		result := restart(t, nodes, restartFaults{isCut: true})
-		// Half of what the log serves is theirs.
+		// Full reads may use half of what the log serves.
 		ideal := nodes * configurationBytes * 4 / 3 / (narrowLimits.BytesPerSecond / 2)
 		assert.Assert(t, result.seconds <= ideal+10, "%d nodes: %+v", nodes, result)
 	}
 }
 
-// directoryBytes returns the bytes that one node reads of the directory in 5 s, behind so many announcements of each
-// of 300 others.
+// directoryBytes returns the bytes that one node reads of the directory in 5 s, if it holds the given number of
+// announcements of each of 300 other nodes.
 func directoryBytes(t *testing.T, announcements int) (bytes int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -236,8 +235,9 @@
 	return bytes
 }
 
-// TestARestartReadsNoHistoryOfTheDirectory guards against restarts that cost more the longer the cluster runs.
-func TestARestartReadsNoHistoryOfTheDirectory(t *testing.T) {
+// TestBootstrapCostIsIndependentOfDirectoryHistory guards against restarts that cost more the longer the cluster
+// runs.
+func TestBootstrapCostIsIndependentOfDirectoryHistory(t *testing.T) {
 	short, long := directoryBytes(t, 8), directoryBytes(t, 32)
 	assert.Assert(t, long <= short*5/4, "%d and %d bytes", short, long)
 }
--- a/internal/logrelay/server.go
+++ b/internal/logrelay/server.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// Path is where other nodes send their calls.
+	// Path is the URL path of calls from other nodes.
 	Path = "/log"
-	// maxRequestBytes bounds a call; a call of the log may have 2 MiB.
+	// maxRequestBytes limits a request; the records of one call may take 2 MiB.
 	maxRequestBytes = 4 << 20
-	// maxWait bounds how long a read of another node is held.
+	// maxWait limits how long a relayed read may wait for records.
 	maxWait = 2 * time.Second
 )
 
-// Replicas are the followed topics that a node hands to others.
+// Replicas provides the followed topics that a node serves to others.
 type Replicas interface {
-	// Replica returns what the node has read of a topic itself; false when it reads it
-	// through another node or not at all.
+	// Replica returns the node's copy of a topic; false if it does not follow the topic, or does so through another
+	// node.
 	Replica(topic string) (Replica, bool)
 }
 
-// Replica is what a node has read of a topic; see follow.Replica.
+// Replica is a node's copy of a followed topic; see follow.Replica.
 type Replica interface {
 	Newest(leftOut []string) (eventlog.KeyedBatch, time.Duration, bool)
 	Read(
@@ -36,98 +36,97 @@
 	) (eventlog.KeyedBatch, time.Duration, error)
 }
 
-// NewHandler serves calls of other nodes with the node's own connection to the
-// log, never by way of a third one. While able is false it tells them at once to
-// ask another node.
-func NewHandler(direct eventlog.Log, able func() bool, replicas Replicas) http.Handler {
+// NewHandler serves calls of other nodes over the node's own connection to the log, never through a third node.
+// While canRelay returns false, it replies at once that the caller should try another node.
+func NewHandler(direct eventlog.Log, canRelay func() bool, replicas Replicas) http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(Path, func(w http.ResponseWriter, r *http.Request) {
-		began := boottime.Now()
+		started := boottime.Now()
 		msgpackhttp.Handle(maxRequestBytes, func(ctx context.Context, call request) response {
-			if call.writes() && isLate(ctx, call, boottime.Now().Sub(began)) {
+			if call.isWrite() && isAbandoned(ctx, call, boottime.Now().Sub(started)) {
 				return response{Outcome: notDone, Detail: "its sender has left"}
 			}
-			return answer(ctx, direct, able, replicas, call)
+			return handleRequest(ctx, direct, canRelay, replicas, call)
 		}).ServeHTTP(w, r)
 	}).Methods(http.MethodPost)
 	return router
 }
 
-// isLate tells whether the sender of a call has left. It waited still when it was asked for the
-// call, but this node may have stood still since.
-func isLate(ctx context.Context, call request, age time.Duration) bool {
-	return ctx.Err() != nil || call.Patience > 0 && age > call.Patience
+// isAbandoned reports whether the sender of a call has stopped waiting. The sender was waiting when its request was
+// read, but this process may have been suspended since.
+func isAbandoned(ctx context.Context, call request, age time.Duration) bool {
+	return ctx.Err() != nil || call.SenderTimeout > 0 && age > call.SenderTimeout
 }
 
-func answer(
-	ctx context.Context, direct eventlog.Log, able func() bool, replicas Replicas, call request,
+func handleRequest(
+	ctx context.Context, direct eventlog.Log, canRelay func() bool, replicas Replicas, call request,
 ) response {
 	switch {
 	case call.Operation == opReplicaNewest || call.Operation == opReplicaRead:
 		return serveReplica(ctx, replicas, call)
-	case !able():
-		return response{Outcome: noWay}
+	case !canRelay():
+		return response{Outcome: cannotRelay}
 	default:
-		return serve(ctx, direct, call)
+		return callLog(ctx, direct, call)
 	}
 }
 
-// serveReplica answers from what the node has read itself.
+// serveReplica replies from the node's copy of the topic.
 func serveReplica(ctx context.Context, replicas Replicas, call request) response {
 	replica, found := replicas.Replica(call.Topic)
 	if !found {
-		return response{Outcome: noWay}
+		return response{Outcome: cannotRelay}
 	}
 	if call.Operation == opReplicaNewest {
 		batch, age, known := replica.Newest(call.LeftOut)
 		if !known {
-			return response{Outcome: noWay}
+			return response{Outcome: cannotRelay}
 		}
 		return response{Outcome: done, Offset: batch.Next, Keyed: batch.Records, Age: age}
 	}
 	batch, age, err := replica.Read(ctx, call.Offset, min(call.Wait, maxWait), call.LeftOut)
 	if err != nil {
-		return failed(err)
+		return errorResponse(err)
 	}
 	return response{Outcome: done, Offset: batch.Next, Keyed: batch.Records, Age: age}
 }
 
-func serve(ctx context.Context, direct eventlog.Log, call request) response {
+func callLog(ctx context.Context, direct eventlog.Log, call request) response {
 	wait := min(call.Wait, maxWait)
 	switch call.Operation {
 	case opAppend:
-		// The call goes on when its sender leaves: half a call would have no outcome.
-		return appended(direct.Append(context.WithoutCancel(ctx), call.partition(), call.Records))
+		// Writes continue after the sender disconnects, so that they are not interrupted with an unknown outcome.
+		return appendResponse(direct.Append(context.WithoutCancel(ctx), call.partition(), call.Records))
 	case opAppendAt:
-		return appended(direct.AppendAt(context.WithoutCancel(ctx), call.partition(), call.Offset, call.Records))
+		return appendResponse(direct.AppendAt(context.WithoutCancel(ctx), call.partition(), call.Offset, call.Records))
 	case opPutKeyed:
 		err := direct.PutKeyed(context.WithoutCancel(ctx), call.Topic, call.Keyed)
-		return appended(0, err)
+		return appendResponse(0, err)
 	case opRead:
 		batch, err := direct.Read(ctx, call.partition(), call.Offset, call.Limit, wait)
 		if err != nil {
-			return failed(err)
+			return errorResponse(err)
 		}
 		return response{Outcome: done, Offset: batch.First, End: batch.End, Records: batch.Records}
 	case opNewest:
-		return keyed(direct.Newest(ctx, call.Topic))
+		return keyedResponse(direct.Newest(ctx, call.Topic))
 	case opReadKeyed:
-		return keyed(direct.ReadKeyed(ctx, call.Topic, call.Offset, wait))
+		return keyedResponse(direct.ReadKeyed(ctx, call.Topic, call.Offset, wait))
 	default:
 		return response{Outcome: notDone, Detail: "unknown operation"}
 	}
 }
 
-func appended(offset int64, err error) response {
+func appendResponse(offset int64, err error) response {
 	if err != nil {
-		return failed(err)
+		return errorResponse(err)
 	}
 	return response{Outcome: done, Offset: offset}
 }
 
-func keyed(batch eventlog.KeyedBatch, err error) response {
+func keyedResponse(batch eventlog.KeyedBatch, err error) response {
 	if err != nil {
-		return failed(err)
+		return errorResponse(err)
 	}
 	return response{Outcome: done, Offset: batch.Next, Keyed: batch.Records}
 }
--- a/internal/logrelay/settle.go
+++ b/internal/logrelay/settle.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// settlingReadPeriod is the time between two reads until the directory has settled; it grows with the nodes, up to
-	// maxSettlingReadPeriod. settledGrowth is the most by which a read may find more nodes than the one before once it
-	// has.
+	// settlingReadPeriod is the time between two reads until the directory has settled; it grows with the cluster
+	// up to maxSettlingReadPeriod. The directory has settled once a read increases the number of nodes by at most
+	// the fraction settledGrowth.
 	settlingReadPeriod    = 100 * time.Millisecond
 	maxSettlingReadPeriod = time.Second
 	settledGrowth         = 0.05
-	// settleLimit bounds the wait for that since the directory was read last, maxSettleLimit altogether: large clusters
-	// take longer, and a part of the log that is away must not keep a node from all others.
+	// settleLimit limits the wait for the directory to settle since its last successful read, maxSettleLimit in
+	// total: large clusters take longer, but a node must start even if the directory cannot be read.
 	settleLimit    = 4 * time.Second
 	maxSettleLimit = 15 * time.Second
 )
 
-// untilRead is the time until the next read: short until the cluster is known.
+// untilRead returns the time until the next read of the directory, which is short until it has settled.
 func (d *Directory) untilRead() time.Duration {
 	if d.isSettled() {
 		return d.Budget().Stretch(readPeriod, maxReadPeriod)
@@ -28,12 +28,12 @@
 
 func (d *Directory) isSettled() bool { return isClosed(d.settled) }
 
-// AwaitSettled waits until the directory has settled, within settleLimit and maxSettleLimit. Before that a node of a
-// large cluster does not know that replicas read large topics for it.
+// AwaitSettled blocks until the directory has settled, settleLimit or maxSettleLimit expires, or ctx ends. Before
+// that a node of a large cluster may not know of the replicas that read large topics for it.
 func (d *Directory) AwaitSettled(ctx context.Context) {
-	began := time.Now()
+	started := time.Now()
 	for {
-		left := min(time.Until(d.lastProgress(began).Add(settleLimit)), time.Until(began.Add(maxSettleLimit)))
+		left := min(time.Until(d.lastProgress(started).Add(settleLimit)), time.Until(started.Add(maxSettleLimit)))
 		if left <= 0 {
 			return
 		}
@@ -50,14 +50,14 @@
 	}
 }
 
-// recordRead records that the directory was read.
+// recordRead notes the time of a successful read of the directory.
 func (d *Directory) recordRead() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastReadAt = time.Now()
 }
 
-// lastProgress returns when the directory was read last, or since when that is awaited.
+// lastProgress returns the time of the last successful read of the directory, but at least since.
 func (d *Directory) lastProgress(since time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,8 +67,9 @@
 	return since
 }
 
-// observeSize compares the nodes known with those that the read before found; mu is held.
-func (d *Directory) observeSize(nodes int) {
+// recordSize closes settled once the number of nodes has hardly grown since the previous read. Must be called with
+// mu held.
+func (d *Directory) recordSize(nodes int) {
 	if d.isSettled() {
 		return
 	}
--- a/internal/logrelay/settle_test.go
+++ b/internal/logrelay/settle_test.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// announceNodes has so many nodes more announce themselves.
+// announceNodes appends an announcement of each node from..to-1.
 func announceNodes(t *testing.T, log *memlog.Log, from, to int) {
 	t.Helper()
 	for number := from; number < to; number++ {
@@ -21,30 +21,30 @@
 	}
 }
 
-// TestTheDirectorySettlesOnceItGrowsNoMore: a node that starts with hundreds of others does not take the first of
-// them for the whole cluster.
-func TestTheDirectorySettlesOnceItGrowsNoMore(t *testing.T) {
+// TestDirectorySettlesOnceItStopsGrowing guards against a starting node that takes the first nodes it reads for the
+// whole cluster.
+func TestDirectorySettlesOnceItStopsGrowing(t *testing.T) {
 	log := memlog.New()
 	directory := NewDirectory(log, Self{Node: "own", Address: "127.0.0.1:9999", Zone: "z"}, pacing.Limits{}, zerolog.Nop())
-	look := func() bool {
+	readOnce := func() bool {
 		assert.Assert(t, directory.read(t.Context()))
 		directory.chooseReplicas()
 		return directory.isSettled()
 	}
-	assert.Assert(t, !look(), "one look tells nothing")
+	assert.Assert(t, !readOnce(), "a single read is not enough")
 	listed := 0
 	for _, nodes := range []int{40, 90, 150, 190} {
 		announceNodes(t, log, listed, nodes)
 		listed = nodes
-		assert.Assert(t, !look(), "%d nodes", nodes)
+		assert.Assert(t, !readOnce(), "%d nodes", nodes)
 	}
 	announceNodes(t, log, listed, listed+3)
-	assert.Assert(t, look())
+	assert.Assert(t, readOnce())
 	assert.Assert(t, len(directory.Sources()) > 0 || directory.IsReplica())
 }
 
-// TestASmallClusterSettlesWithItsSecondLook: nobody waits where there is nothing to wait for.
-func TestASmallClusterSettlesWithItsSecondLook(t *testing.T) {
+// TestSmallDirectorySettlesWithSecondRead guards against a needless wait at the start in a small cluster.
+func TestSmallDirectorySettlesWithSecondRead(t *testing.T) {
 	log := memlog.New()
 	announceNodes(t, log, 0, 9)
 	directory := NewDirectory(log, Self{Node: "n0", Address: "127.0.0.1:1", Zone: "z"}, pacing.Limits{}, zerolog.Nop())
--- a/internal/logrelay/versions.go
+++ b/internal/logrelay/versions.go
@@ -6,13 +6,13 @@
 	"github.com/corkpulley/corkpulley/internal/core/clusterversion"
 )
 
-// ownRecordAge bounds the age of the node's own newest announcement in the directory while its view of the others is
-// current. It covers the longest time between two announcements, and the reads that find them.
+// ownRecordAge limits the age of the node's own newest announcement in the directory while its view of the others
+// is considered current. It covers the longest time between two announcements, and the reads that find them.
 const ownRecordAge = maxAnnouncePeriod + 2*maxReadPeriod
 
-// Versions returns the versions of the live nodes. The view is current while this node finds its own announcements
-// in the directory: reads that fail, or lag behind, show others as gone that are live. Known is false
-// once its own announcement is older than ownRecordAge: others may have been missed. It is true before the first one is
+// Versions returns the versions of the live nodes. The view is current while the node finds its own announcements
+// in the directory: if reads fail or lag behind, live nodes appear to be gone. Known is false once the node's own
+// announcement is older than ownRecordAge, since others may have been missed; it is true before the first one is
 // found.
 func (d *Directory) Versions() clusterversion.View {
 	d.mu.Lock()
@@ -25,7 +25,7 @@
 		Current: recent && found && d.isSettled(),
 	}
 	for node, each := range d.members {
-		if d.alive(node) {
+		if d.isAlive(node) {
 			view = view.With(each.version())
 		}
 	}
--- a/internal/logrelay/versions_test.go
+++ b/internal/logrelay/versions_test.go
@@ -17,9 +17,9 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// Guards against a view in which live nodes are missing: while a node's reads fail, all others seem gone to it. The
-// times are virtual.
-func TestTheVersionsOfLiveNodesAreCurrentOnlyWhileReadsWork(t *testing.T) {
+// TestVersionsAreCurrentOnlyWhileReadsSucceed guards against a view without live nodes, since all others seem gone
+// while reads fail. The clock is virtual.
+func TestVersionsAreCurrentOnlyWhileReadsSucceed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
 		own := NewDirectory(log, Self{Node: "own", Version: clusterversion.Announced}, pacing.Limits{}, zerolog.Nop())
