--- a/internal/follow/classes_test.go
+++ b/internal/follow/classes_test.go
@@ -12,10 +12,10 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// keysFor returns the keys that a reader gets which leaves out some classes.
-func keysFor(t *testing.T, replica *Replica, from int64, leftOut ...string) map[string]bool {
+// keysExcluding returns the keys that a reader receives if it excludes some classes.
+func keysExcluding(t *testing.T, replica *Replica, from int64, excluded ...string) map[string]bool {
 	t.Helper()
-	batch, _, err := replica.Read(t.Context(), from, 0, leftOut)
+	batch, _, err := replica.Read(t.Context(), from, 0, excluded)
 	assert.NilError(t, err)
 	keys := make(map[string]bool)
 	for _, record := range batch.Records {
@@ -24,40 +24,42 @@
 	return keys
 }
 
-func TestReadersGetTheClassesThatTheyAskFor(t *testing.T) {
+func TestReplicaOmitsExcludedClasses(t *testing.T) {
 	replica := newReplica()
-	replica.take(record("desk", "1", 0), "desk")
-	replica.take(record("model", "1", 1), "models")
-	replica.take(record("unreadable", "1", 2), "")
-	replica.reached(3, boottime.Now())
-	assert.DeepEqual(t, keysFor(t, replica, 0, "models"), map[string]bool{"desk": true, "unreadable": true})
-	assert.Equal(t, len(keysFor(t, replica, 0)), 3)
+	replica.put(record("desk", "1", 0), "desk")
+	replica.put(record("model", "1", 1), "models")
+	replica.put(record("unreadable", "1", 2), "")
+	replica.advance(3, boottime.Now())
+	assert.DeepEqual(t, keysExcluding(t, replica, 0, "models"), map[string]bool{"desk": true, "unreadable": true})
+	assert.Equal(t, len(keysExcluding(t, replica, 0)), 3)
 	newest, _, _ := replica.Newest([]string{"models", "desk"})
 	assert.Equal(t, len(newest.Records), 1)
 }
 
-// TestADeletionIsForThoseWhoHaveTheRecord: the deletion itself tells no class.
-func TestADeletionIsForThoseWhoHaveTheRecord(t *testing.T) {
+// TestDeletionHasTheClassOfTheDeletedRecord guards against deletions, which carry no class, that are sent to the
+// wrong readers.
+func TestDeletionHasTheClassOfTheDeletedRecord(t *testing.T) {
 	replica := newReplica()
-	replica.take(record("desk", "1", 0), "desk")
-	replica.take(record("model", "1", 1), "models")
-	replica.take(record("desk", "", 2), "")
-	replica.take(record("model", "", 3), "")
-	replica.reached(4, boottime.Now())
-	assert.DeepEqual(t, keysFor(t, replica, 2, "models"), map[string]bool{"desk": true})
+	replica.put(record("desk", "1", 0), "desk")
+	replica.put(record("model", "1", 1), "models")
+	replica.put(record("desk", "", 2), "")
+	replica.put(record("model", "", 3), "")
+	replica.advance(4, boottime.Now())
+	assert.DeepEqual(t, keysExcluding(t, replica, 2, "models"), map[string]bool{"desk": true})
 }
 
-// TestAKeyThatChangesItsClassIsForAll: whoever left out the new one has the old record.
-func TestAKeyThatChangesItsClassIsForAll(t *testing.T) {
+// TestKeyThatChangesItsClassIsIncludedForAll guards against a reader that keeps the old record of a key whose new
+// class it excludes.
+func TestKeyThatChangesItsClassIsIncludedForAll(t *testing.T) {
 	replica := newReplica()
-	replica.take(record("moved", "1", 0), "desk")
-	replica.take(record("moved", "2", 1), "models")
-	replica.reached(2, boottime.Now())
-	assert.DeepEqual(t, keysFor(t, replica, 1, "models"), map[string]bool{"moved": true})
+	replica.put(record("moved", "1", 0), "desk")
+	replica.put(record("moved", "2", 1), "models")
+	replica.advance(2, boottime.Now())
+	assert.DeepEqual(t, keysExcluding(t, replica, 1, "models"), map[string]bool{"moved": true})
 }
 
-// TestAReloadHandsOnWhatWasHandledBefore: the handler may have left it out then.
-func TestAReloadHandsOnWhatWasHandledBefore(t *testing.T) {
+// TestReloadPassesHandledRecordsAgain guards against records that the handler ignored before and needs now.
+func TestReloadPassesHandledRecordsAgain(t *testing.T) {
 	log := memlog.New()
 	log.Put(topic, "a", []byte("1"))
 	handled := 0
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,6 +1,5 @@
-// Package follow keeps a process up to date with a compacted topic of the log:
-// it reads the newest record of each key, then each change, through outages and
-// lost history.
+// Package follow tracks a compacted topic of the log: a follower reads the newest record of each key, then every
+// change. It recovers from outages of the log and from history that the log has dropped.
 package follow
 
 import (
@@ -22,53 +21,51 @@
 )
 
 const (
-	// pollWait is how long a read waits for a change. It bounds how long a
-	// store that has stopped telling of changes goes unnoticed.
+	// pollWait is how long a read waits for a change. It limits how long a log that no longer reports changes goes
+	// unnoticed.
 	pollWait = 500 * time.Millisecond
-	// maxPollWait bounds it where many nodes share the log's reads. A read that
-	// was sent to a silent log hangs for this long beyond the end of the outage.
+	// maxPollWait limits the wait in large clusters, where nodes read less often. A read sent to an unresponsive
+	// log may hang for this long after the end of the outage.
 	maxPollWait = time.Second
-	// readGap is the time between two reads: every change ends a read that waits, and
-	// changes gather meanwhile. It grows with the nodes.
+	// readGap is the time between two reads, so that a read returns several changes; it grows with the cluster up
+	// to maxReadGap.
 	readGap    = 20 * time.Millisecond
 	maxReadGap = 700 * time.Millisecond
-	// refreshPeriod is the time between two full reads of refreshRecords keys, which
-	// find what a tailing read has missed; it grows with the keys and the nodes. The
-	// share refreshJitter of it is drawn, since nodes that start together would read
-	// together.
+	// refreshPeriod is the time between two full reads of refreshRecords keys, which find what reads of changes
+	// have missed. It grows with the number of keys and nodes up to maxRefreshPeriod. A random part of it, up to
+	// refreshJitter, keeps nodes from reading at the same time.
 	refreshPeriod    = 5 * time.Second
 	maxRefreshPeriod = 2 * time.Minute
 	refreshRecords   = 500
 	refreshJitter    = 0.3
-	// fullReadRetry is the longest time until the first full read that failed is tried again, maxFullReadRetry that
-	// until a later one: it doubles, so that nodes that do not know each other yet do not overload the log.
+	// fullReadRetry is the longest random delay after the first failed initial full read; it doubles up to
+	// maxFullReadRetry. Nodes that do not know of each other yet cannot adapt their rate to the cluster.
 	fullReadRetry    = 250 * time.Millisecond
 	maxFullReadRetry = 30 * time.Second
-	// maxDoublings is enough for fullReadRetry to reach maxFullReadRetry.
+	// maxDoublings suffices for fullReadRetry to reach maxFullReadRetry.
 	maxDoublings = 7
-	// refreshDelay is the longest time for which a whole read that came due in an outage
-	// is postponed; it grows with the nodes.
+	// refreshDelay is the longest time by which a full read that came due in an outage is postponed; it grows with
+	// the cluster up to maxRefreshDelay.
 	refreshDelay    = 2 * time.Second
 	maxRefreshDelay = 10 * time.Second
 )
 
-// StaleAge is beyond any age that knowledge of a topic has while its reads work. A read that comes
-// after it, such as the first one after the machine was suspended, waits for no change.
+// StaleAge exceeds the age of a followed topic's data while reads succeed. Reads of older data, such as the first
+// one after the machine was suspended, do not wait for changes.
 const StaleAge = maxPollWait + maxReadGap + 300*time.Millisecond
 
-// maxReadRetry bounds the delays of readRetries once they have grown with the nodes.
+// maxReadRetry limits the delays of readRetries after they are scaled to the cluster.
 const maxReadRetry = 4 * time.Second
 
-// readRetries are the delays between tries while reads fail, where few nodes share the log. They grow with the
-// nodes: when reads fail since all nodes together ask for more than the log serves, tries at a fixed pace keep it
-// overloaded for good.
+// readRetries are the delays between attempts while reads fail, in a small cluster; they are scaled to the number
+// of nodes. Retries at a fixed rate by all nodes would keep an overloaded log overloaded.
 var readRetries = retry.Policy{First: 50 * time.Millisecond, Longest: 400 * time.Millisecond}
 
-// Handler takes the records of a topic in the order of their offsets, each
-// once; after a full read, also deletions of keys that are no longer there.
+// Handler receives each record of a topic once, in the order of offsets. After a full read, it also receives a
+// deletion for each key that no longer exists.
 type Handler func(record eventlog.KeyedRecord)
 
-// Follower follows one topic.
+// Follower follows one topic. Its methods are safe for concurrent use unless they say otherwise.
 type Follower struct {
 	log     eventlog.Log
 	topic   string
@@ -77,22 +74,22 @@
 	logger  zerolog.Logger
 
 	// The fields from here to classOf are used by Run's goroutine only, except for replica and loaded.
-	// offsets holds the offset of the newest record handled for each key.
+	// offsets holds the offset of the newest handled record of each key.
 	offsets map[string]int64
 	next    int64
-	// fullBytes is the size of the newest full read.
+	// fullBytes is the size of the last full read.
 	fullBytes int
-	// failedLoads counts the reads that failed before the first full read, maxDoublings at the most.
+	// failedLoads counts the failed reads before the first full read, up to maxDoublings.
 	failedLoads int
 	healthy     bool
-	// replica holds what was read, for other nodes.
+	// replica is served to other nodes.
 	replica *Replica
-	// now reads a clock that goes on while the machine is suspended.
+	// now reads a clock that advances while the machine is suspended.
 	now func() time.Time
 	// loaded is closed after the first full read.
-	loaded chan struct{}
-	whole  refreshSchedule
-	// classOf tells the class of a record; nil where all are of one.
+	loaded    chan struct{}
+	fullReads refreshSchedule
+	// classOf returns the class of a record; nil if the topic has no classes.
 	classOf func(eventlog.KeyedRecord) string
 
 	mu sync.Mutex
@@ -100,26 +97,28 @@
 	reloads []chan struct{}
 }
 
-// New returns a follower; Run starts it.
+// New returns a follower, which Run starts.
 func New(log eventlog.Log, topic string, handler Handler, budget pacing.Budget, logger zerolog.Logger) *Follower {
 	return &Follower{
-		log:     log,
-		topic:   topic,
-		handler: handler,
-		budget:  budget,
-		logger:  logger.With().Str("topic", topic).Logger(),
-		offsets: make(map[string]int64),
-		loaded:  make(chan struct{}),
-		whole:   refreshSchedule{postponed: true},
-		replica: newReplica(),
-		now:     boottime.Now,
+		log:       log,
+		topic:     topic,
+		handler:   handler,
+		budget:    budget,
+		logger:    logger.With().Str("topic", topic).Logger(),
+		offsets:   make(map[string]int64),
+		loaded:    make(chan struct{}),
+		fullReads: refreshSchedule{postponed: true},
+		replica:   newReplica(),
+		now:       boottime.Now,
 	}
 }
 
-// Classify has readers of the replica leave out whole classes of records; before Run only.
+// Classify sets the function that assigns records to classes, which readers of the replica may exclude. Must be
+// called before Run.
 func (f *Follower) Classify(classOf func(record eventlog.KeyedRecord) string) { f.classOf = classOf }
 
-// Reload forces a full resync of the topic. The channel is closed after it.
+// Reload requests a full read of the topic, whose records are all passed to the handler. The channel is closed
+// after it.
 func (f *Follower) Reload() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,32 +127,32 @@
 	return reloaded
 }
 
-// takeReloads returns the reloads asked for since the last call.
+// takeReloads returns the reloads requested since the last call.
 func (f *Follower) takeReloads() []chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	asked := f.reloads
+	requested := f.reloads
 	f.reloads = nil
-	return asked
+	return requested
 }
 
-// keepReloads leaves reloads to the next full read.
-func (f *Follower) keepReloads(asked []chan struct{}) {
+// requeueReloads leaves reloads to the next full read.
+func (f *Follower) requeueReloads(requested []chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reloads = append(asked, f.reloads...)
+	f.reloads = append(requested, f.reloads...)
 }
 
-// UseClock replaces the clock of package boottime; before Run only. Simulations have a clock of their own.
+// UseClock replaces the clock of package boottime, for simulations. Must be called before Run.
 func (f *Follower) UseClock(now func() time.Time) { f.now, f.replica.now = now, now }
 
-// Replica returns what the follower has read, for other nodes.
+// Replica returns the follower's copy of the topic, for reads by other nodes.
 func (f *Follower) Replica() *Replica { return f.replica }
 
-// Loaded is closed once the topic was read whole for the first time.
+// Loaded is closed after the first full read.
 func (f *Follower) Loaded() <-chan struct{} { return f.loaded }
 
-// IsLoaded tells whether the topic was read whole once.
+// IsLoaded reports whether the first full read is complete.
 func (f *Follower) IsLoaded() bool {
 	select {
 	case <-f.loaded:
@@ -163,7 +162,7 @@
 	}
 }
 
-// Age is how old the newest knowledge of the topic is; very old before the first read.
+// Age returns the time since the follower was last known to be up to date; very large before the first read.
 func (f *Follower) Age() time.Duration { return f.replica.age() }
 
 // Run follows the topic until ctx ends.
@@ -173,8 +172,8 @@
 		err := f.step(ctx)
 		if err == nil {
 			delays.Reset()
-			f.contact(nil)
-			retry.Sleep(ctx, f.gap())
+			f.logReachability(nil)
+			retry.Sleep(ctx, f.readDelay())
 			continue
 		}
 		if ctx.Err() != nil {
@@ -182,18 +181,20 @@
 		}
 		var gone *eventlog.GoneError
 		if errors.As(err, &gone) {
-			f.logger.Info().Int64("offset", f.next).Int64("first_kept", gone.First).Msg("history lost, reading whole")
-			f.whole.force()
+			f.logger.Info().Int64("offset", f.next).Int64("first_kept", gone.First).
+				Msg("topic history lost, reading in full")
+			f.fullReads.force()
 			continue
 		}
-		f.whole.failed()
-		f.contact(err)
+		f.fullReads.recordFailure()
+		f.logReachability(err)
 		retry.Sleep(ctx, f.retryDelay(delays))
 	}
 	return nil
 }
 
-// retryDelay is the time until a failed read is tried again. Nodes that have not read the topic yet make full reads.
+// retryDelay returns the delay before a failed read is retried. Initial full reads get a random part, because all
+// starting nodes make them.
 func (f *Follower) retryDelay(delays *retry.Delays) time.Duration {
 	delay := f.budget.Stretch(delays.NextBackOff(), maxReadRetry)
 	if f.IsLoaded() {
@@ -204,9 +205,8 @@
 	return delay + rand.N(longest)
 }
 
-// gap is the time until the next read. None is left after an answer that had lain here while the process
-// stood still.
-func (f *Follower) gap() time.Duration {
+// readDelay returns the time until the next read; zero if the answer is stale because the process was suspended.
+func (f *Follower) readDelay() time.Duration {
 	if f.Age() >= StaleAge {
 		return 0
 	}
@@ -230,34 +230,34 @@
 		f.handle(record)
 	}
 	f.next = batch.Next
-	known := sent
+	upToDateAt := sent
 	if len(batch.Records) == 0 {
-		known = answered.At(sent, wait, f.now())
+		upToDateAt = answered.At(sent, wait, f.now())
 	}
-	f.replica.reached(f.next, known)
-	f.whole.worked(time.Now(), rand.N(f.budget.Stretch(refreshDelay, maxRefreshDelay)))
+	f.replica.advance(f.next, upToDateAt)
+	f.fullReads.recordSuccess(time.Now(), rand.N(f.budget.Stretch(refreshDelay, maxRefreshDelay)))
 	return nil
 }
 
-// refreshIfDue reads the topic whole if its time has come, or somebody has asked for it.
+// refreshIfDue makes a full read if one is due or a reload was requested.
 func (f *Follower) refreshIfDue(ctx context.Context) error {
-	asked := f.takeReloads()
+	requested := f.takeReloads()
 	now := time.Now()
-	if len(asked) == 0 && !f.whole.isDue(now) {
+	if len(requested) == 0 && !f.fullReads.isDue(now) {
 		return nil
 	}
-	if err := f.refresh(ctx, len(asked) > 0); err != nil {
-		f.keepReloads(asked)
+	if err := f.refresh(ctx, len(requested) > 0); err != nil {
+		f.requeueReloads(requested)
 		return err
 	}
-	f.whole.done(now, f.untilRefresh())
-	for _, each := range asked {
+	f.fullReads.recordFullRead(now, f.untilRefresh())
+	for _, each := range requested {
 		close(each)
 	}
 	return nil
 }
 
-// untilRefresh is the time until the next full read: long enough for the log to serve it to all nodes.
+// untilRefresh returns the time until the next full read, which is long enough for the log to serve all nodes.
 func (f *Follower) untilRefresh() time.Duration {
 	size := 1 + len(f.offsets)/refreshRecords
 	period := f.budget.Stretch(time.Duration(size)*refreshPeriod, maxRefreshPeriod)
@@ -265,9 +265,8 @@
 	return period - time.Duration(rand.Float64()*refreshJitter*float64(period))
 }
 
-// refresh reads the topic whole. A key that is missing was deleted, unless its
-// record is newer than the read, or could not be read and has no key. A record that was handled
-// before is handled once more if all are to be.
+// refresh makes a full read. A missing key was deleted, unless its record is newer than the read, or could not be
+// read and has no key. If all is true, records that were handled before are passed to the handler again.
 func (f *Follower) refresh(ctx context.Context, all bool) error {
 	sent := f.now()
 	batch, err := f.log.Newest(ctx, f.topic)
@@ -280,7 +279,7 @@
 	for _, record := range batch.Records {
 		present[record.Key] = true
 		f.fullBytes += len(record.Key) + len(record.Value)
-		if !f.deletedSince(batch, record) {
+		if !f.isDeletedSince(batch, record) {
 			f.handleIf(record, all)
 		}
 	}
@@ -290,7 +289,7 @@
 		}
 	}
 	f.next = max(f.next, batch.Next)
-	f.replica.reached(f.next, sent)
+	f.replica.advance(f.next, sent)
 	if !f.IsLoaded() {
 		close(f.loaded)
 		f.logger.Info().Int("keys", len(f.offsets)).Int64("offset", f.next).Msg("topic read whole")
@@ -298,17 +297,17 @@
 	return nil
 }
 
-// deletedSince tells whether a key that a whole read has is known to have been deleted after it: the
-// read was of a replica that knows less than this follower has read already.
-func (f *Follower) deletedSince(read eventlog.KeyedBatch, record eventlog.KeyedRecord) bool {
+// isDeletedSince reports whether the key of a record in a full read is known to have been deleted since: a replica
+// that lags behind this follower may serve the read.
+func (f *Follower) isDeletedSince(read eventlog.KeyedBatch, record eventlog.KeyedRecord) bool {
 	_, found := f.offsets[record.Key]
 	return !found && read.Next < f.next && record.Offset < f.next
 }
 
-// handle passes a record on unless it was handled, or a newer one of its key.
+// handle passes a record to the handler unless it, or a newer one of its key, was handled before.
 func (f *Follower) handle(record eventlog.KeyedRecord) { f.handleIf(record, false) }
 
-// handleIf is handle, but passes a record on again if asked to.
+// handleIf is handle, but passes the newest handled record on once more if again is true.
 func (f *Follower) handleIf(record eventlog.KeyedRecord, again bool) {
 	if known, found := f.offsets[record.Key]; found && (record.Offset < known || record.Offset == known && !again) {
 		return
@@ -325,12 +324,12 @@
 	if f.classOf != nil && !record.Deleted {
 		class = f.classOf(record)
 	}
-	f.replica.take(record, class)
+	f.replica.put(record, class)
 	f.handler(record)
 }
 
-// contact logs when the topic is lost or regained.
-func (f *Follower) contact(err error) {
+// logReachability logs when reads of the topic start to fail or succeed again.
+func (f *Follower) logReachability(err error) {
 	if healthy := err == nil; healthy != f.healthy {
 		f.healthy = healthy
 		f.logger.Info().Err(err).Bool("reachable", healthy).Int64("offset", f.next).Msg("topic contact changed")
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -17,7 +17,7 @@
 
 const topic = "keyed.test"
 
-// view is what a follower's handler has made of the records.
+// view is the state that a follower's handler builds from the records.
 type view struct {
 	mu     sync.Mutex
 	values map[string]string
@@ -29,7 +29,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if last, found := v.last[record.Key]; found && record.Offset <= last {
-		v.t.Errorf("%s went back from offset %d to %d", record.Key, last, record.Offset)
+		v.t.Errorf("offset of %s decreased from %d to %d", record.Key, last, record.Offset)
 	}
 	v.last[record.Key] = record.Offset
 	if record.Deleted {
@@ -58,7 +58,7 @@
 	return v
 }
 
-func TestChangesAreFollowed(t *testing.T) {
+func TestFollowerHandlesChangesAndDeletions(t *testing.T) {
 	log := memlog.New()
 	log.Put(topic, "a", []byte("1"))
 	v := start(t, log)
@@ -70,11 +70,9 @@
 	testwait.Until(t, "the deletion", func() bool { return v.is("a", "") })
 }
 
-// TestHistoryLostInAnOutageIsMadeUpFor changes, deletes and adds keys while the
-// log is away, and then drops the records.
-// TestAWholeReadIsHandedOnInOrder: the log tells it by key, and what holds of two keys may depend on which one
-// was written last.
-func TestAWholeReadIsHandedOnInOrder(t *testing.T) {
+// TestFullReadIsHandledInOffsetOrder guards against handling records in the order of keys, in which the log returns
+// them.
+func TestFullReadIsHandledInOffsetOrder(t *testing.T) {
 	log := memlog.New()
 	for _, key := range []string{"c", "a", "b"} {
 		log.Put(topic, key, []byte("1"))
@@ -85,7 +83,9 @@
 	assert.DeepEqual(t, keys, []string{"c", "a", "b"})
 }
 
-func TestHistoryLostInAnOutageIsMadeUpFor(t *testing.T) {
+// TestHistoryLostInAnOutageIsRecovered guards against missing changes, deletions or new keys when the log has
+// dropped the records of an outage.
+func TestHistoryLostInAnOutageIsRecovered(t *testing.T) {
 	log := memlog.New()
 	log.Put(topic, "changed", []byte("1"))
 	log.Put(topic, "deleted", []byte("1"))
@@ -103,15 +103,15 @@
 	assert.Equal(t, len(v.last), 3)
 }
 
-// waitLog notes the longest time that a read was asked to wait.
-type waitLog struct {
+// waitRecordingLog records the longest wait of a read.
+type waitRecordingLog struct {
 	*memlog.Log
 	mu      sync.Mutex
 	longest time.Duration
 	reads   int
 }
 
-func (l *waitLog) ReadKeyed(
+func (l *waitRecordingLog) ReadKeyed(
 	ctx context.Context, topic string, from int64, wait time.Duration,
 ) (eventlog.KeyedBatch, error) {
 	l.mu.Lock()
@@ -120,10 +120,9 @@
 	return l.Log.ReadKeyed(ctx, topic, from, wait)
 }
 
-// TestReadsWaitForABoundedTimeHoweverManyNodesThereAre: a read that was sent to
-// a silent log goes unanswered for as long as it may wait, beyond the outage.
-func TestReadsWaitForABoundedTimeHoweverManyNodesThereAre(t *testing.T) {
-	log := &waitLog{Log: memlog.New()}
+// TestReadWaitIsBoundedInLargeClusters guards against reads that hang long after the end of an outage.
+func TestReadWaitIsBoundedInLargeClusters(t *testing.T) {
+	log := &waitRecordingLog{Log: memlog.New()}
 	log.Put(topic, "a", []byte("1"))
 	v := &view{values: map[string]string{}, last: map[string]int64{}, t: t}
 	budget := pacing.Budget{Limits: pacing.Limits{ReadsPerSecond: 100}, Nodes: func() int { return 1000 }}
--- a/internal/follow/replica_order_test.go
+++ b/internal/follow/replica_order_test.go
@@ -13,8 +13,9 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// TestAReaderGetsTheNewestRecordOfEachKeySinceItsOffset: in the order of the log, whatever came in between.
-func TestAReaderGetsTheNewestRecordOfEachKeySinceItsOffset(t *testing.T) {
+// TestReadReturnsNewestRecordsInOffsetOrder guards against records missing, obsolete or out of order in a read from
+// any offset.
+func TestReadReturnsNewestRecordsInOffsetOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		replica := newReplica()
 		newest := make(map[string]eventlog.KeyedRecord)
@@ -26,10 +27,10 @@
 				continue
 			}
 			newest[key] = record(key, value, offset)
-			replica.take(newest[key], "")
+			replica.put(newest[key], "")
 			offset++
 		}
-		replica.reached(offset, boottime.Now())
+		replica.advance(offset, boottime.Now())
 		from := rapid.Int64Range(0, offset).Draw(t, "from")
 		var expected []eventlog.KeyedRecord
 		for _, each := range newest {
@@ -38,22 +39,22 @@
 			}
 		}
 		slices.SortFunc(expected, func(a, b eventlog.KeyedRecord) int { return cmp.Compare(a.Offset, b.Offset) })
-		batch, err := replica.since(from, nil)
+		batch, err := replica.readFrom(from, nil)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, batch.Records, expected)
-		assert.Assert(t, len(replica.order) <= 2*len(replica.records)+spareOrder+1)
+		assert.Assert(t, len(replica.positions) <= 2*len(replica.records)+maxObsoletePositions+1)
 	})
 }
 
-// TestARecordThatWasMissedTakesItsPlace: a whole read may bring one after newer ones.
-func TestARecordThatWasMissedTakesItsPlace(t *testing.T) {
+// TestMissedRecordIsInsertedInOffsetOrder covers a full read that returns a record after newer ones were handled.
+func TestMissedRecordIsInsertedInOffsetOrder(t *testing.T) {
 	replica := newReplica()
-	replica.take(record("b", "1", 1), "")
-	replica.take(record("c", "1", 2), "")
-	replica.take(record("a", "1", 0), "")
-	replica.take(record("a", "1", 0), "")
-	replica.reached(3, boottime.Now())
-	batch, err := replica.since(0, nil)
+	replica.put(record("b", "1", 1), "")
+	replica.put(record("c", "1", 2), "")
+	replica.put(record("a", "1", 0), "")
+	replica.put(record("a", "1", 0), "")
+	replica.advance(3, boottime.Now())
+	batch, err := replica.readFrom(0, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, len(batch.Records), 3)
 	assert.Equal(t, batch.Records[0].Key, "a")
--- a/internal/follow/replica_test.go
+++ b/internal/follow/replica_test.go
@@ -17,15 +17,15 @@
 	return eventlog.KeyedRecord{Key: key, Value: []byte(value), Deleted: value == "", Offset: offset}
 }
 
-func TestReplicaTellsWhatCameSinceAnOffset(t *testing.T) {
+func TestReplicaReturnsRecordsFromOffset(t *testing.T) {
 	replica := newReplica()
 	_, _, known := replica.Newest(nil)
 	assert.Assert(t, !known)
 	for offset, value := range []string{"a", "b", "c"} {
-		replica.take(record(value, value, int64(offset)), "")
+		replica.put(record(value, value, int64(offset)), "")
 	}
-	replica.take(record("a", "", 3), "")
-	replica.reached(4, boottime.Now())
+	replica.put(record("a", "", 3), "")
+	replica.advance(4, boottime.Now())
 	batch, _, err := replica.Read(t.Context(), 1, 0, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, batch.Next, int64(4))
@@ -37,50 +37,51 @@
 	assert.Equal(t, len(newest.Records), 2)
 }
 
-// TestReaderThatIsAheadKeepsItsPlace: it comes from a replica that has read more.
-func TestReaderThatIsAheadKeepsItsPlace(t *testing.T) {
+// TestReaderAheadOfReplicaKeepsItsOffset covers a reader that comes from a more recent replica.
+func TestReaderAheadOfReplicaKeepsItsOffset(t *testing.T) {
 	replica := newReplica()
-	replica.take(record("a", "1", 0), "")
-	replica.reached(1, boottime.Now())
+	replica.put(record("a", "1", 0), "")
+	replica.advance(1, boottime.Now())
 	batch, _, err := replica.Read(t.Context(), 7, time.Millisecond, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, len(batch.Records), 0)
 	assert.Equal(t, batch.Next, int64(7))
 }
 
-func TestWaitingReaderIsWokenByAChange(t *testing.T) {
+func TestWaitingReadReturnsOnChange(t *testing.T) {
 	replica := newReplica()
-	replica.reached(1, boottime.Now())
+	replica.advance(1, boottime.Now())
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	go func() {
-		replica.take(record("a", "1", 1), "")
-		replica.reached(2, boottime.Now())
+		replica.put(record("a", "1", 1), "")
+		replica.advance(2, boottime.Now())
 	}()
 	batch, _, err := replica.Read(ctx, 1, time.Minute, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, len(batch.Records), 1)
 }
 
-func TestAgeGrowsWhileTheLogIsAway(t *testing.T) {
+func TestAgeGrowsWithoutReads(t *testing.T) {
 	replica := newReplica()
-	replica.reached(1, boottime.Now().Add(-time.Hour))
+	replica.advance(1, boottime.Now().Add(-time.Hour))
 	_, age, _ := replica.Newest(nil)
 	assert.Assert(t, age >= time.Hour)
-	replica.reached(1, boottime.Now())
+	replica.advance(1, boottime.Now())
 	_, age, _ = replica.Newest(nil)
 	assert.Assert(t, age < time.Hour)
 }
 
-// TestReaderThatMayHaveMissedADeletionReadsWhole: replicas forget old deletions.
-func TestReaderThatMayHaveMissedADeletionReadsWhole(t *testing.T) {
+// TestReaderThatMayHaveMissedADeletionGetsGoneError guards against a reader that keeps a deleted key, since
+// replicas drop old deletions.
+func TestReaderThatMayHaveMissedADeletionGetsGoneError(t *testing.T) {
 	replica := newReplica()
 	offset := int64(0)
 	for number := range maxDeletions + 1 {
-		replica.take(record(fmt.Sprint("k", number), "", offset), "")
+		replica.put(record(fmt.Sprint("k", number), "", offset), "")
 		offset++
 	}
-	replica.reached(offset, boottime.Now())
+	replica.advance(offset, boottime.Now())
 	var gone *eventlog.GoneError
 	_, _, err := replica.Read(t.Context(), 5, 0, nil)
 	assert.Assert(t, errors.As(err, &gone), "%v", err)
--- a/internal/follow/schedule.go
+++ b/internal/follow/schedule.go
@@ -2,37 +2,36 @@
 
 import "time"
 
-// refreshSchedule says when a topic is to be read whole.
+// refreshSchedule determines when a full read of a topic is due.
 //
-// After an outage of the log, whole reads are due at all nodes at once, and hundreds of
-// them take all that the log serves for seconds. So one that is due then is postponed,
-// but only once: a log that fails now and then doesn't keep it from being made.
+// After an outage of the log, full reads are due on all nodes at once, which together would take up the log for
+// seconds. Such a read is therefore postponed, but only once, so that a log with occasional failures does not
+// prevent it.
 type refreshSchedule struct {
 	due       time.Time
 	postponed bool
-	// recovering is true from a failed read to the next one that works.
+	// recovering is true from a failed read until the next successful one.
 	recovering bool
 }
 
-// isDue tells whether the topic is to be read whole now.
+// isDue reports whether a full read is due.
 func (s *refreshSchedule) isDue(now time.Time) bool {
 	return now.After(s.due) && (!s.recovering || s.postponed)
 }
 
-// force makes a whole read due at once: records were lost.
+// force makes a full read due at once, because records were lost.
 func (s *refreshSchedule) force() { *s = refreshSchedule{postponed: true} }
 
-// done notes a whole read; the next is due after the period.
-func (s *refreshSchedule) done(now time.Time, period time.Duration) {
+// recordFullRead schedules the next full read after the period.
+func (s *refreshSchedule) recordFullRead(now time.Time, period time.Duration) {
 	*s = refreshSchedule{due: now.Add(period)}
 }
 
-// failed notes that a read failed.
-func (s *refreshSchedule) failed() { s.recovering = true }
+func (s *refreshSchedule) recordFailure() { s.recovering = true }
 
-// worked notes that a read of changes worked. A whole read that came due meanwhile is made
-// after the delay.
-func (s *refreshSchedule) worked(now time.Time, delay time.Duration) {
+// recordSuccess records a successful read of changes. A full read that came due during failures is postponed by the
+// delay.
+func (s *refreshSchedule) recordSuccess(now time.Time, delay time.Duration) {
 	if s.recovering && !s.postponed && now.After(s.due) {
 		s.due, s.postponed = now.Add(delay), true
 	}
--- a/internal/follow/schedule_test.go
+++ b/internal/follow/schedule_test.go
@@ -9,41 +9,41 @@
 
 var now = time.Unix(1000, 0)
 
-func TestWholeReadsFollowThePeriod(t *testing.T) {
+func TestFullReadsFollowThePeriod(t *testing.T) {
 	schedule := refreshSchedule{postponed: true}
 	assert.Assert(t, schedule.isDue(now), "the first is due at once")
-	schedule.done(now, time.Minute)
+	schedule.recordFullRead(now, time.Minute)
 	assert.Assert(t, !schedule.isDue(now.Add(time.Second)))
 	assert.Assert(t, schedule.isDue(now.Add(2*time.Minute)))
 }
 
-func TestWholeReadThatCameDueInAnOutageIsPostponedOnce(t *testing.T) {
+func TestFullReadDueInAnOutageIsPostponedOnce(t *testing.T) {
 	var schedule refreshSchedule
-	schedule.done(now, time.Second)
-	schedule.failed()
+	schedule.recordFullRead(now, time.Second)
+	schedule.recordFailure()
 	now := now.Add(5 * time.Second)
 	assert.Assert(t, !schedule.isDue(now), "changes are read first")
-	schedule.worked(now, time.Second)
+	schedule.recordSuccess(now, time.Second)
 	assert.Assert(t, !schedule.isDue(now))
-	schedule.failed()
-	schedule.worked(now, time.Second)
-	assert.Assert(t, schedule.isDue(now.Add(2*time.Second)), "no second failure puts it off")
-	schedule.failed()
+	schedule.recordFailure()
+	schedule.recordSuccess(now, time.Second)
+	assert.Assert(t, schedule.isDue(now.Add(2*time.Second)), "it is postponed only once")
+	schedule.recordFailure()
 	assert.Assert(t, schedule.isDue(now.Add(2*time.Second)))
 }
 
-func TestAFailureDoesNotPutOffWhatIsNotDue(t *testing.T) {
+func TestFailureDoesNotPostponeFullReadNotYetDue(t *testing.T) {
 	var schedule refreshSchedule
-	schedule.done(now, time.Second)
-	schedule.failed()
-	schedule.worked(now, time.Minute)
+	schedule.recordFullRead(now, time.Second)
+	schedule.recordFailure()
+	schedule.recordSuccess(now, time.Minute)
 	assert.Assert(t, schedule.isDue(now.Add(2*time.Second)))
 }
 
-func TestLostRecordsMakeAWholeReadDueAtOnce(t *testing.T) {
+func TestForceMakesFullReadDueAtOnce(t *testing.T) {
 	var schedule refreshSchedule
-	schedule.done(now, time.Minute)
+	schedule.recordFullRead(now, time.Minute)
 	schedule.force()
-	schedule.failed()
+	schedule.recordFailure()
 	assert.Assert(t, schedule.isDue(now))
 }
