--- a/internal/keyed/executor.go
+++ b/internal/keyed/executor.go
@@ -16,29 +16,28 @@
 )
 
 const (
-	// DefaultShards is the number of idempotency streams.
+	// DefaultShards is the default number of idempotency streams.
 	DefaultShards = 64
-	// DefaultLogTimeout bounds the wait for an intent's verdict.
+	// DefaultLogTimeout is the default limit on the wait for the log, such as for an intent's verdict.
 	DefaultLogTimeout = 5 * time.Second
-	// DefaultSnapshotEvery is the least number of records between snapshots.
+	// DefaultSnapshotEvery is the default minimum number of records between snapshots.
 	DefaultSnapshotEvery = 4096
-	// snapshotPatience is how many times as many records a shard of many keys
-	// may take until its next snapshot: then its snapshots outweigh its records
-	// less, and a node that opens the shard still catches up in seconds.
-	snapshotPatience = 4
-	// DefaultShardIdle is how long a shard without requests stays open. To open
-	// it again replays what follows its latest snapshot.
+	// snapshotLatestFactor is the maximum number of records between snapshots, as a multiple of the minimum. It
+	// limits both the share of snapshots of shards with many keys, and the records to replay when a shard is
+	// opened.
+	snapshotLatestFactor = 4
+	// DefaultShardIdle is how long a shard without requests stays open by default. Opening it again replays the
+	// records after its latest snapshot.
 	DefaultShardIdle = 2 * time.Minute
 
-	// closingRecordTries is how many log timeouts a result may take to be
-	// recorded once the node stops. Its caller has the answer; a repeat of a
-	// key whose result is not on record is told that the outcome is unknown.
-	closingRecordTries = 3
-	// maxFlights bounds the requests of one shard that this node deals with.
-	maxFlights = 4096
-	// freshFor is the age of the last contact with the log up to which the
-	// tailed state needs no extra read: an idle tail is in touch once a poll.
-	freshFor = 2 * logstream.DefaultPollWait
+	// closingRecordTimeouts is for how many log timeouts Close waits for results to be recorded. The callers have
+	// their answers; a repeat of a key without a recorded result gets OutcomeUnknown.
+	closingRecordTimeouts = 3
+	// maxExecutions limits the requests of one shard in progress on this node.
+	maxExecutions = 4096
+	// tailFreshness is the time since the last contact with the log within which the tailed state is used without
+	// an extra read. An idle tail has contact once per poll.
+	tailFreshness = 2 * logstream.DefaultPollWait
 )
 
 // Options configures an Executor.
@@ -49,16 +48,14 @@
 	Registry peer.Registry
 	Router   router.Router
 	Tables   policy.Source
-	// Shards is the number of idempotency streams, the same on all nodes for
-	// ever; DefaultShards when 0.
+	// Shards is the number of idempotency streams; DefaultShards if 0. It must be the same on all nodes and must
+	// never change.
 	Shards int
-	// LogTimeout bounds the wait for the log before a request is refused;
-	// DefaultLogTimeout when 0.
+	// LogTimeout limits the wait for the log before a request is refused; DefaultLogTimeout if 0.
 	LogTimeout time.Duration
-	// SnapshotEvery as in logstream.StreamOptions; DefaultSnapshotEvery when 0.
+	// SnapshotEvery is as in logstream.StreamOptions; DefaultSnapshotEvery if 0.
 	SnapshotEvery int64
-	// ShardIdle is how long a shard without requests is tailed on;
-	// DefaultShardIdle when 0.
+	// ShardIdle is how long a shard without requests stays open; DefaultShardIdle if 0.
 	ShardIdle time.Duration
 	Logger    zerolog.Logger
 }
@@ -79,15 +76,15 @@
 	return o
 }
 
-// Executor executes keyed requests at most once each.
+// Executor executes each keyed request at most once. It is safe for concurrent use.
 type Executor struct {
 	options Options
 	shards  []*shard
 
-	// ctx ends the runs when Close gives up waiting for them.
+	// ctx is canceled when Close stops waiting for running requests.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// closing is closed once Close began.
+	// closing is closed when Close begins.
 	closing chan struct{}
 
 	mu      sync.Mutex
@@ -95,7 +92,7 @@
 	running sync.WaitGroup
 }
 
-// New returns an Executor and registers its handler of MethodKeyed.
+// New returns an Executor and registers its handler for MethodKeyed.
 func New(options Options) *Executor {
 	options = options.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -107,11 +104,10 @@
 	return executor
 }
 
-// Execute runs the request, or finds the answer of the run that came first. It
-// hands the whole answer to onPiece from one goroutine, in order. Errors are
-// *errkind.Error: OutcomeUnknown when another intent for the key is first and
-// has no result, IdempotencyKeyReused when the key came with another request,
-// LogUnavailable (not run) while the log does not answer.
+// Execute runs the request, or returns the answer of the first run with its key. It passes the whole answer to
+// onPiece from one goroutine, in order. Errors are *errkind.Error: OutcomeUnknown if an earlier intent for the key
+// has no result, IdempotencyKeyReused if the key was used for a different request, LogUnavailable (not run) while
+// the log does not answer.
 func (e *Executor) Execute(
 	ctx context.Context, request Request, onPiece func(router.Piece) error,
 ) (router.Result, error) {
@@ -123,35 +119,34 @@
 	}
 	owner, known := e.owner(request)
 	if !known || owner.ID == e.options.View.Self().ID {
-		return e.executeHere(ctx, request, onPiece)
+		return e.executeLocal(ctx, request, onPiece)
 	}
 	result, sent, err := e.forward(ctx, owner, request, onPiece)
 	if !sent {
-		// The owner certainly saw nothing. Any node may run the request,
-		// because the log decides which intent is first.
-		return e.executeHere(ctx, request, onPiece)
+		// The request did not reach the owner. Any node may run it, since the log decides which intent is first.
+		return e.executeLocal(ctx, request, onPiece)
 	}
 	return result, err
 }
 
-// executeHere deals with the request as the shard's owner. The run does not end
-// when the caller leaves: its result is recorded for the caller's next try.
-func (e *Executor) executeHere(
+// executeLocal processes the request on this node. The run continues when the caller disconnects, so that its
+// result is recorded for a retry.
+func (e *Executor) executeLocal(
 	ctx context.Context, request Request, onPiece func(router.Piece) error,
 ) (router.Result, error) {
 	if err := e.options.Tables.Current(); err != nil {
 		return router.Result{}, err
 	}
 	shard := e.shards[request.shard(e.options.Shards)]
-	flight, err := shard.join(request)
+	execution, err := shard.join(request)
 	if err != nil {
 		return router.Result{}, err
 	}
-	return flight.follow(ctx, onPiece)
+	return execution.streamTo(ctx, onPiece)
 }
 
-// spawn runs work on a goroutine that Close waits for; false once closed.
-func (e *Executor) spawn(work func()) bool {
+// startTask runs work on a goroutine that Close waits for; false if the executor is closed.
+func (e *Executor) startTask(work func()) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
@@ -161,11 +156,10 @@
 	return true
 }
 
-// Close takes no more requests and waits until the running ones have ended and
-// their results are recorded; while the log is down, a result is tried for
-// closingRecordTries log timeouts. When ctx ends first, it cancels what runs:
-// the outcome is then unknown, and it returns ctx's error. The Manager is
-// closed after the Executor.
+// Close rejects new requests and waits until the running ones have ended and their results are recorded, or
+// closingRecordTimeouts log timeouts have passed while the log is unavailable. If ctx ends first, it cancels the
+// running requests, whose outcome is then unknown, and returns ctx's error. The Manager must be closed after the
+// Executor.
 func (e *Executor) Close(ctx context.Context) error {
 	e.mu.Lock()
 	if !e.closed {
@@ -192,8 +186,8 @@
 	return err
 }
 
-// recordContext returns a context that ends when Close gives up waiting for
-// results, which is some log timeouts after it began.
+// recordContext returns a context for recording a result. It ends closingRecordTimeouts log timeouts after Close
+// began, or when the executor's context is canceled.
 func (e *Executor) recordContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	go func() {
@@ -202,10 +196,10 @@
 		case <-ctx.Done():
 			return
 		}
-		patience := time.NewTimer(closingRecordTries * e.options.LogTimeout)
-		defer patience.Stop()
+		timer := time.NewTimer(closingRecordTimeouts * e.options.LogTimeout)
+		defer timer.Stop()
 		select {
-		case <-patience.C:
+		case <-timer.C:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -213,9 +207,8 @@
 	return ctx, cancel
 }
 
-// rowInForce returns the submission under this node's table when that is newer
-// than the sender's, since the table may have changed on the way.
-func (e *Executor) rowInForce(submission Submission) (Submission, error) {
+// applyNewerTable returns the submission with the row of this node's table if that is newer than the sender's.
+func (e *Executor) applyNewerTable(submission Submission) (Submission, error) {
 	table := e.options.Tables.Table()
 	if table.Revision <= submission.TableRevision {
 		return submission, nil
--- a/internal/keyed/fakes_test.go
+++ b/internal/keyed/fixture_test.go
@@ -21,22 +21,22 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/logservice"
 )
 
-// world is a log and the nodes on it, which talk over the peer transport.
-type world struct {
+// fixture is a log and its nodes, connected by the peer transport.
+type fixture struct {
 	log       *standin.Server
 	server    *httptest.Server
 	router    *fakeRouter
 	addresses map[string]string
-	// shardIdle as in Options; the default when 0.
+	// shardIdle is as in Options.
 	shardIdle time.Duration
 }
 
-func newWorld(t *testing.T) *world {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	log := standin.New(standin.Config{Seed: 1})
 	server := httptest.NewServer(log.Handler())
 	t.Cleanup(server.Close)
-	return &world{
+	return &fixture{
 		log:       log,
 		server:    server,
 		router:    &fakeRouter{runs: map[string]int{}},
@@ -44,30 +44,30 @@
 	}
 }
 
-// node starts a node that believes in the given members, itself first.
-func (w *world) node(t *testing.T, id string, others ...string) *Executor {
+// node starts a node whose view has the given members, itself first.
+func (f *fixture) node(t *testing.T, id string, others ...string) *Executor {
 	t.Helper()
 	transport := peer.New(peer.Options{NodeID: id, ListenAddress: "127.0.0.1:0", Logger: zerolog.Nop()})
 	manager := logstream.NewManager(logstream.Options{
-		Service:  logservice.NewHTTP(w.server.URL, w.server.Client()),
+		Service:  logservice.NewHTTP(f.server.URL, f.server.Client()),
 		Writer:   id,
 		Logger:   zerolog.Nop(),
 		PollWait: 50 * time.Millisecond,
 	})
 	executor := New(Options{
 		Manager:    manager,
-		View:       fakeView{world: w, ids: append([]string{id}, others...)},
+		View:       fakeView{fixture: f, ids: append([]string{id}, others...)},
 		Caller:     transport,
 		Registry:   transport,
-		Router:     w.router,
+		Router:     f.router,
 		Tables:     fakeTables{},
 		Shards:     2,
 		LogTimeout: logTimeout,
-		ShardIdle:  w.shardIdle,
+		ShardIdle:  f.shardIdle,
 		Logger:     zerolog.Nop(),
 	})
 	assert.NilError(t, transport.Start())
-	w.addresses[id] = transport.Address()
+	f.addresses[id] = transport.Address()
 	t.Cleanup(func() {
 		ended, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -81,8 +81,8 @@
 // fakeView lists members; the first is the node itself.
 type fakeView struct {
 	cluster.View
-	world *world
-	ids   []string
+	fixture *fixture
+	ids     []string
 }
 
 func (v fakeView) Self() cluster.Member { return v.Candidates("")[0] }
@@ -90,7 +90,7 @@
 func (v fakeView) Candidates(string) []cluster.Member {
 	var members []cluster.Member
 	for _, id := range v.ids {
-		members = append(members, cluster.Member{ID: id, Address: v.world.addresses[id]})
+		members = append(members, cluster.Member{ID: id, Address: v.fixture.addresses[id]})
 	}
 	return members
 }
@@ -100,12 +100,12 @@
 func (fakeTables) Table() *policy.Table { return &policy.Table{} }
 func (fakeTables) Current() error       { return nil }
 
-// fakeRouter counts the runs of each prompt. script, when set, decides how a run ends.
+// fakeRouter counts the runs of each prompt. script, if set, returns the error of a run.
 type fakeRouter struct {
 	mu     sync.Mutex
 	runs   map[string]int
 	script func(request router.Request) error
-	// hold, when set, is awaited between the two pieces of an answer.
+	// hold, if set, blocks each answer between its two pieces.
 	hold chan struct{}
 }
 
@@ -123,7 +123,7 @@
 	script, hold := r.script, r.hold
 	r.mu.Unlock()
 	if request.Row.Repeatable {
-		return router.Result{}, errors.New("a keyed request came as repeatable")
+		return router.Result{}, errors.New("a keyed request is marked as repeatable")
 	}
 	if script != nil {
 		if err := script(request); err != nil {
@@ -147,12 +147,11 @@
 	return router.Result{Tokens: 3, Versions: versions, FinishReason: "stop"}, nil
 }
 
-// brokenCaller fails each stream.
-type brokenCaller struct {
+type failingCaller struct {
 	peer.Caller
 	failure error
 }
 
-func (c brokenCaller) OpenStream(context.Context, string, peer.Method, any) (peer.Stream, error) {
+func (c failingCaller) OpenStream(context.Context, string, peer.Method, any) (peer.Stream, error) {
 	return nil, c.failure
 }
--- a/internal/keyed/forward.go
+++ b/internal/keyed/forward.go
@@ -15,8 +15,8 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// owner returns the node that all nodes with the same view pick for the
-// request's shard, among those of the row's zones; any node when there is none.
+// owner returns the node that owns the request's shard, chosen among those in the row's zones, or among all if
+// there are none. Nodes with the same view choose the same owner.
 func (e *Executor) owner(request Request) (cluster.Member, bool) {
 	all := e.options.View.Candidates("")
 	zones := request.Submission.Row.Zones
@@ -38,25 +38,24 @@
 	return candidates[slices.Index(ids, picked)], true
 }
 
-// forward sends the request to the owner and relays its answer. sent is false
-// when the owner certainly saw nothing; otherwise the request is never sent
-// again, and a broken delivery is OutcomeUnknown.
+// forward sends the request to the owner and relays its answer. sent is false if no byte of the request was sent;
+// otherwise the request must not be sent again, and a broken connection is OutcomeUnknown.
 func (e *Executor) forward(
 	ctx context.Context, owner cluster.Member, request Request, onPiece func(router.Piece) error,
 ) (result router.Result, sent bool, err error) {
 	stream, err := e.options.Caller.OpenStream(ctx, owner.Address, peer.MethodKeyed, request)
 	if err != nil {
-		return router.Result{}, !undelivered(err), forwardError(ctx, err)
+		return router.Result{}, !isUndelivered(err), forwardError(ctx, err)
 	}
 	defer stream.Close()
 	for first := true; ; first = false {
 		var message progress
 		if err := stream.Receive(&message); err != nil {
-			return router.Result{}, !(first && undelivered(err)), forwardError(ctx, err)
+			return router.Result{}, !(first && isUndelivered(err)), forwardError(ctx, err)
 		}
 		if message.Piece != nil {
 			if err := onPiece(*message.Piece); err != nil {
-				return router.Result{}, true, errkind.New(errkind.Canceled, "the caller left: %v", err)
+				return router.Result{}, true, errkind.New(errkind.Canceled, "the caller disconnected: %v", err)
 			}
 		}
 		if message.Result != nil {
@@ -65,35 +64,35 @@
 	}
 }
 
-// undelivered reports whether no byte of the request left this process.
-func undelivered(err error) bool {
+// isUndelivered reports whether no byte of the request was sent.
+func isUndelivered(err error) bool {
 	var delivery *peer.DeliveryError
 	return errors.As(err, &delivery) && !delivery.Sent
 }
 
-// forwardError maps a failure between the nodes to what is known of the request.
+// forwardError converts an error of the connection to the owner to an *errkind.Error.
 func forwardError(ctx context.Context, err error) error {
 	var known *errkind.Error
 	switch {
 	case errors.As(err, &known):
 		return known
 	case ctx.Err() != nil:
-		return errkind.New(errkind.Canceled, "the caller left: %v", ctx.Err())
+		return errkind.New(errkind.Canceled, "the caller disconnected: %v", ctx.Err())
 	case errors.Is(err, io.EOF):
 		return errkind.New(errkind.OutcomeUnknown, "the shard's owner ended the answer early")
 	default:
-		return errkind.New(errkind.OutcomeUnknown, "lost the shard's owner: %v", err)
+		return errkind.New(errkind.OutcomeUnknown, "connection to the shard's owner failed: %v", err)
 	}
 }
 
-// handle answers MethodKeyed. It never forwards again: when two nodes differ in
-// their views, either may run the request, and the log decides.
+// handle serves MethodKeyed. It never forwards again: if nodes have different views, either may run the request,
+// and the log decides.
 func (e *Executor) handle(ctx context.Context, incoming peer.Request, sender peer.Sender) error {
 	var request Request
 	if err := incoming.Decode(&request); err != nil {
 		return errkind.New(errkind.InvalidRequest, "keyed request: %v", err)
 	}
-	result, err := e.executeHere(ctx, request, func(piece router.Piece) error {
+	result, err := e.executeLocal(ctx, request, func(piece router.Piece) error {
 		return sender.Send(progress{Piece: &piece})
 	})
 	if err != nil {
--- a/internal/keyed/idle.go
+++ b/internal/keyed/idle.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// awaitIdle has closeIdle called when no flight comes for a while; mu is held.
-func (s *shard) awaitIdle() {
+// startIdleTimer calls closeIdle after the idle time. Must be called with mu held.
+func (s *shard) startIdleTimer() {
 	if s.idle == nil {
 		s.idle = time.AfterFunc(s.executor.options.ShardIdle, s.closeIdle)
 		return
@@ -11,13 +11,12 @@
 	s.idle.Reset(s.executor.options.ShardIdle)
 }
 
-// closeIdle stops to tail a stream that no key needs, so that an idle shard
-// costs neither polls nor the memory of its keys. The next leader opens it again
-// and gets the same state from the log.
+// closeIdle closes the stream of a shard without executions, which frees the memory of its keys and ends its polls.
+// The next execution opens it again and recovers the same state from the log.
 func (s *shard) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.flights) > 0 || s.stream == nil {
+	if len(s.executions) > 0 || s.stream == nil {
 		return
 	}
 	s.stream.Close()
--- a/internal/keyed/idle_test.go
+++ b/internal/keyed/idle_test.go
@@ -11,7 +11,7 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/logservice"
 )
 
-// isOpen reports whether the shard of a request tails its stream.
+// isOpen reports whether the shard of a request has an open stream.
 func isOpen(executor *Executor, request Request) bool {
 	shard := executor.shards[request.shard(executor.options.Shards)]
 	shard.mu.Lock()
@@ -19,11 +19,11 @@
 	return shard.stream != nil
 }
 
-func TestIdleShardIsClosedAndOpenedAgain(t *testing.T) {
+func TestIdleShardIsClosedAndReopened(t *testing.T) {
 	ctx := testContext(t)
-	world := newWorld(t)
-	world.shardIdle = time.Millisecond
-	node := world.node(t, "a")
+	fixture := newFixture(t)
+	fixture.shardIdle = time.Millisecond
+	node := fixture.node(t, "a")
 	request := newRequest("permit-1", "salmon")
 	for range 3 {
 		text, err := execute(ctx, node, request)
@@ -34,16 +34,16 @@
 				return poll.Continue("the shard is open")
 			}
 			return poll.Success()
-		}, poll.WithDelay(time.Millisecond), poll.WithTimeout(limit))
+		}, poll.WithDelay(time.Millisecond), poll.WithTimeout(testTimeout))
 	}
-	assert.Equal(t, world.router.count("salmon"), 1)
+	assert.Equal(t, fixture.router.count("salmon"), 1)
 }
 
-func TestShardWithAFlightIsNotIdle(t *testing.T) {
+func TestShardWithExecutionIsNotClosed(t *testing.T) {
 	ctx := testContext(t)
-	world := newWorld(t)
-	node := world.node(t, "a")
-	world.router.hold = make(chan struct{})
+	fixture := newFixture(t)
+	node := fixture.node(t, "a")
+	fixture.router.hold = make(chan struct{})
 	request := newRequest("permit-1", "salmon")
 	var caller sync.WaitGroup
 	caller.Go(func() {
@@ -52,25 +52,25 @@
 		assert.Check(t, text == "answer to salmon", "%q", text)
 	})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if world.router.count("salmon") == 0 {
-			return poll.Continue("the request does not run yet")
+		if fixture.router.count("salmon") == 0 {
+			return poll.Continue("the request is not running yet")
 		}
 		return poll.Success()
-	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(limit))
+	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(testTimeout))
 	node.shards[request.shard(node.options.Shards)].closeIdle()
 	assert.Check(t, isOpen(node, request))
-	close(world.router.hold)
+	close(fixture.router.hold)
 	caller.Wait()
 }
 
-// Shards that close between any two requests keep the promise of one run, also
-// while appends lose their answers and take effect late.
-func TestOneRunWhileShardsCloseAndOpen(t *testing.T) {
+// TestRequestsRunOnceWhileShardsCloseAndReopen guards against a second run when shards close between requests, also
+// while append replies are lost and appends take effect late.
+func TestRequestsRunOnceWhileShardsCloseAndReopen(t *testing.T) {
 	ctx := testContext(t)
-	world := newWorld(t)
-	world.shardIdle = time.Microsecond
-	world.log.SetControl(standin.Control{LoseAnswers: 0.3, LateMS: 3})
-	nodes := []*Executor{world.node(t, "a", "b"), world.node(t, "b", "a")}
+	fixture := newFixture(t)
+	fixture.shardIdle = time.Microsecond
+	fixture.log.SetControl(standin.Control{LoseAnswers: 0.3, LateMS: 3})
+	nodes := []*Executor{fixture.node(t, "a", "b"), fixture.node(t, "b", "a")}
 	keys := []string{"key-0", "key-1", "key-2"}
 	var callers sync.WaitGroup
 	for i := range 6 {
@@ -84,6 +84,6 @@
 	}
 	callers.Wait()
 	for _, key := range keys {
-		assert.Equal(t, world.router.count(key), 1)
+		assert.Equal(t, fixture.router.count(key), 1)
 	}
 }
--- a/internal/keyed/keyed_test.go
+++ b/internal/keyed/keyed_test.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	// limit is generous: it ends a test that hangs, and asserts no speed.
-	limit = 60 * time.Second
-	// logTimeout is what the nodes wait for the log.
+	// testTimeout ends a test that hangs.
+	testTimeout = 60 * time.Second
+	// logTimeout is the nodes' Options.LogTimeout.
 	logTimeout = 500 * time.Millisecond
 )
 
 func testContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -38,7 +38,7 @@
 	return Request{Key: key, Service: "permits", Submission: Submission{ID: key, Row: row, Prompt: prompt}}
 }
 
-// execute returns the answer's text; it checks that tokens come in order.
+// execute returns the answer's text and checks the order of its tokens.
 func execute(ctx context.Context, executor *Executor, request Request) (string, error) {
 	var text strings.Builder
 	next := 0
@@ -56,8 +56,8 @@
 	return text.String(), err
 }
 
-// eventually executes until the request ends otherwise than by the kind.
-func eventually(t *testing.T, executor *Executor, request Request, while errkind.Kind) (string, error) {
+// executeWhile repeats a request while it fails with an error of the given kind.
+func executeWhile(t *testing.T, executor *Executor, request Request, while errkind.Kind) (string, error) {
 	t.Helper()
 	ctx := testContext(t)
 	for {
@@ -69,11 +69,11 @@
 	}
 }
 
-func TestOneRunForManyCallers(t *testing.T) {
+func TestConcurrentCallersShareOneRun(t *testing.T) {
 	ctx := testContext(t)
-	world := newWorld(t)
-	world.log.SetControl(standin.Control{LoseAnswers: 0.3, LateMS: 3})
-	nodes := []*Executor{world.node(t, "a", "b"), world.node(t, "b", "a")}
+	fixture := newFixture(t)
+	fixture.log.SetControl(standin.Control{LoseAnswers: 0.3, LateMS: 3})
+	nodes := []*Executor{fixture.node(t, "a", "b"), fixture.node(t, "b", "a")}
 	var callers sync.WaitGroup
 	for i := range 24 {
 		callers.Go(func() {
@@ -85,24 +85,24 @@
 	}
 	callers.Wait()
 	for _, key := range []string{"key-0", "key-1", "key-2"} {
-		assert.Equal(t, world.router.count(key), 1)
+		assert.Equal(t, fixture.router.count(key), 1)
 	}
 
 	// A node that starts later finds the recorded answer.
-	text, err := eventually(t, world.node(t, "c"), newRequest("key-0", "key-0"), errkind.OutcomeUnknown)
+	text, err := executeWhile(t, fixture.node(t, "c"), newRequest("key-0", "key-0"), errkind.OutcomeUnknown)
 	assert.NilError(t, err)
 	assert.Equal(t, text, "answer to key-0")
 	_, err = execute(ctx, nodes[0], newRequest("key-0", "something else"))
 	assert.Assert(t, errkind.Is(err, errkind.IdempotencyKeyReused), "%v", err)
-	assert.Equal(t, world.router.count("key-0"), 1)
+	assert.Equal(t, fixture.router.count("key-0"), 1)
 }
 
-// TestOneRunAcrossSplitViews lets three nodes each take themselves for the owner.
-func TestOneRunAcrossSplitViews(t *testing.T) {
+// TestOneRunWithDivergingViews covers three nodes that each consider themselves the owner.
+func TestOneRunWithDivergingViews(t *testing.T) {
 	ctx := testContext(t)
-	world := newWorld(t)
-	world.log.SetControl(standin.Control{LoseAnswers: 0.3, LateMS: 3})
-	nodes := []*Executor{world.node(t, "a"), world.node(t, "b"), world.node(t, "c")}
+	fixture := newFixture(t)
+	fixture.log.SetControl(standin.Control{LoseAnswers: 0.3, LateMS: 3})
+	nodes := []*Executor{fixture.node(t, "a"), fixture.node(t, "b"), fixture.node(t, "c")}
 	for _, key := range []string{"k0", "k1", "k2", "k3", "k4", "k5"} {
 		var callers sync.WaitGroup
 		for _, node := range nodes {
@@ -112,49 +112,49 @@
 			})
 		}
 		callers.Wait()
-		assert.Equal(t, world.router.count(key), 1)
+		assert.Equal(t, fixture.router.count(key), 1)
 		for _, node := range nodes {
-			text, err := eventually(t, node, newRequest(key, key), errkind.OutcomeUnknown)
+			text, err := executeWhile(t, node, newRequest(key, key), errkind.OutcomeUnknown)
 			assert.NilError(t, err)
 			assert.Equal(t, text, "answer to "+key)
 		}
-		assert.Equal(t, world.router.count(key), 1)
+		assert.Equal(t, fixture.router.count(key), 1)
 	}
 }
 
-func TestLogDownRefusesAndReleasesLateIntents(t *testing.T) {
+func TestLogOutageRefusesRequestsAndReleasesLateIntents(t *testing.T) {
 	ctx := testContext(t)
-	world := newWorld(t)
-	node := world.node(t, "a")
+	fixture := newFixture(t)
+	node := fixture.node(t, "a")
 	_, err := execute(ctx, node, newRequest("first", "first"))
 	assert.NilError(t, err)
 
-	world.log.SetControl(standin.Control{Down: true})
+	fixture.log.SetControl(standin.Control{Down: true})
 	_, err = execute(ctx, node, newRequest("k", "k"))
 	assert.Assert(t, errkind.Is(err, errkind.LogUnavailable), "%v", err)
 
-	// Reads work, and all appends take effect only after the node gave up.
+	// Reads succeed, but appends take effect only after the node has given up.
 	late := 2 * logTimeout
-	world.log.SetControl(standin.Control{LoseAnswers: 1, LateMS: late.Milliseconds()})
+	fixture.log.SetControl(standin.Control{LoseAnswers: 1, LateMS: late.Milliseconds()})
 	_, err = execute(ctx, node, newRequest("k", "k"))
 	assert.Assert(t, errkind.Is(err, errkind.LogUnavailable), "%v", err)
-	assert.Equal(t, world.router.count("k"), 0)
+	assert.Equal(t, fixture.router.count("k"), 0)
 
-	world.log.SetControl(standin.Control{})
-	text, err := eventually(t, node, newRequest("k", "k"), errkind.LogUnavailable)
+	fixture.log.SetControl(standin.Control{})
+	text, err := executeWhile(t, node, newRequest("k", "k"), errkind.LogUnavailable)
 	assert.NilError(t, err)
 	assert.Equal(t, text, "answer to k")
-	assert.Equal(t, world.router.count("k"), 1)
+	assert.Equal(t, fixture.router.count("k"), 1)
 }
 
 func TestRefusedRunReleasesTheKey(t *testing.T) {
 	ctx := testContext(t)
-	world := newWorld(t)
-	nodes := []*Executor{world.node(t, "a"), world.node(t, "b")}
-	world.router.script = func(router.Request) error { return errkind.New(errkind.NoCapacity, "no engine") }
+	fixture := newFixture(t)
+	nodes := []*Executor{fixture.node(t, "a"), fixture.node(t, "b")}
+	fixture.router.script = func(router.Request) error { return errkind.New(errkind.NoCapacity, "no engine") }
 	_, err := execute(ctx, nodes[0], newRequest("k", "k"))
 	assert.Assert(t, errkind.Is(err, errkind.NoCapacity), "%v", err)
-	world.router.script = nil
+	fixture.router.script = nil
 	text, err := execute(ctx, nodes[1], newRequest("k", "k"))
 	assert.NilError(t, err)
 	assert.Equal(t, text, "answer to k")
@@ -162,88 +162,88 @@
 
 func TestFailedRunIsNeverRepeated(t *testing.T) {
 	ctx := testContext(t)
-	world := newWorld(t)
-	nodes := []*Executor{world.node(t, "a"), world.node(t, "b")}
-	world.router.script = func(router.Request) error { return errkind.New(errkind.EngineFailed, "crashed") }
+	fixture := newFixture(t)
+	nodes := []*Executor{fixture.node(t, "a"), fixture.node(t, "b")}
+	fixture.router.script = func(router.Request) error { return errkind.New(errkind.EngineFailed, "crashed") }
 	_, err := execute(ctx, nodes[0], newRequest("k", "k"))
 	assert.Assert(t, errkind.Is(err, errkind.EngineFailed), "%v", err)
-	world.router.script = nil
+	fixture.router.script = nil
 	for _, node := range nodes {
 		_, err = execute(ctx, node, newRequest("k", "k"))
 		assert.Assert(t, errkind.Is(err, errkind.OutcomeUnknown), "%v", err)
 	}
-	assert.Equal(t, world.router.count("k"), 1)
+	assert.Equal(t, fixture.router.count("k"), 1)
 }
 
-func TestRunGoesOnWithoutItsCaller(t *testing.T) {
-	world := newWorld(t)
-	node := world.node(t, "a")
-	world.router.hold = make(chan struct{})
+func TestRunContinuesAfterCallerDisconnects(t *testing.T) {
+	fixture := newFixture(t)
+	node := fixture.node(t, "a")
+	fixture.router.hold = make(chan struct{})
 	ctx, cancel := context.WithCancel(testContext(t))
 	_, err := node.Execute(ctx, newRequest("k", "k"), func(router.Piece) error {
 		cancel()
 		return nil
 	})
 	assert.Assert(t, errkind.Is(err, errkind.Canceled), "%v", err)
-	close(world.router.hold)
+	close(fixture.router.hold)
 	text, err := execute(testContext(t), node, newRequest("k", "k"))
 	assert.NilError(t, err)
 	assert.Equal(t, text, "answer to k")
-	assert.Equal(t, world.router.count("k"), 1)
+	assert.Equal(t, fixture.router.count("k"), 1)
 	assert.NilError(t, node.Close(testContext(t)))
 	_, err = execute(testContext(t), node, newRequest("k2", "k2"))
 	assert.Assert(t, errkind.Is(err, errkind.ShuttingDown), "%v", err)
 }
 
-func TestUncertainDeliveryIsNeverSentAgain(t *testing.T) {
+func TestUncertainDeliveryIsNotRetried(t *testing.T) {
 	ctx := testContext(t)
-	world := newWorld(t)
-	// The view names only another node, so each request is forwarded.
-	node := world.node(t, "a")
-	node.options.View = onlyOther{}
-	node.options.Caller = brokenCaller{failure: &peer.DeliveryError{Sent: true, Err: errors.New("reset")}}
+	fixture := newFixture(t)
+	// The view contains only another node, so each request is forwarded.
+	node := fixture.node(t, "a")
+	node.options.View = otherNodeView{}
+	node.options.Caller = failingCaller{failure: &peer.DeliveryError{Sent: true, Err: errors.New("reset")}}
 	_, err := execute(ctx, node, newRequest("k", "k"))
 	assert.Assert(t, errkind.Is(err, errkind.OutcomeUnknown), "%v", err)
-	assert.Equal(t, world.router.count("k"), 0)
+	assert.Equal(t, fixture.router.count("k"), 0)
 
-	node.options.Caller = brokenCaller{failure: &peer.DeliveryError{Err: errors.New("refused")}}
+	node.options.Caller = failingCaller{failure: &peer.DeliveryError{Err: errors.New("refused")}}
 	text, err := execute(ctx, node, newRequest("k", "k"))
 	assert.NilError(t, err)
 	assert.Equal(t, text, "answer to k")
 }
 
-// onlyOther knows one candidate, which is not the node itself.
-type onlyOther struct{ fakeView }
+// otherNodeView has one candidate, which is not the node itself.
+type otherNodeView struct{ fakeView }
 
-func (onlyOther) Self() cluster.Member { return cluster.Member{ID: "a"} }
+func (otherNodeView) Self() cluster.Member { return cluster.Member{ID: "a"} }
 
-func (onlyOther) Candidates(string) []cluster.Member {
+func (otherNodeView) Candidates(string) []cluster.Member {
 	return []cluster.Member{{ID: "z", Address: "z"}}
 }
 
 func TestInvalidKeysAreRefused(t *testing.T) {
-	node := newWorld(t).node(t, "a")
+	node := newFixture(t).node(t, "a")
 	for _, key := range []string{"", strings.Repeat("k", idempotency.MaxKeyBytes)} {
 		_, err := execute(testContext(t), node, newRequest(key, "p"))
 		assert.Assert(t, errkind.Is(err, errkind.InvalidRequest), "%v", err)
 	}
 }
 
-func TestLargeAnswersAreNotKept(t *testing.T) {
+func TestLargeAnswersAreNotRecorded(t *testing.T) {
 	huge := router.Piece{Tokens: []string{strings.Repeat("x", idempotency.MaxOutcomeBytes)}}
 	data, err := encodeOutcome([]router.Piece{huge}, router.Result{Tokens: 1})
 	assert.NilError(t, err)
 	assert.Assert(t, len(data) < 1000)
 }
 
-// TestCloseEndsWhileTheLogIsDown: the caller has its whole answer; the record of
-// the result is best effort once the node stops.
-func TestCloseEndsWhileTheLogIsDown(t *testing.T) {
+// TestCloseReturnsDuringLogOutage guards against a shutdown that waits for the log: the caller has its answer, and
+// recording the result is best effort.
+func TestCloseReturnsDuringLogOutage(t *testing.T) {
 	ctx := testContext(t)
-	world := newWorld(t)
+	fixture := newFixture(t)
 	hold := make(chan struct{})
-	world.router.hold = hold
-	node := world.node(t, "a")
+	fixture.router.hold = hold
+	node := fixture.node(t, "a")
 	answered := make(chan error, 1)
 	go func() {
 		text, err := execute(ctx, node, newRequest("key", "key"))
@@ -252,11 +252,11 @@
 		}
 		answered <- err
 	}()
-	for world.router.count("key") == 0 {
+	for fixture.router.count("key") == 0 {
 		assert.NilError(t, ctx.Err())
 		time.Sleep(time.Millisecond)
 	}
-	world.log.SetControl(standin.Control{Down: true})
+	fixture.log.SetControl(standin.Control{Down: true})
 	closed := make(chan error, 1)
 	go func() { closed <- node.Close(ctx) }()
 	close(hold)
--- a/internal/keyed/message.go
+++ b/internal/keyed/message.go
@@ -1,7 +1,6 @@
-// Package keyed runs requests that carry an idempotency key and are not
-// repeatable. The node that owns the key's shard appends an intent, reads it
-// back as the first for the key, and only then submits the request, once. The
-// order of the log decides; which node owns a shard is a matter of speed only.
+// Package keyed executes non-repeatable requests with an idempotency key at most once. The node that owns the key's
+// shard appends an intent to the log, and runs the request only if it reads the intent back as the first one for
+// the key. Correctness depends on the order of the log alone; which node owns a shard matters only for performance.
 package keyed
 
 import (
@@ -19,19 +18,18 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// Request is one keyed request, as sent to the owner of its shard.
+// Request is a keyed request, as sent to the owner of its shard.
 type Request struct {
-	// Key is the caller's idempotency key; it counts within one Service.
+	// Key is the caller's idempotency key, unique within its Service.
 	Key     string `msgpack:"k"`
 	Service string `msgpack:"s"`
-	// Fingerprint tells apart different requests with the same key; when it is
-	// empty, Execute computes it with Fingerprint.
+	// Fingerprint distinguishes different requests with the same key. If empty, Execute sets it with the function
+	// Fingerprint.
 	Fingerprint string     `msgpack:"f"`
 	Submission  Submission `msgpack:"r"`
 }
 
-// Submission is the part of a router.Request that travels between nodes. See
-// there for the fields.
+// Submission is the part of a router.Request that is sent between nodes. See there for the fields.
 type Submission struct {
 	ID             string        `msgpack:"id"`
 	Row            policy.Row    `msgpack:"row"`
@@ -45,7 +43,7 @@
 	QueueTimeout   time.Duration `msgpack:"q"`
 }
 
-// NewSubmission copies a router.Request.
+// NewSubmission returns the submission of a router.Request.
 func NewSubmission(request router.Request) Submission {
 	return Submission{
 		ID:             request.ID,
@@ -61,7 +59,7 @@
 	}
 }
 
-// routerRequest returns the request to run: never repeatable, whatever the row says.
+// routerRequest returns the request to run, which is never repeatable, whatever the row says.
 func (s Submission) routerRequest() router.Request {
 	row := s.Row
 	row.Repeatable = false
@@ -80,8 +78,8 @@
 	}
 }
 
-// Fingerprint returns a digest of what the caller asked for: the same for a
-// repeat, whatever the table, version or expected length is by then.
+// Fingerprint returns a digest of the caller's request. It does not depend on the table, the version or the
+// expected length, which may differ in a repeat.
 func Fingerprint(submission Submission) string {
 	hash := sha256.New()
 	for _, field := range []string{
@@ -91,28 +89,27 @@
 		strconv.FormatInt(submission.Seed, 10),
 		strconv.FormatFloat(submission.Temperature, 'g', -1, 64),
 	} {
-		// The length before each field keeps neighbors apart.
+		// Length prefixes keep the boundaries of fields unambiguous.
 		hash.Write([]byte(strconv.Itoa(len(field)) + ":" + field))
 	}
 	return hex.EncodeToString(hash.Sum(nil)[:16])
 }
 
-// progress is one message of a MethodKeyed answer stream: a piece, or at the
-// end the result.
+// progress is a message of the answer stream of MethodKeyed: a piece, or the result as the last message.
 type progress struct {
 	Piece  *router.Piece  `msgpack:"p,omitempty"`
 	Result *router.Result `msgpack:"r,omitempty"`
 }
 
-// outcome is what a Result record holds: the whole answer.
+// outcome is the encoded answer in a Result record.
 type outcome struct {
 	Pieces []router.Piece `msgpack:"p"`
 	Result router.Result  `msgpack:"r"`
-	// Dropped is set when the answer was too large to keep.
+	// Dropped is set if the answer was too large to record.
 	Dropped bool `msgpack:"d,omitempty"`
 }
 
-// encodeOutcome encodes the answer within the bounds of a Result record.
+// encodeOutcome encodes an answer; it drops the content if that exceeds the size limit of a Result record.
 func encodeOutcome(pieces []router.Piece, result router.Result) ([]byte, error) {
 	data, err := msgpack.Marshal(outcome{Pieces: joinPieces(pieces), Result: result})
 	if err != nil || len(data) <= idempotency.MaxOutcomeBytes {
@@ -121,7 +118,7 @@
 	return msgpack.Marshal(outcome{Dropped: true})
 }
 
-// joinPieces joins neighbors of the same version.
+// joinPieces joins adjacent pieces of the same version.
 func joinPieces(pieces []router.Piece) []router.Piece {
 	var joined []router.Piece
 	for _, piece := range pieces {
@@ -136,16 +133,15 @@
 	return joined
 }
 
-// scopedKey returns the key within its service, as it stands in the log.
+// scopedKey returns the key in the log, which is unique across services.
 func (r Request) scopedKey() string { return r.Service + "\x00" + r.Key }
 
-// shard returns the shard of the key, 0..shards-1. All nodes must be set to the
-// same number of shards.
+// shard returns the shard of the key, 0..shards-1.
 func (r Request) shard(shards int) int {
 	return int(xxhash.Sum64String(r.scopedKey()) % uint64(shards))
 }
 
-// intent returns the request's intent at the time, or why it is invalid.
+// intent returns the request's intent at the given time, or an InvalidRequest error.
 func (r Request) intent(now time.Time) (idempotency.Intent, error) {
 	intent := idempotency.Intent{
 		Key:         r.scopedKey(),
--- a/internal/keyed/recorded.go
+++ b/internal/keyed/outcome.go
@@ -10,41 +10,41 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// answerLostIntent answers a flight whose intent was not the first.
-func (s *shard) answerLostIntent(flight *flight, request Request) (router.Result, error) {
+// answerRejectedIntent answers a request whose intent was not the first for its key.
+func (s *shard) answerRejectedIntent(execution *execution, request Request) (router.Result, error) {
 	entry, known := s.lookup(request.scopedKey())
 	if !known {
-		// The shard is full, or the first intent was released since: not run.
-		return router.Result{}, errkind.New(errkind.QueueFull, "the intent was refused by shard %d", s.index)
+		// The shard is full, or the first intent was released meanwhile: the request did not run.
+		return router.Result{}, errkind.New(errkind.QueueFull, "the intent was rejected by shard %d", s.index)
 	}
-	return s.answerFromLog(flight, request, entry)
+	return s.answerFromLog(execution, request, entry)
 }
 
-// answerFromLog answers the flight by what the stream holds for its key.
+// answerFromLog answers a request from the stream's entry for its key.
 func (s *shard) answerFromLog(
-	flight *flight, request Request, entry idempotency.Entry,
+	execution *execution, request Request, entry idempotency.Entry,
 ) (router.Result, error) {
 	if entry.Fingerprint != request.Fingerprint {
-		return router.Result{}, errkind.New(errkind.IdempotencyKeyReused, "the key came with another request before")
+		return router.Result{}, errkind.New(errkind.IdempotencyKeyReused, "the key was used for another request")
 	}
 	if entry.ResultOffset == idempotency.NoResult {
 		return router.Result{}, errkind.New(errkind.OutcomeUnknown, "another run of the request has no recorded result")
 	}
 	recorded, err := s.readOutcome(entry.ResultOffset)
 	if err != nil {
-		// The request did run, so this is no refusal as not run.
-		return router.Result{}, errkind.New(errkind.OutcomeUnknown, "the recorded result is not readable now: %v", err)
+		// The request did run, so the error must not say that it was not executed.
+		return router.Result{}, errkind.New(errkind.OutcomeUnknown, "the recorded result cannot be read: %v", err)
 	}
 	if recorded.Dropped {
 		return router.Result{}, errkind.New(errkind.OutcomeUnknown, "the request ran; its answer was too large to keep")
 	}
 	for _, piece := range recorded.Pieces {
-		flight.add(piece)
+		execution.add(piece)
 	}
 	return recorded.Result, nil
 }
 
-// readOutcome reads a Result record again.
+// readOutcome reads the answer in the Result record at an offset.
 func (s *shard) readOutcome(offset int64) (outcome, error) {
 	ctx, cancel := s.logContext()
 	defer cancel()
