--- a/internal/logusage/logusage.go
+++ b/internal/logusage/logusage.go
@@ -1,5 +1,5 @@
-// Package logusage counts the calls that a node makes of the log: by topic, operation and outcome, and the
-// bytes of their records.
+// Package logusage counts a node's calls of the log by topic, operation and outcome, and the bytes of their
+// records.
 package logusage
 
 import (
@@ -11,55 +11,53 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// Operation is what a call does.
+// Operation is the kind of a call.
 type Operation string
 
-// The operations.
 const (
 	OperationAppend Operation = "append"
 	OperationRead   Operation = "read"
 	OperationNewest Operation = "newest"
 )
 
-// Outcome is how a call ended.
+// Outcome is the result of a call.
 type Outcome string
 
-// The outcomes.
 const (
-	// Answered: the log carried the call out, or said why its condition does not hold.
+	// Answered: the log made the call, or reported a conflict or records that it no longer keeps.
 	Answered Outcome = "answered"
-	// Refused: the log did not carry the call out, or was not reached.
+	// Refused: the log refused the call or could not be reached; the call was not made.
 	Refused Outcome = "refused"
-	// Unanswered: whether the log carried the call out is not known, or its answer did not arrive in full.
+	// Unanswered: it is unknown whether the log made the call, or its reply was incomplete.
 	Unanswered Outcome = "unanswered"
-	// Abandoned: the caller ended the call.
+	// Abandoned: the caller canceled the call.
 	Abandoned Outcome = "abandoned"
 )
 
-// Call is a call that has ended.
+// Call describes a completed call.
 type Call struct {
 	Topic     string
 	Operation Operation
 	Outcome   Outcome
-	// Bytes is the size of the records that were written or read; zero for a call that failed.
+	// Bytes is the size of the records written or read; zero for a failed call.
 	Bytes int
 }
 
-// Log reports every call of the log below it. It implements eventlog.Log.
+// Log reports every call of the log that it wraps. It implements eventlog.Log.
 type Log struct {
-	log      eventlog.Log
-	onCalled func(Call)
+	log    eventlog.Log
+	onCall func(Call)
 }
 
 var _ eventlog.Log = (*Log)(nil)
 
-// New returns a log that calls onCalled after each call.
-func New(log eventlog.Log, onCalled func(Call)) *Log { return &Log{log: log, onCalled: onCalled} }
+// New returns a log that calls onCall after each call of log. onCall must be safe for concurrent use.
+func New(log eventlog.Log, onCall func(Call)) *Log { return &Log{log: log, onCall: onCall} }
 
 // Append implements eventlog.Log.
 func (l *Log) Append(ctx context.Context, partition eventlog.Partition, records [][]byte) (int64, error) {
 	offset, err := l.log.Append(ctx, partition, records)
-	l.called(ctx, partition.Topic, OperationAppend, bytesOf(records), err)
+	l.record(ctx, partition.Topic, OperationAppend, totalBytes(records), err)
 	return offset, err
 }
 
@@ -68,7 +66,7 @@
 	ctx context.Context, partition eventlog.Partition, end int64, records [][]byte,
 ) (int64, error) {
 	offset, err := l.log.AppendAt(ctx, partition, end, records)
-	l.called(ctx, partition.Topic, OperationAppend, bytesOf(records), err)
+	l.record(ctx, partition.Topic, OperationAppend, totalBytes(records), err)
 	return offset, err
 }
 
@@ -77,21 +75,21 @@
 	ctx context.Context, partition eventlog.Partition, from int64, limit int, wait time.Duration,
 ) (eventlog.Batch, error) {
 	batch, err := l.log.Read(ctx, partition, from, limit, wait)
-	l.called(ctx, partition.Topic, OperationRead, bytesOf(batch.Records), err)
+	l.record(ctx, partition.Topic, OperationRead, totalBytes(batch.Records), err)
 	return batch, err
 }
 
 // PutKeyed implements eventlog.Log.
 func (l *Log) PutKeyed(ctx context.Context, topic string, records []eventlog.KeyedRecord) error {
 	err := l.log.PutKeyed(ctx, topic, records)
-	l.called(ctx, topic, OperationAppend, keyedBytesOf(records), err)
+	l.record(ctx, topic, OperationAppend, totalKeyedBytes(records), err)
 	return err
 }
 
 // Newest implements eventlog.Log.
 func (l *Log) Newest(ctx context.Context, topic string) (eventlog.KeyedBatch, error) {
 	batch, err := l.log.Newest(ctx, topic)
-	l.called(ctx, topic, OperationNewest, keyedBytesOf(batch.Records), err)
+	l.record(ctx, topic, OperationNewest, totalKeyedBytes(batch.Records), err)
 	return batch, err
 }
 
@@ -100,15 +98,15 @@
 	ctx context.Context, topic string, from int64, wait time.Duration,
 ) (eventlog.KeyedBatch, error) {
 	batch, err := l.log.ReadKeyed(ctx, topic, from, wait)
-	l.called(ctx, topic, OperationRead, keyedBytesOf(batch.Records), err)
+	l.record(ctx, topic, OperationRead, totalKeyedBytes(batch.Records), err)
 	return batch, err
 }
 
-func (l *Log) called(ctx context.Context, topic string, operation Operation, bytes int, err error) {
+func (l *Log) record(ctx context.Context, topic string, operation Operation, bytes int, err error) {
 	if err != nil {
 		bytes = 0
 	}
-	l.onCalled(Call{Topic: topic, Operation: operation, Outcome: outcomeOf(ctx, err), Bytes: bytes})
+	l.onCall(Call{Topic: topic, Operation: operation, Outcome: outcomeOf(ctx, err), Bytes: bytes})
 }
 
 func outcomeOf(ctx context.Context, err error) Outcome {
@@ -126,7 +124,7 @@
 	}
 }
 
-func bytesOf(records [][]byte) int {
+func totalBytes(records [][]byte) int {
 	size := 0
 	for _, record := range records {
 		size += len(record)
@@ -134,7 +132,7 @@
 	return size
 }
 
-func keyedBytesOf(records []eventlog.KeyedRecord) int {
+func totalKeyedBytes(records []eventlog.KeyedRecord) int {
 	size := 0
 	for _, record := range records {
 		size += len(record.Key) + len(record.Value)
--- a/internal/logusage/logusage_test.go
+++ b/internal/logusage/logusage_test.go
@@ -14,11 +14,11 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// TestCallsAreCountedByTopicAndOutcome guards against counts that name another topic or outcome than the call had.
-func TestCallsAreCountedByTopicAndOutcome(t *testing.T) {
-	below := memlog.New()
+// TestCallsAreReportedByTopicAndOutcome guards against reports with the wrong topic, operation, outcome or size.
+func TestCallsAreReportedByTopicAndOutcome(t *testing.T) {
+	backend := memlog.New()
 	var calls []Call
-	log := New(below, func(call Call) { calls = append(calls, call) })
+	log := New(backend, func(call Call) { calls = append(calls, call) })
 	partition := eventlog.Partition{Topic: "t"}
 	_, err := log.Append(t.Context(), partition, [][]byte{[]byte("four")})
 	assert.NilError(t, err)
@@ -41,49 +41,49 @@
 	})
 }
 
-// silentLog answers no read.
-type silentLog struct{ *memlog.Log }
+// unresponsiveLog does not answer reads.
+type unresponsiveLog struct{ *memlog.Log }
 
-func (silentLog) Read(
+func (unresponsiveLog) Read(
 	ctx context.Context, _ eventlog.Partition, _ int64, _ int, _ time.Duration,
 ) (eventlog.Batch, error) {
 	<-ctx.Done()
 	return eventlog.Batch{}, ctx.Err()
 }
 
-// TestFailedCallsAreToldApart guards against a log that refuses, and one that is silent, counting as the same.
-func TestFailedCallsAreToldApart(t *testing.T) {
+// TestOutcomesOfFailedCallsDiffer guards against confusing refused, unanswered and canceled calls.
+func TestOutcomesOfFailedCallsDiffer(t *testing.T) {
 	partition := eventlog.Partition{Topic: "t"}
 	var calls []Call
 	count := func(call Call) { calls = append(calls, call) }
 	refusing := memlog.New()
 	refusing.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
 	_, _ = New(refusing, count).Read(t.Context(), partition, 0, 1024, 0)
-	silent := New(silentLog{memlog.New()}, count)
-	late, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+	unresponsive := New(unresponsiveLog{memlog.New()}, count)
+	expiring, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
-	_, _ = silent.Read(late, partition, 0, 1024, 0)
-	left, leave := context.WithCancel(t.Context())
-	leave()
-	_, _ = silent.Read(left, partition, 0, 1024, 0)
+	_, _ = unresponsive.Read(expiring, partition, 0, 1024, 0)
+	canceled, cancelNow := context.WithCancel(t.Context())
+	cancelNow()
+	_, _ = unresponsive.Read(canceled, partition, 0, 1024, 0)
 	assert.Equal(t, len(calls), 3)
 	assert.Equal(t, calls[0].Outcome, Refused)
 	assert.Equal(t, calls[1].Outcome, Unanswered)
 	assert.Equal(t, calls[2].Outcome, Abandoned)
 }
 
-// TestSummaryIsWrittenWhileCallsFail guards against an overload of the log that no line attributes to a topic, and
-// against lines in calm times.
-func TestSummaryIsWrittenWhileCallsFail(t *testing.T) {
+// TestSummaryIsLoggedOnlyAfterFailures guards against an overload of the log that no log line attributes to a
+// topic, and against lines without failures.
+func TestSummaryIsLoggedOnlyAfterFailures(t *testing.T) {
 	var output bytes.Buffer
 	summary := NewSummary(zerolog.New(&output))
 	summary.Add(Call{Topic: "calm", Operation: OperationRead, Outcome: Answered, Bytes: 10}, false)
-	summary.write()
+	summary.logAndReset()
 	assert.Equal(t, output.Len(), 0)
 	summary.Add(Call{Topic: "calm", Operation: OperationRead, Outcome: Answered, Bytes: 10}, false)
 	summary.Add(Call{Topic: "busy", Operation: OperationRead, Outcome: Unanswered}, true)
 	summary.Add(Call{Topic: "busy", Operation: OperationRead, Outcome: Refused}, false)
-	summary.write()
+	summary.logAndReset()
 	var line struct {
 		Topics map[string]map[string]int `json:"topics"`
 	}
@@ -93,6 +93,6 @@
 		"busy": {"calls": 2, "refused": 1, "unanswered": 1, "relayed": 1, "bytes": 0},
 	})
 	output.Reset()
-	summary.write()
-	assert.Equal(t, output.Len(), 0, "counts are of one period")
+	summary.logAndReset()
+	assert.Equal(t, output.Len(), 0, "counts cover one period")
 }
--- a/internal/logusage/summary.go
+++ b/internal/logusage/summary.go
@@ -9,10 +9,10 @@
 	"github.com/rs/zerolog"
 )
 
-// summaryPeriod is the time between two summaries of failed calls.
+// summaryPeriod is the time between two summaries.
 const summaryPeriod = 10 * time.Second
 
-// Summary logs, while calls of the log fail, what a node asked of it by topic.
+// Summary logs a node's use of the log by topic while calls fail. It is safe for concurrent use.
 type Summary struct {
 	logger zerolog.Logger
 
@@ -20,17 +20,17 @@
 	topics map[string]*topicUsage
 }
 
-// topicUsage is what was asked of a topic since the summary before.
+// topicUsage counts the calls of a topic since the previous summary.
 type topicUsage struct {
 	calls, refused, unanswered, relayed, bytes int
 }
 
-// NewSummary returns a summary; Run logs it.
+// NewSummary returns a summary that Run writes to logger.
 func NewSummary(logger zerolog.Logger) *Summary {
 	return &Summary{logger: logger, topics: make(map[string]*topicUsage)}
 }
 
-// Add counts a call; relayed calls are made for another node.
+// Add counts a call. relayed is true for a call on behalf of another node.
 func (s *Summary) Add(call Call, relayed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// Run logs a summary of each period in which calls failed, until ctx ends.
+// Run logs a summary of each period with failed calls until ctx ends.
 func (s *Summary) Run(ctx context.Context) error {
 	ticker := time.NewTicker(summaryPeriod)
 	defer ticker.Stop()
@@ -61,13 +61,13 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			s.write()
+			s.logAndReset()
 		}
 	}
 }
 
-// write logs the period's counts if calls failed, and resets them.
-func (s *Summary) write() {
+// logAndReset logs the counts if calls failed, and resets them.
+func (s *Summary) logAndReset() {
 	s.mu.Lock()
 	topics := s.topics
 	s.topics = make(map[string]*topicUsage)
