--- a/internal/cluster/announce.go
+++ b/internal/cluster/announce.go
@@ -8,22 +8,20 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// cellAnnouncedFor is how long an announced cell counts as this node's without
-// being announced again.
-const cellAnnouncedFor = 15 * time.Second
+// cellAnnounceTimeout is the time after which a cell that is not announced again is dropped.
+const cellAnnounceTimeout = 15 * time.Second
 
-// loadChange is the part of a cell's slots by which its load must move before
-// it is told again (one in loadChange).
-const loadChange = 16
+// loadChangeDivisor sets the minimum load change that is announced: slots / loadChangeDivisor.
+const loadChangeDivisor = 16
 
-// ownCell is a cell that this node announced.
+// ownCell is a cell announced by this node.
 type ownCell struct {
 	digest message.CellDigest
 	at     time.Time
 }
 
-// AnnounceOwned implements Announcer. A change goes to the whole zone and to
-// one contact of each other zone at once.
+// AnnounceOwned implements Announcer. Changes are pushed immediately to all members of the zone and to one
+// contact of each other zone.
 func (c *Cluster) AnnounceOwned(owned []Ownership) {
 	streams := slices.Clone(owned)
 	c.mu.Lock()
@@ -32,80 +30,80 @@
 		return
 	}
 	c.self.Owned = streams
-	c.bumpSelf(time.Now())
-	c.outdated.Store(true)
-	c.pushSoon(true)
+	c.bumpSelfVersion(time.Now())
+	c.viewStale.Store(true)
+	c.requestPush(true)
 }
 
-// AnnounceCell implements Announcer. Announce each cell again within ten
-// seconds, changed or not: a cell that is not drops out of the digests. A
-// change of engines or models is told at once, a change of load in turn.
+// AnnounceCell implements Announcer. Changes of engines, slots or models are pushed immediately, load
+// changes with the next refresh.
 func (c *Cluster) AnnounceCell(digest message.CellDigest) {
 	now := time.Now()
 	digest.Node, digest.Address = c.options.Self.ID, c.options.Self.Address
-	c.cells.put(digest, now)
+	c.cells.add(digest, now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before, known := c.own[digest.Cell]
 	c.own[digest.Cell] = ownCell{digest: digest, at: now}
-	if !known || shapeChanged(before.digest, digest) {
+	if !known || capacityChanged(before.digest, digest) {
 		c.setOwnCells(now)
-		c.pushSoon(false)
+		c.requestPush(false)
 	}
 }
 
-// shapeChanged reports whether more than the load differs.
-func shapeChanged(a, b message.CellDigest) bool {
+// capacityChanged reports whether the digests differ in engines, slots or models.
+func capacityChanged(a, b message.CellDigest) bool {
 	return a.Engines != b.Engines || a.Slots != b.Slots || !slices.Equal(a.Models, b.Models)
 }
 
 func loadChanged(a cellState, b message.CellDigest) bool {
-	step := b.Slots/loadChange + 1
+	step := b.Slots/loadChangeDivisor + 1
 	moved := max(a.Running-b.Running, b.Running-a.Running) >= step
 	return moved || max(a.Queued-b.Queued, b.Queued-a.Queued) >= step || (a.Queued == 0) != (b.Queued == 0)
 }
 
-// refreshCells tells the loads of the own cells, if they moved, and drops
-// cells that were not announced again. Called with the lock held.
-func (c *Cluster) refreshCells(now time.Time) {
+// refreshOwnCells updates the own record if cell loads have changed, and drops cells that were not announced
+// in time. Must be called with mu held.
+func (c *Cluster) refreshOwnCells(now time.Time) {
 	changed := false
 	for id, cell := range c.own {
-		if now.Sub(cell.at) > cellAnnouncedFor {
+		if now.Sub(cell.at) > cellAnnounceTimeout {
 			delete(c.own, id)
 			changed = true
 			continue
 		}
-		changed = changed || c.toldLoadChanged(cell.digest)
+		changed = changed || c.announcedLoadChanged(cell.digest)
 	}
 	if changed {
 		c.setOwnCells(now)
 	}
 }
 
-func (c *Cluster) toldLoadChanged(digest message.CellDigest) bool {
-	for _, told := range c.self.Cells {
-		if told.Pool == digest.Cell.Pool && told.Index == digest.Cell.Index {
-			return loadChanged(told, digest)
+func (c *Cluster) announcedLoadChanged(digest message.CellDigest) bool {
+	for _, announced := range c.self.Cells {
+		if announced.Pool == digest.Cell.Pool && announced.Index == digest.Cell.Index {
+			return loadChanged(announced, digest)
 		}
 	}
 	return true
 }
 
-// setOwnCells puts the cells into the own record.
+// setOwnCells updates the cells in the own record.
 func (c *Cluster) setOwnCells(now time.Time) {
 	cells := make([]cellState, 0, len(c.own))
 	for _, cell := range c.own {
 		cells = append(cells, newCellState(cell.digest, c.self.Zone))
 	}
 	c.self.Cells = cells
-	c.bumpSelf(now)
-	c.cells.takeRecord(c.self, now)
+	c.bumpSelfVersion(now)
+	c.cells.mergeRecord(c.self, now)
 }
 
 // ObserveCell implements Announcer.
-func (c *Cluster) ObserveCell(digest message.CellDigest) { c.cells.put(digest, time.Now()) }
+func (c *Cluster) ObserveCell(digest message.CellDigest) { c.cells.add(digest, time.Now()) }
 
-// AnnounceTableRevision implements Announcer; revisions only rise.
+// AnnounceTableRevision implements Announcer. Revisions that are not higher than the current one are
+// ignored.
 func (c *Cluster) AnnounceTableRevision(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,8 +111,8 @@
 		return
 	}
 	c.self.Revision = revision
-	c.bumpSelf(time.Now())
-	c.outdated.Store(true)
+	c.bumpSelfVersion(time.Now())
+	c.viewStale.Store(true)
 }
 
 // AnnounceLogContact implements Announcer.
@@ -135,17 +133,18 @@
 		return
 	}
 	c.self.Leaving = true
-	c.bumpSelf(now)
+	c.bumpSelfVersion(now)
 	c.node.Leave()
-	c.outbox = append(c.outbox, c.takeReady(now)...)
-	c.outdated.Store(true)
-	c.pushSoon(true)
+	c.outbox = append(c.outbox, c.drainReady(now)...)
+	c.viewStale.Store(true)
+	c.requestPush(true)
 }
 
-// pushSoon has the loop push the own record; called with the lock held.
-func (c *Cluster) pushSoon(far bool) {
-	c.urgent = true
-	c.urgentFar = c.urgentFar || far
+// requestPush schedules a push of the own record, optionally also to other zones. Must be called with mu
+// held.
+func (c *Cluster) requestPush(remote bool) {
+	c.pushSelf = true
+	c.pushSelfRemote = c.pushSelfRemote || remote
 	c.wakeLoop()
 }
 
@@ -156,28 +155,26 @@
 	}
 }
 
-// pushAnnouncements sends what may not wait: messages of the membership, the
-// own record to all members of the zone and, if it matters there, to one node
-// of each other zone, and records from other zones to the members of this one;
-// and deaths likewise.
+// pushAnnouncements sends queued membership messages, the own record and death notices to the zone and to
+// one contact of each other zone, and forwards records and notices of other zones within this one.
 func (c *Cluster) pushAnnouncements(ctx context.Context) {
 	c.mu.Lock()
-	messages, near := c.outbox, c.forward
-	var far []record
-	if c.urgent && !c.stopped {
-		near = append(near, c.self)
+	messages, local := c.outbox, c.forwardRecords
+	var remote []record
+	if c.pushSelf && !c.stopped {
+		local = append(local, c.self)
 	}
-	if c.urgentFar && !c.stopped {
-		far = append(far, c.self)
+	if c.pushSelfRemote && !c.stopped {
+		remote = append(remote, c.self)
 	}
 	members, contacts := c.liveMembers(), c.oneContactPerZone()
 	deaths, forwardDeaths := c.deaths, c.forwardDeaths
-	c.outbox, c.forward, c.deaths, c.forwardDeaths = nil, nil, nil, nil
-	c.urgent, c.urgentFar = false, false
+	c.outbox, c.forwardRecords, c.deaths, c.forwardDeaths = nil, nil, nil, nil
+	c.pushSelf, c.pushSelfRemote = false, false
 	c.mu.Unlock()
 	c.dispatch(ctx, messages)
-	c.pushRecords(ctx, members, near, false)
-	c.pushRecords(ctx, contacts, far, true)
+	c.pushRecords(ctx, members, local, false)
+	c.pushRecords(ctx, contacts, remote, true)
 	c.pushDeaths(ctx, contacts, deaths, true)
 	c.pushDeaths(ctx, members, forwardDeaths, false)
 }
--- a/internal/cluster/cells.go
+++ b/internal/cluster/cells.go
@@ -9,27 +9,27 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// cellMemory is how long the digest of a node that is not a known member is kept.
-const cellMemory = time.Minute
+// nonMemberCellRetention is how long digests of nodes that are not known members are kept.
+const nonMemberCellRetention = time.Minute
 
-// cellUnlistedAfter is how old a digest must be for a record that does not
-// list the cell to remove it.
-const cellUnlistedAfter = 5 * time.Second
+// unlistedCellMinAge is the minimum age of a digest that is removed because its node's record no longer
+// lists the cell.
+const unlistedCellMinAge = 5 * time.Second
 
-// cellStore keeps the digests of all known cells. It has its own lock, since
-// the data path feeds it.
+// cellStore holds the digests of all known cells. It has a separate lock, since it is updated on the data
+// path.
 type cellStore struct {
 	mu    sync.RWMutex
 	cells map[message.CellID]*cellEntry
 	order []*cellEntry
-	// byNode holds the cells of which a digest of the node is kept.
+	// byNode indexes the cells by the nodes with a stored digest.
 	byNode map[string]map[message.CellID]struct{}
 }
 
-// cellEntry holds the last digest of each dispatcher that spoke for the cell.
+// cellEntry holds the last digest of each dispatcher that announced the cell.
 type cellEntry struct {
 	id         message.CellID
-	candidates []cellCandidate // freshest first
+	candidates []cellCandidate // most recent first
 }
 
 type cellCandidate struct {
@@ -48,9 +48,9 @@
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Pool, b.Pool), cmp.Compare(a.Index, b.Index))
 }
 
-// put keeps a digest that is news. Of one dispatcher the higher sequence is
-// fresher; between dispatchers it is the one whose news came last.
-func (s *cellStore) put(digest message.CellDigest, now time.Time) {
+// add stores a digest unless it is outdated. Digests of the same dispatcher are ordered by sequence, those
+// of different dispatchers by arrival.
+func (s *cellStore) add(digest message.CellDigest, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry := s.entry(digest.Cell)
@@ -81,7 +81,7 @@
 	return entry
 }
 
-// all returns the freshest digest of each cell, sorted by cell.
+// all returns the most recent digest of each cell, sorted by cell ID.
 func (s *cellStore) all() []message.CellDigest {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -92,7 +92,7 @@
 	return digests
 }
 
-// retain drops the digests that keep refuses.
+// retain removes the digests for which keep returns false.
 func (s *cellStore) retain(keep func(digest message.CellDigest, at time.Time) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 			if keep(c.digest, c.at) {
 				return false
 			}
-			s.forget(c.digest)
+			s.unindex(c.digest)
 			return true
 		})
 		if len(entry.candidates) > 0 {
@@ -112,39 +112,38 @@
 	})
 }
 
-// forget takes a dropped digest out of the index.
-func (s *cellStore) forget(dropped message.CellDigest) {
+// unindex removes a digest from byNode.
+func (s *cellStore) unindex(dropped message.CellDigest) {
 	delete(s.byNode[dropped.Node], dropped.Cell)
 	if len(s.byNode[dropped.Node]) == 0 {
 		delete(s.byNode, dropped.Node)
 	}
 }
 
-// forgetNode drops all digests of a node.
-func (s *cellStore) forgetNode(node string) {
+// removeNode removes all digests of a node.
+func (s *cellStore) removeNode(node string) {
 	s.retain(func(digest message.CellDigest, _ time.Time) bool { return digest.Node != node })
 }
 
-// takeRecord takes the cells of a new record, and drops those that its node
-// no longer lists.
-func (s *cellStore) takeRecord(update record, now time.Time) {
+// mergeRecord stores the cells of a record and removes those that its node no longer lists.
+func (s *cellStore) mergeRecord(update record, now time.Time) {
 	listed := make(map[message.CellID]struct{}, len(update.Cells))
 	for _, state := range update.Cells {
 		digest := state.digest(update)
 		listed[digest.Cell] = struct{}{}
-		s.put(digest, now)
+		s.add(digest, now)
 	}
-	if !s.hasOthers(update.ID, listed) {
-		return // nearly always: the walk over all cells is spared
+	if !s.hasUnlisted(update.ID, listed) {
+		return // common case; avoids scanning all cells
 	}
 	s.retain(func(digest message.CellDigest, at time.Time) bool {
 		_, stays := listed[digest.Cell]
-		return stays || digest.Node != update.ID || now.Sub(at) < cellUnlistedAfter
+		return stays || digest.Node != update.ID || now.Sub(at) < unlistedCellMinAge
 	})
 }
 
-// hasOthers reports whether the node has digests of cells that are not listed.
-func (s *cellStore) hasOthers(node string, listed map[message.CellID]struct{}) bool {
+// hasUnlisted reports whether digests of the node are stored for cells that are not listed.
+func (s *cellStore) hasUnlisted(node string, listed map[message.CellID]struct{}) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return len(s.byNode[node]) > len(listed)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -16,53 +16,53 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// ticksPerProbe divides the protocol period into membership ticks.
+// ticksPerProbe is the number of membership ticks in a protocol period.
 const ticksPerProbe = 5
 
 // Cluster implements View, Announcer and EngineList.
 //
-// Invariant: mu guards all fields below it; no call to another node is made
-// with it held. Reads go to the published view and to the cell store.
+// Invariant: mu guards all fields below it, and is never held during a call to another node. Readers use the
+// published view and the cell store.
 type Cluster struct {
 	options Options
 	tick    time.Duration
 	cells   *cellStore
 	view    atomic.Pointer[view]
-	// outdated is set when something changed that the view is made of.
-	outdated atomic.Bool
-	// wake makes the loop push announcements at once.
+	// viewStale is set when the state from which the view is built has changed.
+	viewStale atomic.Bool
+	// wake triggers an immediate push of announcements by Run.
 	wake  chan struct{}
 	calls sync.WaitGroup
 
-	mu         sync.Mutex
-	node       *membership.Node
-	random     *rand.Rand
-	self       record
-	own        map[message.CellID]ownCell
-	zones      map[string]*zoneRecords
-	writers    map[string]string              // last known writer of each member of the zone
-	contacts   map[string]map[string]struct{} // addresses by zone
-	farContact map[string]string              // last address that answered, by zone
-	heardSeeds map[string]bool                // seeds that answered
-	logContact time.Time
-	engines    engineState
-	schedule   schedule
-	urgent     bool // the own record is to be pushed to the whole zone
-	urgentFar  bool // and to the other zones
-	// outbox and forward wait for the loop to send them to the zone.
-	outbox  []membership.Message
-	forward []record
-	// deaths of this zone wait to be told to the others, forwardDeaths of
-	// other zones to this one.
-	deaths, forwardDeaths []death
+	mu             sync.Mutex
+	node           *membership.Node
+	random         *rand.Rand
+	self           record
+	own            map[message.CellID]ownCell
+	zones          map[string]*zoneRecords
+	writers        map[string]string              // last known writer by member ID, this zone only
+	contacts       map[string]map[string]struct{} // addresses by zone
+	lastContact    map[string]string              // address that last responded, by zone
+	answeredSeeds  map[string]bool                // seeds that have responded
+	logContact     time.Time
+	engines        engineState
+	schedule       schedule
+	pushSelf       bool // push the own record to all members of the zone
+	pushSelfRemote bool // also push it to the other zones
+	// outbox and forwardRecords are sent to the zone by the next pushAnnouncements.
+	outbox         []membership.Message
+	forwardRecords []record
+	// deaths are notices of this zone to send to other zones; forwardDeaths are notices of other zones to
+	// send to this one.
+	deaths, forwardDeaths []deathNotice
 	stopped               bool
 
-	// superseded is closed once another process has taken this node's ID.
+	// superseded is closed when another process has taken over this node's ID.
 	superseded chan struct{}
 }
 
-// New returns a cluster and registers its handlers; Run starts it. It panics
-// when Self lacks its ID, Writer, Address or Zone.
+// New returns a Cluster and registers its handlers; Run starts it. It panics if Self lacks its ID, Writer,
+// Address or Zone.
 func New(options Options) *Cluster {
 	if options.ProbeInterval <= 0 {
 		options.ProbeInterval = DefaultProbeInterval
@@ -82,26 +82,26 @@
 		panic(err)
 	}
 	c := &Cluster{
-		options:    options,
-		tick:       options.ProbeInterval / ticksPerProbe,
-		cells:      newCellStore(),
-		wake:       make(chan struct{}, 1),
-		node:       node,
-		random:     rand.New(rand.NewPCG(seed, uint64(now.UnixNano()))),
-		own:        make(map[message.CellID]ownCell),
-		zones:      map[string]*zoneRecords{options.Self.Zone: newZoneRecords()},
-		writers:    make(map[string]string),
-		contacts:   make(map[string]map[string]struct{}),
-		farContact: make(map[string]string),
-		heardSeeds: make(map[string]bool),
-		superseded: make(chan struct{}),
+		options:       options,
+		tick:          options.ProbeInterval / ticksPerProbe,
+		cells:         newCellStore(),
+		wake:          make(chan struct{}, 1),
+		node:          node,
+		random:        rand.New(rand.NewPCG(seed, uint64(now.UnixNano()))),
+		own:           make(map[message.CellID]ownCell),
+		zones:         map[string]*zoneRecords{options.Self.Zone: newZoneRecords()},
+		writers:       make(map[string]string),
+		contacts:      make(map[string]map[string]struct{}),
+		lastContact:   make(map[string]string),
+		answeredSeeds: make(map[string]bool),
+		superseded:    make(chan struct{}),
 	}
 	c.self = record{
 		ID: options.Self.ID, Writer: options.Self.Writer, Address: options.Self.Address, Zone: options.Self.Zone,
 		Revision: options.Self.TableRevision, Owned: slices.Clone(options.Self.Owned),
 	}
-	c.bumpSelf(now)
-	c.publish()
+	c.bumpSelfVersion(now)
+	c.publishView()
 	c.register()
 	return c
 }
@@ -115,7 +115,7 @@
 	}
 }
 
-// Run keeps the membership until ctx ends; it returns nil then.
+// Run maintains the membership until ctx ends, then returns nil.
 func (c *Cluster) Run(ctx context.Context) error {
 	defer c.calls.Wait()
 	c.startSchedule(time.Now())
@@ -136,92 +136,91 @@
 	}
 }
 
-// lateFactor is how many ticks may pass between two before this process
-// counts as late.
-const lateFactor = 3
+// lateTickFactor is the multiple of the tick interval above which a gap between ticks is reported as late.
+const lateTickFactor = 3
 
-// advance does what is due at a tick.
+// advance processes one tick: failure detection, then the scheduled tasks.
 func (c *Cluster) advance(ctx context.Context, now time.Time, elapsed time.Duration) {
 	c.mu.Lock()
-	if elapsed > lateFactor*c.tick {
+	if elapsed > lateTickFactor*c.tick {
 		c.node.ReportLate()
 	}
 	c.node.Tick()
-	messages := c.takeReady(now)
+	messages := c.drainReady(now)
 	c.mu.Unlock()
 	c.dispatch(ctx, messages)
 	c.runDue(ctx, now)
 }
 
-// takeReady is called with the lock held, after each input to the membership
-// node; it returns the messages to send.
-func (c *Cluster) takeReady(now time.Time) []membership.Message {
+// drainReady applies the pending changes of the membership node and returns the messages to send. It must be
+// called with mu held, after each input to the membership node.
+func (c *Cluster) drainReady(now time.Time) []membership.Message {
 	ready := c.node.Ready()
 	if len(ready.Changes) > 0 {
 		for _, change := range ready.Changes {
-			c.memberChanged(change, now)
+			c.handleMemberChange(change, now)
 		}
-		c.outdated.Store(true)
+		c.viewStale.Store(true)
 	}
 	return ready.Messages
 }
 
-// memberChanged drops what a replaced or dead process said.
-func (c *Cluster) memberChanged(change membership.Update, now time.Time) {
+// handleMemberChange updates the state for a changed member; it removes the records and cells of dead or
+// replaced processes. Must be called with mu held.
+func (c *Cluster) handleMemberChange(change membership.Update, now time.Time) {
 	if change.ID == c.self.ID {
-		c.noteSuperseded()
+		c.checkSuperseded()
 		return
 	}
 	c.options.Logger.Info().Str("id", change.ID).Str("writer", change.Writer).Str("state", change.State.String()).
 		Bool("leaving", change.Leaving).Uint64("incarnation", change.Incarnation).Msg("member changed")
 	if before, known := c.writers[change.ID]; known && before != change.Writer {
 		c.zones[c.self.Zone].remove(keyOf(change.ID, before), now)
-		c.cells.forgetNode(change.ID)
+		c.cells.removeNode(change.ID)
 	}
 	c.writers[change.ID] = change.Writer
 	if change.State == membership.Dead {
-		c.noteDeath(change)
+		c.queueDeathNotice(change)
 		c.zones[c.self.Zone].remove(keyOf(change.ID, change.Writer), now)
-		c.cells.forgetNode(change.ID)
+		c.cells.removeNode(change.ID)
 		delete(c.writers, change.ID)
 	}
 }
 
-// noteSuperseded closes superseded once; called with the lock held.
-func (c *Cluster) noteSuperseded() {
+// checkSuperseded closes superseded if the membership node was superseded. Must be called with mu held.
+func (c *Cluster) checkSuperseded() {
 	select {
 	case <-c.superseded:
 	default:
 		if c.node.Superseded() {
-			c.options.Logger.Error().Str("id", c.self.ID).Msg("another process took this node's ID")
+			c.options.Logger.Error().Str("id", c.self.ID).Msg("another process took over this node's ID")
 			close(c.superseded)
 		}
 	}
 }
 
-// Superseded returns a channel that is closed once another process has taken
-// this node's ID. The others then no longer listen to this process, so it has
-// to stop; its planned stop tells them nothing, as they would take it for news
-// of the other process.
+// Superseded returns a channel that is closed when another process has taken over this node's ID. The
+// process must then stop without announcing it: other nodes would apply its leave message to the new
+// process.
 func (c *Cluster) Superseded() <-chan struct{} { return c.superseded }
 
-// Young reports whether this process started so recently that it would still
-// overtake another process of its ID; later it ends when it meets one.
+// Young reports whether this process started recently enough to supersede another process with the same ID.
+// Later it is superseded instead.
 func (c *Cluster) Young() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.node.Young()
 }
 
-// bumpSelf gives the own record a version above all earlier ones, also those
-// of an earlier process when the clock allows.
-func (c *Cluster) bumpSelf(now time.Time) {
+// bumpSelfVersion gives the own record a version above all earlier ones, including those of a previous
+// process unless the clock was set back.
+func (c *Cluster) bumpSelfVersion(now time.Time) {
 	c.self.Version = max(c.self.Version+1, uint32(now.Unix()))
 	c.zones[c.self.Zone].put(c.self)
 }
 
-// Leave tells the zone that this node has left and waits until the others
-// have heard it or ctx ends. Run may have ended before.
+// Leave announces to the zone that this node has left, and waits until the members have received it or ctx
+// ends. It may be called after Run has returned.
 func (c *Cluster) Leave(ctx context.Context) error {
 	now := time.Now()
 	c.mu.Lock()
@@ -231,15 +230,15 @@
 	}
 	c.stopped = true
 	c.self.Leaving = true
-	c.bumpSelf(now)
+	c.bumpSelfVersion(now)
 	c.node.Stop()
-	messages := c.takeReady(now)
+	messages := c.drainReady(now)
 	c.mu.Unlock()
-	return c.tellLeft(ctx, messages)
+	return c.broadcastLeave(ctx, messages)
 }
 
-// tellLeft sends the last messages; members that can't be reached don't matter.
-func (c *Cluster) tellLeft(ctx context.Context, messages []membership.Message) error {
+// broadcastLeave sends the final messages. Failed sends to unreachable members are ignored.
+func (c *Cluster) broadcastLeave(ctx context.Context, messages []membership.Message) error {
 	var pending sync.WaitGroup
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -252,13 +251,13 @@
 	}
 	pending.Wait()
 	if ctx.Err() != nil {
-		return errors.Wrap(ctx.Err(), "tell the zone of leaving")
+		return errors.Wrap(ctx.Err(), "announce leaving to the zone")
 	}
 	return nil
 }
 
-// leaveTimeout bounds the last messages of a leaving node.
+// leaveTimeout limits the time to send the final messages of a leaving node.
 const leaveTimeout = 2 * time.Second
 
-// noRevision in a message tells nothing about the table.
+// noRevision marks a message that carries no table revision.
 const noRevision int64 = -1
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -11,14 +11,14 @@
 	"github.com/corkpulley/corkpulley/internal/platform/machines"
 )
 
-func TestJoinDeathAndRestart(t *testing.T) {
+func TestZoneDetectsJoinDeathAndRestart(t *testing.T) {
 	nodes := startZone(t, "a", 7, nil)
-	eventually(t, "all have joined", allSee(nodes, 7))
+	eventually(t, "all have joined", allSeeAlive(nodes, 7))
 	victim, rest := nodes[3], nodes[:3]
 	address := victim.Self().Address
 	victim.stop()
-	eventually(t, "death is seen", allHold(rest, func(n *testNode) bool { return n.stateOf("a-n3") == StateDead }))
-	eventually(t, "reachability falls", allHold(rest, func(n *testNode) bool {
+	eventually(t, "death is seen", allSatisfy(rest, func(n *testNode) bool { return n.stateOf("a-n3") == StateDead }))
+	eventually(t, "reachability falls", allSatisfy(rest, func(n *testNode) bool {
 		reachable, known := n.Reachability()
 		return reachable == 6 && known == 7
 	}))
@@ -26,8 +26,8 @@
 		id: "a-n3", zone: "a", writer: "w2-", address: address, seeds: []string{nodes[0].Self().Address},
 	})
 	nodes[3] = fresh
-	eventually(t, "restart is seen", allSee(nodes, 7))
-	eventually(t, "new process supersedes", allHold(nodes, func(n *testNode) bool {
+	eventually(t, "restart is seen", allSeeAlive(nodes, 7))
+	eventually(t, "new process supersedes", allSatisfy(nodes, func(n *testNode) bool {
 		for _, member := range n.Members() {
 			if member.ID == "a-n3" {
 				return member.Writer == "w2-a-n3"
@@ -37,13 +37,13 @@
 	}))
 }
 
-func TestLeave(t *testing.T) {
+func TestLeaveMarksNodeLeavingThenDead(t *testing.T) {
 	nodes := startZone(t, "a", 5, nil)
-	eventually(t, "all have joined", allSee(nodes, 5))
+	eventually(t, "all have joined", allSeeAlive(nodes, 5))
 	leaver, rest := nodes[4], nodes[:4]
 	leaver.AnnounceLeaving()
 	assert.Equal(t, leaver.Self().State, StateLeaving)
-	eventually(t, "leaving is seen", allHold(rest, func(n *testNode) bool {
+	eventually(t, "leaving is seen", allSatisfy(rest, func(n *testNode) bool {
 		return n.stateOf("a-n4") == StateLeaving && len(n.Candidates("a")) == 4
 	}))
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -57,43 +57,43 @@
 	}
 }
 
-func TestFrozenNodeDiesAndComesBack(t *testing.T) {
+func TestPausedNodeIsDeclaredDeadAndRejoins(t *testing.T) {
 	nodes := startZone(t, "a", 5, nil)
-	eventually(t, "all have joined", allSee(nodes, 5))
-	thaw := nodes[2].gate.freeze()
+	eventually(t, "all have joined", allSeeAlive(nodes, 5))
+	resume := nodes[2].faults.pause()
 	rest := []*testNode{nodes[0], nodes[1], nodes[3], nodes[4]}
-	eventually(t, "frozen node is dead", allHold(rest, func(n *testNode) bool { return n.stateOf("a-n2") == StateDead }))
-	thaw()
-	eventually(t, "thawed node is alive", allSee(nodes, 5))
+	eventually(t, "paused node is dead", allSatisfy(rest, func(n *testNode) bool { return n.stateOf("a-n2") == StateDead }))
+	resume()
+	eventually(t, "resumed node is alive", allSeeAlive(nodes, 5))
 }
 
-// Nodes that start at the same time by seeds of another zone may at first know
-// only some of their own zone.
-func TestSeparateGroupsOfAZoneMeet(t *testing.T) {
+// Guards against split groups: nodes seeded only from another zone may at first know only some nodes of
+// their own.
+func TestNodesSeededFromOtherZoneFormOneZone(t *testing.T) {
 	seed := startNode(t, testSettings{id: "s", zone: "s"})
 	nodes := []*testNode{seed}
 	for _, id := range []string{"n1", "n2", "n3", "n4", "n5", "n6"} {
 		nodes = append(nodes, startNode(t, testSettings{id: id, zone: "a", seeds: []string{seed.Self().Address}}))
 	}
-	eventually(t, "all have met", allSee(nodes, 7))
+	eventually(t, "all nodes see each other", allSeeAlive(nodes, 7))
 }
 
-func TestPartitionHeals(t *testing.T) {
+func TestMembershipMergesAfterPartition(t *testing.T) {
 	nodes := startZone(t, "a", 6, nil)
-	eventually(t, "all have joined", allSee(nodes, 6))
+	eventually(t, "all have joined", allSeeAlive(nodes, 6))
 	left, right := nodes[:2], nodes[2:]
 	for _, node := range left {
-		node.gate.block(addresses(right)...)
+		node.faults.block(addresses(right)...)
 	}
 	for _, node := range right {
-		node.gate.block(addresses(left)...)
+		node.faults.block(addresses(left)...)
 	}
-	eventually(t, "left side is alone", allSee(left, 2))
-	eventually(t, "right side is alone", allSee(right, 4))
+	eventually(t, "left side sees only itself", allSeeAlive(left, 2))
+	eventually(t, "right side sees only itself", allSeeAlive(right, 4))
 	for _, node := range nodes {
-		node.gate.block()
+		node.faults.block()
 	}
-	eventually(t, "sides have met", allSee(nodes, 6))
+	eventually(t, "all nodes see each other", allSeeAlive(nodes, 6))
 }
 
 func addresses(nodes []*testNode) []string {
@@ -105,30 +105,30 @@
 }
 
 func TestAnnouncementsReachAllZones(t *testing.T) {
-	near := startZone(t, "a", 3, nil)
-	far := startZone(t, "b", 3, nil, near[0].Self().Address)
-	third := startZone(t, "c", 2, nil, far[1].Self().Address)
-	nodes := append(append(near, far...), third...)
-	eventually(t, "all zones are known", allSee(nodes, 8))
-	eventually(t, "all can be heard", allHold(nodes, func(n *testNode) bool {
+	local := startZone(t, "a", 3, nil)
+	remote := startZone(t, "b", 3, nil, local[0].Self().Address)
+	third := startZone(t, "c", 2, nil, remote[1].Self().Address)
+	nodes := append(append(local, remote...), third...)
+	eventually(t, "all zones are known", allSeeAlive(nodes, 8))
+	eventually(t, "all nodes are reachable", allSatisfy(nodes, func(n *testNode) bool {
 		reachable, known := n.Reachability()
 		return reachable == 8 && known == 8
 	}))
 
-	near[1].AnnounceOwned([]Ownership{{Stream: "steps/t", Epoch: 5}})
-	far[0].AnnounceOwned([]Ownership{{Stream: "steps/t", Epoch: 9}})
-	near[2].AnnounceTableRevision(42)
+	local[1].AnnounceOwned([]Ownership{{Stream: "steps/t", Epoch: 5}})
+	remote[0].AnnounceOwned([]Ownership{{Stream: "steps/t", Epoch: 9}})
+	local[2].AnnounceTableRevision(42)
 	contact := time.Now().Add(-time.Minute)
 	third[0].AnnounceLogContact(contact)
 	digest := message.CellDigest{
 		Cell: message.CellID{Zone: "b", Pool: "p", Index: 1}, Sequence: 1, Engines: 16, Slots: 64, Running: 3,
 	}
-	far[2].AnnounceCell(digest)
-	eventually(t, "owner is known", allHold(nodes, func(n *testNode) bool {
+	remote[2].AnnounceCell(digest)
+	eventually(t, "owner is known", allSatisfy(nodes, func(n *testNode) bool {
 		owner, epoch, known := n.Owner("steps/t")
 		return known && epoch == 9 && owner.ID == "b-n0"
 	}))
-	eventually(t, "revision is known", allHold(nodes, func(n *testNode) bool {
+	eventually(t, "revision is known", allSatisfy(nodes, func(n *testNode) bool {
 		for _, member := range n.Members() {
 			if member.ID == "a-n2" {
 				return member.TableRevision == 42
@@ -136,25 +136,25 @@
 		}
 		return false
 	}))
-	eventually(t, "log contact is known", allHold(nodes, func(n *testNode) bool { return !n.LogContact().IsZero() }))
+	eventually(t, "log contact is known", allSatisfy(nodes, func(n *testNode) bool { return !n.LogContact().IsZero() }))
 	for _, node := range nodes {
 		assert.Assert(t, !node.LogContact().After(contact))
 	}
-	eventually(t, "cell is known", allHold(nodes, func(n *testNode) bool {
+	eventually(t, "cell is known", allSatisfy(nodes, func(n *testNode) bool {
 		cells := n.Cells()
 		return len(cells) == 1 && cells[0].Node == "b-n2" && cells[0].Running == 3 && cells[0].Cell == digest.Cell
 	}))
 }
 
 func TestUnreachableZoneStaysKnown(t *testing.T) {
-	near := startZone(t, "a", 2, nil)
-	far := startZone(t, "b", 2, nil, near[0].Self().Address)
-	nodes := append(near, far...)
-	eventually(t, "both zones are known", allSee(nodes, 4))
-	for _, node := range far {
+	local := startZone(t, "a", 2, nil)
+	remote := startZone(t, "b", 2, nil, local[0].Self().Address)
+	nodes := append(local, remote...)
+	eventually(t, "both zones are known", allSeeAlive(nodes, 4))
+	for _, node := range remote {
 		node.stop()
 	}
-	eventually(t, "other zone is unreachable", allHold(near, func(n *testNode) bool {
+	eventually(t, "other zone is unreachable", allSatisfy(local, func(n *testNode) bool {
 		reachable, known := n.Reachability()
 		return reachable == 2 && known == 4
 	}))
@@ -164,17 +164,17 @@
 	return machines.Machine{ID: id, Role: machines.RoleEngine, Address: id + ":80", Zone: zone, Pool: "p", State: state}
 }
 
-func TestMachineList(t *testing.T) {
+func TestEngineListPollingAndOutage(t *testing.T) {
 	source := &fakeMachines{}
 	live := engine("e1", "a", machines.StateLive)
 	source.set(false, live, engine("e2", "a", machines.StateLive), engine("e3", "b", machines.StateLive))
 	nodes := startZone(t, "a", 5, source)
-	eventually(t, "all have joined", allSee(nodes, 5))
-	eventually(t, "list is known", allHold(nodes, func(n *testNode) bool { return len(n.Engines("a")) == 2 }))
+	eventually(t, "all have joined", allSeeAlive(nodes, 5))
+	eventually(t, "list is known", allSatisfy(nodes, func(n *testNode) bool { return len(n.Engines("a")) == 2 }))
 	assert.Equal(t, len(nodes[0].Engines("b")), 0)
 
 	source.set(false, live, engine("e2", "a", machines.StateLeaving))
-	eventually(t, "leaving mark is known", allHold(nodes, func(n *testNode) bool { return n.Engines("")[1].Leaving }))
+	eventually(t, "leaving mark is known", allSatisfy(nodes, func(n *testNode) bool { return n.Engines("")[1].Leaving }))
 	eventually(t, "two nodes read the list", func() bool {
 		pollers := 0
 		for _, node := range nodes {
@@ -200,11 +200,10 @@
 		assert.Equal(t, len(node.Engines("a")), 2)
 	}
 	source.set(false, live)
-	eventually(t, "list is read again", allHold(nodes, func(n *testNode) bool { return len(n.Engines("a")) == 1 }))
+	eventually(t, "list is read again", allSatisfy(nodes, func(n *testNode) bool { return len(n.Engines("a")) == 1 }))
 }
 
-// A node that finds other nodes by the machine list needs no seeds.
-func TestJoinByMachineList(t *testing.T) {
+func TestJoinFromMachineListWithoutSeeds(t *testing.T) {
 	source := &fakeMachines{}
 	first := startNode(t, testSettings{id: "n1", zone: "a", machines: source})
 	source.set(false, machines.Machine{
@@ -212,5 +211,5 @@
 	})
 	second := startNode(t, testSettings{id: "n2", zone: "a", machines: source})
 	other := startNode(t, testSettings{id: "n3", zone: "b", machines: source})
-	eventually(t, "all are known", allSee([]*testNode{first, second, other}, 3))
+	eventually(t, "all are known", allSeeAlive([]*testNode{first, second, other}, 3))
 }
--- a/internal/cluster/death.go
+++ b/internal/cluster/death.go
@@ -11,30 +11,30 @@
 	"github.com/corkpulley/corkpulley/internal/core/membership"
 )
 
-// reportersPerDeath is how many nodes of a zone tell the other zones of a
-// death, so that the loss of one of them with the dead does no harm.
+// reportersPerDeath is the number of nodes that report a death to other zones; more than one, in case a
+// reporter fails too.
 const reportersPerDeath = 2
 
-// death tells other zones that a process of a zone is gone. It spares them the
-// wait for their next pull; one that is lost, or wrong, is made good by that.
-type death struct {
+// deathNotice reports to other zones that a process is dead, ahead of their next pull. The next pull also
+// corrects lost or wrong notices.
+type deathNotice struct {
 	Zone string
 	Key  recordKey
 }
 
-// noteDeath has this node report the death if it is among those chosen for it.
-// Called with the lock held.
-func (c *Cluster) noteDeath(dead membership.Update) {
-	if dead.Leaving || !c.chosen(dead.ID, reportersPerDeath) {
+// queueDeathNotice queues a notice if this node is designated to report the death. Must be called with mu
+// held.
+func (c *Cluster) queueDeathNotice(dead membership.Update) {
+	if dead.Leaving || !c.isDesignated(dead.ID, reportersPerDeath) {
 		return
 	}
-	c.deaths = append(c.deaths, death{Zone: c.self.Zone, Key: keyOf(dead.ID, dead.Writer)})
+	c.deaths = append(c.deaths, deathNotice{Zone: c.self.Zone, Key: keyOf(dead.ID, dead.Writer)})
 	c.wakeLoop()
 }
 
-// chosen reports whether this node is among the count live members of the zone
-// that rendezvous hashing prefers for the key. Called with the lock held.
-func (c *Cluster) chosen(key string, count int) bool {
+// isDesignated reports whether this node is among the first count live members of the zone by rendezvous
+// hashing of the key. Must be called with mu held.
+func (c *Cluster) isDesignated(key string, count int) bool {
 	var ids []string
 	for _, update := range c.node.Members() {
 		if update.State == membership.Alive && !update.Leaving {
@@ -42,7 +42,7 @@
 		}
 	}
 	for range min(count, len(ids)) {
-		// A new ranking for each: the library's Remove breaks its indexes.
+		// A new ranking for each round: Rendezvous.Remove corrupts the indexes of the library.
 		preferred := rendezvous.New(ids, xxhash.Sum64String).Lookup(key)
 		if preferred == c.self.ID {
 			return true
@@ -52,23 +52,22 @@
 	return false
 }
 
-// takeDeaths drops the dead of other zones and returns those that were known;
-// called with the lock held. What is said of this zone doesn't count: its own
-// membership knows better.
-func (c *Cluster) takeDeaths(told []death, now time.Time) (news []death) {
-	for _, dead := range told {
+// applyDeaths removes dead processes of other zones and returns the notices that were new. Notices about
+// this zone are ignored, since its own failure detection is authoritative. Must be called with mu held.
+func (c *Cluster) applyDeaths(notices []deathNotice, now time.Time) (accepted []deathNotice) {
+	for _, dead := range notices {
 		if dead.Zone == c.self.Zone || c.zones[dead.Zone] == nil {
 			continue
 		}
 		if _, known := c.zones[dead.Zone].records[dead.Key]; known {
-			c.dropGone(dead.Zone, []recordKey{dead.Key}, now)
-			news = append(news, dead)
+			c.removeGone(dead.Zone, []recordKey{dead.Key}, now)
+			accepted = append(accepted, dead)
 		}
 	}
-	return news
+	return accepted
 }
 
-// pushDeaths sends deaths to the addresses at the same time, in the background.
-func (c *Cluster) pushDeaths(ctx context.Context, addresses []string, deaths []death, forward bool) {
+// pushDeaths sends death notices to the addresses concurrently, in the background.
+func (c *Cluster) pushDeaths(ctx context.Context, addresses []string, deaths []deathNotice, forward bool) {
 	c.push(ctx, addresses, payload{Deaths: deaths}, forward)
 }
--- a/internal/cluster/death_test.go
+++ b/internal/cluster/death_test.go
@@ -7,33 +7,32 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestADeathIsToldToOtherZones lets a node die while the other zone never
-// pulls, so that it can learn of the death only by being told.
-func TestADeathIsToldToOtherZones(t *testing.T) {
-	near := startZone(t, "near", 3, nil)
-	far := startZone(t, "far", 3, nil, near[0].Self().Address)
-	all := append(append([]*testNode{}, near...), far...)
-	eventually(t, "all have joined", allSee(all, len(all)))
-	for _, node := range near {
+// Disables pulls, so that only a death notice can remove the node in the other zone.
+func TestDeathNoticeReachesOtherZones(t *testing.T) {
+	local := startZone(t, "near", 3, nil)
+	remote := startZone(t, "far", 3, nil, local[0].Self().Address)
+	all := append(append([]*testNode{}, local...), remote...)
+	eventually(t, "all have joined", allSeeAlive(all, len(all)))
+	for _, node := range local {
 		node.mu.Lock()
-		node.schedule.far = time.Now().Add(2 * testLimit)
+		node.schedule.remote = time.Now().Add(2 * testLimit)
 		node.mu.Unlock()
 	}
-	dead := far[2].Self().ID
-	far[2].stop()
-	eventually(t, "the other zone drops the dead node", allHold(near, func(node *testNode) bool {
+	dead := remote[2].Self().ID
+	remote[2].stop()
+	eventually(t, "the other zone drops the dead node", allSatisfy(local, func(node *testNode) bool {
 		return node.stateOf(dead) == StateDead
 	}))
 }
 
-func TestWhatOthersSayOfThisZoneDoesNotCount(t *testing.T) {
+func TestDeathNoticesForOwnOrUnknownZoneAreIgnored(t *testing.T) {
 	nodes := startZone(t, "near", 2, nil)
-	eventually(t, "both have joined", allSee(nodes, 2))
+	eventually(t, "both have joined", allSeeAlive(nodes, 2))
 	node, other := nodes[0], nodes[1].Self()
 	node.mu.Lock()
-	told := []death{{Zone: "near", Key: keyOf(other.ID, other.Writer)}, {Zone: "unknown", Key: 1}}
-	news := node.takeDeaths(told, time.Now())
+	notices := []deathNotice{{Zone: "near", Key: keyOf(other.ID, other.Writer)}, {Zone: "unknown", Key: 1}}
+	accepted := node.applyDeaths(notices, time.Now())
 	node.mu.Unlock()
-	assert.Equal(t, len(news), 0)
+	assert.Equal(t, len(accepted), 0)
 	assert.Equal(t, node.stateOf(other.ID), StateAlive)
 }
--- a/internal/cluster/enginelist.go
+++ b/internal/cluster/enginelist.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// pollTimeout bounds one read of the machine list.
+	// pollTimeout limits one read of the machine list.
 	pollTimeout = 5 * time.Second
-	// silentPeriods is after how many protocol periods without a good read in
-	// the zone every node reads the list.
-	silentPeriods = 16
-	// pollersKey and pollersPerZone choose the nodes that read the list.
+	// pollFallbackPeriods is the number of protocol periods without a successful read in the zone after
+	// which every node reads the list.
+	pollFallbackPeriods = 16
+	// pollersKey and pollersPerZone select the nodes that read the list.
 	pollersKey     = "machine-list"
 	pollersPerZone = 2
 )
 
-// engineState is the zone's engine list as this node knows it.
+// engineState is the engine list of the zone as known to this node.
 type engineState struct {
-	list []EngineMachine // sorted by ID; replaced, never changed
+	list []EngineMachine // sorted by ID; replaced, never modified
 	hash uint64
-	// confirmedAt is when a node of the zone last read this list from the
-	// platform; zero when no list is known.
+	// confirmedAt is the time at which a node of the zone last read this list from the platform; zero if no
+	// list is known.
 	confirmedAt time.Time
 	failing     bool
-	// wanted is set when another node is known to have a fresher list.
+	// wanted is set when another node is known to have a newer list.
 	wanted bool
 }
 
-// engineStamp tells which list a node has and how old it is.
+// engineStamp identifies a list and its age.
 type engineStamp struct {
 	Hash uint64
-	// Age is in milliseconds since the list was read; negative when there is none.
+	// Age is the time in milliseconds since the list was read; negative if there is none.
 	Age int64
 }
 
-// engineDelta is the change from one list to the next.
+// engineDelta is the difference between two lists. A zero Base marks a complete list.
 type engineDelta struct {
 	Base    uint64
 	Stamp   engineStamp
@@ -79,13 +79,13 @@
 	return pollPeriods
 }
 
-// replace puts a list in force that was good at the time.
+// replace sets the list that was current at the given time.
 func (e *engineState) replace(list []EngineMachine, hash uint64, at time.Time) {
 	e.list, e.hash, e.confirmedAt = list, hash, at
 	e.wanted = false
 }
 
-// diff returns the change to the next list.
+// diff returns the changes that lead to the next list.
 func (e *engineState) diff(next []EngineMachine) *engineDelta {
 	delta := &engineDelta{Base: e.hash}
 	for _, engine := range next {
@@ -102,7 +102,7 @@
 	return delta
 }
 
-// apply returns the list after the change.
+// apply returns list with the changes applied.
 func (d *engineDelta) apply(list []EngineMachine) []EngineMachine {
 	next := slices.DeleteFunc(slices.Clone(list), func(engine EngineMachine) bool {
 		return slices.Contains(d.Removed, engine.ID) ||
@@ -113,10 +113,9 @@
 	return next
 }
 
-// takeDelta takes a pushed change that fits the list at hand; called with the
-// lock held. One that does not fit is answered by this node's stamp, and the
-// pusher sends the whole list.
-func (c *Cluster) takeDelta(delta *engineDelta, now time.Time) {
+// applyEngineDelta applies a pushed delta if its base is the current list. Otherwise the response carries
+// this node's stamp, and the sender pushes the complete list. Must be called with mu held.
+func (c *Cluster) applyEngineDelta(delta *engineDelta, now time.Time) {
 	if delta == nil || delta.Stamp.Age < 0 {
 		return
 	}
@@ -137,9 +136,8 @@
 	}
 }
 
-// takeEngines takes the stamp, and perhaps the list, of an answer; called with
-// the lock held.
-func (c *Cluster) takeEngines(list []EngineMachine, stamp engineStamp, askedAt time.Time) {
+// mergeEngines merges the stamp and the optional list of a response. Must be called with mu held.
+func (c *Cluster) mergeEngines(list []EngineMachine, stamp engineStamp, askedAt time.Time) {
 	if stamp.Age < 0 {
 		return
 	}
@@ -158,18 +156,18 @@
 	}
 }
 
-// shouldPoll reports whether it is this node's turn to read the machine list:
-// two nodes of the zone do, and all once those are silent. Called with the lock held.
+// shouldPoll reports whether this node should read the machine list: the designated nodes of the zone do,
+// and every node once their reads are overdue. Must be called with mu held.
 func (c *Cluster) shouldPoll(now time.Time) bool {
 	if c.options.Machines == nil {
 		return false
 	}
-	return now.Sub(c.engines.confirmedAt) > c.periods(silentPeriods) || c.isPoller()
+	return now.Sub(c.engines.confirmedAt) > c.periods(pollFallbackPeriods) || c.isPoller()
 }
 
-func (c *Cluster) isPoller() bool { return c.chosen(pollersKey, pollersPerZone) }
+func (c *Cluster) isPoller() bool { return c.isDesignated(pollersKey, pollersPerZone) }
 
-// pollMachines reads the list once and spreads what changed.
+// pollMachines reads the machine list once and pushes changes to the zone.
 func (c *Cluster) pollMachines(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -179,10 +177,10 @@
 	c.engines.failing = err != nil
 	c.mu.Unlock()
 	if err != nil {
-		c.options.Logger.Debug().Err(err).Msg("machine list not read; the last good one stays")
+		c.options.Logger.Debug().Err(err).Msg("reading the machine list failed; keeping the last list")
 		return
 	}
-	delta, members := c.takeMachines(list, askedAt)
+	delta, members := c.applyMachineList(list, askedAt)
 	if delta == nil {
 		return
 	}
@@ -191,8 +189,9 @@
 	}
 }
 
-// takeMachines puts a read list in force. It returns the change, or nil.
-func (c *Cluster) takeMachines(list machines.List, askedAt time.Time) (*engineDelta, []string) {
+// applyMachineList sets a list read from the platform. It returns the delta and the members to push it to,
+// or nil if nothing changed.
+func (c *Cluster) applyMachineList(list machines.List, askedAt time.Time) (*engineDelta, []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, machine := range list.Machines {
@@ -216,7 +215,7 @@
 	return delta, c.liveMembers()
 }
 
-// zoneEngines picks the engines of this zone, sorted by ID.
+// zoneEngines returns the engines of this zone, sorted by ID.
 func (c *Cluster) zoneEngines(list machines.List) []EngineMachine {
 	var engines []EngineMachine
 	for _, machine := range list.Machines {
@@ -233,7 +232,7 @@
 	return engines
 }
 
-// pushEngines sends a change, and the whole list to a node that had another one.
+// pushEngines sends a delta, then the complete list if the receiver had a different base.
 func (c *Cluster) pushEngines(ctx context.Context, address string, delta *engineDelta) {
 	response, err := c.gossip(ctx, address, outgoing{content: payload{Delta: delta}})
 	if err != nil || response.Engines.Hash == delta.Stamp.Hash {
@@ -245,9 +244,8 @@
 	_, _ = c.gossip(ctx, address, outgoing{content: payload{Delta: whole}})
 }
 
-// Engines implements EngineList. A node knows the engines of its own zone; for
-// the empty zone it returns those, for another zone none. The slice is sorted
-// by ID and must not be changed.
+// Engines implements EngineList. Only engines of the local zone are known; an empty zone selects it, any
+// other zone yields none. The result is sorted by ID and must not be modified.
 func (c *Cluster) Engines(zone string) []EngineMachine {
 	if zone != "" && zone != c.options.Self.Zone {
 		return nil
--- a/internal/cluster/handle.go
+++ b/internal/cluster/handle.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// handleGossip takes what another node pushes and answers its pull.
+// handleGossip merges the pushed payload of another node and responds to its pull.
 func (c *Cluster) handleGossip(_ context.Context, request peer.Request) (any, error) {
 	var incoming gossipRequest
 	if err := decodeRequest(request, &incoming); err != nil {
@@ -19,69 +19,70 @@
 	if err != nil {
 		return nil, errkind.New(errkind.InvalidRequest, "%v", err)
 	}
-	response, answer := c.answerGossip(incoming, content)
-	response.Payload, err = pack(answer)
+	response, reply := c.respondGossip(incoming, content)
+	response.Payload, err = pack(reply)
 	if err != nil {
 		return nil, err
 	}
 	return encode(&response)
 }
 
-func (c *Cluster) answerGossip(incoming gossipRequest, content payload) (gossipResponse, payload) {
+func (c *Cluster) respondGossip(incoming gossipRequest, content payload) (gossipResponse, payload) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	near := incoming.From.Zone == c.self.Zone
-	if near {
+	local := incoming.From.Zone == c.self.Zone
+	if local {
 		c.node.Merge(content.Updates)
-		c.outbox = append(c.outbox, c.takeReady(now)...)
-		c.takeDelta(content.Delta, now)
+		c.outbox = append(c.outbox, c.drainReady(now)...)
+		c.applyEngineDelta(content.Delta, now)
 	}
-	c.hearSender(incoming.From, now)
-	news := c.takeRecords(content.Records, now)
-	deaths := c.takeDeaths(content.Deaths, now)
-	if incoming.Forward && len(news)+len(deaths) > 0 {
-		c.forward = append(c.forward, news...)
+	c.observeSender(incoming.From, now)
+	accepted := c.mergeRecords(content.Records, now)
+	deaths := c.applyDeaths(content.Deaths, now)
+	if incoming.Forward && len(accepted)+len(deaths) > 0 {
+		c.forwardRecords = append(c.forwardRecords, accepted...)
 		c.forwardDeaths = append(c.forwardDeaths, deaths...)
 		c.wakeLoop()
 	}
-	response, answer := c.pullAnswer(incoming)
-	if near {
-		c.addZoneAnswer(incoming, &response, &answer, now)
+	response, reply := c.buildPullResponse(incoming)
+	if local {
+		c.addLocalZoneResponse(incoming, &response, &reply, now)
 	}
-	return response, answer
+	return response, reply
 }
 
-// pullAnswer answers from the records of this zone.
-func (c *Cluster) pullAnswer(incoming gossipRequest) (gossipResponse, payload) {
+// buildPullResponse builds the response to a pull from the records of this zone. Must be called with mu
+// held.
+func (c *Cluster) buildPullResponse(incoming gossipRequest) (gossipResponse, payload) {
 	response := gossipResponse{From: c.senderLocked(), LogAge: ageOf(c.logContact, time.Now())}
-	var answer payload
+	var reply payload
 	if incoming.Pull {
-		live := c.liveRecords()
-		answer.Records, response.Want, response.Gone = c.zones[c.self.Zone].newer(
+		live := c.liveWriters()
+		reply.Records, response.Want, response.Gone = c.zones[c.self.Zone].newer(
 			parseVector(incoming.Vector), func(held record) bool { return live[held.ID] == held.Writer })
 	}
 	if incoming.WantContacts {
-		answer.Contacts = c.contactsFor(incoming.From.Zone)
+		reply.Contacts = c.contactsFor(incoming.From.Zone)
 	}
-	return response, answer
+	return response, reply
 }
 
-// addZoneAnswer adds what only nodes of the same zone tell each other.
-func (c *Cluster) addZoneAnswer(incoming gossipRequest, response *gossipResponse, answer *payload, now time.Time) {
+// addLocalZoneResponse adds the parts that are only exchanged within a zone.
+func (c *Cluster) addLocalZoneResponse(incoming gossipRequest, response *gossipResponse, reply *payload, now time.Time) {
 	response.Gone = nil
 	response.Engines = c.engines.stamp(now)
 	if incoming.Digest != 0 && incoming.Digest != c.node.Digest() {
-		answer.Updates = c.node.Members()
+		reply.Updates = c.node.Members()
 		response.WantMembers = true
 	}
 	if incoming.WantEngines {
-		answer.Engines = c.engines.list
+		reply.Engines = c.engines.list
 	}
 }
 
-// liveRecords returns the writer of each member of the zone that is not dead.
-func (c *Cluster) liveRecords() map[string]string {
+// liveWriters returns the writer of each member of the zone that is not dead, by ID.
+func (c *Cluster) liveWriters() map[string]string {
 	live := make(map[string]string)
 	for _, update := range c.node.Members() {
 		if update.State != membership.Dead {
--- a/internal/cluster/harness_test.go
+++ b/internal/cluster/harness_test.go
@@ -17,66 +17,66 @@
 )
 
 const (
-	// testProbeInterval is short, but long enough for a busy machine.
+	// testProbeInterval is short, but tolerates delays on a busy machine.
 	testProbeInterval = 100 * time.Millisecond
 	testLimit         = 30 * time.Second
 )
 
-// gate is a Caller that refuses calls to blocked addresses: a partition.
-type gate struct {
+// faults is a Caller that simulates partitions and pauses of its node.
+type faults struct {
 	peer.Caller
 	mu      sync.Mutex
 	blocked map[string]bool
-	frozen  chan struct{} // calls and handlers wait until it is closed; nil when not frozen
+	paused  chan struct{} // calls and handlers block until it is closed; nil unless paused
 }
 
-func (g *gate) Call(ctx context.Context, address string, method peer.Method, request, response any) error {
-	g.mu.Lock()
-	blocked := g.blocked[address]
-	g.mu.Unlock()
-	if err := g.waitThaw(ctx); err != nil {
+func (f *faults) Call(ctx context.Context, address string, method peer.Method, request, response any) error {
+	f.mu.Lock()
+	blocked := f.blocked[address]
+	f.mu.Unlock()
+	if err := f.waitResumed(ctx); err != nil {
 		return &peer.DeliveryError{Err: err}
 	}
 	if blocked {
 		return &peer.DeliveryError{Err: errors.New("blocked")}
 	}
-	return g.Caller.Call(ctx, address, method, request, response)
+	return f.Caller.Call(ctx, address, method, request, response)
 }
 
-// freeze makes the node neither speak nor answer until the result is called.
-func (g *gate) freeze() (thaw func()) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	frozen := make(chan struct{})
-	g.frozen = frozen
-	return func() { close(frozen) }
+// pause blocks all calls and handlers of the node until resume is called.
+func (f *faults) pause() (resume func()) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	paused := make(chan struct{})
+	f.paused = paused
+	return func() { close(paused) }
 }
 
-func (g *gate) waitThaw(ctx context.Context) error {
-	g.mu.Lock()
-	frozen := g.frozen
-	g.mu.Unlock()
-	if frozen == nil {
+func (f *faults) waitResumed(ctx context.Context) error {
+	f.mu.Lock()
+	paused := f.paused
+	f.mu.Unlock()
+	if paused == nil {
 		return nil
 	}
 	select {
-	case <-frozen:
+	case <-paused:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (g *gate) block(addresses ...string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.blocked = make(map[string]bool)
+func (f *faults) block(addresses ...string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.blocked = make(map[string]bool)
 	for _, address := range addresses {
-		g.blocked[address] = true
+		f.blocked[address] = true
 	}
 }
 
-// fakeMachines is a machine list that can be down.
+// fakeMachines is a machine list that can be unavailable.
 type fakeMachines struct {
 	mu    sync.Mutex
 	list  machines.List
@@ -89,7 +89,7 @@
 	defer f.mu.Unlock()
 	f.reads++
 	if f.down {
-		return machines.List{}, errors.New("list is down")
+		return machines.List{}, errors.New("list is unavailable")
 	}
 	return f.list, nil
 }
@@ -100,11 +100,11 @@
 	f.down, f.list = down, machines.List{Machines: list}
 }
 
-// testNode is one node on loopback.
+// testNode is a node that listens on loopback.
 type testNode struct {
 	*Cluster
 	transport *peer.Transport
-	gate      *gate
+	faults    *faults
 	stop      func()
 }
 
@@ -124,13 +124,14 @@
 		settings.interval = testProbeInterval
 	}
 	transport := peer.New(peer.Options{NodeID: settings.id, ListenAddress: settings.address})
-	node := &testNode{transport: transport, gate: &gate{Caller: transport}}
+	node := &testNode{transport: transport, faults: &faults{Caller: transport}}
 	assert.NilError(t, transport.Listen())
 	node.Cluster = New(Options{
 		Self: Member{
 			ID: settings.id, Writer: settings.writer + settings.id, Address: transport.Address(), Zone: settings.zone,
 		},
-		Seeds: settings.seeds, Caller: node.gate, Registry: &gatedRegistry{Registry: transport, gate: node.gate}, Machines: settings.machines,
+		Seeds: settings.seeds, Caller: node.faults,
+		Registry: &pausableRegistry{Registry: transport, faults: node.faults}, Machines: settings.machines,
 		ProbeInterval: settings.interval, Registerer: prometheus.NewRegistry(),
 	})
 	assert.NilError(t, transport.Start())
@@ -148,15 +149,15 @@
 	return node
 }
 
-// gatedRegistry has the handlers wait while the node is frozen.
-type gatedRegistry struct {
+// pausableRegistry blocks the handlers while the node is paused.
+type pausableRegistry struct {
 	peer.Registry
-	gate *gate
+	faults *faults
 }
 
-func (g *gatedRegistry) HandleCall(method peer.Method, handler peer.CallHandler) {
-	g.Registry.HandleCall(method, func(ctx context.Context, request peer.Request) (any, error) {
-		if err := g.gate.waitThaw(ctx); err != nil {
+func (r *pausableRegistry) HandleCall(method peer.Method, handler peer.CallHandler) {
+	r.Registry.HandleCall(method, func(ctx context.Context, request peer.Request) (any, error) {
+		if err := r.faults.waitResumed(ctx); err != nil {
 			return nil, err
 		}
 		return handler(ctx, request)
@@ -186,7 +187,7 @@
 	}, poll.WithTimeout(testLimit), poll.WithDelay(10*time.Millisecond))
 }
 
-// stateOf returns the member's state at the node; dead when it is unknown.
+// stateOf returns the state of a member as seen by the node; dead if unknown.
 func (n *testNode) stateOf(id string) MemberState {
 	for _, member := range n.Members() {
 		if member.ID == id {
@@ -196,7 +197,7 @@
 	return StateDead
 }
 
-func allSee(nodes []*testNode, count int) func() bool {
+func allSeeAlive(nodes []*testNode, count int) func() bool {
 	return func() bool {
 		for _, node := range nodes {
 			alive := 0
@@ -213,7 +214,7 @@
 	}
 }
 
-func allHold(nodes []*testNode, holds func(node *testNode) bool) func() bool {
+func allSatisfy(nodes []*testNode, holds func(node *testNode) bool) func() bool {
 	return func() bool {
 		for _, node := range nodes {
 			if !holds(node) {
--- a/internal/cluster/lost_zone_test.go
+++ b/internal/cluster/lost_zone_test.go
@@ -7,62 +7,59 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestALostZoneIsNoCandidate lets all nodes of a zone die at once. Nobody in
-// the zone is left to tell that they are gone.
-func TestALostZoneIsNoCandidate(t *testing.T) {
-	near := startZone(t, "near", 2, nil)
-	far := startZone(t, "far", 3, nil, near[0].Self().Address)
-	all := append(append([]*testNode{}, near...), far...)
-	eventually(t, "all have joined", allSee(all, len(all)))
-	far[0].AnnounceOwned([]Ownership{{Stream: "steps/t", Epoch: 7}})
-	eventually(t, "the owner is known", allHold(near, func(node *testNode) bool {
+// All nodes of a zone fail at once, so that none is left to send death notices.
+func TestLostZoneHasNoCandidatesOrOwners(t *testing.T) {
+	local := startZone(t, "near", 2, nil)
+	remote := startZone(t, "far", 3, nil, local[0].Self().Address)
+	all := append(append([]*testNode{}, local...), remote...)
+	eventually(t, "all have joined", allSeeAlive(all, len(all)))
+	remote[0].AnnounceOwned([]Ownership{{Stream: "steps/t", Epoch: 7}})
+	eventually(t, "the owner is known", allSatisfy(local, func(node *testNode) bool {
 		_, _, known := node.Owner("steps/t")
 		return known
 	}))
-	for _, node := range far {
+	for _, node := range remote {
 		node.stop()
 	}
-	eventually(t, "the dead take no work and own nothing", allHold(near, func(node *testNode) bool {
+	eventually(t, "dead nodes are neither candidates nor owners", allSatisfy(local, func(node *testNode) bool {
 		_, _, known := node.Owner("steps/t")
-		return len(node.Candidates("")) == len(near) && len(node.Members()) == len(near) && !known
+		return len(node.Candidates("")) == len(local) && len(node.Members()) == len(local) && !known
 	}))
-	for _, node := range near {
+	for _, node := range local {
 		reachable, known := node.Reachability()
-		assert.Equal(t, reachable, len(near))
-		assert.Equal(t, known, len(all)) // what can't be heard still counts
+		assert.Equal(t, reachable, len(local))
+		assert.Equal(t, known, len(all)) // unreachable nodes still count as known
 	}
 }
 
-// TestALostZoneComesBack cuts two zones from each other for a while.
-func TestALostZoneComesBack(t *testing.T) {
-	near := startZone(t, "near", 2, nil)
-	far := startZone(t, "far", 2, nil, near[0].Self().Address)
-	all := append(append([]*testNode{}, near...), far...)
-	eventually(t, "all have joined", allSee(all, len(all)))
+func TestZoneRejoinsAfterPartition(t *testing.T) {
+	local := startZone(t, "near", 2, nil)
+	remote := startZone(t, "far", 2, nil, local[0].Self().Address)
+	all := append(append([]*testNode{}, local...), remote...)
+	eventually(t, "all have joined", allSeeAlive(all, len(all)))
 	cut := func(from, to []*testNode) {
 		var addresses []string
 		for _, node := range to {
 			addresses = append(addresses, node.Self().Address)
 		}
 		for _, node := range from {
-			node.gate.block(addresses...)
+			node.faults.block(addresses...)
 		}
 	}
-	cut(near, far)
-	cut(far, near)
+	cut(local, remote)
+	cut(remote, local)
 	alone := func(nodes []*testNode) func() bool {
-		return allHold(nodes, func(node *testNode) bool { return len(node.Candidates("")) == len(nodes) })
+		return allSatisfy(nodes, func(node *testNode) bool { return len(node.Candidates("")) == len(nodes) })
 	}
-	eventually(t, "each side is alone", func() bool { return alone(near)() && alone(far)() })
-	cut(near, nil)
-	cut(far, nil)
-	eventually(t, "all see all", allSee(all, len(all)))
+	eventually(t, "each zone sees only itself", func() bool { return alone(local)() && alone(remote)() })
+	cut(local, nil)
+	cut(remote, nil)
+	eventually(t, "all nodes see each other", allSeeAlive(all, len(all)))
 }
 
-// TestANodeThatLostTheLogAsksAllZones cuts a node off that does not come to ask
-// the other zones by its turns.
-func TestANodeThatLostTheLogAsksAllZones(t *testing.T) {
-	// At this pace a zone that fell silent counts as heard for 45 s.
+// Disables remote pulls, so that only the zone check can detect the partition.
+func TestStaleLogContactTriggersZoneCheck(t *testing.T) {
+	// With this interval a silent zone counts as reachable for 45 s.
 	const interval = 1500 * time.Millisecond
 	node := startNode(t, testSettings{id: "near-n0", zone: "near", interval: interval})
 	var rest []*testNode
@@ -72,18 +69,18 @@
 		}))
 	}
 	all := append([]*testNode{node}, rest...)
-	eventually(t, "all have joined", allSee(all, len(all)))
+	eventually(t, "all have joined", allSeeAlive(all, len(all)))
 	var addresses []string
 	for _, other := range rest {
 		addresses = append(addresses, other.Self().Address)
-		other.gate.block(node.Self().Address)
+		other.faults.block(node.Self().Address)
 	}
-	node.gate.block(addresses...)
+	node.faults.block(addresses...)
 	node.mu.Lock()
-	node.schedule.far = time.Now().Add(2 * testLimit)
+	node.schedule.remote = time.Now().Add(2 * testLimit)
 	node.mu.Unlock()
 	node.AnnounceLogContact(time.Now())
-	eventually(t, "the node knows that it is alone", func() bool {
+	eventually(t, "the node sees only itself as reachable", func() bool {
 		reachable, known := node.Reachability()
 		return reachable == 1 && known == len(all)
 	})
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -21,7 +21,7 @@
 		"Engines of the zone in the machine list.", nil, nil)
 )
 
-// collector reads the cluster's state at each scrape.
+// collector exports the state of the cluster at each scrape.
 type collector struct{ cluster *Cluster }
 
 // Describe implements prometheus.Collector.
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -10,25 +10,25 @@
 	"github.com/corkpulley/corkpulley/internal/platform/machines"
 )
 
-// DefaultProbeInterval is the SWIM protocol period when Options names none.
+// DefaultProbeInterval is the default SWIM protocol period.
 const DefaultProbeInterval = 500 * time.Millisecond
 
 // Options configures a Cluster.
 type Options struct {
-	// Self is this node; ID, Writer, Address and Zone must be set.
+	// Self describes this node; ID, Writer, Address and Zone are required.
 	Self Member
-	// Region is the region of this node's zone, for the machine list.
+	// Region is the region of this node's zone; engines of other regions are ignored.
 	Region string
-	// Seeds are peer addresses to try first, of any zone.
+	// Seeds are the peer addresses to contact first, in any zone.
 	Seeds []string
 	// Caller and Registry are the peer transport.
 	Caller   peer.Caller
 	Registry peer.Registry
-	// Machines is the platform's list; nil means that there is none.
+	// Machines is the platform's machine list; nil if there is none.
 	Machines machines.Source
 	// ProbeInterval is the SWIM protocol period; 0 means DefaultProbeInterval.
 	ProbeInterval time.Duration
 	Logger        zerolog.Logger
-	// Registerer takes the cluster's metrics; nil registers none.
+	// Registerer registers the cluster's metrics; nil disables them.
 	Registerer prometheus.Registerer
 }
--- a/internal/cluster/ownershipannouncer.go
+++ b/internal/cluster/ownershipannouncer.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// OwnershipAnnouncer joins the streams owned by several coordinators into the
-// one list that a node announces. It is safe for concurrent use.
+// OwnershipAnnouncer merges the owned streams of several coordinators into the single list announced by the
+// node. It is safe for concurrent use.
 type OwnershipAnnouncer struct {
 	target Announcer
 
@@ -14,7 +14,7 @@
 // ownershipSource is the Announcer of one coordinator.
 type ownershipSource struct {
 	Announcer
-	joined *OwnershipAnnouncer
+	parent *OwnershipAnnouncer
 	owned  []Ownership
 }
 
@@ -23,24 +23,24 @@
 	return &OwnershipAnnouncer{target: target}
 }
 
-// Source returns an Announcer for one more coordinator. All but its owned
-// streams goes to the target as it is.
+// Source returns an Announcer for an additional coordinator. All announcements other than owned streams are
+// passed to the target unchanged.
 func (a *OwnershipAnnouncer) Source() Announcer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	added := &ownershipSource{Announcer: a.target, joined: a}
+	added := &ownershipSource{Announcer: a.target, parent: a}
 	a.sources = append(a.sources, added)
 	return added
 }
 
-// AnnounceOwned replaces this coordinator's part of the list.
+// AnnounceOwned replaces the streams owned by this coordinator and announces the merged list.
 func (s *ownershipSource) AnnounceOwned(owned []Ownership) {
-	s.joined.mu.Lock()
-	defer s.joined.mu.Unlock()
+	s.parent.mu.Lock()
+	defer s.parent.mu.Unlock()
 	s.owned = append([]Ownership(nil), owned...)
 	var all []Ownership
-	for _, source := range s.joined.sources {
+	for _, source := range s.parent.sources {
 		all = append(all, source.owned...)
 	}
-	s.joined.target.AnnounceOwned(all)
+	s.parent.target.AnnounceOwned(all)
 }
--- a/internal/cluster/ownershipannouncer_test.go
+++ b/internal/cluster/ownershipannouncer_test.go
@@ -8,7 +8,7 @@
 	"github.com/corkpulley/corkpulley/internal/cluster"
 )
 
-// ownedRecorder keeps the list announced last.
+// ownedRecorder records the last announced list.
 type ownedRecorder struct {
 	cluster.Announcer
 	owned []cluster.Ownership
@@ -16,7 +16,7 @@
 
 func (r *ownedRecorder) AnnounceOwned(owned []cluster.Ownership) { r.owned = owned }
 
-func TestOwnershipAnnouncerJoinsItsSources(t *testing.T) {
+func TestOwnershipAnnouncerMergesSources(t *testing.T) {
 	recorder := &ownedRecorder{}
 	joined := cluster.NewOwnershipAnnouncer(recorder)
 	trainers, orders := joined.Source(), joined.Source()
--- a/internal/cluster/pack.go
+++ b/internal/cluster/pack.go
@@ -9,8 +9,8 @@
 	"github.com/go-faster/errors"
 )
 
-// deflaters keeps writers for reuse: a new one takes half a megabyte.
-var deflaters = sync.Pool{New: func() any {
+// flateWriters caches compressors, each of which allocates about 0.5 MB.
+var flateWriters = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(io.Discard, flate.DefaultCompression)
 	if err != nil {
 		panic(err) // the level is a constant and valid
@@ -19,17 +19,17 @@
 }}
 
 const (
-	// compressAbove is the size in bytes from which a payload is deflated.
-	compressAbove = 256
-	// maxPayload bounds an unpacked payload in bytes.
-	maxPayload       = 8 << 20
-	packedPlain byte = 0
-	packedFlate byte = 1
+	// compressMinSize is the size in bytes from which a payload is compressed.
+	compressMinSize = 256
+	// maxPayloadSize limits a decompressed payload in bytes.
+	maxPayloadSize      = 8 << 20
+	packedPlain    byte = 0
+	packedFlate    byte = 1
 )
 
-var errPayload = errors.New("gossip payload is malformed")
+var errMalformedPayload = errors.New("gossip payload is malformed")
 
-// pack encodes a payload; an empty one takes no bytes.
+// pack encodes a payload, compressed if large; an empty one is encoded as nil.
 func pack(content payload) ([]byte, error) {
 	if content.empty() {
 		return nil, nil
@@ -38,13 +38,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(plain) < compressAbove {
+	if len(plain) < compressMinSize {
 		return append([]byte{packedPlain}, plain...), nil
 	}
 	var deflated bytes.Buffer
 	deflated.WriteByte(packedFlate)
-	writer := deflaters.Get().(*flate.Writer)
-	defer deflaters.Put(writer)
+	writer := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(writer)
 	writer.Reset(&deflated)
 	if _, err := writer.Write(plain); err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	return deflated.Bytes(), nil
 }
 
-// unpack decodes a payload, refusing one that is too large.
+// unpack decodes a payload and rejects one above maxPayloadSize.
 func unpack(packed []byte) (payload, error) {
 	var content payload
 	if len(packed) == 0 {
@@ -65,16 +65,16 @@
 	switch packed[0] {
 	case packedPlain:
 	case packedFlate:
-		inflated, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(plain)), maxPayload+1))
+		inflated, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(plain)), maxPayloadSize+1))
 		if err != nil {
 			return content, errors.Wrap(err, "inflate gossip payload")
 		}
 		plain = inflated
 	default:
-		return content, errPayload
+		return content, errMalformedPayload
 	}
-	if len(plain) > maxPayload {
-		return content, errPayload
+	if len(plain) > maxPayloadSize {
+		return content, errMalformedPayload
 	}
 	return content, decode(plain, &content)
 }
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -9,34 +9,34 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// probeTimeoutPeriods bounds a probe call in protocol periods; a late answer
-// still counts while the probe runs, which local health may prolong.
+// probeTimeoutPeriods limits a probe call in protocol periods. It exceeds one period, since poor local
+// health extends the probe timeout.
 const probeTimeoutPeriods = 5
 
 // dispatch sends membership messages, each in its own goroutine.
 func (c *Cluster) dispatch(ctx context.Context, messages []membership.Message) {
 	for _, outgoing := range messages {
 		if outgoing.Kind == membership.Ack {
-			continue // answers go back as responses
+			continue // acks are returned as call responses
 		}
 		c.calls.Go(func() { c.sendProbe(ctx, outgoing) })
 	}
 }
 
-// sendProbe sends a ping or a request for one and feeds the answer back.
+// sendProbe sends a direct or indirect ping and passes the ack to the membership node.
 func (c *Cluster) sendProbe(ctx context.Context, outgoing membership.Message) {
 	method := peer.MethodProbe
 	if outgoing.Kind == membership.PingRequest {
 		method = peer.MethodProbeIndirect
 	}
-	answer, err := c.callProbe(ctx, method, outgoing)
+	ack, err := c.callProbe(ctx, method, outgoing)
 	if err != nil {
-		return // silence is what the membership node counts
+		return // the membership node detects the missing ack
 	}
-	c.dispatch(ctx, c.step(answer))
+	c.dispatch(ctx, c.step(ack))
 }
 
-// callProbe makes the call and takes in what the answer says beside the message.
+// callProbe sends a probe and records the log age and the table revision of the response.
 func (c *Cluster) callProbe(
 	ctx context.Context, method peer.Method, outgoing membership.Message,
 ) (membership.Message, error) {
@@ -50,20 +50,19 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hearLogAge(response.LogAge, sentAt)
-	c.hearRevision(response.Message.From, response.Revision)
+	c.observeLogAge(response.LogAge, sentAt)
+	c.observeRevision(response.Message.From, response.Revision)
 	return response.Message, nil
 }
 
-// step feeds one message to the membership node.
+// step passes a message to the membership node and returns the messages to send.
 func (c *Cluster) step(incoming membership.Message) []membership.Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.node.Step(incoming)
-	return c.takeReady(time.Now())
+	return c.drainReady(time.Now())
 }
 
-// handleProbe answers a ping.
 func (c *Cluster) handleProbe(_ context.Context, request peer.Request) (any, error) {
 	incoming, err := c.decodeProbe(request)
 	if err != nil {
@@ -77,7 +76,7 @@
 	return nil, errkind.New(errkind.NotFound, "node %q does not answer for %q", c.options.Self.ID, incoming.To)
 }
 
-// handleProbeIndirect pings the target for the sender.
+// handleProbeIndirect pings the target on behalf of the sender.
 func (c *Cluster) handleProbeIndirect(ctx context.Context, request peer.Request) (any, error) {
 	incoming, err := c.decodeProbe(request)
 	if err != nil {
@@ -87,11 +86,11 @@
 		if relayed.Kind != membership.Ping || relayed.Origin != incoming.From {
 			continue
 		}
-		answer, err := c.callProbe(ctx, peer.MethodProbe, relayed)
+		ack, err := c.callProbe(ctx, peer.MethodProbe, relayed)
 		if err != nil {
 			return nil, err
 		}
-		for _, back := range c.step(answer) {
+		for _, back := range c.step(ack) {
 			if back.Kind == membership.Ack && back.To == incoming.From {
 				return encode(c.probeResponse(back))
 			}
@@ -107,15 +106,15 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hearRevision(probe.Message.From, probe.Revision)
+	c.observeRevision(probe.Message.From, probe.Revision)
 	return probe.Message, nil
 }
 
-func (c *Cluster) probeResponse(answer membership.Message) *probeResponse {
+func (c *Cluster) probeResponse(ack membership.Message) *probeResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return &probeResponse{
-		Message:  answer,
+		Message:  ack,
 		Revision: c.self.Revision,
 		LogAge:   ageOf(c.logContact, time.Now()),
 	}
@@ -127,23 +126,22 @@
 	return c.self.Revision
 }
 
-// hearRevision notes what a member of the zone said of its table; called with
-// the lock held.
-func (c *Cluster) hearRevision(id string, revision int64) {
+// observeRevision records the table revision reported by a member of the zone. Must be called with mu held.
+func (c *Cluster) observeRevision(id string, revision int64) {
 	writer, known := c.writers[id]
 	if !known || revision <= 0 {
 		return
 	}
 	from := sender{ID: id, Writer: writer, Zone: c.self.Zone, Revision: revision}
 	if c.zones[c.self.Zone].raiseRevision(from) {
-		c.outdated.Store(true)
+		c.viewStale.Store(true)
 	}
 }
 
-// hearLogAge notes a log contact told in an answer. The age is counted from
-// the time of the question: an answer that lay unread while this process was
-// paused makes the contact look older, never fresher.
-func (c *Cluster) hearLogAge(age logAge, askedAt time.Time) {
+// observeLogAge records the log contact of a response. The age is counted from the time of the request, so
+// that a response read late, after a pause of this process, never dates the contact too late. Must be called
+// with mu held.
+func (c *Cluster) observeLogAge(age logAge, askedAt time.Time) {
 	if age < 0 {
 		return
 	}
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// recordKey names one process of a zone: a hash of its ID and writer, so that a
-// restarted node has another key.
+// recordKey identifies a process of a zone: a hash of its ID and writer, so that a restarted node gets a new
+// key.
 type recordKey uint32
 
 func keyOf(id, writer string) recordKey {
@@ -20,27 +20,26 @@
 	return recordKey(digest.Sum64())
 }
 
-// vectorEntrySize: key and version, big endian.
+// vectorEntrySize is the size of a vector entry in bytes: key and version, both big-endian uint32.
 const vectorEntrySize = 8
 
 // zoneRecords holds the records of one zone's processes.
 type zoneRecords struct {
 	records map[recordKey]record
-	// lost holds when nodes vanished that had not announced a planned stop.
+	// lost holds the time at which each node disappeared without a planned shutdown, by ID.
 	lost map[string]time.Time
-	// heardAt is when a node of the zone last spoke itself; failures counts
-	// the contacts that failed since. touchedAt is when anything was last
-	// heard of the zone.
-	heardAt   time.Time
-	failures  int
-	touchedAt time.Time
+	// lastContactAt is the time of the last direct contact with a node of the zone, failures the number of
+	// failed contacts since. updatedAt is the time of the last direct or indirect information.
+	lastContactAt time.Time
+	failures      int
+	updatedAt     time.Time
 }
 
 func newZoneRecords() *zoneRecords {
 	return &zoneRecords{records: make(map[recordKey]record), lost: make(map[string]time.Time)}
 }
 
-// vector encodes which version of each record is held.
+// vector encodes the version of each record.
 func (z *zoneRecords) vector() []byte {
 	vector := make([]byte, 0, len(z.records)*vectorEntrySize)
 	for key, held := range z.records {
@@ -50,7 +49,7 @@
 	return vector
 }
 
-// parseVector decodes a vector; a torn last entry is dropped.
+// parseVector decodes a vector. An incomplete last entry is ignored.
 func parseVector(vector []byte) map[recordKey]uint32 {
 	versions := make(map[recordKey]uint32, len(vector)/vectorEntrySize)
 	for len(vector) >= vectorEntrySize {
@@ -60,7 +59,7 @@
 	return versions
 }
 
-// put keeps a record that is newer than the held one and reports whether it was.
+// put stores a record if it is newer than the stored one, and reports whether it was.
 func (z *zoneRecords) put(update record) bool {
 	key := keyOf(update.ID, update.Writer)
 	held, known := z.records[key]
@@ -73,7 +72,7 @@
 	return true
 }
 
-// raiseRevision notes the table revision that a process told of itself.
+// raiseRevision records the table revision reported by a process, and reports whether it changed.
 func (z *zoneRecords) raiseRevision(from sender) bool {
 	key := keyOf(from.ID, from.Writer)
 	held, known := z.records[key]
@@ -88,14 +87,14 @@
 	return true
 }
 
-// sameMember reports whether both records make the same Member: most news is
-// of loads, which the view of the members does not show.
-func (r record) sameMember(other record) bool {
+// equalMember reports whether the update leaves the Member unchanged. Most updates only change loads, which
+// are not part of the view.
+func (r record) equalMember(other record) bool {
 	return r.Address == other.Address && r.Leaving == other.Leaving && r.Revision >= other.Revision &&
 		slices.Equal(r.Owned, other.Owned)
 }
 
-// remove drops a record and returns it.
+// remove deletes a record and returns it.
 func (z *zoneRecords) remove(key recordKey, now time.Time) (record, bool) {
 	held, known := z.records[key]
 	if !known {
@@ -108,8 +107,8 @@
 	return held, true
 }
 
-// forgetLost drops losses from before the limit.
-func (z *zoneRecords) forgetLost(limit time.Time) {
+// pruneLost removes the lost nodes that disappeared before the limit.
+func (z *zoneRecords) pruneLost(limit time.Time) {
 	for id, at := range z.lost {
 		if at.Before(limit) {
 			delete(z.lost, id)
@@ -117,8 +116,8 @@
 	}
 }
 
-// newer returns the held records that the vector lacks or has in an older
-// version, and the keys of which the vector has more than is held.
+// newer compares the stored records with a version vector. It returns the records that are newer than the
+// vector, the keys with a higher version in the vector, and the keys that no longer exist here.
 func (z *zoneRecords) newer(versions map[recordKey]uint32, live func(record) bool) (newer []record, want, gone []recordKey) {
 	for key, held := range z.records {
 		if held.Version > versions[key] && live(held) {
@@ -137,8 +136,8 @@
 	return newer, want, gone
 }
 
-// pick returns the held records of the keys.
-func (z *zoneRecords) pick(keys []recordKey) []record {
+// byKeys returns the stored records of the keys.
+func (z *zoneRecords) byKeys(keys []recordKey) []record {
 	var picked []record
 	for _, key := range keys {
 		if held, known := z.records[key]; known {
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// The periods below count protocol periods (500 ms by default).
-	syncPeriods        = 3 // one contact in the zone
-	farPeriods         = 2 // one contact in another zone, while there are few
-	farPeriodsMany     = 4 // the same when there are more than fewZones
-	fewZones           = 4
-	joinPeriods        = 2  // tries to join, while alone in the zone
-	pollPeriods        = 2  // machine list
-	pollPeriodsFailing = 6  // machine list, while it is down
-	refreshPeriods     = 12 // loads of the own cells
-	sweepPeriods       = 2
-	// wantContactsEvery is how often a far contact asks for more contacts.
+	// The following periods are in protocol periods (500 ms by default).
+	syncPeriods                = 3 // sync with one member of the zone
+	remotePullPeriods          = 2 // pull from one other zone
+	remotePullPeriodsManyZones = 4 // same, with more than fewZones other zones
+	fewZones                   = 4
+	joinPeriods                = 2  // join attempts
+	pollPeriods                = 2  // machine list reads
+	pollPeriodsFailing         = 6  // machine list, after a failed read
+	refreshPeriods             = 12 // announcement of cell loads
+	sweepPeriods               = 2
+	// wantContactsEvery is the number of remote pulls per request for contacts.
 	wantContactsEvery = 16
 )
 
-// schedule holds when each periodic task is due next.
+// schedule holds the next due time of each periodic task, and which tasks are running.
 type schedule struct {
-	sync, far, join, poll, refresh, sweep, sound  time.Time
-	farCount                                      int
-	polling, joining, syncing, reaching, sounding bool
+	sync, remote, join, poll, refresh, sweep, zoneCheck     time.Time
+	remotePullCount                                         int
+	polling, joining, syncing, pullingRemote, checkingZones bool
 }
 
 func (c *Cluster) periods(count int) time.Duration {
 	return time.Duration(count) * c.options.ProbeInterval
 }
 
-// jittered spreads a period by a tenth, so that nodes don't fall into step.
+// jittered varies a period by up to 10 % to avoid synchronization between nodes.
 func (c *Cluster) jittered(period time.Duration) time.Duration {
 	return time.Duration(float64(period) * (0.9 + 0.2*c.random.Float64()))
 }
@@ -41,11 +41,11 @@
 	defer c.mu.Unlock()
 	c.schedule = schedule{join: now, poll: now}
 	c.schedule.sync = now.Add(c.jittered(c.periods(1)))
-	c.schedule.far = now.Add(c.jittered(c.periods(1)))
+	c.schedule.remote = now.Add(c.jittered(c.periods(1)))
 	c.schedule.refresh = now.Add(c.jittered(c.periods(refreshPeriods)))
 }
 
-// due reports whether the task is due and sets its next time.
+// due reports whether the task is due and, if so, sets its next due time.
 func (c *Cluster) due(next *time.Time, now time.Time, periods int) bool {
 	if now.Before(*next) {
 		return false
@@ -54,7 +54,7 @@
 	return true
 }
 
-// runDue starts the tasks that are due. A task that still runs isn't started again.
+// runDue starts the tasks that are due and not already running.
 func (c *Cluster) runDue(ctx context.Context, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,18 +66,18 @@
 		c.sweep(now)
 	}
 	if c.due(&s.refresh, now, refreshPeriods) {
-		c.refreshCells(now)
+		c.refreshOwnCells(now)
 	}
 	if c.due(&s.sync, now, syncPeriods) {
 		c.startTask(&s.syncing, func() { c.syncZone(ctx) })
 	}
-	if c.due(&s.far, now, c.farPeriods()) {
-		c.startTask(&s.reaching, func() { c.reachFar(ctx) })
+	if c.due(&s.remote, now, c.remotePullPeriods()) {
+		c.startTask(&s.pullingRemote, func() { c.pullNextRemoteZone(ctx) })
 	}
-	if c.soundDue(now) {
-		c.startTask(&s.sounding, func() { c.soundZones(ctx) })
+	if c.zoneCheckDue(now) {
+		c.startTask(&s.checkingZones, func() { c.checkZones(ctx) })
 	}
-	if c.due(&s.join, now, joinPeriods) && (c.alone() || len(c.unheardSeeds()) > 0) {
+	if c.due(&s.join, now, joinPeriods) && (c.aloneInZone() || len(c.unansweredSeeds()) > 0) {
 		c.startTask(&s.joining, func() { c.join(ctx) })
 	}
 	if c.due(&s.poll, now, c.engines.pollPeriods()) && c.shouldPoll(now) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// startTask is called with the lock held.
+// startTask runs a task in the background unless it is already running. Must be called with mu held.
 func (c *Cluster) startTask(running *bool, task func()) {
 	if *running {
 		return
@@ -99,12 +99,12 @@
 	})
 }
 
-func (c *Cluster) farPeriods() int {
+func (c *Cluster) remotePullPeriods() int {
 	if len(c.zones)-1 > fewZones {
-		return farPeriodsMany
+		return remotePullPeriodsManyZones
 	}
-	return farPeriods
+	return remotePullPeriods
 }
 
-// alone reports whether no other member of the zone is known to live.
-func (c *Cluster) alone() bool { return len(c.liveMembers()) == 0 }
+// aloneInZone reports whether no other live member of the zone is known.
+func (c *Cluster) aloneInZone() bool { return len(c.liveMembers()) == 0 }
--- a/internal/cluster/snapshot.go
+++ b/internal/cluster/snapshot.go
@@ -9,10 +9,10 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// knownFor is how long a vanished node counts as known.
-const knownFor = 10 * time.Minute
+// lostNodeRetention is how long a lost node counts as known.
+const lostNodeRetention = 10 * time.Minute
 
-// view is what reads see; it is replaced whole and never changed.
+// view is an immutable snapshot of the cluster state.
 type view struct {
 	self       Member
 	members    []Member
@@ -28,19 +28,19 @@
 }
 
 // Self implements View.
-func (c *Cluster) Self() Member { return c.current().self }
+func (c *Cluster) Self() Member { return c.snapshot().self }
 
 // Members implements View.
-func (c *Cluster) Members() []Member { return c.current().members }
+func (c *Cluster) Members() []Member { return c.snapshot().members }
 
 // Candidates implements View.
 func (c *Cluster) Candidates(zone string) []Member {
-	return slices.Clip(c.current().candidates[zone])
+	return slices.Clip(c.snapshot().candidates[zone])
 }
 
 // Owner implements View.
 func (c *Cluster) Owner(stream string) (Member, int64, bool) {
-	owner, known := c.current().owners[stream]
+	owner, known := c.snapshot().owners[stream]
 	return owner.member, owner.epoch, known
 }
 
@@ -49,40 +49,38 @@
 
 // Reachability implements View.
 func (c *Cluster) Reachability() (reachable, known int) {
-	current := c.current()
-	return current.reachable, current.known
+	snapshot := c.snapshot()
+	return snapshot.reachable, snapshot.known
 }
 
-// LogContact implements View. Contacts told by others count as older than they
-// are by the time of the question, never as fresher.
+// LogContact implements View.
 func (c *Cluster) LogContact() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.logContact
 }
 
-// current returns the view, rebuilt if it is outdated. Many changes between two
-// reads so cost one rebuild.
-func (c *Cluster) current() *view {
-	if c.outdated.Load() {
+// snapshot returns the view, rebuilt if it is stale. Rebuilding on read coalesces multiple changes.
+func (c *Cluster) snapshot() *view {
+	if c.viewStale.Load() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.outdated.Load() {
-			c.publish()
+		if c.viewStale.Load() {
+			c.publishView()
 		}
 	}
 	return c.view.Load()
 }
 
-// publish rebuilds the view; called with the lock held.
-func (c *Cluster) publish() {
-	c.outdated.Store(false)
+// publishView rebuilds the view. Must be called with mu held.
+func (c *Cluster) publishView() {
+	c.viewStale.Store(false)
 	now := time.Now()
 	next := &view{candidates: make(map[string][]Member), owners: make(map[string]ownerEntry)}
-	c.addZoneMembers(next)
+	c.addLocalMembers(next)
 	for name, zone := range c.zones {
 		if name != c.self.Zone {
-			c.addFarMembers(next, zone, now)
+			c.addRemoteMembers(next, zone, now)
 		}
 	}
 	slices.SortFunc(next.members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -93,8 +91,8 @@
 	c.view.Store(next)
 }
 
-// addZoneMembers adds the members of this zone, as the membership tells.
-func (c *Cluster) addZoneMembers(next *view) {
+// addLocalMembers adds the members of this zone.
+func (c *Cluster) addLocalMembers(next *view) {
 	records := c.zones[c.self.Zone].records
 	for _, update := range c.node.Members() {
 		self := update.ID == c.self.ID
@@ -129,13 +127,13 @@
 	}
 }
 
-// addFarMembers adds what is known of another zone.
-func (c *Cluster) addFarMembers(next *view, zone *zoneRecords, now time.Time) {
+// addRemoteMembers adds the known members of another zone.
+func (c *Cluster) addRemoteMembers(next *view, zone *zoneRecords, now time.Time) {
 	next.known += len(zone.records) + len(zone.lost)
-	if c.reachableZone(zone, now) {
+	if c.zoneReachable(zone, now) {
 		next.reachable += len(zone.records)
 	}
-	if c.lostZone(zone) {
+	if c.zoneLost(zone) {
 		return
 	}
 	for _, held := range zone.records {
@@ -171,29 +169,29 @@
 	}
 }
 
-// sweep drops what is out of date; called with the lock held.
+// sweep removes expired state. Must be called with mu held.
 func (c *Cluster) sweep(now time.Time) {
 	for name, zone := range c.zones {
-		zone.forgetLost(now.Add(-knownFor))
-		if name != c.self.Zone && now.Sub(zone.touchedAt) > knownFor {
+		zone.pruneLost(now.Add(-lostNodeRetention))
+		if name != c.self.Zone && now.Sub(zone.updatedAt) > lostNodeRetention {
 			delete(c.zones, name)
 		}
 	}
-	c.dropStrangers()
-	c.publish()
+	c.removeNonMemberRecords()
+	c.publishView()
 	members := make(map[string]struct{})
 	for _, member := range c.view.Load().members {
 		members[member.ID] = struct{}{}
 	}
 	c.cells.retain(func(digest message.CellDigest, at time.Time) bool {
 		_, known := members[digest.Node]
-		return known || now.Sub(at) < cellMemory
+		return known || now.Sub(at) < nonMemberCellRetention
 	})
 }
 
-// dropStrangers drops records of this zone's processes that are no members.
-func (c *Cluster) dropStrangers() {
-	live := c.liveRecords()
+// removeNonMemberRecords removes the records of this zone whose process is not a live member.
+func (c *Cluster) removeNonMemberRecords() {
+	live := c.liveWriters()
 	zone := c.zones[c.self.Zone]
 	for key, held := range zone.records {
 		if live[held.ID] != held.Writer {
--- a/internal/cluster/sync.go
+++ b/internal/cluster/sync.go
@@ -9,23 +9,23 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// gossipTimeout bounds one gossip call.
+// gossipTimeout limits one gossip call.
 const gossipTimeout = 2 * time.Second
 
-// maxContacts bounds the remembered addresses of one zone.
+// maxContacts limits the stored addresses of a zone.
 const maxContacts = 64
 
-// contactsPerZone is how many addresses of each zone are told on request.
+// contactsPerZone is the number of addresses of each zone sent on request.
 const contactsPerZone = 2
 
-// outgoing is a gossip request before it is packed.
+// outgoing is a gossip request with its unpacked payload.
 type outgoing struct {
 	request gossipRequest
 	content payload
 }
 
-// gossip makes one call and takes in the answer. The answer's payload is
-// merged; the rest is for the caller.
+// gossip sends a request and merges the payload of the response. The remaining fields are handled by the
+// caller.
 func (c *Cluster) gossip(ctx context.Context, address string, out outgoing) (gossipResponse, error) {
 	var response gossipResponse
 	packed, err := pack(out.content)
@@ -44,7 +44,7 @@
 	if err != nil {
 		return response, err
 	}
-	c.takeResponse(response, content, address, askedAt)
+	c.mergeResponse(response, content, address, askedAt)
 	return response, nil
 }
 
@@ -61,51 +61,51 @@
 	}
 }
 
-// takeResponse merges an answer.
-func (c *Cluster) takeResponse(response gossipResponse, content payload, address string, askedAt time.Time) {
+// mergeResponse merges the response of the node at address.
+func (c *Cluster) mergeResponse(response gossipResponse, content payload, address string, askedAt time.Time) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if slices.Contains(c.options.Seeds, address) {
-		c.heardSeeds[address] = true
+		c.answeredSeeds[address] = true
 	}
-	c.hearSender(response.From, now)
-	c.hearLogAge(response.LogAge, askedAt)
-	for _, told := range content.Contacts {
-		c.addContact(told.Zone, told.Address)
+	c.observeSender(response.From, now)
+	c.observeLogAge(response.LogAge, askedAt)
+	for _, shared := range content.Contacts {
+		c.addContact(shared.Zone, shared.Address)
 	}
 	if response.From.Zone == c.self.Zone {
 		c.node.Merge(content.Updates)
-		c.outbox = append(c.outbox, c.takeReady(now)...)
-		c.takeEngines(content.Engines, response.Engines, askedAt)
+		c.outbox = append(c.outbox, c.drainReady(now)...)
+		c.mergeEngines(content.Engines, response.Engines, askedAt)
 	} else {
 		c.addContact(response.From.Zone, address)
-		c.dropGone(response.From.Zone, response.Gone, now)
+		c.removeGone(response.From.Zone, response.Gone, now)
 	}
-	c.takeRecords(content.Records, now)
+	c.mergeRecords(content.Records, now)
 }
 
-// hearSender notes that a node spoke; called with the lock held.
-func (c *Cluster) hearSender(from sender, now time.Time) {
+// observeSender records a direct contact with a node. Must be called with mu held.
+func (c *Cluster) observeSender(from sender, now time.Time) {
 	if from.Zone == "" || from.ID == c.self.ID {
 		return
 	}
 	zone := c.zone(from.Zone)
-	if !c.reachableZone(zone, now) {
-		c.outdated.Store(true)
+	if !c.zoneReachable(zone, now) {
+		c.viewStale.Store(true)
 	}
-	zone.heardAt, zone.touchedAt = now, now
+	zone.lastContactAt, zone.updatedAt = now, now
 	zone.failures = 0
 	if from.Zone != c.self.Zone {
 		c.addContact(from.Zone, from.Address)
 	}
 	isMember := from.Zone != c.self.Zone || c.writers[from.ID] == from.Writer
 	if isMember && zone.raiseRevision(from) {
-		c.outdated.Store(true)
+		c.viewStale.Store(true)
 	}
 }
 
-// zone returns the records of the zone, new ones if needed.
+// zone returns the records of a zone, creating them if needed.
 func (c *Cluster) zone(name string) *zoneRecords {
 	zone := c.zones[name]
 	if zone == nil {
@@ -115,45 +115,44 @@
 	return zone
 }
 
-// takeRecords keeps what is news and returns it; called with the lock held.
-func (c *Cluster) takeRecords(records []record, now time.Time) (news []record) {
+// mergeRecords stores the records that are new and returns them. Must be called with mu held.
+func (c *Cluster) mergeRecords(records []record, now time.Time) (accepted []record) {
 	for _, update := range records {
 		if update.ID == "" || update.Zone == "" || update.ID == c.self.ID {
 			continue
 		}
 		zone := c.zone(update.Zone)
-		zone.touchedAt = now
+		zone.updatedAt = now
 		held, known := zone.records[keyOf(update.ID, update.Writer)]
 		if !zone.put(update) {
 			continue
 		}
-		if !known || !held.sameMember(update) {
-			c.outdated.Store(true)
+		if !known || !held.equalMember(update) {
+			c.viewStale.Store(true)
 		}
-		news = append(news, update)
-		c.cells.takeRecord(update, now)
+		accepted = append(accepted, update)
+		c.cells.mergeRecord(update, now)
 	}
-	return news
+	return accepted
 }
 
-// dropGone drops the processes that a node of their own zone no longer knows.
-func (c *Cluster) dropGone(zone string, gone []recordKey, now time.Time) {
+// removeGone removes processes that are no longer known to a node of their own zone.
+func (c *Cluster) removeGone(zone string, gone []recordKey, now time.Time) {
 	for _, key := range gone {
 		if held, known := c.zone(zone).remove(key, now); known {
-			c.outdated.Store(true)
-			c.cells.forgetNode(held.ID)
+			c.viewStale.Store(true)
+			c.cells.removeNode(held.ID)
 			delete(c.contacts[zone], held.Address)
 		}
 	}
 }
 
-// syncZone makes one random member of the zone and this node equal. A known
-// address of the zone that is no member's comes first: nodes that started at
-// the same time may have joined in separate groups.
+// syncZone synchronizes with a random member of the zone. Contacts of the zone that are not members take
+// precedence: nodes started at the same time may have formed separate groups.
 func (c *Cluster) syncZone(ctx context.Context) {
 	c.mu.Lock()
 	members := c.liveMembers()
-	address := c.takeStranger(members)
+	address := c.takeUnknownContact(members)
 	if address == "" && len(members) > 0 {
 		address = members[c.random.IntN(len(members))]
 	}
@@ -163,9 +162,9 @@
 	}
 }
 
-// takeStranger removes an address from the contacts of this zone, and returns
-// it, that is no member's; called with the lock held.
-func (c *Cluster) takeStranger(members []string) string {
+// takeUnknownContact removes and returns a contact of this zone that is not a member. Must be called with mu
+// held.
+func (c *Cluster) takeUnknownContact(members []string) string {
 	for address := range c.contacts[c.self.Zone] {
 		delete(c.contacts[c.self.Zone], address)
 		if !slices.Contains(members, address) {
@@ -175,7 +174,7 @@
 	return ""
 }
 
-// syncWith exchanges with a node that is taken for one of this zone.
+// syncWith synchronizes with a node that is assumed to be in this zone.
 func (c *Cluster) syncWith(ctx context.Context, address string) {
 	c.mu.Lock()
 	out := outgoing{
@@ -183,7 +182,7 @@
 			Digest:       c.node.Digest(),
 			Pull:         true,
 			Vector:       c.zones[c.self.Zone].vector(),
-			WantContacts: c.alone() || len(c.zones) == 1,
+			WantContacts: c.aloneInZone() || len(c.zones) == 1,
 		},
 	}
 	if !slices.Contains(c.liveMembers(), address) {
@@ -194,15 +193,15 @@
 	if err != nil || response.From.Zone != c.self.Zone {
 		return
 	}
-	c.answerWants(ctx, address, response)
+	c.sendWanted(ctx, address, response)
 	c.wakeLoop()
 }
 
-// answerWants sends what the other node lacks, and asks for its engine list
-// if that is fresher.
-func (c *Cluster) answerWants(ctx context.Context, address string, response gossipResponse) {
+// sendWanted sends the records and members that the other node lacks, and requests its engine list if that
+// is newer.
+func (c *Cluster) sendWanted(ctx context.Context, address string, response gossipResponse) {
 	c.mu.Lock()
-	content := payload{Records: c.zones[c.self.Zone].pick(response.Want)}
+	content := payload{Records: c.zones[c.self.Zone].byKeys(response.Want)}
 	if response.WantMembers {
 		content.Updates = c.node.Members()
 	}
@@ -214,13 +213,13 @@
 	_, _ = c.gossip(ctx, address, outgoing{request: gossipRequest{WantEngines: wantEngines}, content: content})
 }
 
-// pushRecords sends records to the addresses at the same time, in the background.
+// pushRecords sends records to the addresses concurrently, in the background.
 func (c *Cluster) pushRecords(ctx context.Context, addresses []string, records []record, forward bool) {
 	c.push(ctx, addresses, payload{Records: records}, forward)
 }
 
-// push sends content, unless empty, to the addresses at the same time, in the
-// background. With forward set, they pass it on inside their zone.
+// push sends content, unless it is empty, to the addresses concurrently, in the background. With forward
+// set, the receivers pass it on within their zone.
 func (c *Cluster) push(ctx context.Context, addresses []string, content payload, forward bool) {
 	if content.empty() {
 		return
@@ -232,8 +231,8 @@
 	}
 }
 
-// liveMembers returns the addresses of the other members of the zone that are
-// not dead; called with the lock held.
+// liveMembers returns the addresses of the other members of the zone that are not dead. Must be called with
+// mu held.
 func (c *Cluster) liveMembers() []string {
 	var addresses []string
 	for _, update := range c.node.Members() {
@@ -244,13 +243,13 @@
 	return addresses
 }
 
-// join asks the seeds that never answered, all of them while this node is
-// alone, and then also the known addresses of the zone. Each seed must answer
-// once: two nodes that joined each other first would else never meet the rest.
+// join synchronizes with the seeds that have not responded yet or, while no other member of the zone is
+// known, with all seeds and contacts of the zone. Every seed must respond once; otherwise nodes that joined
+// each other first could remain a separate cluster.
 func (c *Cluster) join(ctx context.Context) {
 	c.mu.Lock()
-	addresses := c.unheardSeeds()
-	if c.alone() {
+	addresses := c.unansweredSeeds()
+	if c.aloneInZone() {
 		addresses = slices.Clone(c.options.Seeds)
 		for address := range c.contacts[c.self.Zone] {
 			addresses = append(addresses, address)
@@ -265,9 +264,9 @@
 	}
 }
 
-// unheardSeeds returns the seeds that did not answer yet; called with the lock held.
-func (c *Cluster) unheardSeeds() []string {
+// unansweredSeeds returns the seeds that have not responded yet. Must be called with mu held.
+func (c *Cluster) unansweredSeeds() []string {
 	return slices.DeleteFunc(slices.Clone(c.options.Seeds), func(address string) bool {
-		return address == c.self.Address || c.heardSeeds[address]
+		return address == c.self.Address || c.answeredSeeds[address]
 	})
 }
--- a/internal/cluster/traffic_test.go
+++ b/internal/cluster/traffic_test.go
@@ -13,16 +13,15 @@
 	"github.com/corkpulley/corkpulley/internal/platform/machines"
 )
 
-// BenchmarkControlTraffic reports the control bytes that a node sends per
-// second in zones of 25 with a busy cell on each node, at the default probe
-// interval. One iteration is one second.
+// BenchmarkControlTraffic reports the control bytes sent per node and second at the default probe interval,
+// in zones of 25 nodes with a busy cell each. One iteration is one second.
 func BenchmarkControlTraffic(b *testing.B) {
 	for _, zones := range []int{1, 2, 6} {
 		b.Run(fmt.Sprintf("zones=%d", zones), func(b *testing.B) { benchmarkTraffic(b, zones, 25) })
 	}
 }
 
-// settleTime lets the news of the joins run out before the measurement.
+// settleTime is the time for join traffic to subside before the measurement.
 const settleTime = 15 * time.Second
 
 func benchmarkTraffic(b *testing.B, zones, size int) {
@@ -45,7 +44,7 @@
 			seeds = append(seeds, node.Self().Address)
 		}
 	}
-	eventually(b, "all have joined", allSee(nodes, len(nodes)))
+	eventually(b, "all have joined", allSeeAlive(nodes, len(nodes)))
 	time.Sleep(settleTime)
 	before := sentByMethod(nodes)
 	b.ResetTimer()
@@ -80,7 +79,7 @@
 	return sums
 }
 
-// busyCell moves its load by half its slots each second.
+// busyCell returns a digest whose load changes by half its slots each second.
 func busyCell(zone string, index, second int) message.CellDigest {
 	return message.CellDigest{
 		Cell:     message.CellID{Zone: zone, Pool: "pool-a", Index: index},
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -1,5 +1,5 @@
-// Package cluster runs membership on the peer transport: failure detection
-// inside the zone, digests of cells and owned streams, and contacts in other zones.
+// Package cluster maintains cluster membership over the peer transport: SWIM failure detection within the
+// zone, gossip of cell digests and owned streams, and periodic pulls from other zones.
 package cluster
 
 import (
@@ -8,18 +8,18 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// MemberState is the state of a node as this node sees it.
+// MemberState is the state of a node as seen by the local node.
 type MemberState string
 
 // Member states.
 const (
 	StateAlive   MemberState = "alive"
 	StateSuspect MemberState = "suspect"
-	StateLeaving MemberState = "leaving" // announced a planned stop; takes no new work
+	StateLeaving MemberState = "leaving" // announced a planned shutdown; accepts no new work
 	StateDead    MemberState = "dead"
 )
 
-// Member is one node as this node sees it.
+// Member describes a node as seen by the local node.
 type Member struct {
 	// ID is the node's configured name; Writer identifies its process start.
 	ID      string      `json:"id"`
@@ -27,62 +27,59 @@
 	Address string      `json:"address"` // peer address
 	Zone    string      `json:"zone"`
 	State   MemberState `json:"state"`
-	// TableRevision is the revision in force there when last heard.
+	// TableRevision is the last known table revision in force on the node.
 	TableRevision int64 `json:"table_revision"`
-	// Owned lists the streams (ledgers, models) it owns, with their epochs.
+	// Owned lists the streams (ledgers, models) that the node owns, with their epochs.
 	Owned []Ownership `json:"owned,omitempty"`
 }
 
-// Ownership is one stream that a node owns under an epoch.
+// Ownership is a stream owned by a node, with the epoch under which it is owned.
 type Ownership struct {
 	Stream string `msgpack:"s" json:"stream"`
 	Epoch  int64  `msgpack:"e" json:"epoch"`
 }
 
-// View is what the other parts of a node read of the cluster. Views are soft:
-// they speed things up and never decide a promise. The returned slices and what
-// their elements point to are shared and must not be changed: a deployment has
-// hundreds of members, and every role looks at them several times a second.
+// View provides read access to the cluster state. The state is eventually consistent: callers may use it as
+// a hint, but must not rely on it for correctness. Returned slices and everything reachable from their
+// elements are shared and must not be modified.
 type View interface {
 	Self() Member
-	// Members returns all known nodes that are not dead, this one included,
-	// sorted by ID; other zones' nodes are included as far as they are known.
+	// Members returns all known nodes that are not dead, including the local node, sorted by ID. Nodes of
+	// other zones are included as far as they are known.
 	Members() []Member
-	// Candidates returns the nodes of a zone that may take new work (alive or
-	// suspect), sorted by ID; the empty zone means every zone.
+	// Candidates returns the nodes of a zone that may accept new work (alive or suspect), sorted by ID. An
+	// empty zone selects all zones.
 	Candidates(zone string) []Member
-	// Owner returns the member that last announced ownership of the stream
-	// with the highest epoch.
+	// Owner returns the member that announced ownership of the stream with the highest epoch.
 	Owner(stream string) (Member, int64, bool)
-	// Cells returns the freshest digest of each known cell, all zones.
+	// Cells returns the most recent digest of each known cell in all zones.
 	Cells() []message.CellDigest
-	// Reachability counts the nodes that this node can hear now, itself
-	// included, and those it knew of in the last ten minutes and that did not
-	// leave by plan; nodes of other zones count as their zones' digests tell.
+	// Reachability counts the nodes currently reachable, including the local node, and the nodes known
+	// within the last ten minutes that did not leave by a planned shutdown. Nodes of other zones are counted
+	// from the digests of their zones.
 	Reachability() (reachable, known int)
-	// LogContact returns when the freshest reachable node, this one included,
-	// last read to the end of the config stream (local clock, ages added up).
+	// LogContact returns the most recent time, by the local clock, at which a reachable node (including the
+	// local one) read the config stream to its end.
 	LogContact() time.Time
 }
 
-// Announcer is what the other parts of a node tell the cluster.
+// Announcer publishes the local state to the cluster.
 type Announcer interface {
 	AnnounceOwned(owned []Ownership)
-	// AnnounceCell tells the state of a cell that this node dispatches, with a
-	// risen Sequence. Announce each cell at least every ten seconds, changed
-	// or not: after fifteen it no longer counts as this node's.
+	// AnnounceCell publishes the state of a cell dispatched by this node, with an increased Sequence. Each
+	// cell must be announced at least every 10 s, even if unchanged; after 15 s without an announcement it
+	// is dropped.
 	AnnounceCell(digest message.CellDigest)
-	// ObserveCell feeds a digest learnt on the data path.
+	// ObserveCell records a digest received on the data path.
 	ObserveCell(digest message.CellDigest)
 	AnnounceTableRevision(revision int64)
-	// AnnounceLogContact tells when this node last read to the end of the
-	// config stream.
+	// AnnounceLogContact publishes the time at which this node last read the config stream to its end.
 	AnnounceLogContact(at time.Time)
-	// AnnounceLeaving tells the others that this node takes no new work.
+	// AnnounceLeaving announces that this node accepts no new work.
 	AnnounceLeaving()
 }
 
-// EngineMachine is one engine of the machine list, as spread in the cluster.
+// EngineMachine is an engine of the machine list, as distributed by gossip.
 type EngineMachine struct {
 	ID      string `msgpack:"i" json:"id"`
 	Address string `msgpack:"a" json:"address"`
@@ -91,8 +88,8 @@
 	Leaving bool   `msgpack:"l,omitempty" json:"leaving,omitempty"`
 }
 
-// EngineList is the lagging list of engines; the last good list stays in use
-// while the platform's list is down.
+// EngineList provides the engines known from the machine list. While the platform's list is unavailable, the
+// last list read successfully stays in use.
 type EngineList interface {
 	Engines(zone string) []EngineMachine
 }
--- a/internal/cluster/wire.go
+++ b/internal/cluster/wire.go
@@ -14,11 +14,9 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// The messages of this package travel as byte slices that hold msgpack arrays
-// without field names, since control traffic has a budget. Append new fields
-// at the end: a decoder skips those that it doesn't know.
+// Messages are encoded as msgpack arrays without field names to limit control traffic. New fields must be
+// appended at the end of a struct: decoders skip trailing fields that they do not know.
 
-// encode encodes a message.
 func encode(message any) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := msgpack.NewEncoder(&buffer)
@@ -30,7 +28,6 @@
 	return buffer.Bytes(), nil
 }
 
-// decode decodes a message into a pointer.
 func decode(data []byte, message any) error {
 	if err := msgpack.Unmarshal(data, message); err != nil {
 		return errkind.New(errkind.InvalidRequest, "decode cluster message: %v", err)
@@ -38,7 +35,7 @@
 	return nil
 }
 
-// call makes a call with a message of this package.
+// call sends a request to the node at address and decodes its response.
 func (c *Cluster) call(ctx context.Context, address string, method peer.Method, request, response any) error {
 	sent, err := encode(request)
 	if err != nil {
@@ -51,7 +48,7 @@
 	return decode(received, response)
 }
 
-// decodeRequest decodes an incoming message of this package.
+// decodeRequest decodes the cluster message carried by a peer request.
 func decodeRequest(request peer.Request, message any) error {
 	var data []byte
 	if err := request.Decode(&data); err != nil {
@@ -60,13 +57,13 @@
 	return decode(data, message)
 }
 
-// sender names the node behind a message.
+// sender identifies the node that sent a message.
 type sender struct {
 	ID      string
 	Writer  string
 	Zone    string
 	Address string
-	// Revision is the table revision in force there.
+	// Revision is the table revision in force on the sender.
 	Revision int64
 }
 
@@ -76,44 +73,42 @@
 	Revision int64
 }
 
-// probeResponse answers a probe or a request for one.
+// probeResponse answers a direct or indirect probe.
 type probeResponse struct {
 	Message  membership.Message
 	Revision int64
 	LogAge   logAge
 }
 
-// logAge is the time in milliseconds since the freshest known read to the end
-// of the config stream; negative when there is none.
+// logAge is the time in milliseconds since the most recent known read to the end of the config stream;
+// negative if there is none.
 type logAge int64
 
 const noLogContact logAge = -1
 
-// gossipRequest pushes to and pulls from another node. In the same zone it
-// keeps memberships and records equal; from another zone it pulls records.
+// gossipRequest pushes state to another node and pulls state from it. Within a zone it synchronizes
+// memberships and records; between zones it pulls the records of the receiver's zone.
 type gossipRequest struct {
 	From sender
-	// Digest is the sender's membership digest; 0 asks for no membership.
+	// Digest is the sender's membership digest; 0 if membership is not synchronized.
 	Digest uint64
-	// Pull asks for the records of the receiver's zone that Vector lacks.
+	// Pull requests the records of the receiver's zone that are newer than Vector.
 	Pull   bool
 	Vector []byte
-	// WantEngines asks for the whole engine list, WantContacts for addresses
-	// in other zones.
+	// WantEngines requests the complete engine list, WantContacts addresses in other zones.
 	WantEngines  bool
 	WantContacts bool
-	// Forward asks the receiver to pass the records on inside its own zone.
+	// Forward requests that the receiver pass the payload on within its own zone.
 	Forward bool
 	Payload []byte // packed payload
 }
 
-// gossipResponse answers a gossipRequest.
 type gossipResponse struct {
 	From   sender
 	LogAge logAge
-	// Want lists the records of the receiver that the sender lacks.
+	// Want lists the records that the responder lacks.
 	Want []recordKey
-	// Gone lists the asked records that are not in the sender's zone any more.
+	// Gone lists the requested records that no longer exist in the responder's zone.
 	Gone []recordKey
 	// WantMembers is set when the membership digests differ.
 	WantMembers bool
@@ -121,27 +116,27 @@
 	Payload     []byte // packed payload
 }
 
-// payload is the bulk of a gossip message.
+// payload is the compressible part of a gossip message.
 type payload struct {
 	Updates  []membership.Update
 	Records  []record
 	Contacts []contact
 	Engines  []EngineMachine
 	Delta    *engineDelta
-	Deaths   []death
+	Deaths   []deathNotice
 }
 
 func (p payload) empty() bool {
 	return len(p.Updates)+len(p.Records)+len(p.Contacts)+len(p.Engines)+len(p.Deaths) == 0 && p.Delta == nil
 }
 
-// contact is an address to try in a zone.
+// contact is an address of a node in a zone.
 type contact struct {
 	Zone    string
 	Address string
 }
 
-// record is what one process tells of itself; higher versions replace lower ones.
+// record is the state that a process publishes about itself. Higher versions replace lower ones.
 type record struct {
 	ID       string
 	Writer   string
@@ -154,10 +149,9 @@
 	Cells    []cellState
 }
 
-// cellState is a message.CellDigest of the record's node, without what the
-// record says anyway.
+// cellState is a message.CellDigest without the fields that are already in the record.
 type cellState struct {
-	Zone     string // empty for the record's zone
+	Zone     string // empty if it is the record's zone
 	Pool     string
 	Index    int
 	Sequence uint64
@@ -205,8 +199,7 @@
 	return digest
 }
 
-// ageOf returns the age of a log contact for the wire, rounded up so that the
-// contact never looks fresher than it is.
+// ageOf returns the age of a log contact, rounded up so that the receiver never dates the contact too late.
 func ageOf(contactAt, now time.Time) logAge {
 	if contactAt.IsZero() {
 		return noLogContact
