--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -10,28 +10,27 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-// errSessionClosing is returned to a request that met a closing connection; no
-// byte of it was queued.
+// errSessionClosing is returned for a request on a closing connection. No byte of the request was queued.
 var errSessionClosing = errors.New("connection is closing")
 
-// remoteAnswer is an answer that comes over a connection.
-type remoteAnswer struct {
-	answer
+// remoteStream is a response stream received over a connection.
+type remoteStream struct {
+	responseStream
 	session  *clientSession
 	streamID uint32
-	single   bool
+	unary    bool
 	counters *methodCounters
-	// start is the request's offset in the connection; set under the session's lock.
+	// start is the offset of the request in the connection's output; guarded by the session's lock.
 	start uint64
 }
 
-// clientSession is the dialer's end of a connection.
+// clientSession is the dialing end of a connection.
 type clientSession struct {
 	connection *connection
 	onClosed   func(*clientSession)
 
 	mu      sync.Mutex
-	answers map[uint32]*remoteAnswer
+	streams map[uint32]*remoteStream
 	lastID  uint32
 	closing bool
 }
@@ -40,17 +39,17 @@
 	s := &clientSession{
 		connection: connection,
 		onClosed:   onClosed,
-		answers:    make(map[uint32]*remoteAnswer),
+		streams:    make(map[uint32]*remoteStream),
 	}
 	connection.session = s
 	return s
 }
 
-// open sends a request and returns its answer. A returned error means that no
-// byte of the request was given to the socket.
+// open sends a request and returns its response stream. After an error no byte of the request was passed to
+// the socket.
 func (s *clientSession) open(
 	ctx context.Context, kind frameKind, method Method, request any,
-) (*remoteAnswer, error) {
+) (*remoteStream, error) {
 	outgoing := newFrame(kind, 0)
 	defer outgoing.release()
 	if err := outgoing.setMethod(method); err != nil {
@@ -59,42 +58,42 @@
 	if err := outgoing.encode(request); err != nil {
 		return nil, errors.Wrap(err, "encode request")
 	}
-	a := s.newAnswer(kind, method)
-	if err := s.register(a); err != nil {
+	stream := s.newStream(kind, method)
+	if err := s.register(stream); err != nil {
 		return nil, err
 	}
-	outgoing.streamID = a.streamID
+	outgoing.streamID = stream.streamID
 	data := outgoing.bytes()
 	start, err := s.connection.enqueue(ctx, data, false)
 	if err != nil {
-		s.remove(a.streamID)
+		s.remove(stream.streamID)
 		if ctx.Err() == nil {
 			err = errors.Wrap(errSessionClosing, err.Error())
 		}
 		return nil, err
 	}
-	a.counters.addSent(len(data))
-	s.setStart(a, start)
-	return a, nil
+	stream.counters.addSent(len(data))
+	s.setStart(stream, start)
+	return stream, nil
 }
 
-func (s *clientSession) newAnswer(kind frameKind, method Method) *remoteAnswer {
-	a := &remoteAnswer{
+func (s *clientSession) newStream(kind frameKind, method Method) *remoteStream {
+	stream := &remoteStream{
 		session:  s,
-		single:   kind == frameCall,
+		unary:    kind == frameCall,
 		counters: s.connection.stats.method(method),
-		start:    unknownStart,
+		start:    notQueued,
 	}
-	a.inbox.init()
-	a.abandon = a.sendCancel
-	a.grant = a.sendCredit
-	return a
+	stream.receiveQueue.init()
+	stream.onCancel = stream.sendCancelFrame
+	stream.onConsumed = stream.sendCreditFrame
+	return stream
 }
 
-// unknownStart marks a request that is not queued yet.
-const unknownStart = ^uint64(0)
+// notQueued is the start of a request that is not queued yet.
+const notQueued = ^uint64(0)
 
-func (s *clientSession) register(a *remoteAnswer) error {
+func (s *clientSession) register(stream *remoteStream) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closing {
@@ -102,48 +101,47 @@
 	}
 	for {
 		s.lastID++
-		if _, used := s.answers[s.lastID]; s.lastID != 0 && !used {
+		if _, used := s.streams[s.lastID]; s.lastID != 0 && !used {
 			break
 		}
 	}
-	a.streamID = s.lastID
-	s.answers[a.streamID] = a
+	stream.streamID = s.lastID
+	s.streams[stream.streamID] = stream
 	return nil
 }
 
-// setStart notes the request's offset. When the connection failed in between,
-// closed has already ended the answer.
-func (s *clientSession) setStart(a *remoteAnswer, start uint64) {
+// setStart records the offset of the request. If the connection failed in the meantime, closed has already
+// ended the stream.
+func (s *clientSession) setStart(stream *remoteStream, start uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a.start = start
+	stream.start = start
 }
 
-func (s *clientSession) remove(streamID uint32) *remoteAnswer {
+func (s *clientSession) remove(streamID uint32) *remoteStream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.answers[streamID]
-	delete(s.answers, streamID)
-	return a
+	stream := s.streams[streamID]
+	delete(s.streams, streamID)
+	return stream
 }
 
-func (s *clientSession) find(streamID uint32) *remoteAnswer {
+func (s *clientSession) find(streamID uint32) *remoteStream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answers[streamID]
+	return s.streams[streamID]
 }
 
-// handleFrame implements session. Frames of unknown streams are late answers
-// to canceled requests.
+// handleFrame implements session. Frames of unknown streams are late responses to canceled requests.
 func (s *clientSession) handleFrame(received frame) error {
 	switch received.kind {
 	case frameMessage:
 		return s.handleMessage(received)
 	case frameEnd:
 		received.body.release()
-		if a := s.remove(received.streamID); a != nil {
-			a.counters.addReceived(frameHeaderSize)
-			a.inbox.finish(io.EOF)
+		if stream := s.remove(received.streamID); stream != nil {
+			stream.counters.addReceived(frameHeaderSize)
+			stream.receiveQueue.finish(io.EOF)
 		}
 		return nil
 	case frameError:
@@ -154,98 +152,98 @@
 }
 
 func (s *clientSession) handleMessage(received frame) error {
-	a := s.takeMessage(received.streamID)
-	if a == nil {
+	stream := s.streamForMessage(received.streamID)
+	if stream == nil {
 		received.body.release()
 		return nil
 	}
-	a.counters.addReceived(received.size())
-	err := a.inbox.push(received.body)
-	if a.single {
-		a.inbox.finish(io.EOF)
+	stream.counters.addReceived(received.size())
+	err := stream.receiveQueue.push(received.body)
+	if stream.unary {
+		stream.receiveQueue.finish(io.EOF)
 	}
 	return err
 }
 
-// takeMessage returns the answer that a message belongs to. A call's only message ends it: its caller
-// finds the connection idle once it has the answer.
-func (s *clientSession) takeMessage(streamID uint32) *remoteAnswer {
+// streamForMessage returns the stream to which a message belongs. The message of a call ends its stream
+// before it is delivered, so that the caller then finds the connection idle.
+func (s *clientSession) streamForMessage(streamID uint32) *remoteStream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.answers[streamID]
-	if a != nil && a.single {
-		delete(s.answers, streamID)
+	stream := s.streams[streamID]
+	if stream != nil && stream.unary {
+		delete(s.streams, streamID)
 	}
-	return a
+	return stream
 }
 
 func (s *clientSession) handleError(received frame) error {
 	defer received.body.release()
-	a := s.remove(received.streamID)
-	if a == nil {
+	stream := s.remove(received.streamID)
+	if stream == nil {
 		return nil
 	}
-	a.counters.addReceived(received.size())
+	stream.counters.addReceived(received.size())
 	failure := &errkind.Error{}
 	if err := decode(received.body.data, failure); err != nil {
-		a.inbox.finish(&DeliveryError{Sent: true, Err: errors.Wrap(err, "decode error")})
+		stream.receiveQueue.finish(&DeliveryError{Sent: true, Err: errors.Wrap(err, "decode error")})
 		return errProtocol
 	}
-	a.inbox.finish(failure)
+	stream.receiveQueue.finish(failure)
 	return nil
 }
 
-// closed implements session: it fails what is open.
+// closed implements session. It fails all open streams.
 func (s *clientSession) closed(cause error) {
 	s.mu.Lock()
 	s.closing = true
-	answers := s.answers
-	s.answers = make(map[uint32]*remoteAnswer)
+	streams := s.streams
+	s.streams = make(map[uint32]*remoteStream)
 	s.mu.Unlock()
-	for _, a := range answers {
-		a.inbox.finish(&DeliveryError{Sent: s.mayBeSent(a), Err: cause})
+	for _, stream := range streams {
+		stream.receiveQueue.finish(&DeliveryError{Sent: s.maybeSent(stream), Err: cause})
 	}
 	s.onClosed(s)
 }
 
-// mayBeSent reports whether a byte of the request may have left. A request
-// that is being queued right now counts as sent.
-func (s *clientSession) mayBeSent(a *remoteAnswer) bool {
+// maybeSent reports whether a byte of the request may have been sent. A request that is being queued counts
+// as sent.
+func (s *clientSession) maybeSent(stream *remoteStream) bool {
 	s.mu.Lock()
-	start := a.start
+	start := stream.start
 	s.mu.Unlock()
-	return start == unknownStart || s.connection.wasGiven(start)
+	return start == notQueued || s.connection.wasWritten(start)
 }
 
 // activeStreams implements session.
 func (s *clientSession) activeStreams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.answers)
+	return len(s.streams)
 }
 
 // closeIdle implements session.
 func (s *clientSession) closeIdle(idleTicks int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if idleTicks < dialerIdleTicks || len(s.answers) > 0 {
+	if idleTicks < dialerIdleTicks || len(s.streams) > 0 {
 		return false
 	}
 	s.closing = true
 	return true
 }
 
-func (a *remoteAnswer) sendCancel() {
-	if a.session.remove(a.streamID) != nil {
-		a.session.connection.sendControl(newFrame(frameCancel, a.streamID))
+func (r *remoteStream) sendCancelFrame() {
+	if r.session.remove(r.streamID) != nil {
+		r.session.connection.sendControl(newFrame(frameCancel, r.streamID))
 	}
 }
 
-func (a *remoteAnswer) sendCredit(consumed int) {
-	if a.session.find(a.streamID) == nil {
+func (r *remoteStream) sendCreditFrame(consumed int) {
+	if r.session.find(r.streamID) == nil {
 		return
 	}
-	credit := newFrame(frameCredit, a.streamID)
+	credit := newFrame(frameCredit, r.streamID)
 	credit.setCredit(consumed)
-	a.session.connection.sendControl(credit)
+	r.session.connection.sendControl(credit)
 }
--- a/internal/peer/close.go
+++ b/internal/peer/close.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// flushTimeout bounds the writing of what is queued at the end of Close.
+// flushTimeout limits the time to write the remaining output in Close.
 const flushTimeout = time.Second
 
-// Close refuses new calls and streams as ShuttingDown, waits for the running
-// handlers until ctx ends, and closes all connections. It returns ctx's error
-// when handlers were still running; these see their contexts end.
+// Close rejects new calls and streams with ShuttingDown, waits until running handlers return or ctx ends,
+// and closes all connections. If handlers are still running, it cancels their contexts and returns the error
+// of ctx.
 func (t *Transport) Close(ctx context.Context) error {
 	if !t.startDraining() {
 		return nil
@@ -21,7 +21,7 @@
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	t.shut()
+	t.closeListener()
 	t.flushConnections()
 	t.stop()
 	for _, c := range t.openConnections() {
@@ -31,7 +31,7 @@
 	return err
 }
 
-// startDraining reports whether this is the first Close.
+// startDraining rejects new handlers. It reports whether this is the first call of Close.
 func (t *Transport) startDraining() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,14 +39,14 @@
 		return false
 	}
 	t.draining = true
-	if t.running == 0 {
+	if t.runningHandlers == 0 {
 		close(t.drained)
 	}
 	return true
 }
 
-// shut closes the listener and lets no new connection in.
-func (t *Transport) shut() {
+// closeListener closes the listener and rejects new connections.
+func (t *Transport) closeListener() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
@@ -55,7 +55,7 @@
 	}
 }
 
-// flushConnections lets the last answers out before the sockets close.
+// flushConnections writes the remaining responses and closes the connections, within flushTimeout.
 func (t *Transport) flushConnections() {
 	limit := time.NewTimer(flushTimeout)
 	defer limit.Stop()
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -10,7 +10,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/msgpackguard"
 )
 
-// encodedFrame builds one outgoing frame in a reusable buffer.
+// encodedFrame builds an outgoing frame in a pooled buffer.
 type encodedFrame struct {
 	buffer   bytes.Buffer
 	encoder  *msgpack.Encoder
@@ -27,7 +27,7 @@
 
 var emptyHeader [frameHeaderSize]byte
 
-// newFrame returns a frame without a body; release it after use.
+// newFrame returns a frame without a body. It must be released after use.
 func newFrame(kind frameKind, streamID uint32) *encodedFrame {
 	f := encodedFramePool.Get().(*encodedFrame)
 	f.kind = kind
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// setMethod appends the method of a call or open frame.
+// setMethod appends the method name of a call or open frame.
 func (f *encodedFrame) setMethod(method Method) error {
 	if len(method) > maxMethodLength {
 		return errFrameBody
@@ -65,14 +65,13 @@
 	f.buffer.Write(content[:])
 }
 
-// bytes returns the whole frame, valid until release.
+// bytes returns the complete frame, valid until release.
 func (f *encodedFrame) bytes() []byte {
 	data := f.buffer.Bytes()
 	putHeader(data, f.kind, f.streamID, len(data)-frameHeaderSize)
 	return data
 }
 
-// copyBody returns a copy of the body.
 func (f *encodedFrame) copyBody() *body {
 	content := f.buffer.Bytes()[frameHeaderSize:]
 	duplicate := newBody(len(content))
@@ -80,7 +79,7 @@
 	return duplicate
 }
 
-// release gives the buffer back; the frame must not be used after it.
+// release returns the buffer to the pool; the frame must not be used afterwards.
 func (f *encodedFrame) release() {
 	if f.buffer.Cap() <= maxPooledBody {
 		encodedFramePool.Put(f)
@@ -99,9 +98,9 @@
 	return d
 }}
 
-// decode decodes data into the pointer message. Lengths that the data claims
-// are checked first: the decoder allocates slices by them. The message holds no
-// reference to data afterwards: msgpack copies strings and byte slices.
+// decode decodes data into the pointer message. The encoded lengths are checked first, since the decoder
+// allocates slices of these lengths. The message holds no reference to data, because msgpack copies strings
+// and byte slices.
 func decode(data []byte, message any) error {
 	if err := msgpackguard.Check(data); err != nil {
 		return err
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -12,50 +12,47 @@
 )
 
 const (
-	// maxPendingBytes is how much may wait for the socket before senders of
-	// requests and messages have to wait.
+	// maxPendingBytes is the amount of unwritten output above which senders of requests and messages block.
 	maxPendingBytes = 1 << 20
-	// readBufferSize is the read buffer of one connection in bytes.
-	readBufferSize = 64 << 10
-	// keepaliveInterval is the period of keepalive checks.
+	// readBufferSize is the size of a connection's read buffer in bytes.
+	readBufferSize    = 64 << 10
 	keepaliveInterval = time.Second
-	// pingAfterTicks and silenceLimitTicks count keepalive intervals without
-	// a received frame while streams are open.
-	pingAfterTicks    = 1
-	silenceLimitTicks = 4
-	// Intervals without streams after which a connection is closed: the
-	// dialer first, so that a request never crosses the listener's close.
+	// pingAfterTicks and silentLimitTicks are the number of keepalive intervals without a received frame,
+	// while streams are open, after which a ping is sent and the connection is failed.
+	pingAfterTicks   = 1
+	silentLimitTicks = 4
+	// Keepalive intervals without streams after which a connection is closed. The dialer closes first, so
+	// that a request cannot be lost to a concurrent close by the listener.
 	dialerIdleTicks   = 60
 	listenerIdleTicks = 300
 )
 
-// Causes for which the transport closes a connection.
+// Reasons for which the transport closes a connection.
 var (
-	errConnectionSilent = errors.New("connection was silent for too long")
+	errConnectionSilent = errors.New("connection is unresponsive: no frame received within the keepalive limit")
 	errConnectionIdle   = errors.New("connection was idle")
 	errTransportClosed  = errors.New("transport is closed")
-	errProtocol         = errors.New("peer broke the protocol")
+	errProtocol         = errors.New("peer violated the protocol")
 )
 
-// session is what one end does with the frames of its connection.
+// session handles the frames of one end of a connection.
 type session interface {
-	// handleFrame takes over the frame's body. An error closes the connection.
+	// handleFrame takes ownership of the frame's body. An error closes the connection.
 	handleFrame(received frame) error
-	// closed is called once, after the connection took its last frame.
+	// closed is called once, when the connection has failed or was closed.
 	closed(cause error)
-	// activeStreams counts the open calls and streams.
+	// activeStreams returns the number of open calls and streams.
 	activeStreams() int
-	// closeIdle reports whether the session agrees to be closed as idle and,
-	// if so, takes no new streams.
+	// closeIdle reports whether the session may be closed as idle; if so, it accepts no new streams.
 	closeIdle(idleTicks int) bool
 }
 
-// connection writes and reads the frames of one socket. One goroutine writes
-// all that is pending in one go; one reads.
+// connection reads and writes the frames of a socket. A single goroutine writes all pending output in one
+// batch; another one reads.
 //
-// Invariant: given never passes the start of a frame that the socket did not
-// get, and does not move once failed is set. So a frame that was queued at
-// offset start was certainly not sent if given <= start after the failure.
+// Invariant: written does not exceed the start of any frame that was not passed to the socket, and does not
+// change after failed is set. A frame queued at offset start was therefore not sent if written <= start
+// after the failure.
 type connection struct {
 	socket  net.Conn
 	session session
@@ -64,17 +61,17 @@
 	mu      sync.Mutex
 	pending []byte
 	spare   []byte
-	queued  uint64 // bytes ever queued
-	given   uint64 // bytes ever handed to the socket
+	queued  uint64 // total bytes queued
+	written uint64 // total bytes passed to the socket, including a write in progress
 	space   chan struct{}
 	failed  error
 	closing bool
 
-	wake     chan struct{}
-	done     chan struct{}
-	received atomic.Uint64
+	writeReady chan struct{}
+	done       chan struct{}
+	received   atomic.Uint64
 
-	// Used by the keepalive loop only.
+	// Used only by the keepalive loop.
 	lastReceived uint64
 	silentTicks  int
 	idleTicks    int
@@ -82,21 +79,21 @@
 
 func newConnection(socket net.Conn, stats *trafficStats) *connection {
 	return &connection{
-		socket: socket,
-		stats:  stats,
-		wake:   make(chan struct{}, 1),
-		done:   make(chan struct{}),
+		socket:     socket,
+		stats:      stats,
+		writeReady: make(chan struct{}, 1),
+		done:       make(chan struct{}),
 	}
 }
 
-// start runs the reader and the writer; session must be set before.
+// start starts the reader and the writer; session must be set before.
 func (c *connection) start(reader *bufio.Reader) {
 	go c.writeLoop()
 	go c.readLoop(reader)
 }
 
-// enqueue waits for space, unless urgent, and queues the frame. It returns the
-// offset at which the frame starts, for wasGiven.
+// enqueue queues a frame, after waiting for space unless urgent is set. It returns the offset of the frame,
+// for use with wasWritten.
 func (c *connection) enqueue(ctx context.Context, data []byte, urgent bool) (uint64, error) {
 	c.mu.Lock()
 	for !urgent && c.failed == nil && len(c.pending) >= maxPendingBytes {
@@ -118,7 +115,8 @@
 	return start, nil
 }
 
-// waitForSpace is called with the lock held and returns with it held.
+// waitForSpace blocks until output space is available or the connection has failed. Must be called with mu
+// held; it releases mu while waiting.
 func (c *connection) waitForSpace(ctx context.Context) error {
 	if c.space == nil {
 		c.space = make(chan struct{})
@@ -138,23 +136,22 @@
 
 func (c *connection) wakeWriter() {
 	select {
-	case c.wake <- struct{}{}:
+	case c.writeReady <- struct{}{}:
 	default:
 	}
 }
 
-// wasGiven reports whether any byte of the frame that starts at the offset was
-// handed to the socket.
-func (c *connection) wasGiven(start uint64) bool {
+// wasWritten reports whether any byte of the frame at the offset was passed to the socket.
+func (c *connection) wasWritten(start uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.given > start
+	return c.written > start
 }
 
 func (c *connection) writeLoop() {
 	for {
 		select {
-		case <-c.wake:
+		case <-c.writeReady:
 		case <-c.done:
 			return
 		}
@@ -175,8 +172,8 @@
 	}
 }
 
-// takePending swaps the buffers; last is set when all is written and the
-// connection is to be closed.
+// takePending swaps the buffers and returns the pending output. last is set when all output is written and
+// the connection is to be closed.
 func (c *connection) takePending() (batch []byte, last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,7 +189,7 @@
 	if cap(c.spare) > 2*maxPendingBytes {
 		c.spare = nil
 	}
-	c.given = c.queued
+	c.written = c.queued
 	if c.space != nil {
 		close(c.space)
 		c.space = nil
@@ -231,8 +228,8 @@
 	}
 }
 
-// sendControl queues a small frame without waiting and releases it. A failed
-// connection drops it: whoever waits for its effect learns of the failure.
+// sendControl queues a control frame without blocking and releases it. The frame is dropped if the
+// connection has failed.
 func (c *connection) sendControl(control *encodedFrame) {
 	data := control.bytes()
 	c.stats.other.addSent(len(data))
@@ -240,7 +237,7 @@
 	control.release()
 }
 
-// fail closes the connection for the cause; only the first call counts.
+// fail closes the connection with the given cause. Only the first call has an effect.
 func (c *connection) fail(cause error) {
 	c.mu.Lock()
 	if c.failed != nil {
@@ -254,7 +251,7 @@
 	c.session.closed(cause)
 }
 
-// closeAfterFlush closes the connection once all that is queued is written.
+// closeAfterFlush closes the connection when all queued output is written.
 func (c *connection) closeAfterFlush() {
 	c.mu.Lock()
 	c.closing = true
@@ -262,23 +259,23 @@
 	c.wakeWriter()
 }
 
-// tick is one keepalive check. Silence is counted in ticks rather than by the
-// clock, so that a process that was itself paused does not blame its peers.
+// tick runs one keepalive check. It counts ticks instead of reading the clock, so that a pause of this
+// process is not taken for a failure of its peers.
 func (c *connection) tick() {
 	received := c.received.Load()
-	heard := received != c.lastReceived
+	active := received != c.lastReceived
 	c.lastReceived = received
 	if c.session.activeStreams() == 0 {
-		c.tickIdle(heard)
+		c.tickIdle(active)
 		return
 	}
 	c.idleTicks = 0
-	if heard {
+	if active {
 		c.silentTicks = 0
 		return
 	}
 	c.silentTicks++
-	if c.silentTicks >= silenceLimitTicks {
+	if c.silentTicks >= silentLimitTicks {
 		c.fail(errConnectionSilent)
 		return
 	}
@@ -287,9 +284,9 @@
 	}
 }
 
-func (c *connection) tickIdle(heard bool) {
+func (c *connection) tickIdle(active bool) {
 	c.silentTicks = 0
-	if heard {
+	if active {
 		c.idleTicks = 0
 		return
 	}
--- a/internal/peer/exchange.go
+++ b/internal/peer/exchange.go
@@ -25,27 +25,27 @@
 	return nil
 }
 
-// answerSink takes the answer of one exchange to its caller.
-type answerSink interface {
-	// message sends one message and returns its encoded size in bytes.
+// responseSink delivers the response of an exchange to its caller.
+type responseSink interface {
+	// message sends a message and returns its encoded size in bytes.
 	message(ctx context.Context, message any) (int, error)
-	// end ends the answer: cleanly for a nil failure.
+	// end ends the response, successfully if failure is nil.
 	end(failure *errkind.Error)
 }
 
-// window holds the credit of one answer stream. It may fall below zero by one message.
-type window struct {
+// sendWindow holds the flow-control credit of a response stream. One message may reduce it below zero.
+type sendWindow struct {
 	mu      sync.Mutex
 	credit  int
 	changed chan struct{}
 }
 
-func newWindow() *window {
-	return &window{credit: streamWindow, changed: make(chan struct{}, 1)}
+func newSendWindow() *sendWindow {
+	return &sendWindow{credit: streamWindowBytes, changed: make(chan struct{}, 1)}
 }
 
-// wait returns once there is credit, or with ctx's error.
-func (w *window) wait(ctx context.Context) error {
+// wait blocks until credit is available, or returns the error of ctx.
+func (w *sendWindow) wait(ctx context.Context) error {
 	for {
 		w.mu.Lock()
 		open := w.credit > 0
@@ -61,7 +61,7 @@
 	}
 }
 
-func (w *window) add(bytes int) {
+func (w *sendWindow) add(bytes int) {
 	w.mu.Lock()
 	w.credit += bytes
 	open := w.credit > 0
@@ -75,13 +75,13 @@
 	}
 }
 
-// exchange is one running handler.
+// exchange is a running handler with its response.
 type exchange struct {
-	transport *Transport
-	ctx       context.Context
-	cancel    context.CancelFunc
-	window    *window
-	sink      answerSink
+	transport  *Transport
+	ctx        context.Context
+	cancel     context.CancelFunc
+	sendWindow *sendWindow
+	sink       responseSink
 }
 
 // sender implements Sender.
@@ -95,27 +95,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.exchange
-	if err := e.window.wait(e.ctx); err != nil {
+	if err := e.sendWindow.wait(e.ctx); err != nil {
 		return err
 	}
 	size, err := e.sink.message(e.ctx, message)
 	if err != nil {
 		return err
 	}
-	e.window.add(-size)
+	e.sendWindow.add(-size)
 	return nil
 }
 
-// run answers the request and releases the exchange. The transport must have
-// counted it with begin.
+// run runs the handler and ends the response. The handler must have been counted by Transport.begin.
 func (e *exchange) run(kind frameKind, method Method, incoming *request) {
 	defer e.transport.end()
 	defer e.cancel()
-	e.sink.end(e.answer(kind, method, incoming))
+	e.sink.end(e.invoke(kind, method, incoming))
 }
 
-// answer runs the handler and turns its error or panic into an errkind.Error.
-func (e *exchange) answer(kind frameKind, method Method, incoming *request) (failure *errkind.Error) {
+// invoke runs the handler and converts its error or panic to an errkind.Error.
+func (e *exchange) invoke(kind frameKind, method Method, incoming *request) (failure *errkind.Error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			e.transport.options.Logger.Error().Str("method", string(method)).
@@ -124,12 +123,12 @@
 		}
 	}()
 	if kind == frameCall {
-		return errkind.From(e.answerCall(method, incoming))
+		return errkind.From(e.invokeCall(method, incoming))
 	}
-	return errkind.From(e.answerStream(method, incoming))
+	return errkind.From(e.invokeStream(method, incoming))
 }
 
-func (e *exchange) answerCall(method Method, incoming *request) error {
+func (e *exchange) invokeCall(method Method, incoming *request) error {
 	handler, ok := e.transport.callHandlers[method]
 	if !ok {
 		return errkind.New(errkind.NotFound, "peer does not serve call %q", method)
@@ -144,7 +143,7 @@
 	return nil
 }
 
-func (e *exchange) answerStream(method Method, incoming *request) error {
+func (e *exchange) invokeStream(method Method, incoming *request) error {
 	handler, ok := e.transport.streamHandlers[method]
 	if !ok {
 		return errkind.New(errkind.NotFound, "peer does not serve stream %q", method)
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -9,32 +9,32 @@
 	"github.com/go-faster/errors"
 )
 
-// frameKind tells what a frame carries.
+// frameKind is the type of a frame.
 type frameKind uint8
 
-// The frame kinds. Values are sent between processes: append, never renumber.
+// Frame kinds. The values are part of the wire protocol: append new ones, never renumber.
 const (
-	frameHello   frameKind = iota + 1 // first frame of a dialer: hello
-	frameCall                         // method and request; answered by one message or an error
-	frameOpen                         // method and request; answered by messages, then end or error
-	frameMessage                      // one message of an answer
-	frameEnd                          // clean end of an answer stream
-	frameError                        // errkind.Error, ends an answer
-	frameCancel                       // the caller no longer reads the answer
-	frameCredit                       // the caller consumed that many bytes of the answer
-	framePing                         // asks for a pong
-	framePong                         // answers a ping
+	frameHello   frameKind = iota + 1 // first frame sent by the dialer: hello
+	frameCall                         // method and request; response is one message or an error
+	frameOpen                         // method and request; response is messages, then end or error
+	frameMessage                      // message of a response
+	frameEnd                          // successful end of a response stream
+	frameError                        // errkind.Error; ends a response
+	frameCancel                       // caller no longer reads the response
+	frameCredit                       // number of response bytes consumed by the caller
+	framePing                         // requests a pong
+	framePong                         // response to a ping
 	frameKindEnd
 )
 
 const (
 	// frameHeaderSize: body length (uint32), kind (uint8), stream ID (uint32), big endian.
 	frameHeaderSize = 9
-	// maxFrameBody bounds the body of one frame in bytes.
+	// maxFrameBody limits the body of a frame in bytes.
 	maxFrameBody = 16 << 20
-	// maxPooledBody bounds the buffers that are kept for reuse, in bytes.
+	// maxPooledBody limits the size of pooled buffers in bytes.
 	maxPooledBody = 64 << 10
-	// maxMethodLength bounds a method name: its length travels in one byte.
+	// maxMethodLength limits a method name in bytes: its length is encoded in one byte.
 	maxMethodLength = 255
 	// creditBodySize is the size of a credit frame's body in bytes (uint32).
 	creditBodySize = 4
@@ -42,8 +42,8 @@
 
 // Errors of the frame decoder.
 var (
-	errFrameTooLarge = errors.New("frame body is larger than the limit")
-	errFrameKind     = errors.New("frame kind is unknown")
+	errFrameTooLarge = errors.New("frame body exceeds the size limit")
+	errFrameKind     = errors.New("unknown frame kind")
 	errFrameBody     = errors.New("frame body is malformed")
 )
 
@@ -53,15 +53,15 @@
 	Version int    `msgpack:"v"`
 }
 
-// protocolVersion is refused when it differs.
+// protocolVersion is sent in the hello; peers with another version are rejected.
 const protocolVersion = 1
 
-// body is a frame's body in a reusable buffer.
+// body is a frame body in a pooled buffer.
 type body struct{ data []byte }
 
 var bodyPool = sync.Pool{New: func() any { return &body{} }}
 
-// newBody returns a body of the size with undefined content.
+// newBody returns a body of the given size with undefined content.
 func newBody(size int) *body {
 	b := bodyPool.Get().(*body)
 	if cap(b.data) < size {
@@ -71,32 +71,30 @@
 	return b
 }
 
-// release gives the buffer back; the body must not be used after it.
+// release returns the buffer to the pool; the body must not be used afterwards.
 func (b *body) release() {
 	if cap(b.data) <= maxPooledBody {
 		bodyPool.Put(b)
 	}
 }
 
-// frame is one decoded frame.
 type frame struct {
 	kind     frameKind
 	streamID uint32
 	body     *body
 }
 
-// size returns the bytes that the frame takes on the wire.
+// size returns the encoded size of the frame in bytes.
 func (f frame) size() int { return frameHeaderSize + len(f.body.data) }
 
-// putHeader fills the header for a body of the length.
+// putHeader writes the frame header for a body of the given length.
 func putHeader(header []byte, kind frameKind, streamID uint32, length int) {
 	binary.BigEndian.PutUint32(header[0:4], uint32(length))
 	header[4] = byte(kind)
 	binary.BigEndian.PutUint32(header[5:9], streamID)
 }
 
-// readFrame reads one frame. It allocates no more than the stated length,
-// which it checks first.
+// readFrame reads a frame. It checks the body length before it allocates the body.
 func readFrame(reader *bufio.Reader) (frame, error) {
 	header, err := reader.Peek(frameHeaderSize)
 	if err != nil {
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -20,10 +20,10 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1, 0, 0, 0, 1})
 	f.Add([]byte{0, 0, 0, 1, 99, 0, 0, 0, 1, 0})
 	f.Add([]byte{})
-	claim := newFrame(frameCall, 7)
-	assert.NilError(f, claim.setMethod(MethodProbe))
-	claim.buffer.Write([]byte{0xdd, 0xff, 0xff, 0xff, 0xff, 0x80})
-	f.Add(bytes.Clone(claim.bytes()))
+	oversized := newFrame(frameCall, 7)
+	assert.NilError(f, oversized.setMethod(MethodProbe))
+	oversized.buffer.Write([]byte{0xdd, 0xff, 0xff, 0xff, 0xff, 0x80})
+	f.Add(bytes.Clone(oversized.bytes()))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		reader := bufio.NewReader(bytes.NewReader(data))
 		offset := 0
@@ -37,12 +37,12 @@
 			encoded := append(header, received.body.data...)
 			assert.DeepEqual(t, encoded, data[offset:offset+received.size()])
 			offset += received.size()
-			checkBody(t, received)
+			checkBodyParsers(t, received)
 		}
 	})
 }
 
-func checkBody(t *testing.T, received frame) {
+func checkBodyParsers(t *testing.T, received frame) {
 	method, payload, err := splitRequest(received.body.data)
 	if err == nil {
 		assert.Equal(t, 1+len(method)+len(payload), len(received.body.data))
--- a/internal/peer/keepalive.go
+++ b/internal/peer/keepalive.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// linkPruneTicks is how many keepalive intervals pass between prunings of links.
+// linkPruneTicks is the number of keepalive intervals between prunings of links.
 const linkPruneTicks = 60
 
-// keepaliveLoop checks all connections once an interval.
+// keepaliveLoop checks all connections once per keepaliveInterval.
 func (t *Transport) keepaliveLoop() {
 	ticker := time.NewTicker(keepaliveInterval)
 	defer ticker.Stop()
@@ -24,12 +24,12 @@
 	}
 }
 
-// pruneLinks forgets addresses that were not used for a while.
+// pruneLinks removes expired links.
 func (t *Transport) pruneLinks(now time.Time) {
 	t.linksMu.Lock()
 	defer t.linksMu.Unlock()
 	for address, l := range t.links {
-		if l.unused(now) {
+		if l.expired(now) {
 			delete(t.links, address)
 		}
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// dialTimeout bounds one TCP connect.
 	dialTimeout = 2 * time.Second
-	// linkUnusedAfter is how long a link without a connection is remembered.
-	linkUnusedAfter = time.Minute
+	// linkExpiry is how long an unused link without a connection is kept.
+	linkExpiry = time.Minute
 )
 
-// dialRetries paces the dials to one address: between failed ones, calls fail at once.
+// dialRetries sets the backoff between dials of an address. Until the next dial is due, calls fail
+// immediately.
 var dialRetries = retry.Policy{First: 50 * time.Millisecond, Longest: time.Second}
 
-// link keeps the one outgoing connection to a peer address.
+// link manages the single outgoing connection to a peer address.
 type link struct {
 	transport *Transport
 	address   string
 
 	mu       sync.Mutex
 	session  *clientSession
-	dialing  chan struct{} // closed at the end of the dial in progress
+	dialing  chan struct{} // closed when the dial in progress ends
 	dialErr  error
 	retryAt  time.Time
 	interval *backoff.ExponentialBackOff
@@ -41,7 +41,7 @@
 	return &link{transport: transport, address: address, interval: dialRetries.Delays()}
 }
 
-// get returns the open session, or waits for a dial.
+// get returns the open session, dialing if necessary.
 func (l *link) get(ctx context.Context) (*clientSession, error) {
 	l.mu.Lock()
 	l.lastUsed = time.Now()
@@ -72,7 +72,7 @@
 	return l.session, nil
 }
 
-// dial connects once and publishes the result.
+// dial makes one connection attempt and stores its result.
 func (l *link) dial(finished chan struct{}) {
 	session, err := l.connect()
 	l.mu.Lock()
@@ -121,8 +121,8 @@
 	}
 }
 
-// forget drops a session that is closing, so that the next get dials.
-func (l *link) forget(session *clientSession) {
+// discard removes a closing session, so that the next get dials.
+func (l *link) discard(session *clientSession) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.session == session {
@@ -130,10 +130,10 @@
 	}
 }
 
-// unused reports whether the link may be dropped. A caller that still holds a
-// dropped link dials its own connection, which does no harm.
-func (l *link) unused(now time.Time) bool {
+// expired reports whether the link may be removed. A caller that still holds a removed link dials an
+// additional connection, which is harmless.
+func (l *link) expired(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.session == nil && l.dialing == nil && now.Sub(l.lastUsed) > linkUnusedAfter
+	return l.session == nil && l.dialing == nil && now.Sub(l.lastUsed) > linkExpiry
 }
--- a/internal/peer/local.go
+++ b/internal/peer/local.go
@@ -9,9 +9,9 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-// localSink hands an answer to a caller in the same process. Messages are
-// encoded and decoded as on the wire, so that nothing is shared.
-type localSink struct{ answer *answer }
+// localSink delivers a response within the process. Messages are encoded and decoded, so that caller and
+// handler share no memory.
+type localSink struct{ responseStream *responseStream }
 
 func (l *localSink) message(_ context.Context, message any) (int, error) {
 	encoded := newFrame(frameMessage, 0)
@@ -21,34 +21,34 @@
 	}
 	content := encoded.copyBody()
 	size := len(content.data)
-	return size, l.answer.inbox.push(content)
+	return size, l.responseStream.receiveQueue.push(content)
 }
 
 func (l *localSink) end(failure *errkind.Error) {
 	if failure == nil {
-		l.answer.inbox.finish(io.EOF)
+		l.responseStream.receiveQueue.finish(io.EOF)
 		return
 	}
 	duplicate := *failure
-	l.answer.inbox.finish(&duplicate)
+	l.responseStream.receiveQueue.finish(&duplicate)
 }
 
 // openLocal runs a handler of this process.
-func (t *Transport) openLocal(kind frameKind, method Method, message any) (*answer, error) {
+func (t *Transport) openLocal(kind frameKind, method Method, message any) (*responseStream, error) {
 	encoded := newFrame(kind, 0)
 	defer encoded.release()
 	if err := encoded.encode(message); err != nil {
 		return nil, &DeliveryError{Err: errors.Wrap(err, "encode request")}
 	}
 	if !t.begin() {
-		return nil, errkind.New(errkind.ShuttingDown, "node takes no new work")
+		return nil, errkind.New(errkind.ShuttingDown, "node is shutting down and accepts no new work")
 	}
-	e := &exchange{transport: t, window: newWindow()}
+	e := &exchange{transport: t, sendWindow: newSendWindow()}
 	e.ctx, e.cancel = context.WithCancel(t.baseContext)
-	a := &answer{abandon: e.cancel, grant: e.window.add}
-	a.inbox.init()
-	e.sink = &localSink{answer: a}
+	stream := &responseStream{onCancel: e.cancel, onConsumed: e.sendWindow.add}
+	stream.receiveQueue.init()
+	e.sink = &localSink{responseStream: stream}
 	incoming := &request{from: t.options.NodeID, data: encoded.copyBody().data}
 	go e.run(kind, method, incoming)
-	return a, nil
+	return stream, nil
 }
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -7,15 +7,15 @@
 
 // Options configures a Transport.
 type Options struct {
-	// NodeID is this node's member ID, told to peers in the first frame.
+	// NodeID is the member ID of this node, sent to peers in the hello frame.
 	NodeID string
-	// ListenAddress is the TCP address to listen on ("ip:port"); port 0 picks one.
+	// ListenAddress is the TCP address to listen on ("ip:port"); port 0 selects a free port.
 	ListenAddress string
-	// AdvertiseAddress is the address under which peers reach this node. Empty
-	// means the listener's address; port 0 takes the listener's port.
+	// AdvertiseAddress is the address at which peers reach this node. It defaults to the listener's address;
+	// port 0 is replaced by the listener's port.
 	AdvertiseAddress string
-	// Logger takes connection events.
+	// Logger receives connection events.
 	Logger zerolog.Logger
-	// Registerer takes the transport's counters; nil registers none.
+	// Registerer registers the traffic metrics; nil disables them.
 	Registerer prometheus.Registerer
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,67 +1,65 @@
-// Package peer is the transport between corkpulley processes: msgpack frames
-// over TCP, one connection for each direction of a pair, many calls and streams at once.
+// Package peer implements the RPC transport between corkpulley processes: msgpack frames over TCP. Each
+// process dials at most one connection to a peer address and multiplexes calls and streams over it.
 package peer
 
 import (
 	"context"
 )
 
-// Method names what a call or stream asks for.
+// Method identifies the operation of a call or stream.
 type Method string
 
-// The methods of the peer protocol.
+// Methods of the peer protocol.
 const (
 	MethodProbe         Method = "probe"          // cluster: direct probe, call
-	MethodProbeIndirect Method = "probe-indirect" // cluster: probe through another, call
+	MethodProbeIndirect Method = "probe-indirect" // cluster: indirect probe through another node, call
 	MethodGossip        Method = "gossip"         // cluster: exchange of digests, call
 	MethodTable         Method = "table"          // tables: rows changed since a revision, call
 	MethodSubmit        Method = "submit"         // dispatcher: message.Submit, stream of message.Progress
 	MethodDirective     Method = "directive"      // dispatcher: message.Directive, call
-	MethodKeyed         Method = "keyed"          // gateway: keyed request at its shard's owner, stream
-	MethodTrainer       Method = "trainer"        // coordinator: trainer API call at the ledger's owner, call
+	MethodKeyed         Method = "keyed"          // gateway: keyed request to the owner of its shard, stream
+	MethodTrainer       Method = "trainer"        // coordinator: trainer API call to the owner of the ledger, call
 	MethodCellStatus    Method = "cell-status"    // dispatcher: status of its cells and engines, call
 	MethodStepStatus    Method = "step-status"    // coordinator: status of its ledgers, call
 )
 
-// Request is one incoming call or stream.
+// Request is an incoming call or stream.
 type Request interface {
-	// From is the sender's node ID.
+	// From returns the node ID of the sender.
 	From() string
-	// Decode decodes the request message into a pointer.
+	// Decode decodes the request message into the pointer message.
 	Decode(message any) error
 }
 
-// CallHandler answers one call. A returned error travels as *errkind.Error.
+// CallHandler handles a call. A returned error is sent to the caller as *errkind.Error.
 type CallHandler func(ctx context.Context, request Request) (response any, err error)
 
-// Sender sends the messages of an answer stream; Send blocks while the
-// receiver's window is full and fails once the stream is closed.
+// Sender sends the messages of a response stream. Send blocks while the flow-control window of the receiver
+// is full, and fails after the stream was closed.
 type Sender interface {
 	Send(message any) error
 }
 
-// StreamHandler answers one stream. ctx ends when the caller closes the stream
-// or its connection breaks. The stream ends cleanly when it returns nil.
+// StreamHandler handles a stream. ctx ends when the caller closes the stream or its connection breaks. The
+// stream ends successfully when the handler returns nil.
 type StreamHandler func(ctx context.Context, request Request, sender Sender) error
 
-// Stream is the caller's side of an answer stream. Receive returns io.EOF at
-// the clean end, *errkind.Error when the handler failed, *DeliveryError when
-// the transport did.
+// Stream is the caller's end of a response stream. Receive returns io.EOF at the successful end,
+// *errkind.Error if the handler failed, and *DeliveryError if the transport failed.
 type Stream interface {
 	Receive(message any) error
-	// Close cancels the handler's context, if it still runs.
+	// Close cancels the context of the handler if it is still running.
 	Close()
 }
 
-// Registry takes handlers before the transport starts.
+// Registry registers handlers before the transport starts.
 type Registry interface {
 	HandleCall(method Method, handler CallHandler)
 	HandleStream(method Method, handler StreamHandler)
 }
 
-// Caller sends calls and streams to the peer address ("ip:port") of a node;
-// its own address is answered in-process. Errors are *errkind.Error from the
-// handler or *DeliveryError from the transport.
+// Caller sends calls and streams to the peer address ("ip:port") of a node. Requests to the local address
+// are handled in-process. Errors are *errkind.Error from the handler or *DeliveryError from the transport.
 type Caller interface {
 	Call(ctx context.Context, address string, method Method, request, response any) error
 	OpenStream(ctx context.Context, address string, method Method, request any) (Stream, error)
@@ -69,8 +67,7 @@
 
 // DeliveryError is a failure of the transport.
 type DeliveryError struct {
-	// Sent is false when no byte of the request left this process, so that
-	// the peer certainly did not see it.
+	// Sent is false if no byte of the request left this process, so that the peer cannot have received it.
 	Sent bool
 	Err  error
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// helloTimeout bounds the wait for a dialer's first frame.
+	// helloTimeout limits the wait for the hello frame of a dialer.
 	helloTimeout = 5 * time.Second
-	// maxStreamsPerConnection bounds the handlers that one peer may have running.
+	// maxStreamsPerConnection limits the concurrent handlers of a connection.
 	maxStreamsPerConnection = 1 << 16
-	// acceptRetryDelay is the pause after a failed accept.
+	// acceptRetryDelay is the delay after a failed accept.
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// serverSession is the listener's end of a connection.
+// serverSession is the listening end of a connection.
 type serverSession struct {
 	transport  *Transport
 	connection *connection
 	from       string
-	// ctx ends with the connection.
+	// ctx is canceled when the connection closes.
 	ctx    context.Context
 	cancel context.CancelFunc
 
@@ -34,7 +34,7 @@
 	exchanges map[uint32]*exchange
 }
 
-// acceptLoop serves connections until the listener is closed.
+// acceptLoop accepts connections until the listener is closed.
 func (t *Transport) acceptLoop(listener net.Listener) {
 	for {
 		socket, err := listener.Accept()
@@ -46,16 +46,16 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		go t.greet(socket)
+		go t.handshake(socket)
 	}
 }
 
-// greet reads the dialer's hello and starts the session.
-func (t *Transport) greet(socket net.Conn) {
+// handshake reads the hello frame of the dialer and starts the session.
+func (t *Transport) handshake(socket net.Conn) {
 	reader := bufio.NewReaderSize(socket, readBufferSize)
 	greeting, err := t.readHello(socket, reader)
 	if err != nil {
-		t.options.Logger.Debug().Err(err).Stringer("remote", socket.RemoteAddr()).Msg("peer refused")
+		t.options.Logger.Debug().Err(err).Stringer("remote", socket.RemoteAddr()).Msg("peer handshake failed")
 		_ = socket.Close()
 		return
 	}
@@ -95,7 +95,7 @@
 		return greeting, errors.Wrap(err, "decode hello")
 	}
 	if greeting.Version != protocolVersion {
-		return greeting, errors.Errorf("peer speaks protocol version %d, not %d", greeting.Version, protocolVersion)
+		return greeting, errors.Errorf("unsupported peer protocol version %d, want %d", greeting.Version, protocolVersion)
 	}
 	return greeting, socket.SetReadDeadline(time.Time{})
 }
@@ -127,12 +127,12 @@
 		return err
 	}
 	if e := s.find(received.streamID); e != nil {
-		e.window.add(consumed)
+		e.sendWindow.add(consumed)
 	}
 	return nil
 }
 
-// handleRequest starts the handler; the body stays with the request.
+// handleRequest starts the handler, which takes ownership of the frame body.
 func (s *serverSession) handleRequest(received frame) error {
 	method, data, err := splitRequest(received.body.data)
 	if err != nil {
@@ -143,14 +143,14 @@
 	sink := &remoteSink{
 		session:  s,
 		streamID: received.streamID,
-		single:   received.kind == frameCall,
+		unary:    received.kind == frameCall,
 		counters: counters,
 	}
 	if !s.transport.begin() {
-		sink.end(errkind.New(errkind.ShuttingDown, "node takes no new work"))
+		sink.end(errkind.New(errkind.ShuttingDown, "node is shutting down and accepts no new work"))
 		return nil
 	}
-	e := &exchange{transport: s.transport, window: newWindow(), sink: sink}
+	e := &exchange{transport: s.transport, sendWindow: newSendWindow(), sink: sink}
 	e.ctx, e.cancel = context.WithCancel(s.ctx)
 	if err := s.add(received.streamID, e); err != nil {
 		e.cancel()
@@ -161,8 +161,7 @@
 	return nil
 }
 
-// add refuses a stream ID in use and a stream beyond the bound: a dialer of
-// this package does neither.
+// add registers an exchange. A duplicate stream ID or too many streams violate the protocol.
 func (s *serverSession) add(streamID uint32, e *exchange) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,12 +197,12 @@
 // closeIdle implements session.
 func (s *serverSession) closeIdle(idleTicks int) bool { return idleTicks >= listenerIdleTicks }
 
-// remoteSink sends an answer over the connection.
+// remoteSink sends a response over the connection.
 type remoteSink struct {
 	session  *serverSession
 	streamID uint32
-	// single is set for a call: its message is also its end.
-	single   bool
+	// unary is set for a call: its message also ends the response.
+	unary    bool
 	counters *methodCounters
 }
 
@@ -221,11 +220,11 @@
 	return len(data) - frameHeaderSize, nil
 }
 
-// end forgets the exchange and sends the end. It never waits: the number of
-// ends is bounded by the number of streams.
+// end removes the exchange and sends the end of the response. It does not wait for space; the number of such
+// frames is bounded by the number of streams.
 func (r *remoteSink) end(failure *errkind.Error) {
 	r.session.remove(r.streamID)
-	if failure == nil && r.single {
+	if failure == nil && r.unary {
 		return
 	}
 	outgoing := newFrame(frameEnd, r.streamID)
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -6,8 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// methodOther stands in the statistics for frames of no single method:
-// hello, credit, cancel, ping and pong.
+// methodOther counts frames that belong to no method: hello, credit, cancel, ping and pong.
 const methodOther Method = "other"
 
 var countedMethods = []Method{
@@ -15,8 +14,8 @@
 	MethodKeyed, MethodTrainer, MethodCellStatus, MethodStepStatus, methodOther,
 }
 
-// MethodStats counts the frames and bytes (with frame headers, without TCP and
-// IP) of one method since the transport was made. In-process calls don't count.
+// MethodStats counts the frames and bytes of a method since the transport was created. Bytes include frame
+// headers, but no TCP and IP headers. In-process calls are not counted.
 type MethodStats struct {
 	MessagesSent     uint64
 	BytesSent        uint64
@@ -47,7 +46,7 @@
 	}
 }
 
-// trafficStats holds the counters by method; the map is read-only.
+// trafficStats holds the counters by method. The map is read-only.
 type trafficStats struct {
 	byMethod map[Method]*methodCounters
 	other    *methodCounters
@@ -62,7 +61,7 @@
 	return stats
 }
 
-// method returns the counters of the method; unlisted methods share "other".
+// method returns the counters of a method; unlisted methods are counted as methodOther.
 func (s *trafficStats) method(method Method) *methodCounters {
 	if counters, ok := s.byMethod[method]; ok {
 		return counters
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -10,37 +10,37 @@
 	"github.com/go-faster/errors"
 )
 
-// Transport implements Caller and Registry over TCP. One connection goes to
-// each peer address in use; it is dialed on demand and closed when idle.
+// Transport implements Caller and Registry over TCP. It keeps one connection to each peer address in use,
+// which is dialed on demand and closed when idle.
 type Transport struct {
 	options Options
 	stats   *trafficStats
-	// baseContext ends at the end of Close.
+	// baseContext is canceled at the end of Close.
 	baseContext context.Context
 	stop        context.CancelFunc
 
-	// Handlers are written before Start and read-only afterwards.
+	// The handler maps are written before Start and read-only afterwards.
 	callHandlers   map[Method]CallHandler
 	streamHandlers map[Method]StreamHandler
 
 	linksMu sync.RWMutex
 	links   map[string]*link
 
-	// address is read with every call.
+	// address is atomic since it is read by every call.
 	address atomic.Pointer[string]
 
-	mu          sync.Mutex
-	listener    net.Listener
-	connections map[*connection]struct{}
-	running     int
-	draining    bool
-	closed      bool
-	drained     chan struct{} // closed when draining and nothing is running
-	loops       sync.WaitGroup
+	mu              sync.Mutex
+	listener        net.Listener
+	connections     map[*connection]struct{}
+	runningHandlers int
+	draining        bool
+	closed          bool
+	drained         chan struct{} // closed when draining and no handler is running
+	loops           sync.WaitGroup
 }
 
-// New returns a transport that does not listen yet. Calls to other nodes work
-// from the start. It panics when the counters are already in the Registerer.
+// New returns a transport that does not listen yet but can already make calls. It panics if the metrics are
+// already registered.
 func New(options Options) *Transport {
 	t := &Transport{
 		options:        options,
@@ -60,24 +60,24 @@
 	return t
 }
 
-// HandleCall implements Registry. Call it before Start.
+// HandleCall implements Registry. It must be called before Start.
 func (t *Transport) HandleCall(method Method, handler CallHandler) {
 	t.callHandlers[method] = handler
 }
 
-// HandleStream implements Registry. Call it before Start.
+// HandleStream implements Registry. It must be called before Start.
 func (t *Transport) HandleStream(method Method, handler StreamHandler) {
 	t.streamHandlers[method] = handler
 }
 
-// Listen binds the listener, so that Address is final while handlers may still
-// be registered. Connections wait in the backlog until Start.
+// Listen binds the listener, so that Address is final while handlers can still be registered. Connections
+// wait in the backlog until Start.
 func (t *Transport) Listen() error {
 	listener, err := net.Listen("tcp", t.options.ListenAddress)
 	if err != nil {
-		return errors.Wrap(err, "listen for peers")
+		return errors.Wrap(err, "listen for peer connections")
 	}
-	address, err := advertised(t.options.AdvertiseAddress, listener.Addr().String())
+	address, err := advertiseAddress(t.options.AdvertiseAddress, listener.Addr().String())
 	if err != nil {
 		_ = listener.Close()
 		return errors.Wrap(err, "advertised peer address")
@@ -86,14 +86,14 @@
 	defer t.mu.Unlock()
 	if t.closed || t.listener != nil {
 		_ = listener.Close()
-		return errors.New("peer transport listens already or is closed")
+		return errors.New("peer transport is already listening or closed")
 	}
 	t.listener = listener
 	t.address.Store(&address)
 	return nil
 }
 
-// Start listens, unless Listen did, and serves until Close. Call it once.
+// Start calls Listen if necessary, and serves connections until Close. It must be called once.
 func (t *Transport) Start() error {
 	t.mu.Lock()
 	listening := t.listener != nil
@@ -107,74 +107,73 @@
 	return nil
 }
 
-// advertised fills an empty address or a zero port from the listener's address.
-func advertised(wanted, listening string) (string, error) {
-	if wanted == "" {
+// advertiseAddress returns the configured address, with an empty address or a zero port replaced from the
+// listener's address.
+func advertiseAddress(configured, listening string) (string, error) {
+	if configured == "" {
 		return listening, nil
 	}
-	host, port, err := net.SplitHostPort(wanted)
+	host, port, err := net.SplitHostPort(configured)
 	if err != nil {
 		return "", err
 	}
 	if number, err := strconv.ParseUint(port, 10, 16); err != nil {
 		return "", err
 	} else if number != 0 {
-		return wanted, nil
+		return configured, nil
 	}
 	_, port, err = net.SplitHostPort(listening)
 	return net.JoinHostPort(host, port), err
 }
 
-// Address returns the address under which peers reach this node; final after
-// Listen or Start.
+// Address returns the address at which peers reach this node. It is final after Listen or Start.
 func (t *Transport) Address() string { return *t.address.Load() }
 
-// Stats returns the traffic by method since the transport was made.
+// Stats returns the traffic by method since the transport was created.
 func (t *Transport) Stats() map[Method]MethodStats { return t.stats.read() }
 
 // Call implements Caller.
 func (t *Transport) Call(ctx context.Context, address string, method Method, request, response any) error {
 	if address == t.Address() {
-		a, err := t.openLocal(frameCall, method, request)
+		stream, err := t.openLocal(frameCall, method, request)
 		if err != nil {
 			return err
 		}
-		return a.receiveOne(ctx, response)
+		return stream.receiveOne(ctx, response)
 	}
-	a, err := t.openRemote(ctx, address, frameCall, method, request)
+	stream, err := t.openRemote(ctx, address, frameCall, method, request)
 	if err != nil {
 		return err
 	}
-	return a.receiveOne(ctx, response)
+	return stream.receiveOne(ctx, response)
 }
 
-// OpenStream implements Caller. The stream ends with ctx.
+// OpenStream implements Caller. The stream is canceled when ctx ends.
 func (t *Transport) OpenStream(ctx context.Context, address string, method Method, request any) (Stream, error) {
 	if address == t.Address() {
-		a, err := t.openLocal(frameOpen, method, request)
+		stream, err := t.openLocal(frameOpen, method, request)
 		if err != nil {
 			return nil, err
 		}
-		a.watch(ctx)
-		return a, nil
+		stream.cancelOnDone(ctx)
+		return stream, nil
 	}
-	a, err := t.openRemote(ctx, address, frameOpen, method, request)
+	stream, err := t.openRemote(ctx, address, frameOpen, method, request)
 	if err != nil {
 		return nil, err
 	}
-	a.watch(ctx)
-	return a, nil
+	stream.cancelOnDone(ctx)
+	return stream, nil
 }
 
-// openRemote sends the request. A connection that closes as idle at that
-// moment is replaced once.
+// openRemote sends a request to another node. It retries once if the connection was closing.
 func (t *Transport) openRemote(
 	ctx context.Context, address string, kind frameKind, method Method, request any,
-) (*remoteAnswer, error) {
+) (*remoteStream, error) {
 	for attempt := 0; ; attempt++ {
-		a, err := t.tryOpen(ctx, address, kind, method, request)
+		stream, err := t.tryOpen(ctx, address, kind, method, request)
 		if err == nil {
-			return a, nil
+			return stream, nil
 		}
 		if attempt > 0 || !errors.Is(err, errSessionClosing) {
 			return nil, &DeliveryError{Sent: false, Err: err}
@@ -184,7 +183,7 @@
 
 func (t *Transport) tryOpen(
 	ctx context.Context, address string, kind frameKind, method Method, request any,
-) (*remoteAnswer, error) {
+) (*remoteStream, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -196,14 +195,14 @@
 	if err != nil {
 		return nil, err
 	}
-	a, err := session.open(ctx, kind, method, request)
+	stream, err := session.open(ctx, kind, method, request)
 	if errors.Is(err, errSessionClosing) {
-		l.forget(session)
+		l.discard(session)
 	}
-	return a, err
+	return stream, err
 }
 
-// link returns the link to the address, making it if needed.
+// link returns the link to the address, creating it if needed.
 func (t *Transport) link(address string) (*link, error) {
 	t.linksMu.RLock()
 	l := t.links[address]
@@ -224,22 +223,22 @@
 	return l, nil
 }
 
-// begin counts a handler that is about to run; false while draining.
+// begin counts a handler that is about to run. It returns false while the transport is draining.
 func (t *Transport) begin() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.draining {
 		return false
 	}
-	t.running++
+	t.runningHandlers++
 	return true
 }
 
 func (t *Transport) end() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.running--
-	if t.draining && t.running == 0 {
+	t.runningHandlers--
+	if t.draining && t.runningHandlers == 0 {
 		close(t.drained)
 	}
 }
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -59,7 +59,7 @@
 	return failure
 }
 
-func TestCall(t *testing.T) {
+func TestCallResponsesAndErrors(t *testing.T) {
 	register := func(registry Registry) {
 		registry.HandleCall(MethodTable, echoCall)
 		registry.HandleCall(MethodProbe, func(context.Context, Request) (any, error) {
@@ -92,7 +92,7 @@
 	assert.Equal(t, client.Stats()[MethodTable].BytesSent, server.Stats()[MethodTable].BytesReceived)
 }
 
-func TestDialFailureIsNotSent(t *testing.T) {
+func TestDialFailureReportsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
@@ -104,7 +104,7 @@
 	assert.Assert(t, !deliveryError(t, err).Sent)
 }
 
-func TestBrokenConnectionIsSent(t *testing.T) {
+func TestBrokenConnectionReportsSent(t *testing.T) {
 	register := func(registry Registry) {
 		registry.HandleStream(MethodSubmit, func(ctx context.Context, _ Request, sender Sender) error {
 			if err := sender.Send("first"); err != nil {
@@ -127,19 +127,19 @@
 	assert.Assert(t, deliveryError(t, stream.Receive(&message)).Sent)
 }
 
-func TestUnsentWhenNeverGivenToSocket(t *testing.T) {
-	near, far := net.Pipe()
-	defer func() { _ = far.Close() }()
-	c := newConnection(near, newTrafficStats())
+func TestRequestNotWrittenToSocketReportsNotSent(t *testing.T) {
+	local, remote := net.Pipe()
+	defer func() { _ = remote.Close() }()
+	c := newConnection(local, newTrafficStats())
 	session := newClientSession(c, func(*clientSession) {})
 	go c.writeLoop()
 	first, err := session.open(testContext(t), frameCall, MethodProbe, "first")
 	assert.NilError(t, err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if c.wasGiven(first.start) {
+		if c.wasWritten(first.start) {
 			return poll.Success()
 		}
-		return poll.Continue("first request is not at the socket")
+		return poll.Continue("first request is not written to the socket")
 	}, poll.WithTimeout(testLimit))
 	second, err := session.open(testContext(t), frameCall, MethodProbe, "second")
 	assert.NilError(t, err)
@@ -148,8 +148,8 @@
 	assert.Assert(t, !deliveryError(t, second.receiveOne(testContext(t), nil)).Sent)
 }
 
-// A peer that accepts and never answers is a frozen one. Ticks stand for time.
-func TestSilentConnectionFails(t *testing.T) {
+// The peer accepts the connection but never responds, as a paused process does.
+func TestUnresponsiveConnectionFails(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -167,7 +167,7 @@
 	assert.Assert(t, deliveryError(t, <-result).Sent)
 }
 
-func TestStreamOrderAndSlowReader(t *testing.T) {
+func TestStreamOrderWithSlowReader(t *testing.T) {
 	const messages = 2000
 	text := strings.Repeat("x", 1000)
 	register := func(registry Registry) {
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestCloseFinishesRunningAndRefusesNew(t *testing.T) {
+func TestCloseDrainsHandlersAndRejectsNewCalls(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	server := newTestTransport(t, "server", func(registry Registry) {
 		registry.HandleCall(MethodTrainer, func(context.Context, Request) (any, error) {
@@ -264,19 +264,19 @@
 		if errkind.Is(client.Call(ctx, server.Address(), MethodTable, nil, nil), errkind.ShuttingDown) {
 			return poll.Success()
 		}
-		return poll.Continue("server still takes calls")
+		return poll.Continue("server still accepts calls")
 	}, poll.WithTimeout(testLimit))
 	close(release)
 	assert.NilError(t, <-result)
 	assert.Equal(t, response, "done")
 	assert.NilError(t, <-closed)
-	// Until the client has read the end of the connection, a request may be
-	// given to its socket and counts as sent; afterwards none is.
+	// Until the client has read the end of the connection, a request may still be passed to its socket and
+	// then counts as sent.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if !deliveryError(t, client.Call(ctx, server.Address(), MethodTable, nil, nil)).Sent {
 			return poll.Success()
 		}
-		return poll.Continue("client holds the old connection")
+		return poll.Continue("client still uses the closed connection")
 	}, poll.WithTimeout(testLimit))
 }
 
@@ -293,8 +293,8 @@
 	assert.NilError(t, client.Call(ctx, server.Address(), MethodTable, &echo{}, nil))
 }
 
-// TestACallIsOverBeforeItsAnswerIsHandedOn: who has the answer finds the connection idle.
-func TestACallIsOverBeforeItsAnswerIsHandedOn(t *testing.T) {
+// A caller that has received its response must find the connection idle.
+func TestConnectionIsIdleBeforeResponseIsDelivered(t *testing.T) {
 	server := newTestTransport(t, "server", func(registry Registry) { registry.HandleCall(MethodTable, echoCall) })
 	client := newTestTransport(t, "client", func(Registry) {})
 	ctx := testContext(t)
@@ -303,17 +303,17 @@
 	assert.NilError(t, err)
 	session, err := l.get(ctx)
 	assert.NilError(t, err)
-	pending := session.newAnswer(frameCall, MethodTable)
+	pending := session.newStream(frameCall, MethodTable)
 	assert.NilError(t, session.register(pending))
-	// The reader of the connection cannot hand the answer on until this test lets it.
-	pending.inbox.mu.Lock()
+	// The lock blocks delivery of the response.
+	pending.receiveQueue.mu.Lock()
 	handled := make(chan error, 1)
 	go func() {
 		handled <- session.handleMessage(frame{kind: frameMessage, streamID: pending.streamID, body: newBody(1)})
 	}()
 	testwait.Until(t, "the end of the call", func() bool { return session.activeStreams() == 0 })
-	pending.inbox.mu.Unlock()
+	pending.receiveQueue.mu.Unlock()
 	assert.NilError(t, <-handled)
-	_, err = pending.inbox.next(nil)
+	_, err = pending.receiveQueue.pop(nil)
 	assert.NilError(t, err)
 }
