--- a/internal/common/answered/answered.go
+++ b/internal/common/answered/answered.go
@@ -1,14 +1,15 @@
-// Package answered determines the time as of which an answer of the log is current. An answer may be
-// delayed by another node or by a suspension of this process or machine, so its arrival is no bound.
+// Package answered determines the time as of which a long-poll response of the log is current. The time of
+// arrival does not bound it, since another node or a suspension of this process or machine may have delayed
+// the response.
 package answered
 
 import "time"
 
-// At returns the earliest time at which a long poll without records was answered: after its wait, or now
-// if that has not passed. All times must be of the same clock.
+// At returns the earliest time at which a long poll without records can have been answered: the end of its
+// wait, or now if that is earlier. All times must be from the same clock.
 func At(sent time.Time, wait time.Duration, now time.Time) time.Time {
-	if waited := sent.Add(wait); waited.Before(now) {
-		return waited
+	if waitEnd := sent.Add(wait); waitEnd.Before(now) {
+		return waitEnd
 	}
 	return now
 }
--- a/internal/common/boottime/boottime_test.go
+++ b/internal/common/boottime/boottime_test.go
@@ -7,12 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTheClockGoesOn compares it with the monotonic clock, which advances at the same rate
-// while the machine is not suspended.
-func TestTheClockGoesOn(t *testing.T) {
-	steady, began := time.Now(), Now()
+// Both clocks advance at the same rate while the machine is not suspended.
+func TestNowAdvancesWithTheMonotonicClock(t *testing.T) {
+	monotonic, start := time.Now(), Now()
 	time.Sleep(20 * time.Millisecond)
-	passed := Now().Sub(began)
-	assert.Assert(t, passed >= 20*time.Millisecond, "%s", passed)
-	assert.Assert(t, passed <= time.Since(steady)+time.Millisecond, "%s", passed)
+	elapsed := Now().Sub(start)
+	assert.Assert(t, elapsed >= 20*time.Millisecond, "%s", elapsed)
+	assert.Assert(t, elapsed <= time.Since(monotonic)+time.Millisecond, "%s", elapsed)
 }
--- a/internal/common/connlost/connlost.go
+++ b/internal/common/connlost/connlost.go
@@ -1,5 +1,5 @@
-// Package connlost distinguishes connections that the peer closed from those that were
-// canceled locally or became unresponsive.
+// Package connlost distinguishes connections closed by the peer from those that were canceled locally or
+// became unresponsive.
 package connlost
 
 import (
@@ -9,11 +9,10 @@
 	"github.com/go-faster/errors"
 )
 
-// causes are the errors of a connection that the peer closed or reset before its answer
-// was complete.
+// causes are the errors of a connection that the peer closed or reset before the response was complete.
 var causes = []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE}
 
-// Is reports whether the peer closed the connection.
+// Is reports whether err was caused by the peer closing the connection.
 func Is(err error) bool {
 	for _, cause := range causes {
 		if errors.Is(err, cause) {
--- a/internal/common/fixedseed/fixedseed.go
+++ b/internal/common/fixedseed/fixedseed.go
@@ -1,6 +1,5 @@
-// Package fixedseed sets a fixed seed for property tests, so that test runs are
-// reproducible. Property tests import it for its side effect. The flag -rapid.seed=0
-// selects random seeds, any other value that seed.
+// Package fixedseed sets a fixed seed for property tests, so that test runs are reproducible. It is imported
+// for its side effect. The flag -rapid.seed=0 selects random seeds, any other value that seed.
 package fixedseed
 
 import (
--- a/internal/common/msgpackhttp/msgpackhttp.go
+++ b/internal/common/msgpackhttp/msgpackhttp.go
@@ -1,5 +1,5 @@
-// Package msgpackhttp makes calls between nodes with msgpack over HTTP POST. Requests and
-// responses are bounded, and checked before they are decoded.
+// Package msgpackhttp implements calls between nodes with msgpack over HTTP POST. The sizes of requests and
+// responses are limited, and messages are validated before they are decoded.
 package msgpackhttp
 
 import (
@@ -15,78 +15,78 @@
 	"github.com/corkpulley/corkpulley/internal/core/msgpackguard"
 )
 
-// Ask sends a request to a URL and decodes the response, of at most maxBytes, into answer.
-// It does not retry; after an error the request may have taken effect.
-func Ask(ctx context.Context, client *http.Client, url string, question, answer any, maxBytes int64) error {
-	return ask(ctx, client, url, nil, question, answer, maxBytes)
+// Ask sends a request to a URL and decodes the response, of at most maxBytes, into response. It does not
+// retry; after an error the request may have taken effect.
+func Ask(ctx context.Context, client *http.Client, url string, request, response any, maxBytes int64) error {
+	return call(ctx, client, url, nil, request, response, maxBytes)
 }
 
-// AskOnceHeard is Ask with "Expect: 100-continue": the body is sent only when the peer requests it, which
-// takes a round trip. A peer that resumes after a suspension thus receives no request whose sender has given
-// up meanwhile. The client's transport needs an ExpectContinueTimeout that exceeds ctx, since the body is sent
-// unrequested after it.
-func AskOnceHeard(ctx context.Context, client *http.Client, url string, question, answer any, maxBytes int64) error {
-	return ask(ctx, client, url, http.Header{"Expect": {"100-continue"}}, question, answer, maxBytes)
+// AskOnceHeard is like Ask with "Expect: 100-continue": the body is sent only when the peer requests it, at
+// the cost of a round trip. A peer that resumes after a suspension thus receives no request whose sender has
+// already given up. The client's transport needs an ExpectContinueTimeout longer than that of ctx, since it
+// sends the body unrequested afterwards.
+func AskOnceHeard(ctx context.Context, client *http.Client, url string, request, response any, maxBytes int64) error {
+	return call(ctx, client, url, http.Header{"Expect": {"100-continue"}}, request, response, maxBytes)
 }
 
-func ask(
-	ctx context.Context, client *http.Client, url string, header http.Header, question, answer any, maxBytes int64,
+func call(
+	ctx context.Context, client *http.Client, url string, header http.Header, request, response any, maxBytes int64,
 ) error {
-	raw, err := msgpack.Marshal(question)
+	raw, err := msgpack.Marshal(request)
 	if err != nil {
-		return errors.Wrap(err, "encode the question")
+		return errors.Wrap(err, "encode request")
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(raw))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(raw))
 	if err != nil {
-		return errors.Wrap(err, "build the question")
+		return errors.Wrap(err, "create HTTP request")
 	}
-	maps.Copy(request.Header, header)
-	// Without GetBody the transport cannot resend the request.
-	request.GetBody = nil
-	response, err := client.Do(request)
+	maps.Copy(httpRequest.Header, header)
+	// Without GetBody the transport cannot resend the request, which may already have taken effect.
+	httpRequest.GetBody = nil
+	httpResponse, err := client.Do(httpRequest)
 	if err != nil {
 		return errors.Wrap(err, "ask")
 	}
-	defer response.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxBytes))
+	defer httpResponse.Body.Close()
+	content, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxBytes))
 	if err != nil {
-		return errors.Wrap(err, "read the answer")
+		return errors.Wrap(err, "read response")
 	}
-	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("status %d", response.StatusCode)
+	if httpResponse.StatusCode != http.StatusOK {
+		return errors.Errorf("status %d", httpResponse.StatusCode)
 	}
-	return decode(content, answer)
+	return decode(content, response)
 }
 
-// Handle returns a handler that decodes requests of at most maxBytes and encodes the
-// responses. Unreadable requests are answered with status 400.
-func Handle[Question, Answer any](maxBytes int64, answer func(context.Context, Question) Answer) http.Handler {
+// Handle returns a handler that decodes requests of at most maxBytes and encodes the responses. Requests
+// that cannot be read or decoded are answered with status 400.
+func Handle[Request, Response any](maxBytes int64, handle func(context.Context, Request) Response) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
-		var question Question
+		var request Request
 		if err == nil {
-			err = decode(raw, &question)
+			err = decode(raw, &request)
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		encoded, err := msgpack.Marshal(answer(r.Context(), question))
+		encoded, err := msgpack.Marshal(handle(r.Context(), request))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		// A caller that has left retries at another node.
+		// A failed write needs no handling: the caller retries at another node.
 		_, _ = w.Write(encoded)
 	})
 }
 
 func decode(raw []byte, into any) error {
 	if err := msgpackguard.Check(raw); err != nil {
-		return errors.Wrap(err, "check the message")
+		return errors.Wrap(err, "validate message")
 	}
 	if err := msgpack.Unmarshal(raw, into); err != nil {
-		return errors.Wrap(err, "decode the message")
+		return errors.Wrap(err, "decode message")
 	}
 	return nil
 }
--- a/internal/common/msgpackhttp/msgpackhttp_test.go
+++ b/internal/common/msgpackhttp/msgpackhttp_test.go
@@ -11,73 +11,75 @@
 	"gotest.tools/v3/assert"
 )
 
-type question struct {
+type testRequest struct {
 	Text string `msgpack:"t"`
 }
 
-type answer struct {
+type testResponse struct {
 	Text string `msgpack:"t"`
 }
 
-func echo(_ context.Context, asked question) answer { return answer{Text: "re: " + asked.Text} }
+func echo(_ context.Context, request testRequest) testResponse {
+	return testResponse{Text: "re: " + request.Text}
+}
 
-func TestQuestionsAreAnswered(t *testing.T) {
+func TestCallReturnsTheResponse(t *testing.T) {
 	server := httptest.NewServer(Handle(64, echo))
 	defer server.Close()
-	var got answer
-	assert.NilError(t, Ask(t.Context(), http.DefaultClient, server.URL, &question{Text: "a"}, &got, 64))
+	var got testResponse
+	assert.NilError(t, Ask(t.Context(), http.DefaultClient, server.URL, &testRequest{Text: "a"}, &got, 64))
 	assert.Equal(t, got.Text, "re: a")
 }
 
-func TestMessagesAreBoundedAndChecked(t *testing.T) {
+func TestMessagesAreLimitedAndValidated(t *testing.T) {
 	server := httptest.NewServer(Handle(64, echo))
 	defer server.Close()
-	var got answer
-	long := &question{Text: strings.Repeat("a", 100)}
+	var got testResponse
+	long := &testRequest{Text: strings.Repeat("a", 100)}
 	assert.ErrorContains(t, Ask(t.Context(), http.DefaultClient, server.URL, long, &got, 64), "status 400")
-	assert.ErrorContains(t, Ask(t.Context(), http.DefaultClient, server.URL, &question{Text: "abcdef"}, &got, 4), "message")
+	assert.ErrorContains(t, Ask(t.Context(), http.DefaultClient, server.URL, &testRequest{Text: "abcdef"}, &got, 4), "message")
 	response, err := http.Post(server.URL, "", strings.NewReader("\xdd\xff\xff\xff\xff"))
 	assert.NilError(t, err)
 	assert.Equal(t, response.StatusCode, http.StatusBadRequest)
 	assert.NilError(t, response.Body.Close())
 }
 
-func TestAnswersThatAreNoneAreErrors(t *testing.T) {
+func TestInvalidResponseAndConnectionFailureReturnErrors(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("<html>"))
 	}))
 	defer server.Close()
-	var got answer
-	assert.ErrorContains(t, Ask(t.Context(), http.DefaultClient, server.URL, &question{}, &got, 64), "message")
+	var got testResponse
+	assert.ErrorContains(t, Ask(t.Context(), http.DefaultClient, server.URL, &testRequest{}, &got, 64), "message")
 	server.Close()
-	assert.ErrorContains(t, Ask(t.Context(), http.DefaultClient, server.URL, &question{}, &got, 64), "ask")
+	assert.ErrorContains(t, Ask(t.Context(), http.DefaultClient, server.URL, &testRequest{}, &got, 64), "ask")
 }
 
-// TestAQuestionIsSentOnceItIsAskedFor: a peer that has not started to serve the request receives no
-// body once its sender has left.
-func TestAQuestionIsSentOnceItIsAskedFor(t *testing.T) {
-	goesOn, answered := make(chan struct{}), make(chan struct{})
-	asked := 0
-	count := func(ctx context.Context, of question) answer {
-		asked++
-		return echo(ctx, of)
+// Guards against late execution: a peer that serves the request after its sender has given up must not
+// receive the body.
+func TestExpectContinueSendsBodyOnlyOnRequest(t *testing.T) {
+	proceed, served := make(chan struct{}), make(chan struct{})
+	calls := 0
+	count := func(ctx context.Context, request testRequest) testResponse {
+		calls++
+		return echo(ctx, request)
 	}
 	handler := Handle(64, count)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-goesOn
+		<-proceed
 		handler.ServeHTTP(w, r)
-		answered <- struct{}{}
+		served <- struct{}{}
 	}))
 	defer server.Close()
 	client := &http.Client{Transport: &http.Transport{ExpectContinueTimeout: time.Minute}}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	var got answer
-	assert.ErrorIs(t, AskOnceHeard(ctx, client, server.URL, &question{Text: "a"}, &got, 64), context.DeadlineExceeded)
-	close(goesOn)
-	<-answered
-	assert.Equal(t, asked, 0)
-	go func() { <-answered }()
-	assert.NilError(t, AskOnceHeard(t.Context(), client, server.URL, &question{Text: "a"}, &got, 64))
+	var got testResponse
+	assert.ErrorIs(t, AskOnceHeard(ctx, client, server.URL, &testRequest{Text: "a"}, &got, 64), context.DeadlineExceeded)
+	close(proceed)
+	<-served
+	assert.Equal(t, calls, 0)
+	go func() { <-served }()
+	assert.NilError(t, AskOnceHeard(t.Context(), client, server.URL, &testRequest{Text: "a"}, &got, 64))
 	assert.Equal(t, got.Text, "re: a")
 }
--- a/internal/common/once/once.go
+++ b/internal/common/once/once.go
@@ -1,18 +1,19 @@
-// Package once limits what would be repeated, such as a log line, to the first time for each key.
+// Package once limits repeated events, such as log lines, to the first occurrence of each key.
 package once
 
 import "sync"
 
-// maxKeys bounds the keys that are remembered. Further ones count as seen: what reports them would grow without bound.
+// maxKeys limits the stored keys. Once it is reached, new keys are reported as already seen, so that memory
+// stays bounded.
 const maxKeys = 64
 
-// PerKey remembers keys. Its zero value is ready for use; it is safe for concurrent use.
+// PerKey tracks which keys were seen. The zero value is ready to use; it is safe for concurrent use.
 type PerKey struct {
 	mu   sync.Mutex
 	seen map[string]bool
 }
 
-// First reports whether the key is seen for the first time.
+// First reports whether this is the first call with the key. It returns false for new keys beyond maxKeys.
 func (p *PerKey) First(key string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/common/once/once_test.go
+++ b/internal/common/once/once_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a line for each record of a kind that a newer build writes, and against keys without bound.
-func TestEachKeyIsFirstOnce(t *testing.T) {
+// Guards against one log line per record of an unknown kind, and against unbounded keys.
+func TestFirstReportsEachKeyOnceUpToLimit(t *testing.T) {
 	var keys PerKey
 	assert.Assert(t, keys.First("a"))
 	assert.Assert(t, !keys.First("a"))
--- a/internal/common/pauses/pauses.go
+++ b/internal/common/pauses/pauses.go
@@ -1,4 +1,4 @@
-// Package pauses tracks peers that are skipped for a while after a failed call.
+// Package pauses tracks peers that are skipped for a period after a failed call.
 package pauses
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// forgetAt is the number of peers above which expired pauses are dropped.
-const forgetAt = 64
+// pruneThreshold is the number of peers from which expired pauses are removed.
+const pruneThreshold = 64
 
-// Pauses holds the end of each peer's pause. It is safe for concurrent use.
+// Pauses holds the end of the pause of each peer. It is safe for concurrent use.
 type Pauses struct {
 	mu    sync.Mutex
 	until map[string]time.Time
@@ -24,7 +24,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if len(p.until) >= forgetAt {
+	if len(p.until) >= pruneThreshold {
 		maps.DeleteFunc(p.until, func(_ string, until time.Time) bool { return !now.Before(until) })
 	}
 	p.until[peer] = now.Add(period)
--- a/internal/common/pauses/pauses_test.go
+++ b/internal/common/pauses/pauses_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAPauseHoldsForOnePeerUntilItIsOver(t *testing.T) {
+func TestPauseAppliesToOnePeerUntilItExpires(t *testing.T) {
 	pauses := New()
 	pauses.Begin("a", time.Hour)
 	assert.Assert(t, pauses.Active("a"))
@@ -17,12 +17,12 @@
 	assert.Assert(t, !pauses.Active("a"))
 }
 
-func TestPausesThatAreOverAreForgotten(t *testing.T) {
+func TestExpiredPausesAreRemoved(t *testing.T) {
 	pauses := New()
 	pauses.Begin("kept", time.Hour)
-	for number := range 10 * forgetAt {
+	for number := range 10 * pruneThreshold {
 		pauses.Begin(fmt.Sprint("n", number), 0)
 	}
 	assert.Assert(t, pauses.Active("kept"))
-	assert.Assert(t, len(pauses.until) <= forgetAt)
+	assert.Assert(t, len(pauses.until) <= pruneThreshold)
 }
--- a/internal/common/retry/retry.go
+++ b/internal/common/retry/retry.go
@@ -1,6 +1,5 @@
-// Package retry provides the common parts of retry loops: delays that grow with
-// jitter, and a wait that ends with its context. The loops decide whether and how
-// often they retry.
+// Package retry provides the common parts of retry loops: backoff delays with jitter, and a sleep that ends
+// with its context. Callers decide whether and how often to retry.
 package retry
 
 import (
@@ -10,20 +9,20 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Policy bounds the delays between attempts. Both bounds must be above zero.
+// Policy sets the bounds of the delays between attempts. Both must be positive.
 type Policy struct {
 	// First is the delay after the first failure, before jitter.
 	First time.Duration
-	// Longest bounds the delay before jitter; jitter adds at most
-	// backoff.DefaultRandomizationFactor (half) of it.
+	// Longest limits the delay before jitter. Jitter adds at most the fraction
+	// backoff.DefaultRandomizationFactor (0.5) of it.
 	Longest time.Duration
 }
 
-// Delays are the delays of one sequence of attempts.
+// Delays is the sequence of delays of a retry loop.
 type Delays = backoff.ExponentialBackOff
 
-// Delays returns an unlimited sequence of delays: each is backoff.DefaultMultiplier
-// (1.5) times its predecessor. It is not safe for concurrent use.
+// Delays returns an unlimited sequence of delays, each backoff.DefaultMultiplier (1.5) times the previous
+// one up to Longest. The sequence is not safe for concurrent use.
 func (p Policy) Delays() *Delays {
 	delays := backoff.NewExponentialBackOff()
 	delays.InitialInterval = p.First
@@ -31,7 +30,7 @@
 	return delays
 }
 
-// Sleep waits for the duration and reports whether it passed before ctx ended.
+// Sleep waits for the duration. It returns false if ctx ended before.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/common/retry/retry_test.go
+++ b/internal/common/retry/retry_test.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/common/retry"
 )
 
-func TestDelaysGrowToTheLongestAndNeverEnd(t *testing.T) {
+func TestDelaysGrowToLongestWithoutLimit(t *testing.T) {
 	policy := retry.Policy{First: 100 * time.Millisecond, Longest: 150 * time.Millisecond}
 	delays := policy.Delays()
 	within := func(delay, middle time.Duration) {
@@ -27,7 +27,7 @@
 	within(delays.NextBackOff(), policy.First)
 }
 
-func TestSleepEndsWithItsContext(t *testing.T) {
+func TestSleepReturnsFalseWhenContextEnds(t *testing.T) {
 	assert.Assert(t, retry.Sleep(context.Background(), time.Nanosecond))
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/common/standstill/standstill.go
+++ b/internal/common/standstill/standstill.go
@@ -1,5 +1,5 @@
-// Package standstill detects that this process or its machine was suspended, after which its state of
-// other nodes is older than it appears.
+// Package standstill detects suspensions of this process or its machine, after which its state of other
+// nodes may be outdated.
 package standstill
 
 import (
@@ -13,75 +13,74 @@
 )
 
 const (
-	// tickPeriod is the interval between two ticks.
-	tickPeriod = 250 * time.Millisecond
-	// minStandstill is the least time without a tick that counts as a standstill. It must exceed the
-	// delays of a process on a busy machine; callers of WokeAt tick as well if the ticker is late.
-	minStandstill = time.Second
+	tickInterval = 250 * time.Millisecond
+	// minSuspension is the minimum time without a tick that counts as a suspension. It must exceed the
+	// scheduling delays of a busy machine; calls of WokeAt also tick if the ticker is late.
+	minSuspension = time.Second
 )
 
-// clocks are the clocks that a watch reads.
+// clocks are the clocks read by a Watch.
 type clocks struct {
-	// wall is the wall clock with its monotonic reading, which needs no system call.
+	// wall returns the wall clock with its monotonic reading. Reading it needs no system call.
 	wall func() time.Time
-	// boot advances while the machine is suspended.
+	// boot returns a clock that advances while the machine is suspended.
 	boot func() time.Time
 }
 
-// Watch detects standstills. It is safe for concurrent use.
+// Watch detects suspensions. It is safe for concurrent use.
 type Watch struct {
 	clocks clocks
-	// tickedAt is the wall-clock time of the newest tick.
-	tickedAt atomic.Pointer[time.Time]
+	// lastTickWall is the time of the last tick, read from clocks.wall.
+	lastTickWall atomic.Pointer[time.Time]
 
-	mu     sync.Mutex
-	bootAt time.Time
-	wokeAt atomic.Pointer[time.Time]
+	mu           sync.Mutex
+	lastTickBoot time.Time
+	resumedAt    atomic.Pointer[time.Time]
 }
 
-// New returns a watch. Run must be running.
+// New returns a Watch. Run must be running for the detection to work.
 func New() *Watch { return newWatch(clocks{wall: time.Now, boot: boottime.Now}) }
 
 func newWatch(clocks clocks) *Watch {
-	w := &Watch{clocks: clocks, bootAt: clocks.boot()}
-	seen := clocks.wall()
-	w.tickedAt.Store(&seen)
-	w.wokeAt.Store(&time.Time{})
+	w := &Watch{clocks: clocks, lastTickBoot: clocks.boot()}
+	now := clocks.wall()
+	w.lastTickWall.Store(&now)
+	w.resumedAt.Store(&time.Time{})
 	return w
 }
 
 // Run ticks until ctx ends.
 func (w *Watch) Run(ctx context.Context) error {
-	for retry.Sleep(ctx, tickPeriod) {
+	for retry.Sleep(ctx, tickInterval) {
 		w.tick(w.clocks.wall())
 	}
 	return nil
 }
 
-// WokeAt returns when the newest standstill ended, by boottime; zero if there was none. The first call
-// after a standstill detects it, even before the ticker runs.
+// WokeAt returns the time, by package boottime, at which the last suspension ended; zero if there was none.
+// The first call after a suspension detects it, even before the ticker runs.
 func (w *Watch) WokeAt() time.Time {
 	now := w.clocks.wall()
-	if ticked := *w.tickedAt.Load(); isLate(ticked, now) {
+	if lastTick := *w.lastTickWall.Load(); isLate(lastTick, now) {
 		w.tick(now)
 	}
-	return *w.wokeAt.Load()
+	return *w.resumedAt.Load()
 }
 
-// isLate reports whether a tick is due by the monotonic or the wall clock. The monotonic clock stops while the
-// machine is suspended, and the wall clock may be set; tick reads a clock without these faults.
-func isLate(ticked, now time.Time) bool {
-	return now.Sub(ticked) >= tickPeriod || now.Round(0).Sub(ticked.Round(0)) >= tickPeriod
+// isLate reports whether a tick is due by the monotonic or the wall clock. Neither is reliable alone: the
+// monotonic clock stops during a suspension, and the wall clock can be set. tick then reads the boot clock.
+func isLate(lastTick, now time.Time) bool {
+	return now.Sub(lastTick) >= tickInterval || now.Round(0).Sub(lastTick.Round(0)) >= tickInterval
 }
 
-// tick records that the process runs, and detects a standstill before it.
+// tick records that the process is running, and detects a suspension since the last tick.
 func (w *Watch) tick(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	boot := w.clocks.boot()
-	if boot.Sub(w.bootAt) >= minStandstill {
-		w.wokeAt.Store(&boot)
+	if boot.Sub(w.lastTickBoot) >= minSuspension {
+		w.resumedAt.Store(&boot)
 	}
-	w.bootAt = boot
-	w.tickedAt.Store(&now)
+	w.lastTickBoot = boot
+	w.lastTickWall.Store(&now)
 }
--- a/internal/common/standstill/standstill_test.go
+++ b/internal/common/standstill/standstill_test.go
@@ -7,47 +7,44 @@
 	"gotest.tools/v3/assert"
 )
 
-// machine provides the clocks of a watch.
-type machine struct{ wall, boot time.Time }
+// testClocks provides settable clocks for a Watch.
+type testClocks struct{ wall, boot time.Time }
 
-func (m *machine) watch() *Watch {
-	return newWatch(clocks{wall: func() time.Time { return m.wall }, boot: func() time.Time { return m.boot }})
+func (c *testClocks) watch() *Watch {
+	return newWatch(clocks{wall: func() time.Time { return c.wall }, boot: func() time.Time { return c.boot }})
 }
 
-func (m *machine) pass(wall, boot time.Duration) {
-	m.wall, m.boot = m.wall.Add(wall), m.boot.Add(boot)
+func (c *testClocks) advance(wall, boot time.Duration) {
+	c.wall, c.boot = c.wall.Add(wall), c.boot.Add(boot)
 }
 
-// TestAStandstillIsNoticedByWhoeverAsksFirst: even before the ticker runs again.
-func TestAStandstillIsNoticedByWhoeverAsksFirst(t *testing.T) {
-	m := &machine{wall: time.Unix(1000, 0), boot: time.Unix(50, 0)}
-	watch := m.watch()
-	m.pass(minStandstill-1, minStandstill-1)
-	assert.Assert(t, watch.WokeAt().IsZero(), "a delay counts as a standstill")
-	m.pass(minStandstill, minStandstill)
-	woke := m.boot
-	assert.Equal(t, watch.WokeAt(), woke)
-	m.pass(tickPeriod, tickPeriod)
-	assert.Equal(t, watch.WokeAt(), woke)
+func TestSuspensionIsDetectedBeforeNextTick(t *testing.T) {
+	c := &testClocks{wall: time.Unix(1000, 0), boot: time.Unix(50, 0)}
+	watch := c.watch()
+	c.advance(minSuspension-1, minSuspension-1)
+	assert.Assert(t, watch.WokeAt().IsZero(), "a short delay was detected as a suspension")
+	c.advance(minSuspension, minSuspension)
+	resumedAt := c.boot
+	assert.Equal(t, watch.WokeAt(), resumedAt)
+	c.advance(tickInterval, tickInterval)
+	assert.Equal(t, watch.WokeAt(), resumedAt)
 }
 
-// TestAClockThatIsSetIsNoStandstill: the wall clock jumps while the machine runs.
-func TestAClockThatIsSetIsNoStandstill(t *testing.T) {
-	m := &machine{wall: time.Unix(1000, 0), boot: time.Unix(50, 0)}
-	watch := m.watch()
-	m.pass(time.Hour, tickPeriod)
+func TestWallClockJumpIsNotASuspension(t *testing.T) {
+	c := &testClocks{wall: time.Unix(1000, 0), boot: time.Unix(50, 0)}
+	watch := c.watch()
+	c.advance(time.Hour, tickInterval)
 	assert.Assert(t, watch.WokeAt().IsZero())
 }
 
-// TestAProcessThatServesHasNotStoodStill: on a busy machine the ticker may be late by seconds while callers
-// run.
-func TestAProcessThatServesHasNotStoodStill(t *testing.T) {
-	m := &machine{wall: time.Unix(1000, 0), boot: time.Unix(50, 0)}
-	watch := m.watch()
+// Guards against false detections on a busy machine, where the ticker may be seconds late while callers run.
+func TestLateTickerIsNotASuspension(t *testing.T) {
+	c := &testClocks{wall: time.Unix(1000, 0), boot: time.Unix(50, 0)}
+	watch := c.watch()
 	for range 20 {
-		m.pass(minStandstill/2, minStandstill/2)
-		assert.Assert(t, watch.WokeAt().IsZero(), "a late ticker counts as a standstill")
+		c.advance(minSuspension/2, minSuspension/2)
+		assert.Assert(t, watch.WokeAt().IsZero(), "a late ticker was detected as a suspension")
 	}
-	m.pass(minStandstill, minStandstill)
-	assert.Equal(t, watch.WokeAt(), m.boot)
+	c.advance(minSuspension, minSuspension)
+	assert.Equal(t, watch.WokeAt(), c.boot)
 }
