--- a/internal/bench/soak/build.go
+++ b/internal/bench/soak/build.go
@@ -11,14 +11,14 @@
 // settingsCheckTimeout bounds the check of a settings file by a daemon.
 const settingsCheckTimeout = 10 * time.Second
 
-// build is a daemon with its settings file. Builds differ in the settings that they know, as on the platform, which
-// fills the template of each.
+// build is a daemon with its settings file. Builds may know different settings.
 type build struct {
 	path     string
 	settings string
 }
 
-// newBuild writes the settings file of a daemon. The optional settings are left out where the daemon refuses them.
+// newBuild writes the settings file of a daemon. It omits the optional settings if the daemon rejects
+// them.
 func newBuild(ctx context.Context, daemon, file, text, optional string) (build, error) {
 	created := build{path: daemon, settings: file}
 	if err := writeFile(file, text+optional); err != nil {
@@ -33,13 +33,13 @@
 	return created, created.check(ctx)
 }
 
-// check returns an error if the daemon refuses its settings file.
+// check returns an error if the daemon rejects its settings file.
 func (b build) check(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, settingsCheckTimeout)
 	defer cancel()
 	output, err := exec.CommandContext(ctx, b.path, "--settings", b.settings, "--check").CombinedOutput()
 	if err != nil {
-		return errors.Wrapf(err, "%s refuses its settings: %s", b.path, output)
+		return errors.Wrapf(err, "%s rejects its settings: %s", b.path, output)
 	}
 	return nil
 }
--- a/internal/bench/soak/build_test.go
+++ b/internal/bench/soak/build_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against nodes of an older build that never start, since the soak writes them a setting that they do not know.
-func TestABuildIsGivenOnlySettingsThatItKnows(t *testing.T) {
+// Guards against nodes of an older build that fail to start because of a setting that they do not know.
+func TestNewBuildOmitsUnknownSettings(t *testing.T) {
 	directory := t.TempDir()
 	daemon := func(name, refuses string) string {
 		path := filepath.Join(directory, name)
@@ -30,5 +30,5 @@
 	assert.NilError(t, err)
 	assert.Equal(t, read(older), "a = 1\n")
 	_, err = newBuild(t.Context(), daemon("other", "a = 1"), file, "a = 1\n", "[new]\n")
-	assert.ErrorContains(t, err, "refuses its settings")
+	assert.ErrorContains(t, err, "rejects its settings")
 }
--- a/internal/bench/soak/check.go
+++ b/internal/bench/soak/check.go
@@ -7,76 +7,77 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/platform"
 )
 
-// Violation is a promise that the history shows to be broken.
+// Violation is an invariant that the recorded history breaks.
 type Violation struct {
 	Rule   string `json:"rule"`
 	Detail string `json:"detail"`
 }
 
-// Bounds are the times within which promises are to hold.
+// Bounds are the time limits of the invariants.
 type Bounds struct {
-	// Contact is how long a node must be undisturbed before a bounded promise
-	// applies to it.
-	Contact time.Duration
-	// Apply is the time for a configuration, Drain for an engine that leaves, Cancel
-	// for the end of a job, Lease for orders after a refusal.
-	Apply  time.Duration
-	Drain  time.Duration
-	Cancel time.Duration
-	Lease  time.Duration
-	// Thaw is how long after its sender went on from a freeze, or its way healed, an
-	// order does not count.
-	Thaw time.Duration
-	// Evacuate is the time for an evacuation, Notice for the word of an engine that turns
-	// cold while it runs, Reorder for orders of an engine that has lost its weights.
-	Evacuate time.Duration
-	Notice   time.Duration
-	Reorder  time.Duration
+	// Settle is how long a node must have been undisturbed before time-bounded invariants apply to it.
+	Settle time.Duration
+	// Apply limits how long a configuration takes to apply, Drain how long a draining engine gets new
+	// requests, Cancel how long items run after their job's cancellation, and FencedStop how long a fenced
+	// holder keeps sending orders.
+	Apply      time.Duration
+	Drain      time.Duration
+	Cancel     time.Duration
+	FencedStop time.Duration
+	// ResumeGrace is how long after its sender resumed from a freeze, or the sender's network path was
+	// restored, an order is exempt.
+	ResumeGrace time.Duration
+	// Evacuate limits how long an evacuation takes to apply, ColdNotice how long until the nodes learn
+	// that a running engine turned cold, and Reorder how long until an engine that lost its weights is
+	// ordered to load them.
+	Evacuate   time.Duration
+	ColdNotice time.Duration
+	Reorder    time.Duration
 }
 
-// check is one promise.
-type check struct {
+// invariant is a rule with the function that lists its violations.
+type invariant struct {
 	rule string
 	find func(h *History, bounds Bounds) []string
 }
 
-// checks are all promises, each checked from the history alone.
-var checks = []check{
-	{"MIXED", checkMixed},
-	{"ORDER", checkStreams},
-	{"UNASKED", checkUnasked},
-	{"UNASKED", checkRunsAfterEnd},
+// invariants holds every rule; each is checked against the recorded history alone.
+var invariants = []invariant{
+	{"MIXED", checkResponses},
+	{"ORDER", checkStreamOrder},
+	{"UNASKED", checkUnrequestedRuns},
+	{"UNASKED", checkRunsAfterCancel},
 	{"UNASKED", checkTenants},
-	{"TWICE", checkTwice},
-	{"TWICE", checkPositions},
-	{"REFUSED", checkRefused},
+	{"TWICE", checkAtMostOnce},
+	{"TWICE", checkResultPositions},
+	{"REFUSED", checkRejectedNotRun},
 	{"DRAIN", checkDrain},
-	{"CONFIG", checkConfig},
-	{"CONFIG", checkNoReturn},
-	{"CONFIG", checkRevoked},
-	{"LOST", checkLost},
-	{"BUDGET", checkBudget},
-	{"BUDGET", checkCrashes},
-	{"VERSION", checkVersions},
+	{"CONFIG", checkConfigApplied},
+	{"CONFIG", checkConfigNoRollback},
+	{"CONFIG", checkRevokedKeys},
+	{"LOST", checkNoLostItems},
+	{"BUDGET", checkRetryLimit},
+	{"BUDGET", checkCrashLimit},
+	{"VERSION", checkSampleVersions},
 	{"SCORE", checkScores},
-	{"ONE", checkOneHolder},
-	{"ONE", checkTokens},
-	{"ONE", checkTurns},
-	{"ONE", checkUsage},
+	{"ONE", checkFencing},
+	{"ONE", checkTokenOrder},
+	{"ONE", checkAlternation},
+	{"ONE", checkUsageReports},
 	{"EVAC", checkEvacuations},
 	{"COLD", checkSlowStart},
 	{"HOME", checkHomes},
-	{"HOME", checkBodies},
+	{"HOME", checkBodyReads},
 	{"LIFE", checkOrderCounts},
-	{"LIFE", checkReordered},
-	{"ENTRY", checkEntries},
-	{"ENTRY", checkSpoiled},
+	{"LIFE", checkRestartedOrdered},
+	{"ENTRY", checkInvalidEntriesUnused},
+	{"ENTRY", checkInvalidatedEngines},
 }
 
-// Check returns every broken promise. The history must not change meanwhile.
+// Check returns every violation. The history must not change during the call.
 func Check(h *History, bounds Bounds) []Violation {
 	var violations []Violation
-	for _, each := range checks {
+	for _, each := range invariants {
 		for _, detail := range each.find(h, bounds) {
 			violations = append(violations, Violation{Rule: each.rule, Detail: detail})
 		}
@@ -86,33 +87,33 @@
 
 const statusOK = 200
 
-// asked is what engines may be asked to run.
-type asked struct {
+// expectedRequest is a request that a caller or a job sent, which engines may therefore run.
+type expectedRequest struct {
 	path string
 	body string
-	job  *JobSeen
+	job  *JobRecord
 	call *LiveCall
 }
 
-func askedByID(h *History) map[string]asked {
-	known := make(map[string]asked)
+func expectedByID(h *History) map[string]expectedRequest {
+	known := make(map[string]expectedRequest)
 	for i := range h.Calls {
 		call := &h.Calls[i]
-		known[call.ID] = asked{path: call.Path, body: call.Body, call: call}
+		known[call.ID] = expectedRequest{path: call.Path, body: call.Body, call: call}
 	}
 	for _, job := range h.Jobs {
 		for _, item := range job.Job.Items {
-			known[item.ID] = asked{path: standin.ItemPath(item.ID), body: item.Body, job: job}
+			known[item.ID] = expectedRequest{path: standin.ItemPath(item.ID), body: item.Body, job: job}
 			if item.ScoringID != "" {
-				known[item.ScoringID] = asked{path: standin.ScoringPath(item.ScoringID), body: item.ScoringBody(), job: job}
+				known[item.ScoringID] = expectedRequest{path: standin.ScoringPath(item.ScoringID), body: item.ScoringBody(), job: job}
 			}
 		}
 	}
 	return known
 }
 
-// eachRun calls visit for every run of every engine.
-func eachRun(h *History, visit func(engine *EngineSeen, run standin.Run)) {
+// forEachRun calls visit for every run on every engine.
+func forEachRun(h *History, visit func(engine *EngineRecord, run standin.Run)) {
 	for i := range h.Engines {
 		for _, run := range h.Engines[i].Runs {
 			visit(&h.Engines[i], run)
@@ -120,31 +121,31 @@
 	}
 }
 
-// checkUnasked: engines run only what was asked, unaltered.
-func checkUnasked(h *History, _ Bounds) []string {
+// checkUnrequestedRuns reports runs that no caller or job requested, or whose path or body was altered.
+func checkUnrequestedRuns(h *History, _ Bounds) []string {
 	var found []string
-	known := askedByID(h)
-	eachRun(h, func(engine *EngineSeen, run standin.Run) {
+	known := expectedByID(h)
+	forEachRun(h, func(engine *EngineRecord, run standin.Run) {
 		want, isKnown := known[run.ID]
 		if !isKnown || want.path != run.Path || want.body != run.Body {
-			found = append(found, fmt.Sprintf("engine %s ran %s %s with body %q; asked for: %t %s %q",
+			found = append(found, fmt.Sprintf("engine %s ran %s %s with body %q; requested: %t %s %q",
 				engine.ID, run.ID, run.Path, run.Body, isKnown, want.path, want.body))
 		}
 	})
 	return found
 }
 
-// checkRefused: what was refused as not run never runs.
-func checkRefused(h *History, _ Bounds) []string {
+// checkRejectedNotRun reports runs of requests and jobs whose rejection guaranteed that they had not run.
+func checkRejectedNotRun(h *History, _ Bounds) []string {
 	var found []string
-	known := askedByID(h)
-	eachRun(h, func(engine *EngineSeen, run standin.Run) {
+	known := expectedByID(h)
+	forEachRun(h, func(engine *EngineRecord, run standin.Run) {
 		want := known[run.ID]
-		if call := want.call; call != nil && call.Whole && call.Kind != standin.RouteSafe && standin.Refused(call.Answer.Status) {
-			found = append(found, fmt.Sprintf("engine %s ran %s, which was refused with %d", engine.ID, run.ID, call.Answer.Status))
+		if call := want.call; call != nil && call.Intact && call.Kind != standin.RouteSafe && standin.Refused(call.Answer.Status) {
+			found = append(found, fmt.Sprintf("engine %s ran %s, which was rejected with status %d", engine.ID, run.ID, call.Answer.Status))
 		}
-		if want.job != nil && want.job.AllRefused {
-			found = append(found, fmt.Sprintf("engine %s ran item %s of job %s, which was refused", engine.ID, run.ID, want.job.Job.ID))
+		if want.job != nil && want.job.AllRejected {
+			found = append(found, fmt.Sprintf("engine %s ran item %s of job %s, which was rejected", engine.ID, run.ID, want.job.Job.ID))
 		}
 	})
 	return found
--- a/internal/bench/soak/check_crash.go
+++ b/internal/bench/soak/check_crash.go
@@ -9,43 +9,42 @@
 )
 
 const (
-	// crashesAllowed is how many engines may end under a request before it is kept away
-	// from them, sendsAfterCrashes how often it may be sent beyond, once all nodes that are
-	// in touch have had time to know.
+	// crashesAllowed is how many engines a request may crash before it is withheld. Once every undisturbed
+	// node has had time to learn of that, it may be sent sendsAfterCrashes more times.
 	crashesAllowed    = 3
 	sendsAfterCrashes = 3
 )
 
-// asking is what a request under which engines end asks for, whatever its ID.
-type asking struct {
+// requestKey identifies a request that crashes engines independently of its ID.
+type requestKey struct {
 	path string
 	body string
 }
 
-// checkCrashes: a request under which engines ended is not sent on and on.
-func checkCrashes(h *History, bounds Bounds) []string {
-	ends := make(map[asking][]time.Time)
-	for _, end := range h.Ends {
-		of := asking{end.Path, end.Body}
-		ends[of] = append(ends[of], end.At)
+// checkCrashLimit reports requests that are still sent after they crashed crashesAllowed engines.
+func checkCrashLimit(h *History, bounds Bounds) []string {
+	crashes := make(map[requestKey][]time.Time)
+	for _, crash := range h.Crashes {
+		key := requestKey{crash.Path, crash.Body}
+		crashes[key] = append(crashes[key], crash.At)
 	}
-	after := make(map[asking]int)
-	eachRun(h, func(_ *EngineSeen, run standin.Run) {
-		of := asking{run.Path, run.Body}
-		if len(ends[of]) < crashesAllowed {
+	after := make(map[requestKey]int)
+	forEachRun(h, func(_ *EngineRecord, run standin.Run) {
+		key := requestKey{run.Path, run.Body}
+		if len(crashes[key]) < crashesAllowed {
 			return
 		}
-		slices.SortFunc(ends[of], time.Time.Compare)
-		third := ends[of][crashesAllowed-1]
-		if run.At.Sub(third) > bounds.Contact && h.inTouch(anyNode, run.At, run.At, bounds.Contact) {
-			after[of]++
+		slices.SortFunc(crashes[key], time.Time.Compare)
+		third := crashes[key][crashesAllowed-1]
+		if run.At.Sub(third) > bounds.Settle && h.undisturbed(anyNode, run.At, run.At, bounds.Settle) {
+			after[key]++
 		}
 	})
 	var found []string
-	for of, sends := range after {
+	for key, sends := range after {
 		if sends > sendsAfterCrashes {
-			found = append(found, fmt.Sprintf("%s, under which %d engines ended, was sent %d times after the third had been known",
-				of.path, len(ends[of]), sends))
+			found = append(found, fmt.Sprintf("%s, which crashed %d engines, was sent %d times after the third crash was known",
+				key.path, len(crashes[key]), sends))
 		}
 	}
 	return found
--- a/internal/bench/soak/check_homes.go
+++ b/internal/bench/soak/check_homes.go
@@ -8,66 +8,65 @@
 	"time"
 )
 
-// homedBody is the body of an item that is bound to regions, with its ID so that it is found
-// in what nodes read.
-func homedBody(id string) string { return "homed(" + id + ")" }
+// pinnedBody is the body of an item that is pinned to regions. It contains the ID, so that the body is
+// recognized in what nodes read from the store.
+func pinnedBody(id string) string { return "homed(" + id + ")" }
 
-var homedMark = regexp.MustCompile(`homed\(([^()]+)\)`)
+var pinnedBodyPattern = regexp.MustCompile(`homed\(([^()]+)\)`)
 
-// bodyRead is the body of an item that a node read from the store.
+// bodyRead is a read of an item's body from the store by a node.
 type bodyRead struct {
 	node int
 	item string
 }
 
-// addBodies notes the bodies of items that are bound to regions in what a node read.
-func (h *History) addBodies(node int, answer []byte) {
-	marks := homedMark.FindAllSubmatch(answer, -1)
+// recordBodyReads records the bodies of pinned items in an answer that a node read from the store.
+func (h *History) recordBodyReads(node int, answer []byte) {
+	marks := pinnedBodyPattern.FindAllSubmatch(answer, -1)
 	if len(marks) == 0 {
 		return
 	}
 	h.update(func() {
-		if h.Bodies == nil {
-			h.Bodies = make(map[bodyRead]time.Time)
+		if h.BodyReads == nil {
+			h.BodyReads = make(map[bodyRead]time.Time)
 		}
 		for _, mark := range marks {
 			read := bodyRead{node, string(mark[1])}
-			if h.Bodies[read].IsZero() {
-				h.Bodies[read] = time.Now()
+			if h.BodyReads[read].IsZero() {
+				h.BodyReads[read] = time.Now()
 			}
 		}
 	})
 }
 
-// boundTo lists the sets of regions that homes bind a request to.
-func (want asked) boundTo(homes Homes) [][]string {
-	var bound [][]string
+// regionSets lists the sets of regions that homes pin a request to.
+func (want expectedRequest) regionSets(homes Homes) [][]string {
+	var sets [][]string
 	if want.job != nil {
-		if want.job.Tenant == tenantOf(homedTrainer) {
-			bound = append(bound, homes.Trainer)
+		if want.job.Tenant == tenantOf(pinnedTrainer) {
+			sets = append(sets, homes.Trainer)
 		}
-		return bound
+		return sets
 	}
-	if want.call != nil && strings.HasPrefix(want.path, prefixHomed) {
-		bound = append(bound, homes.Route)
+	if want.call != nil && strings.HasPrefix(want.path, prefixPinned) {
+		sets = append(sets, homes.Route)
 	}
-	if want.call != nil && want.call.Tenant == tenantHomed {
-		bound = append(bound, homes.Tenant)
+	if want.call != nil && want.call.Tenant == tenantPinned {
+		sets = append(sets, homes.Tenant)
 	}
-	return bound
+	return sets
 }
 
-// sentAt is when the request was first sent.
-func (want asked) sentAt() time.Time {
+func (want expectedRequest) sentAt() time.Time {
 	if want.job != nil {
 		return want.job.SentAt
 	}
 	return want.call.SentAt
 }
 
-// allows tells whether homes let a region serve a request.
-func (h Homes) allows(want asked, region string) bool {
-	for _, regions := range want.boundTo(h) {
+// allows reports whether homes permit a region to serve a request.
+func (h Homes) allows(want expectedRequest, region string) bool {
+	for _, regions := range want.regionSets(h) {
 		if len(regions) > 0 && !slices.Contains(regions, region) {
 			return false
 		}
@@ -75,12 +74,11 @@
 	return true
 }
 
-// mayServe tells whether a region may serve a request at a time under a configuration that
-// a node may have had in force since the request was sent. A node that is not in touch may
-// have an old one.
-func (h *History) mayServe(want asked, region string, node int, at time.Time, bounds Bounds) bool {
+// regionAllowed reports whether a region may serve a request at the given time under a configuration that
+// the node may have applied since the request was sent. A disturbed node may still have any older one.
+func (h *History) regionAllowed(want expectedRequest, region string, node int, at time.Time, bounds Bounds) bool {
 	since := want.sentAt().Add(-bounds.Apply)
-	if !h.inTouch(node, since, at, bounds.Contact) {
+	if !h.undisturbed(node, since, at, bounds.Settle) {
 		since = time.Time{}
 	}
 	for i, config := range h.Configs {
@@ -92,41 +90,41 @@
 	return len(h.Configs) == 0
 }
 
-// checkHomes: a request that is bound to regions reaches no engine outside them.
+// checkHomes reports requests that reached an engine outside the regions that they are pinned to.
 func checkHomes(h *History, bounds Bounds) []string {
 	var found []string
-	known := askedByID(h)
+	known := expectedByID(h)
 	for i := range h.Engines {
 		engine := &h.Engines[i]
 		for _, arrival := range engine.Arrivals {
 			want, isKnown := known[arrival.ID]
-			if isKnown && !h.mayServe(want, engine.Region, senderOfArrival(arrival), arrival.At, bounds) {
-				found = append(found, fmt.Sprintf("%s %s reached engine %s in region %s", arrival.ID, want.path, engine.ID, engine.Region))
+			if isKnown && !h.regionAllowed(want, engine.Region, arrivalSender(arrival), arrival.At, bounds) {
+				found = append(found, fmt.Sprintf("%s %s reached engine %s in region %s, to which it is not pinned", arrival.ID, want.path, engine.ID, engine.Region))
 			}
 		}
 	}
 	return found
 }
 
-// checkBodies: the body of an item that is bound to regions is read by no node outside
-// them, but by those that its trainer has asked about the job.
-func checkBodies(h *History, bounds Bounds) []string {
-	known := askedByID(h)
+// checkBodyReads reports nodes that read bodies of pinned items outside their regions, except nodes that
+// the trainer asked about the job.
+func checkBodyReads(h *History, bounds Bounds) []string {
+	known := expectedByID(h)
 	type reader struct {
 		node int
 		job  string
 	}
 	items := make(map[reader]int)
 	first := make(map[reader]time.Time)
-	for read, at := range h.Bodies {
+	for read, at := range h.BodyReads {
 		want, isKnown := known[read.item]
 		if !isKnown || want.job == nil {
 			continue
 		}
-		if asked := want.job.Asked[read.node]; !asked.IsZero() && !at.Before(asked) {
+		if firstAsked := want.job.FirstAskedAt[read.node]; !firstAsked.IsZero() && !at.Before(firstAsked) {
 			continue
 		}
-		if !h.mayServe(want, regionOf(read.node), read.node, at, bounds) {
+		if !h.regionAllowed(want, regionOf(read.node), read.node, at, bounds) {
 			by := reader{read.node, want.job.Job.ID}
 			items[by]++
 			if first[by].IsZero() || at.Before(first[by]) {
--- a/internal/bench/soak/check_incarnation.go
+++ b/internal/bench/soak/check_incarnation.go
@@ -7,8 +7,8 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/platform"
 )
 
-// checkOrderCounts: what an engine was ordered before it started again is not held against
-// its next incarnation.
+// checkOrderCounts reports orders that expect a restarted engine to have accepted the orders of its
+// previous incarnation.
 func checkOrderCounts(h *History, bounds Bounds) []string {
 	var found []string
 	for i := range h.Engines {
@@ -17,10 +17,10 @@
 			continue
 		}
 		for _, order := range engine.Orders {
-			node, _ := senderOf(order.Holder, order.From)
-			known := order.At.Sub(engine.StartedAt) > bounds.Contact && h.inTouch(node, engine.StartedAt, order.At, bounds.Contact)
+			node, _ := commandSender(order.Holder, order.From)
+			known := order.At.Sub(engine.StartedAt) > bounds.Settle && h.undisturbed(node, engine.StartedAt, order.At, bounds.Settle)
 			if known && order.Expected > order.Taken {
-				found = append(found, fmt.Sprintf("engine %s, started again %s before, was ordered as if it had taken %d orders; it has taken %d",
+				found = append(found, fmt.Sprintf("engine %s, restarted %s before, got an order that expects %d accepted orders; it has accepted %d",
 					engine.ID, order.At.Sub(engine.StartedAt), order.Expected, order.Taken))
 			}
 		}
@@ -28,8 +28,9 @@
 	return found
 }
 
-// checkReordered: an engine that started again without the weights that it had is ordered.
-func checkReordered(h *History, bounds Bounds) []string {
+// checkRestartedOrdered reports engines that restarted without their weights and got no order to load
+// them.
+func checkRestartedOrdered(h *History, bounds Bounds) []string {
 	var found []string
 	for i := range h.Engines {
 		engine := &h.Engines[i]
@@ -38,17 +39,18 @@
 		}
 		due := engine.StartedAt.Add(bounds.Reorder)
 		lasted := engine.EndedAt.IsZero() || engine.EndedAt.After(due)
-		newest := newestOrdered(h, engine.StartedAt)
-		if len(engine.Orders) == 0 && engine.Version < newest && lasted && h.anyRunAfter(due) && h.undisturbedIn(engine.Zone, engine.StartedAt, due, bounds) {
-			found = append(found, fmt.Sprintf("engine %s started again with version %d, while others had been ordered to %d, and got no order within %s",
+		newest := newestOrderedVersion(h, engine.StartedAt)
+		if len(engine.Orders) == 0 && engine.Version < newest && lasted && h.anyRunAfter(due) && h.zoneUndisturbed(engine.Zone, engine.StartedAt, due, bounds) {
+			found = append(found, fmt.Sprintf("engine %s restarted with version %d while others had been ordered to load %d, and got no order within %s",
 				engine.ID, engine.Version, newest, bounds.Reorder))
 		}
 	}
 	return found
 }
 
-// newestOrdered is the newest weight version that any engine took an order for before a time.
-func newestOrdered(h *History, before time.Time) int64 {
+// newestOrderedVersion is the newest weight version in any order that an engine accepted before the given
+// time.
+func newestOrderedVersion(h *History, before time.Time) int64 {
 	newest := int64(0)
 	for _, engine := range h.Engines {
 		for _, order := range engine.Orders {
@@ -60,7 +62,7 @@
 	return newest
 }
 
-// anyRunAfter tells whether the load went on beyond a time.
+// anyRunAfter reports whether any engine ran a request after the given time.
 func (h *History) anyRunAfter(at time.Time) bool {
 	for _, engine := range h.Engines {
 		for _, run := range engine.Runs {
@@ -72,14 +74,14 @@
 	return false
 }
 
-// undisturbedIn tells whether all nodes were in touch for a time in which a zone was not
-// evacuated.
-func (h *History) undisturbedIn(zone string, from, to time.Time, bounds Bounds) bool {
+// zoneUndisturbed reports whether all nodes were undisturbed and the zone was not evacuated between two
+// times.
+func (h *History) zoneUndisturbed(zone string, from, to time.Time, bounds Bounds) bool {
 	for _, evacuation := range h.Evacuations {
-		over := !evacuation.TakenBackAt.IsZero() && evacuation.TakenBackAt.Before(from)
+		over := !evacuation.LiftedAt.IsZero() && evacuation.LiftedAt.Before(from)
 		if evacuation.Zone == zone && evacuation.AckedAt.Before(to) && !over {
 			return false
 		}
 	}
-	return h.inTouch(anyNode, from, to, bounds.Contact)
+	return h.undisturbed(anyNode, from, to, bounds.Settle)
 }
--- a/internal/bench/soak/check_operator.go
+++ b/internal/bench/soak/check_operator.go
@@ -7,20 +7,20 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/platform"
 )
 
-// checkDrain: an engine that leaves gets no new work after a while.
+// checkDrain reports engines that got new requests after the bound for draining.
 func checkDrain(h *History, bounds Bounds) []string {
 	var found []string
-	leaves := make(map[string]time.Time)
-	for _, leave := range h.Leaves {
-		leaves[leave.Engine] = leave.At
+	drains := make(map[string]time.Time)
+	for _, drain := range h.Drains {
+		drains[drain.Engine] = drain.At
 	}
-	eachRun(h, func(engine *EngineSeen, run standin.Run) {
-		left, leaving := leaves[engine.ID]
-		if !leaving || run.At.Sub(left) <= bounds.Drain {
+	forEachRun(h, func(engine *EngineRecord, run standin.Run) {
+		drainStart, draining := drains[engine.ID]
+		if !draining || run.At.Sub(drainStart) <= bounds.Drain {
 			return
 		}
-		if h.inTouch(anyNode, left, run.At, bounds.Contact) {
-			found = append(found, fmt.Sprintf("engine %s got %s, %s after it was listed as leaving", engine.ID, run.ID, run.At.Sub(left)))
+		if h.undisturbed(anyNode, drainStart, run.At, bounds.Settle) {
+			found = append(found, fmt.Sprintf("engine %s got %s, %s after it was listed as draining", engine.ID, run.ID, run.At.Sub(drainStart)))
 		}
 	})
 	return found
@@ -31,52 +31,53 @@
 	statusUnauthorized = 401
 )
 
-// denies tells whether a node says that the configuration does not allow a request.
-func denies(status int) bool { return status == statusNotFound || status == statusUnauthorized }
+// isDenied reports whether a status means that the node's configuration does not allow the request.
+func isDenied(status int) bool { return status == statusNotFound || status == statusUnauthorized }
 
-// checkConfig: a configuration is in force everywhere after a while.
-func checkConfig(h *History, bounds Bounds) []string {
+// checkConfigApplied reports nodes that have not applied a configuration within the bound.
+func checkConfigApplied(h *History, bounds Bounds) []string {
 	var found []string
-	for _, late := range h.bound(h.Probes, bounds) {
-		if denies(late.Status) {
-			found = append(found, fmt.Sprintf("node %d denies the route of configuration %d, %s after its acceptance",
-				late.Node, late.Version, late.after))
+	for _, late := range h.overdueProbes(h.Probes, bounds) {
+		if isDenied(late.Status) {
+			found = append(found, fmt.Sprintf("node %d denies the route of configuration %d, %s after the configuration was accepted",
+				late.Node, late.Version, late.elapsed))
 		}
 	}
 	return found
 }
 
-// boundProbe is a probe that a configuration binds, so long after its acceptance.
-type boundProbe struct {
+// overdueProbe is a probe sent after its configuration must have been applied; elapsed is the time since
+// acceptance.
+type overdueProbe struct {
 	Probe
-	after time.Duration
+	elapsed time.Duration
 }
 
-// bound returns the probes by which their configuration must have been in force.
-func (h *History) bound(probes []Probe, bounds Bounds) []boundProbe {
+// overdueProbes returns the probes of undisturbed nodes that were sent after their configuration must
+// have been applied.
+func (h *History) overdueProbes(probes []Probe, bounds Bounds) []overdueProbe {
 	acked := make(map[int64]time.Time)
 	for _, config := range h.Configs {
 		acked[config.Version] = config.AckedAt
 	}
-	var bound []boundProbe
+	var overdueProbes []overdueProbe
 	for _, probe := range probes {
 		at, known := acked[probe.Version]
 		after := probe.SentAt.Sub(at)
-		if known && after > bounds.Apply && h.inTouch(probe.Node, probe.SentAt.Add(-bounds.Apply), probe.EndedAt, bounds.Contact) {
-			bound = append(bound, boundProbe{probe, after})
+		if known && after > bounds.Apply && h.undisturbed(probe.Node, probe.SentAt.Add(-bounds.Apply), probe.EndedAt, bounds.Settle) {
+			overdueProbes = append(overdueProbes, overdueProbe{probe, after})
 		}
 	}
-	return bound
+	return overdueProbes
 }
 
-// checkNoReturn: within the life of a process, a configuration that took effect
-// stays in effect.
-func checkNoReturn(h *History, _ Bounds) []string {
+// checkConfigNoRollback reports processes that served the route of a configuration and later denied it.
+func checkConfigNoRollback(h *History, _ Bounds) []string {
 	var found []string
-	type life struct{ node, life int }
-	served := make(map[life]map[int64]time.Time)
+	type incarnation struct{ node, incarnation int }
+	served := make(map[incarnation]map[int64]time.Time)
 	for _, probe := range h.Probes {
-		key := life{probe.Node, probe.Life}
+		key := incarnation{probe.Node, probe.Incarnation}
 		if served[key] == nil {
 			served[key] = make(map[int64]time.Time)
 		}
@@ -85,8 +86,8 @@
 		}
 	}
 	for _, probe := range h.Probes {
-		first, was := served[life{probe.Node, probe.Life}][probe.Version]
-		if denies(probe.Status) && was && probe.SentAt.After(first) {
+		first, was := served[incarnation{probe.Node, probe.Incarnation}][probe.Version]
+		if isDenied(probe.Status) && was && probe.SentAt.After(first) {
 			found = append(found, fmt.Sprintf("node %d denies the route of configuration %d, which it served %s before",
 				probe.Node, probe.Version, probe.SentAt.Sub(first)))
 		}
@@ -99,9 +100,9 @@
 	statusFenced   = 412
 )
 
-// checkOneHolder: an engine never takes the same fencing token from two holders,
-// and a holder that was refused for a newer one soon stops.
-func checkOneHolder(h *History, bounds Bounds) []string {
+// checkFencing reports fencing tokens that an engine got from two holders, and holders that keep sending
+// orders after they were fenced.
+func checkFencing(h *History, bounds Bounds) []string {
 	var found []string
 	type token struct {
 		holder string
@@ -112,12 +113,12 @@
 		fencedAt := make(map[token]time.Time)
 		for _, order := range engine.Orders {
 			if holder, known := holders[order.Fence]; known && holder != order.Holder {
-				found = append(found, fmt.Sprintf("engine %s has orders of %s and %s under token %d", engine.ID, holder, order.Holder, order.Fence))
+				found = append(found, fmt.Sprintf("engine %s got orders of %s and %s under token %d", engine.ID, holder, order.Holder, order.Fence))
 			}
 			holders[order.Fence] = order.Holder
 			key := token{order.Holder, order.Fence}
-			if refused, was := fencedAt[key]; was && order.At.Sub(refused) > bounds.Lease {
-				found = append(found, fmt.Sprintf("engine %s: %s orders %s after it was fenced", engine.ID, order.Holder, order.At.Sub(refused)))
+			if refused, was := fencedAt[key]; was && order.At.Sub(refused) > bounds.FencedStop {
+				found = append(found, fmt.Sprintf("engine %s: %s sent an order %s after it was fenced", engine.ID, order.Holder, order.At.Sub(refused)))
 			}
 			if order.Status == statusFenced {
 				if _, was := fencedAt[key]; !was {
--- a/internal/bench/soak/check_placement.go
+++ b/internal/bench/soak/check_placement.go
@@ -7,16 +7,15 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/platform"
 )
 
-// senderOfArrival returns the node that a request came from; anyNode where it is not known.
-func senderOfArrival(arrival standin.Arrival) int {
-	if node, told := senderAt(arrival.From); told {
+// arrivalSender returns the node that sent a request, or anyNode if it is not known.
+func arrivalSender(arrival standin.Arrival) int {
+	if node, resolved := nodeAtAddress(arrival.From); resolved {
 		return node
 	}
 	return anyNode
 }
 
-// checkEvacuations: no request of a node in touch reaches an engine of a zone that has been
-// evacuated for a while.
+// checkEvacuations reports requests of undisturbed nodes that reached an evacuated zone after the bound.
 func checkEvacuations(h *History, bounds Bounds) []string {
 	var found []string
 	for _, evacuation := range h.Evacuations {
@@ -27,11 +26,11 @@
 				continue
 			}
 			for _, arrival := range engine.Arrivals {
-				if !arrival.At.After(inForce) || !evacuation.TakenBackAt.IsZero() && !arrival.At.Before(evacuation.TakenBackAt) {
+				if !arrival.At.After(inForce) || !evacuation.LiftedAt.IsZero() && !arrival.At.Before(evacuation.LiftedAt) {
 					continue
 				}
-				node := senderOfArrival(arrival)
-				if h.inTouch(node, arrival.At, arrival.At, bounds.Contact) {
+				node := arrivalSender(arrival)
+				if h.undisturbed(node, arrival.At, arrival.At, bounds.Settle) {
 					found = append(found, fmt.Sprintf("engine %s got %s from node %d, %s after zone %s was evacuated",
 						engine.ID, arrival.ID, node, arrival.At.Sub(evacuation.AckedAt), evacuation.Zone))
 				}
@@ -42,13 +41,13 @@
 }
 
 const (
-	// A cold engine may get coldFactor of its rate, and coldExtra requests more, in any coldWindow.
+	// A cold engine may get coldFactor times its rate plus coldExtra requests in any coldWindow.
 	coldFactor = 1.5
 	coldExtra  = 5
 	coldWindow = time.Second
 )
 
-// checkSlowStart: a cold engine gets no more than its rate from all nodes together.
+// checkSlowStart reports cold engines that got more than their rate from all nodes together.
 func checkSlowStart(h *History, bounds Bounds) []string {
 	var found []string
 	for i := range h.Engines {
@@ -57,10 +56,10 @@
 		for _, cold := range engine.Cold {
 			from := cold.From
 			if cold.Announced {
-				from = from.Add(bounds.Notice)
+				from = from.Add(bounds.ColdNotice)
 			}
-			if got, at := mostWithin(engine.Arrivals, from, cold.To); got > most {
-				found = append(found, fmt.Sprintf("engine %s, cold for %s, got %d requests in the second from %s on, %d allowed",
+			if got, at := peakArrivals(engine.Arrivals, from, cold.To); got > most {
+				found = append(found, fmt.Sprintf("engine %s, cold for %s, got %d requests in the second from %s, limit %d",
 					engine.ID, cold.To.Sub(cold.From), got, at.Format(clockFormat), most))
 			}
 		}
@@ -68,9 +67,9 @@
 	return found
 }
 
-// mostWithin returns the most arrivals in any coldWindow of a time, and when that window
-// begins.
-func mostWithin(arrivals []standin.Arrival, from, to time.Time) (most int, begins time.Time) {
+// peakArrivals returns the highest number of arrivals in any coldWindow between two times, and when that
+// window begins.
+func peakArrivals(arrivals []standin.Arrival, from, to time.Time) (most int, begins time.Time) {
 	var within []time.Time
 	for _, arrival := range arrivals {
 		if arrival.At.Before(from) || arrival.At.After(to) {
--- a/internal/bench/soak/check_placement_test.go
+++ b/internal/bench/soak/check_placement_test.go
@@ -12,39 +12,39 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/platform"
 )
 
-// Places in the history of addPlacement.
+// Indexes of engines in the history of addPlacement.
 const (
 	engineCold      = 1
 	engineRestarted = 2
 )
 
-// addPlacement adds to the sound history engines in zones, one of which has started again,
-// cold engines, an evacuation, and requests that are bound to regions.
+// addPlacement adds to a valid history zones, a restarted engine, cold engines, an evacuation, and
+// requests that are pinned to regions.
 func addPlacement(h *History) {
 	homes := Homes{Route: []string{"r1", "r2"}, Tenant: []string{"r2", "r3"}, Trainer: []string{"r1"}}
 	h.Configs[0].Homes = homes
 	homes.Route = []string{"r2"}
-	h.Configs = append(h.Configs, ConfigSeen{Version: 8, SentAt: at(149.9), AckedAt: at(150), Homes: homes})
+	h.Configs = append(h.Configs, ConfigRecord{Version: 8, SentAt: at(149.9), AckedAt: at(150), Homes: homes})
 	for _, call := range []LiveCall{
-		{ID: "route", Path: prefixHomed + "route", SentAt: at(50)},
-		{ID: "tenant", Path: standin.PrefixLookup + "tenant", SentAt: at(50), Tenant: tenantHomed},
-		{ID: "both", Path: prefixHomed + "both", SentAt: at(50), Tenant: tenantHomed},
-		{ID: "soon", Path: prefixHomed + "soon", SentAt: at(152)},
-		{ID: "later", Path: prefixHomed + "later", SentAt: at(160)},
+		{ID: "route", Path: prefixPinned + "route", SentAt: at(50)},
+		{ID: "tenant", Path: standin.PrefixLookup + "tenant", SentAt: at(50), Tenant: tenantPinned},
+		{ID: "both", Path: prefixPinned + "both", SentAt: at(50), Tenant: tenantPinned},
+		{ID: "soon", Path: prefixPinned + "soon", SentAt: at(152)},
+		{ID: "later", Path: prefixPinned + "later", SentAt: at(160)},
 	} {
 		call.Kind = standin.RouteSafe
 		h.Calls = append(h.Calls, call)
 	}
-	h.Jobs = append(h.Jobs, &JobSeen{
-		Job:    standin.Job{ID: "bound", Items: []standin.JobItem{{ID: "item-h", Body: homedBody("item-h"), ScoringID: "score-h"}}},
-		Tenant: tenantOf(homedTrainer), SentAt: at(50), Asked: map[int]time.Time{4: at(50)}, FinalStatus: map[string]int{},
+	h.Jobs = append(h.Jobs, &JobRecord{
+		Job:    standin.Job{ID: "bound", Items: []standin.JobItem{{ID: "item-h", Body: pinnedBody("item-h"), ScoringID: "score-h"}}},
+		Tenant: tenantOf(pinnedTrainer), SentAt: at(50), FirstAskedAt: map[int]time.Time{4: at(50)}, FinalStatus: map[string]int{},
 	})
-	h.addBodies(0, []byte("a record with "+homedBody("item-h")))
-	h.addBodies(4, []byte(homedBody("item-h")))
-	for read := range h.Bodies {
-		h.Bodies[read] = at(51)
+	h.recordBodyReads(0, []byte("a record with "+pinnedBody("item-h")))
+	h.recordBodyReads(4, []byte(pinnedBody("item-h")))
+	for read := range h.BodyReads {
+		h.BodyReads[read] = at(51)
 	}
-	h.Engines = append(h.Engines, EngineSeen{
+	h.Engines = append(h.Engines, EngineRecord{
 		ID: "e3", Service: standin.ServiceDrafts, Restarted: true, Version: 1, StartedAt: at(40),
 		Orders: []standin.OrderSeen{
 			{Holder: "node-0-a", Fence: 9, Version: 5, At: at(41), Expected: 3, Taken: 0, Status: 409},
@@ -55,38 +55,38 @@
 		h.Engines[i].Zone, h.Engines[i].Region = zoneOf(i), regionOf(i)
 	}
 	addRun(h, engineCold, runOf("tenant", standin.PrefixLookup+"tenant", "", 60))
-	h.Engines[engineCold].Runs[len(h.Engines[engineCold].Runs)-1].Tenant = tenantHomed
-	h.Engines[engineCold].Cold = []ColdSeen{{From: at(70), To: at(72)}, {From: at(80), To: at(83), Announced: true}}
-	arrive(h, 0, "route", 0, 50.1)
-	arrive(h, 0, "soon", 0, 152.1)
-	arrive(h, 0, "item-h", 0, 50.5)
+	h.Engines[engineCold].Runs[len(h.Engines[engineCold].Runs)-1].Tenant = tenantPinned
+	h.Engines[engineCold].Cold = []ColdPeriod{{From: at(70), To: at(72)}, {From: at(80), To: at(83), Announced: true}}
+	addArrival(h, 0, "route", 0, 50.1)
+	addArrival(h, 0, "soon", 0, 152.1)
+	addArrival(h, 0, "item-h", 0, 50.5)
 	for _, id := range []string{"route", "tenant", "both"} {
-		arrive(h, engineCold, id, 0, 60)
+		addArrival(h, engineCold, id, 0, 60)
 	}
-	addDense(h, 69.5, 20)
-	addDense(h, 70.5, 8)
-	addDense(h, 80.1, 20)
-	h.Engines[engineRestarted].Spoiled = []TimeSpan{{From: at(120), To: at(128)}}
+	addBurst(h, 69.5, 20)
+	addBurst(h, 70.5, 8)
+	addBurst(h, 80.1, 20)
+	h.Engines[engineRestarted].EntryInvalid = []TimeSpan{{From: at(120), To: at(128)}}
 	for _, seconds := range []float64{123.9, 128.1} {
-		arrive(h, engineRestarted, "tenant", 0, seconds)
+		addArrival(h, engineRestarted, "tenant", 0, seconds)
 	}
-	h.Evacuations = []*EvacuationSeen{{Zone: zoneOf(engineCold), AckedAt: at(100), TakenBackAt: at(110)}}
-	addDense(h, 104, 3)
-	addDense(h, 110.1, 3)
-	arrive(h, engineCold, "later", 0, 160.1)
+	h.Evacuations = []*EvacuationRecord{{Zone: zoneOf(engineCold), AckedAt: at(100), LiftedAt: at(110)}}
+	addBurst(h, 104, 3)
+	addBurst(h, 110.1, 3)
+	addArrival(h, engineCold, "later", 0, 160.1)
 }
 
-// arrive adds an arrival at an engine.
-func arrive(h *History, engine int, id string, node int, seconds float64) {
+// addArrival adds an arrival at an engine.
+func addArrival(h *History, engine int, id string, node int, seconds float64) {
 	h.Engines[engine].Arrivals = append(h.Engines[engine].Arrivals, standin.Arrival{
-		ID: id, At: at(seconds), From: fmt.Sprintf(senderFormat, node+1),
+		ID: id, At: at(seconds), From: fmt.Sprintf(nodeAddressFormat, node+1),
 	})
 }
 
-// addDense adds requests of several nodes at the cold engine, within less than half a second.
-func addDense(h *History, seconds float64, requests int) {
+// addBurst adds requests of several nodes to the cold engine within less than half a second.
+func addBurst(h *History, seconds float64, requests int) {
 	for i := range requests {
-		arrive(h, engineCold, "tenant", i%3, seconds+float64(i)/50)
+		addArrival(h, engineCold, "tenant", i%3, seconds+float64(i)/50)
 	}
 }
 
@@ -94,85 +94,85 @@
 	h.Disturbances = append(h.Disturbances, &Disturbance{Node: node, From: at(from), To: at(to)})
 }
 
-// placementMutants each break one promise in the history of addPlacement.
-var placementMutants = []mutant{
-	{"request at an evacuated zone", "EVAC", func(h *History) { arrive(h, engineCold, "tenant", 0, 106) }},
-	{"request at a zone that stays evacuated", "EVAC", func(h *History) { h.Evacuations[0].TakenBackAt = time.Time{} }},
-	{"request at an evacuated zone while another node is cut off", "EVAC", func(h *History) {
-		arrive(h, engineCold, "tenant", 0, 106)
+// placementMutations each violate one invariant of the history of addPlacement.
+var placementMutations = []mutation{
+	{"request to an evacuated zone", "EVAC", func(h *History) { addArrival(h, engineCold, "tenant", 0, 106) }},
+	{"request to a zone that stays evacuated", "EVAC", func(h *History) { h.Evacuations[0].LiftedAt = time.Time{} }},
+	{"request to an evacuated zone while another node is disturbed", "EVAC", func(h *History) {
+		addArrival(h, engineCold, "tenant", 0, 106)
 		disturb(h, 1, 95, 120)
 	}},
-	{"request of a node that is long back at an evacuated zone", "EVAC", func(h *History) {
-		arrive(h, engineCold, "tenant", 0, 109)
+	{"request to an evacuated zone from a node that was disturbed long before", "EVAC", func(h *History) {
+		addArrival(h, engineCold, "tenant", 0, 109)
 		disturb(h, 0, 95, 104)
 	}},
-	{"cold engine gets one too many", "COLD", func(h *History) { h.insert(engineCold, 70.9) }},
-	{"cold engine gets too many of nodes out of touch", "COLD", func(h *History) {
-		h.insert(engineCold, 70.9)
+	{"cold engine gets one request too many", "COLD", func(h *History) { h.insertArrival(engineCold, 70.9) }},
+	{"cold engine gets too many requests of disturbed nodes", "COLD", func(h *History) {
+		h.insertArrival(engineCold, 70.9)
 		disturb(h, anyNode, 60, 80)
 	}},
-	{"engine that turned cold gets too many", "COLD", func(h *History) { h.Engines[engineCold].Cold[1].From = at(79.5) }},
-	{"cold engine gets more across the border of two seconds", "COLD", func(h *History) {
-		h.Engines[engineCold].Cold[0] = ColdSeen{From: at(69.6), To: at(72)}
+	{"engine that turned cold gets too many requests", "COLD", func(h *History) { h.Engines[engineCold].Cold[1].From = at(79.5) }},
+	{"cold engine gets too many requests across two calendar seconds", "COLD", func(h *History) {
+		h.Engines[engineCold].Cold[0] = ColdPeriod{From: at(69.6), To: at(72)}
 	}},
-	{"bound route at an engine elsewhere", "HOME", func(h *History) { arrive(h, engineRestarted, "route", 0, 60) }},
-	{"bound tenant at an engine elsewhere", "HOME", func(h *History) { arrive(h, 0, "tenant", 0, 60) }},
-	{"bound by both, at an engine of one", "HOME", func(h *History) { arrive(h, engineRestarted, "both", 0, 60) }},
-	{"item of a bound job at an engine elsewhere", "HOME", func(h *History) { arrive(h, engineRestarted, "item-h", 0, 60) }},
-	{"scoring call of a bound job at an engine elsewhere", "HOME", func(h *History) { arrive(h, engineRestarted, "score-h", 0, 60) }},
-	{"homes that have been replaced", "HOME", func(h *History) { arrive(h, 0, "later", 0, 160.1) }},
-	{"bound request of a node out of touch at an engine elsewhere", "HOME", func(h *History) {
-		arrive(h, engineRestarted, "route", 0, 60)
+	{"pinned route at an engine in another region", "HOME", func(h *History) { addArrival(h, engineRestarted, "route", 0, 60) }},
+	{"pinned tenant at an engine in another region", "HOME", func(h *History) { addArrival(h, 0, "tenant", 0, 60) }},
+	{"route and tenant pinned, at an engine that satisfies only one", "HOME", func(h *History) { addArrival(h, engineRestarted, "both", 0, 60) }},
+	{"item of a pinned job at an engine in another region", "HOME", func(h *History) { addArrival(h, engineRestarted, "item-h", 0, 60) }},
+	{"scoring call of a pinned job at an engine in another region", "HOME", func(h *History) { addArrival(h, engineRestarted, "score-h", 0, 60) }},
+	{"homes of a replaced configuration", "HOME", func(h *History) { addArrival(h, 0, "later", 0, 160.1) }},
+	{"pinned request of a disturbed node at an engine in another region", "HOME", func(h *History) {
+		addArrival(h, engineRestarted, "route", 0, 60)
 		disturb(h, 0, 30, 70)
 	}},
-	{"node elsewhere reads a body", "HOME", func(h *History) { h.Bodies[bodyRead{1, "item-h"}] = at(51) }},
-	{"node elsewhere reads a body before it is asked", "HOME", func(h *History) { h.Jobs[len(h.Jobs)-1].Asked[4] = at(52) }},
-	{"order as if of the incarnation before", "LIFE", func(h *History) { h.Engines[engineRestarted].Orders[1].Expected = 3 }},
+	{"node in another region reads a body", "HOME", func(h *History) { h.BodyReads[bodyRead{1, "item-h"}] = at(51) }},
+	{"node in another region reads a body before it is asked", "HOME", func(h *History) { h.Jobs[len(h.Jobs)-1].FirstAskedAt[4] = at(52) }},
+	{"order that counts those of the previous incarnation", "LIFE", func(h *History) { h.Engines[engineRestarted].Orders[1].Expected = 3 }},
 	{"engine that lost its weights gets no order", "LIFE", func(h *History) { h.Engines[engineRestarted].Orders = nil }},
-	{"engine without an entry gets work", "ENTRY", func(h *History) { arrive(h, engineRestarted, "tenant", 0, 125) }},
-	{"call at the address of a bad entry", "ENTRY", func(h *History) {
-		h.Strays = append(h.Strays, StraySeen{Call: "POST /lookup/x", At: at(10)})
+	{"engine with an invalid entry gets work", "ENTRY", func(h *History) { addArrival(h, engineRestarted, "tenant", 0, 125) }},
+	{"call to the address of an invalid entry", "ENTRY", func(h *History) {
+		h.InvalidEntryCalls = append(h.InvalidEntryCalls, InvalidEntryCall{Call: "POST /lookup/x", At: at(10)})
 	}},
 }
 
-// insert adds an arrival at its place in time.
-func (h *History) insert(engine int, seconds float64) {
+// insertArrival adds an arrival in order of time.
+func (h *History) insertArrival(engine int, seconds float64) {
 	before := h.Engines[engine].Arrivals
 	h.Engines[engine].Arrivals = nil
 	added := false
 	for _, arrival := range before {
 		if !added && arrival.At.After(at(seconds)) {
-			arrive(h, engine, "tenant", 0, seconds)
+			addArrival(h, engine, "tenant", 0, seconds)
 			added = true
 		}
 		h.Engines[engine].Arrivals = append(h.Engines[engine].Arrivals, arrival)
 	}
 }
 
-// TestWhatPlacementAllows: what looks like a broken promise and is none.
-func TestWhatPlacementAllows(t *testing.T) {
+// Guards against false positives of the placement checks.
+func TestCheckPlacementAllowedHistories(t *testing.T) {
 	for _, allowed := range []struct {
 		name   string
 		change func(h *History)
 	}{
-		{"a request of a node out of touch at an evacuated zone", func(h *History) {
-			arrive(h, engineCold, "tenant", 0, 106)
+		{"a request of a disturbed node to an evacuated zone", func(h *History) {
+			addArrival(h, engineCold, "tenant", 0, 106)
 			disturb(h, 0, 95, 103)
 		}},
-		{"a request of a node out of touch at an engine without an entry", func(h *History) {
-			arrive(h, engineRestarted, "tenant", 0, 125)
+		{"a request of a disturbed node to an engine with an invalid entry", func(h *History) {
+			addArrival(h, engineRestarted, "tenant", 0, 125)
 			disturb(h, 0, 118, 122)
 		}},
-		{"a request at another zone", func(h *History) { arrive(h, engineRestarted, "tenant", 0, 106) }},
-		{"homes that a node out of touch still has", func(h *History) {
-			arrive(h, 0, "later", 0, 160.1)
+		{"a request to another zone", func(h *History) { addArrival(h, engineRestarted, "tenant", 0, 106) }},
+		{"homes that a disturbed node still has", func(h *History) {
+			addArrival(h, 0, "later", 0, 160.1)
 			disturb(h, 0, 140, 159)
 		}},
 		{"an engine that lost its weights in an evacuated zone", func(h *History) {
 			h.Engines[engineRestarted].Orders = nil
-			h.Evacuations = append(h.Evacuations, &EvacuationSeen{Zone: zoneOf(engineRestarted), AckedAt: at(39), TakenBackAt: at(45)})
+			h.Evacuations = append(h.Evacuations, &EvacuationRecord{Zone: zoneOf(engineRestarted), AckedAt: at(39), LiftedAt: at(45)})
 		}},
-		{"an engine that starts again once more", func(h *History) {
+		{"an engine that restarts once more", func(h *History) {
 			h.Engines[engineRestarted].Orders, h.Engines[engineRestarted].EndedAt = nil, at(45)
 		}},
 		{"an engine that has the newest weights", func(h *History) {
@@ -180,16 +180,16 @@
 		}},
 	} {
 		t.Run(allowed.name, func(t *testing.T) {
-			h := sound()
+			h := validHistory()
 			allowed.change(h)
 			assert.DeepEqual(t, Check(h, bounds), []Violation(nil))
 		})
 	}
 }
 
-// TestPlacementFaultsFollowFromTheSeedAlone: every kind is drawn, no other fault outside
-// disturbed phases, and a family that is left out changes no other fault.
-func TestPlacementFaultsFollowFromTheSeedAlone(t *testing.T) {
+// Every kind must be drawn, other faults only in disturbed phases; leaving out a family must not change
+// other faults.
+func TestDrawPlacementDeterministic(t *testing.T) {
 	const length = 30 * time.Minute
 	faults := DrawPlacement(7, length)
 	assert.DeepEqual(t, DrawPlacement(7, length), faults)
@@ -197,11 +197,11 @@
 	for i, fault := range faults {
 		drawn[fault.Kind] = true
 		assert.Equal(t, fault.Number, i+1)
-		assert.Assert(t, fault.At >= calmStart && fault.At+fault.For <= length-calmEnd)
-		_, ours := placementSpans[fault.Kind]
-		assert.Assert(t, ours || fault.At%disturbedPeriod < disturbedLength+nextInSeries, "%s", fault)
+		assert.Assert(t, fault.At >= faultFreeStart && fault.At+fault.Duration <= length-faultFreeEnd)
+		_, ours := placementDurations[fault.Kind]
+		assert.Assert(t, ours || fault.At%disturbedPeriod < disturbedLength+maxSeriesStep, "%s", fault)
 	}
-	for _, each := range append(slices.Clone(placementWeights), besideWeights...) {
+	for _, each := range append(slices.Clone(placementWeights), concurrentWeights...) {
 		assert.Assert(t, drawn[each.kind], "%s is never drawn", each.kind)
 	}
 	for _, family := range families {
@@ -215,8 +215,8 @@
 	}
 }
 
-// TestSeedsKeepTheirPlacementFaults: kept seeds play the faults under which they failed.
-func TestSeedsKeepTheirPlacementFaults(t *testing.T) {
+// Kept seeds must replay the faults under which they failed.
+func TestDrawPlacementStableForSeed(t *testing.T) {
 	var printed strings.Builder
 	printSchedule(&printed, DrawPlacement(5, 12*time.Second))
 	assert.Equal(t, printed.String(), `  1     2.92 s  for  0.19 s  engine-restarted       target 4065
--- a/internal/bench/soak/check_test.go
+++ b/internal/bench/soak/check_test.go
@@ -19,7 +19,7 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// textOf is the whole output of an item, made by one version.
+// textOf is the whole output of an item, produced by one version.
 func textOf(id string, version int64) string {
 	text := ""
 	for number := 1; number <= eventsOf(id); number++ {
@@ -52,7 +52,7 @@
 	return run
 }
 
-// Places in the history of a run without a fault.
+// Indexes of the calls in validHistory.
 const (
 	callSafe = iota
 	callUnsafe
@@ -60,24 +60,24 @@
 	callRefused
 )
 
-// sound is the history of a run in which every promise held.
-func sound() *History {
-	job := &JobSeen{
+// validHistory is a history that satisfies every invariant.
+func validHistory() *History {
+	job := &JobRecord{
 		Job: standin.Job{ID: "job", MinVersion: 3, Items: []standin.JobItem{
 			{ID: "item-1", Body: "b1", ScoringID: "score-1"}, {ID: "item-2", Body: "b2"}, {ID: failPrefix + "3", Body: "b3"},
 		}},
-		Tenant: tenantOf(0), Accepted: true, Complete: true, EndAskedAt: at(20), EndedAt: at(20.1), FinalStatus: map[string]int{},
+		Tenant: tenantOf(0), Accepted: true, Complete: true, CancelSentAt: at(20), EndedAt: at(20.1), FinalStatus: map[string]int{},
 		Positions: []standin.ItemResult{
 			{ID: "item-2", State: standin.StateCompleted, Text: textOf("item-2", 4), Versions: []int64{4}},
 			{ID: failPrefix + "3", State: "expired"},
 			{ID: "item-1", State: standin.StateCompleted, Text: textOf("item-1", 3), Versions: []int64{3}, Score: standin.Stamp("score-1")},
 		},
 	}
-	refused := &JobSeen{
+	refused := &JobRecord{
 		Job:    standin.Job{ID: "refused", Items: []standin.JobItem{{ID: "item-9", Body: "b9"}}},
-		Tenant: tenantOf(0), AllRefused: true, FinalStatus: map[string]int{},
+		Tenant: tenantOf(0), AllRejected: true, FinalStatus: map[string]int{},
 	}
-	open := &JobSeen{
+	open := &JobRecord{
 		Job:    standin.Job{ID: "open", Items: []standin.JobItem{{ID: "item-5", Body: "b5"}}},
 		Tenant: tenantOf(0), Accepted: true, Complete: true, FinalStatus: map[string]int{},
 		Positions: []standin.ItemResult{
@@ -87,20 +87,20 @@
 	h := &History{
 		EnginesFence: true,
 		Calls: []LiveCall{
-			{ID: "safe", Path: "/lookup/safe", Body: "s", Kind: standin.RouteSafe, SentAt: at(1), Answer: plainOf("safe"), Whole: true},
-			{ID: "unsafe", Path: "/permit/unsafe", Body: "u", Kind: standin.RouteUnsafe, SentAt: at(1), Answer: plainOf("unsafe"), Whole: true},
-			{ID: "stream", Path: "/stream/stream", Body: "t", Kind: standin.RouteStream, SentAt: at(1), Answer: streamOf("stream"), Whole: true},
-			{ID: "refused-call", Path: "/permit/r", Kind: standin.RouteUnsafe, SentAt: at(1), Answer: standin.LiveAnswer{Status: 503}, Whole: true},
+			{ID: "safe", Path: "/lookup/safe", Body: "s", Kind: standin.RouteSafe, SentAt: at(1), Answer: plainOf("safe"), Intact: true},
+			{ID: "unsafe", Path: "/permit/unsafe", Body: "u", Kind: standin.RouteUnsafe, SentAt: at(1), Answer: plainOf("unsafe"), Intact: true},
+			{ID: "stream", Path: "/stream/stream", Body: "t", Kind: standin.RouteStream, SentAt: at(1), Answer: streamOf("stream"), Intact: true},
+			{ID: "refused-call", Path: "/permit/r", Kind: standin.RouteUnsafe, SentAt: at(1), Answer: standin.LiveAnswer{Status: 503}, Intact: true},
 		},
-		Jobs:    []*JobSeen{job, refused, open},
-		Configs: []ConfigSeen{{Version: 7, AckedAt: at(10)}},
+		Jobs:    []*JobRecord{job, refused, open},
+		Configs: []ConfigRecord{{Version: 7, AckedAt: at(10)}},
 		Probes: []Probe{
-			{Node: 0, Life: 1, Version: 7, SentAt: at(10.5), EndedAt: at(10.6), Status: statusNotFound},
-			{Node: 0, Life: 1, Version: 7, SentAt: at(11), EndedAt: at(11.1), Status: statusOK},
-			{Node: 0, Life: 1, Version: 7, SentAt: at(20), EndedAt: at(20.1), Status: statusOK},
-			{Node: 1, Life: 1, Version: 7, SentAt: at(20), EndedAt: at(20.1), Status: statusOK},
+			{Node: 0, Incarnation: 1, Version: 7, SentAt: at(10.5), EndedAt: at(10.6), Status: statusNotFound},
+			{Node: 0, Incarnation: 1, Version: 7, SentAt: at(11), EndedAt: at(11.1), Status: statusOK},
+			{Node: 0, Incarnation: 1, Version: 7, SentAt: at(20), EndedAt: at(20.1), Status: statusOK},
+			{Node: 1, Incarnation: 1, Version: 7, SentAt: at(20), EndedAt: at(20.1), Status: statusOK},
 		},
-		Leaves: []LeaveSeen{{Engine: "e1", At: at(10)}},
+		Drains: []DrainRecord{{Engine: "e1", At: at(10)}},
 		Revoked: []Probe{
 			{Node: 0, Version: 7, SentAt: at(11), EndedAt: at(11), Status: statusOK},
 			{Node: 0, Version: 7, SentAt: at(19), EndedAt: at(19), Status: 401},
@@ -111,7 +111,7 @@
 			{Holder: "node-1-b", Fence: 5, At: at(6), Window: 8, Counts: map[string]int64{tenantLive: 1}, Status: statusOK},
 			{Holder: "node-0-a", Fence: 1, At: at(9), Window: 9, Counts: map[string]int64{tenantLive: 9}, Status: 409},
 		},
-		Engines: []EngineSeen{
+		Engines: []EngineRecord{
 			{
 				ID: "e1", Service: standin.ServiceDrafts,
 				Runs: []standin.Run{
@@ -137,8 +137,8 @@
 	return h
 }
 
-func TestSoundHistoryBreaksNoPromise(t *testing.T) {
-	assert.DeepEqual(t, Check(sound(), bounds), []Violation(nil))
+func TestCheckValidHistory(t *testing.T) {
+	assert.DeepEqual(t, Check(validHistory(), bounds), []Violation(nil))
 }
 
 func addRun(h *History, engine int, run standin.Run) {
@@ -149,93 +149,93 @@
 	return standin.OrderSeen{Holder: holder, Fence: fence, At: at(seconds), Status: 202}
 }
 
-// unfenced makes the engines of a history such that do not check fencing tokens, with
-// these orders and no reports of use.
+// unfenced replaces the orders of the first engine and the usage reports, and makes the engines ignore
+// fencing tokens.
 func unfenced(h *History, orders ...standin.OrderSeen) {
 	h.EnginesFence, h.Engines[0].Orders, h.Usage = false, orders, nil
 }
 
-// mutant changes a sound history so that it breaks one promise.
-type mutant struct {
+// mutation changes a valid history so that it violates one invariant.
+type mutation struct {
 	name   string
 	rule   string
 	change func(h *History)
 }
 
-// mutants each break one promise in the sound history.
-var mutants = []mutant{
-	{"body of another", "MIXED", func(h *History) { h.Calls[callSafe].Answer.Body = standin.Answer("other") }},
-	{"body cut, looks whole", "MIXED", func(h *History) { h.Calls[callUnsafe].Answer.Body = "the whole" }},
-	{"answer to another", "MIXED", func(h *History) { h.Calls[callSafe].Answer.ID = "other" }},
+// mutations each violate one invariant of validHistory.
+var mutations = []mutation{
+	{"body of another request", "MIXED", func(h *History) { h.Calls[callSafe].Answer.Body = standin.Answer("other") }},
+	{"truncated body of a complete response", "MIXED", func(h *History) { h.Calls[callUnsafe].Answer.Body = "the whole" }},
+	{"response to another request", "MIXED", func(h *History) { h.Calls[callSafe].Answer.ID = "other" }},
 	{"success without an engine", "MIXED", func(h *History) { h.Calls[callSafe].Answer.Stamped = false }},
 	{"stream lacks an event", "ORDER", func(h *History) {
 		answer := &h.Calls[callStream].Answer
 		answer.Events, answer.Numbers = answer.Events[1:], answer.Numbers[1:]
 	}},
-	{"stream ends early, looks whole", "ORDER", func(h *History) {
+	{"stream ends early but is complete", "ORDER", func(h *History) {
 		answer := &h.Calls[callStream].Answer
 		answer.Events, answer.Numbers = answer.Events[:2], answer.Numbers[:2]
 	}},
 	{"stream repeats an event", "ORDER", func(h *History) { h.Calls[callStream].Answer.Events[1] = h.Calls[callStream].Answer.Events[0] }},
-	{"run that nobody asked for", "UNASKED", func(h *History) { addRun(h, 0, runOf("none", "/lookup/none", "", 2)) }},
-	{"body changed on the way", "UNASKED", func(h *History) { h.Engines[0].Runs[0].Body = "changed" }},
-	{"path changed on the way", "UNASKED", func(h *History) { h.Engines[0].Runs[0].Path = "/lookup/" }},
-	{"item runs after its job's end", "UNASKED", func(h *History) {
+	{"run without a request", "UNASKED", func(h *History) { addRun(h, 0, runOf("none", "/lookup/none", "", 2)) }},
+	{"body altered in transit", "UNASKED", func(h *History) { h.Engines[0].Runs[0].Body = "changed" }},
+	{"path altered in transit", "UNASKED", func(h *History) { h.Engines[0].Runs[0].Path = "/lookup/" }},
+	{"item runs after its job was cancelled", "UNASKED", func(h *History) {
 		addRun(h, 1, runOf("item-2", standin.ItemPath("item-2"), "b2", 30))
 	}},
-	{"not repeatable, run twice", "TWICE", func(h *History) { addRun(h, 1, runOf("unsafe", "/permit/unsafe", "u", 2)) }},
-	{"stream run twice", "TWICE", func(h *History) { addRun(h, 1, runOf("stream", "/stream/stream", "t", 2)) }},
+	{"non-repeatable request runs twice", "TWICE", func(h *History) { addRun(h, 1, runOf("unsafe", "/permit/unsafe", "u", 2)) }},
+	{"stream runs twice", "TWICE", func(h *History) { addRun(h, 1, runOf("stream", "/stream/stream", "t", 2)) }},
 	{"item at two positions", "TWICE", func(h *History) {
 		h.Jobs[0].Positions = append(h.Jobs[0].Positions, h.Jobs[0].Positions[0])
 	}},
 	{"position changed", "TWICE", func(h *History) {
-		h.takeResults(h.Jobs[0], 1, []standin.ItemResult{{ID: "item-1", State: standin.StateCompleted}})
+		h.recordResults(h.Jobs[0], 1, []standin.ItemResult{{ID: "item-1", State: standin.StateCompleted}})
 	}},
-	{"refused call runs", "REFUSED", func(h *History) { addRun(h, 1, runOf("refused-call", "/permit/r", "", 2)) }},
-	{"item of a refused job runs", "REFUSED", func(h *History) { addRun(h, 1, runOf("item-9", standin.ItemPath("item-9"), "b9", 2)) }},
+	{"rejected call runs", "REFUSED", func(h *History) { addRun(h, 1, runOf("refused-call", "/permit/r", "", 2)) }},
+	{"item of a rejected job runs", "REFUSED", func(h *History) { addRun(h, 1, runOf("item-9", standin.ItemPath("item-9"), "b9", 2)) }},
 	{"run for another tenant", "UNASKED", func(h *History) { h.Engines[0].Runs[0].Tenant = tenantOf(0) }},
 	{"item for another tenant", "UNASKED", func(h *History) { h.Engines[1].Runs[0].Tenant = tenantOf(1) }},
-	{"engine is shown a key", "UNASKED", func(h *History) { h.Engines[0].Runs[0].Credentials = "Bearer k" }},
-	{"node knows no newer key", "CONFIG", func(h *History) { h.Probes[2].Status = statusUnauthorized }},
-	{"key opens after it was taken away", "CONFIG", func(h *History) { h.Revoked[1].Status = statusOK }},
+	{"engine gets a key", "UNASKED", func(h *History) { h.Engines[0].Runs[0].Credentials = "Bearer k" }},
+	{"node does not know a newer key", "CONFIG", func(h *History) { h.Probes[2].Status = statusUnauthorized }},
+	{"revoked key is accepted", "CONFIG", func(h *History) { h.Revoked[1].Status = statusOK }},
 	{"two reports of a window", "ONE", func(h *History) { h.Usage[1].Counts = map[string]int64{tenantLive: 3} }},
 	{"two holders report under one token", "ONE", func(h *History) { h.Usage[2].Holder = "node-2" }},
-	{"window left out", "ONE", func(h *History) { h.Usage[2].Window = 9 }},
-	{"more reported than sent", "ONE", func(h *History) { h.Usage[2].Counts = map[string]int64{tenantLive: 99} }},
-	{"engine that leaves gets work", "DRAIN", func(h *History) {
+	{"window is not reported", "ONE", func(h *History) { h.Usage[2].Window = 9 }},
+	{"more requests reported than sent", "ONE", func(h *History) { h.Usage[2].Counts = map[string]int64{tenantLive: 99} }},
+	{"draining engine gets work", "DRAIN", func(h *History) {
 		addRun(h, 0, runOf("item-5", standin.ItemPath("item-5"), "b5", 16))
 	}},
-	{"configuration not in force", "CONFIG", func(h *History) {
-		h.Probes = append(h.Probes, Probe{Node: 2, Life: 1, Version: 7, SentAt: at(20), EndedAt: at(20.1), Status: statusNotFound})
+	{"configuration not applied", "CONFIG", func(h *History) {
+		h.Probes = append(h.Probes, Probe{Node: 2, Incarnation: 1, Version: 7, SentAt: at(20), EndedAt: at(20.1), Status: statusNotFound})
 	}},
 	{"configuration reverts", "CONFIG", func(h *History) {
-		h.Probes = append(h.Probes, Probe{Node: 0, Life: 1, Version: 7, SentAt: at(12), EndedAt: at(12.1), Status: statusNotFound})
+		h.Probes = append(h.Probes, Probe{Node: 0, Incarnation: 1, Version: 7, SentAt: at(12), EndedAt: at(12.1), Status: statusNotFound})
 	}},
 	{"item never listed", "LOST", func(h *History) { h.Jobs[2].Positions, h.Jobs[2].Complete = nil, false }},
 	{"job cannot be read", "LOST", func(h *History) { h.Jobs[0].FinalStatus["node 1"] = statusNotFound }},
-	{"failing item tried without end", "BUDGET", func(h *History) {
+	{"failing item is retried without limit", "BUDGET", func(h *History) {
 		for range 9 {
 			addRun(h, 1, runOf(failPrefix+"3", standin.ItemPath(failPrefix+"3"), "b3", 3))
 		}
 	}},
-	{"request under which engines end is sent on", "BUDGET", func(h *History) { addCrashes(h, 4) }},
-	{"sample names a version too many", "VERSION", func(h *History) { h.Jobs[0].Positions[0].Versions = []int64{3, 4} }},
-	{"sample hides a version", "VERSION", func(h *History) {
+	{"request that crashes engines is sent without limit", "BUDGET", func(h *History) { addCrashes(h, 4) }},
+	{"sample lists an extra version", "VERSION", func(h *History) { h.Jobs[0].Positions[0].Versions = []int64{3, 4} }},
+	{"sample omits a version", "VERSION", func(h *History) {
 		first := &h.Jobs[0].Positions[0]
 		first.Text = eventData("item-2", 1, 5) + first.Text[len(eventData("item-2", 1, 4)):]
 	}},
-	{"sample older than allowed", "VERSION", func(h *History) {
+	{"sample below the minimum version", "VERSION", func(h *History) {
 		h.Jobs[0].Positions[2].Text, h.Jobs[0].Positions[2].Versions = textOf("item-1", 2), []int64{2}
 	}},
 	{"sample lacks its end", "VERSION", func(h *History) { h.Jobs[0].Positions[0].Text = eventData("item-2", 1, 4) }},
 	{"sample of another job", "VERSION", func(h *History) { h.Jobs[0].Positions[0].ID = "item-5" }},
-	{"item given up while its job is open", "VERSION", func(h *History) {
+	{"item given up although its job is not cancelled", "VERSION", func(h *History) {
 		h.Jobs[2].Positions[0] = standin.ItemResult{ID: "item-5", State: "expired"}
 	}},
 	{"sample without its score", "SCORE", func(h *History) { h.Jobs[0].Positions[2].Score = "" }},
 	{"score of another call", "SCORE", func(h *History) { h.Jobs[0].Positions[2].Score = standin.Stamp("safe") }},
-	{"score that nobody asked for", "SCORE", func(h *History) { h.Jobs[0].Positions[0].Score = standin.Stamp("safe") }},
-	{"score made before the text", "SCORE", func(h *History) {
+	{"score without a scoring call", "SCORE", func(h *History) { h.Jobs[0].Positions[0].Score = standin.Stamp("safe") }},
+	{"score produced before the text", "SCORE", func(h *History) {
 		for i, run := range h.Engines[0].Runs {
 			if run.ID == "score-1" {
 				h.Engines[0].Runs[i].At = at(1)
@@ -247,51 +247,52 @@
 	{"lower token of a process of the same node", "ONE", func(h *History) {
 		unfenced(h, order("node-0-b", 5, 50), order("node-0-a", 4, 50.1))
 	}},
-	{"lower token after a higher one, and the higher one again", "ONE", func(h *History) {
+	{"lower token between two higher ones", "ONE", func(h *History) {
 		unfenced(h, order("node-0-a", 5, 50), order("node-1-b", 4, 60), order("node-0-a", 5, 70))
 	}},
-	{"nodes take turns", "ONE", func(h *History) {
+	{"nodes alternate", "ONE", func(h *History) {
 		unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-c", 3, 52.9))
 	}},
-	{"nodes out of touch take turns where engines do not check", "ONE", func(h *History) {
+	{"disturbed nodes alternate where engines do not check", "ONE", func(h *History) {
 		unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52))
 		h.Disturbances = append(h.Disturbances, &Disturbance{Node: anyNode, From: at(40), To: at(60)})
 	}},
-	{"three nodes take turns", "ONE", func(h *History) {
+	{"three nodes alternate", "ONE", func(h *History) {
 		unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-2-c", 3, 52), order("node-0-a", 4, 52.5))
 	}},
-	{"nodes in touch take turns", "ONE", func(h *History) {
+	{"undisturbed nodes alternate", "ONE", func(h *History) {
 		h.Engines[0].Orders = []standin.OrderSeen{order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52)}
 	}},
-	{"nodes take turns after a freeze", "ONE", func(h *History) {
+	{"nodes alternate after a freeze", "ONE", func(h *History) {
 		unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52.5))
-		h.Resumed = []Resumption{{Node: 0, At: at(52)}}
+		h.Resumptions = []Resumption{{Node: 0, At: at(52)}}
 	}},
-	{"lower token just after the freeze of another node", "ONE", func(h *History) {
+	{"lower token just after another node resumed", "ONE", func(h *History) {
 		unfenced(h, order("node-0-a", 5, 50), order("node-1-b", 4, 54))
-		h.Resumed = []Resumption{{Node: 0, At: at(53.9)}}
+		h.Resumptions = []Resumption{{Node: 0, At: at(53.9)}}
 	}},
-	{"lower token just before its sender is thawed", "ONE", func(h *History) {
+	{"lower token just before its sender resumes", "ONE", func(h *History) {
 		unfenced(h, order("node-0-a", 5, 50), order("node-1-b", 4, 54))
-		h.Resumed = []Resumption{{Node: 1, At: at(54.1)}}
+		h.Resumptions = []Resumption{{Node: 1, At: at(54.1)}}
 	}},
 	{"order in the name of another node", "ONE", func(h *History) { h.Engines[0].Orders[0].From = "127.7.0.2" }},
 	{"report in the name of another node", "ONE", func(h *History) { h.Usage[0].From = "127.7.0.3" }},
-	{"order of no node", "ONE", func(h *History) { h.Engines[0].Orders[0].Holder = "someone" }},
-	{"report of no node", "ONE", func(h *History) { h.Usage[0].Holder = "someone" }},
+	{"order whose holder is not a node", "ONE", func(h *History) { h.Engines[0].Orders[0].Holder = "someone" }},
+	{"report whose holder is not a node", "ONE", func(h *History) { h.Usage[0].Holder = "someone" }},
 	{"report under a lower token", "ONE", func(h *History) {
 		h.EnginesFence, h.Engines[0].Orders = false, nil
 	}},
-	{"nodes take turns with reports", "ONE", func(h *History) {
+	{"nodes alternate in reports", "ONE", func(h *History) {
 		h.Usage[2].Holder, h.Usage[2].Fence = "node-0-a", 6
 		h.Usage[0].At = at(4)
 	}},
-	{"fenced holder goes on", "ONE", func(h *History) {
+	{"fenced holder keeps sending orders", "ONE", func(h *History) {
 		h.Engines[0].Orders = append(h.Engines[0].Orders, standin.OrderSeen{Holder: "node-0-a", Fence: 1, At: at(12), Status: statusFenced})
 	}},
 }
 
-// addCrashes adds a request under which three engines ended, and how often it was sent after.
+// addCrashes adds a request that crashed crashesAllowed engines and was then sent the given number of
+// times.
 func addCrashes(h *History, sends int) {
 	path, body := standin.PrefixLookup+crashPrefix+"0", "body of "+crashPrefix+"0"
 	send := func(seconds float64) {
@@ -301,43 +302,42 @@
 	}
 	for i := range crashesAllowed {
 		send(float64(i))
-		h.Ends = append(h.Ends, EndSeen{Path: path, Body: body, At: at(float64(i))})
+		h.Crashes = append(h.Crashes, CrashRecord{Path: path, Body: body, At: at(float64(i))})
 	}
 	for i := range sends {
 		send(30 + float64(i))
 	}
 }
 
-// TestSomeSendsOfARequestUnderWhichEnginesEndAreAllowed: trials, and those that cross the
-// knowledge.
-func TestSomeSendsOfARequestUnderWhichEnginesEndAreAllowed(t *testing.T) {
-	h := sound()
+// Requests in flight and trials are sent even after the crash limit was reached.
+func TestCheckCrashLimitAllowsSomeSends(t *testing.T) {
+	h := validHistory()
 	addCrashes(h, sendsAfterCrashes)
 	assert.DeepEqual(t, Check(h, bounds), []Violation(nil))
 }
 
-// TestEachMutantIsCaught: every check can fail, and fails for what it is for.
-func TestEachMutantIsCaught(t *testing.T) {
+// Guards against checks that cannot fail, or that report a violation of another rule.
+func TestCheckDetectsEachMutation(t *testing.T) {
 	caught := make(map[string]bool)
-	for _, mutant := range append(slices.Clone(mutants), placementMutants...) {
-		t.Run(mutant.name, func(t *testing.T) {
-			h := sound()
-			mutant.change(h)
+	for _, mutation := range append(slices.Clone(mutations), placementMutations...) {
+		t.Run(mutation.name, func(t *testing.T) {
+			h := validHistory()
+			mutation.change(h)
 			violations := Check(h, bounds)
-			assert.Assert(t, len(violations) > 0, "nothing found")
+			assert.Assert(t, len(violations) > 0, "no violation found")
 			for _, violation := range violations {
 				caught[violation.Rule] = true
-				assert.Equal(t, violation.Rule, mutant.rule, "%s", violation.Detail)
+				assert.Equal(t, violation.Rule, mutation.rule, "%s", violation.Detail)
 			}
 		})
 	}
-	for _, each := range checks {
-		assert.Assert(t, caught[each.rule], "no mutant for %s", each.rule)
+	for _, each := range invariants {
+		assert.Assert(t, caught[each.rule], "no mutation for %s", each.rule)
 	}
 }
 
-// TestWhatOneHolderMayDo: what looks like two holders and is not.
-func TestWhatOneHolderMayDo(t *testing.T) {
+// Guards against false positives of the lease checks.
+func TestCheckLeaseAllowedOrders(t *testing.T) {
 	turns := []standin.OrderSeen{order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52)}
 	for _, allowed := range []struct {
 		name   string
@@ -346,25 +346,25 @@
 		{"a process of the same node follows", func(h *History) {
 			unfenced(h, order("node-0-a", 1, 50), order("node-0-b", 2, 50.1), order("node-0-c", 3, 50.2))
 		}},
-		{"nodes follow each other for good", func(h *History) {
+		{"nodes follow each other without returning", func(h *History) {
 			unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-2-a", 3, 52))
 		}},
-		{"nodes return after the lease's time", func(h *History) {
+		{"a node returns after the lease time", func(h *History) {
 			unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 52), order("node-0-a", 3, 53.1))
 		}},
 		{"the engines differ", func(h *History) {
 			unfenced(h, order("node-0-a", 1, 50), order("node-0-a", 3, 52))
 			h.Engines[1].Orders = []standin.OrderSeen{order("node-1-b", 2, 51)}
 		}},
-		{"an order of a node that was just thawed", func(h *History) {
+		{"an order of a node that just resumed", func(h *History) {
 			unfenced(h, order("node-0-a", 5, 50), order("node-1-b", 4, 51), order("node-0-a", 5, 52))
-			h.Resumed = []Resumption{{Node: 1, At: at(50.8)}}
+			h.Resumptions = []Resumption{{Node: 1, At: at(50.8)}}
 		}},
-		{"an order on a way that just healed", func(h *History) {
+		{"an order on a path that was just restored", func(h *History) {
 			unfenced(h, turns...)
-			h.Resumed = []Resumption{{Node: anyNode, At: at(51.9)}}
+			h.Resumptions = []Resumption{{Node: anyNode, At: at(51.9)}}
 		}},
-		{"nodes out of touch where engines check", func(h *History) {
+		{"disturbed nodes where engines check", func(h *History) {
 			h.Engines[0].Orders = turns
 			h.Disturbances = append(h.Disturbances, &Disturbance{Node: 0, From: at(49), To: at(49.5)})
 		}},
@@ -373,50 +373,48 @@
 		}},
 	} {
 		t.Run(allowed.name, func(t *testing.T) {
-			h := sound()
+			h := validHistory()
 			allowed.change(h)
 			assert.DeepEqual(t, Check(h, bounds), []Violation(nil))
 		})
 	}
 }
 
-// TestCloseChangesAreCounted: nodes that order one engine one after the other within the
-// lease's time, but not those that do after it, nor processes of one node.
-func TestCloseChangesAreCounted(t *testing.T) {
-	h := sound()
+// Only orders of different nodes to one engine within the lease time count.
+func TestCountCloseChanges(t *testing.T) {
+	h := validHistory()
 	unfenced(h, order("node-0-a", 1, 50), order("node-0-b", 2, 51), order("node-1-b", 3, 52), order("node-2-c", 4, 55.1))
-	assert.Equal(t, closeChanges(h, bounds), 1)
+	assert.Equal(t, countCloseChanges(h, bounds), 1)
 }
 
-// TestBoundedPromisesSpareNodesOutOfTouch: a node that was disturbed just before
-// may still have the configuration before.
-func TestBoundedPromisesSpareNodesOutOfTouch(t *testing.T) {
-	h := sound()
-	h.Probes = append(h.Probes, Probe{Node: 2, Life: 1, Version: 7, SentAt: at(20), EndedAt: at(20.1), Status: statusNotFound})
+// A recently disturbed node may still have the previous configuration.
+func TestCheckConfigAppliedSkipsDisturbedNodes(t *testing.T) {
+	h := validHistory()
+	h.Probes = append(h.Probes, Probe{Node: 2, Incarnation: 1, Version: 7, SentAt: at(20), EndedAt: at(20.1), Status: statusNotFound})
 	h.Disturbances = append(h.Disturbances, &Disturbance{Node: 2, From: at(9), To: at(18)})
 	assert.DeepEqual(t, Check(h, bounds), []Violation(nil))
 	h.Disturbances[0].Node = 1
 	assert.Equal(t, len(Check(h, bounds)), 1)
 }
 
-func TestSchedulesFollowFromTheSeedAlone(t *testing.T) {
+func TestDrawGeneralDeterministic(t *testing.T) {
 	const length = 3 * time.Minute
-	one := Draw(7, length)
-	assert.DeepEqual(t, Draw(7, length), one)
+	one := DrawGeneral(7, length)
+	assert.DeepEqual(t, DrawGeneral(7, length), one)
 	assert.Assert(t, len(one) > 20, "%d faults", len(one))
 	for i, fault := range one {
 		assert.Equal(t, fault.Number, i+1)
-		assert.Assert(t, fault.At >= calmStart && fault.At+fault.For <= length-calmEnd)
+		assert.Assert(t, fault.At >= faultFreeStart && fault.At+fault.Duration <= length-faultFreeEnd)
 	}
 	shorter := Without(one, []int{2, 3})
 	assert.Equal(t, len(shorter), len(one)-2)
 	assert.DeepEqual(t, shorter[1:], one[3:])
 }
 
-// TestSeedsKeepTheirFaults: kept seeds play the faults under which they failed.
-func TestSeedsKeepTheirFaults(t *testing.T) {
+// Kept seeds must replay the faults under which they failed.
+func TestDrawGeneralStableForSeed(t *testing.T) {
 	var printed strings.Builder
-	printSchedule(&printed, Draw(4, 21*time.Second))
+	printSchedule(&printed, DrawGeneral(4, 21*time.Second))
 	assert.Equal(t, printed.String(), `  1     3.70 s  for  3.83 s  node-killed            target 63194
   2     6.36 s  for  4.46 s  node-stopped           target 47593
   3    11.35 s  for  2.61 s  node-killed            target 11999
@@ -428,9 +426,8 @@
 `)
 }
 
-// TestLeaderFaultsComeInSeries: most strike the one that leads, several within seconds,
-// and every kind is drawn.
-func TestLeaderFaultsComeInSeries(t *testing.T) {
+// Most faults must affect the leader, some the same node again, and every kind must be drawn.
+func TestDrawLeaderSeries(t *testing.T) {
 	const length = time.Hour
 	faults := DrawLeader(7, length)
 	assert.DeepEqual(t, DrawLeader(7, length), faults)
@@ -439,24 +436,24 @@
 	for i, fault := range faults {
 		drawn[fault.Kind] = true
 		assert.Equal(t, fault.Number, i+1)
-		assert.Assert(t, fault.At >= calmStart && fault.At+fault.For <= length-calmEnd)
-		if fault.Aim != AimNumber {
+		assert.Assert(t, fault.At >= faultFreeStart && fault.At+fault.Duration <= length-faultFreeEnd)
+		if fault.Aim != AimTarget {
 			aimed++
 		}
-		if fault.Aim == AimSame {
+		if fault.Aim == AimSameNode {
 			near++
 		}
 	}
-	assert.Assert(t, aimed*3 > len(faults)*2, "%d of %d faults strike the leader", aimed, len(faults))
-	assert.Assert(t, near*5 > len(faults), "%d of %d faults strike one node again", near, len(faults))
+	assert.Assert(t, aimed*3 > len(faults)*2, "%d of %d faults affect the leader", aimed, len(faults))
+	assert.Assert(t, near*5 > len(faults), "%d of %d faults affect the same node again", near, len(faults))
 	for _, each := range leaderWeights {
 		assert.Assert(t, drawn[each.kind], "%s is never drawn", each.kind)
 	}
 }
 
-// TestSeedsDrawTheirModes: about half of the seeds have engines that do not check, and
-// about a third each of the schedules; flags go before.
-func TestSeedsDrawTheirModes(t *testing.T) {
+// Seeds must cover both fencing modes about equally, and each schedule for about a third; flags take
+// precedence.
+func TestModesDistribution(t *testing.T) {
 	const seeds = 1000
 	fenced := 0
 	drawn := make(map[string]int)
@@ -476,36 +473,35 @@
 	}
 }
 
-// TestEnginesLeaveInCalmWindows: a check of what holds for undisturbed nodes needs
-// times in which they are.
-func TestEnginesLeaveInCalmWindows(t *testing.T) {
-	faults := Draw(5, 5*time.Minute)
+// Time-bounded invariants are only checked if some engines drain while all nodes are undisturbed.
+func TestDrawGeneralQuietWindows(t *testing.T) {
+	faults := DrawGeneral(5, 5*time.Minute)
 	windows := 0
 	for _, fault := range faults {
-		calm := fault.Kind == EngineLeaves
+		quiet := fault.Kind == EngineLeaves
 		for _, other := range faults {
-			if other != fault && other.At < fault.At+bounds.Drain+time.Second && other.At+other.For > fault.At-bounds.Contact {
-				calm = false
+			if other != fault && other.At < fault.At+bounds.Drain+time.Second && other.At+other.Duration > fault.At-bounds.Settle {
+				quiet = false
 			}
 		}
-		if calm {
+		if quiet {
 			windows++
 		}
 	}
-	assert.Assert(t, windows >= 4, "%d calm windows", windows)
+	assert.Assert(t, windows >= 4, "%d quiet windows", windows)
 }
 
-func TestEveryKindOfFaultIsDrawn(t *testing.T) {
+func TestDrawGeneralAllKinds(t *testing.T) {
 	drawn := make(map[Kind]bool)
-	for _, fault := range Draw(1, time.Hour) {
+	for _, fault := range DrawGeneral(1, time.Hour) {
 		drawn[fault.Kind] = true
 	}
-	for _, each := range weights {
+	for _, each := range generalWeights {
 		assert.Assert(t, drawn[each.kind], "%s is never drawn", each.kind)
 	}
 }
 
-func TestArgumentsAreChecked(t *testing.T) {
+func TestRunRejectsInvalidArguments(t *testing.T) {
 	for _, wrong := range []Arguments{
 		{Minutes: 0, Nodes: 3, Slack: 1}, {Minutes: 500, Nodes: 3, Slack: 1}, {Minutes: 1, Nodes: 0, Slack: 1},
 		{Minutes: 1, Nodes: maxNodes + 1, Slack: 1}, {Minutes: 1, Nodes: 3}, {Minutes: 1, Nodes: 3, Slack: 1, Seeds: "none.toml"},
--- a/internal/bench/soak/crash.go
+++ b/internal/bench/soak/crash.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// crashGap is the time between two sends of requests under which engines end, crashEvery
-	// the time after which another such request joins them.
-	crashGap   = 350 * time.Millisecond
-	crashEvery = 15 * time.Second
-	// crashingPart is one in how many jobs has an item under which engines end.
-	crashingPart = 3
+	// crashGap is the interval between two requests that crash engines. The set of distinct requests
+	// starts with one and grows by one each crashingRequestInterval.
+	crashGap                = 350 * time.Millisecond
+	crashingRequestInterval = 15 * time.Second
+	// One in crashingJobOneIn jobs has an item that crashes engines.
+	crashingJobOneIn = 3
 )
 
-// crashEngines sends requests under which engines end until ctx ends: each comes again and
-// again, with another ID, at any node.
+// crashEngines sends requests that crash engines until ctx ends. Each is repeated, with a new ID, at any
+// node.
 func (v *driver) crashEngines(ctx context.Context) {
 	began := time.Now()
 	for retry.Sleep(ctx, crashGap) {
-		known := 1 + int(time.Since(began)/crashEvery)
+		known := 1 + int(time.Since(began)/crashingRequestInterval)
 		number := rand.IntN(known)
 		kind, prefix := standin.RouteSafe, standin.PrefixLookup
 		if number%2 == 1 {
--- a/internal/bench/soak/deployment.go
+++ b/internal/bench/soak/deployment.go
@@ -21,44 +21,44 @@
 const (
 	lookupEngines = 2
 	draftEngines  = 4
-	// orderedEngines are as many that the leader, which has a few load at a time, does not
-	// order some for longer than the quiet time.
+	// orderedEngines is so many that the leader, which lets only a few load at a time, leaves some engines
+	// without an order for longer than the quiet time.
 	orderedEngines = 10
 	startTimeout   = 30 * time.Second
 )
 
-// deployment is the whole system of a soak: real nodes, each behind a proxy to
-// the store, and the stand-ins of the store and the engines.
+// deployment is the system under test: real nodes, each behind a proxy to the store, and a simulated
+// store, simulated engines and a simulated platform.
 type deployment struct {
 	history *History
 	network *faultproxy.Network
 	store   *storeFaults
 	duties  *standin.Duties
-	// dutiesFront is where the nodes find duties.
-	dutiesFront *front
+	// dutiesProxy is the nodes' address of the platform's duties service.
+	dutiesProxy *senderProxy
 	nodes       []*node
-	places      []*place
-	// senders tells the nodes apart at the engines.
-	senders *senders
-	// leader is the node that leads.
-	leader *leaderSeen
-	// evacuated counts the evacuations under way.
-	evacuated *evacuated
-	// strayAddress is where entries that name no engine point to.
-	strayAddress string
-	// placement is true under a schedule of placement faults, restartsUnderID where engines that
-	// end under a request start again under their ID.
-	placement       bool
-	restartsUnderID bool
-	// enginesFence is true where the engines, and what takes the platform's calls,
-	// refuse lower fencing tokens than one seen.
+	slots       []*engineSlot
+	// pathResolver identifies the node of each connection to an engine.
+	pathResolver *pathResolver
+	leader       *leaderTracker
+	// evacuationCounts counts the evacuations in progress.
+	evacuationCounts *evacuationCounts
+	// invalidEntryAddress is the address in invalid entries.
+	invalidEntryAddress string
+	// placement is set for schedules of placement faults, restartsWithSameID if engines that a request
+	// crashed restart under the same ID.
+	placement          bool
+	restartsWithSameID bool
+	// enginesFence is set if the engines and the duties service reject fencing tokens lower than one that
+	// they saw.
 	enginesFence bool
 
 	closers []func()
 	wait    sync.WaitGroup
 }
 
-// deploy starts everything and waits until the nodes are ready.
+// deploy starts the simulated services and the nodes. It returns the deployment, if there is one to close,
+// also with an error.
 func deploy(ctx context.Context, plan plan, directory string, history *History) (*deployment, error) {
 	binaries, err := topology.Find(ctx, directory)
 	if err != nil {
@@ -66,8 +66,8 @@
 	}
 	d := &deployment{
 		history: history, network: faultproxy.NewNetwork(), store: newStoreFaults(), duties: standin.NewDuties(),
-		leader: newLeaderSeen(), enginesFence: plan.enginesFence, senders: &senders{unknown: newWay(anyNode)},
-		evacuated: newEvacuated(), placement: plan.placement(), restartsUnderID: plan.placement() && plan.has(Incarnations),
+		leader: newLeaderTracker(), enginesFence: plan.enginesFence, pathResolver: &pathResolver{unknown: newNodePath(anyNode)},
+		evacuationCounts: newEvacuationCounts(), placement: plan.placement(), restartsWithSameID: plan.placement() && plan.includes(Incarnations),
 	}
 	if !plan.enginesFence {
 		d.duties.IgnoreFences()
@@ -77,15 +77,15 @@
 	if err != nil {
 		return d, err
 	}
-	if d.strayAddress, err = d.serve(http.HandlerFunc(history.takeStray)); err != nil {
+	if d.invalidEntryAddress, err = d.serve(http.HandlerFunc(history.recordInvalidEntryCall)); err != nil {
 		return d, err
 	}
-	for number := range plan.lookups() + plan.drafts() {
+	for number := range plan.lookupEngineCount() + plan.draftEngineCount() {
 		service := standin.ServiceLookup
-		if number >= plan.lookups() {
+		if number >= plan.lookupEngineCount() {
 			service = standin.ServiceDrafts
 		}
-		if err := d.addPlace(ctx, number, service); err != nil {
+		if err := d.addSlot(ctx, number, service); err != nil {
 			return d, err
 		}
 	}
@@ -98,18 +98,17 @@
 			return d, err
 		}
 	}
-	if err := d.openFronts(); err != nil {
+	if err := d.openProxies(); err != nil {
 		return d, err
 	}
-	d.wait.Go(func() { d.store.releaseLate(ctx) })
+	d.wait.Go(func() { d.store.releaseLateWrites(ctx) })
 	for _, each := range d.nodes {
 		d.wait.Go(func() { each.run(ctx) })
 	}
 	return d, nil
 }
 
-// serveDuties serves what takes the platform's calls behind a front, and returns its
-// address.
+// serveDuties serves the platform's duties behind a proxy and returns its address.
 func (d *deployment) serveDuties() (string, error) {
 	upstream, err := d.serve(d.duties)
 	if err != nil {
@@ -119,18 +118,18 @@
 	if err != nil {
 		return "", err
 	}
-	d.dutiesFront = newFront(listed, upstream, d.senders.wayOf)
-	d.closers = append(d.closers, d.dutiesFront.cut)
+	d.dutiesProxy = newSenderProxy(listed, upstream, d.pathResolver.pathOf)
+	d.closers = append(d.closers, d.dutiesProxy.cut)
 	return listed, nil
 }
 
-// openFronts has all fronts take connections, once the nodes are known.
-func (d *deployment) openFronts() error {
-	fronts := []*front{d.dutiesFront}
-	for _, each := range d.places {
-		fronts = append(fronts, each.front)
+// openProxies makes all proxies accept connections. All nodes must have been added.
+func (d *deployment) openProxies() error {
+	proxies := []*senderProxy{d.dutiesProxy}
+	for _, each := range d.slots {
+		proxies = append(proxies, each.senderProxy)
 	}
-	for _, each := range fronts {
+	for _, each := range proxies {
 		if err := each.listen(); err != nil {
 			return err
 		}
@@ -138,11 +137,11 @@
 	return nil
 }
 
-// serve serves a stand-in and returns its address.
+// serve serves a simulated service on a free port and returns its address.
 func (d *deployment) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", errors.Wrap(err, "listen for a stand-in")
+		return "", errors.Wrap(err, "listen for a simulated service")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 	go func() { _ = server.Serve(listener) }()
@@ -150,7 +149,7 @@
 	return listener.Addr().String(), nil
 }
 
-func (d *deployment) addPlace(ctx context.Context, number int, service string) error {
+func (d *deployment) addSlot(ctx context.Context, number int, service string) error {
 	listen, err := process.FreeAddress()
 	if err != nil {
 		return err
@@ -159,29 +158,29 @@
 	if err != nil {
 		return err
 	}
-	p := &place{
+	p := &engineSlot{
 		number: number, service: service, store: d.store.store, history: d.history, listen: listen, checkFences: d.enginesFence,
-		front: newFront(listed, listen, d.senders.wayOf),
+		senderProxy: newSenderProxy(listed, listen, d.pathResolver.pathOf),
 	}
 	if d.placement {
 		p.coldFor = coldStart
 	}
-	p.crashed = func(run standin.Run) { d.crashUnder(ctx, p, run) }
+	p.onCrash = func(run standin.Run) { d.crashDuringRun(ctx, p, run) }
 	if err := p.start(); err != nil {
 		return err
 	}
-	d.places = append(d.places, p)
+	d.slots = append(d.slots, p)
 	if d.placement {
-		d.wait.Go(func() { p.writeOnAndOn(ctx) })
+		d.wait.Go(func() { p.writeEntryPeriodically(ctx) })
 	}
-	d.closers = append(d.closers, p.stop, p.front.cut)
+	d.closers = append(d.closers, p.stop, p.senderProxy.cut)
 	return nil
 }
 
 func (d *deployment) addNode(ctx context.Context, number int, daemons []string, directory, dutiesAddress string) error {
-	store := newNodeStore(d.store, d.leader.wrote)
+	store := newNodeStore(d.store, d.leader.observe)
 	if d.placement {
-		store.gave = func(answer []byte) { d.history.addBodies(number, answer) }
+		store.onRead = func(answer []byte) { d.history.recordBodyReads(number, answer) }
 	}
 	storeAddress, err := d.serve(store)
 	if err != nil {
@@ -211,8 +210,8 @@
 		n.builds = append(n.builds, build)
 	}
 	d.nodes = append(d.nodes, n)
-	d.senders.nodes = append(d.senders.nodes, n)
-	d.senders.ways = append(d.senders.ways, newWay(number))
+	d.pathResolver.nodes = append(d.pathResolver.nodes, n)
+	d.pathResolver.paths = append(d.pathResolver.paths, newNodePath(number))
 	return nil
 }
 
@@ -223,7 +222,7 @@
 	for _, each := range d.nodes {
 		for !each.ready(ctx) {
 			if parent.Err() != nil {
-				return errors.Wrap(parent.Err(), "wait for the nodes")
+				return errors.Wrap(parent.Err(), "wait for the nodes to be ready")
 			}
 			if ctx.Err() != nil {
 				return errors.Errorf("node %d is not ready after %s", each.number, startTimeout)
@@ -234,27 +233,28 @@
 	return nil
 }
 
-// engines returns what every engine saw.
-func (d *deployment) engines() []EngineSeen {
-	var all []EngineSeen
-	for _, each := range d.places {
-		all = append(all, each.seen()...)
+// engineRecords returns what every incarnation of every engine observed.
+func (d *deployment) engineRecords() []EngineRecord {
+	var all []EngineRecord
+	for _, each := range d.slots {
+		all = append(all, each.records()...)
 	}
 	return all
 }
 
-// unplannedEnds returns the ends of nodes that the soak did not cause.
-func (d *deployment) unplannedEnds() []string {
+// unplannedExits returns node exits that the soak did not cause, and other problems that were recorded.
+func (d *deployment) unplannedExits() []string {
 	var all []string
 	for _, each := range d.nodes {
 		each.mu.Lock()
-		all = append(all, each.unplanned...)
+		all = append(all, each.problems...)
 		each.mu.Unlock()
 	}
 	return all
 }
 
-// close ends the nodes, which nobody restarts any more, and the stand-ins.
+// close stops the nodes and the simulated services. The context of deploy must have ended, so that no node
+// is restarted.
 func (d *deployment) close() {
 	for _, each := range d.nodes {
 		each.kill()
--- a/internal/bench/soak/drive.go
+++ b/internal/bench/soak/drive.go
@@ -14,58 +14,57 @@
 )
 
 const (
-	// callGap is the time between two requests of one live caller.
+	// callGap is the interval between two requests of one live caller.
 	callGap      = 120 * time.Millisecond
 	callDeadline = 4 * time.Second
 	callTimeout  = 8 * time.Second
-	// probeGap is the time between two probes of one node, configGap between two
-	// configurations, beyond the bound for one of them, keptRoutes how many of their
-	// routes a configuration holds.
-	probeGap   = 150 * time.Millisecond
-	configGap  = 7 * time.Second
-	keptRoutes = 3
-	// versionGap is the least time between two versions of a burst, of burstLength on the
-	// mean, versionPause the least time between two bursts.
-	versionGap   = 150 * time.Millisecond
-	versionPause = 2 * time.Second
-	burstLength  = 15
-	// trainers submit one job after the other.
+	// probeGap is the interval between two probes of one node, configGap that between two configurations
+	// and longer than Bounds.Apply. A configuration holds the routes of the last keptProbeRoutes
+	// configurations.
+	probeGap        = 150 * time.Millisecond
+	configGap       = 7 * time.Second
+	keptProbeRoutes = 3
+	// Weight versions are announced in bursts of meanBurstLength on average, at least versionGap apart;
+	// bursts are at least versionPause apart.
+	versionGap      = 150 * time.Millisecond
+	versionPause    = 2 * time.Second
+	meanBurstLength = 15
+	// trainers is the number of trainers; each submits one job after the other.
 	trainers    = 2
 	itemsPerJob = 48
 	groupSize   = 4
 	readWait    = 500 * time.Millisecond
 	retryGap    = 150 * time.Millisecond
-	// settleTime is how long a position that was read may be missing elsewhere.
-	settleTime = 1500 * time.Millisecond
-	// keptTime is below the time for which nodes keep a job.
-	keptTime     = 80 * time.Second
-	submitTries  = 8
-	earlyEndPart = 5
-	// failingPart and neverPart are one in how many items always fail or can
-	// never be run.
-	failingPart = 30
-	neverPart   = 40
+	// resultSettleTime is how long a position that was read at one node may be missing at another.
+	resultSettleTime = 1500 * time.Millisecond
+	// jobRetention is shorter than the time for which nodes retain a job.
+	jobRetention     = 80 * time.Second
+	submitTries      = 8
+	earlyCancelOneIn = 5
+	// One in failingOneIn items always fails, one in impossibleOneIn is rejected by engines as impossible.
+	failingOneIn    = 30
+	impossibleOneIn = 40
 )
 
-// Prefixes of the live routes beside the lookups.
+// Prefixes of the live routes other than lookups.
 const (
 	prefixPermit = "/permit/"
 	prefixStream = "/stream/"
 )
 
-// driver sends the load of a soak.
+// driver generates the load of a soak.
 type driver struct {
 	deployment *deployment
 	history    *History
 	client     *standin.Client
 
-	// crashes is true where requests are sent under which engines end.
-	crashes bool
-	// placement is true under placement faults, changesHomes where the homes of routes and
-	// tenants change with configurations.
+	// sendsCrashing is set if requests that crash engines are sent.
+	sendsCrashing bool
+	// placement is set for schedules of placement faults, changesHomes if configurations change the homes
+	// of routes and tenants.
 	placement    bool
 	changesHomes bool
-	// version is the newest weight version named; config the newest configuration.
+	// version is the newest announced weight version, config the newest configuration.
 	version atomic.Int64
 	config  atomic.Int64
 	ids     atomic.Int64
@@ -88,7 +87,7 @@
 	return fmt.Sprintf("%s%d", prefix, v.ids.Add(1))
 }
 
-// configure puts the next configuration in force.
+// configure applies the next configuration.
 func (v *driver) configure() {
 	version := v.config.Load() + 1
 	routes := []standin.Route{
@@ -98,16 +97,16 @@
 		{Name: "drafts", Prefix: standin.PrefixDrafts, Kind: standin.RouteBatch, Service: standin.ServiceDrafts},
 		{Name: "scoring", Prefix: standin.PrefixScoring, Kind: standin.RouteSafe, Service: standin.ServiceLookup},
 	}
-	for kept := max(1, version-keptRoutes+1); kept <= version; kept++ {
+	for kept := max(1, version-keptProbeRoutes+1); kept <= version; kept++ {
 		routes = append(routes, standin.Route{
 			Name: fmt.Sprintf("probe-%d", kept), Prefix: probePrefix(kept), Kind: standin.RouteSafe, Service: standin.ServiceLookup,
 		})
 	}
 	configuration := standin.Configuration{Version: version, Routes: routes, Tenants: tenantsOf(version)}
-	config := ConfigSeen{Version: version, SentAt: time.Now()}
+	config := ConfigRecord{Version: version, SentAt: time.Now()}
 	if v.placement {
 		config.Homes = v.homesOf(version)
-		bindToRegions(&configuration, config.Homes)
+		addPinnedRequests(&configuration, config.Homes)
 	}
 	v.deployment.store.store.Configure(configuration)
 	config.AckedAt = time.Now()
@@ -117,34 +116,34 @@
 
 func probePrefix(version int64) string { return fmt.Sprintf("/probe-%d/", version) }
 
-// operate changes the configuration until ctx ends.
-func (v *driver) operate(ctx context.Context) {
+// reconfigure applies a configuration at each configGap until ctx ends.
+func (v *driver) reconfigure(ctx context.Context) {
 	for retry.Sleep(ctx, configGap) {
 		v.configure()
 	}
 }
 
-// probe asks one node for the newest configuration's route until ctx ends.
-func (v *driver) probe(ctx context.Context, target *node) {
+// sendProbes requests the newest configuration's route from one node until ctx ends.
+func (v *driver) sendProbes(ctx context.Context, target *node) {
 	for retry.Sleep(ctx, probeGap) {
 		version := v.config.Load()
-		_, life := target.current()
+		_, incarnation := target.current()
 		path, sent := probePrefix(version)+"x", time.Now()
 		id := v.newID("probe-")
 		answer, err := v.client.WithKey(settledKey(version)).Live(ctx, target.callers, path, id, "", callDeadline)
-		v.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Whole: err == nil})
+		v.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Intact: err == nil})
 		_, after := target.current()
 		newest := v.config.Load()
-		if err != nil || life != after || newest >= version+keptRoutes {
+		if err != nil || incarnation != after || newest >= version+keptProbeRoutes {
 			continue
 		}
 		if answer.Status == statusUnauthorized && newest > version {
-			// The key was taken away by a configuration that came meanwhile.
+			// A newer configuration has revoked the key in the meantime.
 			continue
 		}
 		v.history.update(func() {
 			v.history.Probes = append(v.history.Probes, Probe{
-				Node: target.number, Life: life, Version: version, SentAt: sent, EndedAt: time.Now(), Status: answer.Status,
+				Node: target.number, Incarnation: incarnation, Version: version, SentAt: sent, EndedAt: time.Now(), Status: answer.Status,
 			})
 		})
 	}
@@ -154,64 +153,62 @@
 type traffic struct {
 	kind   string
 	prefix string
-	// tenant is whose key is shown; tenantLive when empty.
+	// tenant is the tenant whose key is sent; empty for tenantLive.
 	tenant string
 	gap    time.Duration
 }
 
-// call sends live requests of one kind until ctx ends.
-func (v *driver) call(ctx context.Context, sent traffic) {
+// sendTraffic sends live requests of one kind until ctx ends.
+func (v *driver) sendTraffic(ctx context.Context, sent traffic) {
 	for retry.Sleep(ctx, sent.gap) {
 		id := v.newID(sent.kind + "-")
 		v.send(ctx, LiveCall{ID: id, Path: sent.prefix + id, Body: "body of " + id, Kind: sent.kind, Tenant: sent.tenant})
 	}
 }
 
-// send sends a live request to any node and notes what came back.
+// send sends a live request to a random node and records the response.
 func (v *driver) send(ctx context.Context, call LiveCall) {
 	call.SentAt = time.Now()
 	key := settledKey(v.config.Load())
-	if call.Tenant == tenantHomed {
-		key = keyHomed
+	if call.Tenant == tenantPinned {
+		key = keyPinned
 	}
 	client := v.client.WithKey(key)
 	var err error
 	call.Answer, err = client.Live(ctx, v.anyNode().callers, call.Path, call.ID, call.Body, callDeadline)
-	call.Whole = err == nil
+	call.Intact = err == nil
 	v.history.addCall(call)
 }
 
-// train submits one job after the other until ctx ends; the last one goes on
-// until lasting ends.
-func (v *driver) train(ctx, lasting context.Context, trainer int) {
+// runTrainer submits one job after the other until ctx ends; the last job continues until jobCtx ends.
+func (v *driver) runTrainer(ctx, jobCtx context.Context, trainer int) {
 	for step := int64(0); ctx.Err() == nil; step++ {
 		job := v.newJob(trainer, step)
 		seen := v.history.addJob(job, trainer)
-		if !v.submit(lasting, seen) {
+		if !v.submit(jobCtx, seen) {
 			continue
 		}
-		v.readUntilDone(lasting, seen)
-		v.nameVersion()
+		v.readUntilDone(jobCtx, seen)
+		v.announceVersion()
 	}
 }
 
-func (v *driver) nameVersion() {
+func (v *driver) announceVersion() {
 	v.deployment.store.store.NameVersion(standin.ModelDrafts, v.version.Add(1))
 }
 
-// nameVersions names one weight version after the other until ctx ends, in bursts with
-// pauses between: a pause lets a leader forgo orders for longer than the quiet time, so
-// that the next one may order at once.
-func (v *driver) nameVersions(ctx context.Context) {
+// announceVersions announces weight versions in bursts until ctx ends. The pauses leave a leader without
+// orders for longer than the quiet time, so that the next leader may send orders at once.
+func (v *driver) announceVersions(ctx context.Context) {
 	for {
 		gap := versionGap + rand.N(versionGap)
-		if rand.IntN(burstLength) == 0 {
+		if rand.IntN(meanBurstLength) == 0 {
 			gap = versionPause + rand.N(versionPause)
 		}
 		if !retry.Sleep(ctx, gap) {
 			return
 		}
-		v.nameVersion()
+		v.announceVersion()
 	}
 }
 
@@ -220,7 +217,7 @@
 		ID: fmt.Sprintf("job-%d-%d", trainer, step), Step: step, MinVersion: max(1, v.version.Load()-1),
 	}
 	crashing := -1
-	if v.crashes && rand.IntN(crashingPart) == 0 {
+	if v.sendsCrashing && rand.IntN(crashingJobOneIn) == 0 {
 		crashing = rand.IntN(itemsPerJob)
 	}
 	for i := range itemsPerJob {
@@ -228,10 +225,10 @@
 		switch {
 		case i == crashing:
 			prefix = crashPrefix
-		case rand.IntN(failingPart) == 0:
+		case rand.IntN(failingOneIn) == 0:
 			prefix = failPrefix
-		case rand.IntN(neverPart) == 0:
-			prefix = neverPrefix
+		case rand.IntN(impossibleOneIn) == 0:
+			prefix = impossiblePrefix
 		}
 		id := v.newID(fmt.Sprintf("%s%d-%d-", prefix, trainer, step))
 		job.Items = append(job.Items, standin.JobItem{
@@ -242,13 +239,13 @@
 	return job
 }
 
-// submit hands a job in at one node after the other until one takes it. It gives
-// up after some tries, unless the job may have been taken.
-func (v *driver) submit(ctx context.Context, seen *JobSeen) bool {
+// submit submits a job to one node after the other until one accepts it. It gives up after submitTries
+// attempts if all of them were rejected.
+func (v *driver) submit(ctx context.Context, seen *JobRecord) bool {
 	refusals, tries := 0, 0
 	for ; ctx.Err() == nil && (tries < submitTries || refusals < tries); tries++ {
-		at := v.nodeFor(seen)
-		status, err := v.client.WithKey(seen.Key).Submit(ctx, at.callers, seen.Job)
+		target := v.nodeFor(seen)
+		status, err := v.client.WithKey(seen.Key).Submit(ctx, target.callers, seen.Job)
 		switch {
 		case err == nil && status == http.StatusAccepted:
 			v.history.update(func() { seen.Accepted = true })
@@ -258,38 +255,38 @@
 		}
 		retry.Sleep(ctx, retryGap)
 	}
-	v.history.update(func() { seen.AllRefused = tries > 0 && refusals == tries })
+	v.history.update(func() { seen.AllRejected = tries > 0 && refusals == tries })
 	return false
 }
 
-// readUntilDone reads a job at one node after the other until it is listed whole
-// or its trainer ends it early.
-func (v *driver) readUntilDone(ctx context.Context, seen *JobSeen) {
-	early := rand.IntN(earlyEndPart) == 0
+// readUntilDone reads a job at one node after the other until all expected results are listed or the
+// trainer cancels it early.
+func (v *driver) readUntilDone(ctx context.Context, seen *JobRecord) {
+	early := rand.IntN(earlyCancelOneIn) == 0
 	for ctx.Err() == nil {
 		from := 0
 		v.history.update(func() { from = len(seen.Positions) })
-		if rand.IntN(earlyEndPart) == 0 {
-			from = rand.IntN(from + 1) // reads again what it has read
+		if rand.IntN(earlyCancelOneIn) == 0 {
+			from = rand.IntN(from + 1) // rereads some positions
 		}
 		results, status, err := v.client.WithKey(seen.Key).Results(ctx, v.nodeFor(seen).callers, seen.Job.ID, from, readWait)
 		if err != nil || status != http.StatusOK {
 			retry.Sleep(ctx, retryGap)
 			continue
 		}
-		v.history.takeResults(seen, from, results.Results)
+		v.history.recordResults(seen, from, results.Results)
 		done, some := false, false
 		v.history.update(func() { done, some = seen.Complete, len(seen.Positions) > 0 })
 		if early && some || done {
-			v.end(ctx, seen)
+			v.cancelJob(ctx, seen)
 			return
 		}
 	}
 }
 
-// end ends a job at one node after the other until one has acknowledged it.
-func (v *driver) end(ctx context.Context, seen *JobSeen) {
-	v.history.update(func() { seen.EndAskedAt = time.Now() })
+// cancelJob cancels a job at one node after the other until one acknowledges it.
+func (v *driver) cancelJob(ctx context.Context, seen *JobRecord) {
+	v.history.update(func() { seen.CancelSentAt = time.Now() })
 	for ctx.Err() == nil {
 		status, err := v.client.WithKey(seen.Key).End(ctx, v.nodeFor(seen).callers, seen.Job.ID)
 		if err == nil && status == http.StatusOK {
@@ -300,59 +297,57 @@
 	}
 }
 
-// readAll reads every accepted job that must still be kept from its start at
-// every node.
-func (v *driver) readAll(ctx context.Context) {
+// readAllJobs reads every accepted job that nodes must still retain, at every node.
+func (v *driver) readAllJobs(ctx context.Context) {
 	for _, seen := range v.history.Jobs {
-		if !seen.Accepted || time.Since(seen.SentAt) > keptTime {
+		if !seen.Accepted || time.Since(seen.SentAt) > jobRetention {
 			continue
 		}
 		for _, each := range v.deployment.nodes {
-			v.history.ask(seen, each.number)
-			v.readWhole(ctx, seen, each)
+			v.history.recordAsked(seen, each.number)
+			v.readAllPositions(ctx, seen, each)
 		}
 	}
 }
 
-// readWhole reads all positions of a job at a node. It tries again after
-// failures, and where another node told of a position only just now: a position
-// that was read may take settleTime to be found at all nodes.
-func (v *driver) readWhole(ctx context.Context, seen *JobSeen, at *node) {
+// readAllPositions reads all positions of a job at a node. It retries after failures, and while positions
+// that were read elsewhere are missing for no longer than resultSettleTime.
+func (v *driver) readAllPositions(ctx context.Context, seen *JobRecord, target *node) {
 	problem, status := "", 0
-	for began := time.Now(); ctx.Err() == nil && time.Since(began) < settleTime+callTimeout; retry.Sleep(ctx, retryGap) {
-		results, got, err := v.client.WithKey(seen.Key).Results(ctx, at.callers, seen.Job.ID, 0, 0)
+	for began := time.Now(); ctx.Err() == nil && time.Since(began) < resultSettleTime+callTimeout; retry.Sleep(ctx, retryGap) {
+		results, got, err := v.client.WithKey(seen.Key).Results(ctx, target.callers, seen.Job.ID, 0, 0)
 		if err != nil || got != http.StatusOK {
-			problem, status = fmt.Sprintf("node %d", at.number), got
+			problem, status = fmt.Sprintf("node %d", target.number), got
 			continue
 		}
-		v.history.takeResults(seen, 0, results.Results)
+		v.history.recordResults(seen, 0, results.Results)
 		missing := len(seen.Positions) - len(results.Results)
 		if missing == 0 {
 			return
 		}
-		problem, status = fmt.Sprintf("node %d, %d results less", at.number, missing), got
-		if time.Since(began) > settleTime {
+		problem, status = fmt.Sprintf("node %d, %d results missing", target.number, missing), got
+		if time.Since(began) > resultSettleTime {
 			break
 		}
 	}
 	seen.FinalStatus[problem] = status
 }
 
-// run sends the whole load until ctx ends. Open jobs go on until lasting ends.
-func (v *driver) run(ctx, lasting context.Context) {
-	v.callers.Go(func() { v.operate(ctx) })
+// run generates the load until ctx ends. Open jobs continue until jobCtx ends.
+func (v *driver) run(ctx, jobCtx context.Context) {
+	v.callers.Go(func() { v.reconfigure(ctx) })
 	for _, each := range v.deployment.nodes {
-		v.callers.Go(func() { v.probe(ctx, each) })
-		v.callers.Go(func() { v.tryRevoked(ctx, each) })
+		v.callers.Go(func() { v.sendProbes(ctx, each) })
+		v.callers.Go(func() { v.sendRevokedKeys(ctx, each) })
 	}
 	for _, each := range v.traffic() {
-		v.callers.Go(func() { v.call(ctx, each) })
-		v.callers.Go(func() { v.call(ctx, each) })
+		v.callers.Go(func() { v.sendTraffic(ctx, each) })
+		v.callers.Go(func() { v.sendTraffic(ctx, each) })
 	}
-	if v.crashes {
+	if v.sendsCrashing {
 		v.callers.Go(func() { v.crashEngines(ctx) })
 	}
 	for trainer := range trainers {
-		v.jobs.Go(func() { v.train(ctx, lasting, trainer) })
+		v.jobs.Go(func() { v.runTrainer(ctx, jobCtx, trainer) })
 	}
 }
--- a/internal/bench/soak/events.go
+++ b/internal/bench/soak/events.go
@@ -7,14 +7,14 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/platform"
 )
 
-// eventData is the data of an event in a soak: it tells which version made it.
+// eventData returns the data of an event, marked with the version that produced it.
 func eventData(id string, number int, version int64) string {
 	return standin.EventData(id, number) + versionMark + strconv.FormatInt(version, 10)
 }
 
 const versionMark = "@"
 
-// splitEvent undoes eventData; the version is zero when there is none.
+// splitEvent reverses eventData; the version is zero if data has no mark.
 func splitEvent(data string) (string, int64) {
 	event, mark, found := strings.Cut(data, versionMark)
 	if !found {
--- /dev/null
+++ b/internal/bench/soak/forwarding.go
@@ -0,0 +1,264 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"github.com/corkpulley/corkpulley/internal/common/retry"
+)
+
+// maxResolvedNodes is the most nodes for which the process behind each connection is looked up, since that
+// scans the open files of all node processes.
+const maxResolvedNodes = 24
+
+// senderProxy listens at the address at which an engine is listed. It identifies the node process behind
+// each connection, regardless of what the process claims, and forwards the bytes from an address that
+// stands for that node, unless the node's path holds them.
+type senderProxy struct {
+	address  string
+	upstream string
+	// pathOf returns the path of the node at the other end of a connection.
+	pathOf func(accepted net.Conn) *nodePath
+
+	mu       sync.Mutex
+	listener net.Listener
+	open     map[net.Conn]bool
+}
+
+func newSenderProxy(address, upstream string, pathOf func(net.Conn) *nodePath) *senderProxy {
+	return &senderProxy{address: address, upstream: upstream, pathOf: pathOf, open: make(map[net.Conn]bool)}
+}
+
+// listenBackoff and listenTimeout govern attempts to listen. A process that is being started briefly holds
+// a copy of each socket, so the address may still be in use.
+var listenBackoff = retry.Policy{First: time.Millisecond, Longest: 50 * time.Millisecond}
+
+const listenTimeout = 2 * time.Second
+
+// listen starts to accept connections; it does nothing if that is already so.
+func (f *senderProxy) listen() error {
+	if err := retryUntilFree(f.tryListen); err != nil {
+		return errors.Wrap(err, "listen for connections to an engine")
+	}
+	return nil
+}
+
+// retryUntilFree calls listen until the address is free or listenTimeout has passed.
+func retryUntilFree(listen func() error) error {
+	ctx, cancel := context.WithTimeout(context.Background(), listenTimeout)
+	defer cancel()
+	for delays := listenBackoff.Delays(); ; {
+		err := listen()
+		if !errors.Is(err, syscall.EADDRINUSE) || !retry.Sleep(ctx, delays.NextBackOff()) {
+			return err
+		}
+	}
+}
+
+func (f *senderProxy) tryListen() error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.listener != nil {
+		return nil
+	}
+	listener, err := net.Listen("tcp", f.address)
+	if err != nil {
+		return err
+	}
+	f.listener = listener
+	go f.accept(listener)
+	return nil
+}
+
+// cut closes all connections and refuses new ones until listen is called.
+func (f *senderProxy) cut() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.listener != nil {
+		_ = f.listener.Close()
+		f.listener = nil
+	}
+	for each := range f.open {
+		_ = each.Close()
+	}
+}
+
+func (f *senderProxy) accept(listener net.Listener) {
+	for {
+		accepted, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go f.forward(listener, accepted)
+	}
+}
+
+// track registers an open connection. It closes it instead and returns false if the proxy was cut since
+// listener accepted it.
+func (f *senderProxy) track(listener net.Listener, connection net.Conn) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.listener != listener {
+		_ = connection.Close()
+		return false
+	}
+	f.open[connection] = true
+	return true
+}
+
+func (f *senderProxy) closeConnection(connection net.Conn) {
+	_ = connection.Close()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.open, connection)
+}
+
+// forward forwards the bytes of a connection until both directions are done.
+func (f *senderProxy) forward(listener net.Listener, accepted net.Conn) {
+	if !f.track(listener, accepted) {
+		return
+	}
+	defer f.closeConnection(accepted)
+	path := f.pathOf(accepted)
+	dialer := &net.Dialer{LocalAddr: path.address()}
+	engine, err := dialer.Dial("tcp", f.upstream)
+	if err != nil || !f.track(listener, engine) {
+		return
+	}
+	defer f.closeConnection(engine)
+	var both sync.WaitGroup
+	both.Go(func() { path.copy(engine, accepted) })
+	both.Go(func() { path.copy(accepted, engine) })
+	both.Wait()
+}
+
+// nodePath is one node's network path to all engines and to the duties service.
+type nodePath struct {
+	// node is anyNode if the sender is not known.
+	node int
+
+	mu sync.Mutex
+	// held counts the callers of hold in effect; changed is closed at each change.
+	held    int
+	changed chan struct{}
+	// latency is the delay of each chunk.
+	latency time.Duration
+}
+
+func newNodePath(node int) *nodePath { return &nodePath{node: node, changed: make(chan struct{})} }
+
+// nodeAddressFormat makes the source address that stands for a node.
+const nodeAddressFormat = "127.7.0.%d"
+
+// address returns the source address that engines see; nil for any.
+func (w *nodePath) address() net.Addr {
+	if w.node == anyNode {
+		return nil
+	}
+	return &net.TCPAddr{IP: net.ParseIP(fmt.Sprintf(nodeAddressFormat, w.node+1))}
+}
+
+// nodeAtAddress returns the node that a source address stands for; false if there is none.
+func nodeAtAddress(address string) (int, bool) {
+	var number int
+	if _, err := fmt.Sscanf(address, nodeAddressFormat, &number); err != nil {
+		return 0, false
+	}
+	return number - 1, true
+}
+
+// hold holds back all bytes on open connections until the returned function is called; then they are
+// delivered.
+func (w *nodePath) hold() func() {
+	change := func(by int) {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		w.held += by
+		close(w.changed)
+		w.changed = make(chan struct{})
+	}
+	change(1)
+	return func() { change(-1) }
+}
+
+// delay sets the delay of each chunk.
+func (w *nodePath) delay(latency time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.latency = latency
+}
+
+// awaitDelivery blocks until bytes may be delivered.
+func (w *nodePath) awaitDelivery() {
+	w.mu.Lock()
+	latency := w.latency
+	w.mu.Unlock()
+	if latency > 0 {
+		time.Sleep(latency)
+	}
+	for {
+		w.mu.Lock()
+		held, changed := w.held > 0, w.changed
+		w.mu.Unlock()
+		if !held {
+			return
+		}
+		<-changed
+	}
+}
+
+// copy forwards bytes. Bytes sent before the sender closed its connection are still delivered.
+func (w *nodePath) copy(to, from net.Conn) {
+	const chunk = 16 << 10
+	buffer := make([]byte, chunk)
+	for {
+		length, err := from.Read(buffer)
+		if length > 0 {
+			w.awaitDelivery()
+			if _, failed := to.Write(buffer[:length]); failed != nil {
+				err = failed
+			}
+		}
+		if err == nil {
+			continue
+		}
+		w.awaitDelivery()
+		if half, can := to.(*net.TCPConn); can && errors.Is(err, io.EOF) {
+			_ = half.CloseWrite()
+			return
+		}
+		_, _ = to.Close(), from.Close()
+		return
+	}
+}
+
+// pathResolver finds the node that a connection comes from.
+type pathResolver struct {
+	nodes   []*node
+	paths   []*nodePath
+	unknown *nodePath
+}
+
+// pathOf returns the path of the node whose process holds the other end of a connection.
+func (s *pathResolver) pathOf(accepted net.Conn) *nodePath {
+	if len(s.nodes) > maxResolvedNodes {
+		return s.unknown
+	}
+	socket, err := peerSocketInode(accepted)
+	if err != nil {
+		return s.unknown
+	}
+	for i, each := range s.nodes {
+		if running, _ := each.current(); running != nil && processHasSocket(running.ID(), socket) {
+			return s.paths[i]
+		}
+	}
+	return s.unknown
+}
--- a/internal/bench/soak/front_test.go
+++ b/internal/bench/soak/forwarding_test.go
@@ -13,17 +13,17 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// patience bounds waits; quiet is how long nothing is to happen.
+// waitTimeout bounds waits; quietTime is how long nothing may happen.
 const (
-	patience = 20 * time.Second
-	quiet    = 100 * time.Millisecond
+	waitTimeout = 20 * time.Second
+	quietTime   = 100 * time.Millisecond
 )
 
-// sink takes connections behind a front and counts what arrives.
+// sink accepts connections behind a proxy and counts the bytes that arrive.
 type sink struct {
-	front *front
-	way   *way
-	// arrived counts the bytes, from is where the newest connection came from.
+	senderProxy *senderProxy
+	nodePath    *nodePath
+	// arrived counts bytes; from is the source address of the newest connection.
 	arrived atomic.Int64
 	from    atomic.Value
 }
@@ -35,19 +35,19 @@
 	t.Cleanup(func() { _ = listener.Close() })
 	listed, err := process.FreeAddress()
 	assert.NilError(t, err)
-	s := &sink{way: newWay(4)}
-	s.front = newFront(listed, listener.Addr().String(), func(net.Conn) *way { return s.way })
-	assert.NilError(t, s.front.listen())
-	t.Cleanup(s.front.cut)
+	s := &sink{nodePath: newNodePath(4)}
+	s.senderProxy = newSenderProxy(listed, listener.Addr().String(), func(net.Conn) *nodePath { return s.nodePath })
+	assert.NilError(t, s.senderProxy.listen())
+	t.Cleanup(s.senderProxy.cut)
 	go func() {
 		for {
-			taken, err := listener.Accept()
+			accepted, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			host, _, _ := net.SplitHostPort(taken.RemoteAddr().String())
+			host, _, _ := net.SplitHostPort(accepted.RemoteAddr().String())
 			s.from.Store(host)
-			go func() { _, _ = io.Copy(s, taken) }()
+			go func() { _, _ = io.Copy(s, accepted) }()
 		}
 	}()
 	return s
@@ -61,57 +61,57 @@
 
 func (s *sink) send(t *testing.T) net.Conn {
 	t.Helper()
-	connection, err := net.Dial("tcp", s.front.address)
+	connection, err := net.Dial("tcp", s.senderProxy.address)
 	assert.NilError(t, err)
 	_, err = connection.Write([]byte("order"))
 	assert.NilError(t, err)
 	return connection
 }
 
-// TestHeldBytesArriveAfterTheirSenderHasGone: as those in a kernel's buffers do.
-func TestHeldBytesArriveAfterTheirSenderHasGone(t *testing.T) {
+// Held bytes must be delivered although the sender has closed, like those in kernel buffers.
+func TestNodePathHoldDeliversAfterSenderCloses(t *testing.T) {
 	s := newSink(t)
-	release := s.way.hold()
+	release := s.nodePath.hold()
 	_ = s.send(t).Close()
-	time.Sleep(quiet)
+	time.Sleep(quietTime)
 	assert.Equal(t, s.arrived.Load(), int64(0))
 	release()
 	testwait.Until(t, "the bytes arrive", func() bool { return s.arrived.Load() == int64(len("order")) })
 }
 
-func TestLateBytesArriveLate(t *testing.T) {
+func TestNodePathDelay(t *testing.T) {
 	s := newSink(t)
-	s.way.delay(quiet)
+	s.nodePath.delay(quietTime)
 	sent := time.Now()
 	_ = s.send(t).Close()
 	testwait.Until(t, "the bytes arrive", func() bool { return s.arrived.Load() > 0 })
-	assert.Assert(t, time.Since(sent) >= quiet)
+	assert.Assert(t, time.Since(sent) >= quietTime)
 }
 
-func TestFrontTellsWhoseBytesArrive(t *testing.T) {
+func TestSenderProxySourceAddress(t *testing.T) {
 	s := newSink(t)
 	_ = s.send(t).Close()
 	testwait.Until(t, "the bytes arrive", func() bool { return s.arrived.Load() > 0 })
 	from, _ := s.from.Load().(string)
-	node, told := senderAt(from)
-	assert.Assert(t, told)
-	assert.Equal(t, node, s.way.node)
-	_, told = senderAt("127.0.0.1")
-	assert.Assert(t, !told)
+	node, resolved := nodeAtAddress(from)
+	assert.Assert(t, resolved)
+	assert.Equal(t, node, s.nodePath.node)
+	_, resolved = nodeAtAddress("127.0.0.1")
+	assert.Assert(t, !resolved)
 }
 
-func TestCutFrontRefusesAndComesBack(t *testing.T) {
+func TestSenderProxyCutAndListen(t *testing.T) {
 	s := newSink(t)
 	connection := s.send(t)
 	testwait.Until(t, "the bytes arrive", func() bool { return s.arrived.Load() > 0 })
-	s.front.cut()
-	assert.NilError(t, connection.SetReadDeadline(time.Now().Add(patience)))
+	s.senderProxy.cut()
+	assert.NilError(t, connection.SetReadDeadline(time.Now().Add(waitTimeout)))
 	_, err := connection.Read(make([]byte, 1))
 	assert.Assert(t, err != nil)
-	_, err = net.Dial("tcp", s.front.address)
+	_, err = net.Dial("tcp", s.senderProxy.address)
 	assert.Assert(t, err != nil)
-	assert.NilError(t, s.front.listen())
-	assert.NilError(t, s.front.listen())
+	assert.NilError(t, s.senderProxy.listen())
+	assert.NilError(t, s.senderProxy.listen())
 	_ = s.send(t).Close()
 	testwait.Until(t, "the bytes arrive", func() bool { return s.arrived.Load() == 2*int64(len("order")) })
 }
--- a/internal/bench/soak/history.go
+++ b/internal/bench/soak/history.go
@@ -9,126 +9,126 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/platform"
 )
 
-// LiveCall is one request of a live caller, with its own ID.
+// LiveCall is a request of a live caller, with its own ID.
 type LiveCall struct {
 	ID   string
 	Path string
 	Body string
-	// Kind is the kind of its route.
+	// Kind is the kind of the route.
 	Kind string
-	// Tenant is whose key was shown; tenantLive when empty.
+	// Tenant is the tenant whose key was sent; empty for tenantLive.
 	Tenant string
 	SentAt time.Time
-	// Answer is what came back, Whole is false when the connection broke off.
+	// Answer is the response; Intact is false if the connection broke.
 	Answer standin.LiveAnswer
-	Whole  bool
+	Intact bool
 }
 
-// JobSeen is one batch job as its trainer knows it.
-type JobSeen struct {
+// JobRecord is what a trainer knows of one of its batch jobs.
+type JobRecord struct {
 	Job standin.Job
-	// Tenant is its trainer's, Key the one that the trainer shows.
+	// Tenant is the trainer's tenant, Key the key that it sends.
 	Tenant string
 	Key    string
 	SentAt time.Time
-	// Asked tells when each node was first asked about it: to take it, for its results, or
-	// for its end.
-	Asked map[int]time.Time
-	// Accepted: a node answered 202. AllRefused: every try was answered with a
-	// promise that nothing runs.
-	Accepted   bool
-	AllRefused bool
-	// EndAskedAt and EndedAt are when the trainer asked for its end and when that
-	// was acknowledged; zero when it was not.
-	EndAskedAt time.Time
-	EndedAt    time.Time
+	// FirstAskedAt is when each node was first sent a request about the job: to submit, read or cancel it.
+	FirstAskedAt map[int]time.Time
+	// Accepted is set if a node answered 202, AllRejected if every attempt was answered with a status that
+	// guarantees that nothing runs.
+	Accepted    bool
+	AllRejected bool
+	// CancelSentAt and EndedAt are when the trainer first sent the cancellation and when it was acknowledged;
+	// zero if it was not.
+	CancelSentAt time.Time
+	EndedAt      time.Time
 	// Positions are the results by position, as first read.
 	Positions []standin.ItemResult
-	// Complete is true once every item was read as listed.
+	// Complete is set once every expected item was read as listed.
 	Complete bool
-	// FinalStatus holds the statuses of the last reads, by node, that did not work.
+	// FinalStatus holds the status of each failed read at the end of the soak, by node and problem.
 	FinalStatus map[string]int
 }
 
-// Probe asks one node for a route that one configuration added.
+// Probe is a request to one node for a route that one configuration added.
 type Probe struct {
 	Node int
-	// Life counts the starts of the node's process.
-	Life int
-	// Version is the configuration whose route is asked for.
+	// Incarnation counts the starts of the node's process.
+	Incarnation int
+	// Version is the configuration whose route is requested.
 	Version int64
 	SentAt  time.Time
 	EndedAt time.Time
 	Status  int
 }
 
-// ConfigSeen is a configuration that the operator put in force.
-type ConfigSeen struct {
+// ConfigRecord is a configuration that the operator applied.
+type ConfigRecord struct {
 	Version int64
 	SentAt  time.Time
 	AckedAt time.Time
-	// Homes are the regions that it names.
+	// Homes are its home regions.
 	Homes Homes
 }
 
-// EvacuationSeen is an evacuation of a zone.
-type EvacuationSeen struct {
+// EvacuationRecord is an evacuation of a zone.
+type EvacuationRecord struct {
 	Zone    string
 	AckedAt time.Time
-	// TakenBackAt is zero while it is in force.
-	TakenBackAt time.Time
+	// LiftedAt is zero while the evacuation lasts.
+	LiftedAt time.Time
 }
 
-// ColdSeen is a time in which an engine is cold.
-type ColdSeen struct {
+// ColdPeriod is a period in which an engine is cold.
+type ColdPeriod struct {
 	From time.Time
 	To   time.Time
-	// Announced: it turned cold while it ran, as its entry told at From; it was cold from
-	// its start otherwise.
+	// Announced is set if the engine turned cold while running and announced it in its entry at From;
+	// otherwise it was cold from its start.
 	Announced bool
 }
 
-// LeaveSeen is an engine that was listed as leaving.
-type LeaveSeen struct {
+// DrainRecord is an engine that was listed as draining.
+type DrainRecord struct {
 	Engine string
 	At     time.Time
 }
 
-// EndSeen is an engine that ended under a request.
-type EndSeen struct {
+// CrashRecord is an engine crash caused by a request.
+type CrashRecord struct {
 	Path string
 	Body string
 	At   time.Time
 }
 
-// TimeSpan is a time from one moment to another.
+// TimeSpan is the period between two times.
 type TimeSpan struct{ From, To time.Time }
 
-// EngineSeen is what one incarnation of an engine saw.
-type EngineSeen struct {
+// EngineRecord is what one incarnation of an engine observed.
+type EngineRecord struct {
 	ID      string
 	Service string
 	Zone    string
 	Region  string
-	// Restarted: an engine ran under this ID before.
+	// Restarted is set if an engine ran under this ID before.
 	Restarted bool
-	// Version is the weight version that it began with.
+	// Version is the weight version at its start.
 	Version   int64
 	StartedAt time.Time
-	// EndedAt is zero when it ran to the end.
+	// EndedAt is zero if it ran until the end of the soak.
 	EndedAt  time.Time
 	Runs     []standin.Run
 	Orders   []standin.OrderSeen
 	Arrivals []standin.Arrival
-	Cold     []ColdSeen
-	// Spoiled are times in which an entry that names no engine stood in the place of its own.
-	Spoiled []TimeSpan
+	Cold     []ColdPeriod
+	// EntryInvalid lists the periods in which an invalid entry replaced its own.
+	EntryInvalid []TimeSpan
 }
 
-// anyNode stands for all nodes in a Disturbance.
+// anyNode stands for all nodes, or for an unknown one.
 const anyNode = -1
 
-// Disturbance is a time in which a node is not in touch.
+// Disturbance is a period in which a node is affected by a fault, so that time-bounded invariants do not
+// apply to it.
 type Disturbance struct {
 	Node int
 	From time.Time
@@ -136,39 +136,38 @@
 	To time.Time
 }
 
-// Resumption is when a node went on from a freeze, or its way to the engines healed.
+// Resumption is when a node resumed from a freeze, or its network path to the engines was restored.
 type Resumption struct {
 	Node int
 	At   time.Time
 }
 
-// History is all that callers, trainers, the operator and the engines have seen.
+// History is everything that callers, trainers, the operator and the engines observed.
 type History struct {
 	mu     sync.Mutex
 	Calls  []LiveCall
-	Jobs   []*JobSeen
+	Jobs   []*JobRecord
 	Probes []Probe
-	// Revoked are probes with a key that their configuration took away.
+	// Revoked are probes with a key that their configuration revoked.
 	Revoked []Probe
-	// Usage holds the reports of use as the platform received them.
+	// Usage holds the usage reports as the platform received them.
 	Usage       []standin.UsageCall
-	Configs     []ConfigSeen
-	Leaves      []LeaveSeen
-	Engines     []EngineSeen
-	Ends        []EndSeen
-	Evacuations []*EvacuationSeen
-	// Strays are calls at the address of entries that name no engine.
-	Strays []StraySeen
-	// Bodies holds what nodes first read from the store of the bodies of items that are
-	// bound to regions.
-	Bodies       map[bodyRead]time.Time
+	Configs     []ConfigRecord
+	Drains      []DrainRecord
+	Engines     []EngineRecord
+	Crashes     []CrashRecord
+	Evacuations []*EvacuationRecord
+	// InvalidEntryCalls are calls to the address of invalid entries.
+	InvalidEntryCalls []InvalidEntryCall
+	// BodyReads is when each node first read the body of a pinned item from the store.
+	BodyReads    map[bodyRead]time.Time
 	Disturbances []*Disturbance
-	// Resumed holds the ends of freezes and of faults between nodes and engines.
-	Resumed []Resumption
-	// EnginesFence is true where engines refuse lower fencing tokens than one seen.
+	// Resumptions are the ends of freezes and of network faults between nodes and engines.
+	Resumptions []Resumption
+	// EnginesFence is set if engines reject fencing tokens lower than one that they saw.
 	EnginesFence bool
-	// Changed holds positions of jobs that were read twice with different content.
-	Changed []string
+	// ChangedPositions describes the positions of jobs whose result differed between two reads.
+	ChangedPositions []string
 }
 
 func (h *History) addCall(call LiveCall) {
@@ -177,35 +176,35 @@
 	h.Calls = append(h.Calls, call)
 }
 
-func (h *History) addJob(job standin.Job, trainer int) *JobSeen {
+func (h *History) addJob(job standin.Job, trainer int) *JobRecord {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	seen := &JobSeen{
+	seen := &JobRecord{
 		Job: job, Tenant: tenantOf(trainer), Key: trainerKey(trainer), SentAt: time.Now(),
-		Asked: make(map[int]time.Time), FinalStatus: make(map[string]int),
+		FirstAskedAt: make(map[int]time.Time), FinalStatus: make(map[string]int),
 	}
 	h.Jobs = append(h.Jobs, seen)
 	return seen
 }
 
-// ask notes that a trainer is about to ask a node about a job.
-func (h *History) ask(job *JobSeen, node int) {
+// recordAsked records that a trainer is about to send a request about a job to a node.
+func (h *History) recordAsked(job *JobRecord, node int) {
 	h.update(func() {
-		if job.Asked[node].IsZero() {
-			job.Asked[node] = time.Now()
+		if job.FirstAskedAt[node].IsZero() {
+			job.FirstAskedAt[node] = time.Now()
 		}
 	})
 }
 
-// update makes a change under the history's lock.
+// update calls change with mu held.
 func (h *History) update(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	change()
 }
 
-// takeResults notes the results read at a position of a job.
-func (h *History) takeResults(job *JobSeen, from int, results []standin.ItemResult) {
+// recordResults records the results that were read from the given position of a job on.
+func (h *History) recordResults(job *JobRecord, from int, results []standin.ItemResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, result := range results {
@@ -213,36 +212,36 @@
 		switch {
 		case position < len(job.Positions):
 			if known := job.Positions[position]; !sameResult(known, result) {
-				h.Changed = append(h.Changed, fmt.Sprintf("job %s position %d held %+v, then %+v", job.Job.ID, position, known, result))
+				h.ChangedPositions = append(h.ChangedPositions, fmt.Sprintf("job %s position %d held %+v, then %+v", job.Job.ID, position, known, result))
 			}
 		case position == len(job.Positions):
 			job.Positions = append(job.Positions, result)
 		}
 	}
-	job.Complete = job.listed() == job.owed()
+	job.Complete = job.listedResults() == job.expectedResults()
 }
 
-// owed is the number of items that are to be listed: those that end their engines may wait
-// for the end of their job.
-func (j *JobSeen) owed() int {
-	owed := 0
+// expectedResults is the number of items that must be listed. Items that crash engines may wait until
+// their job is cancelled.
+func (j *JobRecord) expectedResults() int {
+	expectedResults := 0
 	for _, item := range j.Job.Items {
 		if !crashesEngine(item.Body) {
-			owed++
+			expectedResults++
 		}
 	}
-	return owed
+	return expectedResults
 }
 
-// listed is the number of these that were read as listed.
-func (j *JobSeen) listed() int {
-	listed := 0
+// listedResults is the number of expected items that were read as listed.
+func (j *JobRecord) listedResults() int {
+	listedResults := 0
 	for _, result := range j.Positions {
 		if !crashesEngine(result.ID) {
-			listed++
+			listedResults++
 		}
 	}
-	return listed
+	return listedResults
 }
 
 func sameResult(one, other standin.ItemResult) bool {
@@ -250,26 +249,26 @@
 		slices.Equal(one.Versions, other.Versions)
 }
 
-// addEvacuation notes an evacuation that the store has taken.
+// addEvacuation records an evacuation that the store has accepted.
 func (h *History) addEvacuation(zone string) {
 	h.update(func() {
-		h.Evacuations = append(h.Evacuations, &EvacuationSeen{Zone: zone, AckedAt: time.Now()})
+		h.Evacuations = append(h.Evacuations, &EvacuationRecord{Zone: zone, AckedAt: time.Now()})
 	})
 }
 
-// endEvacuation notes that the evacuation of a zone is about to be taken back.
+// endEvacuation records that the evacuation of a zone is about to end.
 func (h *History) endEvacuation(zone string) {
 	h.update(func() {
 		for _, each := range h.Evacuations {
-			if each.Zone == zone && each.TakenBackAt.IsZero() {
-				each.TakenBackAt = time.Now()
+			if each.Zone == zone && each.LiftedAt.IsZero() {
+				each.LiftedAt = time.Now()
 			}
 		}
 	})
 }
 
-// disturb notes that a node is not in touch until the returned function is called.
-func (h *History) disturb(node int) func() {
+// beginDisturbance records that a fault affects a node until the returned function is called.
+func (h *History) beginDisturbance(node int) func() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	disturbance := &Disturbance{Node: node, From: time.Now()}
@@ -281,15 +280,16 @@
 	})
 }
 
-// resume notes that a node goes on from a freeze, or that its way to the engines heals.
-func (h *History) resume(node int) {
-	h.update(func() { h.Resumed = append(h.Resumed, Resumption{Node: node, At: time.Now()}) })
+// recordResumption records that a node resumes from a freeze, or that its network path to the engines is
+// restored.
+func (h *History) recordResumption(node int) {
+	h.update(func() { h.Resumptions = append(h.Resumptions, Resumption{Node: node, At: time.Now()}) })
 }
 
-// inTouch tells whether a node was undisturbed from the contact time before from
-// until to; with anyNode, whether all were.
-func (h *History) inTouch(node int, from, to time.Time, contact time.Duration) bool {
-	from = from.Add(-contact)
+// undisturbed reports whether no fault affected a node between from, less the settle time, and to; with
+// anyNode, whether none affected any node.
+func (h *History) undisturbed(node int, from, to time.Time, settle time.Duration) bool {
+	from = from.Add(-settle)
 	for _, each := range h.Disturbances {
 		if node != anyNode && each.Node != anyNode && each.Node != node {
 			continue
--- a/internal/bench/soak/inject.go
+++ b/internal/bench/soak/inject.go
@@ -11,16 +11,17 @@
 
 const (
 	linkDelay = 120 * time.Millisecond
-	// downTime is how long a killed engine stays away at least.
-	downTime = 500 * time.Millisecond
+	// minDowntime is the shortest downtime of a killed engine.
+	minDowntime = 500 * time.Millisecond
 )
 
-// wrongAnswers are what an engine may answer wrongly, chosen by the target.
+// wrongAnswers are the engine faults of EngineAnswersWrongly, selected by the fault's target.
 var wrongAnswers = []standin.EngineFault{
 	standin.Full, standin.Fails, standin.CutOff, standin.AnswerLost, standin.Surplus, standin.Foreign,
 }
 
-// inject strikes with each fault at its time, and returns once all are over.
+// inject begins each fault at its time. It returns once all have begun or ctx ends; d.wait covers their
+// ends.
 func (d *deployment) inject(ctx context.Context, faults []Fault, report func(Fault)) {
 	began := time.Now()
 	for _, fault := range faults {
@@ -28,76 +29,76 @@
 			break
 		}
 		report(fault)
-		d.wait.Go(func() { d.strike(ctx, fault) })
+		d.wait.Go(func() { d.apply(ctx, fault) })
 	}
 }
 
-// strike is one fault from its begin to its end.
-func (d *deployment) strike(ctx context.Context, fault Fault) {
-	if d.strikePlacement(ctx, fault) {
+// apply runs one fault from start to end.
+func (d *deployment) apply(ctx context.Context, fault Fault) {
+	if d.applyPlacementFault(ctx, fault) {
 		return
 	}
-	target := d.nodes[d.leader.aim(fault, len(d.nodes))]
-	if d.strikeNode(ctx, target, fault) {
+	target := d.nodes[d.leader.selectNode(fault, len(d.nodes))]
+	if d.applyNodeFault(ctx, target, fault) {
 		return
 	}
-	at := d.places[fault.Target%len(d.places)]
+	slot := d.slots[fault.Target%len(d.slots)]
 	switch fault.Kind {
 	case NodeKilled:
-		d.disturbed(target.number, target.kill)
+		d.withDisturbance(target.number, target.kill)
 	case NodeStopped:
-		d.disturbed(target.number, func() { target.stop(ctx) })
+		d.withDisturbance(target.number, func() { target.stop(ctx) })
 	case NodeFrozen:
-		d.disturbed(target.number, func() {
-			d.freeze(ctx, target, fault.For)
+		d.withDisturbance(target.number, func() {
+			d.freeze(ctx, target, fault.Duration)
 		})
 	case AllKilled:
-		d.disturbed(anyNode, func() {
+		d.withDisturbance(anyNode, func() {
 			for _, each := range d.nodes {
 				each.kill()
 			}
 		})
 	case LinkCut, LinkSilent, LinkOneWay, LinkSlow, LinkReset:
-		d.disturbed(target.number, func() { d.strikeLink(ctx, target.link, fault) })
+		d.withDisturbance(target.number, func() { d.applyLinkFault(ctx, target.link, fault) })
 	case EngineCut:
-		// Requests that a cut holds up arrive late, so no node counts as in touch.
-		d.disturbed(anyNode, func() {
-			at.front.cut()
-			retry.Sleep(ctx, fault.For)
-			d.history.resume(anyNode)
-			d.openFront(at)
+		// A cut delays requests, so that they may arrive after it; no node counts as undisturbed.
+		d.withDisturbance(anyNode, func() {
+			slot.senderProxy.cut()
+			retry.Sleep(ctx, fault.Duration)
+			d.history.recordResumption(anyNode)
+			d.reopenProxy(slot)
 		})
 	case StoreForgets:
-		d.disturbed(anyNode, d.store.forget)
-	case StoreRefuses, StoreSilent, StorePartDown, StoreLoses, StoreLate, StoreSlow:
-		d.disturbed(anyNode, func() {
+		d.withDisturbance(anyNode, d.store.trimKeyedTopics)
+	case StoreRefuses, StoreSilent, StorePartDown, StoreLosesAnswers, StoreLate, StoreSlow:
+		d.withDisturbance(anyNode, func() {
 			end := d.store.begin(fault.Kind)
-			retry.Sleep(ctx, fault.For)
+			retry.Sleep(ctx, fault.Duration)
 			end()
 		})
 	case EngineCrashed:
-		d.replace(at, func() { at.crash(ctx, max(downTime, fault.For))() })
+		d.replace(slot, func() { slot.crash(ctx, max(minDowntime, fault.Duration))() })
 	case EngineLeaves:
-		d.replace(at, func() { at.leave(ctx) })
-	case EngineAnswers, EnginesMute:
+		d.replace(slot, func() { slot.drain(ctx) })
+	case EngineAnswersWrongly, EngineSilent:
 		wrong := standin.Silent
-		if fault.Kind == EngineAnswers {
+		if fault.Kind == EngineAnswersWrongly {
 			wrong = wrongAnswers[fault.Target%len(wrongAnswers)]
 		}
-		at.spoil(wrong)
-		retry.Sleep(ctx, fault.For)
-		at.spoil(standin.Works)
+		slot.setAnswerFault(wrong)
+		retry.Sleep(ctx, fault.Duration)
+		slot.setAnswerFault(standin.Works)
 	}
 }
 
-// disturbed runs a fault during which a node is not in touch.
-func (d *deployment) disturbed(node int, fault func()) {
-	end := d.history.disturb(node)
+// withDisturbance runs a fault while the node counts as disturbed.
+func (d *deployment) withDisturbance(node int, fault func()) {
+	end := d.history.beginDisturbance(node)
 	defer end()
 	fault()
 }
 
-func (d *deployment) strikeLink(ctx context.Context, link *faultproxy.Link, fault Fault) {
+func (d *deployment) applyLinkFault(ctx context.Context, link *faultproxy.Link, fault Fault) {
 	switch fault.Kind {
 	case LinkReset:
 		_ = link.Reset()
@@ -111,52 +112,52 @@
 	default:
 		link.Cut()
 	}
-	retry.Sleep(ctx, fault.For)
+	retry.Sleep(ctx, fault.Duration)
 	_ = link.Restore()
 }
 
-// crashUnder ends the engine of a place under a run, unless it is being replaced, and has
-// another one start.
-func (d *deployment) crashUnder(ctx context.Context, at *place, run standin.Run) {
-	if ctx.Err() != nil || !at.replacing.TryLock() {
+// crashDuringRun crashes the engine of a slot during a run and starts another, unless the engine is being
+// replaced.
+func (d *deployment) crashDuringRun(ctx context.Context, slot *engineSlot, run standin.Run) {
+	if ctx.Err() != nil || !slot.replacing.TryLock() {
 		return
 	}
 	d.history.update(func() {
-		d.history.Ends = append(d.history.Ends, EndSeen{Path: run.Path, Body: run.Body, At: time.Now()})
+		d.history.Crashes = append(d.history.Crashes, CrashRecord{Path: run.Path, Body: run.Body, At: time.Now()})
 	})
-	rest := at.crash(ctx, downTime)
+	rest := slot.crash(ctx, minDowntime)
 	d.wait.Go(func() {
-		defer at.replacing.Unlock()
-		if d.restartsUnderID {
-			d.restartSoon(ctx, at)
+		defer slot.replacing.Unlock()
+		if d.restartsWithSameID {
+			d.restartAfterDelay(ctx, slot)
 			return
 		}
 		rest()
-		d.startAgain(at)
+		d.startReplacement(slot)
 	})
 }
 
-// replace ends the engine of a place, unless that is under way, and starts another.
-func (d *deployment) replace(at *place, end func()) {
-	if !at.replacing.TryLock() {
+// replace ends the engine of a slot and starts another, unless a replacement is under way.
+func (d *deployment) replace(slot *engineSlot, end func()) {
+	if !slot.replacing.TryLock() {
 		return
 	}
-	defer at.replacing.Unlock()
+	defer slot.replacing.Unlock()
 	end()
-	d.startAgain(at)
+	d.startReplacement(slot)
 }
 
-// openFront has a place take connections again.
-func (d *deployment) openFront(at *place) {
-	if err := at.front.listen(); err != nil {
-		d.nodes[0].note("an engine takes no connections again: " + err.Error())
+// reopenProxy makes the proxy of a slot accept connections again.
+func (d *deployment) reopenProxy(slot *engineSlot) {
+	if err := slot.senderProxy.listen(); err != nil {
+		d.nodes[0].recordProblem("an engine's proxy cannot listen again: " + err.Error())
 	}
 }
 
-// startAgain starts the next engine of a place.
-func (d *deployment) startAgain(at *place) {
-	d.openFront(at)
-	if err := at.start(); err != nil {
-		d.nodes[0].note("an engine did not start again: " + err.Error())
+// startReplacement starts the next engine of a slot.
+func (d *deployment) startReplacement(slot *engineSlot) {
+	d.reopenProxy(slot)
+	if err := slot.start(); err != nil {
+		d.nodes[0].recordProblem("a replacement engine did not start: " + err.Error())
 	}
 }
--- a/internal/bench/soak/inject_leader.go
+++ b/internal/bench/soak/inject_leader.go
@@ -10,128 +10,127 @@
 )
 
 const (
-	// leaseTime is the nodes' default time of a lease.
+	// leaseTime is the nodes' default lease time.
 	leaseTime = 1500 * time.Millisecond
-	// A node's writes are refused for a bit more than a lease: others claim it in the
-	// time between shortestRefusal and longestRefusal.
-	shortestRefusal = leaseTime + 150*time.Millisecond
-	longestRefusal  = leaseTime + 800*time.Millisecond
-	// Its reads hang from earliestHang after the begin of that on, latestHang at the latest.
-	earliestHang = 800 * time.Millisecond
-	latestHang   = leaseTime
-	// What a node sends the engines arrives between leastDelay and mostDelay late: some of
-	// it after the 0.8 s for which a node waits for an engine's answer to an order.
-	leastDelay = 200 * time.Millisecond
-	mostDelay  = 1200 * time.Millisecond
-	// orderWait is how long a freeze waits for an order of the node that it is to strike.
+	// A node's writes are refused for slightly longer than a lease, during which other nodes claim it.
+	minWriteRefusal = leaseTime + 150*time.Millisecond
+	maxWriteRefusal = leaseTime + 800*time.Millisecond
+	// The node's reads begin to hang between minHangDelay and maxHangDelay after its writes are first
+	// refused.
+	minHangDelay = 800 * time.Millisecond
+	maxHangDelay = leaseTime
+	// Traffic between a node and the engines is delayed between minTrafficDelay and maxTrafficDelay,
+	// partly beyond the 0.8 s for which a node waits for an engine's answer to an order.
+	minTrafficDelay = 200 * time.Millisecond
+	maxTrafficDelay = 1200 * time.Millisecond
+	// orderWait is how long a freeze waits for the node's next order.
 	orderWait = 1500 * time.Millisecond
-	// claimWait is how long after the end of a leader claims are waited for.
+	// claimWait is how long claims are awaited after a leader was killed.
 	claimWait = 2 * leaseTime
-	// claimHang is how long reads hang after a claim, claimSpread more at most.
-	claimHang   = 700 * time.Millisecond
-	claimSpread = 1700 * time.Millisecond
+	// After a claim, reads hang for minClaimHang plus up to claimHangSpread.
+	minClaimHang    = 700 * time.Millisecond
+	claimHangSpread = 1700 * time.Millisecond
 )
 
-// random returns the draws of a fault's details, which follow from its target.
+// random returns a source for the fault's details, seeded by its target and time.
 func (f Fault) random() *rand.Rand { return rand.New(rand.NewPCG(uint64(f.Target), uint64(f.At))) }
 
-// hangs are what becomes of a node's reads under a fault, chosen by its target: those of
-// the lease hang alone, all do, or all are answered late.
-var hangs = []effect{hangLeaseReads, hangReads, hangLeaseReads, lateReads}
+// readEffects are the effects on a node's reads, selected by the fault's target: only lease reads hang,
+// all reads hang, or all reads are answered late.
+var readEffects = []effect{hangLeaseReads, hangReads, hangLeaseReads, lateReads}
 
-func (f Fault) hang() effect { return hangs[f.Target%len(hangs)] }
+func (f Fault) readEffect() effect { return readEffects[f.Target%len(readEffects)] }
 
-// slow tells whether writes that work again are slow: for half of the targets.
-func (f Fault) slow() bool {
-	return f.Target/len(hangs)%2 == 1
+// slowsWrites reports whether writes are slow once they are admitted again: for half of the targets.
+func (f Fault) slowsWrites() bool {
+	return f.Target/len(readEffects)%2 == 1
 }
 
-// strikeNode is a fault of one node's way to the store, or of its process amid an order,
-// from its begin to its end; false where the kind is another.
-func (d *deployment) strikeNode(ctx context.Context, target *node, fault Fault) bool {
-	hang := fault.hang()
-	var strike func()
+// applyNodeFault runs a fault of one node's path to the store or the engines, or of its process during an
+// order. It returns false if the fault is of another kind.
+func (d *deployment) applyNodeFault(ctx context.Context, target *node, fault Fault) bool {
+	readEffect := fault.readEffect()
+	var run func()
 	switch fault.Kind {
 	case NodeReadsHang:
-		strike = func() { target.store.suffer(ctx, fault.For, hang) }
+		run = func() { target.store.applyFor(ctx, fault.Duration, readEffect) }
 	case NodeWritesRefused:
-		strike = func() { target.store.suffer(ctx, fault.For, refuseWrites) }
+		run = func() { target.store.applyFor(ctx, fault.Duration, refuseWrites) }
 	case NodeAnswersLost:
-		strike = func() { target.store.suffer(ctx, fault.For, loseAnswers, hang) }
+		run = func() { target.store.applyFor(ctx, fault.Duration, loseAnswers, readEffect) }
 	case NodeCallsLate:
-		strike = func() { target.store.suffer(ctx, fault.For, lateWrites) }
+		run = func() { target.store.applyFor(ctx, fault.Duration, lateWrites) }
 	case NodeWritesThenReads:
-		strike = func() { target.store.writesThenReads(ctx, fault) }
-	case EnginesSilent:
-		strike = func() { d.holdEngines(ctx, target.number, fault.For) }
-	case EnginesLate:
-		strike = func() { d.delayEngines(ctx, target.number, fault) }
-	case FrozenOrdering:
-		strike = func() { d.freezeOrdering(ctx, target, fault.For) }
+		run = func() { target.store.writesThenReads(ctx, fault) }
+	case NodeEnginesSilent:
+		run = func() { d.stallEngineTraffic(ctx, target.number, fault.Duration) }
+	case NodeEnginesLate:
+		run = func() { d.delayEngineTraffic(ctx, target.number, fault) }
+	case NodeFrozenOrdering:
+		run = func() { d.freezeBeforeOrder(ctx, target, fault.Duration) }
 	case ClaimsUnanswered:
-		strike = func() { d.loseClaims(ctx, target, fault) }
+		run = func() { d.loseClaimAnswers(ctx, target, fault) }
 	default:
 		return false
 	}
-	d.disturbed(target.number, strike)
+	d.withDisturbance(target.number, run)
 	return true
 }
 
-// suffer has some effects for a time.
-func (s *nodeStore) suffer(ctx context.Context, lasting time.Duration, kinds ...effect) {
+// applyFor keeps effects active for the given time.
+func (s *nodeStore) applyFor(ctx context.Context, duration time.Duration, kinds ...effect) {
 	for _, kind := range kinds {
 		defer s.begin(kind)()
 	}
-	retry.Sleep(ctx, lasting)
+	retry.Sleep(ctx, duration)
 }
 
-// writesThenReads refuses writes for a bit more than a lease, then they work; reads hang
-// from before the end of that to fault.For after it.
+// writesThenReads refuses writes for slightly longer than a lease. Reads hang from before the end of the
+// refusal until fault.Duration after it.
 func (s *nodeStore) writesThenReads(ctx context.Context, fault Fault) {
 	random := fault.random()
-	hangAfter := between(random, earliestHang, latestHang)
-	refusal := between(random, shortestRefusal, longestRefusal)
+	hangAfter := uniformDuration(random, minHangDelay, maxHangDelay)
+	refusal := uniformDuration(random, minWriteRefusal, maxWriteRefusal)
 	admit := s.begin(refuseWrites)
 	defer admit()
 	retry.Sleep(ctx, hangAfter)
-	defer s.begin(fault.hang())()
-	if fault.slow() {
+	defer s.begin(fault.readEffect())()
+	if fault.slowsWrites() {
 		defer s.begin(slowWrites)()
 	}
 	retry.Sleep(ctx, refusal-hangAfter)
 	admit()
-	retry.Sleep(ctx, fault.For)
+	retry.Sleep(ctx, fault.Duration)
 }
 
-// freeze stops a node's process for a time.
-func (d *deployment) freeze(ctx context.Context, target *node, lasting time.Duration) {
+// freeze stops a node's process for the given time.
+func (d *deployment) freeze(ctx context.Context, target *node, duration time.Duration) {
 	target.signal(syscall.SIGSTOP)
-	retry.Sleep(ctx, lasting)
-	d.history.resume(target.number)
+	retry.Sleep(ctx, duration)
+	d.history.recordResumption(target.number)
 	target.signal(syscall.SIGCONT)
 }
 
-// holdEngines keeps back what a node and the engines send each other.
-func (d *deployment) holdEngines(ctx context.Context, node int, lasting time.Duration) {
-	release := d.senders.ways[node].hold()
-	retry.Sleep(ctx, lasting)
-	d.history.resume(node)
+// stallEngineTraffic holds back all traffic between a node and the engines for the given time.
+func (d *deployment) stallEngineTraffic(ctx context.Context, node int, duration time.Duration) {
+	release := d.pathResolver.paths[node].hold()
+	retry.Sleep(ctx, duration)
+	d.history.recordResumption(node)
 	release()
 }
 
-// delayEngines has what a node and the engines send each other arrive late.
-func (d *deployment) delayEngines(ctx context.Context, node int, fault Fault) {
-	d.senders.ways[node].delay(between(fault.random(), leastDelay, mostDelay))
-	retry.Sleep(ctx, fault.For)
-	d.history.resume(node)
-	d.senders.ways[node].delay(0)
+// delayEngineTraffic delays all traffic between a node and the engines.
+func (d *deployment) delayEngineTraffic(ctx context.Context, node int, fault Fault) {
+	d.pathResolver.paths[node].delay(uniformDuration(fault.random(), minTrafficDelay, maxTrafficDelay))
+	retry.Sleep(ctx, fault.Duration)
+	d.history.recordResumption(node)
+	d.pathResolver.paths[node].delay(0)
 }
 
-// freezeOrdering stops a node's process when it has recorded an order that it is about
-// to send.
-func (d *deployment) freezeOrdering(ctx context.Context, target *node, lasting time.Duration) {
+// freezeBeforeOrder stops a node's process when it has recorded an order and is about to send it.
+func (d *deployment) freezeBeforeOrder(ctx context.Context, target *node, duration time.Duration) {
 	ordering := make(chan struct{})
-	target.store.setTrap(func() {
+	target.store.setOnOrder(func() {
 		target.signal(syscall.SIGSTOP)
 		close(ordering)
 	})
@@ -140,26 +139,26 @@
 	case <-ctx.Done():
 	case <-time.After(orderWait):
 	}
-	target.store.setTrap(nil)
-	d.freeze(ctx, target, lasting)
+	target.store.setOnOrder(nil)
+	d.freeze(ctx, target, duration)
 }
 
-// loseClaims kills the node that leads; the other nodes' next claims take effect without
-// an answer, and the reads of the one that claimed hang for a while.
-func (d *deployment) loseClaims(ctx context.Context, leader *node, fault Fault) {
-	ctx, cancel := context.WithTimeout(ctx, claimWait+claimHang+claimSpread)
+// loseClaimAnswers kills the leader. The other nodes' next claims take effect but get no answer, and the
+// reads of each claimant hang for a while.
+func (d *deployment) loseClaimAnswers(ctx context.Context, leader *node, fault Fault) {
+	ctx, cancel := context.WithTimeout(ctx, claimWait+minClaimHang+claimHangSpread)
 	defer cancel()
-	lasting := between(fault.random(), claimHang, claimHang+claimSpread)
+	duration := uniformDuration(fault.random(), minClaimHang, minClaimHang+claimHangSpread)
 	for _, each := range d.nodes {
 		if each == leader {
 			continue
 		}
-		forget := each.store.loseNextClaim(func() {
+		cancelLoss := each.store.loseNextClaim(func() {
 			d.wait.Go(func() {
-				d.disturbed(each.number, func() { each.store.suffer(ctx, lasting, loseAnswers, fault.hang()) })
+				d.withDisturbance(each.number, func() { each.store.applyFor(ctx, duration, loseAnswers, fault.readEffect()) })
 			})
 		})
-		defer forget()
+		defer cancelLoss()
 	}
 	leader.kill()
 	<-ctx.Done()
--- a/internal/bench/soak/inject_placement.go
+++ b/internal/bench/soak/inject_placement.go
@@ -9,18 +9,17 @@
 	"github.com/corkpulley/corkpulley/internal/common/retry"
 )
 
-// evacuated counts the evacuations of each zone that are under way: a record is taken back
-// with the last one.
-type evacuated struct {
+// evacuationCounts counts the overlapping evacuations of each zone; a zone's record is removed with the
+// last one.
+type evacuationCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-func newEvacuated() *evacuated { return &evacuated{counts: make(map[string]int)} }
+func newEvacuationCounts() *evacuationCounts { return &evacuationCounts{counts: make(map[string]int)} }
 
-// add changes the count of a zone and calls change where the zone's first evacuation begins
-// or its last one ends.
-func (e *evacuated) add(zone string, by int, change func()) {
+// add changes the count of a zone and calls change if its first evacuation begins or its last one ends.
+func (e *evacuationCounts) add(zone string, by int, change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	before := e.counts[zone]
@@ -30,115 +29,116 @@
 	}
 }
 
-// strikePlacement is a placement fault from its begin to its end; false where the kind is
-// another.
-func (d *deployment) strikePlacement(ctx context.Context, fault Fault) bool {
-	at := d.places[fault.Target%len(d.places)]
+// applyPlacementFault runs a placement fault from start to end. It returns false if the fault is of
+// another kind.
+func (d *deployment) applyPlacementFault(ctx context.Context, fault Fault) bool {
+	slot := d.slots[fault.Target%len(d.slots)]
 	switch fault.Kind {
 	case EngineRestarted, EngineRestartedLate:
-		d.restartEngine(ctx, at, fault)
-	case EntriesBad:
-		d.spoilEntries(ctx, at, fault)
+		d.restartEngine(ctx, slot, fault)
+	case EntriesInvalid:
+		d.writeInvalidEntries(ctx, slot, fault)
 	case ZoneEvacuated:
 		d.evacuate(ctx, fault)
 	case EngineCold:
-		at.turnCold(fault.For)
+		slot.markCold(fault.Duration)
 	case ZoneCold:
-		d.turnZoneCold(zoneOf(fault.Target), fault.For)
+		d.markZoneCold(zoneOf(fault.Target), fault.Duration)
 	default:
 		return false
 	}
 	return true
 }
 
-// forgets tells whether an engine that starts again under its ID has lost its weights: for
-// half of the targets.
-func (f Fault) forgets() bool { return f.Target/zones%2 == 0 }
+// variant reports whether the fault takes its second form, as for half of the targets: the restarted
+// engine has lost its weights, the evacuated zone is cold at the end, or an invalid entry replaces a valid
+// one.
+func (f Fault) variant() bool { return f.Target/zones%2 == 0 }
 
-// restartEngine ends the engine of a place and starts it again under its ID.
-func (d *deployment) restartEngine(ctx context.Context, at *place, fault Fault) {
-	if !at.replacing.TryLock() {
+// restartEngine ends the engine of a slot and restarts it under the same ID.
+func (d *deployment) restartEngine(ctx context.Context, slot *engineSlot, fault Fault) {
+	if !slot.replacing.TryLock() {
 		return
 	}
-	defer at.replacing.Unlock()
-	before := at.entry()
-	at.front.cut()
-	at.stop()
+	defer slot.replacing.Unlock()
+	before := slot.entry()
+	slot.senderProxy.cut()
+	slot.stop()
 	if fault.Kind == EngineRestartedLate {
-		at.unlist()
+		slot.unlist()
 	}
-	retry.Sleep(ctx, fault.For)
-	d.startUnderID(at, fault.forgets())
-	if fault.writesLate() {
-		retry.Sleep(ctx, lateEntry)
-		d.store.store.PutEngineEntry(at.id(), before)
+	retry.Sleep(ctx, fault.Duration)
+	d.restartWithSameID(slot, fault.variant())
+	if fault.rewritesOldEntry() {
+		retry.Sleep(ctx, oldEntryDelay)
+		d.store.store.PutEngineEntry(slot.id(), before)
 	}
 }
 
-// lateEntry is how long after the start of an engine the last entry of the incarnation
-// before may still come.
-const lateEntry = 100 * time.Millisecond
+// oldEntryDelay is how long after an engine's restart the last entry of its previous incarnation may be
+// written.
+const oldEntryDelay = 100 * time.Millisecond
 
-// writesLate tells whether it does: for half of the targets.
-func (f Fault) writesLate() bool { return f.Target/(2*zones)%2 == 0 }
+// rewritesOldEntry reports whether that entry is written: for half of the targets.
+func (f Fault) rewritesOldEntry() bool { return f.Target/(2*zones)%2 == 0 }
 
-// restartTime is how long an engine that ended under a request is away at most, where it
-// starts again under its ID.
-const restartTime = 200 * time.Millisecond
+// maxRestartDelay is the longest downtime of an engine that crashed during a request and restarts under
+// the same ID.
+const maxRestartDelay = 200 * time.Millisecond
 
-// restartSoon starts the engine of a place, which has just ended, again under its ID.
-func (d *deployment) restartSoon(ctx context.Context, at *place) {
-	retry.Sleep(ctx, rand.N(restartTime))
-	d.startUnderID(at, true)
+// restartAfterDelay restarts the engine of a slot, which has just crashed, under the same ID.
+func (d *deployment) restartAfterDelay(ctx context.Context, slot *engineSlot) {
+	retry.Sleep(ctx, rand.N(maxRestartDelay))
+	d.restartWithSameID(slot, true)
 }
 
-func (d *deployment) startUnderID(at *place, forgets bool) {
-	d.openFront(at)
-	if err := at.startUnderID(forgets); err != nil {
-		d.nodes[0].note("an engine did not start again: " + err.Error())
+func (d *deployment) restartWithSameID(slot *engineSlot, losesWeights bool) {
+	d.reopenProxy(slot)
+	if err := slot.restartWithSameID(losesWeights); err != nil {
+		d.nodes[0].recordProblem("a restarted engine did not start: " + err.Error())
 	}
 }
 
-// evacuate evacuates a zone for a time. Its engines may be cold at the end.
+// evacuate evacuates a zone for the fault's duration. In one variant its engines are cold at the end.
 func (d *deployment) evacuate(ctx context.Context, fault Fault) {
 	zone, store := zoneOf(fault.Target), d.store.store
-	d.evacuated.add(zone, 1, func() {
+	d.evacuationCounts.add(zone, 1, func() {
 		store.Evacuate(zone)
 		d.history.addEvacuation(zone)
 	})
-	retry.Sleep(ctx, fault.For)
-	if fault.forgets() {
-		d.turnZoneCold(zone, coldStart)
+	retry.Sleep(ctx, fault.Duration)
+	if fault.variant() {
+		d.markZoneCold(zone, coldStart)
 	}
-	d.evacuated.add(zone, -1, func() {
+	d.evacuationCounts.add(zone, -1, func() {
 		d.history.endEvacuation(zone)
 		store.EndEvacuation(zone)
 	})
 }
 
-// turnZoneCold makes all engines of a zone cold.
-func (d *deployment) turnZoneCold(zone string, lasting time.Duration) {
-	for _, each := range d.places {
+// markZoneCold makes all engines of a zone cold.
+func (d *deployment) markZoneCold(zone string, duration time.Duration) {
+	for _, each := range d.slots {
 		if zoneOf(each.number) == zone {
-			each.turnCold(lasting)
+			each.markCold(duration)
 		}
 	}
 }
 
-// spoilEntries writes entries that name no engine. For half of the targets one stands in
-// the place of an engine's own entry, which is written again at the end.
-func (d *deployment) spoilEntries(ctx context.Context, at *place, fault Fault) {
+// writeInvalidEntries adds invalid entries to the engine list. In one variant, one of them replaces the
+// entry of an engine until the fault ends.
+func (d *deployment) writeInvalidEntries(ctx context.Context, slot *engineSlot, fault Fault) {
 	store := d.store.store
-	bad := badEntries(at.service, d.strayAddress)
+	bad := invalidEntries(slot.service, d.invalidEntryAddress)
 	for i, content := range bad {
-		store.PutEngineEntry(strayID(i), content)
+		store.PutEngineEntry(invalidEntryID(i), content)
 	}
-	if fault.forgets() && at.replacing.TryLock() {
-		defer at.replacing.Unlock()
-		defer at.spoilEntry(bad[fault.Target%len(bad)])()
+	if fault.variant() && slot.replacing.TryLock() {
+		defer slot.replacing.Unlock()
+		defer slot.overwriteEntry(bad[fault.Target%len(bad)])()
 	}
-	retry.Sleep(ctx, fault.For)
+	retry.Sleep(ctx, fault.Duration)
 	for i := range bad {
-		store.UnlistEngine(strayID(i))
+		store.UnlistEngine(invalidEntryID(i))
 	}
 }
--- a/internal/bench/soak/entries.go
+++ b/internal/bench/soak/invalid_entries.go
@@ -8,12 +8,12 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/platform"
 )
 
-// strayID names an entry of another writer.
-func strayID(number int) string { return fmt.Sprintf("stray-%d", number) }
+// invalidEntryID returns the key of an invalid entry in the engine list.
+func invalidEntryID(number int) string { return fmt.Sprintf("stray-%d", number) }
 
-// badEntries returns entries of the list of engines that name no engine to use. All that
-// can be read in them points to an address where no engine is.
-func badEntries(service, address string) [][]byte {
+// invalidEntries returns entries of the engine list that nodes must ignore. All that are readable in part
+// point to address, where no engine listens.
+func invalidEntries(service, address string) [][]byte {
 	entry := func(fields string) []byte {
 		return fmt.Appendf(nil, `{"address":%q,%s}`, address, fields)
 	}
@@ -38,34 +38,34 @@
 	}
 }
 
-// StraySeen is a call at the address of an entry that names no engine.
-type StraySeen struct {
-	// Entry is the key of the entry that the call is meant for; empty where it tells none.
+// InvalidEntryCall is a call to the address of invalid entries.
+type InvalidEntryCall struct {
+	// Entry is the key of the entry that the call is addressed to; empty if it states none.
 	Entry string
 	Call  string
 	At    time.Time
 }
 
-// takeStray takes the calls at that address.
-func (h *History) takeStray(w http.ResponseWriter, r *http.Request) {
+// recordInvalidEntryCall is the handler at the address of invalid entries.
+func (h *History) recordInvalidEntryCall(w http.ResponseWriter, r *http.Request) {
 	h.update(func() {
-		h.Strays = append(h.Strays, StraySeen{Entry: standin.ExpectedEngine(r), Call: r.Method + " " + r.URL.Path, At: time.Now()})
+		h.InvalidEntryCalls = append(h.InvalidEntryCalls, InvalidEntryCall{Entry: standin.ExpectedEngine(r), Call: r.Method + " " + r.URL.Path, At: time.Now()})
 	})
 	w.WriteHeader(http.StatusNotFound)
 }
 
-// checkSpoiled: an engine whose entry has given way to one that cannot be understood gets
-// nothing new after a while.
-func checkSpoiled(h *History, bounds Bounds) []string {
+// checkInvalidatedEngines reports engines that got requests although an invalid entry had replaced their
+// own for longer than the bound.
+func checkInvalidatedEngines(h *History, bounds Bounds) []string {
 	var found []string
 	for i := range h.Engines {
 		engine := &h.Engines[i]
-		for _, spoiled := range engine.Spoiled {
+		for _, period := range engine.EntryInvalid {
 			for _, arrival := range engine.Arrivals {
-				late := arrival.At.Sub(spoiled.From)
-				node := senderOfArrival(arrival)
-				if late > bounds.Drain && arrival.At.Before(spoiled.To) && h.inTouch(node, arrival.At, arrival.At, bounds.Contact) {
-					found = append(found, fmt.Sprintf("engine %s got %s from node %d, %s after its entry had given way to one that names no engine",
+				late := arrival.At.Sub(period.From)
+				node := arrivalSender(arrival)
+				if late > bounds.Drain && arrival.At.Before(period.To) && h.undisturbed(node, arrival.At, arrival.At, bounds.Settle) {
+					found = append(found, fmt.Sprintf("engine %s got %s from node %d, %s after an invalid entry replaced its own",
 						engine.ID, arrival.ID, node, late))
 				}
 			}
@@ -74,12 +74,12 @@
 	return found
 }
 
-// checkEntries: an entry that cannot be understood names no engine to use.
-func checkEntries(h *History, _ Bounds) []string {
+// checkInvalidEntriesUnused reports calls to the address of invalid entries.
+func checkInvalidEntriesUnused(h *History, _ Bounds) []string {
 	var found []string
-	for _, stray := range h.Strays {
-		found = append(found, fmt.Sprintf("%s came at %s to the address of entry %s, which names no engine",
-			stray.Call, stray.At.Format(clockFormat), stray.Entry))
+	for _, call := range h.InvalidEntryCalls {
+		found = append(found, fmt.Sprintf("%s arrived at %s at the address of invalid entry %s",
+			call.Call, call.At.Format(clockFormat), call.Entry))
 	}
 	return found
 }
--- a/internal/bench/soak/items.go
+++ b/internal/bench/soak/items.go
@@ -7,22 +7,21 @@
 )
 
 const (
-	// failPrefix and neverPrefix begin the IDs of items that end with a failure at
-	// each run, and of those that an engine says can never be run.
-	failPrefix  = "fail-"
-	neverPrefix = "never-"
-	// crashPrefix stands in the body of requests and items under which each engine ends.
+	// IDs of items that fail at each run begin with failPrefix, those of items that engines reject as
+	// impossible with impossiblePrefix.
+	failPrefix       = "fail-"
+	impossiblePrefix = "never-"
+	// Bodies of requests and items that crash each engine contain crashPrefix.
 	crashPrefix = "crash-"
 
 	minEvents = 3
-	// longShare is one in how many outputs is longEvents long, the others are up to
-	// shortEvents longer than minEvents.
+	// One in longShare outputs has longEvents events, the others have minEvents plus up to shortEvents-1.
 	longShare   = 12
 	longEvents  = 60
 	shortEvents = 16
 )
 
-// eventsOf is the length of an output in events, by the ID that asks for it.
+// eventsOf returns the number of events in the output of a request, derived from its ID.
 func eventsOf(id string) int {
 	draw := xxhash.Sum64String(id)
 	if draw%longShare == 0 {
@@ -33,15 +32,15 @@
 
 func failsAlways(id string) bool { return strings.HasPrefix(id, failPrefix) }
 
-func neverPossible(id string) bool { return strings.HasPrefix(id, neverPrefix) }
+func isImpossible(id string) bool { return strings.HasPrefix(id, impossiblePrefix) }
 
-// crashesEngine tells whether an engine ends when it begins a request with the body.
+// crashesEngine reports whether an engine crashes when it starts a request with the body.
 func crashesEngine(body string) bool { return strings.Contains(body, crashPrefix) }
 
-// unscoredShare is one in how many items has no scoring call.
+// One in unscoredShare items has no scoring call.
 const unscoredShare = 4
 
-// scoringIDOf names an item's scoring call; empty for items that have none.
+// scoringIDOf returns the ID of an item's scoring call, or "" if it has none.
 func scoringIDOf(id string) string {
 	if xxhash.Sum64String("scoring of "+id)%unscoredShare == 0 {
 		return ""
--- a/internal/bench/soak/leader.go
+++ b/internal/bench/soak/leader.go
@@ -10,21 +10,21 @@
 	"github.com/corkpulley/corkpulley/internal/core/lease"
 )
 
-// leaseTopic is where the nodes keep the lease; its records are those of core/lease.
+// leaseTopic is the topic of the lease; its records are those of package core/lease.
 const leaseTopic = "corkpulley.lease"
 
-// leaseWrite is a write to the store as far as the lease goes.
+// leaseWrite is a write of a lease record to the store.
 type leaseWrite struct {
-	// node is the machine that the record names: it may come by way of another one.
+	// node is the node that the record names, which may differ from the one whose connection it came on.
 	node string
-	// claim and order tell what the record is, took whether it took effect.
-	claim bool
-	order bool
-	took  bool
+	// claim and order are the kind of the record; applied is set if the write took effect.
+	claim   bool
+	order   bool
+	applied bool
 }
 
-// readLeaseWrite reads a write that got the given status; zero where it is not about
-// the lease.
+// readLeaseWrite decodes a write that was answered with the given status. It returns the zero value if the
+// write is not a lease record.
 func readLeaseWrite(r *http.Request, body []byte, status int) leaseWrite {
 	const lengthBytes = 4
 	query := r.URL.Query()
@@ -37,27 +37,27 @@
 		return leaseWrite{}
 	}
 	return leaseWrite{
-		node: record.Node, claim: record.Kind == lease.Claim, order: record.Kind == lease.Order, took: status == http.StatusOK,
+		node: record.Node, claim: record.Kind == lease.Claim, order: record.Kind == lease.Order, applied: status == http.StatusOK,
 	}
 }
 
-// leaderSeen is the node that leads, as the store sees it: the last one whose write to
-// the lease took effect.
-type leaderSeen struct {
+// leaderTracker tracks the leader as the store sees it: the node whose write to the lease was applied
+// last.
+type leaderTracker struct {
 	mu   sync.Mutex
 	node int
 	// known is false until the first write.
 	known bool
-	// struck is the node that a fault with an aim struck last; none before the first.
-	struck int
+	// selected is the node of the last fault whose aim was not AimTarget; noNode before the first.
+	selected int
 }
 
 const noNode = -1
 
-func newLeaderSeen() *leaderSeen { return &leaderSeen{struck: noNode} }
+func newLeaderTracker() *leaderTracker { return &leaderTracker{selected: noNode} }
 
-// wrote takes note of a write that took effect.
-func (l *leaderSeen) wrote(write leaseWrite) {
+// observe records a write that was applied.
+func (l *leaderTracker) observe(write leaseWrite) {
 	node, isNode := nodeOf(write.node)
 	if !isNode {
 		return
@@ -67,19 +67,19 @@
 	l.node, l.known = node, true
 }
 
-// aim returns the number of the node that a fault strikes.
-func (l *leaderSeen) aim(fault Fault, nodes int) int {
+// selectNode returns the number of the node that a fault affects.
+func (l *leaderTracker) selectNode(fault Fault, nodes int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	struck := fault.Target % nodes
+	selected := fault.Target % nodes
 	switch {
-	case fault.Aim == AimNumber:
-		return struck
-	case fault.Aim == AimSame && l.struck != noNode:
-		struck = l.struck
+	case fault.Aim == AimTarget:
+		return selected
+	case fault.Aim == AimSameNode && l.selected != noNode:
+		selected = l.selected
 	case l.known:
-		struck = l.node
+		selected = l.node
 	}
-	l.struck = struck
-	return struck
+	l.selected = selected
+	return selected
 }
--- a/internal/bench/soak/modes.go
+++ b/internal/bench/soak/modes.go
@@ -8,28 +8,26 @@
 	"github.com/go-faster/errors"
 )
 
-// Values of the flags that choose a kind of soak. The empty text stands for Drawn.
+// Values of the flags --engines-fence and --schedule. The empty string stands for Drawn.
 const (
-	// Drawn: the seed decides.
+	// Drawn: derived from the seed.
 	Drawn = "drawn"
-	// Yes and No say whether engines check fencing tokens.
+	// Yes and No: whether engines check fencing tokens.
 	Yes = "yes"
 	No  = "no"
-	// GeneralFaults are faults of all parts of a deployment, LeaderFaults series of
-	// faults of the leader.
+	// GeneralFaults affect all parts of a deployment; LeaderFaults are series of faults of the leader.
 	GeneralFaults = "general"
 	LeaderFaults  = "leader"
-	// PlacementFaults change which engines may be sent a request, and how much.
+	// PlacementFaults change the engines that may get a request, and their rate.
 	PlacementFaults = "placement"
 )
 
-// schedules are the kinds of schedules.
 var schedules = []string{GeneralFaults, LeaderFaults, PlacementFaults}
 
-// modeStream keeps the draws of modes apart from those of faults.
+// modeStream is the PCG stream of modes, independent of those of faults.
 const modeStream = 1
 
-// checkMode returns an error where a flag has none of its values.
+// checkMode returns an error if value is not among the values of a flag.
 func checkMode(flag, value string, values ...string) error {
 	if value == "" || value == Drawn || slices.Contains(values, value) {
 		return nil
@@ -37,18 +35,18 @@
 	return errors.Errorf("%s is %q, expected one of %s, %q", flag, value, Drawn, values)
 }
 
-// placementPart is one in how many seeds has placement faults.
-const placementPart = 3
+// One in placementOneIn seeds has placement faults.
+const placementOneIn = 3
 
-// modes returns whether the engines check fencing tokens, as about half of the seeds have
-// it, and which schedule is played: each for about a third of the seeds.
+// modes returns whether the engines check fencing tokens, as for about half of the seeds, and the
+// schedule, each for about a third of the seeds. Flags take precedence over the seed.
 func (a *Arguments) modes(seed uint64) (enginesFence bool, schedule string) {
 	random := rand.New(rand.NewPCG(seed, modeStream))
 	enginesFence, schedule = random.IntN(2) == 0, GeneralFaults
 	if random.IntN(2) == 0 {
 		schedule = LeaderFaults
 	}
-	if random.IntN(placementPart) == 0 {
+	if random.IntN(placementOneIn) == 0 {
 		schedule = PlacementFaults
 	}
 	if a.EnginesFence == Yes || a.EnginesFence == No {
@@ -60,7 +58,7 @@
 	return enginesFence, schedule
 }
 
-// drawSchedule returns the faults of a schedule.
+// drawSchedule returns the faults of a schedule for a seed.
 func drawSchedule(schedule string, seed uint64, length time.Duration) []Fault {
 	switch schedule {
 	case LeaderFaults:
@@ -68,6 +66,6 @@
 	case PlacementFaults:
 		return DrawPlacement(seed, length)
 	default:
-		return Draw(seed, length)
+		return DrawGeneral(seed, length)
 	}
 }
--- a/internal/bench/soak/node.go
+++ b/internal/bench/soak/node.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	// restartDelay is how long after its end a node is started again.
+	// restartDelay is the delay between a node's exit and its restart.
 	restartDelay = 300 * time.Millisecond
 	graceSeconds = 6
 	stopTimeout  = (graceSeconds + 4) * time.Second
-	// nodePrefix begins the name of each node.
+	// nodePrefix is the prefix of each node's name.
 	nodePrefix = "node-"
 )
 
-// node is one corkpulleyd process, started again whenever it ends.
+// node is a corkpulleyd process that is restarted whenever it exits.
 type node struct {
 	number    int
 	callers   string
 	operators string
-	// builds are the programs that its lives start from in turn.
+	// builds are the builds that consecutive incarnations start from in turn.
 	builds    []build
 	directory string
 	// enginesFence is the setting of the same name.
 	enginesFence bool
-	// link is its only way to the store, which ends at store.
+	// link is the only connection to the store and ends at store.
 	link  *faultproxy.Link
 	store *nodeStore
 
-	mu      sync.Mutex
-	running *process.Process
-	life    int
-	// unplanned holds exits that nobody caused.
-	unplanned []string
-	// expected is true while an end of the process is planned by the soak.
-	expected bool
+	mu          sync.Mutex
+	running     *process.Process
+	incarnation int
+	// problems holds unplanned exits and other failures.
+	problems []string
+	// exitExpected is set while the soak is ending the process.
+	exitExpected bool
 }
 
-// settingsText is what the node's settings say for all builds.
+// settingsText returns the settings that all builds know.
 func (n *node) settingsText(store, duties, peers string) string {
 	return fmt.Sprintf(`[node]
 id = "%s%d"
@@ -81,7 +81,7 @@
 	for ctx.Err() == nil {
 		started, err := n.start()
 		if err != nil {
-			n.note(err.Error())
+			n.recordProblem(err.Error())
 			retry.Sleep(ctx, restartDelay)
 			continue
 		}
@@ -90,7 +90,7 @@
 			return
 		case <-started.Exited():
 		}
-		n.noteExit(started)
+		n.recordExit(started)
 		retry.Sleep(ctx, restartDelay)
 	}
 }
@@ -98,12 +98,12 @@
 func (n *node) start() (*process.Process, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.life++
-	n.expected = false
+	n.incarnation++
+	n.exitExpected = false
 	build := n.build()
 	started, err := process.Start(process.Spec{
 		Name: fmt.Sprintf("node-%d", n.number), Path: build.path, Arguments: []string{"--settings", build.settings},
-		LogPath: filepath.Join(n.directory, fmt.Sprintf("node-%d.%d.log", n.number, n.life)),
+		LogPath: filepath.Join(n.directory, fmt.Sprintf("node-%d.%d.log", n.number, n.incarnation)),
 	})
 	if err != nil {
 		return nil, err
@@ -112,49 +112,48 @@
 	return started, nil
 }
 
-// build is the program that the current life starts from: nodes side by side differ, and so do the lives of one
-// node. mu is held.
-func (n *node) build() build { return n.builds[(n.number+n.life)%len(n.builds)] }
+// build returns the build of the current incarnation. It differs between neighboring nodes and between
+// consecutive incarnations of a node. Must be called with mu held.
+func (n *node) build() build { return n.builds[(n.number+n.incarnation)%len(n.builds)] }
 
-func (n *node) note(problem string) {
+func (n *node) recordProblem(problem string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.unplanned = append(n.unplanned, problem)
+	n.problems = append(n.problems, problem)
 }
 
-func (n *node) noteExit(ended *process.Process) {
+func (n *node) recordExit(ended *process.Process) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.expected {
-		n.unplanned = append(n.unplanned, fmt.Sprintf("node %d ended by itself in life %d with code %d", n.number, n.life, ended.ExitCode()))
+	if !n.exitExpected {
+		n.problems = append(n.problems, fmt.Sprintf("node %d exited unexpectedly in incarnation %d with code %d", n.number, n.incarnation, ended.ExitCode()))
 	}
 }
 
-// current returns the process and the number of its life.
+// current returns the process and the number of its incarnation.
 func (n *node) current() (*process.Process, int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.running, n.life
+	return n.running, n.incarnation
 }
 
-// expectEnd notes that the process is about to be ended and returns it.
-func (n *node) expectEnd() *process.Process {
+// expectExit records that the process is about to be ended and returns it.
+func (n *node) expectExit() *process.Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.expected = true
+	n.exitExpected = true
 	return n.running
 }
 
-// kill ends the process at once.
 func (n *node) kill() {
-	if running := n.expectEnd(); running != nil {
+	if running := n.expectExit(); running != nil {
 		running.Kill()
 	}
 }
 
-// stop is a planned stop, after which the process must end in its grace period.
+// stop terminates the process and records a problem if it does not exit cleanly within its grace period.
 func (n *node) stop(ctx context.Context) {
-	running := n.expectEnd()
+	running := n.expectExit()
 	if running == nil {
 		return
 	}
@@ -165,19 +164,18 @@
 		return
 	}
 	if errors.Is(err, context.DeadlineExceeded) || code > 0 {
-		n.note(fmt.Sprintf("node %d: planned stop ended with code %d, %v", n.number, code, err))
+		n.recordProblem(fmt.Sprintf("node %d: planned stop ended with code %d, %v", n.number, code, err))
 	}
 	running.Kill()
 }
 
-// signal sends a signal to the process.
 func (n *node) signal(signal syscall.Signal) {
 	if running, _ := n.current(); running != nil {
 		_ = running.Signal(signal)
 	}
 }
 
-// ready asks the node whether it is ready.
+// ready reports whether the node's readiness check succeeds.
 func (n *node) ready(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/bench/soak/node_store.go
+++ b/internal/bench/soak/node_store.go
@@ -12,66 +12,66 @@
 	"github.com/corkpulley/corkpulley/internal/common/retry"
 )
 
-// effect is what happens to the calls of one node at the store.
+// effect is a fault of the store calls of one node.
 type effect uint8
 
-// The effects; several may be under way.
+// The effects; several may be active at once.
 const (
-	// hangReads: reads get no answer while it lasts.
+	// hangReads: reads get no answer while it is active.
 	hangReads effect = iota
-	// hangLeaseReads: the same, for reads of the lease alone, which is a partition of its own.
+	// hangLeaseReads: the same for reads of the lease topic only.
 	hangLeaseReads
-	// lateReads: reads are answered late, with what the store held when they came.
+	// lateReads: reads are answered late, with the state of the store at their arrival.
 	lateReads
 	// refuseWrites: writes are refused.
 	refuseWrites
-	// loseAnswers: writes take effect, and their answers are lost.
+	// loseAnswers: writes take effect, but their answers are lost.
 	loseAnswers
-	// slowWrites: writes work, and their answers come late.
+	// slowWrites: writes take effect, and their answers are late.
 	slowWrites
-	// lateWrites: writes are carried out late.
+	// lateWrites: writes take effect late.
 	lateWrites
 
-	effects
+	effectCount
 )
 
 const (
-	// slowWrite is the time by which the answer to a slow write is late: below the time for
-	// which a node waits for a renewal, 400 ms.
-	slowWrite = 300 * time.Millisecond
-	// lateRead is the time by which the answer to a late read is late: below the time for
-	// which a node waits for it, 0.9 s beyond what it lets the store wait.
-	lateRead = 800 * time.Millisecond
-	// latestWrite is the most by which a late write is late: it outlasts its caller.
-	latestWrite = 3 * time.Second
-	// maxWrite bounds the body of a write; the store's own bound is lower.
-	maxWrite = 4 << 20
+	// slowWriteDelay is the delay of the answer to a slow write: shorter than the 400 ms for which a node
+	// waits for a renewal.
+	slowWriteDelay = 300 * time.Millisecond
+	// lateReadDelay is the delay of the answer to a late read: shorter than the node's timeout, 0.9 s
+	// beyond the wait that it grants the store.
+	lateReadDelay = 800 * time.Millisecond
+	// maxLateWrite is the longest delay of a late write; it exceeds the caller's timeout.
+	maxLateWrite = 3 * time.Second
+	// maxWriteBytes bounds the body of a write; the store's own limit is lower.
+	maxWriteBytes = 4 << 20
 )
 
-// nodeStore is one node's way to the store, with the faults that strike its calls
-// alone. It is an http.Handler.
+// nodeStore is one node's connection to the store, with the faults that affect only that node's calls. It
+// is an http.Handler.
 type nodeStore struct {
 	store http.Handler
-	// wrote is told of each write that took effect.
-	wrote func(w leaseWrite)
-	// gave, when set, is told of each answer to a read that is given.
-	gave func(answer []byte)
+	// onLeaseWrite is called for each write to the lease that took effect.
+	onLeaseWrite func(w leaseWrite)
+	// onRead, if set, is called with each answer to a read that is sent.
+	onRead func(answer []byte)
 
 	mu     sync.Mutex
-	active [effects]int
-	// changed is closed with each change of active.
+	active [effectCount]int
+	// changed is closed at each change of active.
 	changed chan struct{}
-	// trap, when set, is told of the next record of an order once it is answered.
-	trap func()
-	// claimLost, when set, is told of the next claim of the lease, whose answer is lost.
-	claimLost func()
+	// onOrder, if set, is called once after the next order record was answered.
+	onOrder func()
+	// onClaimLost, if set, is called once at the next lease claim, whose answer is lost.
+	onClaimLost func()
 }
 
-func newNodeStore(store http.Handler, wrote func(w leaseWrite)) *nodeStore {
-	return &nodeStore{store: store, wrote: wrote, changed: make(chan struct{})}
+func newNodeStore(store http.Handler, onLeaseWrite func(w leaseWrite)) *nodeStore {
+	return &nodeStore{store: store, onLeaseWrite: onLeaseWrite, changed: make(chan struct{})}
 }
 
-// begin starts an effect and returns what ends it.
+// begin activates an effect. The returned function deactivates it.
 func (s *nodeStore) begin(kind effect) func() {
 	s.change(kind, 1)
 	return sync.OnceFunc(func() { s.change(kind, -1) })
@@ -85,17 +85,17 @@
 	s.changed = make(chan struct{})
 }
 
-// under tells whether an effect is under way, and what is closed with the next change.
-func (s *nodeStore) under(kind effect) (bool, <-chan struct{}) {
+// isActive reports whether an effect is active, and returns a channel that is closed at the next change.
+func (s *nodeStore) isActive(kind effect) (bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.active[kind] > 0, s.changed
 }
 
-// outlast waits until an effect is over; false when the caller has gone before.
-func (s *nodeStore) outlast(ctx context.Context, kind effect) bool {
+// awaitEnd waits until an effect is inactive. It returns false if ctx ends first.
+func (s *nodeStore) awaitEnd(ctx context.Context, kind effect) bool {
 	for {
-		lasts, changed := s.under(kind)
+		lasts, changed := s.isActive(kind)
 		if !lasts {
 			return true
 		}
@@ -116,135 +116,135 @@
 	s.write(w, r)
 }
 
-// read answers a read once reads do not hang, also one that began before they did.
+// read answers a read once reads no longer hang; that includes reads that began before they did.
 func (s *nodeStore) read(w http.ResponseWriter, r *http.Request) {
-	answer := newHeldAnswer()
+	answer := newBufferedResponse()
 	s.store.ServeHTTP(answer, r)
-	if late, _ := s.under(lateReads); late && !retry.Sleep(r.Context(), lateRead) {
+	if late, _ := s.isActive(lateReads); late && !retry.Sleep(r.Context(), lateReadDelay) {
 		return
 	}
 	aboutLease := r.URL.Query().Get("topic") == leaseTopic
-	if aboutLease && !s.outlast(r.Context(), hangLeaseReads) || !s.outlast(r.Context(), hangReads) {
+	if aboutLease && !s.awaitEnd(r.Context(), hangLeaseReads) || !s.awaitEnd(r.Context(), hangReads) {
 		return
 	}
-	if s.gave != nil {
-		s.gave(answer.body.Bytes())
+	if s.onRead != nil {
+		s.onRead(answer.body.Bytes())
 	}
-	answer.giveTo(w)
+	answer.writeTo(w)
 }
 
 func (s *nodeStore) write(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxWrite))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxWriteBytes))
 	if err != nil {
 		return
 	}
-	if refused, _ := s.under(refuseWrites); refused {
+	if refused, _ := s.isActive(refuseWrites); refused {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if late, _ := s.under(lateWrites); late {
-		// Carried out whether or not its caller still waits.
-		retry.Sleep(context.Background(), rand.N(latestWrite))
+	if late, _ := s.isActive(lateWrites); late {
+		// Takes effect even if the caller no longer waits.
+		retry.Sleep(context.Background(), rand.N(maxLateWrite))
 	}
-	answer := newHeldAnswer()
-	carriedOut := r.Clone(context.WithoutCancel(r.Context()))
-	carriedOut.Body = io.NopCloser(bytes.NewReader(body))
-	s.store.ServeHTTP(answer, carriedOut)
+	answer := newBufferedResponse()
+	detached := r.Clone(context.WithoutCancel(r.Context()))
+	detached.Body = io.NopCloser(bytes.NewReader(body))
+	s.store.ServeHTTP(answer, detached)
 	write := readLeaseWrite(r, body, answer.status)
-	if write.took {
-		s.wrote(write)
+	if write.applied {
+		s.onLeaseWrite(write)
 	}
 	if s.losesAnswer(write) {
-		s.lose(r.Context())
+		s.dropAnswer(r.Context())
 	}
-	if slow, _ := s.under(slowWrites); slow {
-		retry.Sleep(r.Context(), slowWrite)
+	if slow, _ := s.isActive(slowWrites); slow {
+		retry.Sleep(r.Context(), slowWriteDelay)
 	}
-	answer.giveTo(w)
-	s.spring(w, write)
+	answer.writeTo(w)
+	s.notifyOrder(w, write)
 }
 
-// losesAnswer tells whether the answer to a write is lost.
+// losesAnswer reports whether the answer to a write is lost.
 func (s *nodeStore) losesAnswer(write leaseWrite) bool {
 	s.mu.Lock()
-	lost, claimLost := s.active[loseAnswers] > 0, s.claimLost
-	claimed := write.claim && write.took && claimLost != nil
+	lost, onClaimLost := s.active[loseAnswers] > 0, s.onClaimLost
+	claimed := write.claim && write.applied && onClaimLost != nil
 	if claimed {
-		s.claimLost = nil
+		s.onClaimLost = nil
 	}
 	s.mu.Unlock()
 	if claimed {
-		claimLost()
+		onClaimLost()
 	}
 	return lost || claimed
 }
 
-// lose ends a call without an answer, at once or when its caller has given up.
-func (s *nodeStore) lose(ctx context.Context) {
+// dropAnswer aborts a call without an answer, at once or when loseAnswers ends or the caller gives up.
+func (s *nodeStore) dropAnswer(ctx context.Context) {
 	const atOnce = 2 // one in how many
 	if rand.IntN(atOnce) != 0 {
-		s.outlast(ctx, loseAnswers)
+		s.awaitEnd(ctx, loseAnswers)
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// spring springs the trap once the record of an order is answered.
-func (s *nodeStore) spring(w http.ResponseWriter, write leaseWrite) {
-	if !write.order || !write.took {
+// notifyOrder flushes the answer to an order record and calls onOrder.
+func (s *nodeStore) notifyOrder(w http.ResponseWriter, write leaseWrite) {
+	if !write.order || !write.applied {
 		return
 	}
 	s.mu.Lock()
-	trap := s.trap
-	s.trap = nil
+	onOrder := s.onOrder
+	s.onOrder = nil
 	s.mu.Unlock()
-	if trap == nil {
+	if onOrder == nil {
 		return
 	}
 	_ = http.NewResponseController(w).Flush()
-	trap()
+	onOrder()
 }
 
-// setTrap sets what is told of the next record of an order; nil for nothing.
-func (s *nodeStore) setTrap(trap func()) {
+// setOnOrder sets the function to call at the next order record; nil for none.
+func (s *nodeStore) setOnOrder(onOrder func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trap = trap
+	s.onOrder = onOrder
 }
 
-// loseNextClaim loses the answer to the next claim of the lease, of which told is told,
-// and returns what takes that back.
-func (s *nodeStore) loseNextClaim(told func()) func() {
-	set := func(claimLost func()) {
+// loseNextClaim loses the answer to the next lease claim, at which onLoss is called. The returned function
+// cancels that.
+func (s *nodeStore) loseNextClaim(onLoss func()) func() {
+	set := func(onClaimLost func()) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.claimLost = claimLost
+		s.onClaimLost = onClaimLost
 	}
-	set(told)
+	set(onLoss)
 	return func() { set(nil) }
 }
 
-// heldAnswer keeps an answer until it may be given.
-type heldAnswer struct {
+// bufferedResponse holds a response until it may be sent.
+type bufferedResponse struct {
 	header http.Header
 	body   bytes.Buffer
 	status int
 }
 
-func newHeldAnswer() *heldAnswer {
-	return &heldAnswer{header: make(http.Header), status: http.StatusOK}
+func newBufferedResponse() *bufferedResponse {
+	return &bufferedResponse{header: make(http.Header), status: http.StatusOK}
 }
 
 // Header implements http.ResponseWriter.
-func (a *heldAnswer) Header() http.Header { return a.header }
+func (a *bufferedResponse) Header() http.Header { return a.header }
 
 // Write implements http.ResponseWriter.
-func (a *heldAnswer) Write(content []byte) (int, error) { return a.body.Write(content) }
+func (a *bufferedResponse) Write(content []byte) (int, error) { return a.body.Write(content) }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *heldAnswer) WriteHeader(status int) { a.status = status }
+func (a *bufferedResponse) WriteHeader(status int) { a.status = status }
 
-// giveTo gives the answer.
-func (a *heldAnswer) giveTo(w http.ResponseWriter) {
+// writeTo sends the response to w.
+func (a *bufferedResponse) writeTo(w http.ResponseWriter) {
 	for name, values := range a.header {
 		w.Header()[name] = values
 	}
