--- a/internal/bench/soak/node_store_test.go
+++ b/internal/bench/soak/node_store_test.go
@@ -20,25 +20,25 @@
 
 const otherTopic = "other"
 
-// faultyStore is one node's way to a store, served on a socket.
+// faultyStore is one node's connection to a simulated store, served on a socket.
 type faultyStore struct {
 	*nodeStore
 	log    *standin.Store
-	leader *leaderSeen
+	leader *leaderTracker
 	url    string
 }
 
 func newFaultyStore(t *testing.T) *faultyStore {
 	t.Helper()
-	s := &faultyStore{log: standin.NewStore(standin.DefaultLimits()), leader: newLeaderSeen()}
-	s.nodeStore = newNodeStore(s.log, s.leader.wrote)
+	s := &faultyStore{log: standin.NewStore(standin.DefaultLimits()), leader: newLeaderTracker()}
+	s.nodeStore = newNodeStore(s.log, s.leader.observe)
 	server := httptest.NewServer(s.nodeStore)
 	t.Cleanup(server.Close)
 	s.url = server.URL
 	return s
 }
 
-// call returns the status of a call, zero where no answer came in time.
+// call returns the status of a call, or zero if no answer came in time.
 func (s *faultyStore) call(t *testing.T, wait time.Duration, method, path string, body []byte) int {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), wait)
@@ -68,91 +68,90 @@
 
 func (s *faultyStore) end(topic string) int64 { return s.log.Log.End(eventlog.Partition{Topic: topic}) }
 
-func TestReadsHangWhileWritesWork(t *testing.T) {
+func TestNodeStoreHangReads(t *testing.T) {
 	s := newFaultyStore(t)
 	end := s.begin(hangReads)
-	assert.Equal(t, s.read(t, quiet, otherTopic), 0)
-	assert.Equal(t, s.write(t, patience, otherTopic, lease.Record{}), http.StatusOK)
-	time.AfterFunc(quiet, end)
-	assert.Equal(t, s.read(t, patience, otherTopic), http.StatusOK)
+	assert.Equal(t, s.read(t, quietTime, otherTopic), 0)
+	assert.Equal(t, s.write(t, waitTimeout, otherTopic, lease.Record{}), http.StatusOK)
+	time.AfterFunc(quietTime, end)
+	assert.Equal(t, s.read(t, waitTimeout, otherTopic), http.StatusOK)
 }
 
-func TestReadsOfTheLeaseHangAlone(t *testing.T) {
+func TestNodeStoreHangLeaseReads(t *testing.T) {
 	s := newFaultyStore(t)
 	defer s.begin(hangLeaseReads)()
-	assert.Equal(t, s.read(t, quiet, leaseTopic), 0)
-	assert.Equal(t, s.read(t, patience, otherTopic), http.StatusOK)
+	assert.Equal(t, s.read(t, quietTime, leaseTopic), 0)
+	assert.Equal(t, s.read(t, waitTimeout, otherTopic), http.StatusOK)
 }
 
-// TestLateReadsTellWhatWas: as answers do that wait on their way.
-func TestLateReadsTellWhatWas(t *testing.T) {
+// Late reads must return the state of the store at their arrival.
+func TestNodeStoreLateReads(t *testing.T) {
 	s := newFaultyStore(t)
 	defer s.begin(lateReads)()
 	began := time.Now()
-	assert.Equal(t, s.read(t, patience, otherTopic), http.StatusOK)
-	assert.Assert(t, time.Since(began) >= lateRead)
+	assert.Equal(t, s.read(t, waitTimeout, otherTopic), http.StatusOK)
+	assert.Assert(t, time.Since(began) >= lateReadDelay)
 }
 
-func TestReadsWorkWhileWritesAreRefused(t *testing.T) {
+func TestNodeStoreRefuseWrites(t *testing.T) {
 	s := newFaultyStore(t)
 	end := s.begin(refuseWrites)
-	assert.Equal(t, s.write(t, patience, otherTopic, lease.Record{}), http.StatusServiceUnavailable)
-	assert.Equal(t, s.read(t, patience, otherTopic), http.StatusOK)
+	assert.Equal(t, s.write(t, waitTimeout, otherTopic, lease.Record{}), http.StatusServiceUnavailable)
+	assert.Equal(t, s.read(t, waitTimeout, otherTopic), http.StatusOK)
 	assert.Equal(t, s.end(otherTopic), int64(0))
 	end()
-	assert.Equal(t, s.write(t, patience, otherTopic, lease.Record{}), http.StatusOK)
+	assert.Equal(t, s.write(t, waitTimeout, otherTopic, lease.Record{}), http.StatusOK)
 }
 
-func TestWritesTakeEffectWithoutAnAnswer(t *testing.T) {
+func TestNodeStoreLoseAnswers(t *testing.T) {
 	s := newFaultyStore(t)
 	defer s.begin(loseAnswers)()
-	assert.Equal(t, s.write(t, quiet, otherTopic, lease.Record{}), 0)
+	assert.Equal(t, s.write(t, quietTime, otherTopic, lease.Record{}), 0)
 	testwait.Until(t, "the write takes effect", func() bool { return s.end(otherTopic) == 1 })
 }
 
-// TestLateWritesOutlastTheirCaller: they take effect after it has given up.
-func TestLateWritesOutlastTheirCaller(t *testing.T) {
+// Late writes must take effect after the caller has given up.
+func TestNodeStoreLateWrites(t *testing.T) {
 	s := newFaultyStore(t)
 	defer s.begin(lateWrites)()
 	const writes = 4
 	for range writes {
-		_ = s.write(t, quiet, otherTopic, lease.Record{})
+		_ = s.write(t, quietTime, otherTopic, lease.Record{})
 	}
 	testwait.Until(t, "the writes take effect", func() bool { return s.end(otherTopic) == writes })
 }
 
-func TestAnswerToOneClaimIsLost(t *testing.T) {
+func TestNodeStoreLoseNextClaim(t *testing.T) {
 	s := newFaultyStore(t)
 	told := make(chan struct{}, 2)
-	forget := s.loseNextClaim(func() { told <- struct{}{} })
-	defer forget()
-	assert.Equal(t, s.write(t, patience, leaseTopic, lease.Record{Kind: lease.Renew, Node: "node-1"}), http.StatusOK)
-	assert.Equal(t, s.write(t, patience, leaseTopic, lease.Record{Kind: lease.Claim, Node: "node-1"}), 0)
+	cancelLoss := s.loseNextClaim(func() { told <- struct{}{} })
+	defer cancelLoss()
+	assert.Equal(t, s.write(t, waitTimeout, leaseTopic, lease.Record{Kind: lease.Renew, Node: "node-1"}), http.StatusOK)
+	assert.Equal(t, s.write(t, waitTimeout, leaseTopic, lease.Record{Kind: lease.Claim, Node: "node-1"}), 0)
 	<-told
-	assert.Equal(t, s.write(t, patience, leaseTopic, lease.Record{Kind: lease.Claim, Node: "node-1"}), http.StatusOK)
+	assert.Equal(t, s.write(t, waitTimeout, leaseTopic, lease.Record{Kind: lease.Claim, Node: "node-1"}), http.StatusOK)
 	assert.Equal(t, s.end(leaseTopic), int64(3))
 }
 
-func TestTrapSpringsAtTheRecordOfAnOrder(t *testing.T) {
+func TestNodeStoreOnOrder(t *testing.T) {
 	s := newFaultyStore(t)
-	sprung := make(chan struct{}, 2)
-	s.setTrap(func() { sprung <- struct{}{} })
-	assert.Equal(t, s.write(t, patience, leaseTopic, lease.Record{Kind: lease.Renew, Node: "node-1"}), http.StatusOK)
-	assert.Equal(t, len(sprung), 0)
-	assert.Equal(t, s.write(t, patience, leaseTopic, lease.Record{Kind: lease.Order, Node: "node-1"}), http.StatusOK)
-	<-sprung
+	notified := make(chan struct{}, 2)
+	s.setOnOrder(func() { notified <- struct{}{} })
+	assert.Equal(t, s.write(t, waitTimeout, leaseTopic, lease.Record{Kind: lease.Renew, Node: "node-1"}), http.StatusOK)
+	assert.Equal(t, len(notified), 0)
+	assert.Equal(t, s.write(t, waitTimeout, leaseTopic, lease.Record{Kind: lease.Order, Node: "node-1"}), http.StatusOK)
+	<-notified
 }
 
-// TestFaultsFindTheLeader: by the machine that a record names, since it may have come by
-// way of another.
-func TestFaultsFindTheLeader(t *testing.T) {
+// The leader is the node that a record names, not the one whose connection it came on.
+func TestLeaderTrackerSelectNode(t *testing.T) {
 	s := newFaultyStore(t)
 	const nodes = 4
-	assert.Equal(t, s.leader.aim(Fault{Aim: AimLeader, Target: 7}, nodes), 3)
-	assert.Equal(t, s.write(t, patience, leaseTopic, lease.Record{Kind: lease.Claim, Node: "node-1"}), http.StatusOK)
-	assert.Equal(t, s.leader.aim(Fault{Aim: AimLeader, Target: 7}, nodes), 1)
-	assert.Equal(t, s.write(t, patience, leaseTopic, lease.Record{Kind: lease.Claim, Node: "node-2"}), http.StatusOK)
-	assert.Equal(t, s.leader.aim(Fault{Aim: AimNumber, Target: 7}, nodes), 3)
-	assert.Equal(t, s.leader.aim(Fault{Aim: AimSame}, nodes), 1)
-	assert.Equal(t, s.leader.aim(Fault{Aim: AimLeader}, nodes), 2)
+	assert.Equal(t, s.leader.selectNode(Fault{Aim: AimLeader, Target: 7}, nodes), 3)
+	assert.Equal(t, s.write(t, waitTimeout, leaseTopic, lease.Record{Kind: lease.Claim, Node: "node-1"}), http.StatusOK)
+	assert.Equal(t, s.leader.selectNode(Fault{Aim: AimLeader, Target: 7}, nodes), 1)
+	assert.Equal(t, s.write(t, waitTimeout, leaseTopic, lease.Record{Kind: lease.Claim, Node: "node-2"}), http.StatusOK)
+	assert.Equal(t, s.leader.selectNode(Fault{Aim: AimTarget, Target: 7}, nodes), 3)
+	assert.Equal(t, s.leader.selectNode(Fault{Aim: AimSameNode}, nodes), 1)
+	assert.Equal(t, s.leader.selectNode(Fault{Aim: AimLeader}, nodes), 2)
 }
--- a/internal/bench/soak/placement.go
+++ b/internal/bench/soak/placement.go
@@ -8,58 +8,58 @@
 )
 
 const (
-	// prefixHomed begins the paths of a route that is bound to regions; tenantHomed is a
-	// tenant of live requests and homedTrainer a trainer that are.
-	prefixHomed  = "/homed/"
-	tenantHomed  = "homed"
-	keyHomed     = "key-homed"
-	homedTrainer = 1
-	// denseGap is the time between two requests of a caller with dense traffic: some ten times what
-	// the cold engines bear.
+	// prefixPinned is the path prefix of a route that is pinned to regions, tenantPinned a pinned tenant
+	// of live requests, and pinnedTrainer a trainer whose jobs are pinned.
+	prefixPinned  = "/homed/"
+	tenantPinned  = "homed"
+	keyPinned     = "key-homed"
+	pinnedTrainer = 1
+	// denseGap is the interval between two requests of a dense caller: about ten times the rate of cold
+	// engines.
 	denseGap     = 25 * time.Millisecond
 	denseCallers = 3
 	// coldStart is how long an engine is cold after its start.
 	coldStart = 2 * time.Second
 )
 
-// coldPerSecond is how many requests a second a cold engine of a service bears.
+// coldPerSecond is the request rate that a cold engine of a service can serve, per second.
 var coldPerSecond = map[string]float64{standin.ServiceLookup: 4, standin.ServiceDrafts: 2}
 
-// Homes are the regions to which a configuration binds requests; none for all.
+// Homes are the regions to which a configuration pins requests; empty for all regions.
 type Homes struct {
-	// Route binds the requests under prefixHomed, Tenant those of tenantHomed, Trainer the
-	// jobs of homedTrainer.
+	// Route applies to requests under prefixPinned, Tenant to those of tenantPinned, Trainer to the jobs
+	// of pinnedTrainer.
 	Route   []string
 	Tenant  []string
 	Trainer []string
 }
 
-// homesByTurns are the homes of one configuration after the other. Two that follow each other
-// have a region in common, no route is bound to r3, and no job to r1 alone.
-var homesByTurns = []Homes{
+// homesCycle are the homes of consecutive configurations. Neighbors have a region in common, no route is
+// pinned to r3, and no job to r1 alone.
+var homesCycle = []Homes{
 	{Route: []string{"r1", "r2"}, Tenant: []string{"r2", "r3"}, Trainer: []string{"r1", "r2"}},
 	{Route: []string{"r2"}, Tenant: []string{"r2"}, Trainer: []string{"r2"}},
 	{Route: []string{"r1", "r2"}, Tenant: []string{"r2", "r3"}, Trainer: []string{"r2", "r3"}},
 	{Route: []string{"r1"}, Tenant: []string{"r2", "r3"}, Trainer: []string{"r2"}},
 }
 
-// homesOf returns the homes of a configuration.
+// homesOf returns the homes of a configuration version.
 func (v *driver) homesOf(version int64) Homes {
 	if !v.changesHomes {
-		return homesByTurns[0]
+		return homesCycle[0]
 	}
-	return homesByTurns[version%int64(len(homesByTurns))]
+	return homesCycle[version%int64(len(homesCycle))]
 }
 
-// bindToRegions adds a route and a tenant to a configuration, binds them and a trainer to
-// regions, and has engines start slowly.
-func bindToRegions(configuration *standin.Configuration, homes Homes) {
+// addPinnedRequests adds a route and a tenant to a configuration, pins them and a trainer to regions, and
+// enables slow start.
+func addPinnedRequests(configuration *standin.Configuration, homes Homes) {
 	configuration.Routes = append(configuration.Routes, standin.Route{
-		Name: "homed", Prefix: prefixHomed, Kind: standin.RouteSafe, Service: standin.ServiceLookup, Homes: homes.Route,
+		Name: "homed", Prefix: prefixPinned, Kind: standin.RouteSafe, Service: standin.ServiceLookup, Homes: homes.Route,
 	})
-	configuration.Tenants = append(configuration.Tenants, standin.Tenant{Name: tenantHomed, Keys: []string{keyHomed}, Homes: homes.Tenant})
+	configuration.Tenants = append(configuration.Tenants, standin.Tenant{Name: tenantPinned, Keys: []string{keyPinned}, Homes: homes.Tenant})
 	for i := range configuration.Tenants {
-		if configuration.Tenants[i].Name == tenantOf(homedTrainer) {
+		if configuration.Tenants[i].Name == tenantOf(pinnedTrainer) {
 			configuration.Tenants[i].Homes = homes.Trainer
 		}
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-// traffic is what the live callers send.
+// traffic returns what each live caller sends.
 func (v *driver) traffic() []traffic {
 	all := []traffic{
 		{kind: standin.RouteSafe, prefix: standin.PrefixLookup, gap: callGap},
@@ -83,31 +83,31 @@
 		all = append(all, traffic{kind: standin.RouteSafe, prefix: standin.PrefixLookup, gap: denseGap})
 	}
 	return append(all,
-		traffic{kind: standin.RouteSafe, prefix: prefixHomed, gap: callGap},
-		traffic{kind: standin.RouteSafe, prefix: prefixHomed, tenant: tenantHomed, gap: callGap},
-		traffic{kind: standin.RouteSafe, prefix: standin.PrefixLookup, tenant: tenantHomed, gap: callGap},
+		traffic{kind: standin.RouteSafe, prefix: prefixPinned, gap: callGap},
+		traffic{kind: standin.RouteSafe, prefix: prefixPinned, tenant: tenantPinned, gap: callGap},
+		traffic{kind: standin.RouteSafe, prefix: standin.PrefixLookup, tenant: tenantPinned, gap: callGap},
 	)
 }
 
-// homedNodes is how many nodes the trainer that is bound to regions asks about a job: the
-// others are to learn nothing of it.
-const homedNodes = 2
+// pinnedJobNodes is how many nodes the pinned trainer contacts about a job. The other nodes must not read
+// it.
+const pinnedJobNodes = 2
 
-// nodeFor draws a node that a trainer asks about a job.
-func (v *driver) nodeFor(job *JobSeen) *node {
-	at := v.anyNode()
-	if v.placement && job.Tenant == tenantOf(homedTrainer) {
+// nodeFor selects the node for the next request about a job.
+func (v *driver) nodeFor(job *JobRecord) *node {
+	target := v.anyNode()
+	if v.placement && job.Tenant == tenantOf(pinnedTrainer) {
 		nodes := v.deployment.nodes
-		at = nodes[(int(job.Job.Step)+rand.IntN(homedNodes))%len(nodes)]
+		target = nodes[(int(job.Job.Step)+rand.IntN(pinnedJobNodes))%len(nodes)]
 	}
-	v.history.ask(job, at.number)
-	return at
+	v.history.recordAsked(job, target.number)
+	return target
 }
 
-// bodyOf is the body of a trainer's item.
+// bodyOf returns the body of a trainer's item.
 func (v *driver) bodyOf(trainer int, id string) string {
-	if v.placement && trainer == homedTrainer {
-		return homedBody(id)
+	if v.placement && trainer == pinnedTrainer {
+		return pinnedBody(id)
 	}
 	return "body of " + id
 }
--- a/internal/bench/soak/schedule_leader.go
+++ b/internal/bench/soak/schedule_leader.go
@@ -5,86 +5,84 @@
 	"time"
 )
 
-// The kinds of faults of a schedule of leader faults. Each strikes one node, mostly
-// the one that leads.
+// The kinds of leader faults. Each affects one node, mostly the leader.
 const (
-	// NodeReadsHang: its calls that write to the store work, its reads get no answer on
-	// connections that stay open.
+	// NodeReadsHang: the node's writes to the store work, its reads get no answer on connections that stay
+	// open.
 	NodeReadsHang Kind = "node-reads-hang"
-	// NodeWritesRefused: its reads work, what it writes is refused.
+	// NodeWritesRefused: the node's reads work, its writes are refused.
 	NodeWritesRefused Kind = "node-writes-refused"
-	// NodeWritesThenReads: its writes are refused for a bit more than a lease, then they
-	// work and its reads hang.
+	// NodeWritesThenReads: the node's writes are refused for slightly longer than a lease; then they work
+	// and its reads hang.
 	NodeWritesThenReads Kind = "node-writes-then-reads"
-	// NodeAnswersLost: what it writes takes effect, no answer comes, and its reads hang.
+	// NodeAnswersLost: the node's writes take effect but their answers are lost, and its reads hang.
 	NodeAnswersLost Kind = "node-answers-lost"
-	// NodeCallsLate: what it writes is carried out late, whether or not it still waits.
+	// NodeCallsLate: the node's writes are applied late, even if the node no longer waits for the answer.
 	NodeCallsLate Kind = "node-calls-late"
-	// ClaimsUnanswered: the node is killed; the others' claims of the lease take effect,
-	// their answers are lost and their reads hang for a while after.
+	// ClaimsUnanswered: the node is killed; the other nodes' lease claims take effect, but their answers
+	// are lost and the claimant's reads hang for a while.
 	ClaimsUnanswered Kind = "claims-unanswered"
-	// FrozenOrdering: the node is stopped between its record of an order and the order.
-	FrozenOrdering Kind = "node-frozen-ordering"
-	// EnginesSilent: what the node and the engines send each other waits, on connections
-	// that stay open, and arrives at the end.
-	EnginesSilent Kind = "node-engines-silent"
-	// EnginesLate: it arrives late.
-	EnginesLate Kind = "node-engines-late"
+	// NodeFrozenOrdering: the node is stopped after it recorded an order and before it sends it.
+	NodeFrozenOrdering Kind = "node-frozen-ordering"
+	// NodeEnginesSilent: traffic between the node and the engines is held back on open connections and
+	// delivered at the end.
+	NodeEnginesSilent Kind = "node-engines-silent"
+	// NodeEnginesLate: traffic between the node and the engines is delayed.
+	NodeEnginesLate Kind = "node-engines-late"
 )
 
-// Aim says which node a fault strikes.
+// Aim selects the node that a fault affects.
 type Aim uint8
 
-// The aims.
 const (
-	// AimNumber: the node of the fault's target.
-	AimNumber Aim = iota
-	// AimLeader: the node that wrote to the lease last when the fault strikes.
+	// AimTarget selects the node by the fault's Target.
+	AimTarget Aim = iota
+	// AimLeader selects the node that wrote to the lease last when the fault begins.
 	AimLeader
-	// AimSame: the node that the fault with an aim before struck.
-	AimSame
+	// AimSameNode selects the node of the last fault whose aim was not AimTarget.
+	AimSameNode
 )
 
-var aimNames = [...]string{AimNumber: "", AimLeader: "leader", AimSame: "the same node"}
+var aimNames = [...]string{AimTarget: "", AimLeader: "leader", AimSameNode: "the same node"}
 
-// leaderWeights say how often each kind is drawn for a series.
-var leaderWeights = []weighted{
+// leaderWeights are the weights of the kinds in a series of leader faults.
+var leaderWeights = []weightedKind{
 	{NodeReadsHang, 3}, {NodeWritesRefused, 3}, {NodeWritesThenReads, 8}, {NodeAnswersLost, 4}, {NodeCallsLate, 3},
-	{ClaimsUnanswered, 4}, {FrozenOrdering, 5}, {EnginesSilent, 3}, {EnginesLate, 3},
+	{ClaimsUnanswered, 4}, {NodeFrozenOrdering, 5}, {NodeEnginesSilent, 3}, {NodeEnginesLate, 3},
 	{NodeKilled, 2}, {NodeStopped, 2}, {NodeFrozen, 3}, {LinkCut, 2}, {LinkSilent, 3}, {LinkOneWay, 3}, {LinkSlow, 2},
 }
 
 const (
-	// seriesGap is the mean time between two series beyond seriesRest, which lets a
-	// leader be elected and order.
-	seriesGap  = 2 * time.Second
-	seriesRest = 3 * time.Second
-	// A series has shortestSeries to longestSeries faults, the next within nextInSeries of the one
-	// before.
-	shortestSeries = 2
-	longestSeries  = 3
-	nextInSeries   = 2500 * time.Millisecond
-	// A fault of a series lasts minLeaderFault and up to maxLeaderFault.
+	// meanSeriesGap is the mean time between two series in addition to minSeriesGap, in which a leader is
+	// elected and sends orders.
+	meanSeriesGap = 2 * time.Second
+	minSeriesGap  = 3 * time.Second
+	// A series has minSeriesFaults to maxSeriesFaults faults, each within maxSeriesStep of the previous
+	// one.
+	minSeriesFaults = 2
+	maxSeriesFaults = 3
+	maxSeriesStep   = 2500 * time.Millisecond
+	// A fault of a series lasts between minLeaderFault and maxLeaderFault.
 	minLeaderFault = 400 * time.Millisecond
 	maxLeaderFault = 4 * time.Second
-	// besideShare is the share of series beside which a fault of any kind strikes.
-	besideShare = 0.4
-	// sameShare is the share of later faults of a series that strike the same node.
-	sameShare = 0.5
-	// leaderStream keeps these draws apart from those of Draw.
+	// concurrentShare is the share of series with an additional fault of any general kind.
+	concurrentShare = 0.4
+	// sameNodeShare is the share of later faults of a series that affect the same node.
+	sameNodeShare = 0.5
+	// leaderStream is the PCG stream of leader faults, independent of that of DrawGeneral.
 	leaderStream = 2
 )
 
-// DrawLeader returns the faults of a seed for a run of the given length, by time:
-// series of two or three faults of the leader, and some others beside them.
+// DrawLeader returns the leader faults of a seed for a run of the given length, in order of time: series
+// of two or three faults of the leader, with a general fault beside some of them.
 func DrawLeader(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, leaderStream))
 	var faults []Fault
-	for at := calmStart; ; {
-		at += time.Duration(random.ExpFloat64() * float64(seriesGap))
+	for at := faultFreeStart; ; {
+		at += time.Duration(random.ExpFloat64() * float64(meanSeriesGap))
 		series := drawSeries(random, at)
 		for _, fault := range series {
-			if fault.At+fault.For <= length-calmEnd {
+			if fault.At+fault.Duration <= length-faultFreeEnd {
 				faults = append(faults, fault)
 			}
 			at = max(at, fault.At)
@@ -92,7 +90,7 @@
 		if at > length {
 			break
 		}
-		at += seriesRest
+		at += minSeriesGap
 	}
 	sortFaults(faults)
 	for i := range faults {
@@ -101,31 +99,30 @@
 	return faults
 }
 
-// drawSeries draws faults of the leader that strike within seconds, and what strikes
-// beside them.
+// drawSeries draws a series of leader faults and, for some series, a concurrent fault.
 func drawSeries(random *rand.Rand, at time.Duration) []Fault {
 	var series []Fault
 	next := at
-	for i := range shortestSeries + random.IntN(longestSeries-shortestSeries+1) {
+	for i := range minSeriesFaults + random.IntN(maxSeriesFaults-minSeriesFaults+1) {
 		aim := AimLeader
-		if i > 0 && random.Float64() < sameShare {
-			aim = AimSame
+		if i > 0 && random.Float64() < sameNodeShare {
+			aim = AimSameNode
 		}
 		series = append(series, Fault{
-			At: next, For: between(random, minLeaderFault, maxLeaderFault), Kind: drawKind(leaderWeights, random),
+			At: next, Duration: uniformDuration(random, minLeaderFault, maxLeaderFault), Kind: drawKind(leaderWeights, random),
 			Target: random.IntN(maxTargets), Aim: aim,
 		})
-		next += time.Duration(random.Float64() * float64(nextInSeries))
+		next += time.Duration(random.Float64() * float64(maxSeriesStep))
 	}
-	if random.Float64() < besideShare {
+	if random.Float64() < concurrentShare {
 		series = append(series, Fault{
-			At: between(random, at, next), For: between(random, minLeaderFault, maxLeaderFault),
-			Kind: drawKind(weights, random), Target: random.IntN(maxTargets),
+			At: uniformDuration(random, at, next), Duration: uniformDuration(random, minLeaderFault, maxLeaderFault),
+			Kind: drawKind(generalWeights, random), Target: random.IntN(maxTargets),
 		})
 	}
 	return series
 }
 
-func between(random *rand.Rand, from, to time.Duration) time.Duration {
+func uniformDuration(random *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(random.Float64()*float64(to-from))
 }
--- a/internal/bench/soak/seeds.go
+++ b/internal/bench/soak/seeds.go
@@ -8,27 +8,27 @@
 	"github.com/go-faster/errors"
 )
 
-// SeedNumber is the number of a kept seed. One beyond the integers of TOML is written as a string.
+// SeedNumber is a seed. In TOML, one beyond int64 is written as a string.
 type SeedNumber uint64
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (n *SeedNumber) UnmarshalText(text []byte) error {
 	number, err := strconv.ParseUint(string(text), 10, 64)
 	if err != nil {
-		return errors.Wrap(err, "number of a seed")
+		return errors.Wrap(err, "parse seed number")
 	}
 	*n = SeedNumber(number)
 	return nil
 }
 
-// KeptSeed is a seed that failed once and is played for good.
+// KeptSeed is a seed that failed once and is replayed as a regression test.
 type KeptSeed struct {
 	Number  SeedNumber `toml:"number"`
 	Minutes float64    `toml:"minutes"`
 	// EnginesFence and Schedule are the flags under which it failed.
 	EnginesFence string `toml:"engines_fence"`
 	Schedule     string `toml:"schedule"`
-	// Found is the day, Rule what was broken, Cause why, Mended what mended it.
+	// Found is the date, Rule the violated rule, Cause the cause, and Mended the fix.
 	Found  string `toml:"found"`
 	Rule   string `toml:"rule"`
 	Cause  string `toml:"cause"`
@@ -38,11 +38,11 @@
 func (k KeptSeed) check() error {
 	switch {
 	case k.Number == 0:
-		return errors.New("a seed without number")
+		return errors.New("a seed has no number")
 	case k.Minutes < minMinutes || k.Minutes > maxMinutes:
 		return errors.Errorf("seed %d: minutes is %g, expected %g..%d", k.Number, k.Minutes, minMinutes, maxMinutes)
 	case k.Found == "" || k.Rule == "" || k.Cause == "" || k.Mended == "":
-		return errors.Errorf("seed %d: wants found, rule, cause and mended", k.Number)
+		return errors.Errorf("seed %d: found, rule, cause and mended must be set", k.Number)
 	}
 	if k.EnginesFence != Yes && k.EnginesFence != No {
 		return errors.Errorf("seed %d: engines_fence is %q, expected %s or %s", k.Number, k.EnginesFence, Yes, No)
@@ -53,14 +53,14 @@
 	return nil
 }
 
-// ReadSeeds reads and checks a file of kept seeds.
+// ReadSeeds reads and validates a file of kept seeds.
 func ReadSeeds(path string) ([]KeptSeed, error) {
 	var file struct {
 		Seeds []KeptSeed `toml:"seed"`
 	}
 	decoded, err := toml.DecodeFile(path, &file)
 	if err != nil {
-		return nil, errors.Wrap(err, "read the kept seeds")
+		return nil, errors.Wrap(err, "read kept seeds")
 	}
 	if unknown := decoded.Undecoded(); len(unknown) > 0 {
 		return nil, errors.Errorf("%s: unknown fields %v", path, unknown)
--- a/internal/bench/soak/seeds_test.go
+++ b/internal/bench/soak/seeds_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// keptFile writes a file with one kept seed of this number, as TOML has it.
+// keptFile writes a file with one kept seed; number is a TOML value.
 func keptFile(t *testing.T, number string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "seeds.toml")
@@ -26,9 +26,8 @@
 	return path
 }
 
-// TestEverySeedThatIsDrawnCanBeKept guards against seeds of failed soaks that could not be entered: half of them are
-// beyond the integers of TOML.
-func TestEverySeedThatIsDrawnCanBeKept(t *testing.T) {
+// Guards against drawn seeds that cannot be kept: half of them exceed TOML's integers.
+func TestReadSeedsNumberRange(t *testing.T) {
 	for number, want := range map[string]SeedNumber{"7": 7, `"18446744073709551615"`: math.MaxUint64} {
 		kept, err := ReadSeeds(keptFile(t, number))
 		assert.NilError(t, err)
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -1,6 +1,5 @@
-// Package soak runs real nodes as they run on the users' platform, strikes them
-// with faults drawn from a seed, from outside, and checks the promises from what
-// callers, trainers, the operator and the engines see.
+// Package soak runs real nodes against a simulated platform, injects faults drawn from a seed, and checks
+// invariants on what callers, trainers, the operator and the engines observed.
 package soak
 
 import (
@@ -36,38 +35,37 @@
 	Keep         string   `arg:"--keep" placeholder:"DIR" help:"directory for the logs of the nodes; they are kept there"`
 }
 
-// Bounds of the arguments.
+// Limits of the arguments.
 const (
 	minMinutes = 0.1
 	maxMinutes = 120
 	maxNodes   = 100
 	minSlack   = 1
 	maxSlack   = 100
-	// finishTime is what open jobs may take once all faults are over.
-	finishTime = 45 * time.Second
-	// progressPeriod is the time between two lines of progress.
+	// finishTimeout is how long open jobs may continue once all faults are over.
+	finishTimeout = 45 * time.Second
+	// progressPeriod is the interval between two progress lines.
 	progressPeriod = 15 * time.Second
-	// clockFormat is how a time of day is printed.
+	// clockFormat is the format of printed times of day.
 	clockFormat = "15:04:05.000"
 )
 
-// DefaultBounds are those of the users' pages, with some slack for a machine
-// that has more to do.
+// DefaultBounds returns the documented time limits, with some margin for a loaded machine.
 func DefaultBounds() Bounds {
 	return Bounds{
-		Contact: 4 * time.Second, Apply: 3 * time.Second, Drain: 4 * time.Second,
-		Cancel: 4 * time.Second, Lease: 3 * time.Second, Thaw: 300 * time.Millisecond,
-		Evacuate: 5 * time.Second, Notice: 500 * time.Millisecond, Reorder: 10 * time.Second,
+		Settle: 4 * time.Second, Apply: 3 * time.Second, Drain: 4 * time.Second,
+		Cancel: 4 * time.Second, FencedStop: 3 * time.Second, ResumeGrace: 300 * time.Millisecond,
+		Evacuate: 5 * time.Second, ColdNotice: 500 * time.Millisecond, Reorder: 10 * time.Second,
 	}
 }
 
-// times returns the bounds multiplied by a factor.
-func (b Bounds) times(factor float64) Bounds {
+// scale returns the bounds multiplied by a factor.
+func (b Bounds) scale(factor float64) Bounds {
 	stretch := func(bound time.Duration) time.Duration { return time.Duration(factor * float64(bound)) }
 	return Bounds{
-		Contact: stretch(b.Contact), Apply: stretch(b.Apply), Drain: stretch(b.Drain),
-		Cancel: stretch(b.Cancel), Lease: stretch(b.Lease), Thaw: stretch(b.Thaw),
-		Evacuate: stretch(b.Evacuate), Notice: stretch(b.Notice), Reorder: stretch(b.Reorder),
+		Settle: stretch(b.Settle), Apply: stretch(b.Apply), Drain: stretch(b.Drain),
+		Cancel: stretch(b.Cancel), FencedStop: stretch(b.FencedStop), ResumeGrace: stretch(b.ResumeGrace),
+		Evacuate: stretch(b.Evacuate), ColdNotice: stretch(b.ColdNotice), Reorder: stretch(b.Reorder),
 	}
 }
 
@@ -84,15 +82,15 @@
 	Probes   int     `json:"probes"`
 	Runs     int     `json:"runs"`
 	Orders   int     `json:"orders"`
-	// Leaders counts the processes that ordered, CloseChanges the orders and reports that
-	// came within the lease's time after one of another node.
+	// Leaders counts the processes that sent orders, CloseChanges the orders and usage reports that came
+	// within the lease time after one of another node.
 	Leaders      int         `json:"leaders"`
 	CloseChanges int         `json:"close_changes"`
 	Violations   []Violation `json:"violations"`
 }
 
-// ErrBroken is returned when a promise was broken.
-var ErrBroken = errors.New("a promise was broken")
+// ErrViolation is returned if an invariant was violated.
+var ErrViolation = errors.New("an invariant was violated")
 
 func (a *Arguments) check() error {
 	switch {
@@ -114,15 +112,14 @@
 	return checkMode("--schedule", a.Schedule, schedules...)
 }
 
-// Run runs a soak, or one for each kept seed. Progress goes to output, and with
-// JSON set the summary as its last line. It returns ErrBroken when a promise was
-// broken; no process is left behind.
+// Run runs a soak, or one for each kept seed. It writes progress to output and, with JSON set, the summary
+// as the last line. It returns ErrViolation if an invariant was violated. No process is left running.
 func Run(ctx context.Context, arguments *Arguments, output io.Writer) error {
 	if err := arguments.check(); err != nil {
 		return err
 	}
 	if arguments.Seeds == "" {
-		return runOne(ctx, arguments, output)
+		return runSeed(ctx, arguments, output)
 	}
 	kept, err := ReadSeeds(arguments.Seeds)
 	if err != nil {
@@ -133,15 +130,15 @@
 		one := *arguments
 		one.Seed, one.Minutes = uint64(seed.Number), seed.Minutes
 		one.EnginesFence, one.Schedule = seed.EnginesFence, seed.Schedule
-		if err := runOne(ctx, &one, output); err != nil {
+		if err := runSeed(ctx, &one, output); err != nil {
 			failed = errors.Wrapf(err, "seed %d", seed.Number)
 		}
 	}
 	return failed
 }
 
-// runOne runs one soak, with a seed drawn where none is named.
-func runOne(ctx context.Context, arguments *Arguments, output io.Writer) error {
+// runSeed runs one soak, with a random seed if none is given.
+func runSeed(ctx context.Context, arguments *Arguments, output io.Writer) error {
 	seed := arguments.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
@@ -159,7 +156,7 @@
 		return err
 	}
 	run := plan{
-		seed: seed, nodes: arguments.Nodes, length: length, faults: faults, bounds: DefaultBounds().times(arguments.Slack),
+		seed: seed, nodes: arguments.Nodes, length: length, faults: faults, bounds: DefaultBounds().scale(arguments.Slack),
 		enginesFence: enginesFence, schedule: schedule, leftOut: arguments.LeaveOut, otherDaemon: arguments.OtherDaemon,
 	}
 	summary, err := run.play(ctx, directory, output)
@@ -167,31 +164,31 @@
 		cleanUp()
 		return err
 	}
-	return conclude(summary, arguments.JSON, directory, cleanUp, output)
+	return reportOutcome(summary, arguments.JSON, directory, cleanUp, output)
 }
 
-// logDirectory returns where the logs go, and what removes them.
+// logDirectory returns the directory for logs and a function that removes it if it is temporary.
 func logDirectory(keep string) (string, func(), error) {
 	if keep != "" {
 		const mode = 0o755
 		if err := os.MkdirAll(keep, mode); err != nil {
-			return "", nil, errors.Wrap(err, "make the directory for logs")
+			return "", nil, errors.Wrap(err, "create the log directory")
 		}
 		return keep, func() {}, nil
 	}
 	directory, err := os.MkdirTemp("", "corkpulley-soak-")
 	if err != nil {
-		return "", nil, errors.Wrap(err, "make the directory for logs")
+		return "", nil, errors.Wrap(err, "create the log directory")
 	}
 	return directory, func() { _ = os.RemoveAll(directory) }, nil
 }
 
-// conclude prints the outcome. The logs of a soak that broke a promise stay.
-func conclude(summary Summary, asJSON bool, directory string, cleanUp func(), output io.Writer) error {
+// reportOutcome prints the outcome. The logs are kept if an invariant was violated.
+func reportOutcome(summary Summary, asJSON bool, directory string, cleanUp func(), output io.Writer) error {
 	for _, violation := range summary.Violations {
 		_, _ = fmt.Fprintf(output, "BROKEN %s: %s\n", violation.Rule, violation.Detail)
 	}
-	_, _ = fmt.Fprintf(output, "seed %d: %d faults in %.0f s; %d of %d calls answered whole, %d of %d jobs accepted, %d results, %d runs, %d orders of %d processes, %d within 3 s after another node, %d probes; %d promises broken\n",
+	_, _ = fmt.Fprintf(output, "seed %d: %d faults in %.0f s; %d of %d calls answered completely, %d of %d jobs accepted, %d results, %d runs, %d orders of %d processes, %d within 3 s after another node, %d probes; %d invariants violated\n",
 		summary.Seed, summary.Faults, summary.Seconds, summary.Answered, summary.Calls, summary.Accepted, summary.Jobs,
 		summary.Results, summary.Runs, summary.Orders, summary.Leaders, summary.CloseChanges, summary.Probes, len(summary.Violations))
 	if asJSON {
@@ -203,13 +200,13 @@
 	}
 	if len(summary.Violations) > 0 {
 		_, _ = fmt.Fprintln(output, "logs:", directory)
-		return ErrBroken
+		return ErrViolation
 	}
 	cleanUp()
 	return nil
 }
 
-// plan is what one soak is to do.
+// plan is the configuration of one soak.
 type plan struct {
 	seed         uint64
 	nodes        int
@@ -219,27 +216,26 @@
 	enginesFence bool
 	schedule     string
 	leftOut      []Family
-	// otherDaemon is the daemon of another build; empty for none.
+	// otherDaemon is the path of another build of the daemon; empty for none.
 	otherDaemon string
 }
 
-// placement tells whether placement faults are played.
+// placement reports whether the schedule is of placement faults.
 func (p plan) placement() bool { return p.schedule == PlacementFaults }
 
-// has tells whether a family of placement faults is played.
-func (p plan) has(family Family) bool { return !slices.Contains(p.leftOut, family) }
+// includes reports whether a family of placement faults is included.
+func (p plan) includes(family Family) bool { return !slices.Contains(p.leftOut, family) }
 
-// lookups is the number of engines that are not ordered, one in each zone under placement
-// faults.
-func (p plan) lookups() int {
+// lookupEngineCount is the number of engines that get no orders, one in each zone under placement faults.
+func (p plan) lookupEngineCount() int {
 	if p.placement() {
 		return zones
 	}
 	return lookupEngines
 }
 
-// drafts is the number of engines that are ordered.
-func (p plan) drafts() int {
+// draftEngineCount is the number of engines that get orders.
+func (p plan) draftEngineCount() int {
 	switch p.schedule {
 	case LeaderFaults:
 		return orderedEngines
@@ -250,12 +246,12 @@
 	}
 }
 
-// play runs the load and the faults, waits until open jobs are done, and checks.
+// play runs the load and the faults, waits until open jobs are done, and checks the invariants.
 func (p plan) play(ctx context.Context, directory string, output io.Writer) (Summary, error) {
 	history := &History{EnginesFence: p.enginesFence}
-	lasting, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	d, err := deploy(lasting, p, directory, history)
+	d, err := deploy(runCtx, p, directory, history)
 	if d != nil {
 		defer func() {
 			stop()
@@ -266,46 +262,46 @@
 		return Summary{}, err
 	}
 	driver := newDriver(d)
-	driver.crashes = p.schedule != LeaderFaults
-	driver.placement, driver.changesHomes = p.placement(), p.has(HomeChanges)
+	driver.sendsCrashing = p.schedule != LeaderFaults
+	driver.placement, driver.changesHomes = p.placement(), p.includes(HomeChanges)
 	driver.configure()
 	if err := d.awaitReady(ctx); err != nil {
 		return Summary{}, err
 	}
 	began := time.Now()
 	_, _ = fmt.Fprintln(output, "load began at", began.Format(clockFormat))
-	loaded, cancel := context.WithDeadline(ctx, began.Add(p.length))
+	loadCtx, cancel := context.WithDeadline(ctx, began.Add(p.length))
 	defer cancel()
-	driver.run(loaded, lasting)
+	driver.run(loadCtx, runCtx)
 	if p.schedule == LeaderFaults {
-		driver.callers.Go(func() { driver.nameVersions(loaded) })
+		driver.callers.Go(func() { driver.announceVersions(loadCtx) })
 	}
 	var progress sync.Mutex
-	go reportProgress(loaded, history, &progress, output)
-	d.inject(loaded, p.faults, func(fault Fault) {
+	go reportProgress(loadCtx, history, &progress, output)
+	d.inject(loadCtx, p.faults, func(fault Fault) {
 		progress.Lock()
 		defer progress.Unlock()
 		_, _ = fmt.Fprintln(output, fault)
 	})
-	<-loaded.Done()
+	<-loadCtx.Done()
 	if ctx.Err() != nil {
-		return Summary{}, errors.Wrap(ctx.Err(), "the soak was ended before its time")
+		return Summary{}, errors.Wrap(ctx.Err(), "the soak was interrupted before its end")
 	}
 	driver.callers.Wait()
-	waitAtMost(driver.jobs.Wait, finishTime)
+	waitWithTimeout(driver.jobs.Wait, finishTimeout)
 	if err := d.awaitReady(ctx); err != nil {
 		return Summary{}, err
 	}
-	driver.readAll(ctx)
+	driver.readAllJobs(ctx)
 	if ctx.Err() != nil {
-		return Summary{}, errors.Wrap(ctx.Err(), "the soak was ended before its checks")
+		return Summary{}, errors.Wrap(ctx.Err(), "the soak was interrupted before its checks")
 	}
 	return p.summarize(time.Since(began), d), nil
 }
 
-// waitAtMost waits for what must end, but not beyond the limit: what has not
-// ended by then shows in the checks.
-func waitAtMost(wait func(), limit time.Duration) {
+// waitWithTimeout waits for wait to return, but not beyond the limit. Jobs that are still open are
+// reported by the checks.
+func waitWithTimeout(wait func(), limit time.Duration) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -328,22 +324,22 @@
 	}
 }
 
-// summarize checks the history and counts what was done.
+// summarize checks the history and computes the statistics.
 func (p plan) summarize(took time.Duration, d *deployment) Summary {
 	history := d.history
 	history.mu.Lock()
 	defer history.mu.Unlock()
-	history.Engines = d.engines()
+	history.Engines = d.engineRecords()
 	history.Usage = d.duties.Usage()
 	summary := Summary{
 		Seed: p.seed, Seconds: took.Seconds(), Faults: len(p.faults), Calls: len(history.Calls), Jobs: len(history.Jobs),
 		Probes: len(history.Probes), Violations: Check(history, p.bounds),
 	}
-	for _, end := range d.unplannedEnds() {
+	for _, end := range d.unplannedExits() {
 		summary.Violations = append(summary.Violations, Violation{Rule: "FAULT", Detail: end})
 	}
 	for _, call := range history.Calls {
-		if call.Whole && call.Answer.Status == statusOK {
+		if call.Intact && call.Answer.Status == statusOK {
 			summary.Answered++
 		}
 	}
@@ -361,6 +357,6 @@
 		summary.Runs += len(engine.Runs)
 		summary.Orders += len(engine.Orders)
 	}
-	summary.Leaders, summary.CloseChanges = len(leaders), closeChanges(history, p.bounds)
+	summary.Leaders, summary.CloseChanges = len(leaders), countCloseChanges(history, p.bounds)
 	return summary
 }
--- a/internal/bench/soak/sender_test.go
+++ b/internal/bench/soak/socket_test.go
@@ -8,19 +8,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSenderOfAConnectionIsTheProcessThatHoldsIt: whatever it says of itself.
-func TestSenderOfAConnectionIsTheProcessThatHoldsIt(t *testing.T) {
+// The sender of a connection must be identified by the process that holds its socket.
+func TestProcessHasSocket(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = listener.Close() }()
 	sent, err := net.Dial("tcp", listener.Addr().String())
 	assert.NilError(t, err)
 	defer func() { _ = sent.Close() }()
-	taken, err := listener.Accept()
+	accepted, err := listener.Accept()
 	assert.NilError(t, err)
-	defer func() { _ = taken.Close() }()
-	socket, err := socketOf(taken)
+	defer func() { _ = accepted.Close() }()
+	socket, err := peerSocketInode(accepted)
 	assert.NilError(t, err)
-	assert.Assert(t, holds(os.Getpid(), socket))
-	assert.Assert(t, !holds(os.Getppid(), socket))
+	assert.Assert(t, processHasSocket(os.Getpid(), socket))
+	assert.Assert(t, !processHasSocket(os.Getppid(), socket))
 }
--- a/internal/bench/soak/store.go
+++ b/internal/bench/soak/store.go
@@ -14,35 +14,33 @@
 )
 
 const (
-	// lateRelease is the time between two releases of late effects.
-	lateRelease = 1500 * time.Millisecond
-	// faultyShare is the share of calls or appends that a fault strikes.
-	faultyShare = 0.3
-	slowAnswers = 250 * time.Millisecond
-	// partsDown is one in how many partitions is down where a part of the store is.
-	partsDown = 2
+	// lateReleaseInterval is the interval between two releases of late writes.
+	lateReleaseInterval = 1500 * time.Millisecond
+	// callFaultShare is the share of calls that a fault affects.
+	callFaultShare  = 0.3
+	slowAnswerDelay = 250 * time.Millisecond
+	// One in downPartitionOneIn partitions is down during StorePartDown.
+	downPartitionOneIn = 2
 )
 
-// storeFaults is the store with the faults of its whole and of its parts. It is
-// an http.Handler.
+// storeFaults is the simulated store with the faults that affect all nodes. It is an http.Handler.
 type storeFaults struct {
 	store *standin.Store
 
 	mu sync.Mutex
-	// active counts the faults of each kind under way, since they may overlap.
+	// active counts the faults in progress of each kind, since they may overlap.
 	active map[Kind]int
-	// silent is true while no call is answered.
+	// silent is set while no call is answered.
 	silent bool
 }
 
 func newStoreFaults() *storeFaults {
 	s := &storeFaults{store: standin.NewStore(standin.DefaultLimits()), active: make(map[Kind]int)}
-	s.store.Log.SetFault(s.fate)
+	s.store.Log.SetFault(s.faultFor)
 	return s
 }
 
-// ServeHTTP implements http.Handler. A silent store takes a call and never
-// answers it, also once it speaks again.
+// ServeHTTP implements http.Handler. A call that arrives while the store is silent is never answered.
 func (s *storeFaults) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	silent, slow := s.silent, s.active[StoreSlow] > 0
@@ -52,31 +50,31 @@
 		return
 	}
 	if slow {
-		retry.Sleep(r.Context(), slowAnswers)
+		retry.Sleep(r.Context(), slowAnswerDelay)
 	}
 	s.store.ServeHTTP(w, r)
 }
 
-// fate decides what happens to a call of the log.
-func (s *storeFaults) fate(call memlog.Call) memlog.Fault {
+// faultFor returns the fault for a call to the log.
+func (s *storeFaults) faultFor(call memlog.Call) memlog.Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.active[StorePartDown] > 0 && call.Partition.Number%partsDown == 1:
+	case s.active[StorePartDown] > 0 && call.Partition.Number%downPartitionOneIn == 1:
 		return memlog.Refused
-	case s.active[StoreRefuses] > 0 && rand.Float64() < faultyShare:
+	case s.active[StoreRefuses] > 0 && rand.Float64() < callFaultShare:
 		return memlog.Refused
 	case !call.Append:
 		return memlog.None
-	case s.active[StoreLoses] > 0 && rand.Float64() < faultyShare:
+	case s.active[StoreLosesAnswers] > 0 && rand.Float64() < callFaultShare:
 		return memlog.LostAnswer
-	case s.active[StoreLate] > 0 && rand.Float64() < faultyShare:
+	case s.active[StoreLate] > 0 && rand.Float64() < callFaultShare:
 		return memlog.LateEffect
 	}
 	return memlog.None
 }
 
-// begin starts a fault and returns what ends it.
+// begin starts a fault. The returned function ends it.
 func (s *storeFaults) begin(kind Kind) func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,17 +92,17 @@
 	}
 }
 
-// forget drops the history of the topics that the operator and the engines write.
-func (s *storeFaults) forget() {
+// trimKeyedTopics drops the history of the topics that the operator and the engines write.
+func (s *storeFaults) trimKeyedTopics() {
 	for _, topic := range standin.KeyedTopics() {
 		partition := eventlog.Partition{Topic: topic}
 		s.store.Log.Trim(partition, s.store.Log.End(partition))
 	}
 }
 
-// releaseLate carries out late effects until ctx ends.
-func (s *storeFaults) releaseLate(ctx context.Context) {
-	for retry.Sleep(ctx, lateRelease) {
+// releaseLateWrites applies late writes periodically until ctx ends.
+func (s *storeFaults) releaseLateWrites(ctx context.Context) {
+	for retry.Sleep(ctx, lateReleaseInterval) {
 		s.store.Log.Release()
 	}
 }
--- a/internal/bench/soak/tenants.go
+++ b/internal/bench/soak/tenants.go
@@ -11,28 +11,27 @@
 )
 
 const (
-	// tenantLive sends the live requests. Each configuration gives it a key and takes
-	// the one away that it has had for liveKeys configurations.
+	// tenantLive is the tenant of live requests. Each configuration adds a key for it and removes the one
+	// added liveKeys configurations before.
 	tenantLive = "live"
 	liveKeys   = 2
-	// revokedGap is the time between two tries of a key that was taken away at a node.
+	// revokedGap is the interval between two requests with a revoked key to one node.
 	revokedGap = 400 * time.Millisecond
-	// usageWindow and usageDue are the nodes' settings for reports of use.
+	// usageWindow and usageDue are the nodes' settings for usage reports.
 	usageWindow = 2 * time.Second
 	usageDue    = 6 * time.Second
 )
 
-// liveKey is the key that a configuration gives the tenant of the live requests.
+// liveKey is the key that a configuration adds for tenantLive.
 func liveKey(version int64) string { return fmt.Sprintf("key-live-%d", version) }
 
-// settledKey is a key of that tenant that the configuration before had as well.
+// settledKey is a key of tenantLive that the previous configuration had as well.
 func settledKey(version int64) string { return liveKey(max(1, version-liveKeys+1)) }
 
 func tenantOf(trainer int) string { return fmt.Sprintf("trainer-%d", trainer) }
 
 func trainerKey(trainer int) string { return fmt.Sprintf("key-trainer-%d", trainer) }
 
-// tenantsOf returns the tenants of a configuration.
 func tenantsOf(version int64) []standin.Tenant {
 	live := standin.Tenant{Name: tenantLive}
 	for kept := max(1, version-liveKeys+1); kept <= version; kept++ {
@@ -45,8 +44,8 @@
 	return tenants
 }
 
-// tryRevoked asks one node with a key that was taken away until ctx ends.
-func (v *driver) tryRevoked(ctx context.Context, target *node) {
+// sendRevokedKeys sends requests with a revoked key to one node until ctx ends.
+func (v *driver) sendRevokedKeys(ctx context.Context, target *node) {
 	for retry.Sleep(ctx, revokedGap) {
 		version := v.config.Load()
 		if version <= liveKeys {
@@ -56,7 +55,7 @@
 		path := standin.PrefixLookup + id
 		client := v.client.WithKey(liveKey(version - liveKeys))
 		answer, err := client.Live(ctx, target.callers, path, id, "", callDeadline)
-		v.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Whole: err == nil})
+		v.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Intact: err == nil})
 		if err != nil {
 			continue
 		}
@@ -68,23 +67,24 @@
 	}
 }
 
-// checkRevoked: a key that a configuration took away opens nothing after a while.
-func checkRevoked(h *History, bounds Bounds) []string {
+// checkRevokedKeys reports nodes that accept a revoked key after the bound.
+func checkRevokedKeys(h *History, bounds Bounds) []string {
 	var found []string
-	for _, late := range h.bound(h.Revoked, bounds) {
+	for _, late := range h.overdueProbes(h.Revoked, bounds) {
 		if late.Status == http.StatusOK {
-			found = append(found, fmt.Sprintf("node %d serves a key %s after configuration %d took it away",
-				late.Node, late.after, late.Version))
+			found = append(found, fmt.Sprintf("node %d accepts a key %s after configuration %d revoked it",
+				late.Node, late.elapsed, late.Version))
 		}
 	}
 	return found
 }
 
-// checkTenants: engines are told the tenant whose key was shown, and never the key.
+// checkTenants reports runs for another tenant than the one whose key was sent, and keys passed on to
+// engines.
 func checkTenants(h *History, _ Bounds) []string {
 	var found []string
-	known := askedByID(h)
-	eachRun(h, func(engine *EngineSeen, run standin.Run) {
+	known := expectedByID(h)
+	forEachRun(h, func(engine *EngineRecord, run standin.Run) {
 		want := tenantLive
 		if call := known[run.ID].call; call != nil && call.Tenant != "" {
 			want = call.Tenant
@@ -93,23 +93,23 @@
 			want = job.Tenant
 		}
 		if run.Tenant != want || run.Credentials != "" {
-			found = append(found, fmt.Sprintf("engine %s ran %s for tenant %q with credentials %q; it is of %q",
+			found = append(found, fmt.Sprintf("engine %s ran %s for tenant %q with credentials %q, expected tenant %q and no credentials",
 				engine.ID, run.ID, run.Tenant, run.Credentials, want))
 		}
 	})
 	return found
 }
 
-// checkUsage: a window has one report, no window between two reported ones is left out,
-// a fencing token has one holder, and no more is reported than began.
-func checkUsage(h *History, _ Bounds) []string {
+// checkUsageReports reports windows with differing reports, gaps between reported windows, fencing tokens
+// with two holders, and more reported requests than were sent.
+func checkUsageReports(h *History, _ Bounds) []string {
 	var found []string
 	windows := make(map[int64]standin.UsageCall)
 	holders := make(map[int64]string)
 	first, last, reported := int64(-1), int64(-1), int64(0)
 	for _, call := range h.Usage {
 		if holder, known := holders[call.Fence]; known && holder != call.Holder {
-			found = append(found, fmt.Sprintf("reports of use by %s and %s under token %d", holder, call.Holder, call.Fence))
+			found = append(found, fmt.Sprintf("usage reports by %s and %s under token %d", holder, call.Holder, call.Fence))
 		}
 		holders[call.Fence] = call.Holder
 		if call.Status != http.StatusOK {
@@ -117,7 +117,7 @@
 		}
 		if known, again := windows[call.Window]; again {
 			if fmt.Sprint(known.Counts) != fmt.Sprint(call.Counts) {
-				found = append(found, fmt.Sprintf("window %d reported as %v and as %v", call.Window, known.Counts, call.Counts))
+				found = append(found, fmt.Sprintf("window %d was reported as %v and as %v", call.Window, known.Counts, call.Counts))
 			}
 			continue
 		}
@@ -130,15 +130,15 @@
 	}
 	for window := first; window < last; window++ {
 		if _, known := windows[window]; !known {
-			found = append(found, fmt.Sprintf("window %d of %d..%d is not reported", window, first, last))
+			found = append(found, fmt.Sprintf("window %d of %d..%d was not reported", window, first, last))
 		}
 	}
 	if began := liveRequests(h); reported > began {
-		found = append(found, fmt.Sprintf("%d live requests are reported, %d were sent to engines", reported, began))
+		found = append(found, fmt.Sprintf("%d live requests were reported, %d were sent", reported, began))
 	}
 	return found
 }
 
-// liveRequests counts the live requests that engines may have begun: each once, and
-// those whose connection to the engine broke as well.
+// liveRequests is the most live requests that engines may have run: each counts once, even if its
+// connection broke.
 func liveRequests(h *History) int64 { return int64(len(h.Calls)) }
