--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -21,8 +21,8 @@
 			return exitWith(ExitUsage, "%s: %v", name, err)
 		}
 	}
-	if log.Torn > 0 {
-		fmt.Fprintf(s.streams.Err, "corkctl: %d torn lines passed over\n", log.Torn)
+	if log.Malformed > 0 {
+		fmt.Fprintf(s.streams.Err, "corkctl: %d torn lines passed over\n", log.Malformed)
 	}
 	way, err := log.Find(parsed.ID)
 	if errors.Is(err, explain.ErrUnknown) {
@@ -51,7 +51,7 @@
 	return log.Read(file)
 }
 
-func printWay(w io.Writer, way explain.Way) {
+func printWay(w io.Writer, way explain.Trace) {
 	start := way.Lines[0].Time
 	fmt.Fprintf(w, "%s: %s\n\nits lines (ms from its first):\n", way.ID, way.Cause)
 	printLines(w, way.Lines, start)
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -7,160 +7,160 @@
 	homeset "github.com/corkpulley/corkpulley/internal/core/homes"
 )
 
-// Values of the fields "refusal" and "stop_reason" as nodes log them, in the words of a
-// sentence. Others are told as they are.
+// Phrases for values of the log fields "refusal" and "stop_reason". Other values are printed as logged.
 var (
-	refusals = map[string]string{
-		"not_executed": "not run", "wrong_engine": "another engine at the address", "failed": "the run failed",
-		"held_back": "held back before it left",
+	refusalPhrases = map[string]string{
+		"not_executed": "not executed", "wrong_engine": "a different engine answered at the address", "failed": "the run failed",
+		"held_back": "held back before it was sent",
 	}
-	stopReasons = map[string]string{"moved": "moved to a faster engine", "engine_ended": "its engine started again"}
+	stopReasonPhrases = map[string]string{"moved": "moved to a faster engine", "engine_ended": "its engine restarted"}
 )
 
-// answered is the value of "verdict" for a try that ended a request, notHeld that of "held_back" for one
-// that was not held back.
+// Values of the log fields "verdict", for an attempt that completed its request, and "held_back", for an attempt that
+// was sent.
 const (
-	answered = "answered"
-	notHeld  = "none"
+	verdictAnswered = "answered"
+	heldBackNone    = "none"
 )
 
-func inWords(words map[string]string, value string) string {
-	if told, found := words[value]; found {
-		return told
+func phraseFor(phrases map[string]string, value string) string {
+	if phrase, found := phrases[value]; found {
+		return phrase
 	}
 	return value
 }
 
-// cause says in a sentence how the way ended and why.
-func cause(way *Way) string {
+// cause describes how the request, job or item ended and why.
+func cause(trace *Trace) string {
 	switch {
-	case way.last(usageReported) != nil || way.last(usageDelayed) != nil:
-		return windowCause(way)
-	case way.last(enginesOrdered) != nil:
-		return orderCause(way)
-	case way.isJob():
-		return jobCause(way)
-	case way.last("item started") != nil || way.last("item finished") != nil:
-		return itemCause(way)
+	case trace.last(usageReported) != nil || trace.last(usageDelayed) != nil:
+		return windowCause(trace)
+	case trace.last(enginesOrdered) != nil:
+		return orderCause(trace)
+	case trace.isJob():
+		return jobCause(trace)
+	case trace.last("item started") != nil || trace.last("item finished") != nil:
+		return itemCause(trace)
 	default:
-		return requestCause(way)
+		return requestCause(trace)
 	}
 }
 
-// isJob tells whether the ID is that of a batch job.
-func (w *Way) isJob() bool {
-	for _, line := range w.Lines {
-		if isJobID(line.text("job"), w.ID) {
+// isJob reports whether the ID is that of a batch job.
+func (t *Trace) isJob() bool {
+	for _, line := range t.Lines {
+		if isJobID(line.text("job"), t.ID) {
 			return true
 		}
 	}
 	return false
 }
 
-func requestCause(way *Way) string {
+func requestCause(trace *Trace) string {
 	var tries []string
-	for _, line := range way.Lines {
-		if line.Message == "engine tried" && line.text("verdict") != answered {
+	for _, line := range trace.Lines {
+		if line.Message == "engine tried" && line.text("verdict") != verdictAnswered {
 			reason := line.text("error")
 			if reason == "" {
 				reason = fmt.Sprintf("status %.0f", line.number("status"))
 			}
-			if held := line.text("held_back"); held != "" && held != notHeld {
-				reason = "held back before it left: " + held
+			if held := line.text("held_back"); held != "" && held != heldBackNone {
+				reason = "held back before it was sent: " + held
 			}
 			tries = append(tries, fmt.Sprintf("%s after %.0f ms (%s)", line.text("engine"), line.number("took_ms"), reason))
 		}
 	}
 	failed := ""
 	if len(tries) > 0 {
-		failed = " Tries that failed: " + strings.Join(tries, "; ") + "."
+		failed = " Failed attempts: " + strings.Join(tries, "; ") + "."
 	}
-	if refused := way.last("request refused"); refused != nil {
+	if refused := trace.last("request refused"); refused != nil {
 		return fmt.Sprintf("Refused by %s with %.0f %s: %s.%s%s", refused.Node, refused.number("status"),
-			refused.text("kind"), refused.text("error"), failed, way.contextNotes())
+			refused.text("kind"), refused.text("error"), failed, trace.contextNotes())
 	}
-	if ended := way.last("request ended"); ended != nil {
-		left := ""
+	if ended := trace.last("request ended"); ended != nil {
+		disconnected := ""
 		if callerLeft, _ := ended.Fields["caller_left"].(bool); callerLeft {
-			left = ", the caller had left"
+			disconnected = ", the caller had disconnected"
 		}
 		return fmt.Sprintf("Ended at %s with status %.0f after %.0f ms%s.%s%s", ended.Node, ended.number("status"),
-			ended.number("took_ms"), left, failed, way.contextNotes())
+			ended.number("took_ms"), disconnected, failed, trace.contextNotes())
 	}
-	return "No line tells its end: the node ended or lost lines." + failed + way.contextNotes()
+	return "No log line records its end: the node stopped or log lines were lost." + failed + trace.contextNotes()
 }
 
-// isBound tells whether the field "homes" of a line names regions.
-func isBound(homes string) bool { return homes != "" && homes != (homeset.Set{}).String() }
+// isBoundToRegions reports whether the log field "homes" names home regions.
+func isBoundToRegions(homes string) bool { return homes != "" && homes != (homeset.Set{}).String() }
 
-func jobCause(way *Way) string {
-	handed, taken, ended := way.last("job handed in"), way.last("job taken up"), way.last("job ended")
+func jobCause(trace *Trace) string {
+	submitted, accepted, ended := trace.last("job handed in"), trace.last("job taken up"), trace.last("job ended")
 	switch {
-	case taken == nil && handed != nil && handed.text("error") != "":
-		return fmt.Sprintf("Not accepted by %s: %s.%s", handed.Node, handed.text("error"), way.contextNotes())
-	case taken == nil && handed != nil && isBound(handed.text("homes")):
-		return fmt.Sprintf("Handed in, but no node in %s, which alone may run it, took it up.%s", handed.text("homes"), way.contextNotes())
-	case taken == nil:
-		return "Handed in, but no leader took it up." + way.contextNotes()
+	case accepted == nil && submitted != nil && submitted.text("error") != "":
+		return fmt.Sprintf("Not accepted by %s: %s.%s", submitted.Node, submitted.text("error"), trace.contextNotes())
+	case accepted == nil && submitted != nil && isBoundToRegions(submitted.text("homes")):
+		return fmt.Sprintf("Submitted, but no node in %s, the only regions that may run it, accepted it.%s",
+			submitted.text("homes"), trace.contextNotes())
+	case accepted == nil:
+		return "Submitted, but no leader accepted it." + trace.contextNotes()
 	case ended == nil:
-		return fmt.Sprintf("Taken up by %s %d times; no end was asked.%s", taken.Node, way.count("job taken up"), way.contextNotes())
+		return fmt.Sprintf("Accepted by %s %d times; its end was not requested.%s", accepted.Node, trace.count("job taken up"), trace.contextNotes())
 	default:
-		return fmt.Sprintf("Ended by its submitter after %.0f ms with %.0f items unfinished, taken up %d times.%s",
-			ended.number("after_ms"), ended.number("unfinished"), way.count("job taken up"), way.contextNotes())
+		return fmt.Sprintf("Ended by its submitter after %.0f ms with %.0f items unfinished, accepted %d times.%s",
+			ended.number("after_ms"), ended.number("unfinished"), trace.count("job taken up"), trace.contextNotes())
 	}
 }
 
-func itemCause(way *Way) string {
-	var breaks []string
-	for _, line := range way.Lines {
+func itemCause(trace *Trace) string {
+	var interruptions []string
+	for _, line := range trace.Lines {
 		if line.Message != "run ended early" {
 			continue
 		}
-		why := inWords(refusals, line.text("refusal"))
-		if held := line.text("held_back"); held != "" && held != notHeld {
+		why := phraseFor(refusalPhrases, line.text("refusal"))
+		if held := line.text("held_back"); held != "" && held != heldBackNone {
 			why += ": " + held
 		}
 		if reason := line.text("stop_reason"); reason != "" {
-			why = inWords(stopReasons, reason)
+			why = phraseFor(stopReasonPhrases, reason)
 		}
-		breaks = append(breaks, fmt.Sprintf("%s after %.0f ms at event %.0f (%s)",
+		interruptions = append(interruptions, fmt.Sprintf("%s after %.0f ms at event %.0f (%s)",
 			line.text("engine"), line.number("ran_ms"), line.number("after_event"), why))
 	}
-	text := fmt.Sprintf("Started %d times", way.count("item started"))
-	if first := firstStart(way); first != nil {
-		text += fmt.Sprintf(", first after %.0f ms of waiting", first.number("waited_ms"))
+	text := fmt.Sprintf("Started %d times", trace.count("item started"))
+	if first := firstStart(trace); first != nil {
+		text += fmt.Sprintf(", first after waiting %.0f ms", first.number("waited_ms"))
 	}
-	if len(breaks) > 0 {
-		text += "; runs ended early: " + strings.Join(breaks, "; ")
+	if len(interruptions) > 0 {
+		text += "; runs ended early: " + strings.Join(interruptions, "; ")
 	}
-	text += scoringNotes(way)
-	if finished := way.last("item finished"); finished != nil {
+	text += scoringNotes(trace)
+	if finished := trace.last("item finished"); finished != nil {
 		text += fmt.Sprintf("; finished by %s after %.0f ms (%s, %.0f events)", finished.Node,
 			finished.number("after_ms"), finished.text("reason"), finished.number("events"))
 	} else {
 		text += "; not finished"
 	}
-	return text + "." + jobEnds(way) + way.contextNotes()
+	return text + "." + jobEndNotes(trace) + trace.contextNotes()
 }
 
-// scoringNotes tells how the item's scoring calls went.
-func scoringNotes(way *Way) string {
-	last := way.last("scoring call ended")
+// scoringNotes describes the outcome of the item's scoring calls.
+func scoringNotes(trace *Trace) string {
+	last := trace.last("scoring call ended")
 	if last == nil {
 		return ""
 	}
 	if last.text("score") == "" {
-		return fmt.Sprintf("; not scored in %.0f tries (%s)", last.number("tries"), last.text("detail"))
+		return fmt.Sprintf("; not scored in %.0f attempts (%s)", last.number("tries"), last.text("detail"))
 	}
-	return fmt.Sprintf("; scored at try %.0f, %.0f ms after its output was whole",
+	return fmt.Sprintf("; scored on attempt %.0f, %.0f ms after its output was complete",
 		last.number("tries"), last.number("waited_ms")+last.number("took_ms"))
 }
 
-// jobEnds tells when the item's jobs were ended, which ends its runs: it may have
-// come again in a later job.
-func jobEnds(way *Way) string {
+// jobEndNotes describes when the item's jobs were ended, which ends its runs. An item resubmitted in a later job has
+// more than one.
+func jobEndNotes(trace *Trace) string {
 	text := ""
-	for _, line := range way.Lines {
+	for _, line := range trace.Lines {
 		if line.Message == "job ended" {
 			text += fmt.Sprintf(" Its job %s was ended by its submitter after %.0f ms with %.0f items unfinished.",
 				line.text("job"), line.number("after_ms"), line.number("unfinished"))
@@ -169,10 +169,10 @@
 	return text
 }
 
-func firstStart(way *Way) *Line {
-	for i := range way.Lines {
-		if way.Lines[i].Message == "item started" {
-			return &way.Lines[i]
+func firstStart(trace *Trace) *Line {
+	for i := range trace.Lines {
+		if trace.Lines[i].Message == "item started" {
+			return &trace.Lines[i]
 		}
 	}
 	return nil
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds in the nodes' log lines the way of one request, batch
-// job or item, and what the nodes believed meanwhile.
+// Package explain collects from the nodes' logs the lines about one request, batch job or item, together with the
+// state changes of the nodes and engines involved.
 package explain
 
 import (
@@ -14,44 +14,42 @@
 )
 
 const (
-	// contextBefore and contextAfter are the milliseconds round the way within
-	// which changes of belief are shown.
-	contextBefore = 2000
-	contextAfter  = 500
-	// maxLineBytes bounds one line.
-	maxLineBytes = 1 << 20
+	// State changes are shown from contextBeforeMs before the first line of a trace to contextAfterMs after its last.
+	contextBeforeMs = 2000
+	contextAfterMs  = 500
+	maxLineBytes    = 1 << 20
 )
 
-// Line is one log line.
+// Line is a decoded log line.
 type Line struct {
-	Time    int64
+	Time    int64 // milliseconds since the Unix epoch
 	Node    string
 	Message string
 	// Fields holds all other fields.
 	Fields map[string]any
 }
 
-// text returns a field as text; empty when there is none.
+// text returns a string field, or "" if it is missing.
 func (l *Line) text(name string) string {
 	text, _ := l.Fields[name].(string)
 	return text
 }
 
-// number returns a field as a number; zero when there is none.
+// number returns a numeric field, or 0 if it is missing.
 func (l *Line) number(name string) float64 {
 	number, _ := l.Fields[name].(float64)
 	return number
 }
 
-// Log is what was read of log files.
+// Log holds the lines read from log files.
 type Log struct {
 	Lines []Line
-	// Torn counts lines that hold no whole log line.
-	Torn int
+	// Malformed counts lines that cannot be decoded or lack a message or a time.
+	Malformed int
 }
 
-// Read adds the log lines of a file. Whatever stands before a line's JSON, such
-// as a time and a node's name, is passed over; lines without any are ignored.
+// Read adds the log lines of a file. Text before a line's JSON, such as a time and a node's name, is skipped; lines
+// without JSON are ignored.
 func (l *Log) Read(source io.Reader) error {
 	scanner := bufio.NewScanner(source)
 	scanner.Buffer(nil, maxLineBytes)
@@ -62,7 +60,7 @@
 		}
 		line, err := parse(scanner.Bytes()[start:])
 		if err != nil {
-			l.Torn++
+			l.Malformed++
 			continue
 		}
 		l.Lines = append(l.Lines, line)
@@ -82,7 +80,7 @@
 	line.Time = int64(line.number("time"))
 	line.Node, line.Message = line.text("node"), line.text("message")
 	if line.Message == "" || line.Time == 0 {
-		return Line{}, errors.New("no message or no time")
+		return Line{}, errors.New("log line without a message or a time")
 	}
 	for _, name := range []string{"time", "node", "message", "level", "zone"} {
 		delete(fields, name)
@@ -90,8 +88,8 @@
 	return line, nil
 }
 
-// beliefs are the messages that tell what a process believes of the others.
-var beliefs = map[string]bool{
+// contextMessages are the messages about state changes of nodes, engines, zones and the log.
+var contextMessages = map[string]bool{
 	"configuration in force": true, "version named": true, "engine gone": true, "leadership gained": true,
 	"leadership lost": true, "topic contact changed": true, "way to the log changed": true,
 	"index partition out of reach": true, "index partition in reach": true, "node started": true,
@@ -101,58 +99,58 @@
 	"engine started again":          true,
 }
 
-// Way is the way of one request, job or item.
-type Way struct {
+// Trace holds the log lines about one ID: a request, item, batch job, usage window or service.
+type Trace struct {
 	ID string
-	// Lines are its own lines, Context what changed round them, both in order.
+	// Lines are the lines about the ID, Context the state changes around them, both in order of time.
 	Lines   []Line
 	Context []Line
-	// Cause says in a sentence how it ended and why.
+	// Cause describes how it ended and why.
 	Cause string
 }
 
-// ErrUnknown is returned when no line names the ID.
-var ErrUnknown = errors.New("no line names this ID")
+// ErrUnknown is returned when no line contains the ID.
+var ErrUnknown = errors.New("no log line contains this ID")
 
-// Find returns the way of an ID: a request's, an item's or a batch job's, the number of a
-// window of use, or a service whose engines were ordered.
-func (l *Log) Find(id string) (Way, error) {
-	way := Way{ID: id}
+// Find returns the trace of an ID: that of a request, an item or a batch job, the number of a usage window, or a
+// service whose engines were ordered. It returns ErrUnknown if no line contains the ID.
+func (l *Log) Find(id string) (Trace, error) {
+	trace := Trace{ID: id}
 	jobs, engines, nodes := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, line := range l.Lines {
-		if !line.names(id) {
+		if !line.matches(id) {
 			continue
 		}
-		way.Lines = append(way.Lines, line)
+		trace.Lines = append(trace.Lines, line)
 		jobs[line.text("job")] = true
 		engines[line.text("engine")] = true
 		nodes[line.Node] = true
 	}
-	if len(way.Lines) == 0 {
-		return Way{}, errors.Wrap(ErrUnknown, id)
+	if len(trace.Lines) == 0 {
+		return Trace{}, errors.Wrap(ErrUnknown, id)
 	}
 	delete(jobs, "")
 	delete(engines, "")
-	l.addJobLines(&way, id, jobs)
-	sortLines(way.Lines)
-	first, last := way.Lines[0].Time, way.Lines[len(way.Lines)-1].Time
+	l.addJobLines(&trace, id, jobs)
+	sortLines(trace.Lines)
+	first, last := trace.Lines[0].Time, trace.Lines[len(trace.Lines)-1].Time
 	for _, line := range l.Lines {
-		near := line.Time >= first-contextBefore && line.Time <= last+contextAfter
+		near := line.Time >= first-contextBeforeMs && line.Time <= last+contextAfterMs
 		concerns := nodes[line.Node] || engines[line.text("engine")] || engines[line.text("ended")]
-		if near && concerns && beliefs[line.Message] {
-			way.Context = append(way.Context, line)
+		if near && concerns && contextMessages[line.Message] {
+			trace.Context = append(trace.Context, line)
 		}
 	}
-	sortLines(way.Context)
-	way.Cause = cause(&way)
-	return way, nil
+	sortLines(trace.Context)
+	trace.Cause = cause(&trace)
+	return trace, nil
 }
 
-// addJobLines adds to an item's way the lines of its jobs that name no item.
-func (l *Log) addJobLines(way *Way, id string, jobs map[string]bool) {
+// addJobLines adds to an item's trace the lines of its jobs that belong to no item.
+func (l *Log) addJobLines(trace *Trace, id string, jobs map[string]bool) {
 	for _, line := range l.Lines {
 		if jobs[line.text("job")] && line.text("item") == "" && !isJobID(line.text("job"), id) {
-			way.Lines = append(way.Lines, line)
+			trace.Lines = append(trace.Lines, line)
 		}
 	}
 }
@@ -161,19 +159,19 @@
 	slices.SortStableFunc(lines, func(a, b Line) int { return int(a.Time - b.Time) })
 }
 
-// last returns the last line with the message; nil when there is none.
-func (w *Way) last(message string) *Line {
-	for i := len(w.Lines) - 1; i >= 0; i-- {
-		if w.Lines[i].Message == message {
-			return &w.Lines[i]
+// last returns the last line with the message, or nil.
+func (t *Trace) last(message string) *Line {
+	for i := len(t.Lines) - 1; i >= 0; i-- {
+		if t.Lines[i].Message == message {
+			return &t.Lines[i]
 		}
 	}
 	return nil
 }
 
-func (w *Way) count(message string) int {
+func (t *Trace) count(message string) int {
 	count := 0
-	for _, line := range w.Lines {
+	for _, line := range t.Lines {
 		if line.Message == message {
 			count++
 		}
@@ -181,21 +179,20 @@
 	return count
 }
 
-// contextNotes returns the messages of the context, each once, that may explain
-// a failure or a delay.
-func (w *Way) contextNotes() string {
+// contextNotes describes, each once, the state changes that may explain a failure or a delay.
+func (t *Trace) contextNotes() string {
 	var notes []string
-	for _, line := range w.Context {
+	for _, line := range t.Context {
 		note := ""
 		switch line.Message {
 		case "topic contact changed":
 			if reachable, _ := line.Fields["reachable"].(bool); !reachable {
-				note = "the log was out of reach of " + line.Node
+				note = "the log was unreachable from " + line.Node
 			}
 		case "index partition out of reach", "results not recorded", "lease not renewed":
 			note = "the log did not answer " + line.Node
 		case "engine gone":
-			note = "engine " + line.text("engine") + " went"
+			note = "engine " + line.text("engine") + " disappeared"
 		case "zone evacuated":
 			note = "zone " + line.text("engine_zone") + " was evacuated"
 		case "zone taken back":
@@ -203,12 +200,12 @@
 		case "items wait for evacuated zones":
 			note = "no engine of " + line.text("service") + " was left outside evacuated zones"
 		case "sending on after a standstill":
-			note = line.Node + " had stood still"
+			note = line.Node + " had been paused"
 		case "engine started again":
-			note = "engine " + line.text("ended") + " ended and started again"
+			note = "engine " + line.text("ended") + " restarted"
 		case "leadership gained":
 			note = line.Node + " became the leader"
-			if homes := line.text("homes"); isBound(homes) {
+			if homes := line.text("homes"); isBoundToRegions(homes) {
 				note = line.Node + " began to run the jobs bound to " + homes
 			}
 		case "node started":
