--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	stampForm = "2006-01-02 15:04:05.000"
-	// maxTableRows bounds the rows of each table but the totals.
+	timestampLayout = "2006-01-02 15:04:05.000"
+	// maxTableRows bounds the rows of each table except the totals.
 	maxTableRows = 50
 )
 
@@ -26,7 +26,7 @@
 var pageText string
 
 var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
-	"stamp": stamp,
+	"stamp": formatTime,
 	"seconds": func(duration time.Duration) string {
 		return fmt.Sprintf("%.3f s", duration.Seconds())
 	},
@@ -36,19 +36,19 @@
 	"width": func() int { return picture.Width },
 }).Parse(pageText))
 
-// page is what the template shows.
+// page is the template's input.
 type page struct {
 	Timeline *timeline.Timeline
 	Totals   []totalRow
 	Pictures []picture.Picture
-	// Takeovers, Versions and Unreadable hold the first Shown rows.
+	// Takeovers, Versions and Unreadable hold at most Shown rows.
 	Takeovers  []timeline.Takeover
 	Versions   []timeline.Version
 	Unreadable []timeline.Source
 	Shown      int
 }
 
-// totalRow is one line of the table of totals.
+// totalRow is a row of the totals table.
 type totalRow struct{ Name, Value string }
 
 func renderPage(built *timeline.Timeline, pictures []picture.Picture) ([]byte, error) {
@@ -69,11 +69,11 @@
 
 func firstRows[Row any](rows []Row) []Row { return rows[:min(len(rows), maxTableRows)] }
 
-func stamp(at time.Time) string {
+func formatTime(at time.Time) string {
 	if at.IsZero() {
 		return "-"
 	}
-	return at.UTC().Format(stampForm)
+	return at.UTC().Format(timestampLayout)
 }
 
 func totalRows(totals Totals) []totalRow {
@@ -87,7 +87,7 @@
 		{"engine tries", listCounts(totals.Tries)},
 		{"batch jobs", fmt.Sprintf("%d named, %d submitted, %d ended; %d submissions and %d ends refused; %d items finished",
 			jobs.Named, jobs.Submitted, jobs.Ended, jobs.SubmitsRefused, jobs.EndsRefused, jobs.ItemsFinished)},
-		{"leadership", fmt.Sprintf("%d terms, %d takeovers", totals.Terms, totals.Takeover)},
+		{"leadership", fmt.Sprintf("%d terms, %d takeovers", totals.Terms, totals.TakeoverCount)},
 		{"contact with the log", listCounts(totals.Contact)},
 		{"topics read in full", fmt.Sprint(totals.TopicReads)},
 		{"configuration versions", fmt.Sprint(totals.Versions)},
@@ -96,10 +96,10 @@
 	}
 }
 
-// listCounts writes counts in order of their size.
+// listCounts formats the counts, the largest first.
 func listCounts(counted map[string]int) string {
 	var parts []string
-	for _, label := range byCount(counted) {
+	for _, label := range labelsByCount(counted) {
 		parts = append(parts, fmt.Sprintf("%d %s", counted[label], label))
 	}
 	if len(parts) == 0 {
--- a/internal/report/picture/axis.go
+++ b/internal/report/picture/axis.go
@@ -15,10 +15,10 @@
 
 const (
 	// maxTicks bounds the labelled ticks of the time axis.
-	maxTicks  = 12
-	clockForm = "15:04:05"
-	hourForm  = "01-02 15:04"
-	dayForm   = "2006-01-02"
+	maxTicks    = 12
+	clockLayout = "15:04:05"
+	hourLayout  = "01-02 15:04"
+	dayLayout   = "2006-01-02"
 	// minSpan keeps an axis drawable when all lines have the same time.
 	minSpan = time.Second
 
@@ -27,7 +27,7 @@
 	legendSize = 8
 )
 
-// tickSteps are the distances between ticks, ascending.
+// tickSteps are the possible distances between ticks, ascending.
 var tickSteps = []time.Duration{
 	time.Second, 2 * time.Second, 5 * time.Second, 10 * time.Second, 30 * time.Second,
 	time.Minute, 2 * time.Minute, 5 * time.Minute, 10 * time.Minute, 30 * time.Minute,
@@ -35,7 +35,7 @@
 	365 * 24 * time.Hour, 10 * 365 * 24 * time.Hour, 50 * 365 * 24 * time.Hour,
 }
 
-// timeAxis places times on an axis of seconds since the timeline's first line.
+// timeAxis maps times to seconds since the timeline's first line.
 type timeAxis struct {
 	first time.Time
 	span  time.Duration
@@ -51,7 +51,7 @@
 	return axis
 }
 
-// at returns the place of a time, moved to the nearest end if it lies beyond.
+// at returns the position of a time, clamped to the ends of the axis.
 func (a *timeAxis) at(at time.Time) float64 {
 	return min(max(at.Sub(a.first), 0), a.span).Seconds()
 }
@@ -65,18 +65,18 @@
 			break
 		}
 	}
-	form := clockForm
+	layout := clockLayout
 	switch {
 	case step >= 24*time.Hour:
-		form = dayForm
+		layout = dayLayout
 	case step >= 2*time.Hour:
-		form = hourForm
+		layout = hourLayout
 	}
 	var ticks []plot.Tick
 	first := a.first.UTC()
 	for at := first.Truncate(step); !at.After(first.Add(a.span)); at = at.Add(step) {
 		if !at.Before(first) {
-			ticks = append(ticks, plot.Tick{Value: a.at(at), Label: at.Format(form)})
+			ticks = append(ticks, plot.Tick{Value: a.at(at), Label: at.Format(layout)})
 		}
 	}
 	return ticks
@@ -87,7 +87,7 @@
 	return onto
 }
 
-// newPanel returns a panel over the whole time, without data.
+// newPanel returns an empty panel over the whole time axis.
 func (a *timeAxis) newPanel(title, valueLabel string, height int) panel {
 	drawn := plot.New()
 	drawn.Title.Text = title
--- a/internal/report/picture/spans.go
+++ b/internal/report/picture/bars.go
@@ -9,18 +9,18 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// Sizes of bars and marks.
+// Sizes of bars and marks: shares of a row's height, and lengths in points.
 const (
-	barShare  = 0.7
-	minBar    = 1.5 // points
-	minEdged  = 6   // points
-	markSize  = 2.6 // points
-	thinShare = 0.12
+	barShare    = 0.7
+	minBar      = 1.5
+	minEdgedBar = 6
+	markSize    = 2.6
+	thinShare   = 0.12
 )
 
-// span is one bar, on the row given by its place on the value axis.
-type span struct {
-	// label is written into the bar where it fits.
+// bar is a time span on a row, which is a position on the value axis.
+type bar struct {
+	// label is drawn inside the bar if it fits.
 	label    string
 	row      float64
 	from, to float64
@@ -29,50 +29,50 @@
 	color color.Color
 }
 
-// mark is one point in time on a row.
+// mark is a point in time on a row.
 type mark struct {
 	row, at float64
 	style   draw.GlyphStyle
 }
 
-// spans draws bars and marks on rows; row 0 is at the bottom. It implements plot.Plotter.
-type spans struct {
-	bars  []span
+// barChart draws bars and marks on rows, with row 0 at the bottom. It implements plot.Plotter.
+type barChart struct {
+	bars  []bar
 	marks []mark
 }
 
 // Plot implements plot.Plotter.
-func (s *spans) Plot(canvas draw.Canvas, drawn *plot.Plot) {
+func (c *barChart) Plot(canvas draw.Canvas, drawn *plot.Plot) {
 	x, y := drawn.Transforms(&canvas)
-	for _, bar := range s.bars {
-		left, right := visible(x(bar.from), x(bar.to), canvas.Max.X)
+	for _, bar := range c.bars {
+		left, right := widenBar(x(bar.from), x(bar.to), canvas.Max.X)
 		low, high := y(bar.row-bar.share/2), y(bar.row+bar.share/2)
 		if high-low < vg.Points(minBar) {
 			middle := (low + high) / 2
 			low, high = middle-vg.Points(minBar)/2, middle+vg.Points(minBar)/2
 		}
 		canvas.FillPolygon(bar.color, canvas.ClipPolygonXY(rectangle(left, right, low, high)))
-		if right-left >= vg.Points(minEdged) {
+		if right-left >= vg.Points(minEdgedBar) {
 			canvas.StrokeLine2(edgeStyle, right, low, right, high)
 		}
-		writeInto(canvas, bar.label, left, right, low, high)
+		drawBarLabel(canvas, bar.label, left, right, low, high)
 	}
-	for _, mark := range s.marks {
+	for _, mark := range c.marks {
 		canvas.DrawGlyphNoClip(mark.style, vg.Point{X: x(mark.at), Y: y(mark.row)})
 	}
 }
 
-// visible widens a bar to minBar, within the right end of the area.
-func visible(left, right, end vg.Length) (vg.Length, vg.Length) {
+// widenBar widens a bar to at least minBar points, within the right end of the area.
+func widenBar(left, right, end vg.Length) (vg.Length, vg.Length) {
 	right = max(right, left+vg.Points(minBar))
 	return min(left, end-vg.Points(minBar)), min(right, end)
 }
 
-// edgeStyle separates a bar from the next one.
+// edgeStyle is the line that separates a bar from the next one.
 var edgeStyle = draw.LineStyle{Color: color.White, Width: vg.Points(0.75)}
 
-// writeInto writes the text into a bar if it fits.
-func writeInto(canvas draw.Canvas, label string, left, right, low, high vg.Length) {
+// drawBarLabel draws the label inside a bar if it fits.
+func drawBarLabel(canvas draw.Canvas, label string, left, right, low, high vg.Length) {
 	style := textStyle(labelSize, text.Style{Color: color.White, XAlign: draw.XCenter, YAlign: draw.YCenter, Handler: plot.DefaultTextHandler})
 	if label == "" || style.Width(label)+vg.Points(2*markSize) > right-left || style.Height(label) > high-low {
 		return
@@ -80,10 +80,10 @@
 	canvas.FillText(style, vg.Point{X: (left + right) / 2, Y: (low + high) / 2}, label)
 }
 
-// band is a stretch of the time axis.
+// band is a range of the time axis.
 type band struct{ from, to float64 }
 
-// bands shades stretches of the time axis over a panel's whole height; it implements plot.Plotter.
+// bands shades ranges of the time axis over a panel's full height. It implements plot.Plotter.
 type bands struct {
 	ranges []band
 	color  color.Color
@@ -105,7 +105,7 @@
 	return draw.GlyphStyle{Shape: shape, Color: in, Radius: vg.Points(markSize)}
 }
 
-// swatch is a legend's sample of a color; it implements plot.Thumbnailer.
+// swatch is the legend entry of a color. It implements plot.Thumbnailer.
 type swatch struct{ color color.Color }
 
 // Thumbnail implements plot.Thumbnailer.
@@ -113,7 +113,7 @@
 	canvas.FillPolygon(s.color, rectangle(canvas.Min.X, canvas.Max.X, canvas.Min.Y, canvas.Max.Y))
 }
 
-// markSample is a legend's sample of a mark; it implements plot.Thumbnailer.
+// markSample is the legend entry of a mark. It implements plot.Thumbnailer.
 type markSample struct{ style draw.GlyphStyle }
 
 // Thumbnail implements plot.Thumbnailer.
@@ -121,35 +121,35 @@
 	canvas.DrawGlyphNoClip(s.style, canvas.Center())
 }
 
-// rowTicks labels rows, the first at the top.
+// rowTicks returns ticks that label the rows, the first at the top.
 func rowTicks(labels []string) plot.ConstantTicks {
 	ticks := make(plot.ConstantTicks, 0, len(labels))
 	for i, label := range labels {
-		ticks = append(ticks, plot.Tick{Value: rowPlace(i, len(labels)), Label: shorten(label)})
+		ticks = append(ticks, plot.Tick{Value: rowPosition(i, len(labels)), Label: shorten(label)})
 	}
 	return ticks
 }
 
-// rowPlace returns the place on the value axis of row i of count, the first at the top.
-func rowPlace(i, count int) float64 { return float64(count - 1 - i) }
+// rowPosition returns the position on the value axis of row i of count, the first at the top.
+func rowPosition(i, count int) float64 { return float64(count - 1 - i) }
 
-// showRows sets the panel's value axis to count rows.
-func (p *panel) showRows(labels []string) {
+// setRows sets the panel's value axis to a row for each label.
+func (p *panel) setRows(labels []string) {
 	p.plot.Y.Min, p.plot.Y.Max = -0.6, float64(max(len(labels), 1))-0.4
 	p.plot.Y.Tick.Marker = rowTicks(labels)
 	p.plot.Y.Tick.Length = 0
 	if len(labels) == 0 {
-		p.noteNone()
+		p.markEmpty()
 	}
 }
 
-// noteNone says in the title that there is nothing to draw.
-func (p *panel) noteNone() { p.plot.Title.Text += ": none in these logs" }
+// markEmpty notes in the title that there is nothing to draw.
+func (p *panel) markEmpty() { p.plot.Title.Text += ": none in these logs" }
 
-// maxLabel bounds a label's characters.
+// maxLabel is the maximum length of a label in characters.
 const maxLabel = 32
 
-// shorten cuts a label in its middle, since names alike often differ at their ends.
+// shorten removes the middle of a long label, as similar names often differ only at their ends.
 func shorten(label string) string {
 	letters := []rune(label)
 	if len(letters) <= maxLabel {
--- a/internal/report/picture/colors.go
+++ b/internal/report/picture/colors.go
@@ -2,7 +2,7 @@
 
 import "image/color"
 
-// Colors that can be told apart by colour-blind readers.
+// A palette that color-blind readers can distinguish.
 var (
 	green  = color.RGBA{R: 0x00, G: 0x9e, B: 0x73, A: 0xff}
 	blue   = color.RGBA{R: 0x00, G: 0x72, B: 0xb2, A: 0xff}
@@ -15,10 +15,10 @@
 	gray   = color.RGBA{R: 0x99, G: 0x99, B: 0x99, A: 0xff}
 )
 
-// seriesColors are given to series in turn; the last one is that of all further series.
+// seriesColors are assigned to series in order; further series get the last one.
 var seriesColors = []color.RGBA{red, blue, orange, sky, pink, yellow, green, black, gray}
 
-// pale returns the color mixed with white, two parts to one.
+// pale returns the color mixed with white, one part to two.
 func pale(strong color.RGBA) color.RGBA {
 	mix := func(part uint8) uint8 { return uint8((int(part) + 2*0xff) / 3) }
 	return color.RGBA{R: mix(strong.R), G: mix(strong.G), B: mix(strong.B), A: strong.A}
--- a/internal/report/picture/configurations.go
+++ b/internal/report/picture/configurations.go
@@ -7,27 +7,27 @@
 	"github.com/corkpulley/corkpulley/internal/report/timeline"
 )
 
-// maxVersionRows bounds the height that versions get.
+// maxVersionRows bounds the height of the versions panel, in rows.
 const maxVersionRows = 10
 
-// startMark marks the first and last node that read a version after its start.
-var startMark = glyph(draw.RingGlyph{}, orange)
+// startupReadMark marks the first and last node that read a version after its start.
+var startupReadMark = glyph(draw.RingGlyph{}, orange)
 
 func configurationsOf(from *timeline.Timeline) func(*timeAxis) (Picture, error) {
 	return func(axis *timeAxis) (Picture, error) {
 		drawn := axis.newPanel("configuration versions coming into force", "version", rowsHeight(min(len(from.Versions), maxVersionRows)))
-		bars := &spans{}
+		chart := &barChart{}
 		for i := range from.Versions {
-			bars.addVersion(axis, &from.Versions[i])
+			chart.addVersion(axis, &from.Versions[i])
 		}
-		drawn.plot.Add(bars)
+		drawn.plot.Add(chart)
 		drawn.plot.Y.Min, drawn.plot.Y.Max = versionRange(from.Versions)
-		drawn.plot.Y.Tick.Marker = plot.TickerFunc(wholeTicks)
+		drawn.plot.Y.Tick.Marker = plot.TickerFunc(integerTicks)
 		if len(from.Versions) == 0 {
-			drawn.noteNone()
+			drawn.markEmpty()
 		}
 		drawn.legend.Add("first to last running node", swatch{blue})
-		drawn.legend.Add("read at a node's start", markSample{startMark})
+		drawn.legend.Add("read at a node's start", markSample{startupReadMark})
 		return render(Picture{
 			Name: "configurations", Title: "Configuration versions",
 			Caption: "A bar goes from the first to the last running node that put the version in force. Rings are the first and the last node " +
@@ -36,15 +36,15 @@
 	}
 }
 
-func (s *spans) addVersion(axis *timeAxis, version *timeline.Version) {
+func (c *barChart) addVersion(axis *timeAxis, version *timeline.Version) {
 	row := float64(version.Number)
 	if running := version.Running; running.Nodes > 0 {
-		s.bars = append(s.bars, span{row: row, from: axis.at(running.First), to: axis.at(running.Last), share: barShare / 2, color: blue})
+		c.bars = append(c.bars, bar{row: row, from: axis.at(running.First), to: axis.at(running.Last), share: barShare / 2, color: blue})
 	}
 	if starting := version.Starting; starting.Nodes > 0 {
-		s.marks = append(s.marks,
-			mark{row: row, at: axis.at(starting.First), style: startMark},
-			mark{row: row, at: axis.at(starting.Last), style: startMark})
+		c.marks = append(c.marks,
+			mark{row: row, at: axis.at(starting.First), style: startupReadMark},
+			mark{row: row, at: axis.at(starting.Last), style: startupReadMark})
 	}
 }
 
--- a/internal/report/picture/extremes_test.go
+++ b/internal/report/picture/extremes_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a damaged number in one line that hangs or ends the report.
-func TestNumbersOutOfProportionAreDrawn(t *testing.T) {
+// Guards against a corrupt number in one line that hangs or aborts the report.
+func TestExtremeNumbersAreDrawn(t *testing.T) {
 	for _, extreme := range []int64{1, math.MaxInt32, 7258118400000, 1 << 53, math.MaxInt64} {
 		built := read(t, fmt.Sprintf(`{"node":"n","config":%[1]d,"time":%[1]d,"message":"configuration in force"}
 {"node":"n","job":"j","model":"m","step":%[1]d,"time":%[1]d,"message":"job handed in"}
--- a/internal/report/picture/jobs.go
+++ b/internal/report/picture/jobs.go
@@ -10,30 +10,30 @@
 	"github.com/corkpulley/corkpulley/internal/report/timeline"
 )
 
-// Heights of row pictures in pixels.
+// Heights of panels with rows, in pixels, and their numbers of rows.
 const (
-	rowHeight   = 18
-	thinRow     = 7
-	manyRows    = 60
-	maxRows     = 160
-	frameHeight = 70
-	minHeight   = 150
+	rowHeight         = 18
+	thinRowHeight     = 7
+	maxFullHeightRows = 60
+	maxRows           = 160
+	frameHeight       = 70
+	minHeight         = 150
 )
 
-// rowsHeight returns the height of a panel of rows.
+// rowsHeight returns the height in pixels of a panel with that many rows.
 func rowsHeight(rows int) int {
 	height := rowHeight
-	if rows > manyRows {
-		height = thinRow
+	if rows > maxFullHeightRows {
+		height = thinRowHeight
 	}
 	return max(minHeight, frameHeight+rows*height)
 }
 
 // Styles of the marks on jobs.
 var (
-	takeoverMark     = glyph(draw.PyramidGlyph{}, black)
-	refusedEndMark   = glyph(draw.CrossGlyph{}, red)
-	refusedStartMark = glyph(draw.PlusGlyph{}, pink)
+	takeoverMark      = glyph(draw.PyramidGlyph{}, black)
+	refusedEndMark    = glyph(draw.CrossGlyph{}, red)
+	refusedSubmitMark = glyph(draw.PlusGlyph{}, pink)
 )
 
 func jobsOf(from *timeline.Timeline) func(*timeAxis) (Picture, error) {
@@ -42,16 +42,16 @@
 		omitted := max(0, len(lanes)-maxRows)
 		lanes = lanes[:len(lanes)-omitted]
 		drawn := axis.newPanel("batch jobs by model", "", rowsHeight(len(lanes)))
-		drawn.showRows(laneLabels(lanes))
-		bars := &spans{}
+		drawn.setRows(laneLabels(lanes))
+		chart := &barChart{}
 		for i, lane := range lanes {
 			for _, job := range lane.jobs {
-				bars.addJob(axis, job, rowPlace(i, len(lanes)), from.Last)
+				chart.addJob(axis, job, rowPosition(i, len(lanes)), from.Last)
 			}
 		}
-		drawn.plot.Add(bars)
+		drawn.plot.Add(chart)
 		addJobLegend(&drawn)
-		caption := "One bar a batch job, with the number of its step, from its submission to the accepted call for its end. " +
+		caption := "One bar per batch job, with the number of its step, from its submission to the accepted call for its end. " +
 			"Rows with the same model hold jobs that overlap. A thin line shows time whose beginning or end is not in the logs."
 		if omitted > 0 {
 			caption += fmt.Sprintf(" %d further rows are not drawn.", omitted)
@@ -60,7 +60,7 @@
 	}
 }
 
-// laneLabels names each model once.
+// laneLabels labels the first lane of each model.
 func laneLabels(lanes []*lane) []string {
 	labels := make([]string, len(lanes))
 	for i, lane := range lanes {
@@ -77,29 +77,29 @@
 	drawn.legend.Add("no first item in the logs", swatch{gray})
 	drawn.legend.Add("run by a further leader", markSample{takeoverMark})
 	drawn.legend.Add("first and last end refused", markSample{refusedEndMark})
-	drawn.legend.Add("submission refused", markSample{refusedStartMark})
+	drawn.legend.Add("submission refused", markSample{refusedSubmitMark})
 }
 
 // addJob adds the bars and marks of one job.
-func (s *spans) addJob(axis *timeAxis, job *timeline.Job, row float64, last time.Time) {
-	end := endOf(job, last)
-	s.addBody(axis, job, row, end)
+func (c *barChart) addJob(axis *timeAxis, job *timeline.Job, row float64, last time.Time) {
+	end := jobEnd(job, last)
+	c.addBody(axis, job, row, end)
 	if len(job.Accepted) > 1 {
 		for _, at := range job.Accepted[1:] {
-			s.marks = append(s.marks, mark{row: row, at: axis.at(at), style: takeoverMark})
+			c.marks = append(c.marks, mark{row: row, at: axis.at(at), style: takeoverMark})
 		}
 	}
 	if job.EndsRefused > 0 {
-		s.marks = append(s.marks,
+		c.marks = append(c.marks,
 			mark{row: row, at: axis.at(job.FirstEndRefused), style: refusedEndMark},
 			mark{row: row, at: axis.at(job.LastEndRefused), style: refusedEndMark})
 	}
 	if job.SubmitsRefused > 0 {
-		s.marks = append(s.marks, mark{row: row, at: axis.at(job.FirstSubmitTried), style: refusedStartMark})
+		c.marks = append(c.marks, mark{row: row, at: axis.at(job.FirstSubmitTried), style: refusedSubmitMark})
 	}
 }
 
-// stepLabel returns the number of the job's step, if its model and so its step are in the logs.
+// stepLabel returns the job's step number, or "" if its submission is not in the logs.
 func stepLabel(job *timeline.Job) string {
 	if job.Model == "" {
 		return ""
@@ -107,18 +107,18 @@
 	return strconv.FormatInt(job.Step, 10)
 }
 
-// addBody adds the job's bar: thin where its submission or its end is not in the logs.
-func (s *spans) addBody(axis *timeAxis, job *timeline.Job, row float64, end time.Time) {
+// addBody adds the job's bar, thin if its submission or its end is not in the logs.
+func (c *barChart) addBody(axis *timeAxis, job *timeline.Job, row float64, end time.Time) {
 	share := barShare
 	if job.Submitted.IsZero() || job.EndAsked.IsZero() {
 		share = thinShare
 	}
 	begin := job.First()
 	if job.FirstStart.IsZero() {
-		s.bars = append(s.bars, span{row: row, from: axis.at(begin), to: axis.at(end), share: share, color: gray})
+		c.bars = append(c.bars, bar{row: row, from: axis.at(begin), to: axis.at(end), share: share, color: gray})
 		return
 	}
-	s.bars = append(s.bars,
-		span{row: row, from: axis.at(begin), to: axis.at(job.FirstStart), share: share, color: pale(blue)},
-		span{row: row, from: axis.at(job.FirstStart), to: axis.at(end), share: share, color: blue, label: stepLabel(job)})
+	c.bars = append(c.bars,
+		bar{row: row, from: axis.at(begin), to: axis.at(job.FirstStart), share: share, color: pale(blue)},
+		bar{row: row, from: axis.at(job.FirstStart), to: axis.at(end), share: share, color: blue, label: stepLabel(job)})
 }
--- a/internal/report/picture/jobs_test.go
+++ b/internal/report/picture/jobs_test.go
@@ -9,8 +9,8 @@
 	"github.com/corkpulley/corkpulley/internal/report/timeline"
 )
 
-// Guards against a full bar for a job whose beginning or end no line holds.
-func TestAJobWithoutBothEndsHasAThinBar(t *testing.T) {
+// Guards against a full bar for a job whose submission or end is not in the logs.
+func TestJobWithUnknownBoundsHasThinBar(t *testing.T) {
 	axis := &timeAxis{first: time.UnixMilli(0), span: 10 * time.Second}
 	submitted, ended, last := time.UnixMilli(1000), time.UnixMilli(4000), time.UnixMilli(9000)
 	for _, known := range []struct {
@@ -23,7 +23,7 @@
 		{timeline.Job{Ended: ended, EndAsked: ended}, 4, 4, thinShare},
 		{timeline.Job{FirstEndRefused: ended, LastEndRefused: ended, EndsRefused: 1}, 4, 9, thinShare},
 	} {
-		drawn := &spans{}
+		drawn := &barChart{}
 		drawn.addJob(axis, &known.job, 0, last)
 		assert.Equal(t, len(drawn.bars), 1)
 		assert.Equal(t, drawn.bars[0].from, known.from)
--- a/internal/report/picture/lanes.go
+++ b/internal/report/picture/lanes.go
@@ -8,22 +8,22 @@
 	"github.com/corkpulley/corkpulley/internal/report/timeline"
 )
 
-// noModel groups the jobs whose submission is not in the logs.
-const noModel = "model not in the logs"
+// unknownModel labels jobs whose submission is not in the logs.
+const unknownModel = "model not in the logs"
 
-// lane is one row of jobs that don't overlap.
+// lane is a row of jobs that don't overlap.
 type lane struct {
 	model string
 	jobs  []*timeline.Job
 	until time.Time
 }
 
-// lanesOf packs jobs into lanes, by model and in order of time.
+// lanesOf assigns the jobs to lanes by model, in order of time.
 func lanesOf(jobs []timeline.Job, last time.Time) []*lane {
 	byModel := map[string][]*lane{}
 	for i := range jobs {
 		job := &jobs[i]
-		model := cmp.Or(job.Model, noModel)
+		model := cmp.Or(job.Model, unknownModel)
 		fitting := slices.IndexFunc(byModel[model], func(known *lane) bool { return known.until.Before(job.First()) })
 		if fitting < 0 {
 			fitting = len(byModel[model])
@@ -31,7 +31,7 @@
 		}
 		chosen := byModel[model][fitting]
 		chosen.jobs = append(chosen.jobs, job)
-		chosen.until = endOf(job, last)
+		chosen.until = jobEnd(job, last)
 	}
 	var lanes []*lane
 	for _, group := range byModel {
@@ -41,8 +41,8 @@
 	return lanes
 }
 
-// endOf returns when the job's bar ends: at its accepted end, else at the end of the logs.
-func endOf(job *timeline.Job, last time.Time) time.Time {
+// jobEnd returns when the job's bar ends: at its accepted end call, the end of its runs, or the end of the logs.
+func jobEnd(job *timeline.Job, last time.Time) time.Time {
 	if !job.EndAsked.IsZero() {
 		return job.EndAsked
 	}
--- a/internal/report/picture/leadership.go
+++ b/internal/report/picture/leadership.go
@@ -14,7 +14,7 @@
 		omitted := max(0, len(rows)-maxRows)
 		rows = rows[:len(rows)-omitted]
 		drawn := axis.newPanel("leadership by node", "", rowsHeight(len(rows)))
-		drawn.showRows(rows)
+		drawn.setRows(rows)
 		drawn.plot.Add(termBars(axis, from.Terms, rows))
 		drawn.legend.Add("led", swatch{green})
 		drawn.legend.Add("led; the end is not logged", swatch{pale(green)})
@@ -28,7 +28,7 @@
 	}
 }
 
-// rowOf names the row of a term.
+// rowOf returns the label of a term's row.
 func rowOf(term timeline.Term) string {
 	if term.Scope == timeline.Everywhere {
 		return term.Node
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s [%s]", term.Node, term.Scope)
 }
 
-// leaderRows returns the rows, those of the unbound scope first, each scope's in order of the first term.
+// leaderRows returns the row labels, those of the scope Everywhere first, each scope's in order of the first term.
 func leaderRows(terms []timeline.Term) []string {
 	ordered := slices.Clone(terms)
 	slices.SortStableFunc(ordered, func(a, b timeline.Term) int {
@@ -58,8 +58,8 @@
 	return 1
 }
 
-func termBars(axis *timeAxis, terms []timeline.Term, rows []string) *spans {
-	bars := &spans{}
+func termBars(axis *timeAxis, terms []timeline.Term, rows []string) *barChart {
+	bars := &barChart{}
 	for _, term := range terms {
 		row := slices.Index(rows, rowOf(term))
 		if row < 0 {
@@ -69,8 +69,8 @@
 		if term.EndKnownBy != timeline.EndLogged {
 			fill = pale(green)
 		}
-		bars.bars = append(bars.bars, span{
-			row: rowPlace(row, len(rows)), from: axis.at(term.From), to: axis.at(term.To), share: barShare, color: fill,
+		bars.bars = append(bars.bars, bar{
+			row: rowPosition(row, len(rows)), from: axis.at(term.From), to: axis.at(term.To), share: barShare, color: fill,
 		})
 	}
 	return bars
--- a/internal/report/picture/picture.go
+++ b/internal/report/picture/picture.go
@@ -15,10 +15,10 @@
 
 // Sizes in pixels.
 const (
-	// Width is every picture's width.
+	// Width is the width of every picture.
 	Width       = 1280
 	legendWidth = 220
-	// dataLeft is where the time axis begins, alike in all pictures.
+	// dataLeft is where the time axis begins in every picture.
 	dataLeft    = 220
 	panelHeight = 190
 	margin      = 12
@@ -27,7 +27,7 @@
 
 // Picture is one image of a timeline.
 type Picture struct {
-	// Name is the file's name without its ending.
+	// Name is the file name without its extension.
 	Name    string
 	Title   string
 	Caption string
@@ -36,7 +36,7 @@
 	PNG    []byte
 }
 
-// panel is one plot of a picture with its legend.
+// panel is a plot with its legend.
 type panel struct {
 	plot   *plot.Plot
 	legend plot.Legend
@@ -63,7 +63,7 @@
 
 func pixels(count int) vg.Length { return vg.Length(count) * vg.Inch / resolution }
 
-// draw draws the plot, its data area from dataLeft on, and the legend to its right.
+// draw draws the plot, with its data area starting at dataLeft, and the legend to its right.
 func (p *panel) draw(tile draw.Canvas) {
 	area := draw.Crop(tile, pixels(margin), -pixels(legendWidth), 0, 0)
 	area = draw.Crop(area, pixels(dataLeft)-p.plot.DataCanvas(area).Min.X, 0, 0, 0)
@@ -71,7 +71,7 @@
 	p.legend.Draw(draw.Crop(tile, pixels(Width-legendWidth+margin), 0, 0, -pixels(2*margin)))
 }
 
-// render draws the panels one below the other into the picture.
+// render draws the panels into the picture, from top to bottom.
 func render(picture Picture, panels ...panel) (Picture, error) {
 	for _, panel := range panels {
 		picture.Height += panel.height
--- a/internal/report/picture/picture_test.go
+++ b/internal/report/picture/picture_test.go
@@ -15,7 +15,7 @@
 	"github.com/corkpulley/corkpulley/internal/report/timeline"
 )
 
-// busyLines hold an event of each picture and a gap from 2 s to 7 s.
+// busyLines hold an event for each picture and a gap from 2 s to 7 s.
 const busyLines = `
 {"node":"n1","time":1000,"message":"node started"}
 {"node":"n1","config":3,"time":1050,"message":"configuration in force"}
@@ -51,8 +51,8 @@
 	return decoded
 }
 
-// holds reports whether the area left of the legend has a pixel of the color.
-func holds(drawn image.Image, wanted color.RGBA) bool {
+// containsColor reports whether the data area has a pixel of the color.
+func containsColor(drawn image.Image, wanted color.RGBA) bool {
 	for y := drawn.Bounds().Min.Y; y < drawn.Bounds().Max.Y; y++ {
 		for x := dataLeft; x < Width-legendWidth; x++ {
 			if color.RGBAModel.Convert(drawn.At(x, y)) == wanted {
@@ -63,7 +63,7 @@
 	return false
 }
 
-// Guards against images that no viewer opens, or whose size is not what the page says.
+// Guards against undecodable images, and images whose size differs from that in the page.
 func TestEachPictureDecodesWithItsSize(t *testing.T) {
 	for name, lines := range map[string]string{
 		"busy": busyLines,
@@ -78,7 +78,7 @@
 	}
 }
 
-// Guards against pictures that leave out what the timeline holds.
+// Guards against pictures that omit events of the timeline.
 func TestEachPictureShowsItsEventsAndTheGap(t *testing.T) {
 	pictures, err := All(read(t, busyLines))
 	assert.NilError(t, err)
@@ -89,13 +89,13 @@
 	for _, picture := range pictures {
 		drawn := decode(t, picture)
 		for _, wanted := range append(shown[picture.Name], gapColor) {
-			assert.Assert(t, holds(drawn, wanted), "%s lacks %v", picture.Name, wanted)
+			assert.Assert(t, containsColor(drawn, wanted), "%s lacks %v", picture.Name, wanted)
 		}
 	}
 }
 
-// Guards against jobs that overlap drawn over each other, and against a row for each job.
-func TestJobsShareARowOnlyOneAfterTheOther(t *testing.T) {
+// Guards against overlapping jobs drawn in one row, and against a row for each job.
+func TestOverlappingJobsGetSeparateLanes(t *testing.T) {
 	job := func(id, model string, from, to int64) timeline.Job {
 		at := time.UnixMilli(from)
 		return timeline.Job{ID: id, Model: model, FirstSubmitTried: at, Submitted: at, EndAsked: time.UnixMilli(to)}
@@ -114,7 +114,7 @@
 	assert.DeepEqual(t, packed, []string{"m a c", "m b", "other d"})
 }
 
-// Guards against a long run whose ticks cover each other or whose bars are thinner than a pixel.
+// Guards against overlapping ticks and bars thinner than a pixel for long time spans.
 func TestTicksAndBinsAreBoundedForAnySpan(t *testing.T) {
 	for _, span := range []time.Duration{0, time.Second, time.Minute, time.Hour, 24 * time.Hour, 40 * 24 * time.Hour, 400 * 24 * time.Hour, 80000 * 24 * time.Hour} {
 		last := time.UnixMilli(1000).Add(span)
--- a/internal/report/picture/rates.go
+++ b/internal/report/picture/rates.go
@@ -7,7 +7,7 @@
 	"github.com/corkpulley/corkpulley/internal/report/timeline"
 )
 
-// without returns the labels but the excluded one.
+// without returns the labels except the excluded one.
 func without(labels []string, excluded string) []string {
 	return slices.DeleteFunc(slices.Clone(labels), func(label string) bool { return label == excluded })
 }
--- a/internal/report/picture/stack.go
+++ b/internal/report/picture/stack.go
@@ -12,15 +12,14 @@
 )
 
 const (
-	// maxBins bounds the bars of a panel.
-	maxBins = 240
+	maxBins = 240 // per panel
 	minBin  = time.Second
-	// maxSeries bounds the series of a panel; the rarest ones are drawn as one.
+	// maxSeries bounds the series of a panel; the rarest ones are merged into the last.
 	maxSeries = 9
 	headRoom  = 1.08
 )
 
-// series is a row of rates, one for each bin.
+// series holds a rate per bin.
 type series struct {
 	name  string
 	color color.Color
@@ -28,7 +27,7 @@
 	total int
 }
 
-// stack draws series as bars on top of each other; it implements plot.Plotter and plot.DataRanger.
+// stack draws series as stacked bars. It implements plot.Plotter.
 type stack struct {
 	binWidth float64
 	series   []series
@@ -58,7 +57,7 @@
 	return make([]float64, len(s.series[0].rates))
 }
 
-// highest returns the highest bar.
+// highest returns the height of the highest bar.
 func (s *stack) highest() float64 {
 	sums, highest := s.emptyBins(), 0.0
 	for _, each := range s.series {
@@ -70,7 +69,7 @@
 	return highest
 }
 
-// bins returns the width and the number of the bins in which rates are drawn over the axis.
+// bins returns the width and number of the bins for drawing the rates over the axis.
 func (a *timeAxis) bins(rates *timeline.Rates) (time.Duration, int) {
 	bucket := rates.Width()
 	least := max(minBin, a.span/maxBins+1)
@@ -78,7 +77,7 @@
 	return width, int(a.span/width) + 1
 }
 
-// stackOf returns the rates of the labels, the rarest ones as one series. A label without events is omitted.
+// stackOf returns the rates of the labels, with series beyond maxSeries merged. Labels without events are omitted.
 func (a *timeAxis) stackOf(rates *timeline.Rates, labels []string, colors []color.RGBA) *stack {
 	width, count := a.bins(rates)
 	stacked := &stack{binWidth: width.Seconds()}
@@ -115,7 +114,7 @@
 	drawn.plot.Y.Tick.Marker = plot.TickerFunc(rateTicks)
 	if len(stacked.series) == 0 {
 		drawn.plot.Y.Max = 1
-		drawn.noteNone()
+		drawn.markEmpty()
 	}
 	for _, each := range stacked.series {
 		drawn.legend.Add(fmt.Sprintf("%s (%d)", shorten(each.name), each.total), swatch{each.color})
--- a/internal/report/picture/ticks.go
+++ b/internal/report/picture/ticks.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// maxValueTicks bounds the labelled ticks of a value axis.
+	// maxValueTicks bounds the labeled ticks of a value axis.
 	maxValueTicks = 6
-	// finestStep is the smallest distance between ticks.
+	// finestStep is the smallest distance between ticks of rates.
 	finestStep = 1e-6
 )
 
 // roundSteps are the distances between ticks within a power of ten.
 var roundSteps = []float64{1, 2, 5}
 
-// wholeTicks labels whole numbers at round distances.
-func wholeTicks(low, high float64) []plot.Tick { return ticksFrom(low, high, 1) }
+// integerTicks labels integers at round distances.
+func integerTicks(low, high float64) []plot.Tick { return roundTicks(low, high, 1) }
 
-// rateTicks labels numbers, fractions too, at round distances.
-func rateTicks(low, high float64) []plot.Tick { return ticksFrom(low, high, finestStep) }
+// rateTicks labels numbers, including fractions, at round distances.
+func rateTicks(low, high float64) []plot.Tick { return roundTicks(low, high, finestStep) }
 
-func ticksFrom(low, high, leastStep float64) []plot.Tick {
+func roundTicks(low, high, leastStep float64) []plot.Tick {
 	step := roundStep(high-low, leastStep)
 	first := math.Ceil(low/step) * step
 	var ticks []plot.Tick
-	// The count bounds the loop where a step is too small to change so large a value.
+	// Bounds the loop if the step is too small to change the value.
 	for i := range maxValueTicks + 1 {
 		value := first + float64(i)*step
 		if value > high {
@@ -38,7 +38,7 @@
 	return ticks
 }
 
-// tickLabel writes the value with as many digits as the step needs.
+// tickLabel formats the value with as many digits as the step needs.
 func tickLabel(value, step float64) string {
 	digits := max(0, int(math.Ceil(-math.Log10(step))))
 	return strconv.FormatFloat(value, 'f', digits, 64)
--- a/internal/report/picture/ticks_test.go
+++ b/internal/report/picture/ticks_test.go
@@ -15,16 +15,16 @@
 	return labels
 }
 
-// Guards against axes that give versions fractions, or that give a rare event's rate no scale.
-func TestTicksAreRoundAndAsFineAsTheValue(t *testing.T) {
-	assert.DeepEqual(t, labelsOf(wholeTicks(21, 23)), []string{"21", "22", "23"})
-	assert.DeepEqual(t, labelsOf(wholeTicks(0, 3900)), []string{"0", "1000", "2000", "3000"})
+// Guards against fractional ticks for versions, and against low rates without ticks.
+func TestTicksAreRoundAndMatchTheValueRange(t *testing.T) {
+	assert.DeepEqual(t, labelsOf(integerTicks(21, 23)), []string{"21", "22", "23"})
+	assert.DeepEqual(t, labelsOf(integerTicks(0, 3900)), []string{"0", "1000", "2000", "3000"})
 	assert.DeepEqual(t, labelsOf(rateTicks(0, 0.035)), []string{"0.00", "0.01", "0.02", "0.03"})
 	assert.DeepEqual(t, labelsOf(rateTicks(0, 360)), []string{"0", "100", "200", "300"})
 }
 
-// Guards against labels of nodes that are alike once shortened.
-func TestShortLabelsKeepTheirEnds(t *testing.T) {
+// Guards against shortened labels that no longer identify a node.
+func TestShortenKeepsBothEnds(t *testing.T) {
 	assert.Equal(t, shorten("edge-castlebar-hall-312"), "edge-castlebar-hall-312")
 	shortened := shorten("edge-castlebar-hall-312 [north-coast,south-coast]")
 	assert.Equal(t, len([]rune(shortened)), maxLabel)
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes a timeline of nodes' log lines as one HTML page without references to other files,
-// and its pictures as PNG files beside it.
+// Package report renders a timeline of the nodes' log lines as a self-contained HTML page, with its pictures as PNG
+// files beside it.
 package report
 
 import (
@@ -20,8 +20,8 @@
 	fileMode      = 0o644
 )
 
-// Write draws the timeline into the directory, which is made if it is missing, and returns the files written,
-// the page first.
+// Write renders the timeline into the directory, which is created if missing, and returns the files written, the page
+// first.
 func Write(directory string, built *timeline.Timeline) ([]string, error) {
 	pictures, err := picture.All(built)
 	if err != nil {
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
-		return nil, errors.Wrap(err, "make the report's directory")
+		return nil, errors.Wrap(err, "create the report directory")
 	}
 	files := []string{filepath.Join(directory, PageName)}
 	if err := os.WriteFile(files[0], page, fileMode); err != nil {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -18,13 +18,13 @@
 	"github.com/corkpulley/corkpulley/internal/report/timeline"
 )
 
-// outside matches what would make a browser load another file or run a script.
-var outside = regexp.MustCompile(`(?i)<script|<link|<iframe|<object|<embed|<base|href=|https?:|//[a-z]|url\(|@import|javascript:|\son[a-z]+=`)
+// externalReference matches markup that makes a browser load another file or run a script.
+var externalReference = regexp.MustCompile(`(?i)<script|<link|<iframe|<object|<embed|<base|href=|https?:|//[a-z]|url\(|@import|javascript:|\son[a-z]+=`)
 
-// inlined matches the data of the pictures, which is no text.
-var inlined = regexp.MustCompile(`"data:image/png;base64,(?:[A-Za-z0-9/=]|&#43;)+"`)
+// inlineImage matches the inline data of a picture.
+var inlineImage = regexp.MustCompile(`"data:image/png;base64,(?:[A-Za-z0-9/=]|&#43;)+"`)
 
-func keptTimeline(t *testing.T) *timeline.Timeline {
+func recordedTimeline(t *testing.T) *timeline.Timeline {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join("timeline", "testdata", "*.log"))
 	assert.NilError(t, err)
@@ -56,28 +56,28 @@
 
 func assertSelfContained(t *testing.T, page []byte) {
 	t.Helper()
-	text := inlined.ReplaceAll(page, []byte(`"inlined"`))
-	assert.Equal(t, string(outside.Find(text)), "")
+	text := inlineImage.ReplaceAll(page, []byte(`"inlined"`))
+	assert.Equal(t, string(externalReference.Find(text)), "")
 }
 
-// Guards against a page that a browser shows in part, or that loads anything.
-func TestThePageIsWellFormedAndSelfContained(t *testing.T) {
+// Guards against malformed markup, and against a page that loads other files.
+func TestWritePageIsWellFormedAndSelfContained(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "made", "here")
-	files, err := Write(directory, keptTimeline(t))
+	files, err := Write(directory, recordedTimeline(t))
 	assert.NilError(t, err)
 	page, err := os.ReadFile(files[0])
 	assert.NilError(t, err)
 	assertWellFormed(t, page)
 	assertSelfContained(t, page)
-	assert.Equal(t, len(inlined.FindAll(page, -1)), len(files)-1)
+	assert.Equal(t, len(inlineImage.FindAll(page, -1)), len(files)-1)
 	for _, wanted := range []string{"629, 2 unreadable", "Not in the logs", "unexpected end of JSON input", "node-3.log"} {
 		assert.Assert(t, strings.Contains(string(page), wanted), wanted)
 	}
 }
 
-// Guards against pictures beside the page that are not those within it.
-func TestThePicturesBesideThePageDecode(t *testing.T) {
-	files, err := Write(t.TempDir(), keptTimeline(t))
+// Guards against picture files that are missing or cannot be decoded.
+func TestWritePicturesDecode(t *testing.T) {
+	files, err := Write(t.TempDir(), recordedTimeline(t))
 	assert.NilError(t, err)
 	assert.Equal(t, len(files), 8)
 	for _, name := range files[1:] {
@@ -90,8 +90,8 @@
 	}
 }
 
-// Guards against names in log lines that become markup of the page.
-func TestNamesInLinesAreText(t *testing.T) {
+// Guards against markup injected through names in log lines.
+func TestPageEscapesNamesFromLogLines(t *testing.T) {
 	builder := timeline.NewBuilder(timeline.Options{MinimumGap: time.Second})
 	hostile := `{"node":"<script src='//h'>","config":1,"time":1000,"message":"configuration in force"}
 {"node":"</td><img src=x onerror=y>","homes":"\"><link href='http://h'>","time":2000,"message":"leadership gained"}
@@ -110,10 +110,10 @@
 	}
 }
 
-// Guards against a report that fails only once its files are read.
-func TestADirectoryThatCannotBeMadeIsAnError(t *testing.T) {
+// Guards against an unreported failure to write the files.
+func TestWriteReturnsErrorIfDirectoryCannotBeCreated(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	assert.NilError(t, os.WriteFile(file, nil, fileMode))
-	_, err := Write(filepath.Join(file, "report"), keptTimeline(t))
-	assert.ErrorContains(t, err, "make the report's directory")
+	_, err := Write(filepath.Join(file, "report"), recordedTimeline(t))
+	assert.ErrorContains(t, err, "create the report directory")
 }
--- a/internal/report/timeline/bounds_test.go
+++ b/internal/report/timeline/bounds_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against events lost or doubled when buckets are widened, and against buckets without bound.
+// Guards against events lost or duplicated when buckets are widened, and against an unbounded number of buckets.
 func TestRatesKeepEachEventInBoundedBuckets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := rapid.SliceOfN(rapid.Int64Range(1, int64(400*24*time.Hour/time.Millisecond)), 1, 200).Draw(t, "times")
@@ -33,12 +33,12 @@
 	})
 }
 
-// Guards against a gap that is missed, or whose ends are those of buckets.
-func TestGapsAreThoseBetweenNeighbouringTimes(t *testing.T) {
+// Guards against a missed gap, and against gap bounds rounded to buckets.
+func TestGapsLieBetweenConsecutiveProgressTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := rapid.SliceOfN(rapid.Int64Range(1000, 100000), 1, 60).Draw(t, "times")
-		minimum := rapid.Int64Range(initialWidth, 20000).Draw(t, "minimum")
-		progress := newProgressLog()
+		minimum := rapid.Int64Range(initialWidthMs, 20000).Draw(t, "minimum")
+		progress := newProgressBuckets()
 		for _, at := range times {
 			progress.add(at)
 		}
@@ -56,7 +56,7 @@
 	})
 }
 
-// Guards against lists that grow with the logs, and against events beyond the bound that nobody is shown.
+// Guards against lists that grow with the logs, and against events omitted without a count.
 func TestJobsBeyondTheBoundAreCountedAsOmitted(t *testing.T) {
 	lines := make([]string, 0, maxJobs+5)
 	for i := range maxJobs + 5 {
@@ -67,8 +67,8 @@
 	assert.Equal(t, built.Lines.Omitted, 5)
 }
 
-// Guards against a label for each of many topics.
-func TestLabelsAreBounded(t *testing.T) {
+// Guards against a number of labels that grows with the number of topics.
+func TestRatesBoundTheirLabels(t *testing.T) {
 	rates := newRates()
 	for i := range 10 * maxLabels {
 		rates.add(1000, fmt.Sprint(i))
@@ -77,8 +77,8 @@
 	assert.Equal(t, rates.Total(otherLabel), 9*maxLabels)
 }
 
-// Guards against a gap without what on-call engineers see in it.
-func TestAGapNamesWhatElseItsTimeHolds(t *testing.T) {
+// Guards against a gap reported without the failures within it.
+func TestGapCountsOtherEventsWithinIt(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
 		line(1000, "n1", "", messageRequestEnded),
 		line(2500, "n1", `"kind":"log_unavailable",`, messageRequestRefused),
@@ -91,9 +91,9 @@
 	}})
 }
 
-// Guards against a long gap that many short ones push from the page.
-func TestTheLongestGapsComeFirst(t *testing.T) {
-	progress := newProgressLog()
+// Guards against a long gap displaced from the list by many short ones.
+func TestLongestGapsComeFirst(t *testing.T) {
+	progress := newProgressBuckets()
 	at := int64(1000)
 	for length := range int64(maxGaps + 5) {
 		progress.add(at)
--- a/internal/report/timeline/builder.go
+++ b/internal/report/timeline/builder.go
@@ -10,30 +10,29 @@
 	"github.com/go-faster/errors"
 )
 
-// maxNodes bounds the nodes counted.
 const maxNodes = 50000
 
-// ErrNoLines is returned when no line could be used.
+// ErrNoLines is returned when the sources hold no usable line.
 var ErrNoLines = errors.New("no log line of a node")
 
-// Builder reads log lines into a Timeline. Sources may come in any order; the lines of one process come
-// in the order in which it wrote them.
+// Builder builds a Timeline from log lines. Sources may be read in any order; the lines of one process must be in the
+// order in which it wrote them.
 type Builder struct {
 	options  Options
 	timeline *Timeline
 	nodes    map[string]bool
-	// starting holds the nodes that have put no configuration in force since they started.
-	starting   map[string]bool
-	jobs       map[string]*Job
-	versions   map[int64]*Version
-	leadership []leadershipEvent
-	progress   *progressLog
-	seen       map[string]int
+	// starting holds the nodes that have applied no configuration since they started.
+	starting      map[string]bool
+	jobs          map[string]*Job
+	versions      map[int64]*Version
+	leadership    []leadershipEvent
+	progress      *progressBuckets
+	messageCounts map[string]int
 	// first and last bound the times of all readable lines, those out of range too.
 	first, last int64
 }
 
-// NewBuilder returns a Builder that has read nothing yet.
+// NewBuilder returns an empty Builder.
 func NewBuilder(options Options) *Builder {
 	return &Builder{
 		options: options,
@@ -41,11 +40,11 @@
 			Requests: newRates(), Tries: newRates(), Contact: newRates(), Topics: newRates(), Processes: newRates(),
 		},
 		nodes: map[string]bool{}, starting: map[string]bool{}, jobs: map[string]*Job{},
-		versions: map[int64]*Version{}, progress: newProgressLog(), seen: map[string]int{},
+		versions: map[int64]*Version{}, progress: newProgressBuckets(), messageCounts: map[string]int{},
 	}
 }
 
-// Read adds the lines of one source. Unreadable ones are counted; the error is the source's.
+// Read adds the lines of one source. Unreadable lines are counted; the error is that of reading the source.
 func (b *Builder) Read(name string, source io.Reader) error {
 	summary := Source{Name: name}
 	reader, buffer := bufio.NewReader(source), []byte(nil)
@@ -61,7 +60,7 @@
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue
 		}
-		summary.note(b.addLine(line, cut))
+		summary.count(b.addLine(line, cut))
 	}
 	b.timeline.Lines.Read += summary.Lines
 	b.timeline.Lines.Unreadable += summary.Unreadable
@@ -69,8 +68,8 @@
 	return nil
 }
 
-// note counts a line that was applied, or not because of err.
-func (s *Source) note(err error) {
+// count counts a line, as unreadable if err is not nil.
+func (s *Source) count(err error) {
 	s.Lines++
 	if err == nil {
 		return
@@ -104,7 +103,7 @@
 	if !used {
 		return nil
 	}
-	b.seen[line.Message]++
+	b.messageCounts[line.Message]++
 	return apply(b, line, object)
 }
 
@@ -126,7 +125,7 @@
 	return nil
 }
 
-// Timeline returns what was read; ErrNoLines if no line could be used.
+// Timeline returns the timeline of the lines read, or ErrNoLines if none could be used.
 func (b *Builder) Timeline() (*Timeline, error) {
 	if len(b.nodes) == 0 {
 		return nil, ErrNoLines
@@ -147,7 +146,7 @@
 	return built, nil
 }
 
-// bounds returns the requested range as far as lines reach.
+// bounds returns the requested range, clipped to the times of the lines.
 func (b *Builder) bounds() (first, last time.Time) {
 	first, last = time.UnixMilli(b.first), time.UnixMilli(b.last)
 	if b.options.From.After(first) {
--- a/internal/report/timeline/configurations.go
+++ b/internal/report/timeline/configurations.go
@@ -7,10 +7,9 @@
 	"time"
 )
 
-// maxVersions bounds the configuration versions kept.
 const maxVersions = 20000
 
-// Adoption is when nodes put a version in force.
+// Adoption describes when nodes applied a configuration version.
 type Adoption struct {
 	Nodes               int
 	First, Last         time.Time
@@ -20,8 +19,8 @@
 // Version is one version of the configuration.
 type Version struct {
 	Number int64
-	// Running are the nodes that ran when it came, and those whose start is not in the logs; Starting are those
-	// that read it first after their start.
+	// Running are the nodes that applied it while running, and those whose start is not in the logs; Starting are those
+	// for which it was the first version after their start.
 	Running, Starting Adoption
 }
 
@@ -54,7 +53,7 @@
 	return nil
 }
 
-// add counts a node; among nodes of the same time the names decide, so that the order of files does not.
+// add counts a node. Ties in time are broken by name, so that the result is independent of the order of files.
 func (a *Adoption) add(line header) {
 	at := time.UnixMilli(line.Time)
 	if a.Nodes == 0 || cmp.Or(at.Compare(a.First), cmp.Compare(line.Node, a.FirstNode)) < 0 {
--- a/internal/report/timeline/contact.go
+++ b/internal/report/timeline/contact.go
@@ -43,7 +43,7 @@
 }
 
 func (b *Builder) addPartitionContact(line header, _ []byte) error {
-	b.addContact(line, line.Message == messagePartitionBack)
+	b.addContact(line, line.Message == messagePartitionRegained)
 	return nil
 }
 
--- a/internal/report/timeline/gaps.go
+++ b/internal/report/timeline/gaps.go
@@ -7,14 +7,13 @@
 	"time"
 )
 
-// maxGaps bounds the gaps reported, the longest ones first.
 const maxGaps = 40
 
-// Gap is a time in which no node made progress: none read a topic in full, put a configuration in force or regained
-// contact with the log, and no request, call of a trainer, engine or item got its answer.
+// Gap is a period in which no node made progress: none read a topic in full, applied a configuration or regained
+// contact with the log, and no request, trainer call, engine attempt or item completed.
 type Gap struct {
 	From, To time.Time
-	// Counts of other events within this time, from whole buckets.
+	// Counts of other events within the gap, taken from the buckets that lie fully within it.
 	Refused      int
 	NodesStarted int
 	ContactLost  int
@@ -24,9 +23,9 @@
 // Duration returns the gap's length.
 func (g Gap) Duration() time.Duration { return g.To.Sub(g.From) }
 
-// progressLog keeps the first and last progress of each bucket, so that gaps at least as long as a bucket are
-// found exactly.
-type progressLog struct {
+// progressBuckets keeps the first and last time of progress in each bucket, so that gaps at least as long as a bucket
+// are found exactly.
+type progressBuckets struct {
 	width           int64
 	buckets         map[int64]progressSpan
 	lowest, highest int64
@@ -34,11 +33,11 @@
 
 type progressSpan struct{ first, last int64 }
 
-func newProgressLog() *progressLog {
-	return &progressLog{width: initialWidth, buckets: map[int64]progressSpan{}}
+func newProgressBuckets() *progressBuckets {
+	return &progressBuckets{width: initialWidthMs, buckets: map[int64]progressSpan{}}
 }
 
-func (p *progressLog) add(at int64) {
+func (p *progressBuckets) add(at int64) {
 	number := at / p.width
 	if len(p.buckets) == 0 {
 		p.lowest, p.highest = number, number
@@ -50,15 +49,15 @@
 	}
 }
 
-func (p *progressLog) merge(number int64, span progressSpan) {
+func (p *progressBuckets) merge(number int64, span progressSpan) {
 	if known, found := p.buckets[number]; found {
 		span = progressSpan{min(known.first, span.first), max(known.last, span.last)}
 	}
 	p.buckets[number] = span
 }
 
-// widen doubles the width.
-func (p *progressLog) widen() {
+// widen doubles the width of the buckets.
+func (p *progressBuckets) widen() {
 	narrow := p.buckets
 	p.buckets = make(map[int64]progressSpan, len(narrow)/2)
 	p.width *= 2
@@ -68,9 +67,8 @@
 	}
 }
 
-// gaps returns the times between first and last without progress that last at least minimum, or a bucket if
-// that is longer.
-func (p *progressLog) gaps(first, last time.Time, minimum time.Duration) []Gap {
+// gaps returns the periods without progress between first and last that are at least as long as minimum and a bucket.
+func (p *progressBuckets) gaps(first, last time.Time, minimum time.Duration) []Gap {
 	minimum = max(minimum, time.Duration(p.width)*time.Millisecond)
 	var gaps []Gap
 	since := first
@@ -94,7 +92,7 @@
 	return gaps[:min(len(gaps), maxGaps)]
 }
 
-// describe adds to the gap what the timeline holds of its time.
+// describe sets the counts of the other events within the gap.
 func (g *Gap) describe(timeline *Timeline) {
 	from, until := g.From.UnixMilli(), g.To.UnixMilli()
 	for label, count := range timeline.Requests.between(from, until) {
--- a/internal/report/timeline/jobs.go
+++ b/internal/report/timeline/jobs.go
@@ -8,27 +8,26 @@
 )
 
 const (
-	// maxJobs bounds the jobs kept, maxAcceptances those of one job.
 	maxJobs        = 20000
-	maxAcceptances = 64
+	maxAcceptances = 64 // per job
 )
 
-// Job is one batch job, a step of a trainer. A time that no line holds is zero.
+// Job is a batch job, one step of a trainer. A time that was not logged is zero.
 type Job struct {
 	ID    string
 	Model string
 	Step  int64
 	Items int
-	// Submitted is when a node took the submission, EndAsked when its submitter's end was taken.
+	// Submitted is when a node accepted the submission, EndAsked when a node accepted the call for its end.
 	Submitted, EndAsked time.Time
-	// Accepted are the times at which a leader began to run it: more than one after a takeover.
+	// Accepted holds the times at which a leader began to run it, several after takeovers.
 	Accepted []time.Time
 	// FirstStart is when its first item went to an engine.
 	FirstStart time.Time
 	// Ended is when a leader ended its runs.
 	Ended         time.Time
 	ItemsFinished int
-	// SubmitsRefused and EndsRefused count calls that failed; the times bound those for its end.
+	// SubmitsRefused and EndsRefused count failed calls; FirstSubmitTried and LastSubmitTried include accepted ones.
 	SubmitsRefused, EndsRefused       int
 	FirstEndRefused, LastEndRefused   time.Time
 	FirstSubmitTried, LastSubmitTried time.Time
@@ -42,7 +41,7 @@
 	Error string `json:"error"`
 }
 
-// job returns the job that the line names; nil beyond the bound or without a name.
+// job returns the job that the line names, or nil if it names none or maxJobs is reached.
 func (b *Builder) job(raw []byte) (*Job, jobRecord, error) {
 	var record jobRecord
 	if err := json.Unmarshal(raw, &record); err != nil {
@@ -153,7 +152,7 @@
 	}
 }
 
-// First returns the earliest time that a line of the job has.
+// First returns the earliest time logged for the job.
 func (j *Job) First() time.Time {
 	var first time.Time
 	for _, at := range append([]time.Time{
--- a/internal/report/timeline/jobs_test.go
+++ b/internal/report/timeline/jobs_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a job shown as ended although every call for its end was refused.
-func TestARefusedEndIsNoEnd(t *testing.T) {
+func TestRefusedEndCallDoesNotEndJob(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
 		line(1000, "n1", `"job":"j","step":3,"model":"m","items":8,`, messageJobSubmitted),
 		line(2000, "n2", `"job":"j","error":"log_unavailable: no contact",`, messageJobEndAsked),
@@ -22,8 +22,8 @@
 	assert.Assert(t, strings.Contains(strings.Join(built.NotInLogs, "\n"), "the accepted end of 1 jobs"))
 }
 
-// Guards against a bar that begins at a refused submission, and against the end's repeat moving the end.
-func TestOnlyAcceptedCallsBoundAJob(t *testing.T) {
+// Guards against a job submitted at a refused call, and against a repeated end call moving its end.
+func TestOnlyAcceptedCallsSetJobTimes(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
 		line(1000, "n1", `"job":"j","model":"m","error":"log_unavailable",`, messageJobSubmitted),
 		line(1500, "n2", `"job":"j","model":"m",`, messageJobSubmitted),
--- a/internal/report/timeline/leadership.go
+++ b/internal/report/timeline/leadership.go
@@ -7,43 +7,42 @@
 	"time"
 )
 
-// maxLeadershipEvents bounds what is kept to find the leaders' terms.
 const maxLeadershipEvents = 50000
 
-// Everywhere is the scope of the leader of all jobs that are bound to no regions.
+// Everywhere is the scope of the leader of jobs that are not bound to home regions.
 const Everywhere = "everywhere"
 
-// TermEnd is how a term's end is known.
+// TermEnd is the source of a term's end.
 type TermEnd string
 
-// How a term's end is known.
+// Sources of a term's end.
 const (
 	// EndLogged: the node logged that it lost or released the leadership.
 	EndLogged TermEnd = "logged"
-	// EndAssumed: no line of the node reports it; it is the node's next start or stop or the next leader's
-	// first line, whichever comes first.
+	// EndAssumed: the node did not log its end; it is the node's next start or stop or the start of the next leader's
+	// term, whichever comes first.
 	EndAssumed TermEnd = "assumed"
-	// EndOpen: the node led at the end of the logs.
+	// EndOpen: the node still led at the end of the logs.
 	EndOpen TermEnd = "open"
 )
 
-// Term is the time during which a node led, by its own lines.
+// Term is a period in which a node led, according to its own log lines.
 type Term struct {
 	Node string
-	// Scope names the home regions whose jobs it ran, or is Everywhere.
+	// Scope is the home regions whose jobs it ran, or Everywhere.
 	Scope      string
 	Epoch      int64
 	From, To   time.Time
 	EndKnownBy TermEnd
 }
 
-// Takeover is a change of the leader within a scope.
+// Takeover is a change of leader within a scope.
 type Takeover struct {
 	At       time.Time
 	Scope    string
 	From, To string
-	// Vacancy is how long no node led, negative where both did by their own lines; it is
-	// known only if IsVacancyKnown.
+	// Vacancy is the time without a leader, negative if both nodes led according to their own lines. It is valid only
+	// if IsVacancyKnown.
 	Vacancy        time.Duration
 	IsVacancyKnown bool
 }
@@ -90,11 +89,11 @@
 	for _, event := range b.leadership {
 		at := time.UnixMilli(event.at)
 		switch event.message {
-		case messageLeadershipGain:
+		case messageLeadershipGained:
 			closeTerm(terms, open, termKey{event.node, event.scope}, at, EndAssumed)
 			open[termKey{event.node, event.scope}] = len(terms)
 			terms = append(terms, Term{Node: event.node, Scope: event.scope, Epoch: event.epoch, From: at, EndKnownBy: EndOpen})
-		case messageLeadershipLost, messageLeadershipGiven:
+		case messageLeadershipLost, messageLeadershipReleased:
 			closeTerm(terms, open, termKey{event.node, event.scope}, at, EndLogged)
 		default:
 			for key := range open {
@@ -119,7 +118,7 @@
 	delete(open, key)
 }
 
-// endUnlogged ends each term without a logged end at the next leader's first line at the latest.
+// endUnlogged ends each term without a logged end no later than the start of the scope's next term.
 func endUnlogged(terms []Term, last time.Time) {
 	for i := range terms {
 		term := &terms[i]
@@ -144,7 +143,7 @@
 	return nil
 }
 
-// takeovers returns the changes of leaders that the terms hold.
+// takeovers returns the changes of leader between the terms.
 func takeovers(terms []Term) []Takeover {
 	var changes []Takeover
 	previous := map[string]Term{}
--- a/internal/report/timeline/leadership_test.go
+++ b/internal/report/timeline/leadership_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a killed leader that seems to lead on beside its successor.
-func TestATermWithoutALoggedEndIsMarkedAsAssumed(t *testing.T) {
+// Guards against a killed leader shown as leading alongside its successor.
+func TestTermWithoutLoggedEndIsMarkedAssumed(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
-		line(1000, "n1", `"epoch":1,`, messageLeadershipGain),
-		line(5000, "n2", `"epoch":2,`, messageLeadershipGain),
+		line(1000, "n1", `"epoch":1,`, messageLeadershipGained),
+		line(5000, "n2", `"epoch":2,`, messageLeadershipGained),
 		line(7000, "n1", "", messageNodeStarted),
 		line(9000, "n2", "", messageNodeStopping))
 	assert.Equal(t, len(built.Terms), 2)
@@ -23,24 +23,24 @@
 	assert.Assert(t, !built.Takeovers[0].IsVacancyKnown)
 }
 
-// Guards against an overlap of two leaders that is hidden or shown as time without one.
-func TestAnOverlapIsANegativeVacancy(t *testing.T) {
+// Guards against two overlapping leaders shown as none or as a vacancy.
+func TestOverlappingTermsHaveNegativeVacancy(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
-		line(1000, "n1", `"epoch":1,`, messageLeadershipGain),
-		line(5000, "n2", `"epoch":2,`, messageLeadershipGain),
+		line(1000, "n1", `"epoch":1,`, messageLeadershipGained),
+		line(5000, "n2", `"epoch":2,`, messageLeadershipGained),
 		line(5400, "n1", `"epoch":1,`, messageLeadershipLost),
-		line(8000, "n2", `"epoch":2,`, messageLeadershipGiven),
-		line(8100, "n1", `"epoch":3,`, messageLeadershipGain))
+		line(8000, "n2", `"epoch":2,`, messageLeadershipReleased),
+		line(8100, "n1", `"epoch":3,`, messageLeadershipGained))
 	assert.Equal(t, len(built.Takeovers), 2)
 	assert.Equal(t, built.Takeovers[0].Vacancy, -400*time.Millisecond)
 	assert.Equal(t, built.Takeovers[1].Vacancy, 100*time.Millisecond)
 }
 
-// Guards against the runners of different home regions taken for leaders that replace each other.
-func TestScopesHaveLeadersOfTheirOwn(t *testing.T) {
+// Guards against takeovers reported between leaders of different home regions.
+func TestScopesAreTrackedSeparately(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
-		line(1000, "n1", `"epoch":1,`, messageLeadershipGain),
-		line(2000, "n2", `"homes":"r2","epoch":1,`, messageLeadershipGain),
+		line(1000, "n1", `"epoch":1,`, messageLeadershipGained),
+		line(2000, "n2", `"homes":"r2","epoch":1,`, messageLeadershipGained),
 		line(3000, "n2", `"homes":"r2","epoch":1,`, messageLeadershipLost))
 	assert.Equal(t, len(built.Takeovers), 0)
 	assert.Equal(t, built.Terms[0].Scope, Everywhere)
@@ -49,8 +49,8 @@
 	assert.Equal(t, built.Terms[1].EndKnownBy, EndLogged)
 }
 
-// Guards against a node's start counted as the slow last node of a version.
-func TestAVersionReadAtAStartIsNoSpread(t *testing.T) {
+// Guards against a restarted node reported as the last one to apply a version.
+func TestVersionReadAtStartIsExcludedFromSpread(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
 		line(1000, "n1", `"config":4,`, messageConfiguration),
 		line(1300, "n2", `"config":4,`, messageConfiguration),
--- a/internal/report/timeline/lines.go
+++ b/internal/report/timeline/lines.go
@@ -10,32 +10,31 @@
 )
 
 const (
-	// maxLineBytes bounds one line; a longer one is unreadable.
 	maxLineBytes = 1 << 20
-	// maxTime is the year 2200 in milliseconds; spans below it fit a time.Duration.
-	maxTime = 7258118400000
+	// maxTimeMs is the start of the year 2200; intervals up to it fit a time.Duration.
+	maxTimeMs = 7258118400000
 )
 
 // Reasons why a line is unreadable.
 var (
-	errNoObject   = errors.New("no JSON object")
-	errIncomplete = errors.New("no time, node or message")
-	errTooLong    = errors.New("longer than 1 MiB")
-	errWrongTime  = errors.New("its time is beyond the year 2200")
+	errNoJSON         = errors.New("no JSON object")
+	errIncomplete     = errors.New("no time, node or message")
+	errTooLong        = errors.New("longer than 1 MiB")
+	errTimeOutOfRange = errors.New("time after the year 2200")
 )
 
-// header holds the fields of every line.
+// header holds the fields that every line has.
 type header struct {
 	Time    int64  `json:"time"`
 	Node    string `json:"node"`
 	Message string `json:"message"`
 }
 
-// parseHeader returns the header of a line and its JSON; whatever stands before the object is ignored.
+// parseHeader returns the header of a line and its JSON object. Text before the object is ignored.
 func parseHeader(line []byte) (header, []byte, error) {
 	start := bytes.IndexByte(line, '{')
 	if start < 0 {
-		return header{}, nil, errNoObject
+		return header{}, nil, errNoJSON
 	}
 	raw := line[start:]
 	var parsed header
@@ -45,14 +44,14 @@
 	if parsed.Time <= 0 || parsed.Node == "" || parsed.Message == "" {
 		return header{}, nil, errIncomplete
 	}
-	if parsed.Time > maxTime {
-		return header{}, nil, errWrongTime
+	if parsed.Time > maxTimeMs {
+		return header{}, nil, errTimeOutOfRange
 	}
 	return parsed, raw, nil
 }
 
-// readLine returns the next line, valid until the next call, and whether it was cut at maxLineBytes.
-// The error is io.EOF after the last line.
+// readLine returns the next line, valid until the next call, and whether it was truncated to maxLineBytes. It returns
+// io.EOF after the last line.
 func readLine(reader *bufio.Reader, buffer []byte) (line []byte, cut bool, err error) {
 	line = buffer[:0]
 	for {
--- a/internal/report/timeline/notinlogs.go
+++ b/internal/report/timeline/notinlogs.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// neverLogged is what no node logs today.
+// neverLogged describes events that no node logs.
 var neverLogged = []string{
 	"why an item waited: its lines have how long, not for what",
 	"the end of an item's whole run at its engine: \"item finished\" comes after its score, so places in use can't be counted",
 	"weights that an engine loads without an order",
 	"the moment at which a killed or frozen process stopped, which has no line",
 	"each failed call of the log: nodes log sums by topic every 10 s while calls fail (calls of the log failed), which this page does not draw",
-	"lines that a node dropped since their reader was slow; only its metrics count them",
+	"lines that a node dropped because their reader was slow; only its metrics count them",
 }
 
-// absentNotes describe what cannot be shown without any line of a message.
-var absentNotes = []struct{ message, note string }{
-	{messageLeadershipGain, "who led: no node in these logs gained the leadership"},
+// missingMessageNotes describes what cannot be shown if a message is missing from the logs.
+var missingMessageNotes = []struct{ message, note string }{
+	{messageLeadershipGained, "who led: no node in these logs gained the leadership"},
 	{messageJobSubmitted, "submissions of batch jobs"},
 	{messageJobEndAsked, "ends of batch jobs"},
 	{messageJobTakenUp, "when a leader began to run a job: the leader's lines are missing, or none accepted one"},
@@ -27,11 +27,11 @@
 	{messageNodeStarted, "starts of nodes: all ran before these lines begin, or the lines of the starts are missing"},
 }
 
-// notInLogs lists what the lines read lack, then what no lines hold.
+// notInLogs lists what is missing from the lines read, then what no node logs.
 func (b *Builder) notInLogs() []string {
 	var notes []string
-	for _, absent := range absentNotes {
-		if b.seen[absent.message] == 0 {
+	for _, absent := range missingMessageNotes {
+		if b.messageCounts[absent.message] == 0 {
 			notes = append(notes, fmt.Sprintf("%s (no line %q)", absent.note, absent.message))
 		}
 	}
--- a/internal/report/timeline/rates.go
+++ b/internal/report/timeline/rates.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// initialWidth is the buckets' width in milliseconds; it doubles whenever the span needs more than maxBuckets.
-	initialWidth = 250
-	maxBuckets   = 1 << 14
-	// maxLabels bounds the labels of a Rates; what comes under further ones counts as otherLabel.
+	// The width of buckets starts at initialWidthMs and doubles when the span needs more than maxBuckets.
+	initialWidthMs = 250
+	maxBuckets     = 1 << 14
+	// maxLabels bounds the labels of a Rates; events with further ones count under otherLabel.
 	maxLabels  = 48
 	otherLabel = "other"
 )
@@ -26,7 +26,7 @@
 }
 
 func newRates() *Rates {
-	return &Rates{width: initialWidth, buckets: map[int64]map[string]int{}, totals: map[string]int{}}
+	return &Rates{width: initialWidthMs, buckets: map[int64]map[string]int{}, totals: map[string]int{}}
 }
 
 func (r *Rates) add(at int64, label string) {
@@ -54,7 +54,7 @@
 	bucket[label] += count
 }
 
-// widen doubles the width.
+// widen doubles the width of the buckets.
 func (r *Rates) widen() {
 	narrow := r.buckets
 	r.buckets = make(map[int64]map[string]int, len(narrow)/2)
@@ -77,7 +77,7 @@
 	})
 }
 
-// Total returns the number of events under the labels; of all events without labels.
+// Total returns the number of events with one of the labels, or of all events if no label is given.
 func (r *Rates) Total(labels ...string) int {
 	if len(labels) == 0 {
 		labels = r.Labels()
@@ -92,7 +92,8 @@
 // Width returns the time that one bucket covers.
 func (r *Rates) Width() time.Duration { return time.Duration(r.width) * time.Millisecond }
 
-// PerSecond returns a label's rate in count bins of the given width, which is a multiple of Width.
+// PerSecond returns a label's rate in events per second, in count bins from first on. The bins' width must be a
+// multiple of Width.
 func (r *Rates) PerSecond(label string, first time.Time, width time.Duration, count int) []float64 {
 	bins := make([]float64, count)
 	start, step := first.UnixMilli()/r.width, max(1, width.Milliseconds()/r.width)
@@ -107,7 +108,7 @@
 	return bins
 }
 
-// between counts by label the events of the buckets that lie within a time.
+// between counts by label the events in buckets that lie fully between the two times, in milliseconds.
 func (r *Rates) between(from, until int64) map[string]int {
 	counts := map[string]int{}
 	for number, bucket := range r.buckets {
--- a/internal/report/timeline/requests.go
+++ b/internal/report/timeline/requests.go
@@ -6,16 +6,16 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-// Answered labels a request or a try that got its answer; other requests have their error code.
+// Answered labels a completed request or attempt. Other requests are labelled with their error code.
 const Answered = "answered"
 
-// Labels of a try that did not get its answer.
+// Labels of attempts that were not answered.
 const (
-	TryNext   = "try_next"
-	GiveUp    = "give_up"
-	TryHeld   = "not sent"
-	noHold    = "none"
-	unsetKind = ""
+	TryNext      = "try_next"
+	GiveUp       = "give_up"
+	TryNotSent   = "not sent"
+	heldBackNone = "none"
+	unsetKind    = ""
 )
 
 type requestRecord struct {
@@ -37,7 +37,7 @@
 	return codes
 }
 
-// addRequestEnded counts answers only: an error answer has a line of its own, "request refused".
+// addRequestEnded counts successful requests only: an error response has its own line, "request refused".
 func (b *Builder) addRequestEnded(line header, raw []byte) error {
 	var record requestRecord
 	if err := json.Unmarshal(raw, &record); err != nil {
@@ -77,8 +77,8 @@
 
 func (r tryRecord) outcome() string {
 	switch {
-	case r.HeldBack != "" && r.HeldBack != noHold:
-		return TryHeld
+	case r.HeldBack != "" && r.HeldBack != heldBackNone:
+		return TryNotSent
 	case r.Verdict == Answered, r.Verdict == TryNext, r.Verdict == GiveUp:
 		return r.Verdict
 	default:
--- a/internal/report/timeline/timeline.go
+++ b/internal/report/timeline/timeline.go
@@ -1,12 +1,12 @@
-// Package timeline builds from nodes' log lines what happened when: batch jobs, requests, leadership,
-// contact with the log, configurations and starts of nodes. It keeps counts and bounded lists, never the lines.
+// Package timeline builds a timeline from the nodes' log lines: batch jobs, requests, leadership, contact with the log,
+// configurations and node starts. It keeps counts and bounded lists rather than the lines.
 package timeline
 
 import "time"
 
-// Timeline is what the log lines of a run hold.
+// Timeline holds the events found in the log lines.
 type Timeline struct {
-	// First and Last bound the lines that were used.
+	// First and Last are the bounds of the time covered.
 	First, Last time.Time
 	Lines       LineCounts
 	Sources     []Source
@@ -22,23 +22,23 @@
 	Terms     []Term
 	Takeovers []Takeover
 	Versions  []Version
-	// Gaps are the longest ones, the longest first, GapsFound the number of all.
+	// Gaps holds the longest gaps, the longest first; GapsFound is the number of all gaps.
 	Gaps      []Gap
 	GapsFound int
 
-	// NotInLogs lists what this run's lines lack.
+	// NotInLogs describes what the lines do not show.
 	NotInLogs []string
 }
 
-// LineCounts counts lines by what became of them.
+// LineCounts counts lines by how they were processed.
 type LineCounts struct {
 	Read       int `json:"read"`
 	Unreadable int `json:"unreadable"`
-	// OutOfRange are those before or after the requested range.
+	// OutOfRange counts lines outside the requested range.
 	OutOfRange int `json:"out_of_range"`
-	// Suppressed are lines that nodes report as not written, above their limit per message.
+	// Suppressed counts lines that nodes reported as suppressed by their rate limit per message.
 	Suppressed int `json:"suppressed"`
-	// Omitted are events beyond a bound of the timeline's lists.
+	// Omitted counts events dropped because a list of the timeline was full.
 	Omitted int `json:"omitted"`
 }
 
@@ -47,16 +47,16 @@
 	Name       string
 	Lines      int
 	Unreadable int
-	// FirstUnreadable is the number of the first such line, counted from 1, and Reason its error.
+	// FirstUnreadable is the number of the first unreadable line, from 1, and Reason its error.
 	FirstUnreadable int
 	Reason          string
 }
 
-// Options choose what is used of the lines.
+// Options selects the lines used and the gaps reported.
 type Options struct {
-	// From and Until bound the lines' times; zero is no bound.
+	// From and Until bound the times of the lines; zero means unbounded.
 	From, Until time.Time
-	// MinimumGap is the shortest gap reported.
+	// MinimumGap is the length of the shortest gap reported.
 	MinimumGap time.Duration
 }
 
--- a/internal/report/timeline/timeline_test.go
+++ b/internal/report/timeline/timeline_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// readKept reads the kept logs of four nodes, all of which were killed and started again.
-func readKept(t *testing.T, options Options, inOrder func([]string)) *Timeline {
+// readRecorded reads the logs in testdata, of four nodes that were each killed and restarted.
+func readRecorded(t *testing.T, options Options, inOrder func([]string)) *Timeline {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join("testdata", "*.log"))
 	assert.NilError(t, err)
@@ -30,7 +30,7 @@
 	return built
 }
 
-func asListed([]string) {}
+func inListedOrder([]string) {}
 
 // readLines reads lines of one source.
 func readLines(t *testing.T, options Options, lines ...string) *Timeline {
@@ -47,9 +47,9 @@
 	return fmt.Sprintf(`{"level":"info","node":%q,"zone":"z",%s"time":%d,"message":%q}`, node, fields, at, message)
 }
 
-// Guards against events that are lost or counted twice between the lines and the timeline.
-func TestKeptLogsGiveTheirTimeline(t *testing.T) {
-	built := readKept(t, Options{MinimumGap: time.Second}, asListed)
+// Guards against events lost or counted twice.
+func TestTimelineOfRecordedLogs(t *testing.T) {
+	built := readRecorded(t, Options{MinimumGap: time.Second}, inListedOrder)
 	assert.Equal(t, built.Nodes, 4)
 	assert.DeepEqual(t, built.Lines, LineCounts{Read: 629, Unreadable: 2})
 	assert.Equal(t, built.Requests.Total(Answered), 68)
@@ -65,9 +65,9 @@
 	assert.Equal(t, built.GapsFound, 0)
 }
 
-// Guards against a bar that begins or ends at another call than the accepted one.
-func TestKeptLogsGiveTheJobsTimes(t *testing.T) {
-	built := readKept(t, Options{MinimumGap: time.Second}, asListed)
+// Guards against job times taken from calls that were not accepted.
+func TestJobTimesOfRecordedLogs(t *testing.T) {
+	built := readRecorded(t, Options{MinimumGap: time.Second}, inListedOrder)
 	at := slices.IndexFunc(built.Jobs, func(job Job) bool { return job.ID == "trainer-0/job-0-5" })
 	assert.Assert(t, at >= 0)
 	job := built.Jobs[at]
@@ -80,10 +80,10 @@
 	assert.Equal(t, job.Accepted[1].UnixMilli(), int64(1796283509971))
 }
 
-// Guards against a picture that depends on the order in which the shell lists the files.
-func TestTheOrderOfFilesDoesNotMatter(t *testing.T) {
-	forward := readKept(t, Options{MinimumGap: time.Second}, asListed)
-	backward := readKept(t, Options{MinimumGap: time.Second}, slices.Reverse[[]string])
+// Guards against a result that depends on the order in which files are listed.
+func TestTimelineIsIndependentOfFileOrder(t *testing.T) {
+	forward := readRecorded(t, Options{MinimumGap: time.Second}, inListedOrder)
+	backward := readRecorded(t, Options{MinimumGap: time.Second}, slices.Reverse[[]string])
 	assert.DeepEqual(t, forward.Jobs, backward.Jobs)
 	assert.DeepEqual(t, forward.Terms, backward.Terms)
 	assert.DeepEqual(t, forward.Takeovers, backward.Takeovers)
@@ -93,8 +93,8 @@
 	assert.DeepEqual(t, forward.Requests.Labels(), backward.Requests.Labels())
 }
 
-// Guards against one damaged line that ends the report, or that goes unreported.
-func TestUnreadableLinesAreCountedAndPassedOver(t *testing.T) {
+// Guards against a malformed line that aborts the report or is not counted.
+func TestUnreadableLinesAreCountedAndSkipped(t *testing.T) {
 	good := line(1000, "n1", "", messageNodeStarted)
 	built := readLines(t, Options{MinimumGap: time.Second},
 		good, "", "panic: runtime error", good[:40], `{"time":5,"message":"no node"}`,
@@ -103,20 +103,20 @@
 		"  53.4190 n1 "+line(1200, "n1", `"config":7,`, messageConfiguration))
 	assert.DeepEqual(t, built.Lines, LineCounts{Read: 7, Unreadable: 5})
 	assert.Equal(t, built.Sources[0].FirstUnreadable, 2)
-	assert.Equal(t, built.Sources[0].Reason, errNoObject.Error())
+	assert.Equal(t, built.Sources[0].Reason, errNoJSON.Error())
 	assert.Equal(t, len(built.Versions), 1)
 }
 
-// Guards against an empty page for files that hold no logs of nodes.
-func TestNoLineIsAnError(t *testing.T) {
+// Guards against an empty report for files without log lines of nodes.
+func TestTimelineWithoutLinesReturnsError(t *testing.T) {
 	builder := NewBuilder(Options{MinimumGap: time.Second})
 	assert.NilError(t, builder.Read("foreign", strings.NewReader("a line of another program\n")))
 	_, err := builder.Timeline()
 	assert.ErrorIs(t, err, ErrNoLines)
 }
 
-// Guards against lines out of the requested hour in its picture.
-func TestLinesOutOfRangeAreLeftOut(t *testing.T) {
+// Guards against events outside the requested range in the timeline.
+func TestLinesOutOfRangeAreExcluded(t *testing.T) {
 	options := Options{From: time.UnixMilli(2000), Until: time.UnixMilli(9000), MinimumGap: time.Second}
 	built := readLines(t, options,
 		line(1000, "n1", "", messageNodeStarted), line(3000, "n1", "", messageRequestEnded),
@@ -128,8 +128,8 @@
 	assert.Equal(t, built.GapsFound, 2)
 }
 
-// Guards against an answer that is counted once more as the error answer of the same request, and the reverse.
-func TestARequestCountsOnceByItsEnd(t *testing.T) {
+// Guards against a request counted both as answered and as refused.
+func TestRequestIsCountedOnceByItsOutcome(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
 		line(1000, "n1", `"status":200,`, messageRequestEnded),
 		line(1001, "n1", `"status":0,"kind":"no_capacity",`, messageRequestEnded),
@@ -138,34 +138,34 @@
 	assert.DeepEqual(t, built.Requests.totals, map[string]int{Answered: 1, "no_capacity": 1, otherLabel: 1})
 }
 
-// Guards against a try that never left its node in the count of those that engines failed.
-func TestATryHeldBackIsNotAFailure(t *testing.T) {
+// Guards against attempts that were never sent counted as engine failures.
+func TestHeldBackAttemptIsNotCountedAsFailure(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
 		line(1000, "n1", `"verdict":"answered",`, messageEngineTried),
 		line(1000, "n1", `"verdict":"try_next","held_back":"none",`, messageEngineTried),
 		line(1000, "n1", `"verdict":"try_next","held_back":"evacuated",`, messageEngineTried),
 		line(1000, "n1", `"verdict":"give_up",`, messageEngineTried))
-	assert.DeepEqual(t, built.Tries.totals, map[string]int{Answered: 1, TryNext: 1, TryHeld: 1, GiveUp: 1})
+	assert.DeepEqual(t, built.Tries.totals, map[string]int{Answered: 1, TryNext: 1, TryNotSent: 1, GiveUp: 1})
 }
 
-// Guards against silence about lines that the nodes themselves did not write.
+// Guards against suppressed lines that the report does not mention.
 func TestLinesSuppressedByNodesAreReported(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
-		line(1000, "n1", `"left_out":"request ended","lines":120,`, messageLinesLeftOut),
+		line(1000, "n1", `"left_out":"request ended","lines":120,`, messageLinesSuppressed),
 		line(1000, "n2", `"left_out":["a"],`, "engine list followed"))
 	assert.Equal(t, built.Lines.Suppressed, 120)
 	assert.Equal(t, built.Lines.Unreadable, 0)
 	assert.Assert(t, strings.Contains(strings.Join(built.NotInLogs, "\n"), "120 lines that nodes suppressed"))
 }
 
-// Guards against an empty picture that reads as "nothing happened" where the lines are missing, and the reverse.
-func TestMissingKindsOfLinesAreListed(t *testing.T) {
+// Guards against missing log lines presented as an absence of events, and the reverse.
+func TestMissingMessagesAreListed(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
 		line(1000, "n1", `"status":200,`, messageRequestEnded),
-		line(1000, "n1", `"epoch":1,`, messageLeadershipGain))
+		line(1000, "n1", `"epoch":1,`, messageLeadershipGained))
 	listed := strings.Join(built.NotInLogs, "\n")
-	for _, absent := range absentNotes {
-		isPresent := absent.message == messageRequestEnded || absent.message == messageLeadershipGain
+	for _, absent := range missingMessageNotes {
+		isPresent := absent.message == messageRequestEnded || absent.message == messageLeadershipGained
 		assert.Equal(t, strings.Contains(listed, fmt.Sprintf("no line %q", absent.message)), !isPresent, absent.message)
 	}
 	for _, never := range neverLogged {
--- a/internal/report/totals.go
+++ b/internal/report/totals.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/report/timeline"
 )
 
-// Totals sum up a timeline.
+// Totals summarizes a timeline. It is encoded as JSON by "corkctl report --json".
 type Totals struct {
 	First time.Time           `json:"first"`
 	Last  time.Time           `json:"last"`
@@ -23,16 +23,16 @@
 	TopicReads int            `json:"topic_reads"`
 	Processes  map[string]int `json:"processes"`
 
-	Jobs     JobTotals `json:"jobs"`
-	Terms    int       `json:"terms"`
-	Takeover int       `json:"takeovers"`
-	Versions int       `json:"configuration_versions"`
+	Jobs          JobTotals `json:"jobs"`
+	Terms         int       `json:"terms"`
+	TakeoverCount int       `json:"takeovers"`
+	Versions      int       `json:"configuration_versions"`
 
 	Gaps       int     `json:"gaps"`
 	LongestGap float64 `json:"longest_gap_s"`
 }
 
-// JobTotals count batch jobs by what the lines hold of them, and refused calls about them.
+// JobTotals counts batch jobs by the events logged about them, and refused calls about them.
 type JobTotals struct {
 	Named          int `json:"named"`
 	Submitted      int `json:"submitted"`
@@ -48,7 +48,7 @@
 		First: built.First.UTC(), Last: built.Last.UTC(), Nodes: built.Nodes, Lines: built.Lines,
 		Requests: counts(built.Requests), Tries: counts(built.Tries), Contact: counts(built.Contact),
 		TopicReads: built.Topics.Total(), Processes: counts(built.Processes),
-		Jobs: sumJobs(built.Jobs), Terms: len(built.Terms), Takeover: len(built.Takeovers), Versions: len(built.Versions),
+		Jobs: sumJobs(built.Jobs), Terms: len(built.Terms), TakeoverCount: len(built.Takeovers), Versions: len(built.Versions),
 		Gaps: built.GapsFound,
 	}
 	for _, gap := range built.Gaps {
@@ -82,8 +82,8 @@
 	return totals
 }
 
-// byCount returns the labels, the most frequent first.
-func byCount(counted map[string]int) []string {
+// labelsByCount returns the labels, the most frequent first.
+func labelsByCount(counted map[string]int) []string {
 	return slices.SortedFunc(maps.Keys(counted), func(a, b string) int {
 		return cmp.Or(cmp.Compare(counted[b], counted[a]), cmp.Compare(a, b))
 	})
