--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -17,15 +17,15 @@
 	"github.com/corkpulley/corkpulley/internal/operatorapi"
 )
 
-// proposalRetries paces the repeats of a proposal without a verdict.
+// proposalRetries is the backoff between attempts of a proposal that has no verdict yet.
 var proposalRetries = retry.Policy{First: 200 * time.Millisecond, Longest: 2 * time.Second}
 
-// applyResult is the JSON answer of "table apply".
+// applyResult is the JSON output of "table apply".
 type applyResult struct {
 	api.TableAccepted
 	ProposalID string `json:"proposal_id"`
-	// InForce is set with --wait.
-	InForce *forceResult `json:"in_force,omitempty"`
+	// InForce is present with --wait.
+	InForce *inForceResult `json:"in_force,omitempty"`
 }
 
 func (s *session) tableApply(ctx context.Context) error {
@@ -40,7 +40,7 @@
 	result := applyResult{TableAccepted: accepted, ProposalID: proposal.ProposalID}
 	if !s.arguments.JSON {
 		printChanges(s.streams.Out, accepted.Changes)
-		s.remark("%s", describeAccepted(proposal, accepted))
+		s.notice("%s", describeAccepted(proposal, accepted))
 	}
 	if s.arguments.Table.Apply.Wait {
 		result.InForce, err = s.awaitInForce(ctx, accepted.Revision)
@@ -53,13 +53,13 @@
 
 func describeAccepted(proposal api.TableProposal, accepted api.TableAccepted) string {
 	if accepted.Revision == proposal.BaseRevision {
-		return fmt.Sprintf("nothing to change, revision %d stays in force", accepted.Revision)
+		return fmt.Sprintf("no changes, revision %d remains in force", accepted.Revision)
 	}
 	return fmt.Sprintf("revision %d accepted, rows changed: %d", accepted.Revision, len(accepted.Changes))
 }
 
 func (s *session) newProposal(ctx context.Context) (api.TableProposal, error) {
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	apply := s.arguments.Table.Apply
 	text, _, err := s.readTable(apply.File)
@@ -82,7 +82,7 @@
 	}, nil
 }
 
-// baseRevision is the one named, else the file's own, else the one in force.
+// baseRevision returns the revision given with --base, else that of the file's revision comment, else the one in force.
 func (s *session) baseRevision(ctx context.Context, text string) (int64, error) {
 	if base := s.arguments.Table.Apply.Base; base != nil {
 		return *base, nil
@@ -94,23 +94,23 @@
 	if err != nil {
 		return 0, err
 	}
-	s.remark("the file names no revision: it replaces revision %d as a whole", current.Revision)
+	s.notice("the file has no revision comment: it replaces revision %d as a whole", current.Revision)
 	return current.Revision, nil
 }
 
-// propose sends the proposal until it has the verdict or the time is over. A
-// repeat with the same ID is harmless, also at another node.
+// propose retries the proposal until it has a verdict or the timeout expires. Retries are idempotent across nodes, as
+// they have the same proposal ID.
 func (s *session) propose(ctx context.Context, proposal api.TableProposal) (api.TableAccepted, error) {
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	attempts := &proposeAttempts{
 		session:  s,
 		proposal: proposal,
-		// An ID given by hand may be under way since an earlier run.
-		mayRun: s.arguments.Table.Apply.ProposalID != "",
+		// A proposal with a given ID may have been sent by an earlier run.
+		mayTakeEffect: s.arguments.Table.Apply.ProposalID != "",
 	}
-	// The remark comes first, so that it is there when corkctl is killed.
-	s.remark("proposal %s from revision %d", proposal.ProposalID, proposal.BaseRevision)
+	// Printed before the first attempt, so that the ID is known even if corkctl is killed.
+	s.notice("proposal %s from revision %d", proposal.ProposalID, proposal.BaseRevision)
 	accepted, err := backoff.Retry(ctx, func() (api.TableAccepted, error) { return attempts.try(ctx) },
 		backoff.WithBackOff(proposalRetries.Delays()),
 		backoff.WithMaxElapsedTime(0))
@@ -120,14 +120,14 @@
 	return api.TableAccepted{}, attempts.finalError()
 }
 
-// proposeAttempts remembers what the attempts of one proposal told.
+// proposeAttempts accumulates the results of the attempts of one proposal.
 type proposeAttempts struct {
 	session  *session
 	proposal api.TableProposal
-	// mayRun is set once an attempt may have put the proposal into the log.
-	mayRun bool
-	last   error
-	// final is set when last is the verdict.
+	// mayTakeEffect is set once an attempt may have appended the proposal to the log.
+	mayTakeEffect bool
+	last          error
+	// final is set if last is the verdict.
 	final bool
 }
 
@@ -143,40 +143,41 @@
 	if p.last == nil || ctx.Err() == nil {
 		p.last = err
 	}
-	p.note(err)
+	p.classify(err)
 	if p.final {
 		return api.TableAccepted{}, backoff.Permanent(err)
 	}
-	p.session.remark("no verdict yet: %v", err)
-	client.skipServer()
+	p.session.notice("no verdict yet: %v", err)
+	client.useNextServer()
 	return api.TableAccepted{}, err
 }
 
-func (p *proposeAttempts) note(err error) {
+// classify updates mayTakeEffect and final from the error of an attempt.
+func (p *proposeAttempts) classify(err error) {
 	var unreachable *unreachableError
 	if errors.As(err, &unreachable) {
-		p.mayRun = p.mayRun || unreachable.sent
+		p.mayTakeEffect = p.mayTakeEffect || unreachable.sent
 		return
 	}
-	var answer *answerError
+	var answer *serverError
 	if !errors.As(err, &answer) {
 		p.final = true
 		return
 	}
 	if answer.detail.Executed != string(errkind.NotExecuted) {
-		p.mayRun = true
+		p.mayTakeEffect = true
 		return
 	}
 	p.final = !answer.detail.Retryable
 }
 
-// finalError tells honestly whether the proposal may still take effect.
+// finalError returns the error of the command. It has ExitUnknown if the proposal may still take effect.
 func (p *proposeAttempts) finalError() error {
 	if p.last == nil {
 		return exitWith(ExitFailed, "stopped before anything was proposed")
 	}
-	if p.final || !p.mayRun {
-		return asExit(p.last)
+	if p.final || !p.mayTakeEffect {
+		return toExitError(p.last)
 	}
 	return exitWith(ExitUnknown,
 		"outcome unknown: proposal %s may still be accepted; to learn its verdict repeat with --base %d --proposal-id %s (last: %w)",
--- a/internal/ctl/arguments.go
+++ b/internal/ctl/arguments.go
@@ -10,7 +10,7 @@
 	"github.com/corkpulley/corkpulley/internal/buildinfo"
 )
 
-// arguments is the command line.
+// arguments holds the parsed command line.
 type arguments struct {
 	Table   *tableArguments   `arg:"subcommand:table" help:"check, compare, apply and show the table"`
 	Status  *statusArguments  `arg:"subcommand:status" help:"show one node's view of the whole system"`
@@ -82,7 +82,7 @@
 
 type takeBackArguments struct{ evacuationArguments }
 
-// evacuationArguments are those of both orders about a zone.
+// evacuationArguments are the arguments of "evacuate" and "take-back".
 type evacuationArguments struct {
 	Zone string `arg:"positional,required" help:"zone of engines"`
 	Wait bool   `arg:"--wait" help:"wait until the order is in force at every --server and, for an evacuation, no request of theirs is left in the zone (bounded by --timeout, counted anew)"`
@@ -101,29 +101,29 @@
 	Gap   time.Duration `arg:"--gap" default:"2s" help:"shortest time without progress to report"`
 }
 
-// Description introduces the help.
+// Description returns the introduction of the help.
 func (arguments) Description() string {
 	return "corkctl operates corkpulley: the table of services, its nodes, engines and steps.\n"
 }
 
-// Version makes "--version" a flag.
+// Version implements the --version flag.
 func (arguments) Version() string { return "corkctl " + buildinfo.Version() }
 
-// environmentServer names the servers to ask when no --server is given. It is
-// read by hand, since the parser would add to it rather than replace it.
-const environmentServer = "CORKCTL_SERVER"
+// serverVariable is the environment variable with the servers used if no --server is given. It is read outside the
+// parser, which would append the flags to it instead of replacing it.
+const serverVariable = "CORKCTL_SERVER"
 
 func (a *arguments) addDefaults() {
 	if len(a.Server) == 0 {
-		a.Server = []string{os.Getenv(environmentServer)}
+		a.Server = []string{os.Getenv(serverVariable)}
 	}
 	if a.Table != nil && a.Table.Apply != nil && a.Table.Apply.Operator == "" {
 		a.Table.Apply.Operator = currentUser()
 	}
 }
 
-// currentUser names the user where the environment does not, such as in a
-// scheduled job; empty when the system does not know either.
+// currentUser returns the system's name of the user, for environments without USER such as scheduled jobs, or "" if it
+// is unknown.
 func currentUser() string {
 	current, err := user.Current()
 	if err != nil {
@@ -132,7 +132,7 @@
 	return current.Username
 }
 
-// newParser returns the parser that fills the arguments.
+// newParser returns a parser that stores into the arguments.
 func newParser(into *arguments) (*arg.Parser, error) {
 	return arg.NewParser(arg.Config{Program: "corkctl"}, into)
 }
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -19,30 +19,25 @@
 )
 
 const (
-	// dialTimeout bounds one TCP connect.
 	dialTimeout = 2 * time.Second
-	// readTimeout bounds one read from one server; it is longer than a node
-	// waits for other nodes' answers.
+	// readTimeout bounds a read from one server; it exceeds a node's timeout for responses of other nodes.
 	readTimeout = 8 * time.Second
-	// proposeTimeout bounds one proposal at one server; it is longer than a
-	// node waits for the log's verdict.
+	// proposeTimeout bounds a proposal to one server; it exceeds a node's timeout for the log's verdict.
 	proposeTimeout = 20 * time.Second
-	// evacuationTimeout bounds one order about a zone at one server; it is longer than
-	// a node waits for the log.
+	// evacuationTimeout bounds an evacuation order to one server; it exceeds a node's timeout for the log.
 	evacuationTimeout = 5 * time.Second
-	// maxAnswerBytes bounds an answer.
-	maxAnswerBytes = 64 << 20
+	maxResponseBytes  = 64 << 20
 )
 
-// unreachableError: a server gave no whole answer.
+// unreachableError is returned if a server did not send a complete response.
 type unreachableError struct {
 	server string
-	// sent is false when no byte of the request was sent.
+	// sent is false if no part of the request was sent.
 	sent bool
 	err  error
 }
 
-// Error implements the error interface. The server stands in it once.
+// Error implements the error interface. The server's address appears once, without that of url.Error.
 func (e *unreachableError) Error() string {
 	cause := e.err
 	var request *url.Error
@@ -52,23 +47,23 @@
 	return e.server + ": " + cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *unreachableError) Unwrap() error { return e.err }
 
-// answerError is an error that a server answered with.
-type answerError struct {
+// serverError is an error response of a server.
+type serverError struct {
 	server string
 	status int
 	detail api.ErrorDetail
 }
 
 // Error implements the error interface.
-func (e *answerError) Error() string { return e.detail.Message + " (" + e.detail.Code + ")" }
+func (e *serverError) Error() string { return e.detail.Message + " (" + e.detail.Code + ")" }
 
-// client talks to the first server that can be reached.
+// client calls the nodes' operator interface, failing over between servers.
 type client struct {
 	servers []string // base URLs
-	next    int      // index of the server to try first
+	next    int      // index of the current server
 	http    *http.Client
 }
 
@@ -80,8 +75,7 @@
 	return &client{servers: servers, http: &http.Client{Transport: transport}}
 }
 
-// parseServers turns "host:port" or URLs, each maybe a list with commas, into
-// base URLs.
+// parseServers returns the base URLs of comma-separated lists of HOST:PORT or URLs.
 func parseServers(values []string) ([]string, error) {
 	var servers []string
 	for _, value := range values {
@@ -109,7 +103,7 @@
 	}
 	parsed, err := url.Parse(server)
 	if err != nil || parsed.Host == "" || (parsed.Scheme != "http" && parsed.Scheme != "https") {
-		return "", exitWith(ExitUsage, "--server %q is no HOST:PORT and no http URL", server)
+		return "", exitWith(ExitUsage, "--server %q is neither HOST:PORT nor an http URL", server)
 	}
 	return parsed.Scheme + "://" + parsed.Host, nil
 }
@@ -121,13 +115,13 @@
 		err := c.read(ctx, path, query, into)
 		var unreachable *unreachableError
 		if !errors.As(err, &unreachable) {
-			return asExit(err)
+			return toExitError(err)
 		}
 		failures = append(failures, err.Error())
 		if ctx.Err() != nil {
 			break
 		}
-		c.skipServer()
+		c.useNextServer()
 	}
 	return exitWith(ExitUnreachable, "no server could be reached: %s", strings.Join(failures, "; "))
 }
@@ -138,11 +132,10 @@
 	return c.attempt(ctx, http.MethodGet, path, query, nil, into)
 }
 
-// skipServer makes the next server the one to try first.
-func (c *client) skipServer() { c.next = (c.next + 1) % len(c.servers) }
+// useNextServer makes the following server the current one.
+func (c *client) useNextServer() { c.next = (c.next + 1) % len(c.servers) }
 
-// attempt sends one request to the current server. Errors are
-// *unreachableError or *answerError.
+// attempt sends one request to the current server. A failed exchange returns *unreachableError or *serverError.
 func (c *client) attempt(ctx context.Context, method, path string, query url.Values, body, into any) error {
 	server := c.servers[c.next]
 	request, err := newRequest(ctx, method, server+path, query, body)
@@ -154,15 +147,15 @@
 		return &unreachableError{server: server, sent: !isDialError(err), err: err}
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return &unreachableError{server: server, sent: true, err: err}
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return newAnswerError(server, response.StatusCode, answer)
+		return newServerError(server, response.StatusCode, answer)
 	}
 	if err := json.Unmarshal(answer, into); err != nil {
-		return &unreachableError{server: server, sent: true, err: errors.Wrap(err, "answer is not from corkpulley")}
+		return &unreachableError{server: server, sent: true, err: errors.Wrap(err, "response is not from corkpulley")}
 	}
 	return nil
 }
@@ -178,7 +171,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, address, content)
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	request.URL.RawQuery = query.Encode()
 	if body != nil {
@@ -192,37 +185,37 @@
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-func newAnswerError(server string, status int, answer []byte) *answerError {
+func newServerError(server string, status int, answer []byte) *serverError {
 	var body api.ErrorBody
 	if err := json.Unmarshal(answer, &body); err != nil || body.Error.Code == "" {
 		body.Error = api.ErrorDetail{
 			Code:     errkind.Internal.String(),
-			Message:  notCorkpulley(server, status),
+			Message:  unexpectedResponse(server, status),
 			Executed: string(errkind.Unknown),
 		}
 	}
-	return &answerError{server: server, status: status, detail: body.Error}
+	return &serverError{server: server, status: status, detail: body.Error}
 }
 
-// notCorkpulley describes an answer without the body that every error has.
-func notCorkpulley(server string, status int) string {
+// unexpectedResponse describes an error response without an error body of corkpulley.
+func unexpectedResponse(server string, status int) string {
 	return fmt.Sprintf("%s answered %d %s: is it a node's operators' address?", server, status, http.StatusText(status))
 }
 
-// asExit gives an error of attempt its exit code.
-func asExit(err error) error {
+// toExitError adds the exit code to an error of attempt.
+func toExitError(err error) error {
 	var unreachable *unreachableError
 	if errors.As(err, &unreachable) {
 		return &exitError{code: ExitUnreachable, err: err}
 	}
-	var answer *answerError
+	var answer *serverError
 	if errors.As(err, &answer) {
-		return &exitError{code: exitCodeOfAnswer(answer.detail.Code), err: err, detail: &answer.detail}
+		return &exitError{code: exitCodeOfServerError(answer.detail.Code), err: err, detail: &answer.detail}
 	}
 	return err
 }
 
-func exitCodeOfAnswer(code string) ExitCode {
+func exitCodeOfServerError(code string) ExitCode {
 	switch code {
 	case errkind.TableInvalid.String():
 		return ExitInvalid
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' command line, corkctl: it checks tables
-// offline and talks to the nodes' operator interface.
+// Package ctl implements corkctl, the command line for operators. It checks tables and reads log files offline and calls
+// the nodes' operator interface.
 package ctl
 
 import (
@@ -19,8 +19,8 @@
 	Err io.Writer
 }
 
-// Run runs one command (without the program's name) and returns its exit code.
-// Results go to Streams.Out; errors and remarks to Streams.Err.
+// Run runs one command, given without the program's name, and returns its exit code. Results are written to Streams.Out,
+// errors and notices to Streams.Err.
 func Run(ctx context.Context, commandLine []string, streams Streams) ExitCode {
 	var parsed arguments
 	parser, err := newParser(&parsed)
@@ -55,7 +55,7 @@
 	return ExitOK
 }
 
-// session is one run of a command.
+// session is the state of one command.
 type session struct {
 	arguments *arguments
 	streams   Streams
@@ -71,31 +71,31 @@
 	}
 }
 
-// action is what a command does. ctx is not yet bounded by the timeout.
+// action runs a command. Its context is not bounded by the timeout yet.
 type action func(ctx context.Context) error
 
-// action returns the command's action; nil when none was named.
+// action returns the action of the parsed command, or nil if there is none.
 func (s *session) action() action {
 	parsed := s.arguments
 	switch {
 	case parsed.Table != nil:
 		return s.tableAction(parsed.Table)
 	case parsed.Status != nil:
-		return s.online(s.status)
+		return s.withServers(s.status)
 	case parsed.Nodes != nil:
-		return s.online(s.nodes)
+		return s.withServers(s.nodes)
 	case parsed.Engines != nil:
-		return s.online(s.engines)
+		return s.withServers(s.engines)
 	case parsed.Steps != nil:
-		return s.online(s.steps)
+		return s.withServers(s.steps)
 	case parsed.Drain != nil:
-		return s.online(s.drain)
+		return s.withServers(s.drain)
 	case parsed.Zones != nil:
-		return s.online(s.zones)
+		return s.withServers(s.zones)
 	case parsed.Evacuate != nil:
-		return s.online(s.evacuate)
+		return s.withServers(s.evacuate)
 	case parsed.TakeBack != nil:
-		return s.online(s.takeBack)
+		return s.withServers(s.takeBack)
 	case parsed.Explain != nil:
 		return s.explain
 	case parsed.Report != nil:
@@ -110,13 +110,13 @@
 	case table.Check != nil:
 		return s.tableCheck
 	case table.Diff != nil:
-		return s.online(s.tableDiff)
+		return s.withServers(s.tableDiff)
 	case table.Apply != nil:
-		return s.online(s.tableApply)
+		return s.withServers(s.tableApply)
 	case table.Show != nil:
-		return s.online(s.tableShow)
+		return s.withServers(s.tableShow)
 	case table.History != nil:
-		return s.online(s.tableHistory)
+		return s.withServers(s.tableHistory)
 	default:
 		return nil
 	}
@@ -129,8 +129,8 @@
 	return action(ctx)
 }
 
-// online wraps an action that needs a server.
-func (s *session) online(next action) action {
+// withServers wraps an action that calls a server.
+func (s *session) withServers(next action) action {
 	return func(ctx context.Context) error {
 		servers, err := parseServers(s.arguments.Server)
 		if err != nil {
@@ -141,7 +141,7 @@
 	}
 }
 
-// bounded returns ctx bounded by the timeout.
-func (s *session) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+// withTimeout returns ctx bounded by the timeout of the command line.
+func (s *session) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, s.timeout)
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -27,13 +27,13 @@
 	{Service: "drafts", Kind: policy.KindTrainer, Pool: "q", Model: "m", Share: 1, Staleness: 2, Repeatable: true},
 }
 
-// fakeServer plays one node's operator interface.
+// fakeServer serves one node's operator interface.
 type fakeServer struct {
 	*httptest.Server
 	mutex     sync.Mutex
 	proposals []api.TableProposal
-	// failures are answered to proposals, one after the other, before success;
-	// a nil one cuts the connection after the proposal was read.
+	// failures are returned for successive proposals before success; nil closes the connection after the proposal was
+	// read.
 	failures []error
 	members  []api.NodeStatus
 	drained  bool
@@ -90,7 +90,7 @@
 	out, errors string
 }
 
-func corkctl(input string, commandLine ...string) result {
+func runCorkctl(input string, commandLine ...string) result {
 	var out, errors bytes.Buffer
 	streams := Streams{In: strings.NewReader(input), Out: &out, Err: &errors}
 	code := Run(context.Background(), commandLine, streams)
@@ -99,43 +99,43 @@
 
 func TestCheckWorksOffline(t *testing.T) {
 	csv := policy.FormatCSV(sampleRows)
-	good := corkctl(csv, "table", "check", "-")
+	good := runCorkctl(csv, "table", "check", "-")
 	assert.Equal(t, good.code, ExitOK, good.errors)
 
 	file := filepath.Join(t.TempDir(), "table.csv")
 	broken := strings.Replace(strings.Replace(csv, "trainer", "tutor", 1), ",5,", ",0,", 1)
 	assert.NilError(t, os.WriteFile(file, []byte(broken), 0o600))
-	bad := corkctl("", "table", "check", file)
+	bad := runCorkctl("", "table", "check", file)
 	assert.Equal(t, bad.code, ExitInvalid)
 	assert.Assert(t, strings.Contains(bad.out, file+":2: service desk: cap is \"0\", expected"), bad.out)
 	assert.Assert(t, strings.Contains(bad.out, file+":3: service drafts: kind is \"tutor\", expected"), bad.out)
 
 	var checked checkResult
-	asJSON := corkctl(broken, "table", "check", "-", "--json")
+	asJSON := runCorkctl(broken, "table", "check", "-", "--json")
 	assert.Equal(t, asJSON.code, ExitInvalid)
 	assert.NilError(t, json.Unmarshal([]byte(asJSON.out), &checked))
 	assert.Equal(t, len(checked.Problems), 2)
-	assert.Equal(t, corkctl("", "table", "check", file+".not").code, ExitUsage)
+	assert.Equal(t, runCorkctl("", "table", "check", file+".not").code, ExitUsage)
 }
 
-func TestShowAndDiffAreInverse(t *testing.T) {
+func TestDiffComparesWithShownTable(t *testing.T) {
 	server := newFakeServer(t)
-	shown := corkctl("", "--server", server.URL, "table", "show", "--csv")
+	shown := runCorkctl("", "--server", server.URL, "table", "show", "--csv")
 	assert.Equal(t, shown.code, ExitOK, shown.errors)
 	revision, found := policy.ParseRevisionComment(shown.out)
 	assert.Assert(t, found && revision == 7)
-	same := corkctl(shown.out, "table", "diff", "-", "--server", server.URL)
+	same := runCorkctl(shown.out, "table", "diff", "-", "--server", server.URL)
 	assert.Equal(t, same.code, ExitOK, same.errors)
 	assert.Equal(t, same.out, "")
 	edited := strings.Replace(shown.out, ",5,", ",6,", 1)
-	differs := corkctl(edited, "table", "diff", "-", "--server", server.URL)
+	differs := runCorkctl(edited, "table", "diff", "-", "--server", server.URL)
 	assert.Equal(t, differs.out, "~ desk: cap 5 -> 6\n")
 }
 
-func TestApplyTriesAgainUntilTheVerdict(t *testing.T) {
+func TestApplyRetriesUntilVerdict(t *testing.T) {
 	server := newFakeServer(t, nil, errkind.New(errkind.OutcomeUnknown, "late"), errkind.New(errkind.LogUnavailable, "down"))
 	csv := policy.FormatRevisionComment(7) + policy.FormatCSV(sampleRows)
-	applied := corkctl(csv, "table", "apply", "-", "--wait", "--json", "--server", server.URL)
+	applied := runCorkctl(csv, "table", "apply", "-", "--wait", "--json", "--server", server.URL)
 	assert.Equal(t, applied.code, ExitOK, applied.errors)
 	assert.Equal(t, len(server.proposals), 4)
 	for _, proposal := range server.proposals {
@@ -145,31 +145,31 @@
 	var accepted applyResult
 	assert.NilError(t, json.Unmarshal([]byte(applied.out), &accepted))
 	assert.Equal(t, accepted.Revision, int64(8))
-	assert.DeepEqual(t, accepted.InForce, &forceResult{Nodes: 1, Known: 1, Lagging: []string{}})
+	assert.DeepEqual(t, accepted.InForce, &inForceResult{Nodes: 1, Known: 1, Lagging: []string{}})
 }
 
-func TestApplyChoosesTheBase(t *testing.T) {
+func TestApplyBaseRevision(t *testing.T) {
 	csv := policy.FormatCSV(sampleRows)
 	for _, test := range []struct {
 		csv       string
 		arguments []string
 		base      int64
 	}{
-		{csv: csv, base: 7}, // in force
+		{csv: csv, base: 7}, // the revision in force
 		{csv: policy.FormatRevisionComment(4) + csv, base: 4},
 		{csv: policy.FormatRevisionComment(4) + csv, arguments: []string{"--base", "3"}, base: 3},
 	} {
 		server := newFakeServer(t)
 		arguments := append([]string{"table", "apply", "-", "--server", server.URL}, test.arguments...)
-		applied := corkctl(test.csv, arguments...)
+		applied := runCorkctl(test.csv, arguments...)
 		assert.Equal(t, applied.code, ExitOK, applied.errors)
 		assert.Equal(t, server.proposals[0].BaseRevision, test.base)
 	}
 }
 
-func TestExitCodes(t *testing.T) {
+func TestApplyExitCodes(t *testing.T) {
 	csv := policy.FormatRevisionComment(7) + policy.FormatCSV(sampleRows)
-	const limit = "--timeout 2s" // for what never succeeds
+	const limit = "--timeout 2s" // for commands that never succeed
 	gone := newFakeServer(t)
 	gone.Close()
 	lagging := newFakeServer(t)
@@ -203,80 +203,80 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			arguments := []string{"table", "apply", "-", "--server", test.server.URL}
-			applied := corkctl(csv, append(arguments, strings.Fields(test.flags)...)...)
+			applied := runCorkctl(csv, append(arguments, strings.Fields(test.flags)...)...)
 			assert.Equal(t, applied.code, test.code, applied.errors)
 			assert.Assert(t, strings.Contains(applied.errors, test.says), applied.errors)
 		})
 	}
 }
 
-func TestTheNextServerIsTried(t *testing.T) {
+func TestCommandsFailOverToNextServer(t *testing.T) {
 	gone, server := newFakeServer(t), newFakeServer(t)
 	gone.Close()
-	t.Setenv(environmentServer, gone.URL+", "+server.URL)
+	t.Setenv(serverVariable, gone.URL+", "+server.URL)
 	for _, command := range [][]string{
 		{"status"}, {"nodes"}, {"engines", "--all"}, {"steps"}, {"table", "show"}, {"table", "history"},
 	} {
-		printed := corkctl("", command...)
+		printed := runCorkctl("", command...)
 		assert.Equal(t, printed.code, ExitOK, printed.errors)
 		assert.Assert(t, strings.Contains(printed.out, "\n"))
-		asJSON := corkctl("", append(command, "--json")...)
+		asJSON := runCorkctl("", append(command, "--json")...)
 		assert.Assert(t, json.Valid([]byte(asJSON.out)), asJSON.out)
 	}
-	// A flag replaces the environment.
-	assert.Equal(t, corkctl("", "nodes", "--server", gone.URL).code, ExitUnreachable)
-	// Drain never picks another node.
-	assert.Equal(t, corkctl("", "drain").code, ExitUsage)
+	// The flag replaces the environment variable.
+	assert.Equal(t, runCorkctl("", "nodes", "--server", gone.URL).code, ExitUnreachable)
+	// Drain does not fail over to another node.
+	assert.Equal(t, runCorkctl("", "drain").code, ExitUsage)
 	assert.Assert(t, !server.drained)
-	assert.Equal(t, corkctl("", "drain", "--server", server.URL).code, ExitOK)
+	assert.Equal(t, runCorkctl("", "drain", "--server", server.URL).code, ExitOK)
 	assert.Assert(t, server.drained)
 }
 
 func TestEachCommandHasHelpWithExamples(t *testing.T) {
 	for path := range examples {
-		help := corkctl("", append(strings.Fields(path), "--help")...)
+		help := runCorkctl("", append(strings.Fields(path), "--help")...)
 		assert.Equal(t, help.code, ExitOK)
 		assert.Assert(t, strings.Contains(help.out, "Usage: corkctl"), help.out)
 		assert.Assert(t, strings.Contains(help.out, examples[path][0]), help.out)
 		assert.Assert(t, strings.Contains(help.out, "Exit codes:"))
 	}
-	assert.Equal(t, corkctl("", "table").code, ExitUsage)
-	assert.Equal(t, corkctl("").code, ExitUsage)
+	assert.Equal(t, runCorkctl("", "table").code, ExitUsage)
+	assert.Equal(t, runCorkctl("").code, ExitUsage)
 }
 
-func TestServersThatDoNotAnswerAreAllNamed(t *testing.T) {
+func TestUnreachableServersAreListed(t *testing.T) {
 	gone := newFakeServer(t)
 	other := newFakeServer(t)
 	gone.Close()
 	other.Close()
-	outcome := corkctl("", "status", "--server", gone.URL, "--server", other.URL)
+	outcome := runCorkctl("", "status", "--server", gone.URL, "--server", other.URL)
 	assert.Equal(t, outcome.code, ExitUnreachable)
 	for _, server := range []string{gone.URL, other.URL} {
 		assert.Equal(t, strings.Count(outcome.errors, server), 1, outcome.errors)
 	}
 }
 
-func TestAnotherServiceIsRecognized(t *testing.T) {
+func TestResponseOfAnotherServiceIsReported(t *testing.T) {
 	other := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(other.Close)
-	outcome := corkctl("", "status", "--server", other.URL)
+	outcome := runCorkctl("", "status", "--server", other.URL)
 	assert.Equal(t, outcome.code, ExitFailed)
 	assert.Assert(t, strings.Contains(outcome.errors, other.URL+" answered 404 Not Found"), outcome.errors)
 	assert.Assert(t, strings.Contains(outcome.errors, "operators' address"), outcome.errors)
 }
 
-// TestControlCharactersDoNotReachTheTerminal: an operator's name is free text.
-func TestControlCharactersDoNotReachTheTerminal(t *testing.T) {
+// Guards against terminal escape sequences in an operator's name, which is free text.
+func TestHistoryEscapesControlCharacters(t *testing.T) {
 	var output bytes.Buffer
 	printHistory(&output, []api.HistoryEntry{{Revision: 7, Operator: "a\x1b[2J\nb\tc"}})
 	assert.Equal(t, strings.Count(output.String(), "\n"), 2, output.String())
 	assert.Assert(t, strings.Contains(output.String(), `a\x1b[2J\nb\tc`), output.String())
 }
 
-func TestTheOperatorDefaultsToTheUser(t *testing.T) {
+func TestOperatorDefaultsToSystemUser(t *testing.T) {
 	t.Setenv("USER", "")
 	server := newFakeServer(t)
-	outcome := corkctl(policy.FormatCSV(sampleRows), "table", "apply", "-", "--server", server.URL)
+	outcome := runCorkctl(policy.FormatCSV(sampleRows), "table", "apply", "-", "--server", server.URL)
 	assert.Equal(t, outcome.code, ExitOK, outcome.errors)
 	assert.Assert(t, server.proposals[0].Operator != "")
 }
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -8,22 +8,20 @@
 	"github.com/corkpulley/corkpulley/internal/api"
 )
 
-// ExitCode is the exit status of corkctl. The numbers are part of its
-// interface: scripts rely on them.
+// ExitCode is the exit status of corkctl. The numbers are part of its interface.
 type ExitCode int
 
 // The exit codes.
 const (
-	// ExitOK: done.
+	// ExitOK: the command succeeded.
 	ExitOK ExitCode = 0
-	// ExitFailed: refused or failed for a reason without a code of its own;
-	// nothing was changed.
+	// ExitFailed: refused or failed for a reason without its own code; nothing was changed.
 	ExitFailed ExitCode = 1
-	// ExitUsage: wrong command line or unreadable file.
+	// ExitUsage: invalid command line or unreadable file.
 	ExitUsage ExitCode = 2
-	// ExitInvalid: the table has mistakes.
+	// ExitInvalid: the table is invalid.
 	ExitInvalid ExitCode = 3
-	// ExitConflict: others changed the table since the base revision.
+	// ExitConflict: the table was changed by others since the base revision.
 	ExitConflict ExitCode = 4
 	// ExitUnreachable: no server could be reached; nothing was changed.
 	ExitUnreachable ExitCode = 5
@@ -45,25 +43,25 @@
   7  accepted, but not in force on every node in time
 `
 
-// exitError is an error with the code that corkctl exits with.
+// exitError is an error with the exit code of the command.
 type exitError struct {
 	code ExitCode
 	err  error
-	// detail is the server's answer, when it gave one.
+	// detail is the server's error response, if any.
 	detail *api.ErrorDetail
 }
 
 // Error implements the error interface.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
 func exitWith(code ExitCode, format string, arguments ...any) *exitError {
 	return &exitError{code: code, err: fmt.Errorf(format, arguments...)}
 }
 
-// exitCodeOf returns the code for an error; ExitFailed when it has none.
+// exitCodeOf returns the exit code of an error, ExitFailed by default.
 func exitCodeOf(err error) ExitCode {
 	if err == nil {
 		return ExitOK
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/explain"
 )
 
-// explain prints the way of a request, batch job or item through the nodes.
+// explain prints the log lines about a request, batch job or item, with the cause of its outcome.
 func (s *session) explain(context.Context) error {
 	parsed := s.arguments.Explain
 	var log explain.Log
@@ -22,20 +22,20 @@
 		}
 	}
 	if log.Malformed > 0 {
-		fmt.Fprintf(s.streams.Err, "corkctl: %d torn lines passed over\n", log.Malformed)
+		fmt.Fprintf(s.streams.Err, "corkctl: %d malformed lines skipped\n", log.Malformed)
 	}
-	way, err := log.Find(parsed.ID)
+	trace, err := log.Find(parsed.ID)
 	if errors.Is(err, explain.ErrUnknown) {
-		return exitWith(ExitFailed, "%q stands in none of the %d log lines", parsed.ID, len(log.Lines))
+		return exitWith(ExitFailed, "%q was found in none of the %d log lines", parsed.ID, len(log.Lines))
 	}
 	if err != nil {
 		return err
 	}
 	if s.arguments.JSON {
-		s.printJSON(way)
+		s.printJSON(trace)
 		return nil
 	}
-	printWay(s.streams.Out, way)
+	printTrace(s.streams.Out, trace)
 	return nil
 }
 
@@ -51,19 +51,19 @@
 	return log.Read(file)
 }
 
-func printWay(w io.Writer, way explain.Trace) {
-	start := way.Lines[0].Time
-	fmt.Fprintf(w, "%s: %s\n\nits lines (ms from its first):\n", way.ID, way.Cause)
-	printLines(w, way.Lines, start)
-	if len(way.Context) > 0 {
-		fmt.Fprintln(w, "\nwhat changed meanwhile at the nodes and engines concerned:")
-		printLines(w, way.Context, start)
+func printTrace(w io.Writer, trace explain.Trace) {
+	start := trace.Lines[0].Time
+	fmt.Fprintf(w, "%s: %s\n\nlog lines (ms since the first):\n", trace.ID, trace.Cause)
+	printLines(w, trace.Lines, start)
+	if len(trace.Context) > 0 {
+		fmt.Fprintln(w, "\nstate changes of the nodes and engines involved:")
+		printLines(w, trace.Context, start)
 	}
 }
 
 func printLines(w io.Writer, lines []explain.Line, start int64) {
 	for _, line := range lines {
-		// A map of decoded JSON always encodes.
+		// Fields decoded from JSON can always be encoded.
 		fields, _ := json.Marshal(line.Fields)
 		fmt.Fprintf(w, "%8d  %-22s %-24s %s\n", line.Time-start, line.Node, line.Message, fields)
 	}
--- a/internal/ctl/help.go
+++ b/internal/ctl/help.go
@@ -8,7 +8,7 @@
 	"github.com/alexflint/go-arg"
 )
 
-// examples by command path.
+// examples holds the examples in the help, by subcommand path.
 var examples = map[string][]string{
 	"": {
 		"export CORKCTL_SERVER=10.0.0.1:9090,10.0.0.2:9090",
@@ -56,7 +56,7 @@
 
 // writeHelp writes the help of a command, with examples and exit codes.
 func writeHelp(w io.Writer, parser *arg.Parser, command []string) {
-	// The command is one that the parser has just parsed, so it is known.
+	// The parser has just parsed the command, so the command exists.
 	_ = parser.WriteHelpForSubcommand(w, command...)
 	fmt.Fprintln(w, "\nExamples:")
 	for _, example := range examples[strings.Join(command, " ")] {
--- a/internal/ctl/inspect.go
+++ b/internal/ctl/inspect.go
@@ -11,13 +11,13 @@
 	"github.com/corkpulley/corkpulley/internal/operatorapi"
 )
 
-// drainResult answers "drain".
+// drainResult is the response to "drain".
 type drainResult struct {
 	State string `json:"state"`
 }
 
 func (s *session) status(ctx context.Context) error {
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	var status api.Status
 	if err := s.client.get(ctx, operatorapi.PathStatus, nil, &status); err != nil {
@@ -32,7 +32,7 @@
 }
 
 func (s *session) nodes(ctx context.Context) error {
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	var nodes []api.NodeStatus
 	if err := s.client.get(ctx, operatorapi.PathNodes, nil, &nodes); err != nil {
@@ -47,7 +47,7 @@
 }
 
 func (s *session) engines(ctx context.Context) error {
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	query := url.Values{}
 	if s.arguments.Engines.All {
@@ -66,7 +66,7 @@
 }
 
 func (s *session) steps(ctx context.Context) error {
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	var steps []api.StepStatus
 	if err := s.client.get(ctx, operatorapi.PathSteps, nil, &steps); err != nil {
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// drain needs one server only: it must not stop another node in its place.
+// drain requires exactly one server, as a failover would stop a different node.
 func (s *session) drain(ctx context.Context) error {
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	if len(s.client.servers) != 1 {
 		return exitWith(ExitUsage, "drain stops the node that it asks: give exactly one --server, not %d",
@@ -92,10 +92,10 @@
 	err := s.client.attempt(ctx, http.MethodPost, operatorapi.PathDrain, nil, nil, &result)
 	var unreachable *unreachableError
 	if errors.As(err, &unreachable) && unreachable.sent {
-		return exitWith(ExitUnknown, "the node may have begun to stop: %w", err)
+		return exitWith(ExitUnknown, "the node may have started to stop: %w", err)
 	}
 	if err != nil {
-		return asExit(err)
+		return toExitError(err)
 	}
 	if s.arguments.JSON {
 		s.printJSON(result)
--- a/internal/ctl/print.go
+++ b/internal/ctl/print.go
@@ -18,7 +18,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// printJSON prints a result as indented JSON.
+// printJSON writes the result as indented JSON to the output stream.
 func (s *session) printJSON(result any) {
 	encoder := json.NewEncoder(s.streams.Out)
 	encoder.SetIndent("", "  ")
@@ -27,14 +27,14 @@
 
 func (s *session) printText(text string) { _, _ = io.WriteString(s.streams.Out, text) }
 
-// remark prints a line for people to the error stream.
-func (s *session) remark(format string, arguments ...any) {
+// notice prints an informational line to the error stream.
+func (s *session) notice(format string, arguments ...any) {
 	fmt.Fprintf(s.streams.Err, format+"\n", arguments...)
 }
 
-// reportError prints an error, with the rows or mistakes that a server named.
+// reportError prints an error, with the problems and conflicting rows of the server's response.
 func (s *session) reportError(err error) {
-	s.remark("corkctl: %v", err)
+	s.notice("corkctl: %v", err)
 	var known *exitError
 	if !errors.As(err, &known) || known.detail == nil {
 		return
@@ -45,24 +45,24 @@
 	}
 	printProblems(s.streams.Out, "table", known.detail.Problems)
 	if len(known.detail.Conflicts) > 0 {
-		s.remark("changed by others:")
+		s.notice("changed by others:")
 		printChanges(s.streams.Out, known.detail.Conflicts)
 	}
 }
 
-// columns is a table for people: cells by column, aligned.
-type columns struct {
+// textTable prints rows of cells in aligned columns.
+type textTable struct {
 	writer *tabwriter.Writer
 }
 
-func newColumns(w io.Writer, header ...string) *columns {
+func newTextTable(w io.Writer, header ...string) *textTable {
 	const minimumWidth, tabWidth, padding = 0, 8, 2
-	table := &columns{writer: tabwriter.NewWriter(w, minimumWidth, tabWidth, padding, ' ', 0)}
+	table := &textTable{writer: tabwriter.NewWriter(w, minimumWidth, tabWidth, padding, ' ', 0)}
 	table.add(header...)
 	return table
 }
 
-func (c *columns) add(cells ...string) {
+func (c *textTable) add(cells ...string) {
 	var printable []string
 	for _, cell := range cells {
 		printable = append(printable, escapeControls(cell))
@@ -70,8 +70,8 @@
 	fmt.Fprintln(c.writer, strings.Join(printable, "\t"))
 }
 
-// escapeControls writes control characters as Go escapes: a cell may hold free
-// text of others, which must not steer this operator's terminal.
+// escapeControls replaces control characters with Go escapes, as cells may hold untrusted text with terminal escape
+// sequences.
 func escapeControls(text string) string {
 	if strings.IndexFunc(text, unicode.IsControl) < 0 {
 		return text
@@ -80,7 +80,7 @@
 	return quoted[1 : len(quoted)-1]
 }
 
-func (c *columns) flush() { _ = c.writer.Flush() }
+func (c *textTable) flush() { _ = c.writer.Flush() }
 
 func printProblems(w io.Writer, file string, problems []policy.Problem) {
 	for _, problem := range problems {
@@ -123,14 +123,14 @@
 }
 
 func printRows(w io.Writer, rows []policy.Row) {
-	table := newColumns(w, upper(policy.Columns)...)
+	table := newTextTable(w, upperCased(policy.Columns)...)
 	for _, row := range rows {
 		table.add(row.Cells()...)
 	}
 	table.flush()
 }
 
-func upper(names []string) []string {
+func upperCased(names []string) []string {
 	var headers []string
 	for _, name := range names {
 		headers = append(headers, strings.ToUpper(name))
@@ -139,16 +139,16 @@
 }
 
 func printHistory(w io.Writer, entries []api.HistoryEntry) {
-	table := newColumns(w, "REVISION", "BASE", "TIME", "OPERATOR", "CHANGES")
+	table := newTextTable(w, "REVISION", "BASE", "TIME", "OPERATOR", "CHANGES")
 	for _, entry := range entries {
 		table.add(formatNumber(entry.Revision), formatNumber(entry.Base),
-			time.UnixMilli(entry.UnixMS).UTC().Format(time.RFC3339), entry.Operator, summarize(entry.Changes))
+			time.UnixMilli(entry.UnixMS).UTC().Format(time.RFC3339), entry.Operator, summarizeChanges(entry.Changes))
 	}
 	table.flush()
 }
 
-// summarize names the changed rows on one line.
-func summarize(changes []policy.RowChange) string {
+// summarizeChanges lists the changed rows on one line.
+func summarizeChanges(changes []policy.RowChange) string {
 	var names []string
 	for _, change := range changes {
 		switch {
@@ -164,7 +164,7 @@
 }
 
 func printStatus(w io.Writer, status api.Status) {
-	table := newColumns(w, "NODE", "ZONE", "READY", "REVISION", "LOG")
+	table := newTextTable(w, "NODE", "ZONE", "READY", "REVISION", "LOG")
 	ready := "yes"
 	if !status.Ready {
 		ready = "no: " + status.NotReadyCause
@@ -184,7 +184,7 @@
 }
 
 func printNodes(w io.Writer, nodes []api.NodeStatus) {
-	table := newColumns(w, "NODE", "ZONE", "ADDRESS", "STATE", "REVISION", "OWNS")
+	table := newTextTable(w, "NODE", "ZONE", "ADDRESS", "STATE", "REVISION", "OWNS")
 	for _, node := range nodes {
 		var owned []string
 		for _, stream := range node.Owned {
@@ -197,7 +197,7 @@
 }
 
 func printCells(w io.Writer, cells []api.CellStatus) {
-	table := newColumns(w, "CELL", "DISPATCHER", "ENGINES", "SLOTS", "RUNNING", "QUEUED")
+	table := newTextTable(w, "CELL", "DISPATCHER", "ENGINES", "SLOTS", "RUNNING", "QUEUED")
 	for _, cell := range cells {
 		table.add(fmt.Sprintf("%s/%s/%d", cell.Zone, cell.Pool, cell.Index), cell.Node,
 			strconv.Itoa(cell.Engines), strconv.Itoa(cell.Slots),
@@ -207,7 +207,7 @@
 }
 
 func printEngines(w io.Writer, engines []api.EngineStatus) {
-	table := newColumns(w, "ENGINE", "ZONE", "POOL", "ADDRESS", "STATE", "IN FLIGHT", "DISPATCHER", "MODELS")
+	table := newTextTable(w, "ENGINE", "ZONE", "POOL", "ADDRESS", "STATE", "IN FLIGHT", "DISPATCHER", "MODELS")
 	for _, engine := range engines {
 		var models []string
 		for _, model := range slices.Sorted(maps.Keys(engine.Models)) {
@@ -220,7 +220,7 @@
 }
 
 func printSteps(w io.Writer, steps []api.StepStatus) {
-	table := newColumns(w, "TRAINER", "STEP", "WANTED", "OPEN", "FILLED", "ACKNOWLEDGED", "DISCARDED", "STATE", "OWNER", "EPOCH")
+	table := newTextTable(w, "TRAINER", "STEP", "WANTED", "OPEN", "FILLED", "ACKNOWLEDGED", "DISCARDED", "STATE", "OWNER", "EPOCH")
 	for _, step := range steps {
 		table.add(step.Trainer, step.Step, strconv.Itoa(step.Wanted), strconv.Itoa(step.Open),
 			strconv.Itoa(step.Filled), strconv.Itoa(step.Acknowledged), strconv.Itoa(step.Discarded),
--- a/internal/ctl/report.go
+++ b/internal/ctl/report.go
@@ -14,7 +14,7 @@
 	"github.com/corkpulley/corkpulley/internal/report/timeline"
 )
 
-// report draws what the nodes' log lines hold as a page and pictures.
+// report writes the timeline of the nodes' log lines as a page and pictures.
 func (s *session) report(context.Context) error {
 	parsed := s.arguments.Report
 	options, err := parsed.options()
@@ -51,7 +51,7 @@
 	return builder.Read(name, source)
 }
 
-// options returns what the flags choose.
+// options returns the timeline options of the flags.
 func (a *reportArguments) options() (timeline.Options, error) {
 	options := timeline.Options{MinimumGap: a.Gap}
 	if a.Gap <= 0 {
--- a/internal/ctl/report_test.go
+++ b/internal/ctl/report_test.go
@@ -25,7 +25,7 @@
 	return code, out.String(), errs.String()
 }
 
-// Guards against a report that needs a server, or that is silent about what it could not read.
+// Guards against a report that needs a server, and against unreadable lines that are not mentioned.
 func TestReportWritesItsFilesFromStandardInput(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "hour")
 	code, stdout, stderr := runReport(reportLines, "--out", directory, "-")
@@ -38,7 +38,7 @@
 	}
 }
 
-// Guards against output for scripts that no JSON reader takes.
+// Guards against invalid JSON output.
 func TestReportPrintsItsTotalsAsJSON(t *testing.T) {
 	code, stdout, _ := runReport(reportLines, "--json", "--out", t.TempDir(), "-")
 	assert.Equal(t, code, ExitOK)
@@ -49,8 +49,8 @@
 	assert.Equal(t, len(result.Files), 8)
 }
 
-// Guards against an exit code that scripts take for another failure, and an error that names no file or flag.
-func TestReportNamesWhatIsWrongWithItsInput(t *testing.T) {
+// Guards against a wrong exit code, and against an error without the file or flag that caused it.
+func TestReportInputErrors(t *testing.T) {
 	directory := t.TempDir()
 	missing := filepath.Join(directory, "missing.log")
 	for _, wrong := range []struct {
--- a/internal/ctl/steps_test.go
+++ b/internal/ctl/steps_test.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/api"
 )
 
-func TestStepsShowWhatBecameOfThem(t *testing.T) {
+func TestStepsShowTheirState(t *testing.T) {
 	var output strings.Builder
 	printSteps(&output, []api.StepStatus{
 		{Trainer: "drafts", Step: "s-1", Wanted: 4, Acknowledged: 4, Done: true},
--- a/internal/ctl/table.go
+++ b/internal/ctl/table.go
@@ -12,19 +12,19 @@
 	"github.com/corkpulley/corkpulley/internal/operatorapi"
 )
 
-// standardInput stands for Streams.In in place of a file name.
+// standardInput is the file name that means Streams.In.
 const standardInput = "-"
 
-// maxFileBytes bounds a table file.
+// maxFileBytes bounds the size of a table file.
 const maxFileBytes = 1 << 20
 
-// checkResult is the JSON answer of "table check".
+// checkResult is the JSON output of "table check".
 type checkResult struct {
 	Rows     int              `json:"rows"`
 	Problems []policy.Problem `json:"problems"`
 }
 
-// diffResult is the JSON answer of "table diff".
+// diffResult is the JSON output of "table diff".
 type diffResult struct {
 	Revision int64              `json:"revision"`
 	Changes  []policy.RowChange `json:"changes"`
@@ -45,12 +45,12 @@
 	if len(problems) > 0 {
 		return exitWith(ExitInvalid, "%s has mistakes: %d", file, len(problems))
 	}
-	s.remark("%s is a valid table, rows: %d", file, len(rows))
+	s.notice("%s is a valid table, rows: %d", file, len(rows))
 	return nil
 }
 
 func (s *session) tableDiff(ctx context.Context) error {
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	text, rows, err := s.readTable(s.arguments.Table.Diff.File)
 	if err != nil {
@@ -61,7 +61,7 @@
 		return err
 	}
 	if base, found := policy.ParseRevisionComment(text); found && base != current.Revision {
-		s.remark("the file was written from revision %d, revision %d is in force", base, current.Revision)
+		s.notice("the file is based on revision %d, revision %d is in force", base, current.Revision)
 	}
 	changes := policy.Diff(current.Rows, rows)
 	if s.arguments.JSON {
@@ -69,12 +69,12 @@
 		return nil
 	}
 	printChanges(s.streams.Out, changes)
-	s.remark("rows that differ from revision %d: %d", current.Revision, len(changes))
+	s.notice("rows that differ from revision %d: %d", current.Revision, len(changes))
 	return nil
 }
 
 func (s *session) tableShow(ctx context.Context) error {
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	show := s.arguments.Table.Show
 	document, err := s.fetchTable(ctx, show.Revision)
@@ -88,13 +88,13 @@
 		s.printText(policy.FormatRevisionComment(document.Revision) + policy.FormatCSV(document.Rows))
 	default:
 		printRows(s.streams.Out, document.Rows)
-		s.remark("revision %d, rows: %d", document.Revision, len(document.Rows))
+		s.notice("revision %d, rows: %d", document.Revision, len(document.Rows))
 	}
 	return nil
 }
 
 func (s *session) tableHistory(ctx context.Context) error {
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	query := url.Values{}
 	query.Set(operatorapi.QueryLimit, strconv.Itoa(s.arguments.Table.History.Limit))
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// fetchTable reads the table in force, or an earlier revision.
+// fetchTable reads the given revision of the table, or the one in force if revision is nil.
 func (s *session) fetchTable(ctx context.Context, revision *int64) (api.TableDocument, error) {
 	query := url.Values{}
 	if revision != nil {
@@ -121,7 +121,7 @@
 	return document, err
 }
 
-// readTable reads a file that must be a valid table; it prints every mistake.
+// readTable reads and parses a table file. It prints the problems of an invalid table.
 func (s *session) readTable(file string) (text string, rows []policy.Row, err error) {
 	text, err = s.readFile(file)
 	if err != nil {
--- a/internal/ctl/wait.go
+++ b/internal/ctl/wait.go
@@ -9,27 +9,26 @@
 	"github.com/corkpulley/corkpulley/internal/operatorapi"
 )
 
-// forcePoll is the pause between two looks at the nodes' revisions.
-const forcePoll = 250 * time.Millisecond
+const revisionPollInterval = 250 * time.Millisecond
 
-// forceResult tells on how many nodes a revision is in force.
-type forceResult struct {
+// inForceResult describes on how many nodes a revision is in force.
+type inForceResult struct {
 	Nodes   int      `json:"nodes"`
 	Known   int      `json:"known"`
 	Lagging []string `json:"lagging"`
 }
 
 // awaitInForce polls until all known nodes have the revision or a higher one.
-func (s *session) awaitInForce(ctx context.Context, revision int64) (*forceResult, error) {
-	ctx, cancel := s.bounded(ctx)
+func (s *session) awaitInForce(ctx context.Context, revision int64) (*inForceResult, error) {
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
-	var last *forceResult
+	var last *inForceResult
 	var lastErr error
 	for {
 		result, err := s.countInForce(ctx, revision)
 		if err == nil {
 			if last == nil || result.Nodes != last.Nodes || result.Known != last.Known {
-				s.remark("revision %d in force on %d of %d nodes", revision, result.Nodes, result.Known)
+				s.notice("revision %d in force on %d of %d nodes", revision, result.Nodes, result.Known)
 			}
 			last = result
 		} else if ctx.Err() == nil {
@@ -40,19 +39,19 @@
 		}
 		select {
 		case <-ctx.Done():
-			return last, notInForce(revision, last, lastErr)
-		case <-time.After(forcePoll):
+			return last, notInForceError(revision, last, lastErr)
+		case <-time.After(revisionPollInterval):
 		}
 	}
 }
 
-func (s *session) countInForce(ctx context.Context, revision int64) (*forceResult, error) {
-	// The status has the same list, but also asks the owners of all steps.
+func (s *session) countInForce(ctx context.Context, revision int64) (*inForceResult, error) {
+	// PathStatus has the same list, but also queries the owners of all steps.
 	var members []api.NodeStatus
 	if err := s.client.get(ctx, operatorapi.PathNodes, nil, &members); err != nil {
 		return nil, err
 	}
-	result := &forceResult{Known: len(members), Lagging: []string{}}
+	result := &inForceResult{Known: len(members), Lagging: []string{}}
 	for _, member := range members {
 		if member.TableRevision >= revision {
 			result.Nodes++
@@ -63,9 +62,9 @@
 	return result, nil
 }
 
-func notInForce(revision int64, last *forceResult, lastErr error) error {
+func notInForceError(revision int64, last *inForceResult, lastErr error) error {
 	if last == nil {
-		return exitWith(ExitNotInForce, "revision %d is accepted, but no node told what it has in force: %v",
+		return exitWith(ExitNotInForce, "revision %d is accepted, but no node reported its revision in force: %v",
 			revision, lastErr)
 	}
 	return exitWith(ExitNotInForce, "revision %d is accepted, but in force on %d of %d nodes only; lagging: %s",
--- a/internal/ctl/zones.go
+++ b/internal/ctl/zones.go
@@ -16,16 +16,15 @@
 	"github.com/corkpulley/corkpulley/internal/operatorapi"
 )
 
-// zonesPoll is the pause between two looks at the servers' zones.
-const zonesPoll = 250 * time.Millisecond
+const zonesPollInterval = 250 * time.Millisecond
 
-// zones shows the zones as each server sees them. A server that cannot be reached is named.
+// zones prints each server's view of the zones and reports the servers that did not answer.
 func (s *session) zones(ctx context.Context) error {
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	views, failures := s.readZones(ctx)
 	for _, failure := range failures {
-		s.remark("corkctl: %v", failure)
+		s.notice("corkctl: %v", failure)
 	}
 	if s.arguments.JSON {
 		s.printJSON(views)
@@ -36,13 +35,13 @@
 	case len(failures) == 0:
 		return nil
 	case len(views) == 0:
-		return asExit(failures[0])
+		return toExitError(failures[0])
 	default:
 		return exitWith(ExitFailed, "%d of %d servers did not answer", len(failures), len(s.client.servers))
 	}
 }
 
-// readZones asks every server.
+// readZones reads the zones from every server. Each failure stands for one server.
 func (s *session) readZones(ctx context.Context) (views []api.Zones, failures []error) {
 	views = []api.Zones{}
 	for range s.client.servers {
@@ -52,13 +51,13 @@
 		} else {
 			views = append(views, view)
 		}
-		s.client.skipServer()
+		s.client.useNextServer()
 	}
 	return views, failures
 }
 
 func (s *session) printZones(views []api.Zones) {
-	table := newColumns(s.streams.Out, "NODE", "LEADS", "ZONE", "EVACUATED", "SINCE", "OFFSET", "ENGINES", "IN FLIGHT", "ITEMS")
+	table := newTextTable(s.streams.Out, "NODE", "LEADS", "ZONE", "EVACUATED", "SINCE", "OFFSET", "ENGINES", "IN FLIGHT", "ITEMS")
 	for _, view := range views {
 		for _, zone := range view.Zones {
 			table.add(view.Node, yesNo(view.Leading), zone.Zone, yesNo(zone.Evacuated), zone.Since, formatNumber(zone.Offset),
@@ -83,37 +82,37 @@
 	return s.orderEvacuation(ctx, s.arguments.TakeBack.evacuationArguments, false)
 }
 
-// orderEvacuation has a server write the order, and waits for its effect where that is asked for.
-func (s *session) orderEvacuation(ctx context.Context, order evacuationArguments, inForce bool) error {
+// orderEvacuation sends the order to a server and, with --wait, waits until it is in effect.
+func (s *session) orderEvacuation(ctx context.Context, order evacuationArguments, evacuated bool) error {
 	if err := fleet.CheckZoneName(order.Zone); err != nil {
 		return exitWith(ExitUsage, "%w", err)
 	}
-	accepted, err := s.writeEvacuation(ctx, order.Zone, inForce)
+	accepted, err := s.writeEvacuation(ctx, order.Zone, evacuated)
 	if err != nil {
 		return err
 	}
 	if s.arguments.JSON {
 		s.printJSON(accepted)
 	} else {
-		s.remark("zone %s: the log has the order, evacuated: %s", accepted.Zone, yesNo(accepted.Evacuated))
+		s.notice("zone %s: order recorded in the log, evacuated: %s", accepted.Zone, yesNo(accepted.Evacuated))
 	}
 	if !order.Wait {
 		return nil
 	}
-	return s.awaitEvacuation(ctx, order.Zone, inForce)
+	return s.awaitEvacuation(ctx, order.Zone, evacuated)
 }
 
-// writeEvacuation tries one server after the other. The same order written twice is harmless.
-func (s *session) writeEvacuation(ctx context.Context, zone string, inForce bool) (api.EvacuationAccepted, error) {
-	ctx, cancel := s.bounded(ctx)
+// writeEvacuation tries the servers in turn. Orders are idempotent.
+func (s *session) writeEvacuation(ctx context.Context, zone string, evacuated bool) (api.EvacuationAccepted, error) {
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	method := http.MethodPut
-	if !inForce {
+	if !evacuated {
 		method = http.MethodDelete
 	}
 	path := strings.Replace(operatorapi.PathEvacuation, "{zone}", url.PathEscape(zone), 1)
 	var last error
-	mayBeWritten := false
+	mayBeRecorded := false
 	for range s.client.servers {
 		var accepted api.EvacuationAccepted
 		attemptContext, cancelAttempt := context.WithTimeout(ctx, evacuationTimeout)
@@ -123,65 +122,65 @@
 			return accepted, nil
 		}
 		last = err
-		mayBeWritten = mayBeWritten || mayHaveRun(err)
-		var answer *answerError
+		mayBeRecorded = mayBeRecorded || mayHaveTakenEffect(err)
+		var answer *serverError
 		if errors.As(err, &answer) && !answer.detail.Retryable {
 			break
 		}
-		s.client.skipServer()
+		s.client.useNextServer()
 	}
-	if mayBeWritten {
-		return api.EvacuationAccepted{}, exitWith(ExitUnknown, "the order may be in the log; repeat it: %w", last)
+	if mayBeRecorded {
+		return api.EvacuationAccepted{}, exitWith(ExitUnknown, "the order may have been recorded in the log; repeat it: %w", last)
 	}
-	return api.EvacuationAccepted{}, asExit(last)
+	return api.EvacuationAccepted{}, toExitError(last)
 }
 
-// mayHaveRun tells whether a call that failed may have had its effect.
-func mayHaveRun(err error) bool {
+// mayHaveTakenEffect reports whether a failed call may have taken effect.
+func mayHaveTakenEffect(err error) bool {
 	var unreachable *unreachableError
 	if errors.As(err, &unreachable) {
 		return unreachable.sent
 	}
-	var answer *answerError
+	var answer *serverError
 	return errors.As(err, &answer) && answer.detail.Executed != string(errkind.NotExecuted)
 }
 
-// awaitEvacuation polls until the order is in force at every server and, for an evacuation, none of
-// them has a request in the zone.
-func (s *session) awaitEvacuation(ctx context.Context, zone string, inForce bool) error {
-	ctx, cancel := s.bounded(ctx)
+// awaitEvacuation polls until the order is in force at every server and, for an evacuation, no server has a request in
+// flight in the zone.
+func (s *session) awaitEvacuation(ctx context.Context, zone string, evacuated bool) error {
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
-	told := ""
+	reported := ""
 	for {
 		views, failures := s.readZones(ctx)
 		inForceAt, inFlight := 0, 0
 		for _, view := range views {
 			status := zoneOf(view, zone)
-			if status.Evacuated == inForce {
+			if status.Evacuated == evacuated {
 				inForceAt++
 			}
 			inFlight += status.InFlight
 		}
-		done := inForceAt == len(s.client.servers) && (!inForce || inFlight == 0)
+		done := inForceAt == len(s.client.servers) && (!evacuated || inFlight == 0)
 		state := strconv.Itoa(inForceAt) + " of " + strconv.Itoa(len(s.client.servers)) + " servers, " +
 			strconv.Itoa(inFlight) + " requests there"
-		if ctx.Err() == nil && state != told {
-			told = state
-			s.remark("zone %s: evacuated %s at %s", zone, yesNo(inForce), state)
+		if ctx.Err() == nil && state != reported {
+			reported = state
+			s.notice("zone %s: evacuated %s at %s", zone, yesNo(evacuated), state)
 		}
 		if done {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return exitWith(ExitNotInForce, "the order is in the log, but not yet done: %s (servers that did not answer: %d)",
-				told, len(failures))
-		case <-time.After(zonesPoll):
+			return exitWith(ExitNotInForce, "the order is recorded in the log, but not yet in effect: %s (servers that did not answer: %d)",
+				reported, len(failures))
+		case <-time.After(zonesPollInterval):
 		}
 	}
 }
 
-// zoneOf returns a server's view of a zone. One that it does not know is not evacuated there.
+// zoneOf returns a server's view of a zone. A zone unknown to the server is not evacuated.
 func zoneOf(view api.Zones, zone string) api.ZoneStatus {
 	for _, status := range view.Zones {
 		if status.Zone == zone {
--- a/internal/ctl/zones_test.go
+++ b/internal/ctl/zones_test.go
@@ -16,19 +16,18 @@
 	"github.com/corkpulley/corkpulley/internal/operatorapi"
 )
 
-// zoneServer plays a node that serves the calls about zones.
+// zoneServer serves a node's calls about zones.
 type zoneServer struct {
 	*httptest.Server
 	mutex     sync.Mutex
 	evacuated bool
-	// failure is answered to orders; cut ends the connection after the order was read.
-	failure error
-	cut     bool
-	orders  []string
-	// inFlight falls by one with each look, down to zero.
-	inFlight int
-	// deaf: orders have no effect.
-	deaf bool
+	// failure is the response to orders; abortsConnection closes the connection after reading an order.
+	failure          error
+	abortsConnection bool
+	orders           []string
+	// inFlight is decremented by each read, down to zero.
+	inFlight      int
+	ignoresOrders bool
 }
 
 func newZoneServer(t *testing.T) *zoneServer {
@@ -50,12 +49,12 @@
 	}
 	z.orders = append(z.orders, r.Method+" "+r.URL.Path)
 	switch {
-	case z.cut:
+	case z.abortsConnection:
 		panic(http.ErrAbortHandler)
 	case z.failure != nil:
 		httpapi.WriteError(w, z.failure)
 	default:
-		z.evacuated = !z.deaf && r.Method == http.MethodPut
+		z.evacuated = !z.ignoresOrders && r.Method == http.MethodPut
 		httpapi.WriteJSON(w, http.StatusOK, api.EvacuationAccepted{Zone: "za", Evacuated: r.Method == http.MethodPut})
 	}
 }
@@ -69,34 +68,34 @@
 func TestZonesShowsEveryServersView(t *testing.T) {
 	first, second := newZoneServer(t), newZoneServer(t)
 	second.evacuated = true
-	shown := corkctl("", "zones", "--server", first.URL, "--server", second.URL)
+	shown := runCorkctl("", "zones", "--server", first.URL, "--server", second.URL)
 	assert.Equal(t, shown.code, ExitOK, shown.errors)
 	assert.Equal(t, strings.Count(shown.out, "za"), 2)
-	asJSON := corkctl("", "zones", "--json", "--server", first.URL+","+second.URL)
+	asJSON := runCorkctl("", "zones", "--json", "--server", first.URL+","+second.URL)
 	var views []api.Zones
 	assert.NilError(t, json.Unmarshal([]byte(asJSON.out), &views))
 	assert.Equal(t, len(views), 2)
 	assert.Assert(t, !views[0].Zones[0].Evacuated && views[1].Zones[0].Evacuated)
 	second.Close()
-	partly := corkctl("", "zones", "--server", first.URL, "--server", second.URL)
+	partly := runCorkctl("", "zones", "--server", first.URL, "--server", second.URL)
 	assert.Equal(t, partly.code, ExitFailed)
 	assert.Equal(t, strings.Count(partly.out, "za"), 1)
 	first.Close()
-	assert.Equal(t, corkctl("", "zones", "--server", first.URL).code, ExitUnreachable)
+	assert.Equal(t, runCorkctl("", "zones", "--server", first.URL).code, ExitUnreachable)
 }
 
 func TestEvacuateWaitsUntilTheZoneIsEmpty(t *testing.T) {
 	server := newZoneServer(t)
 	server.inFlight = 2
-	done := corkctl("", "evacuate", "za", "--wait", "--server", server.URL)
+	done := runCorkctl("", "evacuate", "za", "--wait", "--server", server.URL)
 	assert.Equal(t, done.code, ExitOK, done.errors)
 	assert.Assert(t, strings.Contains(done.errors, "1 of 1 servers, 0 requests there"), done.errors)
-	back := corkctl("", "take-back", "za", "--wait", "--server", server.URL)
+	back := runCorkctl("", "take-back", "za", "--wait", "--server", server.URL)
 	assert.Equal(t, back.code, ExitOK, back.errors)
 	assert.DeepEqual(t, server.ordered(), []string{"PUT /v1/zones/za/evacuation", "DELETE /v1/zones/za/evacuation"})
 }
 
-func TestOrdersAboutZonesTellWhatBecameOfThem(t *testing.T) {
+func TestEvacuateExitCodes(t *testing.T) {
 	const limit = "1s"
 	gone := newZoneServer(t)
 	gone.Close()
@@ -109,9 +108,9 @@
 	}{
 		"bad name":     {zone: "z/a", code: ExitUsage, says: "names no zone"},
 		"log away":     {change: func(z *zoneServer) { z.failure = errkind.New(errkind.LogUnavailable, "no") }, code: ExitFailed, orders: 1},
-		"lost answer":  {change: func(z *zoneServer) { z.cut = true }, code: ExitUnknown, says: "repeat it", orders: 1},
+		"lost answer":  {change: func(z *zoneServer) { z.abortsConnection = true }, code: ExitUnknown, says: "repeat it", orders: 1},
 		"unsure":       {change: func(z *zoneServer) { z.failure = errkind.New(errkind.OutcomeUnknownRepeatable, "?") }, code: ExitUnknown, orders: 1},
-		"not in force": {change: func(z *zoneServer) { z.deaf = true }, code: ExitNotInForce, says: "0 of 1 servers", orders: 1},
+		"not in force": {change: func(z *zoneServer) { z.ignoresOrders = true }, code: ExitNotInForce, says: "0 of 1 servers", orders: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newZoneServer(t)
@@ -122,26 +121,26 @@
 			if test.zone != "" {
 				zone = test.zone
 			}
-			got := corkctl("", "evacuate", zone, "--wait", "--timeout", limit, "--server", server.URL)
+			got := runCorkctl("", "evacuate", zone, "--wait", "--timeout", limit, "--server", server.URL)
 			assert.Equal(t, got.code, test.code, got.errors)
 			assert.Assert(t, strings.Contains(got.errors, test.says), got.errors)
 			assert.Equal(t, len(server.ordered()), test.orders)
 		})
 	}
-	unreachable := corkctl("", "evacuate", "za", "--server", gone.URL)
+	unreachable := runCorkctl("", "evacuate", "za", "--server", gone.URL)
 	assert.Equal(t, unreachable.code, ExitUnreachable)
-	// The next server takes the order.
+	// The order fails over to the next server.
 	server := newZoneServer(t)
-	assert.Equal(t, corkctl("", "evacuate", "za", "--server", gone.URL, "--server", server.URL).code, ExitOK)
+	assert.Equal(t, runCorkctl("", "evacuate", "za", "--server", gone.URL, "--server", server.URL).code, ExitOK)
 }
 
-// TestAServerThatDoesNotAnswerHoldsNoEvacuationUp: the next one takes the order, which is harmless twice.
-func TestAServerThatDoesNotAnswerHoldsNoEvacuationUp(t *testing.T) {
+// Guards against an order held up by a server that does not respond.
+func TestEvacuateFailsOverFromUnresponsiveServer(t *testing.T) {
 	t.Parallel()
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
 	server := newZoneServer(t)
-	got := corkctl("", "evacuate", "za", "--timeout", "20s", "--server", silent.URL, "--server", server.URL)
+	got := runCorkctl("", "evacuate", "za", "--timeout", "20s", "--server", silent.URL, "--server", server.URL)
 	assert.Equal(t, got.code, ExitOK, got.errors)
 	assert.Equal(t, len(server.ordered()), 1)
 }
