--- a/cmd/corkbench/main.go
+++ b/cmd/corkbench/main.go
@@ -1,5 +1,5 @@
-// Command corkbench holds the platform's stand-ins, a load generator, a
-// demonstration and the experiments of corkpulley.
+// Command corkbench runs simulated platform services, a load generator, a demonstration and the experiments of
+// corkpulley.
 package main
 
 import (
--- a/cmd/corkctl/main.go
+++ b/cmd/corkctl/main.go
@@ -1,4 +1,4 @@
-// Command corkctl is the operators' command line of corkpulley.
+// Command corkctl is the command line for operators of corkpulley.
 package main
 
 import (
--- a/cmd/corkpulleyd/libc.go
+++ b/cmd/corkpulleyd/libc.go
@@ -1,6 +1,5 @@
 package main
 
-// Importing "C" links the daemon against the C library, which the platform's
-// machines ask of every program.
+// Importing "C" links the daemon against the C library, as the platform requires of every program.
 
 import "C"
--- a/cmd/corkpulleyd/main.go
+++ b/cmd/corkpulleyd/main.go
@@ -1,7 +1,6 @@
-// Command corkpulleyd is the corkpulley daemon: one process per node, playing every role.
+// Command corkpulleyd is the corkpulley daemon. It runs as one process per node, with all roles.
 //
-// Exit codes: 0 after a planned stop, 1 when the daemon failed, 2 when the
-// settings are wrong.
+// Exit codes: 0 after a planned stop, 1 if the daemon failed, 2 if the settings are invalid.
 package main
 
 import (
@@ -56,7 +55,7 @@
 	return exitOK
 }
 
-// runNode runs the node in the way that its settings ask for.
+// runNode runs the node on the platform if the settings name a hosted log, and standalone otherwise.
 func runNode(ctx context.Context, flags settings.Flags, loaded settings.Settings) error {
 	if loaded.Hosted.Log == "" {
 		return node.Run(ctx, loaded, os.Stderr)
@@ -69,8 +68,8 @@
 	return hosted.Run(ctx, loaded, platform.New(loaded.Hosted.Log, loaded.Hosted.Duties), reloads, os.Stdout)
 }
 
-// reloadOnHangup reads the settings anew at each SIGHUP. Settings with mistakes
-// are reported and those in force stay.
+// reloadOnHangup reloads the settings on each SIGHUP. Problems of invalid settings are reported, and the current
+// settings remain in force.
 func reloadOnHangup(
 	ctx context.Context, flags settings.Flags, hangups <-chan os.Signal, reloads chan<- settings.Settings,
 ) {
