--- a/internal/docscheck/boundary_test.go
+++ b/internal/docscheck/boundary_test.go
@@ -15,15 +15,14 @@
 
 const module = "github.com/corkpulley/corkpulley/"
 
-// platformNames matches what only the adapter may name: headers, paths, topics
-// and variables of the users' platform.
+// platformNames matches the headers, paths, topics and environment variables of the platform, which only the adapter may
+// name.
 var platformNames = regexp.MustCompile(
 	`X-Corkpulley-(Attempt|Deadline|Expect|Instance|Not-Executed|Server|Prompt|Token|Length|Wait|Request-Priority)|/log-(append|read|newest|join|leave|commit|owners|trim)|"keyed\.(op|servers|status)|` +
 		`/lots/|/kv-|/hold-|/version-put|CORKPULLEY_NODE_FILE|"op/config"`)
 
-// mayUsePlatform are the folders that may import the adapter: the daemon that
-// wires it, and what stands in for the platform.
-var mayUsePlatform = []string{"platform", "cmd/corkpulleyd", "internal/standin/platform", "test/hosted"}
+// platformImporters are the folders that may import the adapter: the daemon that wires it, and the simulated platform.
+var platformImporters = []string{"platform", "cmd/corkpulleyd", "internal/standin/platform", "test/hosted"}
 
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
@@ -50,7 +49,7 @@
 	return files
 }
 
-func under(path string, folders []string) bool {
+func isUnder(path string, folders []string) bool {
 	for _, folder := range folders {
 		if strings.HasPrefix(path, folder+"/") {
 			return true
@@ -70,12 +69,10 @@
 	return imports
 }
 
-// TestOnlyTheAdapterKnowsThePlatform holds the line round platform/: nothing
-// else names what the platform speaks, and nothing imports the adapter but what
-// wires it.
-func TestOnlyTheAdapterKnowsThePlatform(t *testing.T) {
+// Guards against platform details outside the adapter, and against imports of the adapter outside platformImporters.
+func TestOnlyTheAdapterDependsOnThePlatform(t *testing.T) {
 	for _, file := range sourceFiles(t) {
-		if under(file, mayUsePlatform) {
+		if isUnder(file, platformImporters) {
 			continue
 		}
 		for _, path := range importsOf(t, file) {
@@ -91,23 +88,22 @@
 	}
 }
 
-// TestTheCoreImportsNoClient holds that the core decides without input or
-// output: it reaches no adapter and no network package, by whatever way.
-func TestTheCoreImportsNoClient(t *testing.T) {
+// Guards against I/O in the core: its packages must not import net or an adapter, directly or indirectly.
+func TestCoreImportsNoNetworkOrAdapter(t *testing.T) {
 	seen := make(map[string]bool)
-	var visit func(folder, way string)
-	visit = func(folder, way string) {
+	var visit func(folder, chain string)
+	visit = func(folder, chain string) {
 		if seen[folder] {
 			return
 		}
 		seen[folder] = true
-		way += " > " + folder
+		chain += " > " + folder
 		for _, file := range packageFiles(t, folder) {
 			for _, path := range importsOf(t, file) {
-				assert.Assert(t, path != "net", "%s imports net", way)
-				assert.Assert(t, path != "platform" && !strings.HasPrefix(path, "internal/platform/"), "%s imports %s", way, path)
+				assert.Assert(t, path != "net", "%s imports net", chain)
+				assert.Assert(t, path != "platform" && !strings.HasPrefix(path, "internal/platform/"), "%s imports %s", chain, path)
 				if strings.HasPrefix(path, "internal/") {
-					visit(path, way)
+					visit(path, chain)
 				}
 			}
 		}
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -25,8 +25,7 @@
 	return string(text)
 }
 
-// tableRows returns the cells of each row of the table whose header begins with
-// the given cells.
+// tableRows returns the cells of each row of the Markdown tables whose header starts with the given cells.
 func tableRows(t *testing.T, page string, header ...string) [][]string {
 	t.Helper()
 	var rows [][]string
@@ -66,7 +65,7 @@
 	return first
 }
 
-// settingsKeys returns the keys of the TOML form, such as "node.id".
+// settingsKeys returns the TOML keys of a section, such as "node.id".
 func settingsKeys(section reflect.Type, prefix string) []string {
 	var keys []string
 	for field := range section.Fields() {
@@ -80,12 +79,12 @@
 	return keys
 }
 
-func TestConfigPageNamesEachSetting(t *testing.T) {
+func TestConfigPageListsEachSetting(t *testing.T) {
 	rows := tableRows(t, readPage(t, "CONFIG.md"), "key", "flag")
 	assert.DeepEqual(t, firstCells(rows), settingsKeys(reflect.TypeFor[settings.Settings](), ""))
 }
 
-// defaults returns the default of each key that has one, in the page's form.
+// defaults returns the default of each key that has one, formatted as in the page.
 func defaults(section reflect.Value, prefix string) map[string]string {
 	found := make(map[string]string)
 	for field, value := range section.Fields() {
@@ -103,13 +102,13 @@
 	return found
 }
 
-func TestConfigPageTellsEachDefault(t *testing.T) {
+func TestConfigPageListsEachDefault(t *testing.T) {
 	const defaultCell = 3
 	documented := make(map[string]string)
 	actual := defaults(reflect.ValueOf(settings.Default()), "")
 	for _, row := range tableRows(t, readPage(t, "CONFIG.md"), "key", "flag", "range", "default") {
 		if _, known := actual[row[0]]; !known {
-			continue // the page tells in words what stands in for a default
+			continue // the page describes in words what applies without a default
 		}
 		documented[row[0]] = row[defaultCell]
 		if duration, err := time.ParseDuration(row[defaultCell]); err == nil {
@@ -119,7 +118,7 @@
 	assert.DeepEqual(t, documented, actual)
 }
 
-func TestConfigPageNamesEachFlag(t *testing.T) {
+func TestConfigPageListsEachFlag(t *testing.T) {
 	page := readPage(t, "CONFIG.md")
 	for field := range reflect.TypeFor[settings.Flags]().Fields() {
 		flag, _, _ := strings.Cut(field.Tag.Get("arg"), ",")
@@ -127,14 +126,13 @@
 	}
 }
 
-func TestConfigPageNamesEachColumnOfTheTable(t *testing.T) {
+func TestConfigPageListsEachTableColumn(t *testing.T) {
 	rows := tableRows(t, readPage(t, "CONFIG.md"), "column", "range")
 	assert.DeepEqual(t, firstCells(rows), policy.Columns)
 }
 
-// TestOperationsPageTellsEachErrorAsItIsAnswered compares code, status and
-// whether the request ran.
-func TestOperationsPageTellsEachErrorAsItIsAnswered(t *testing.T) {
+// Guards against an error whose code, HTTP status or execution state differs from the page.
+func TestOperationsPageListsEachErrorCode(t *testing.T) {
 	var documented []string
 	for _, row := range tableRows(t, readPage(t, "OPERATIONS.md"), "code", "status", "ran") {
 		documented = append(documented, strings.Join(row[:3], " "))
@@ -149,7 +147,7 @@
 	assert.DeepEqual(t, documented, answered)
 }
 
-func TestTheSampleTableIsValid(t *testing.T) {
+func TestSampleTableIsValid(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", "examples", "table.csv"))
 	assert.NilError(t, err)
 	_, problems := policy.ParseCSV(string(text))
