--- a/internal/report/picture/jobs.go
+++ b/internal/report/picture/jobs.go
@@ -95,7 +95,7 @@
 			mark{row: row, at: axis.at(job.LastEndRefused), style: refusedEndMark})
 	}
 	if job.SubmitsRefused > 0 {
-		c.marks = append(c.marks, mark{row: row, at: axis.at(job.FirstSubmitTried), style: refusedSubmitMark})
+		c.marks = append(c.marks, mark{row: row, at: axis.at(job.FirstSubmitAttempt), style: refusedSubmitMark})
 	}
 }
 
@@ -110,7 +110,7 @@
 // addBody adds the job's bar, thin if its submission or its end is not in the logs.
 func (c *barChart) addBody(axis *timeAxis, job *timeline.Job, row float64, end time.Time) {
 	share := barShare
-	if job.Submitted.IsZero() || job.EndAsked.IsZero() {
+	if job.Submitted.IsZero() || job.EndRequested.IsZero() {
 		share = thinShare
 	}
 	begin := job.First()
--- a/internal/report/picture/jobs_test.go
+++ b/internal/report/picture/jobs_test.go
@@ -18,9 +18,9 @@
 		from, to float64
 		share    float64
 	}{
-		{timeline.Job{FirstSubmitTried: submitted, Submitted: submitted, EndAsked: ended}, 1, 4, barShare},
-		{timeline.Job{FirstSubmitTried: submitted, Submitted: submitted}, 1, 9, thinShare},
-		{timeline.Job{Ended: ended, EndAsked: ended}, 4, 4, thinShare},
+		{timeline.Job{FirstSubmitAttempt: submitted, Submitted: submitted, EndRequested: ended}, 1, 4, barShare},
+		{timeline.Job{FirstSubmitAttempt: submitted, Submitted: submitted}, 1, 9, thinShare},
+		{timeline.Job{Ended: ended, EndRequested: ended}, 4, 4, thinShare},
 		{timeline.Job{FirstEndRefused: ended, LastEndRefused: ended, EndsRefused: 1}, 4, 9, thinShare},
 	} {
 		drawn := &barChart{}
--- a/internal/report/picture/lanes.go
+++ b/internal/report/picture/lanes.go
@@ -43,8 +43,8 @@
 
 // jobEnd returns when the job's bar ends: at its accepted end call, the end of its runs, or the end of the logs.
 func jobEnd(job *timeline.Job, last time.Time) time.Time {
-	if !job.EndAsked.IsZero() {
-		return job.EndAsked
+	if !job.EndRequested.IsZero() {
+		return job.EndRequested
 	}
 	if !job.Ended.IsZero() {
 		return job.Ended
--- a/internal/report/picture/picture_test.go
+++ b/internal/report/picture/picture_test.go
@@ -98,7 +98,7 @@
 func TestOverlappingJobsGetSeparateLanes(t *testing.T) {
 	job := func(id, model string, from, to int64) timeline.Job {
 		at := time.UnixMilli(from)
-		return timeline.Job{ID: id, Model: model, FirstSubmitTried: at, Submitted: at, EndAsked: time.UnixMilli(to)}
+		return timeline.Job{ID: id, Model: model, FirstSubmitAttempt: at, Submitted: at, EndRequested: time.UnixMilli(to)}
 	}
 	lanes := lanesOf([]timeline.Job{
 		job("a", "m", 1000, 2000), job("b", "m", 1500, 2500), job("c", "m", 2100, 2400), job("d", "other", 2200, 2300),
--- a/internal/report/timeline/jobs.go
+++ b/internal/report/timeline/jobs.go
@@ -18,8 +18,8 @@
 	Model string
 	Step  int64
 	Items int
-	// Submitted is when a node accepted the submission, EndAsked when a node accepted the call for its end.
-	Submitted, EndAsked time.Time
+	// Submitted is when a node accepted the submission, EndRequested when a node accepted the call for its end.
+	Submitted, EndRequested time.Time
 	// Accepted holds the times at which a leader began to run it, several after takeovers.
 	Accepted []time.Time
 	// FirstStart is when its first item went to an engine.
@@ -27,10 +27,10 @@
 	// Ended is when a leader ended its runs.
 	Ended         time.Time
 	ItemsFinished int
-	// SubmitsRefused and EndsRefused count failed calls; FirstSubmitTried and LastSubmitTried include accepted ones.
-	SubmitsRefused, EndsRefused       int
-	FirstEndRefused, LastEndRefused   time.Time
-	FirstSubmitTried, LastSubmitTried time.Time
+	// SubmitsRefused and EndsRefused count failed calls; FirstSubmitAttempt and LastSubmitAttempt include accepted ones.
+	SubmitsRefused, EndsRefused           int
+	FirstEndRefused, LastEndRefused       time.Time
+	FirstSubmitAttempt, LastSubmitAttempt time.Time
 }
 
 type jobRecord struct {
@@ -71,8 +71,8 @@
 		return err
 	}
 	at := time.UnixMilli(line.Time)
-	setEarliest(&job.FirstSubmitTried, at)
-	setLatest(&job.LastSubmitTried, at)
+	setEarliest(&job.FirstSubmitAttempt, at)
+	setLatest(&job.LastSubmitAttempt, at)
 	if record.Error != "" {
 		job.SubmitsRefused++
 		return nil
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (b *Builder) addJobEndAsked(line header, raw []byte) error {
+func (b *Builder) addJobEndRequested(line header, raw []byte) error {
 	job, record, err := b.job(raw)
 	if job == nil {
 		return err
@@ -94,12 +94,12 @@
 		setLatest(&job.LastEndRefused, at)
 		return nil
 	}
-	setEarliest(&job.EndAsked, at)
+	setEarliest(&job.EndRequested, at)
 	b.progress.add(line.Time)
 	return nil
 }
 
-func (b *Builder) addJobTakenUp(line header, raw []byte) error {
+func (b *Builder) addJobAccepted(line header, raw []byte) error {
 	job, _, err := b.job(raw)
 	if job == nil {
 		return err
@@ -156,7 +156,7 @@
 func (j *Job) First() time.Time {
 	var first time.Time
 	for _, at := range append([]time.Time{
-		j.FirstSubmitTried, j.EndAsked, j.FirstEndRefused, j.FirstStart, j.Ended,
+		j.FirstSubmitAttempt, j.EndRequested, j.FirstEndRefused, j.FirstStart, j.Ended,
 	}, j.Accepted...) {
 		if !at.IsZero() {
 			setEarliest(&first, at)
--- a/internal/report/timeline/messages.go
+++ b/internal/report/timeline/messages.go
@@ -20,8 +20,8 @@
 	messageRequestRefused     = "request refused"
 	messageEngineTried        = "engine tried"
 	messageJobSubmitted       = "job handed in"
-	messageJobEndAsked        = "job end asked"
-	messageJobTakenUp         = "job taken up"
+	messageJobEndRequested    = "job end asked"
+	messageJobAccepted        = "job taken up"
 	messageJobEnded           = "job ended"
 	messageItemStarted        = "item started"
 	messageItemFinished       = "item finished"
@@ -49,8 +49,8 @@
 	messageRequestRefused:     (*Builder).addRequestRefused,
 	messageEngineTried:        (*Builder).addTry,
 	messageJobSubmitted:       (*Builder).addJobSubmitted,
-	messageJobEndAsked:        (*Builder).addJobEndAsked,
-	messageJobTakenUp:         (*Builder).addJobTakenUp,
+	messageJobEndRequested:    (*Builder).addJobEndRequested,
+	messageJobAccepted:        (*Builder).addJobAccepted,
 	messageJobEnded:           (*Builder).addJobEnded,
 	messageItemStarted:        (*Builder).addItemStarted,
 	messageItemFinished:       (*Builder).addItemFinished,
--- a/internal/report/timeline/notinlogs.go
+++ b/internal/report/timeline/notinlogs.go
@@ -16,8 +16,8 @@
 var missingMessageNotes = []struct{ message, note string }{
 	{messageLeadershipGained, "who led: no node in these logs gained the leadership"},
 	{messageJobSubmitted, "submissions of batch jobs"},
-	{messageJobEndAsked, "ends of batch jobs"},
-	{messageJobTakenUp, "when a leader began to run a job: the leader's lines are missing, or none accepted one"},
+	{messageJobEndRequested, "ends of batch jobs"},
+	{messageJobAccepted, "when a leader began to run a job: the leader's lines are missing, or none accepted one"},
 	{messageItemStarted, "when a job's first item went to an engine"},
 	{messageRequestEnded, "answers to live requests"},
 	{messageEngineTried, "engine tries"},
@@ -38,7 +38,7 @@
 	if count := b.timeline.jobsWithout(func(job *Job) bool { return job.Submitted.IsZero() }); count > 0 {
 		notes = append(notes, fmt.Sprintf("the accepted submission of %d jobs that other lines name", count))
 	}
-	if count := b.timeline.jobsWithout(func(job *Job) bool { return job.EndAsked.IsZero() }); count > 0 {
+	if count := b.timeline.jobsWithout(func(job *Job) bool { return job.EndRequested.IsZero() }); count > 0 {
 		notes = append(notes, fmt.Sprintf("the accepted end of %d jobs: they ran on, or the line is missing", count))
 	}
 	if count := b.timeline.Lines.Suppressed; count > 0 {
--- a/internal/report/timeline/timeline_test.go
+++ b/internal/report/timeline/timeline_test.go
@@ -75,7 +75,7 @@
 	assert.Equal(t, job.Step, int64(5))
 	assert.Equal(t, job.Items, 48)
 	assert.Equal(t, job.Submitted.UnixMilli(), int64(1796283503722))
-	assert.Equal(t, job.EndAsked.UnixMilli(), int64(1796283511421))
+	assert.Equal(t, job.EndRequested.UnixMilli(), int64(1796283511421))
 	assert.Equal(t, len(job.Accepted), 2)
 	assert.Equal(t, job.Accepted[1].UnixMilli(), int64(1796283509971))
 }
--- a/internal/report/totals.go
+++ b/internal/report/totals.go
@@ -72,7 +72,7 @@
 		if !job.Submitted.IsZero() {
 			totals.Submitted++
 		}
-		if !job.EndAsked.IsZero() {
+		if !job.EndRequested.IsZero() {
 			totals.Ended++
 		}
 		totals.SubmitsRefused += job.SubmitsRefused
