--- a/internal/report/timeline/jobs.go
+++ b/internal/report/timeline/jobs.go
@@ -8,30 +8,29 @@
 )
 
 const (
-	// maxJobs bounds the jobs kept, maxAcceptances those of one job.
 	maxJobs        = 20000
-	maxAcceptances = 64
+	maxAcceptances = 64 // per job
 )
 
-// Job is one batch job, a step of a trainer. A time that no line holds is zero.
+// Job is a batch job, one step of a trainer. A time that was not logged is zero.
 type Job struct {
 	ID    string
 	Model string
 	Step  int64
 	Items int
-	// Submitted is when a node took the submission, EndAsked when its submitter's end was taken.
-	Submitted, EndAsked time.Time
-	// Accepted are the times at which a leader began to run it: more than one after a takeover.
+	// Submitted is when a node accepted the submission, EndRequested when a node accepted the call for its end.
+	Submitted, EndRequested time.Time
+	// Accepted holds the times at which a leader began to run it, several after takeovers.
 	Accepted []time.Time
 	// FirstStart is when its first item went to an engine.
 	FirstStart time.Time
 	// Ended is when a leader ended its runs.
 	Ended         time.Time
 	ItemsFinished int
-	// SubmitsRefused and EndsRefused count calls that failed; the times bound those for its end.
-	SubmitsRefused, EndsRefused       int
-	FirstEndRefused, LastEndRefused   time.Time
-	FirstSubmitTried, LastSubmitTried time.Time
+	// SubmitsRefused and EndsRefused count failed calls; FirstSubmitAttempt and LastSubmitAttempt include accepted ones.
+	SubmitsRefused, EndsRefused           int
+	FirstEndRefused, LastEndRefused       time.Time
+	FirstSubmitAttempt, LastSubmitAttempt time.Time
 }
 
 type jobRecord struct {
@@ -42,7 +41,7 @@
 	Error string `json:"error"`
 }
 
-// job returns the job that the line names; nil beyond the bound or without a name.
+// job returns the job that the line names, or nil if it names none or maxJobs is reached.
 func (b *Builder) job(raw []byte) (*Job, jobRecord, error) {
 	var record jobRecord
 	if err := json.Unmarshal(raw, &record); err != nil {
@@ -72,8 +71,8 @@
 		return err
 	}
 	at := time.UnixMilli(line.Time)
-	setEarliest(&job.FirstSubmitTried, at)
-	setLatest(&job.LastSubmitTried, at)
+	setEarliest(&job.FirstSubmitAttempt, at)
+	setLatest(&job.LastSubmitAttempt, at)
 	if record.Error != "" {
 		job.SubmitsRefused++
 		return nil
@@ -83,7 +82,7 @@
 	return nil
 }
 
-func (b *Builder) addJobEndAsked(line header, raw []byte) error {
+func (b *Builder) addJobEndRequested(line header, raw []byte) error {
 	job, record, err := b.job(raw)
 	if job == nil {
 		return err
@@ -95,12 +94,12 @@
 		setLatest(&job.LastEndRefused, at)
 		return nil
 	}
-	setEarliest(&job.EndAsked, at)
+	setEarliest(&job.EndRequested, at)
 	b.progress.add(line.Time)
 	return nil
 }
 
-func (b *Builder) addJobTakenUp(line header, raw []byte) error {
+func (b *Builder) addJobAccepted(line header, raw []byte) error {
 	job, _, err := b.job(raw)
 	if job == nil {
 		return err
@@ -153,11 +152,11 @@
 	}
 }
 
-// First returns the earliest time that a line of the job has.
+// First returns the earliest time logged for the job.
 func (j *Job) First() time.Time {
 	var first time.Time
 	for _, at := range append([]time.Time{
-		j.FirstSubmitTried, j.EndAsked, j.FirstEndRefused, j.FirstStart, j.Ended,
+		j.FirstSubmitAttempt, j.EndRequested, j.FirstEndRefused, j.FirstStart, j.Ended,
 	}, j.Accepted...) {
 		if !at.IsZero() {
 			setEarliest(&first, at)
