--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -13,7 +13,7 @@
 
 const (
 	readBufferBytes = 2 << 10
-	// maxEventBytes bounds one event.
+	// maxEventBytes bounds the size of one event.
 	maxEventBytes = 1 << 20
 )
 
@@ -23,11 +23,11 @@
 	Value string
 }
 
-// Event is one event.
+// Event is one server-sent event.
 type Event struct {
-	// Raw holds the event as it came, with the empty line that ends it.
+	// Raw holds the event as received, including the terminating empty line.
 	Raw []byte
-	// ID is the event's number; HasID is false when it bore none.
+	// ID is the event's numeric ID; HasID is false if it has none.
 	ID    int64
 	HasID bool
 	// Data holds the data lines, separated by line feeds.
@@ -36,18 +36,17 @@
 	Fields []Field
 }
 
-// Reader reads events.
+// Reader reads events from a stream. It is not safe for concurrent use.
 type Reader struct {
 	source *bufio.Reader
 }
 
-// NewReader returns a reader of the source.
 func NewReader(source io.Reader) *Reader {
 	return &Reader{source: bufio.NewReaderSize(source, readBufferBytes)}
 }
 
-// Next returns the next event; io.EOF when the source ends between events, and
-// io.ErrUnexpectedEOF when it ends inside of one.
+// Next returns the next event. It returns io.EOF if the source ends between events, and io.ErrUnexpectedEOF if
+// it ends within one.
 func (r *Reader) Next() (Event, error) {
 	var event Event
 	hasData := false
@@ -67,7 +66,7 @@
 			}
 			continue
 		}
-		if err := event.take(line, &hasData); err != nil {
+		if err := event.parseLine(line, &hasData); err != nil {
 			return Event{}, err
 		}
 	}
@@ -79,7 +78,7 @@
 		piece, err := r.source.ReadSlice('\n')
 		line = append(line, piece...)
 		if before+len(line) > maxEventBytes {
-			return nil, errors.Errorf("an event has more than %d bytes", maxEventBytes)
+			return nil, errors.Errorf("event has more than %d bytes", maxEventBytes)
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return line, err
@@ -87,7 +86,7 @@
 	}
 }
 
-func (e *Event) take(line []byte, hasData *bool) error {
+func (e *Event) parseLine(line []byte, hasData *bool) error {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch string(name) {
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestEventsAreReadWithTheirFields(t *testing.T) {
+func TestNextParsesEventsAndFields(t *testing.T) {
 	const text = ": comment\nx-version: 7\nid: 4\ndata: one\ndata: two\n\nid:5\r\ndata:three\r\n\r\n"
 	reader := NewReader(strings.NewReader(text))
 	first, err := reader.Next()
@@ -26,14 +26,14 @@
 	assert.Equal(t, err, io.EOF)
 }
 
-func TestEventThatIsCutOffIsNoEvent(t *testing.T) {
+func TestNextReturnsUnexpectedEOFForTruncatedEvent(t *testing.T) {
 	for _, text := range []string{"id: 1\nda", "id: 1\ndata: x\n", "id: 1\ndata: x"} {
 		_, err := NewReader(strings.NewReader(text)).Next()
 		assert.Assert(t, errors.Is(err, io.ErrUnexpectedEOF), "%q: %v", text, err)
 	}
 }
 
-func TestUnreadableEventsAreErrors(t *testing.T) {
+func TestNextRejectsInvalidEvents(t *testing.T) {
 	_, err := NewReader(strings.NewReader("id: x\ndata: y\n\n")).Next()
 	assert.ErrorContains(t, err, "event ID")
 	_, err = NewReader(strings.NewReader("data: " + strings.Repeat("x", maxEventBytes) + "\n\n")).Next()
