--- a/internal/logstream/append.go
+++ b/internal/logstream/append.go
@@ -7,9 +7,8 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// appendLoop is the only place that appends to the stream, so one append is in
-// flight at a time: a repeat can never stand before the first copy of a record
-// with a higher sequence that it did not accompany.
+// appendLoop is the only appender of the stream, so one append is in flight at a time. A retried record thus
+// never precedes the first copy of a record with a higher sequence number from another batch.
 func (s *TailedStream) appendLoop() {
 	if s.waitLoaded(s.ctx) != nil {
 		return
@@ -28,7 +27,7 @@
 	}
 }
 
-// appendQueued appends batch after batch until the queue is empty.
+// appendQueued appends batches until the queue is empty.
 func (s *TailedStream) appendQueued() {
 	for s.ctx.Err() == nil {
 		batch := s.nextBatch()
@@ -36,12 +35,11 @@
 			return
 		}
 		s.manager.metrics.batchSize.WithLabelValues(s.class).Observe(float64(len(batch)))
-		s.appendUntilKnown(batch)
+		s.appendUntilResolved(batch)
 	}
 }
 
-// nextBatch moves proposals from the queue to pending and gives them their
-// sequences.
+// nextBatch moves proposals from the queue to pending and assigns their sequence numbers.
 func (s *TailedStream) nextBatch() []*proposal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,12 +62,12 @@
 	return batch
 }
 
-// appendUntilKnown repeats the batch, the same records with the same
-// sequences, until an append succeeds or all were read back.
-func (s *TailedStream) appendUntilKnown(batch []*proposal) {
+// appendUntilResolved retries the batch with the same sequence numbers until an append succeeds or all its
+// records have been read back.
+func (s *TailedStream) appendUntilResolved(batch []*proposal) {
 	delays := logRetries.Delays()
 	for {
-		records := s.encodeUnsettled(batch)
+		records := s.encodeUnresolved(batch)
 		if len(records) == 0 || s.tryAppend(records) == nil {
 			return
 		}
@@ -79,8 +77,8 @@
 	}
 }
 
-// encodeUnsettled encodes the records of the batch that were not read back.
-func (s *TailedStream) encodeUnsettled(batch []*proposal) [][]byte {
+// encodeUnresolved encodes the records of the batch that have not been read back.
+func (s *TailedStream) encodeUnresolved(batch []*proposal) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var records [][]byte
@@ -90,8 +88,8 @@
 		}
 		data, err := logrecord.Encode(proposed.record)
 		if err != nil {
-			// newProposal checked the bounds, so this is a fault of this program.
-			s.logger.Error().Err(err).Msg("a checked record cannot be encoded")
+			// newProposal has encoded the record before, so this is a bug.
+			s.logger.Error().Err(err).Msg("encode checked record failed")
 			continue
 		}
 		records = append(records, data)
--- a/internal/logstream/contact_test.go
+++ b/internal/logstream/contact_test.go
@@ -12,17 +12,17 @@
 	"github.com/corkpulley/corkpulley/internal/platform/logservice"
 )
 
-// lateService is a log service whose answers to reads come late.
-type lateService struct {
+// delayedService delays the results of reads.
+type delayedService struct {
 	logservice.Service
 	delay time.Duration
 
 	mu sync.Mutex
-	// answered is when the newest answer that arrived was given.
+	// answered is when the latest delivered result was produced.
 	answered time.Time
 }
 
-func (s *lateService) Read(
+func (s *delayedService) Read(
 	ctx context.Context, stream string, from int64, limit int, wait time.Duration,
 ) (logservice.Batch, error) {
 	batch, err := s.Service.Read(ctx, stream, from, limit, wait)
@@ -34,25 +34,25 @@
 	return batch, err
 }
 
-func (s *lateService) answeredAt() time.Time {
+func (s *delayedService) answeredAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answered
 }
 
-// TestContactIsAsOldAsTheAnswer: what the log holds is known as of when an answer was given, not
-// of when it arrived.
-func TestContactIsAsOldAsTheAnswer(t *testing.T) {
+// Guards against a contact time that is newer than the data: a delayed result is current as of when it was
+// produced, not of when it arrived.
+func TestLastContactIsTimeOfAnswerNotArrival(t *testing.T) {
 	fixture := newFixture(t)
 	const delay = 500 * time.Millisecond
-	service := &lateService{Service: fixture.service(), delay: delay}
+	service := &delayedService{Service: fixture.service(), delay: delay}
 	manager := NewManager(Options{
 		Service: service, Writer: "w", PollWait: 10 * time.Millisecond, Logger: zerolog.Nop(),
 	})
-	stream := manager.Open("notes/a", &history{}, StreamOptions{})
+	stream := manager.Open("notes/a", &recordingReducer{}, StreamOptions{})
 	t.Cleanup(func() {
 		stream.Close()
-		ctx, cancel := context.WithTimeout(context.Background(), limit)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		_ = manager.Close(ctx)
 	})
@@ -60,6 +60,6 @@
 	for began := time.Now(); time.Since(began) < 4*delay; time.Sleep(10 * time.Millisecond) {
 		contact := manager.LastContact("notes/a")
 		answered := service.answeredAt()
-		assert.Assert(t, !contact.After(answered.Add(delay/2)), "contact at %s, the answer was given at %s", contact, answered)
+		assert.Assert(t, !contact.After(answered.Add(delay/2)), "contact at %s, but the result was produced at %s", contact, answered)
 	}
 }
--- a/internal/logstream/failurelog.go
+++ b/internal/logstream/failurelog.go
@@ -7,14 +7,13 @@
 	"github.com/rs/zerolog"
 )
 
-// failureReportInterval is the least time between two lines about the same
-// operation. A node tails many streams, so an outage would flood its log.
+// failureReportInterval is the minimum time between two log lines about one operation. A node tails many
+// streams, so an outage would otherwise flood its log.
 const failureReportInterval = 10 * time.Second
 
 // operation is a kind of call to the log service.
 type operation int
 
-// The kinds of calls.
 const (
 	operationRead operation = iota
 	operationAppend
@@ -24,41 +23,38 @@
 
 var operationNames = [operationCount]string{"read", "append", "load_snapshot"}
 
-// failureWindow decides which failures of one operation are reported. Its zero
-// value is ready to use.
+// failureWindow rate-limits the reports of one operation's failures. Its zero value is ready to use.
 type failureWindow struct {
 	reportedAt time.Time // zero before the first report
 	suppressed int       // failures since the last report that were not reported
 }
 
-// failed notes a failure and tells whether to report it, with the number of
-// failures suppressed before it.
+// failed records a failure. It returns whether to report it, and how many were suppressed before it.
 func (w *failureWindow) failed(now time.Time) (suppressed int, report bool) {
 	if !w.reportedAt.IsZero() && now.Sub(w.reportedAt) < failureReportInterval {
 		w.suppressed++
 		return 0, false
 	}
-	return w.take(now), true
+	return w.reset(now), true
 }
 
-// succeeded tells whether to report the failures suppressed before a success.
+// succeeded returns whether to report a success, and how many failures were suppressed before it.
 func (w *failureWindow) succeeded(now time.Time) (suppressed int, report bool) {
 	if w.suppressed == 0 || now.Sub(w.reportedAt) < failureReportInterval {
 		return 0, false
 	}
-	return w.take(now), true
+	return w.reset(now), true
 }
 
-func (w *failureWindow) take(now time.Time) int {
+func (w *failureWindow) reset(now time.Time) int {
 	suppressed := w.suppressed
 	w.suppressed = 0
 	w.reportedAt = now
 	return suppressed
 }
 
-// failureLog logs failed calls to the log service for all streams of a
-// Manager: the first at once, then at most one line for each operation and
-// failureReportInterval, with the number of failures in between.
+// failureLog logs failed calls to the log service for all streams of a Manager: the first one immediately, then
+// at most one line per operation and failureReportInterval, with the number of suppressed failures.
 type failureLog struct {
 	logger zerolog.Logger
 	now    func() time.Time
--- a/internal/logstream/failurelog_test.go
+++ b/internal/logstream/failurelog_test.go
@@ -17,22 +17,22 @@
 	"github.com/corkpulley/corkpulley/internal/platform/logservice"
 )
 
-// downService fails every call and counts them.
-type downService struct{ calls atomic.Int64 }
+// unavailableService fails and counts every call.
+type unavailableService struct{ calls atomic.Int64 }
 
-func (d *downService) Append(context.Context, string, [][]byte) (int64, error) {
+func (d *unavailableService) Append(context.Context, string, [][]byte) (int64, error) {
 	d.calls.Add(1)
 	return 0, logservice.ErrUnavailable
 }
 
-func (d *downService) Read(context.Context, string, int64, int, time.Duration) (logservice.Batch, error) {
+func (d *unavailableService) Read(context.Context, string, int64, int, time.Duration) (logservice.Batch, error) {
 	d.calls.Add(1)
 	return logservice.Batch{}, logservice.ErrUnavailable
 }
 
-func TestManyFailingStreamsAreReportedOnce(t *testing.T) {
+func TestFailuresOfManyStreamsAreLoggedOnce(t *testing.T) {
 	var output bytes.Buffer
-	service := &downService{}
+	service := &unavailableService{}
 	manager := NewManager(Options{Service: service, Writer: "w"})
 	start := time.Now()
 	manager.failures = newFailureLog(zerolog.New(zerolog.SyncWriter(&output)), func() time.Time { return start })
@@ -49,8 +49,8 @@
 	assert.Equal(t, strings.Count(output.String(), "\n"), 1, output.String())
 }
 
-// TestOutageDoesNotFloodTheLog: 100 streams fail once a second for 30 seconds.
-func TestOutageDoesNotFloodTheLog(t *testing.T) {
+// Guards against one log line per failed call: 100 streams fail once a second for 30 seconds.
+func TestFailureLogIsRateLimitedDuringOutage(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var output bytes.Buffer
 	failures := newFailureLog(zerolog.New(&output), func() time.Time { return now })
@@ -72,7 +72,7 @@
 	assert.Assert(t, strings.Contains(lines[6], `"message":"log service answers again"`), lines[6])
 }
 
-func TestSuccessWithoutSuppressedFailuresIsNotReported(t *testing.T) {
+func TestSuccessWithoutSuppressedFailuresIsNotLogged(t *testing.T) {
 	var window failureWindow
 	start := time.Unix(1_000_000, 0)
 	_, report := window.succeeded(start)
@@ -80,5 +80,5 @@
 	_, report = window.failed(start)
 	assert.Assert(t, report)
 	_, report = window.succeeded(start.Add(time.Hour))
-	assert.Assert(t, !report, "the one failure was reported itself")
+	assert.Assert(t, !report, "the only failure was already logged")
 }
--- a/internal/logstream/logstream_test.go
+++ b/internal/logstream/logstream_test.go
@@ -21,12 +21,11 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/logservice"
 )
 
-// limit is generous: it ends a test that hangs, and asserts no speed.
-const limit = 60 * time.Second
+// testTimeout ends tests that hang.
+const testTimeout = 60 * time.Second
 
-// history is a reducer that keeps every accepted record: an owned stream of
-// notes, so that two readers can be compared whole.
-type history struct {
+// recordingReducer keeps every accepted record, so that the states of two readers can be compared.
+type recordingReducer struct {
 	Sequences logrecord.Sequences
 	Fence     logrecord.Fence
 	Accepted  []string
@@ -34,7 +33,7 @@
 
 const kindNote logrecord.Kind = "note"
 
-func (h *history) Apply(offset int64, record logrecord.Record) logrecord.Verdict {
+func (h *recordingReducer) Apply(offset int64, record logrecord.Record) logrecord.Verdict {
 	verdict := h.Sequences.Admit(offset, record)
 	if verdict == logrecord.Accepted && record.Kind != kindNote {
 		verdict = h.Fence.Check(offset, record)
@@ -45,10 +44,10 @@
 	return verdict
 }
 
-func (h *history) Snapshot() ([]byte, error) { return msgpack.Marshal(h) }
+func (h *recordingReducer) Snapshot() ([]byte, error) { return msgpack.Marshal(h) }
 
-func (h *history) Restore(data []byte) error {
-	var restored history
+func (h *recordingReducer) Restore(data []byte) error {
+	var restored recordingReducer
 	if err := msgpack.Unmarshal(data, &restored); err != nil {
 		return err
 	}
@@ -56,7 +55,7 @@
 	return nil
 }
 
-// fixture is a stand-in of the log with an HTTP server before it.
+// fixture is a fake log service behind an HTTP server.
 type fixture struct {
 	log    *standin.Server
 	server *httptest.Server
@@ -80,7 +79,7 @@
 	return batch, err
 }
 
-// outage keeps the log down until the readers have met it, then sets control.
+// outage makes the log unavailable until six reads have failed, then applies control.
 func (f *fixture) outage(t *testing.T, ctx context.Context, control standin.Control) {
 	t.Helper()
 	f.log.SetControl(standin.Control{Down: true})
@@ -122,30 +121,30 @@
 
 func testContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// accepted returns what the stream's reader accepted, after it caught up.
+// accepted returns the records accepted by the stream's reducer once it has caught up.
 func accepted(t *testing.T, ctx context.Context, stream *TailedStream) []string {
 	t.Helper()
 	assert.NilError(t, stream.CatchUp(ctx))
 	var records []string
-	stream.View(func() { records = slices.Clone(stream.Reducer().(*history).Accepted) })
+	stream.View(func() { records = slices.Clone(stream.Reducer().(*recordingReducer).Accepted) })
 	return records
 }
 
-// TestEveryProposalGetsOneVerdict lets two processes race while answers are
-// lost, effects come late, appends are refused and the log goes down.
-func TestEveryProposalGetsOneVerdict(t *testing.T) {
+// Guards against lost or duplicated proposals of two concurrent writers when responses are lost, effects are
+// delayed, appends are refused and the log is unavailable for a while.
+func TestConcurrentProposalsGetOneVerdictEachDuringOutage(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
 	fixture.log.SetControl(standin.Control{LoseAnswers: 0.4, LateMS: 30, Refuse: 0.2})
 	streams := []*TailedStream{}
 	for _, writer := range []string{"a", "b"} {
 		manager := fixture.manager(t, writer)
-		streams = append(streams, manager.Open("notes/x", &history{}, StreamOptions{SnapshotEvery: 40}))
+		streams = append(streams, manager.Open("notes/x", &recordingReducer{}, StreamOptions{SnapshotEvery: 40}))
 	}
 
 	const each = 120
@@ -174,13 +173,13 @@
 	assert.Equal(t, len(first), 2*each)
 	assert.Equal(t, len(second), 2*each)
 
-	// A fresh reader starts from a snapshot and ends in the same state.
-	reader := fixture.manager(t, "c").Open("notes/x", &history{}, StreamOptions{})
+	// A new reader starts from a snapshot and reaches the same state.
+	reader := fixture.manager(t, "c").Open("notes/x", &recordingReducer{}, StreamOptions{})
 	assert.DeepEqual(t, accepted(t, ctx, reader), first)
 }
 
-// TestRacingClaims lets processes claim against each other; each epoch has one owner.
-func TestRacingClaims(t *testing.T) {
+// Guards against two owners of one epoch when several processes claim ownership at once.
+func TestConcurrentClaimsGiveEachEpochOneOwner(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
 	fixture.log.SetControl(standin.Control{LoseAnswers: 0.3, LateMS: 5})
@@ -213,11 +212,11 @@
 	assert.Assert(t, len(owners) > 0)
 }
 
-func TestLateOutcomeAndLastContact(t *testing.T) {
+func TestProposeWithLateReportsOutcomeAfterTimeout(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
 	manager := fixture.manager(t, "a")
-	stream := manager.Open("notes/x", &history{}, StreamOptions{})
+	stream := manager.Open("notes/x", &recordingReducer{}, StreamOptions{})
 	_, err := stream.Propose(ctx, Proposal{Kind: kindNote, Body: 1})
 	assert.NilError(t, err)
 	assert.Assert(t, !manager.LastContact("notes/x").IsZero())
@@ -237,12 +236,12 @@
 		assert.NilError(t, err)
 		assert.Equal(t, record.Sequence, uint64(2))
 	case <-ctx.Done():
-		t.Fatal("the late outcome was not reported")
+		t.Fatal("onLate was not called")
 	}
 	assert.Equal(t, len(accepted(t, ctx, stream)), 2)
 }
 
-// TestMalformedRecordsAreSkipped also covers a snapshot that nobody can use.
+// Guards against malformed records or an undecodable snapshot that stop a reader.
 func TestMalformedRecordsAreSkipped(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
@@ -250,22 +249,21 @@
 	assert.NilError(t, err)
 	_, err = fixture.service().Append(ctx, "notes/x", [][]byte{{0xff}, {}, badSnapshot})
 	assert.NilError(t, err)
-	stream := fixture.manager(t, "a").Open("notes/x", &history{}, StreamOptions{})
+	stream := fixture.manager(t, "a").Open("notes/x", &recordingReducer{}, StreamOptions{})
 	outcome, err := stream.Propose(ctx, Proposal{Kind: kindNote, Body: 1})
 	assert.NilError(t, err)
 	assert.Equal(t, outcome, Outcome{Offset: 3, Verdict: logrecord.Accepted})
 	assert.Equal(t, stream.Applied(), int64(4))
 }
 
-// TestSnapshotEqualsReplay compares a reader that starts from a snapshot of
-// several parts with one that replays the stream.
+// Guards against a state restored from a multi-part snapshot that differs from the replayed one.
 func TestSnapshotEqualsReplay(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
-	writer := fixture.manager(t, "a").Open("notes/x", &history{}, StreamOptions{SnapshotEvery: 100})
+	writer := fixture.manager(t, "a").Open("notes/x", &recordingReducer{}, StreamOptions{SnapshotEvery: 100})
 	writer.View(func() {
-		// A large state, which is then cut into parts.
-		writer.Reducer().(*history).Accepted = []string{strings.Repeat("x", 2*snapshotPartBytes)}
+		// A state large enough to be split into parts.
+		writer.Reducer().(*recordingReducer).Accepted = []string{strings.Repeat("x", 2*snapshotPartBytes)}
 	})
 	for i := range 150 {
 		_, err := writer.Propose(ctx, Proposal{Kind: kindNote, Body: i})
@@ -273,22 +271,22 @@
 	}
 	want := accepted(t, ctx, writer)
 	manager := fixture.manager(t, "b")
-	restored := manager.Open("notes/x", &history{}, StreamOptions{})
+	restored := manager.Open("notes/x", &recordingReducer{}, StreamOptions{})
 	assert.DeepEqual(t, accepted(t, ctx, restored), want)
 
-	// Another format is not read: the reader replays, without the large entry.
-	replayed := manager.Open("notes/x", &history{}, StreamOptions{SnapshotFormat: 9})
+	// A snapshot of another format is ignored: the reader replays the records, without the large entry.
+	replayed := manager.Open("notes/x", &recordingReducer{}, StreamOptions{SnapshotFormat: 9})
 	assert.DeepEqual(t, accepted(t, ctx, replayed), want[1:])
 }
 
-func TestOpenSharesByReducerAndClosesAfterTheLast(t *testing.T) {
+func TestOpenSharesStreamByReducerUntilLastClose(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
 	manager := fixture.manager(t, "a")
-	reducer := &history{}
+	reducer := &recordingReducer{}
 	first := manager.Open("notes/x", reducer, StreamOptions{})
 	second := manager.Open("notes/x", reducer, StreamOptions{})
-	other := manager.Open("notes/x", &history{}, StreamOptions{})
+	other := manager.Open("notes/x", &recordingReducer{}, StreamOptions{})
 	assert.Equal(t, first, second)
 	assert.Assert(t, other != first && other.Writer() != first.Writer())
 
@@ -302,18 +300,18 @@
 	assert.Assert(t, manager.LastContact("notes/x").IsZero())
 }
 
-func TestOversizeBodyIsNotProposed(t *testing.T) {
-	stream := newFixture(t).manager(t, "a").Open("notes/x", &history{}, StreamOptions{})
+func TestProposeRejectsOversizeBody(t *testing.T) {
+	stream := newFixture(t).manager(t, "a").Open("notes/x", &recordingReducer{}, StreamOptions{})
 	_, err := stream.Propose(testContext(t), Proposal{Kind: kindNote, Body: make([]byte, MaxBodyBytes+1)})
 	assert.ErrorIs(t, err, ErrNotProposed)
 }
 
-// TestExpiredProposalIsProposedAgain puts a proposal behind more records than
-// a reader remembers; its writer gives it a new sequence by itself.
-func TestExpiredProposalIsProposedAgain(t *testing.T) {
+// Guards against losing a proposal that lands after more records than readers track for deduplication: its
+// writer must propose it again with a new sequence number.
+func TestExpiredProposalIsRequeued(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
-	stream := fixture.manager(t, "a").Open("notes/x", &history{}, StreamOptions{})
+	stream := fixture.manager(t, "a").Open("notes/x", &recordingReducer{}, StreamOptions{})
 	assert.NilError(t, stream.CatchUp(ctx))
 	stream.mu.Lock()
 	proposed, err := stream.newProposal(Proposal{Kind: kindNote, Body: 1}, nil)
--- a/internal/logstream/manager.go
+++ b/internal/logstream/manager.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Manager opens the streams of one process over one log service.
+// Manager opens the streams of one process on one log service. It is safe for concurrent use.
 type Manager struct {
 	options  Options
 	metrics  *metrics
@@ -16,32 +16,30 @@
 
 	mu      sync.Mutex
 	streams map[string][]*TailedStream
-	// opens counts the runtimes ever started for a stream name: each one
-	// writes under a writer ID of its own, so that sequences never clash.
-	opens map[string]int
+	// openCounts counts the runtimes started for each stream name. Each appends under its own writer ID, so that
+	// their sequence numbers do not collide.
+	openCounts map[string]int
 }
 
-// NewManager returns a Manager without open streams.
 func NewManager(options Options) *Manager {
 	options = options.withDefaults()
 	return &Manager{
-		options:  options,
-		metrics:  newMetrics(options.Registerer),
-		failures: newFailureLog(options.Logger, time.Now),
-		streams:  make(map[string][]*TailedStream),
-		opens:    make(map[string]int),
+		options:    options,
+		metrics:    newMetrics(options.Registerer),
+		failures:   newFailureLog(options.Logger, time.Now),
+		streams:    make(map[string][]*TailedStream),
+		openCounts: make(map[string]int),
 	}
 }
 
-// Open starts to tail the stream into the reducer (a pointer, freshly made).
-// Opening the same stream with the same reducer again shares the runtime and
-// counts a reference; another reducer gets a runtime of its own. Each Open
-// needs one Close.
+// Open starts tailing the stream into the reducer, which must be a new pointer. Opening the same stream with the
+// same reducer again returns the same runtime and adds a reference; another reducer gets its own runtime. Each
+// Open needs one Close.
 func (m *Manager) Open(name string, reducer Reducer, options StreamOptions) *TailedStream {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, stream := range m.streams[name] {
-		if stream.reducer == reducer && stream.share() {
+		if stream.reducer == reducer && stream.addReference() {
 			return stream
 		}
 	}
@@ -51,19 +49,18 @@
 	return stream
 }
 
-// nextWriter returns the plain writer ID for the first runtime of a name and a
-// numbered one for each later runtime.
+// nextWriter returns the plain writer ID for the first runtime of a stream, and a numbered one for later ones.
 func (m *Manager) nextWriter(name string) string {
-	m.opens[name]++
-	if m.opens[name] == 1 {
+	m.openCounts[name]++
+	if m.openCounts[name] == 1 {
 		return m.options.Writer
 	}
-	return m.options.Writer + "~" + strconv.Itoa(m.opens[name])
+	return m.options.Writer + "~" + strconv.Itoa(m.openCounts[name])
 }
 
-// LastContact returns as of when a read of the open stream last reached its end: when
-// the read was sent, or had waited in vain. It is the zero time when none did, or
-// when the stream is not open.
+// LastContact returns the time as of which a read last reached the end of the open stream: when the read was
+// sent, or when its wait ended without records. It is the zero time if there was none, or if the stream is not
+// open.
 func (m *Manager) LastContact(stream string) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -76,9 +73,8 @@
 	return latest
 }
 
-// Close closes all streams and waits until their proposals have verdicts. When
-// ctx ends first it stops them as they are and returns ctx's error: what they
-// still had to append has an unknown outcome.
+// Close closes all streams and waits until their proposals are resolved. If ctx ends first, it stops them and
+// returns ctx's error; unresolved proposals then have an unknown outcome.
 func (m *Manager) Close(ctx context.Context) error {
 	open := m.openStreams()
 	for _, stream := range open {
@@ -107,8 +103,8 @@
 	return open
 }
 
-// forget drops a stopped stream.
-func (m *Manager) forget(stream *TailedStream) {
+// remove removes a stopped stream.
+func (m *Manager) remove(stream *TailedStream) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	left := slices.DeleteFunc(m.streams[stream.name], func(open *TailedStream) bool {
--- a/internal/logstream/metrics.go
+++ b/internal/logstream/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// metrics counts per stream class: the part of a stream's name before "/".
+// metrics are labeled by stream class: the part of a stream's name before the first "/".
 type metrics struct {
 	appends     *prometheus.CounterVec
 	reads       *prometheus.CounterVec
@@ -49,7 +49,7 @@
 	return class
 }
 
-// outcomeLabel names the outcome of an append or a read.
+// outcomeLabel returns the outcome label of an append or a read.
 func outcomeLabel(err error) string {
 	if err == nil {
 		return "ok"
--- a/internal/logstream/options.go
+++ b/internal/logstream/options.go
@@ -12,59 +12,57 @@
 	"github.com/corkpulley/corkpulley/internal/platform/logservice"
 )
 
-// ErrNotProposed is wrapped by every error of a proposal that certainly has
-// no effect, now or later. Any other error leaves the outcome unknown.
+// ErrNotProposed is wrapped by every error of a proposal that has no effect, now or later. After any other error
+// the outcome is unknown.
 var ErrNotProposed = errors.New("log stream: not proposed")
 
-// The causes of ErrNotProposed.
+// Causes of ErrNotProposed.
 var (
-	// ErrClosed: the stream was closed before.
+	// ErrClosed means that the stream is closed.
 	ErrClosed = errors.Wrap(ErrNotProposed, "stream is closed")
-	// ErrBacklogFull: maxBacklog proposals already wait, since the log is down
-	// or slow.
-	ErrBacklogFull = errors.Wrap(ErrNotProposed, "too many proposals wait")
-	// ErrBadProposal: the record would break the bounds of logrecord, such as
-	// a body over MaxBodyBytes.
+	// ErrBacklogFull means that maxBacklog proposals are unresolved because the log is unavailable or slow.
+	ErrBacklogFull = errors.Wrap(ErrNotProposed, "too many unresolved proposals")
+	// ErrBadProposal means that the record exceeds a limit of package logrecord or MaxBodyBytes.
 	ErrBadProposal = errors.Wrap(ErrNotProposed, "bad proposal")
 )
 
 const (
 	// MaxBodyBytes bounds the encoded body of a proposal.
 	MaxBodyBytes = logrecord.MaxRecordBytes - 4*logrecord.MaxNameBytes
-	// DefaultCommitDelay is how long a batch waits for more proposals.
+	// DefaultCommitDelay is how long a batch waits for further proposals.
 	DefaultCommitDelay = 2 * time.Millisecond
-	// DefaultPollWait is how long a read waits for the next record. It bounds
-	// the age of LastContact on an idle stream, which readiness looks at.
+	// DefaultPollWait is how long a read waits for the next record. It bounds the age of LastContact on an idle
+	// stream, which readiness checks use.
 	DefaultPollWait = 2 * time.Second
-	// DefaultAppendTimeout bounds one try of an append.
+	// DefaultAppendTimeout bounds one append attempt.
 	DefaultAppendTimeout = 10 * time.Second
 
-	// maxBacklog bounds the proposals of one stream that wait for a verdict.
+	// maxBacklog bounds the unresolved proposals of one stream.
 	maxBacklog = 8192
-	// maxBatchRecords and maxBatchBytes bound one append; one record always fits.
+	// maxBatchRecords and maxBatchBytes bound one append; a single record is always allowed.
 	maxBatchRecords = 256
 	maxBatchBytes   = 1 << 20
-	// readLimit is how many records one read asks for at most.
+	// readLimit is the maximum number of records requested by one read.
 	readLimit = 512
-	// snapshotPartBytes is the most state that one snapshot record carries.
+	// snapshotPartBytes bounds the state carried by one snapshot record.
 	snapshotPartBytes = 1 << 20
-	// firstWindow is how many of the stream's last records are looked through
-	// for a snapshot at first; it doubles while none is found.
-	firstWindow = 64
+	// initialScanWindow is the number of trailing records first searched for a snapshot. The window doubles
+	// until one is found.
+	initialScanWindow = 64
 )
 
-// logRetries paces the tries of appends and reads; it outlasts any outage.
+// logRetries is the backoff of appends and reads, which are retried for as long as the stream is open.
 var logRetries = retry.Policy{First: 20 * time.Millisecond, Longest: 3 * time.Second}
 
 // Options configures a Manager.
 type Options struct {
 	Service logservice.Service
-	// Writer identifies this process start; it is never used twice.
+	// Writer identifies the process. It must be unique for each start.
 	Writer string
 	Logger zerolog.Logger
-	// Registerer takes the metrics; nil keeps them private.
+	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
-	// CommitDelay, PollWait and AppendTimeout default when zero.
+	// Zero values select the defaults.
 	CommitDelay   time.Duration
 	PollWait      time.Duration
 	AppendTimeout time.Duration
@@ -85,19 +83,16 @@
 
 // StreamOptions configures one open stream.
 type StreamOptions struct {
-	// SnapshotEvery is the number of records after which this process may
-	// write a snapshot; 0 writes none. A failed try is repeated after as many.
+	// SnapshotEvery is the number of records after which this process may write a snapshot; 0 disables
+	// snapshots. A failed attempt is repeated after as many records.
 	SnapshotEvery int64
-	// SnapshotAtLatest puts a snapshot off beyond SnapshotEvery until the
-	// records since the latest one take as many bytes as that, so that the
-	// snapshots of a large state don't outweigh its records; this many records
-	// are the most that a reader then replays. 0 puts off none.
+	// SnapshotAtLatest defers a due snapshot until the records since the previous one take as many bytes as that
+	// snapshot, so that snapshots of a large state do not outweigh its records. A reader replays at most this
+	// many records. 0 disables deferral.
 	SnapshotAtLatest int64
-	// SnapshotWhen tells whether this process should write the snapshot that
-	// is due. It is called with the reducer's lock held, like the argument of
-	// View. Nil: whoever had a record accepted since the latest snapshot.
+	// SnapshotWhen reports whether this process should write the snapshot that is due. It is called with the
+	// reducer's lock held. If nil, every process writes it that had a record accepted since the previous one.
 	SnapshotWhen func() bool
-	// SnapshotFormat is the version of the reducer's snapshot encoding;
-	// snapshots of another format are not read.
+	// SnapshotFormat is the version of the reducer's snapshot encoding; other versions are ignored.
 	SnapshotFormat int
 }
--- a/internal/logstream/propose.go
+++ b/internal/logstream/propose.go
@@ -9,16 +9,16 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// proposal is one proposed record on its way to a verdict.
+// proposal is a proposed record that awaits its verdict.
 type proposal struct {
-	// record has its Sequence and Base once it was put into a batch.
-	record logrecord.Record
-	began  time.Time
-	// done has room for the outcome, which is sent at most once.
-	done chan Outcome
-	late func(Outcome)
-	// decided and abandoned are guarded by the stream's lock.
-	decided   bool
+	// Sequence and Base are set when the record is added to a batch.
+	record     logrecord.Record
+	proposedAt time.Time
+	// done is buffered; the outcome is sent at most once.
+	done   chan Outcome
+	onLate func(Outcome)
+	// resolved and abandoned are guarded by the stream's mu.
+	resolved  bool
 	abandoned bool
 }
 
@@ -27,16 +27,15 @@
 	return s.ProposeWithLate(ctx, wanted, nil)
 }
 
-// ProposeWithLate implements Stream. late runs on a goroutine of its own. When
-// the error wraps ErrNotProposed, the proposal certainly has no effect and late
-// is not called; it is not called either once the Manager was stopped.
+// ProposeWithLate implements Stream. onLate runs in its own goroutine. If the error wraps ErrNotProposed, the
+// proposal has no effect and onLate is not called; nor is it called after the Manager was stopped.
 func (s *TailedStream) ProposeWithLate(
-	ctx context.Context, wanted Proposal, late func(Outcome),
+	ctx context.Context, wanted Proposal, onLate func(Outcome),
 ) (Outcome, error) {
 	if err := ctx.Err(); err != nil {
 		return Outcome{}, errors.Wrapf(ErrNotProposed, "%v", err)
 	}
-	proposed, err := s.newProposal(wanted, late)
+	proposed, err := s.newProposal(wanted, onLate)
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -53,17 +52,17 @@
 	}
 }
 
-func (s *TailedStream) newProposal(wanted Proposal, late func(Outcome)) (*proposal, error) {
+func (s *TailedStream) newProposal(wanted Proposal, onLate func(Outcome)) (*proposal, error) {
 	body, err := logrecord.EncodeBody(wanted.Body)
 	if err != nil {
 		return nil, errors.Wrapf(ErrBadProposal, "%v", err)
 	}
 	if len(body) > MaxBodyBytes {
-		return nil, errors.Wrapf(ErrBadProposal, "body of %d bytes, at most %d allowed", len(body), MaxBodyBytes)
+		return nil, errors.Wrapf(ErrBadProposal, "body has %d bytes, limit is %d", len(body), MaxBodyBytes)
 	}
 	record := logrecord.Record{
 		Writer:   s.writer,
-		Sequence: 1, // a placeholder until it is put into a batch
+		Sequence: 1, // a placeholder until the record is batched
 		Epoch:    wanted.Epoch,
 		Kind:     wanted.Kind,
 		Body:     body,
@@ -71,7 +70,7 @@
 	if _, err := logrecord.Encode(record); err != nil {
 		return nil, errors.Wrapf(ErrBadProposal, "%v", err)
 	}
-	return &proposal{record: record, began: time.Now(), done: make(chan Outcome, 1), late: late}, nil
+	return &proposal{record: record, proposedAt: time.Now(), done: make(chan Outcome, 1), onLate: onLate}, nil
 }
 
 func (s *TailedStream) enqueue(proposed *proposal) error {
@@ -88,7 +87,7 @@
 	return nil
 }
 
-// signal wakes the appender.
+// signal wakes appendLoop.
 func (s *TailedStream) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -96,21 +95,20 @@
 	}
 }
 
-// abandon leaves the proposal to the background, unless its verdict came in
-// the same moment.
+// abandon stops waiting for the proposal, unless its verdict arrived at the same time.
 func (s *TailedStream) abandon(proposed *proposal, cause error) (Outcome, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if proposed.decided {
+	if proposed.resolved {
 		return <-proposed.done, nil
 	}
 	proposed.abandoned = true
 	return Outcome{}, cause
 }
 
-// settle ends the proposal that the own record belongs to; mu is held. The
-// first copy read in offset order gives the verdict, later copies have none.
-func (s *TailedStream) settle(offset int64, record logrecord.Record, verdict logrecord.Verdict) {
+// resolve resolves the pending proposal that the record belongs to, if any. The first copy in offset order
+// determines the verdict; later copies are ignored. Must be called with mu held.
+func (s *TailedStream) resolve(offset int64, record logrecord.Record, verdict logrecord.Verdict) {
 	proposed, ok := s.pending[record.Sequence]
 	if !ok || record.Writer != s.writer {
 		return
@@ -118,25 +116,24 @@
 	delete(s.pending, record.Sequence)
 	s.manager.metrics.verdict(s.class, verdict)
 	if verdict == logrecord.Expired {
-		s.proposeAgain(proposed)
+		s.requeue(proposed)
 		return
 	}
 	if verdict == logrecord.Accepted {
 		s.acceptedSince = true
 	}
-	s.manager.metrics.readBackLag.WithLabelValues(s.class).Observe(time.Since(proposed.began).Seconds())
+	s.manager.metrics.readBackLag.WithLabelValues(s.class).Observe(time.Since(proposed.proposedAt).Seconds())
 	outcome := Outcome{Offset: offset, Verdict: verdict}
-	proposed.decided = true
+	proposed.resolved = true
 	proposed.done <- outcome
-	if proposed.abandoned && proposed.late != nil {
-		go proposed.late(outcome)
+	if proposed.abandoned && proposed.onLate != nil {
+		go proposed.onLate(outcome)
 	}
 }
 
-// proposeAgain queues an expired proposal for a new sequence; mu is held. That
-// is safe: no copy of the expired record has an effect at any offset, since
-// an earlier copy would have been read first.
-func (s *TailedStream) proposeAgain(proposed *proposal) {
+// requeue queues an expired proposal for a new sequence number. This is safe: no copy of the expired record has
+// an effect at any offset, as an earlier copy would have been read first. Must be called with mu held.
+func (s *TailedStream) requeue(proposed *proposal) {
 	s.queue = append([]*proposal{proposed}, s.queue...)
 	s.signal()
 }
--- a/internal/logstream/snapshot.go
+++ b/internal/logstream/snapshot.go
@@ -11,10 +11,10 @@
 	"github.com/corkpulley/corkpulley/internal/platform/logservice"
 )
 
-// snapshotBody is the body of a snapshot record. A large state is cut into
-// parts, which are appended in order by one writer.
+// snapshotBody is the body of a snapshot record. A large state is split into parts, which one writer appends in
+// order.
 type snapshotBody struct {
-	// AsOf is the offset after the last record that the state includes.
+	// AsOf is the offset after the last record included in the state.
 	AsOf   int64  `msgpack:"o"`
 	Format int    `msgpack:"f"`
 	Part   int    `msgpack:"p"`
@@ -22,10 +22,10 @@
 	State  []byte `msgpack:"s"`
 }
 
-// maxSnapshotParts bounds the state that a reader puts together, in parts.
+// maxSnapshotParts bounds the size of a snapshot, in parts.
 const maxSnapshotParts = 256
 
-// decodeSnapshot returns the body of a usable snapshot record.
+// decodeSnapshot decodes the body of a snapshot record; it returns false if the body is not usable.
 func (s *TailedStream) decodeSnapshot(offset int64, record logrecord.Record) (snapshotBody, bool) {
 	var body snapshotBody
 	if err := logrecord.DecodeBody(record, &body); err != nil {
@@ -38,25 +38,25 @@
 	return body, usable
 }
 
-// noteSnapshot remembers how far the latest snapshot in the stream reaches, so
-// that another one is not written too soon; mu is held.
-func (s *TailedStream) noteSnapshot(offset int64, record logrecord.Record) {
+// observeSnapshot records the position of the latest snapshot in the stream, so that the next one is not written
+// too soon. Must be called with mu held.
+func (s *TailedStream) observeSnapshot(offset int64, record logrecord.Record) {
 	body, usable := s.decodeSnapshot(offset, record)
 	if usable && body.Part == body.Parts-1 && body.AsOf > s.lastSnapshot {
-		s.latestSnapshotIs(body.AsOf, (body.Parts-1)*snapshotPartBytes+len(body.State))
+		s.resetSnapshotCounters(body.AsOf, (body.Parts-1)*snapshotPartBytes+len(body.State))
 	}
 }
 
-// latestSnapshotIs counts towards the next snapshot anew; mu is held.
-func (s *TailedStream) latestSnapshotIs(asOf int64, size int) {
+// resetSnapshotCounters restarts the counters for the next snapshot. Must be called with mu held.
+func (s *TailedStream) resetSnapshotCounters(asOf int64, size int) {
 	s.lastSnapshot = asOf
 	s.snapshotBytes = size
 	s.bytesSince = 0
 	s.acceptedSince = false
 }
 
-// snapshotDue reports whether enough was applied since the latest snapshot; mu
-// is held.
+// snapshotDue reports whether enough records were applied since the latest snapshot. Must be called with mu
+// held.
 func (s *TailedStream) snapshotDue() bool {
 	every := s.options.SnapshotEvery
 	records := s.applied - s.lastSnapshot
@@ -66,15 +66,15 @@
 	return s.bytesSince >= s.snapshotBytes || records >= s.options.SnapshotAtLatest
 }
 
-// queueSnapshot hands the appender a snapshot when one is due; mu is held.
+// queueSnapshot queues a snapshot for appendLoop if one is due. Must be called with mu held.
 func (s *TailedStream) queueSnapshot() {
-	if !s.snapshotDue() || !s.mayWriteSnapshot() {
+	if !s.snapshotDue() || !s.shouldWriteSnapshot() {
 		return
 	}
-	s.latestSnapshotIs(s.applied, s.snapshotBytes)
+	s.resetSnapshotCounters(s.applied, s.snapshotBytes)
 	state, err := s.reducer.Snapshot()
 	if err != nil {
-		s.logger.Error().Err(err).Msg("snapshot not encoded")
+		s.logger.Error().Err(err).Msg("encode snapshot failed")
 		return
 	}
 	if state == nil {
@@ -82,7 +82,7 @@
 	}
 	records, err := s.encodeSnapshot(s.applied, state)
 	if err != nil {
-		s.logger.Error().Err(err).Msg("snapshot not encoded")
+		s.logger.Error().Err(err).Msg("encode snapshot failed")
 		return
 	}
 	s.snapshotBytes = len(state)
@@ -90,7 +90,7 @@
 	s.signal()
 }
 
-func (s *TailedStream) mayWriteSnapshot() bool {
+func (s *TailedStream) shouldWriteSnapshot() bool {
 	if s.references == 0 {
 		return false
 	}
@@ -106,7 +106,7 @@
 		parts = [][]byte{{}}
 	}
 	if len(parts) > maxSnapshotParts {
-		return nil, errors.Errorf("state of %d bytes is over %d parts", len(state), maxSnapshotParts)
+		return nil, errors.Errorf("snapshot of %d bytes exceeds %d parts", len(state), maxSnapshotParts)
 	}
 	var records [][]byte
 	for i, part := range parts {
@@ -126,8 +126,8 @@
 	return records, nil
 }
 
-// appendSnapshot appends the queued snapshot, part by part. It tries once: a
-// snapshot serves speed only, and the next one comes soon.
+// appendSnapshot appends the queued snapshot part by part. It does not retry: snapshots only save replay time,
+// and another one follows.
 func (s *TailedStream) appendSnapshot() {
 	s.mu.Lock()
 	records := s.pendingSnapshots
@@ -145,45 +145,44 @@
 	s.manager.metrics.snapshots.WithLabelValues(s.class, outcomeLabel(err)).Inc()
 }
 
-// loadSnapshot restores the latest whole snapshot of the stream. It looks
-// through the last records, a window that doubles until it finds one or
-// reaches the start of the stream.
+// loadSnapshot restores the latest complete snapshot of the stream. It searches the last records, doubling the
+// window until it finds one or reaches the start of the stream.
 func (s *TailedStream) loadSnapshot(ctx context.Context) error {
 	last, err := s.manager.options.Service.Read(ctx, s.name, -1, 1, 0)
 	if err != nil {
 		return err
 	}
-	for window := int64(firstWindow); ; window *= 2 {
+	for window := int64(initialScanWindow); ; window *= 2 {
 		from := max(0, last.End-window)
 		candidates, err := s.snapshotsBetween(ctx, from, last.End)
 		if err != nil {
 			return err
 		}
-		if s.restoreFirst(candidates) || from == 0 {
+		if s.restoreFirstUsable(candidates) || from == 0 {
 			return nil
 		}
 	}
 }
 
-// restoreFirst restores the first candidate that the reducer takes.
-func (s *TailedStream) restoreFirst(candidates []wholeSnapshot) bool {
+// restoreFirstUsable restores the first candidate that the reducer accepts.
+func (s *TailedStream) restoreFirstUsable(candidates []completeSnapshot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, candidate := range candidates {
 		if err := s.reducer.Restore(candidate.state); err != nil {
-			s.logger.Warn().Err(err).Int64("as_of", candidate.asOf).Msg("snapshot not restored")
+			s.logger.Warn().Err(err).Int64("as_of", candidate.asOf).Msg("restore snapshot failed")
 			continue
 		}
 		s.applied = candidate.asOf
-		s.latestSnapshotIs(candidate.asOf, len(candidate.state))
+		s.resetSnapshotCounters(candidate.asOf, len(candidate.state))
 		s.releaseWaiters()
 		return true
 	}
 	return false
 }
 
-// wholeSnapshot is a snapshot with all its parts.
-type wholeSnapshot struct {
+// completeSnapshot is a snapshot with all its parts.
+type completeSnapshot struct {
 	asOf  int64
 	state []byte
 }
@@ -194,8 +193,8 @@
 	parts  int
 }
 
-// snapshotsBetween returns the whole snapshots in [from, end), newest first.
-func (s *TailedStream) snapshotsBetween(ctx context.Context, from, end int64) ([]wholeSnapshot, error) {
+// snapshotsBetween returns the complete snapshots in [from, end), newest first.
+func (s *TailedStream) snapshotsBetween(ctx context.Context, from, end int64) ([]completeSnapshot, error) {
 	parts := make(map[snapshotKey]map[int][]byte)
 	err := s.scan(ctx, from, end, func(entry logservice.Entry) {
 		record, err := logrecord.Decode(entry.Data)
@@ -218,8 +217,8 @@
 	return joinSnapshots(parts), nil
 }
 
-func joinSnapshots(parts map[snapshotKey]map[int][]byte) []wholeSnapshot {
-	var whole []wholeSnapshot
+func joinSnapshots(parts map[snapshotKey]map[int][]byte) []completeSnapshot {
+	var whole []completeSnapshot
 	for key, found := range parts {
 		if len(found) != key.parts {
 			continue
@@ -228,13 +227,13 @@
 		for part := range key.parts {
 			state = append(state, found[part]...)
 		}
-		whole = append(whole, wholeSnapshot{asOf: key.asOf, state: state})
+		whole = append(whole, completeSnapshot{asOf: key.asOf, state: state})
 	}
-	slices.SortFunc(whole, func(a, b wholeSnapshot) int { return cmp.Compare(b.asOf, a.asOf) })
+	slices.SortFunc(whole, func(a, b completeSnapshot) int { return cmp.Compare(b.asOf, a.asOf) })
 	return whole
 }
 
-// scan reads [from, end) in bounded reads and visits each entry.
+// scan reads [from, end) in batches and calls visit for each entry.
 func (s *TailedStream) scan(ctx context.Context, from, end int64, visit func(logservice.Entry)) error {
 	limit := readLimit
 	for from < end {
@@ -247,7 +246,7 @@
 			return err
 		}
 		if len(batch.Entries) == 0 {
-			return errors.Wrapf(logservice.ErrUnavailable, "no records at %d, end is %d", from, end)
+			return errors.Wrapf(logservice.ErrUnavailable, "no records at offset %d, end is %d", from, end)
 		}
 		for _, entry := range batch.Entries {
 			visit(entry)
--- a/internal/logstream/snapshotdue_test.go
+++ b/internal/logstream/snapshotdue_test.go
@@ -7,10 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSnapshotOfALargeStateIsPutOff counts the snapshots of a state that is
-// larger than the records: without SnapshotAtLatest each SnapshotEvery records
-// bring one, with it SnapshotAtLatest do.
-func TestSnapshotOfALargeStateIsPutOff(t *testing.T) {
+// Guards against snapshots of a large state that outweigh its records: without SnapshotAtLatest one is due after
+// SnapshotEvery records, with it after up to SnapshotAtLatest.
+func TestSnapshotAtLatestDefersLargeSnapshots(t *testing.T) {
 	const records = 120
 	for _, test := range []struct {
 		name      string
@@ -25,7 +24,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			stream := &TailedStream{
 				manager:    newFixture(t).manager(t, "a"),
-				reducer:    &history{Accepted: []string{strings.Repeat("x", test.state)}},
+				reducer:    &recordingReducer{Accepted: []string{strings.Repeat("x", test.state)}},
 				options:    StreamOptions{SnapshotEvery: 10, SnapshotAtLatest: test.atLatest},
 				writer:     "a",
 				references: 1,
--- a/internal/logstream/stream.go
+++ b/internal/logstream/stream.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// TailedStream is one tailed stream with its reducer. It implements Stream.
+// TailedStream implements Stream on the log service. It is safe for concurrent use.
 type TailedStream struct {
 	manager *Manager
 	name    string
@@ -20,16 +20,16 @@
 	writer  string
 	options StreamOptions
 	logger  zerolog.Logger
-	// reducer is guarded by mu, the field itself never changes.
+	// reducer's state is guarded by mu; the field itself never changes.
 	reducer Reducer
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	// loaded is closed once a snapshot was restored or found missing.
+	// loaded is closed once a snapshot was restored, or none was found.
 	loaded chan struct{}
-	// stopped is closed once both goroutines have ended.
+	// stopped is closed once both goroutines have returned.
 	stopped chan struct{}
-	// wake tells the appender that the queue has work.
+	// wake wakes appendLoop when the queue is not empty.
 	wake chan struct{}
 
 	mu          sync.Mutex
@@ -38,15 +38,14 @@
 	lastContact time.Time
 	waiters     map[int64]chan struct{}
 
-	// queue holds proposals without a sequence; pending those with one that
-	// were not yet read back.
+	// queue holds proposals without a sequence number, pending those with one that have not been read back.
 	queue        []*proposal
 	pending      map[uint64]*proposal
 	nextSequence uint64
 
 	lastSnapshot int64
-	// snapshotBytes is the size of the latest known snapshot, bytesSince that of
-	// the records applied after this reader learnt of it.
+	// snapshotBytes is the size of the latest known snapshot; bytesSince is the size of the records applied
+	// since this reader learned of it.
 	snapshotBytes    int
 	bytesSince       int
 	acceptedSince    bool
@@ -85,22 +84,21 @@
 	running.Go(s.appendLoop)
 	go func() {
 		running.Wait()
-		s.manager.forget(s)
+		s.manager.remove(s)
 		close(s.stopped)
 	}()
 }
 
-// Name returns the stream's name.
 func (s *TailedStream) Name() string { return s.name }
 
-// Writer returns the writer ID under which this runtime appends.
+// Writer returns the writer ID of this runtime.
 func (s *TailedStream) Writer() string { return s.writer }
 
-// Reducer returns the reducer; read its state inside View only.
+// Reducer returns the reducer. Its state may only be read within View.
 func (s *TailedStream) Reducer() Reducer { return s.reducer }
 
-// share counts one more reference; false when the stream was closed already.
-func (s *TailedStream) share() bool {
+// addReference adds a reference; it returns false if the stream is closed.
+func (s *TailedStream) addReference() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.references == 0 {
@@ -110,8 +108,8 @@
 	return true
 }
 
-// Close gives up one reference. After the last one no proposal is taken any
-// more; the runtime ends once the verdict on each earlier proposal is known.
+// Close releases one reference. After the last one the stream rejects new proposals, and it stops once all
+// earlier ones are resolved.
 func (s *TailedStream) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +126,8 @@
 	s.stopWhenIdle()
 }
 
-// stopWhenIdle ends the goroutines of a closed stream without open proposals;
-// mu is held.
+// stopWhenIdle stops the goroutines of a closed stream without unresolved proposals. Must be called with mu
+// held.
 func (s *TailedStream) stopWhenIdle() {
 	if s.references == 0 && len(s.pending) == 0 && len(s.queue) == 0 {
 		s.cancel()
@@ -171,8 +169,7 @@
 	return channel
 }()
 
-// CatchUp implements Stream. It asks the log for the stream's end again and
-// again until it answers or ctx ends.
+// CatchUp implements Stream. It retries reading the end of the stream until ctx ends.
 func (s *TailedStream) CatchUp(ctx context.Context) error {
 	end, err := s.streamEnd(ctx)
 	if err != nil {
@@ -218,11 +215,11 @@
 	}
 }
 
-// ReadRecord implements Stream. An error wraps logservice.ErrUnavailable when
-// the log could not be read, logrecord.ErrMalformed when the record is no good.
+// ReadRecord implements Stream. The error wraps logservice.ErrUnavailable if the log could not be read, and
+// logrecord.ErrMalformed if the record cannot be decoded.
 func (s *TailedStream) ReadRecord(ctx context.Context, offset int64) (logrecord.Record, error) {
 	if offset < 0 || offset >= s.Applied() {
-		return logrecord.Record{}, errors.Errorf("log stream: offset %d was not applied yet", offset)
+		return logrecord.Record{}, errors.Errorf("log stream: offset %d has not been applied", offset)
 	}
 	batch, err := s.manager.options.Service.Read(ctx, s.name, offset, 1, 0)
 	if err != nil {
--- a/internal/logstream/tail.go
+++ b/internal/logstream/tail.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/platform/logservice"
 )
 
-// tail restores the latest snapshot, then applies the stream as it grows.
+// tail restores the latest snapshot, then applies records as they are appended.
 func (s *TailedStream) tail() {
 	delays := logRetries.Delays()
 	for s.ctx.Err() == nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-// poll reads what follows the last applied record.
+// poll reads the records after the last applied one.
 func (s *TailedStream) poll(limit int) (logservice.Batch, error) {
 	from := s.Applied()
 	batch, err := s.manager.options.Service.Read(s.ctx, s.name, from, limit, s.manager.options.PollWait)
@@ -67,13 +67,13 @@
 		return logservice.Batch{}, err
 	}
 	if batch.End < from {
-		// An append-only log cannot shrink; going on would mix two histories.
+		// An append-only log cannot shrink; continuing would mix two histories.
 		return logservice.Batch{}, errors.Wrapf(logservice.ErrUnavailable, "stream ends at %d, but %d was read", batch.End, from)
 	}
 	return batch, nil
 }
 
-// applyBatch takes the answer to a read that was sent at the given time.
+// applyBatch applies the result of a read that was sent at the given time.
 func (s *TailedStream) applyBatch(batch logservice.Batch, sent time.Time) {
 	contact := sent
 	if len(batch.Entries) == 0 {
@@ -92,8 +92,8 @@
 	s.stopWhenIdle()
 }
 
-// applyEntry applies one entry; mu is held. Every reader skips the same
-// malformed records, since decoding depends on their bytes only.
+// applyEntry applies one entry. All readers skip the same malformed records, as decoding depends only on their
+// bytes. Must be called with mu held.
 func (s *TailedStream) applyEntry(entry logservice.Entry) {
 	if entry.Offset != s.applied {
 		return
@@ -106,15 +106,15 @@
 		return
 	}
 	if record.Kind == logrecord.KindSnapshot {
-		s.noteSnapshot(entry.Offset, record)
+		s.observeSnapshot(entry.Offset, record)
 		return
 	}
 	s.bytesSince += len(entry.Data)
 	verdict := s.reducer.Apply(entry.Offset, record)
-	s.settle(entry.Offset, record, verdict)
+	s.resolve(entry.Offset, record, verdict)
 }
 
-// releaseWaiters closes the channels of offsets that were applied; mu is held.
+// releaseWaiters closes the channels of applied offsets. Must be called with mu held.
 func (s *TailedStream) releaseWaiters() {
 	for offset, waiter := range s.waiters {
 		if offset < s.applied {
