--- a/internal/platform/enginehttp/http.go
+++ b/internal/platform/enginehttp/http.go
@@ -1,9 +1,7 @@
-// Package enginehttp calls engines over HTTP/1.1. Streams are newline-delimited
-// JSON.
+// Package enginehttp calls engines over HTTP/1.1. Streams are newline-delimited JSON.
 //
-// Endpoints: POST /v1/generate (GenerateRequest; answers a stream of Chunk),
-// POST /v1/cancel, GET /v1/status, GET /v1/watch (a stream of Event),
-// POST /v1/orders, POST /v1/kv/export, POST /v1/kv/import.
+// Endpoints: POST /v1/generate (GenerateRequest; responds with a stream of Chunk), POST /v1/cancel, GET
+// /v1/status, GET /v1/watch (a stream of Event), POST /v1/orders, POST /v1/kv/export, POST /v1/kv/import.
 package enginehttp
 
 import (
@@ -23,27 +21,27 @@
 	"github.com/go-faster/errors"
 )
 
-// Limits of the HTTP adapter.
+// Limits of the HTTP client.
 const (
 	// maxLineBytes bounds one line of a stream.
 	maxLineBytes = 4 << 20
-	// maxAnswerBytes bounds an answer that is not a stream (a KV export is the largest).
-	maxAnswerBytes = 64 << 20
-	// maxRefusalBytes bounds the body of a non-200 answer.
+	// maxResponseBytes bounds a response that is not a stream; a KV export is the largest.
+	maxResponseBytes = 64 << 20
+	// maxRefusalBytes bounds the body of a response whose status is not 200.
 	maxRefusalBytes = 64 << 10
-	// maxIdleConnections bounds the pooled idle connections of one transport.
+	// maxIdleConnections bounds the idle connections of one transport.
 	maxIdleConnections = 4096
 	// maxIdleConnectionsPerEngine keeps a connection for each stream of a busy engine.
 	maxIdleConnectionsPerEngine = 256
-	// idleTimeout closes an idle connection well before servers usually do.
+	// idleTimeout closes idle connections before servers usually do.
 	idleTimeout = 30 * time.Second
 	// dialTimeout bounds one TCP connect.
 	dialTimeout = 2 * time.Second
-	// keepAlive is the period of TCP keepalive probes.
+	// keepAlive is the interval of TCP keepalive probes.
 	keepAlive = 15 * time.Second
 )
 
-// Paths of the engine interface.
+// Paths of the engine's endpoints.
 const (
 	PathGenerate = "/v1/generate"
 	PathCancel   = "/v1/cancel"
@@ -54,19 +52,18 @@
 	PathKVImport = "/v1/kv/import"
 )
 
-// QueryInterval is the watch parameter with the status interval in milliseconds.
+// QueryInterval is the watch query parameter for the status interval in milliseconds.
 const QueryInterval = "interval_ms"
 
-// HTTPClient implements Client over HTTP/1.1 and newline-delimited JSON. It is
-// safe for concurrent use.
+// HTTPClient implements engine.Client over HTTP/1.1 and newline-delimited JSON. It is safe for concurrent use.
 type HTTPClient struct {
 	client http.Client
 }
 
 var _ engine.Client = (*HTTPClient)(nil)
 
-// NewHTTP returns a Client that sends through client; nil takes a client on
-// NewTransport. Redirects are never followed, as a request must not be sent twice.
+// NewHTTP returns a client that sends through client; nil selects one on NewTransport. It never follows
+// redirects, as a request must not be sent twice.
 func NewHTTP(client *http.Client) *HTTPClient {
 	if client == nil {
 		client = &http.Client{Transport: NewTransport()}
@@ -78,9 +75,8 @@
 	return adapter
 }
 
-// NewTransport returns a pooled transport for hundreds of streams to each of
-// many engines. It is HTTP/1.1 only: a stream has a connection of its own, so
-// a slow reader of one stream holds no other stream back.
+// NewTransport returns a pooled transport for hundreds of streams to each of many engines. It uses HTTP/1.1
+// only: each stream has its own connection, so a slow reader does not block other streams.
 func NewTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
 	return &http.Transport{
@@ -92,7 +88,7 @@
 	}
 }
 
-// Generate implements Client.
+// Generate implements engine.Client.
 func (c *HTTPClient) Generate(ctx context.Context, address string, request engine.GenerateRequest) (engine.Stream, error) {
 	streamContext, cancel := context.WithCancel(ctx)
 	response, err := c.send(streamContext, address, PathGenerate, request)
@@ -103,7 +99,7 @@
 	return newHTTPStream(response.Body, cancel, request.RequestID, request.Attempt), nil
 }
 
-// Cancel implements Client. A stream that the engine does not know counts as canceled.
+// Cancel implements engine.Client. A stream unknown to the engine counts as canceled.
 func (c *HTTPClient) Cancel(ctx context.Context, address string, request engine.CancelRequest) error {
 	err := c.call(ctx, address, PathCancel, request, nil)
 	var failure *engine.SendError
@@ -113,7 +109,7 @@
 	return err
 }
 
-// Status implements Client.
+// Status implements engine.Client.
 func (c *HTTPClient) Status(ctx context.Context, address string) (engine.Status, error) {
 	var status engine.Status
 	response, err := c.get(ctx, address, PathStatus, nil)
@@ -121,14 +117,14 @@
 		return status, err
 	}
 	defer closeBody(response.Body)
-	if err := decodeAnswer(response.Body, &status); err != nil {
+	if err := decodeResponse(response.Body, &status); err != nil {
 		return engine.Status{}, errors.Wrap(err, "decode engine status")
 	}
 	return status, nil
 }
 
-// Watch implements Client. It returns ctx's error once ctx ended, else why the
-// stream broke (io.ErrUnexpectedEOF when the engine closed it).
+// Watch implements engine.Client. It returns ctx's error once ctx has ended, otherwise why the stream failed;
+// io.ErrUnexpectedEOF if the engine closed it.
 func (c *HTTPClient) Watch(ctx context.Context, address string, interval time.Duration, handle func(engine.Event)) error {
 	query := url.Values{QueryInterval: {strconv.FormatInt(interval.Milliseconds(), 10)}}
 	response, err := c.get(ctx, address, PathWatch, query)
@@ -157,26 +153,26 @@
 	return errors.Wrap(err, "watch engine")
 }
 
-// Order implements Client.
+// Order implements engine.Client.
 func (c *HTTPClient) Order(ctx context.Context, address string, order engine.Order) error {
 	return c.call(ctx, address, PathOrders, order, nil)
 }
 
-// KVExport implements Client.
+// KVExport implements engine.Client.
 func (c *HTTPClient) KVExport(ctx context.Context, address string, request engine.CancelRequest) (engine.KVExport, error) {
 	var export engine.KVExport
 	err := c.call(ctx, address, PathKVExport, request, &export)
 	return export, err
 }
 
-// KVImport implements Client.
+// KVImport implements engine.Client.
 func (c *HTTPClient) KVImport(ctx context.Context, address string, export engine.KVExport) (engine.KVHandle, error) {
 	var handle engine.KVHandle
 	err := c.call(ctx, address, PathKVImport, export, &handle)
 	return handle, err
 }
 
-// call posts a message and decodes the answer into response, unless that is nil.
+// call sends a POST request and decodes the body of the answer into response, unless that is nil.
 func (c *HTTPClient) call(ctx context.Context, address, path string, request, response any) error {
 	answer, err := c.send(ctx, address, path, request)
 	if err != nil {
@@ -186,13 +182,13 @@
 	if response == nil {
 		return nil
 	}
-	if err := decodeAnswer(answer.Body, response); err != nil {
-		return &engine.SendError{Sent: true, Err: errors.Wrap(err, "decode engine answer")}
+	if err := decodeResponse(answer.Body, response); err != nil {
+		return &engine.SendError{Sent: true, Err: errors.Wrap(err, "decode engine response")}
 	}
 	return nil
 }
 
-// send posts a message. It returns a response with status 200, or a *SendError.
+// send sends a POST request. It returns a response with status 200 or a *engine.SendError.
 func (c *HTTPClient) send(ctx context.Context, address, path string, message any) (*http.Response, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -222,7 +218,7 @@
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask engine")
+		return nil, errors.Wrap(err, "query engine")
 	}
 	if response.StatusCode != http.StatusOK {
 		defer closeBody(response.Body)
@@ -231,12 +227,11 @@
 	return response, nil
 }
 
-// deliveryTrace learns whether a byte of a request can have left.
+// deliveryTrace records whether any byte of a request may have been sent.
 //
-// The mark is set when the transport has a connection, which is before the
-// goroutine that writes may start. A later mark (headers written) would race
-// with a context that ends meanwhile. The transport asks for another connection
-// only while it wrote nothing of a POST, so that takes the mark back.
+// sent is set when the transport obtains a connection, before it may start writing; setting it later (headers
+// written) would race with a context that ends meanwhile. The transport obtains another connection only if it
+// has written nothing of a POST, so GetConn resets sent.
 type deliveryTrace struct {
 	sent atomic.Bool
 }
@@ -248,14 +243,13 @@
 	})
 }
 
-// refusalBody tells an absent "ran" from false: only an engine that says false
-// guarantees that the request did not run.
+// refusalBody distinguishes an absent "ran" from false: only false guarantees that the request did not run.
 type refusalBody struct {
 	engine.Refusal
 	Ran *bool `json:"ran"`
 }
 
-// refusalError turns a non-200 answer into a *SendError and closes its body.
+// refusalError converts a response whose status is not 200 to a *engine.SendError and closes its body.
 func refusalError(response *http.Response) error {
 	defer closeBody(response.Body)
 	failure := &engine.SendError{Sent: true, Err: errors.Errorf("engine answered %s", response.Status)}
@@ -270,11 +264,11 @@
 	return failure
 }
 
-func decodeAnswer(body io.Reader, target any) error {
-	return json.NewDecoder(io.LimitReader(body, maxAnswerBytes)).Decode(target)
+func decodeResponse(body io.Reader, target any) error {
+	return json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(target)
 }
 
-// closeBody reads the little that may be left, so that the connection is reused.
+// closeBody drains up to 64 KiB, so that the connection can be reused.
 func closeBody(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, maxRefusalBytes)
 	_ = body.Close()
--- a/internal/platform/enginehttp/http_test.go
+++ b/internal/platform/enginehttp/http_test.go
@@ -35,7 +35,7 @@
 	return failure
 }
 
-func TestGenerateReceivesChunksToTheEnd(t *testing.T) {
+func TestGenerateReceivesAllChunks(t *testing.T) {
 	long := strings.Repeat("x", 20_000)
 	target := serve(t, func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprintf(writer, `{"request_id":"r1","attempt":2,"first_token":0,"tokens":["a","%s"],"version":7}`+"\n", long)
@@ -73,11 +73,11 @@
 	assert.Equal(t, len(connections), 1)
 }
 
-func TestBrokenStreamsAreNotTakenForFinishedOnes(t *testing.T) {
+func TestReceiveReportsBrokenStreams(t *testing.T) {
 	bodies := map[string]string{
 		"no chunk":          "",
 		"inside a line":     `{"request_id":"r1","atte`,
-		"no JSON":           "oops\n",
+		"not JSON":          "oops\n",
 		"another request":   `{"request_id":"r2","attempt":2,"finished":true}` + "\n",
 		"another attempt":   `{"request_id":"r1","attempt":1,"finished":true}` + "\n",
 		"no version":        `{"request_id":"r1","attempt":2,"tokens":["a"]}` + "\n",
@@ -113,7 +113,7 @@
 	assert.Assert(t, <-received != nil)
 }
 
-func TestRefusalsTellWhetherTheRequestRan(t *testing.T) {
+func TestRefusalReportsWhetherRequestRan(t *testing.T) {
 	cases := []struct {
 		name, body  string
 		notExecuted bool
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestNoConnectionMeansNotSent(t *testing.T) {
+func TestFailedDialIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	target := listener.Addr().String()
@@ -146,17 +146,17 @@
 	assert.Assert(t, sendError(t, err).NotExecuted())
 }
 
-func TestLostAnswerMeansSent(t *testing.T) {
+func TestLostResponseIsSent(t *testing.T) {
 	target := serve(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	_, err := enginehttp.NewHTTP(nil).Generate(t.Context(), target, request)
 	failure := sendError(t, err)
 	assert.Assert(t, failure.Sent && !failure.NotExecuted())
 }
 
-func TestEndedContextAfterConnectingMeansSent(t *testing.T) {
+func TestCanceledRequestAfterConnectIsSent(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	target := serve(t, func(_ http.ResponseWriter, request *http.Request) {
-		// A server notices that its client left only once it has read the body.
+		// A server notices that its client disconnected only once it has read the body.
 		_, _ = io.Copy(io.Discard, request.Body)
 		cancel()
 		<-request.Context().Done()
--- a/internal/platform/enginehttp/scan.go
+++ b/internal/platform/enginehttp/scan.go
@@ -6,21 +6,21 @@
 	"strconv"
 )
 
-// maxScannedDigits keeps a scanned number inside every type of a Chunk's field.
+// maxScannedDigits keeps scanned numbers within the range of each Chunk field.
 const maxScannedDigits = 9
 
-// chunkScanner decodes the plain form of a chunk's line with few allocations:
-// compact JSON of known keys, ASCII strings without escapes, small numbers.
+// chunkScanner decodes the common form of a chunk with few allocations: compact JSON with known keys, ASCII
+// strings without escapes, and small numbers.
 //
-// Invariant: it decodes a line as encoding/json does, or declines it.
+// Invariant: it either decodes a line as encoding/json does, or rejects it.
 type chunkScanner struct {
 	line     []byte
 	position int
-	// requestID is the expected ID; it saves a copy when the line has the same.
+	// requestID is the expected ID; it saves a copy if the line has the same.
 	requestID string
 }
 
-// scan returns false when the line is not plain.
+// scan decodes the line; it returns false if the line does not have the common form.
 func (s *chunkScanner) scan() (engine.Chunk, bool) {
 	var chunk engine.Chunk
 	if !s.accept('{') {
@@ -44,7 +44,7 @@
 	return len(bytes.TrimRight(s.line[s.position:], "\r\n")) == 0
 }
 
-// accept consumes the byte if it is next.
+// accept consumes the next byte if it is the wanted one.
 func (s *chunkScanner) accept(wanted byte) bool {
 	if s.position >= len(s.line) || s.line[s.position] != wanted {
 		return false
@@ -53,7 +53,7 @@
 	return true
 }
 
-// field decodes one key and its value.
+// field decodes a key and its value.
 func (s *chunkScanner) field(chunk *engine.Chunk) bool {
 	key, ok := s.text()
 	if !ok || !s.accept(':') {
@@ -150,7 +150,7 @@
 	return false
 }
 
-// scanNumber decodes a small whole number without a sign.
+// scanNumber decodes a small unsigned integer.
 func scanNumber[T uint32 | uint64 | int](s *chunkScanner, target *T) bool {
 	start := s.position
 	for s.position < len(s.line) && s.line[s.position] >= '0' && s.line[s.position] <= '9' {
--- a/internal/platform/enginehttp/scan_test.go
+++ b/internal/platform/enginehttp/scan_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// checkAgainstJSON: whatever the scanner takes, it takes as encoding/json does.
+// checkAgainstJSON checks that the scanner either rejects the line or decodes it as encoding/json does.
 func checkAgainstJSON(t *rapid.T, line []byte) {
 	scanner := chunkScanner{line: line, requestID: "r1"}
 	scanned, ok := scanner.scan()
@@ -39,7 +39,7 @@
 	assert.DeepEqual(t, scanned, decoded)
 }
 
-func TestScannerAgreesWithJSON(t *testing.T) {
+func TestScannerAgreesWithEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		line, err := json.Marshal(drawChunk(t))
 		assert.NilError(t, err)
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestScannerTakesPlainLines(t *testing.T) {
+func TestScannerAcceptsPlainLines(t *testing.T) {
 	line := `{"request_id":"r1","attempt":2,"first_token":30,"tokens":["30:7 ","31:7 "],"version":7,"finished":true,"finish_reason":"stop","cached_tokens":16}` + "\n"
 	scanner := chunkScanner{line: []byte(line), requestID: "r1"}
 	chunk, ok := scanner.scan()
--- a/internal/platform/enginehttp/stream.go
+++ b/internal/platform/enginehttp/stream.go
@@ -13,20 +13,20 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrLineTooLong reports a stream line above the limit of the adapter (4 MiB).
+// ErrLineTooLong is returned for a stream line of more than 4 MiB.
 var ErrLineTooLong = errors.New("engine stream: line too long")
 
-// lineBufferBytes is the usual read size; longer lines are put together.
+// lineBufferBytes is the read buffer size; longer lines are assembled from several reads.
 const lineBufferBytes = 4 << 10
 
 var lineBuffers = sync.Pool{
 	New: func() any { return bufio.NewReaderSize(nil, lineBufferBytes) },
 }
 
-// lineReader reads JSON values, one a line. It is used by one goroutine.
+// lineReader reads newline-delimited JSON values. It is not safe for concurrent use.
 type lineReader struct {
 	buffer *bufio.Reader
-	// long holds a line that is longer than the buffer.
+	// long holds a line that exceeds the buffer.
 	long []byte
 }
 
@@ -36,7 +36,7 @@
 	return &lineReader{buffer: buffer}
 }
 
-// release gives the buffer back; the reader must not be used afterwards.
+// release returns the buffer to the pool; the reader must not be used afterwards.
 func (l *lineReader) release() {
 	if l.buffer == nil {
 		return
@@ -46,7 +46,7 @@
 	l.buffer = nil
 }
 
-// decode reads the next line into target. io.EOF is returned only between lines.
+// decode decodes the next line into target. It returns io.EOF only between lines.
 func (l *lineReader) decode(target any) error {
 	line, err := l.next()
 	if err != nil {
@@ -55,7 +55,7 @@
 	return json.Unmarshal(line, target)
 }
 
-// next returns the next line, valid until the call after.
+// next returns the next line, which is valid until the following call.
 func (l *lineReader) next() ([]byte, error) {
 	line, err := l.buffer.ReadSlice('\n')
 	if err == nil {
@@ -78,7 +78,7 @@
 	return l.long, nil
 }
 
-// endOfLine tells an end inside a line from one between lines.
+// endOfLine converts io.EOF within a line to io.ErrUnexpectedEOF.
 func endOfLine(partial int, err error) error {
 	if errors.Is(err, io.EOF) && partial > 0 {
 		return io.ErrUnexpectedEOF
@@ -86,17 +86,17 @@
 	return err
 }
 
-// finishGrace bounds the wait for the end of a body after its finished chunk.
-const finishGrace = time.Second
+// drainTimeout bounds the wait for the end of the body after the finished chunk.
+const drainTimeout = time.Second
 
-// httpStream implements Stream. Receive is called by one goroutine; Close may
-// be called by another and unblocks Receive.
+// httpStream implements engine.Stream. Receive must be called by one goroutine; Close may be called by another
+// and unblocks Receive.
 type httpStream struct {
 	body      io.ReadCloser
 	cancel    context.CancelFunc
 	requestID string
 	attempt   uint32
-	// lines belongs to Receive until finished is set, then to the first Close.
+	// lines is owned by Receive until finished is set, then by the first Close.
 	lines    *lineReader
 	finished atomic.Bool
 	closing  sync.Once
@@ -112,7 +112,7 @@
 	}
 }
 
-// Receive implements Stream.
+// Receive implements engine.Stream.
 func (s *httpStream) Receive() (engine.Chunk, error) {
 	if s.finished.Load() {
 		return engine.Chunk{}, io.EOF
@@ -130,8 +130,7 @@
 	return chunk, nil
 }
 
-// next reads one chunk: by the scanner if the line is plain, which is the usual
-// case, else by encoding/json.
+// next reads one chunk with the scanner, or with encoding/json if the scanner rejects the line.
 func (s *httpStream) next() (engine.Chunk, error) {
 	line, err := s.lines.next()
 	if err != nil {
@@ -146,24 +145,23 @@
 	return chunk, err
 }
 
-// check refuses a chunk that can't belong to the stream, or whose tokens name
-// no weight version.
+// check rejects a chunk that does not belong to the stream, or whose tokens have no weight version.
 func (s *httpStream) check(chunk *engine.Chunk) error {
 	if chunk.RequestID != s.requestID || chunk.Attempt != s.attempt {
 		return errors.Errorf("engine stream: chunk of request %q attempt %d on the stream of %q attempt %d",
 			chunk.RequestID, chunk.Attempt, s.requestID, s.attempt)
 	}
 	if chunk.FirstToken < 0 {
-		return errors.Errorf("engine stream: chunk starts at token %d", chunk.FirstToken)
+		return errors.Errorf("engine stream: negative first token %d", chunk.FirstToken)
 	}
 	if len(chunk.Tokens) > 0 && chunk.Version == 0 {
-		return errors.New("engine stream: chunk names no weight version")
+		return errors.New("engine stream: chunk has tokens but no weight version")
 	}
 	return nil
 }
 
-// Close implements Stream. It reads a finished stream to its end, so that the
-// connection goes back to the pool; an unfinished one loses its connection.
+// Close implements engine.Stream. It reads a finished stream to its end, so that the connection can be reused;
+// the connection of an unfinished stream is closed.
 func (s *httpStream) Close() error {
 	var err error
 	s.closing.Do(func() { err = s.closeOnce() })
@@ -172,7 +170,7 @@
 
 func (s *httpStream) closeOnce() error {
 	if s.finished.Load() {
-		grace := time.AfterFunc(finishGrace, s.cancel)
+		grace := time.AfterFunc(drainTimeout, s.cancel)
 		_, _ = s.lines.next()
 		grace.Stop()
 		s.lines.release()
--- a/internal/platform/httpjson/httpjson.go
+++ b/internal/platform/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package httpjson makes one HTTP exchange with a JSON body on both sides, as
-// the adapters of the platform's services need it. It repeats nothing.
+// Package httpjson sends single HTTP requests with JSON bodies for the clients of platform services. It does not
+// retry.
 package httpjson
 
 import (
@@ -14,18 +14,17 @@
 
 // Client calls one service. It is safe for concurrent use.
 type Client struct {
-	// Service names the service in errors.
+	// Service is the name of the service in errors.
 	Service string
-	// HTTP makes the calls; nil takes http.DefaultClient. Callers bound each
-	// call by its context.
+	// HTTP sends the requests; nil selects http.DefaultClient. Calls are bounded by their context.
 	HTTP *http.Client
-	// MaxAnswerBytes bounds the part of an answer's body that is read.
+	// MaxAnswerBytes bounds how much of a response body is read.
 	MaxAnswerBytes int64
 }
 
-// Answer is the answer to one call, with its body read.
+// Answer is a response whose body has been read.
 type Answer struct {
-	// Service is the one that answered.
+	// Service is the name of the service that responded.
 	Service string
 	// StatusCode and Status are the HTTP status, as in http.Response.
 	StatusCode int
@@ -34,8 +33,8 @@
 	Content    []byte
 }
 
-// Call sends message, unless nil, and decodes the answer into result, unless
-// nil. An answer whose status is not 2xx is an error.
+// Call sends message, unless it is nil, and decodes the response into result, unless it is nil. A status other
+// than 2xx is an error.
 func (c *Client) Call(ctx context.Context, method, target string, message, result any) error {
 	answer, err := c.Send(ctx, method, target, nil, message)
 	if err != nil {
@@ -44,8 +43,8 @@
 	return answer.Decode(result)
 }
 
-// Send makes one exchange with further header fields (nil: none). Any status is
-// an answer; an error means that there was none, or that it broke off.
+// Send sends message, unless it is nil, with additional header fields, which may be nil. It returns responses of
+// any status; an error means that there was no complete response.
 func (c *Client) Send(
 	ctx context.Context, method, target string, header http.Header, message any,
 ) (*Answer, error) {
@@ -60,7 +59,7 @@
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(io.LimitReader(response.Body, c.MaxAnswerBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "read answer")
+		return nil, errors.Wrap(err, "read response")
 	}
 	return &Answer{
 		Service:    c.Service,
@@ -100,8 +99,7 @@
 	return request, nil
 }
 
-// Decode reads the answer's body into result, unless nil. It refuses an answer
-// whose status is not 2xx.
+// Decode decodes the response's body into result, unless it is nil. A status other than 2xx is an error.
 func (a *Answer) Decode(result any) error {
 	if a.StatusCode/100 != 2 {
 		return errors.Errorf("%s answered %s: %s", a.Service, a.Status, bytes.TrimSpace(a.Content))
@@ -110,7 +108,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(a.Content, result); err != nil {
-		return errors.Wrap(err, "decode answer")
+		return errors.Wrap(err, "decode response")
 	}
 	return nil
 }
--- a/internal/platform/httpjson/httpjson_test.go
+++ b/internal/platform/httpjson/httpjson_test.go
@@ -22,7 +22,7 @@
 	return server.URL
 }
 
-func TestCallSendsAndDecodes(t *testing.T) {
+func TestCallEncodesRequestAndDecodesResponse(t *testing.T) {
 	target := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.Header.Get("Content-Type") == "application/json")
 		_, _ = io.Copy(w, r.Body)
@@ -34,10 +34,10 @@
 	assert.Equal(t, got, note{Text: "x"})
 	assert.NilError(t, client.Call(context.Background(), http.MethodGet, target, nil, nil))
 	err = client.Call(context.Background(), http.MethodGet, target, nil, &got)
-	assert.ErrorContains(t, err, "decode answer")
+	assert.ErrorContains(t, err, "decode response")
 }
 
-func TestAnErrorAnswerNamesTheServiceAndIsBounded(t *testing.T) {
+func TestErrorResponseNamesServiceAndIsBounded(t *testing.T) {
 	target := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "0123456789", http.StatusServiceUnavailable)
 	})
--- a/internal/platform/logservice/http_test.go
+++ b/internal/platform/logservice/http_test.go
@@ -23,21 +23,21 @@
 	}
 }
 
-func TestAppendOutcomes(t *testing.T) {
+func TestAppendErrorByResponse(t *testing.T) {
 	for name, test := range map[string]struct {
 		handler http.HandlerFunc
 		want    error
 	}{
-		"appended":               {answer(200, `{"offset":7}`), nil},
-		"refused in 503":         {answer(503, `{"refused":true}`), ErrRefused},
-		"refused in 413":         {answer(413, `{"refused":true}`), ErrRefused},
-		"refused in 500":         {answer(500, `{"refused":true}`), ErrUnknown},
-		"503 without the word":   {answer(503, `{}`), ErrUnknown},
-		"proxy's page":           {answer(502, `<html>`), ErrUnknown},
-		"contradiction":          {answer(200, `{"offset":7,"refused":true}`), ErrUnknown},
-		"redirect":               {answer(307, `{}`), ErrUnknown},
-		"connection breaks":      {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrUnknown},
-		"answer is far too long": {answer(200, string(make([]byte, maxAppendAnswerBytes+1))), ErrUnknown},
+		"appended":                  {answer(200, `{"offset":7}`), nil},
+		"refused in 503":            {answer(503, `{"refused":true}`), ErrRefused},
+		"refused in 413":            {answer(413, `{"refused":true}`), ErrRefused},
+		"refused in 500":            {answer(500, `{"refused":true}`), ErrUnknown},
+		"503 without refused field": {answer(503, `{}`), ErrUnknown},
+		"proxy error page":          {answer(502, `<html>`), ErrUnknown},
+		"contradiction":             {answer(200, `{"offset":7,"refused":true}`), ErrUnknown},
+		"redirect":                  {answer(307, `{}`), ErrUnknown},
+		"connection breaks":         {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrUnknown},
+		"response is too large":     {answer(200, string(make([]byte, maxAppendResponseBytes+1))), ErrUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			offset, err := serve(t, test.handler).Append(t.Context(), "s", [][]byte{{1}})
@@ -65,7 +65,7 @@
 	assert.ErrorIs(t, err, ErrRefused)
 }
 
-func TestReadRefusesBrokenBatches(t *testing.T) {
+func TestReadRejectsInvalidBatches(t *testing.T) {
 	for name, body := range map[string]string{
 		"gap":          `{"entries":[{"offset":3},{"offset":5}],"end":6}`,
 		"wrong start":  `{"entries":[{"offset":4}],"end":6}`,
@@ -83,7 +83,7 @@
 	assert.DeepEqual(t, batch, want)
 }
 
-func TestReadIsBounded(t *testing.T) {
+func TestReadRejectsOversizeResponse(t *testing.T) {
 	huge := func(writer http.ResponseWriter, _ *http.Request) {
 		chunk := make([]byte, 1<<20)
 		for range MaxReadBytes/len(chunk) + 1 {
--- a/internal/platform/logservice/logservice.go
+++ b/internal/platform/logservice/logservice.go
@@ -1,5 +1,4 @@
-// Package logservice is the boundary to the platform's append-only log
-// service: a small interface, its wire types and one HTTP adapter.
+// Package logservice defines the interface to the platform's append-only log service, and its HTTP client.
 package logservice
 
 import (
@@ -9,16 +8,16 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrRefused: the log says that the append did not and will not take effect.
+// ErrRefused means that the log guarantees that the append has no effect, now or later.
 var ErrRefused = errors.New("log service: append refused")
 
-// ErrUnknown: the append may or may not have taken effect, now or later.
+// ErrUnknown means that the append may or may not take effect, now or later.
 var ErrUnknown = errors.New("log service: append outcome unknown")
 
-// ErrUnavailable: a read failed; reads have no effect, so it may be repeated.
+// ErrUnavailable means that a read failed; it may be repeated.
 var ErrUnavailable = errors.New("log service: read failed")
 
-// Entry is one record at its offset. Offsets start at 0 in each stream.
+// Entry is one record and its offset. The offsets of a stream start at 0.
 type Entry struct {
 	Offset int64  `json:"offset"`
 	Data   []byte `json:"data"`
@@ -31,14 +30,14 @@
 	End int64 `json:"end"`
 }
 
-// Service is all that corkpulley asks of the log. Nothing depends on
-// conditional appends, on transactions or on more than one stream at once.
+// Service is the log service. Callers rely on neither conditional appends, nor transactions, nor operations on
+// several streams.
 type Service interface {
-	// Append adds records in order and returns the offset of the first.
-	// A non-nil error wraps ErrRefused or ErrUnknown.
+	// Append appends the records in order and returns the offset of the first one. Errors wrap ErrRefused or
+	// ErrUnknown.
 	Append(ctx context.Context, stream string, records [][]byte) (int64, error)
-	// Read returns up to limit records from offset from on. When there is none
-	// it waits up to wait for one; a negative from counts back from the end.
+	// Read returns up to limit records starting at offset from; a negative from counts back from the end. If
+	// there are none it waits for one, for up to wait.
 	Read(ctx context.Context, stream string, from int64, limit int, wait time.Duration) (Batch, error)
 }
 
@@ -47,12 +46,12 @@
 	Records [][]byte `json:"records"`
 }
 
-// AppendResponse answers an append. Refused is set with status 409, 413 or 503
-// when the log guarantees that nothing was appended.
+// AppendResponse is the response to an append. Refused is set, with status 409, 413 or 503, if the log
+// guarantees that nothing was appended.
 type AppendResponse struct {
 	Offset  int64  `json:"offset"`
 	Refused bool   `json:"refused,omitempty"`
 	Message string `json:"message,omitempty"`
 }
 
-// Reads are GET /v1/read?stream=NAME&from=N&limit=N&wait_ms=N and answer a Batch.
+// Reads are GET /v1/read?stream=NAME&from=N&limit=N&wait_ms=N; the response is a Batch.
--- a/internal/platform/machines/http.go
+++ b/internal/platform/machines/http.go
@@ -14,47 +14,46 @@
 
 const (
 	machinesPath = "/v1/machines"
-	// maxAnswerBytes bounds an answer of the machine list.
-	maxAnswerBytes = 16 << 20
+	// maxResponseBytes bounds a response of the machine list service.
+	maxResponseBytes = 16 << 20
 )
 
-// HTTPSource implements Source over HTTP, and the changes that machines make
-// to their own entry. It is safe for concurrent use.
+// HTTPSource implements Source over HTTP, and the changes that machines make to their own entry. It is safe for
+// concurrent use.
 type HTTPSource struct {
 	baseURL string
 	client  httpjson.Client
 
 	mu sync.Mutex
-	// tag and list are the list last read: with thousands of machines, it is
-	// read whole only when the service says that it changed (ETag).
-	tag  string
+	// etag and list cache the last response. With thousands of machines, the list is downloaded only when its
+	// ETag changes.
+	etag string
 	list List
 }
 
 var _ Source = (*HTTPSource)(nil)
 
-// NewHTTP returns the machine list at baseURL ("http://host:port"). A nil
-// client takes http.DefaultClient; callers bound each call by its context.
+// NewHTTP returns a client for the machine list at baseURL ("http://host:port"). A nil client selects
+// http.DefaultClient. Calls are bounded by their context.
 func NewHTTP(baseURL string, client *http.Client) *HTTPSource {
 	return &HTTPSource{
 		baseURL: strings.TrimSuffix(baseURL, "/"),
-		client:  httpjson.Client{Service: "machine list", HTTP: client, MaxAnswerBytes: maxAnswerBytes},
+		client:  httpjson.Client{Service: "machine list", HTTP: client, MaxAnswerBytes: maxResponseBytes},
 	}
 }
 
-// List implements Source. The list must not be changed: a list that stays the
-// same is answered again.
+// List implements Source. Callers must not modify the list: an unchanged list is returned again.
 func (s *HTTPSource) List(ctx context.Context) (List, error) {
-	tag, known := s.last()
+	etag, known := s.cached()
 	var header http.Header
-	if tag != "" {
-		header = http.Header{"If-None-Match": {tag}}
+	if etag != "" {
+		header = http.Header{"If-None-Match": {etag}}
 	}
 	answer, err := s.client.Send(ctx, http.MethodGet, s.baseURL+machinesPath, header, nil)
 	if err != nil {
 		return List{}, errors.Wrap(err, "list machines")
 	}
-	if tag != "" && answer.StatusCode == http.StatusNotModified {
+	if etag != "" && answer.StatusCode == http.StatusNotModified {
 		return known, nil
 	}
 	var list List
@@ -63,18 +62,18 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tag, s.list = answer.Header.Get("ETag"), list
+	s.etag, s.list = answer.Header.Get("ETag"), list
 	return list, nil
 }
 
-// last returns the list last read and its tag; the tag is empty without one.
-func (s *HTTPSource) last() (string, List) {
+// cached returns the last list and its ETag, which is empty if there is none.
+func (s *HTTPSource) cached() (string, List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tag, s.list
+	return s.etag, s.list
 }
 
-// Register adds or renews the entry of a machine.
+// Register adds or replaces the entry of a machine.
 func (s *HTTPSource) Register(ctx context.Context, machine Machine) error {
 	err := s.client.Call(ctx, http.MethodPut, s.machineURL(machine.ID), machine, nil)
 	if err != nil {
@@ -83,7 +82,7 @@
 	return nil
 }
 
-// Remove deletes the entry of a machine; an unknown one is no error.
+// Remove deletes the entry of a machine; an unknown ID is not an error.
 func (s *HTTPSource) Remove(ctx context.Context, id string) error {
 	err := s.client.Call(ctx, http.MethodDelete, s.machineURL(id), nil, nil)
 	if err != nil {
--- a/internal/platform/machines/http_test.go
+++ b/internal/platform/machines/http_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestListIsReadWholeOnlyWhenItChanged answers with a tag, as HTTP services do.
-func TestListIsReadWholeOnlyWhenItChanged(t *testing.T) {
+// Guards against downloading and decoding an unchanged list.
+func TestListIsCachedByETag(t *testing.T) {
 	var whole atomic.Int64
 	tag, body := `"1"`, `{"machines":[{"id":"a"}]}`
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,7 +37,7 @@
 	assert.Equal(t, len(list.Machines), 2)
 }
 
-func TestAServiceWithoutTagsIsReadWhole(t *testing.T) {
+func TestListWithoutETagIsNotCached(t *testing.T) {
 	status := http.StatusOK
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.Header.Get("If-None-Match") == "")
--- a/internal/platform/scorer/http.go
+++ b/internal/platform/scorer/http.go
@@ -16,20 +16,20 @@
 
 const (
 	scorePath = "/v1/score"
-	// maxResponseBytes bounds an answer of the scoring service.
+	// maxResponseBytes bounds a response of the scoring service.
 	maxResponseBytes = 1 << 16
-	// maxErrorBytes bounds the part of an error answer that is reported.
+	// maxErrorBytes bounds the part of an error response included in the error.
 	maxErrorBytes = 512
 )
 
-// httpScorer is the HTTP adapter.
+// httpScorer implements Scorer over HTTP.
 type httpScorer struct {
 	url    string
 	client httpjson.Client
 }
 
-// NewHTTP returns a Scorer that calls the scoring service at the base URL
-// ("http://ip:port"). Timeouts are the context's and the client's.
+// NewHTTP returns a Scorer for the scoring service at the base URL ("http://ip:port"). Calls are bounded by
+// their context and the client's timeout.
 func NewHTTP(baseURL string, client *http.Client) Scorer {
 	return &httpScorer{
 		url:    strings.TrimSuffix(baseURL, "/") + scorePath,
@@ -37,8 +37,7 @@
 	}
 }
 
-// Score implements Scorer. Any error means that there is no score; the call
-// may be repeated.
+// Score implements Scorer. After any error the call may be repeated.
 func (s *httpScorer) Score(ctx context.Context, request Request) (Response, error) {
 	answer, err := s.client.Send(ctx, http.MethodPost, s.url, nil, request)
 	if err != nil {
@@ -51,17 +50,16 @@
 	return decodeResponse(bytes.NewReader(answer.Content))
 }
 
-// decodeResponse refuses an answer without a score: a missing one must not
-// count as zero.
+// decodeResponse rejects a response without a score, which must not be taken for zero.
 func decodeResponse(body io.Reader) (Response, error) {
 	var answer struct {
 		Score *float64 `json:"score"`
 	}
 	if err := json.NewDecoder(body).Decode(&answer); err != nil {
-		return Response{}, errors.Wrap(err, "scorer: decode answer")
+		return Response{}, errors.Wrap(err, "scorer: decode response")
 	}
 	if answer.Score == nil || math.IsNaN(*answer.Score) || math.IsInf(*answer.Score, 0) {
-		return Response{}, errors.New("scorer: answer has no score")
+		return Response{}, errors.New("scorer: response has no score")
 	}
 	return Response{Score: *answer.Score}, nil
 }
--- a/internal/platform/scorer/http_test.go
+++ b/internal/platform/scorer/http_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestDecodeResponseNeedsAScore(t *testing.T) {
+func TestDecodeResponseRejectsMissingScore(t *testing.T) {
 	response, err := decodeResponse(strings.NewReader(`{"score":0}`))
 	assert.NilError(t, err)
 	assert.Equal(t, response.Score, 0.0)
--- a/internal/platform/weightstore/http.go
+++ b/internal/platform/weightstore/http.go
@@ -12,8 +12,8 @@
 	"github.com/corkpulley/corkpulley/internal/platform/httpjson"
 )
 
-// maxAnswerBytes bounds an answer of the store.
-const maxAnswerBytes = 64 << 10
+// maxResponseBytes bounds a response of the store.
+const maxResponseBytes = 64 << 10
 
 // HTTPStore implements Store over HTTP. It is safe for concurrent use.
 type HTTPStore struct {
@@ -21,16 +21,16 @@
 	client  httpjson.Client
 }
 
-// NewHTTP returns the Store at baseURL ("http://host:port"). A nil client takes
-// http.DefaultClient; callers bound each call by its context.
+// NewHTTP returns a client for the weight store at baseURL ("http://host:port"). A nil client selects
+// http.DefaultClient. Calls are bounded by their context.
 func NewHTTP(baseURL string, client *http.Client) Store {
 	return &HTTPStore{
 		baseURL: strings.TrimSuffix(baseURL, "/"),
-		client:  httpjson.Client{Service: "weight store", HTTP: client, MaxAnswerBytes: maxAnswerBytes},
+		client:  httpjson.Client{Service: "weight store", HTTP: client, MaxAnswerBytes: maxResponseBytes},
 	}
 }
 
-// ModelURL returns the URL of a model under a store's base URL.
+// ModelURL returns the URL of a model for a store's base URL.
 func ModelURL(baseURL, model string) string {
 	return strings.TrimSuffix(baseURL, "/") + "/v1/models/" + url.PathEscape(model)
 }
@@ -45,7 +45,7 @@
 	var info ModelInfo
 	err := s.client.Call(ctx, http.MethodGet, ModelURL(s.baseURL, model), nil, &info)
 	if err != nil {
-		return ModelInfo{}, errors.Wrapf(err, "info of model %q", model)
+		return ModelInfo{}, errors.Wrapf(err, "get info of model %q", model)
 	}
 	return info, nil
 }
