--- a/internal/logstream/append.go
+++ b/internal/logstream/append.go
@@ -7,8 +7,8 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// appendLoop is the only appender of the stream, so one append is in flight at a time. A retried record thus
-// never precedes the first copy of a record with a higher sequence number from another batch.
+// appendLoop is the only appender of the stream. It sends a batch only after the previous one is in the stream,
+// so the first copies of records appear in the order of their sequence numbers.
 func (s *TailedStream) appendLoop() {
 	if s.waitLoaded(s.ctx) != nil {
 		return
--- a/internal/logstream/contact_test.go
+++ b/internal/logstream/contact_test.go
@@ -60,6 +60,6 @@
 	for began := time.Now(); time.Since(began) < 4*delay; time.Sleep(10 * time.Millisecond) {
 		contact := manager.LastContact("notes/a")
 		answered := service.answeredAt()
-		assert.Assert(t, !contact.After(answered.Add(delay/2)), "contact at %s, but the result was produced at %s", contact, answered)
+		assert.Assert(t, !contact.After(answered.Add(delay/2)), "contact at %s, result produced at %s", contact, answered)
 	}
 }
--- a/internal/logstream/options.go
+++ b/internal/logstream/options.go
@@ -90,9 +90,9 @@
 	// snapshot, so that snapshots of a large state do not outweigh its records. A reader replays at most this
 	// many records. 0 disables deferral.
 	SnapshotAtLatest int64
-	// SnapshotWhen reports whether this process should write the snapshot that is due. It is called with the
-	// reducer's lock held. If nil, every process writes it that had a record accepted since the previous one.
-	SnapshotWhen func() bool
+	// ShouldSnapshot reports whether this process should write the snapshot that is due. It is called with the
+	// reducer's lock held. If nil, a process writes it if it had a record accepted since the previous one.
+	ShouldSnapshot func() bool
 	// SnapshotFormat is the version of the reducer's snapshot encoding; other versions are ignored.
 	SnapshotFormat int
 }
--- a/internal/logstream/snapshot.go
+++ b/internal/logstream/snapshot.go
@@ -94,8 +94,8 @@
 	if s.references == 0 {
 		return false
 	}
-	if s.options.SnapshotWhen != nil {
-		return s.options.SnapshotWhen()
+	if s.options.ShouldSnapshot != nil {
+		return s.options.ShouldSnapshot()
 	}
 	return s.acceptedSince
 }
