--- a/internal/core/errkind/errkind.go
+++ b/internal/core/errkind/errkind.go
@@ -1,10 +1,9 @@
-// Package errkind defines the closed list of error kinds that corkpulley
-// reports, with one table that maps each kind to its answer: HTTP status,
-// code, whether the request ran, and whether and when to retry.
+// Package errkind defines the error kinds that corkpulley returns and maps
+// each to its HTTP status, code, execution outcome and retry advice.
 //
 // Invariant: a kind whose Execution is NotExecuted may be returned only when
-// no byte of the request reached an engine, or when the engine itself said
-// that it did not run the request. Everything else is Unknown or Executed.
+// no byte of the request reached an engine, or when the engine reported that
+// it did not run the request. All other kinds are Unknown or Executed.
 package errkind
 
 import (
@@ -15,11 +14,11 @@
 	"github.com/go-faster/errors"
 )
 
-// Kind is one entry of the closed list of error kinds.
+// Kind identifies an error condition.
 type Kind uint8
 
-// The closed list of error kinds. Values are sent between processes: append
-// new kinds at the end and never renumber.
+// Error kinds. The values are sent between processes: append new kinds at the
+// end and never renumber.
 const (
 	Internal Kind = iota
 	InvalidRequest
@@ -49,20 +48,21 @@
 	Superseded
 	ShuttingDown
 	RequestTimeout
-	// OutcomeUnknownRepeatable: the call may have had its effect, and the same
-	// call sent again has none beyond it. OutcomeUnknown makes no such promise.
+	// OutcomeUnknownRepeatable means that the request may have taken effect and
+	// is safe to repeat. OutcomeUnknown does not imply that it is safe.
 	OutcomeUnknownRepeatable
 	HeaderTooLarge
-	// Unauthorized: the request shows no API key that the configuration knows.
+	// Unauthorized means that the request has no configured API key.
 	Unauthorized
-	// Quarantined: engines ended while they ran this request, so no other gets it.
+	// Quarantined means that engines terminated while running this request, so
+	// it is not sent to further engines.
 	Quarantined
-	// HistoryLost: the log dropped records that this node has not read, so that it cannot be sure
-	// of what is asked; another node may be.
+	// HistoryLost means that the log deleted records before this node read them, so that its
+	// state may be incomplete; another node may be able to answer.
 	HistoryLost
-	// OutsideHomes: no engine, or no node, of the regions that alone may serve the request is there.
+	// OutsideHomes means that no engine or node is available in the regions to which the request is restricted.
 	OutsideHomes
-	// UpgradeInProgress: a node may be live whose build does not know what the request needs.
+	// UpgradeInProgress means that a node may still run a build that lacks a feature the request needs.
 	UpgradeInProgress
 	kindCount
 )
@@ -70,20 +70,19 @@
 // Execution tells whether a failed request ran on an engine.
 type Execution string
 
-// The three answers to "did the request run".
+// Execution outcomes.
 const (
 	NotExecuted Execution = "no"
 	Executed    Execution = "yes"
 	Unknown     Execution = "unknown"
 )
 
-// Answer is what a caller is told for one Kind.
+// Answer describes the response to a caller for one Kind.
 type Answer struct {
 	// Code is the stable machine-readable name of the kind.
 	Code string
 	// Status is the HTTP status code.
-	Status int
-	// Execution tells whether the request ran.
+	Status    int
 	Execution Execution
 	// Retryable tells whether the same request may succeed when sent again.
 	Retryable bool
@@ -91,7 +90,7 @@
 	RetryAfter time.Duration
 }
 
-// statusClientClosedRequest is the de facto status for a caller that left.
+// statusClientClosedRequest is the de facto status for a caller that disconnected.
 const statusClientClosedRequest = 499
 
 var answers = [kindCount]Answer{
@@ -136,7 +135,7 @@
 	},
 }
 
-// All returns every kind in the order of its number.
+// All returns every kind in ascending order.
 func All() []Kind {
 	kinds := make([]Kind, kindCount)
 	for i := range kinds {
@@ -145,7 +144,7 @@
 	return kinds
 }
 
-// Answer returns the answer for the kind; a number outside the list is Internal.
+// Answer returns the answer for the kind; undefined kinds are treated as Internal.
 func (k Kind) Answer() Answer {
 	if k >= kindCount {
 		return answers[Internal]
@@ -156,18 +155,18 @@
 // String returns the stable code of the kind.
 func (k Kind) String() string { return k.Answer().Code }
 
-// Error is an error of a known kind. It travels whole between processes.
+// Error is an error with a kind. It is encoded for other processes without loss.
 type Error struct {
 	Kind    Kind   `msgpack:"k" json:"kind"`
 	Message string `msgpack:"m" json:"message"`
-	// RetryAfter overrides the table's delay when it is not zero.
+	// RetryAfter overrides the kind's default delay when it is not zero.
 	RetryAfter time.Duration `msgpack:"r,omitempty" json:"retry_after,omitempty"`
 }
 
 // Error implements the error interface.
 func (e *Error) Error() string { return e.Kind.String() + ": " + e.Message }
 
-// Delay returns the delay before a retry: the error's own, else the table's.
+// Delay returns the delay before a retry: RetryAfter if set, else the kind's default.
 func (e *Error) Delay() time.Duration {
 	if e.RetryAfter != 0 {
 		return e.RetryAfter
@@ -180,8 +179,8 @@
 	return &Error{Kind: kind, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// From returns the Error inside err, or wraps err as Internal.
-// It returns nil for a nil err.
+// From returns the Error in err's chain, or an Internal error with err's
+// message. It returns nil for a nil err.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -193,10 +192,10 @@
 	return &Error{Kind: Internal, Message: err.Error()}
 }
 
-// KindOf returns the kind of err; Internal when it has none.
+// KindOf returns the kind of err, or Internal when its chain has no Error.
 func KindOf(err error) Kind { return From(err).Kind }
 
-// Is reports whether err carries the kind.
+// Is reports whether the Error in err's chain is of the kind.
 func Is(err error, kind Kind) bool {
 	var known *Error
 	return errors.As(err, &known) && known.Kind == kind
--- a/internal/core/errkind/errkind_test.go
+++ b/internal/core/errkind/errkind_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestEveryKindHasAnAnswerOfItsOwn(t *testing.T) {
+func TestKindsHaveDistinctCodes(t *testing.T) {
 	codes := map[string]Kind{}
 	for _, kind := range All() {
 		answer := kind.Answer()
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestFromFindsTheKindInAChain(t *testing.T) {
+func TestFromUnwrapsWrappedErrors(t *testing.T) {
 	cause := New(QueueFull, "cell %s is full", "a/b/0")
 	wrapped := errors.Wrap(cause, "submit")
 	assert.Equal(t, KindOf(wrapped), QueueFull)
@@ -30,13 +30,13 @@
 	assert.Assert(t, From(nil) == nil)
 }
 
-func TestDelayPrefersTheErrorsOwn(t *testing.T) {
+func TestDelayPrefersErrorRetryAfter(t *testing.T) {
 	err := New(QueueFull, "full")
 	assert.Equal(t, err.Delay(), time.Second)
 	err.RetryAfter = 3 * time.Second
 	assert.Equal(t, err.Delay(), 3*time.Second)
 }
 
-func TestNumberOutsideTheListIsInternal(t *testing.T) {
+func TestUnlistedKindIsInternal(t *testing.T) {
 	assert.Equal(t, Kind(200).Answer(), Internal.Answer())
 }
--- a/internal/core/errkind/golden_test.go
+++ b/internal/core/errkind/golden_test.go
@@ -6,8 +6,8 @@
 	"github.com/corkpulley/corkpulley/internal/goldenrecord"
 )
 
-// Guards against numbers that another build takes for another kind of error.
-func TestNumbersOfEarlierBuilds(t *testing.T) {
+// Guards against renumbered kinds, which other builds would decode as different errors.
+func TestKindNumbersMatchGoldenFiles(t *testing.T) {
 	kinds := make(map[string]int64)
 	for _, kind := range All() {
 		kinds[kind.Answer().Code] = int64(kind)
