--- a/internal/tables/rising_test.go
+++ b/internal/tables/adopt_test.go
@@ -8,8 +8,8 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// A revision may come from a peer first and, with lower ones, from the log later.
-func TestTheTableInForceOnlyRises(t *testing.T) {
+// Guards against a late revision from the log replacing a higher one from a peer.
+func TestAdoptIgnoresLowerRevisions(t *testing.T) {
 	node := newNode(t, newTestNetwork(), newTestLog(t), "one")
 	node.tables.adopt(&policy.Table{Revision: 9}, "peer")
 	higher := node.tables.Changed(9)
@@ -19,7 +19,7 @@
 	}
 	select {
 	case <-higher:
-		t.Fatal("a change was told without a higher revision")
+		t.Fatal("Changed signaled without a higher revision")
 	default:
 	}
 	node.tables.adopt(&policy.Table{Revision: 10}, "log")
--- a/internal/tables/contact.go
+++ b/internal/tables/contact.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// probeAfter is the age of the log contact from which on this node asks
-	// for the log's end itself: the stream's own read may wait for the next
-	// record for longer than ContactLimit.
+	// probeAfter is the age of the last log contact from which this node probes
+	// the log: the stream's long poll may wait for a record for longer than
+	// ContactLimit.
 	probeAfter = 3 * time.Second
-	// probeTimeout bounds one such read.
+	// probeTimeout bounds one probe.
 	probeTimeout = 4 * time.Second
 )
 
-// LogContact returns when this node last knew the config stream to its end;
-// the zero time when it never did.
+// LogContact returns when this node last read the config stream to its end, or
+// the zero time if it never did.
 func (t *Tables) LogContact() time.Time {
 	contact := t.options.LastLogContact()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.probed.After(contact) {
-		return t.probed
+	if t.lastProbe.After(contact) {
+		return t.lastProbe
 	}
 	return contact
 }
 
-// announceContact tells the cluster when this node last heard the log.
+// announceContact announces each newer log contact to the cluster.
 func (t *Tables) announceContact(ctx context.Context) error {
 	var announced time.Time
 	for {
@@ -34,19 +34,19 @@
 			t.options.Announcer.AnnounceLogContact(contact)
 			announced = contact
 		}
-		if err := pause(ctx, contactInterval); err != nil {
+		if err := sleep(ctx, contactPollInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// probeLog reads to the log's end whenever the last contact has grown old.
+// probeLog reads to the log's end whenever the last contact is older than probeAfter.
 func (t *Tables) probeLog(ctx context.Context) error {
 	for {
 		if time.Since(t.LogContact()) > probeAfter {
 			t.probeOnce(ctx)
 		}
-		if err := pause(ctx, contactInterval); err != nil {
+		if err := sleep(ctx, contactPollInterval); err != nil {
 			return err
 		}
 	}
@@ -55,12 +55,12 @@
 func (t *Tables) probeOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	// What the log held when the read began is known afterwards, no more.
+	// Records appended during the read may be missed, so the contact dates from its start.
 	began := time.Now()
 	if t.options.Stream.CatchUp(ctx) != nil {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.probed = began
+	t.lastProbe = began
 }
--- a/internal/tables/decision.go
+++ b/internal/tables/decision.go
@@ -6,16 +6,16 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// proposalState is what the reducer knows about a proposal at one moment.
+// proposalState is a snapshot of the reducer's state for one proposal.
 type proposalState struct {
 	current  *policy.Table
-	base     *policy.Table // nil when the history does not reach back to it
+	base     *policy.Table // nil when it is older than the history
 	decided  bool
 	decision policy.Decision
-	accepted policy.Accepted // when the decision accepted it
+	accepted policy.Accepted // set when the proposal was accepted
 }
 
-// readState reads the state, and sets the edit's changes when its base is known.
+// readState returns the proposal's state and, when its base is known, sets the edit's changes.
 func (t *Tables) readState(edit *edit) *proposalState {
 	state := &proposalState{}
 	t.options.Stream.View(func() {
@@ -35,11 +35,11 @@
 	return state
 }
 
-// answer turns the decision into the answer for the operator.
-func (s *proposalState) answer(edit *edit) (api.TableAccepted, error) {
-	if s.isOtherEdit(edit) {
+// response converts the decision into the result of Propose.
+func (s *proposalState) response(edit *edit) (api.TableAccepted, error) {
+	if s.isDifferentEdit(edit) {
 		return api.TableAccepted{}, errkind.New(errkind.InvalidRequest,
-			"proposal ID %q was used for another edit", edit.proposal.ProposalID)
+			"proposal ID %q was already used for a different edit", edit.proposal.ProposalID)
 	}
 	switch s.decision.Judgement {
 	case policy.JudgedAccepted:
@@ -52,9 +52,9 @@
 	}
 }
 
-// isOtherEdit reports whether the decision was about something else. Where the
-// base is too old to compare, the ProposalID is believed.
-func (s *proposalState) isOtherEdit(edit *edit) bool {
+// isDifferentEdit reports whether the decision was made for another edit with
+// the same ProposalID. Without the base, it assumes that the edit is the same.
+func (s *proposalState) isDifferentEdit(edit *edit) bool {
 	if s.base == nil {
 		return false
 	}
@@ -66,11 +66,11 @@
 	base := edit.proposal.BaseRevision
 	if s.base == nil {
 		return &ProposalError{Err: errkind.New(errkind.TableConflict,
-			"base revision %d is unknown or too old to compare, revision %d is in force", base, s.current.Revision)}
+			"base revision %d is unknown or no longer retained; the active revision is %d", base, s.current.Revision)}
 	}
 	return &ProposalError{
 		Err: errkind.New(errkind.TableConflict,
-			"the table was edited from revision %d, revision %d is in force", base, s.current.Revision),
+			"the edit is based on revision %d, but the active revision is %d", base, s.current.Revision),
 		Conflicts: policy.Conflicts(s.base.Rows, s.current.Rows, edit.rows),
 	}
 }
--- a/internal/tables/fake_test.go
+++ b/internal/tables/fake_test.go
@@ -23,9 +23,9 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/logservice"
 )
 
-const testLimit = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// testLog is a stand-in of the log service, with faults on demand.
+// testLog is a fake log service with fault injection.
 type testLog struct {
 	*standin.Server
 	url string
@@ -38,8 +38,8 @@
 	return &testLog{Server: server, url: listener.URL}
 }
 
-// testNetwork connects the table handlers of several nodes, and is what they
-// see of each other.
+// testNetwork connects the table handlers of several nodes and provides their
+// view of the cluster.
 type testNetwork struct {
 	mutex            sync.Mutex
 	nodes            map[string]*testNode
@@ -60,9 +60,9 @@
 func (n *testNetwork) Call(ctx context.Context, address string, _ peer.Method, request, response any) error {
 	n.mutex.Lock()
 	node := n.nodes[address]
-	cut := node.cut
+	unreachable := node.unreachable
 	n.mutex.Unlock()
-	if cut {
+	if unreachable {
 		return &peer.DeliveryError{Err: errors.New("unreachable")}
 	}
 	body, err := msgpack.Marshal(request)
@@ -80,7 +80,7 @@
 }
 
 func (n *testNetwork) OpenStream(context.Context, string, peer.Method, any) (peer.Stream, error) {
-	return nil, errors.New("tables open no streams")
+	return nil, errors.New("streams are not supported")
 }
 
 type testRequest []byte
@@ -88,16 +88,16 @@
 func (r testRequest) From() string             { return "" }
 func (r testRequest) Decode(message any) error { return msgpack.Unmarshal(r, message) }
 
-// testNode is one node on its own connection to a log. The network's mutex
-// guards what may change.
+// testNode is one node with its own connection to a log. The network's mutex
+// guards its mutable fields.
 type testNode struct {
-	cluster.View      // the methods that tables does not use
-	cluster.Announcer // likewise
+	cluster.View      // nil: satisfies the interface for methods that tables does not call
+	cluster.Announcer // nil, as above
 	network           *testNetwork
 	handler           peer.CallHandler
 	tables            *Tables
 	member            cluster.Member
-	cut               bool // unreachable, though others still take it for alive
+	unreachable       bool // calls to it fail, although its member state is alive
 	contact           time.Time
 }
 
@@ -115,7 +115,7 @@
 	return node
 }
 
-// newNode makes a node that does not run.
+// newNode returns a node that is not running.
 func newNode(t *testing.T, network *testNetwork, log *testLog, id string) *testNode {
 	t.Helper()
 	manager := logstream.NewManager(logstream.Options{
@@ -182,16 +182,16 @@
 	return contact
 }
 
-// awaitCurrent waits until the node takes work.
+// awaitCurrent waits until the node accepts work.
 func (n *testNode) awaitCurrent(t *testing.T) {
 	t.Helper()
 	awaitCondition(t, func() bool { return n.tables.Current() == nil })
 }
 
-// awaitRevision waits by Changed, and checks that revisions only rise.
+// awaitRevision waits on Changed and checks that revisions only increase.
 func (n *testNode) awaitRevision(t *testing.T, revision int64) {
 	t.Helper()
-	limit := time.After(testLimit)
+	limit := time.After(testTimeout)
 	for last := int64(-1); last < revision; {
 		table := n.tables.Table()
 		assert.Assert(t, table.Revision >= last)
@@ -202,7 +202,7 @@
 		select {
 		case <-n.tables.Changed(last):
 		case <-limit:
-			t.Fatalf("revision %d is not in force, %d is", revision, last)
+			t.Fatalf("revision %d is not active, revision %d is", revision, last)
 		}
 	}
 }
@@ -214,7 +214,7 @@
 			return poll.Success()
 		}
 		return poll.Continue("not yet")
-	}, poll.WithTimeout(testLimit), poll.WithDelay(5*time.Millisecond))
+	}, poll.WithTimeout(testTimeout), poll.WithDelay(5*time.Millisecond))
 }
 
 func requireKind(t *testing.T, err error, kind errkind.Kind) {
--- a/internal/tables/history.go
+++ b/internal/tables/history.go
@@ -5,8 +5,8 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// History returns up to limit accepted revisions, the newest first, as far as
-// this node has read the log.
+// History returns up to limit accepted revisions that this node has read from
+// the log, newest first.
 func (t *Tables) History(limit int) []api.HistoryEntry {
 	var accepted []policy.Accepted
 	t.options.Stream.View(func() { accepted = t.options.Reducer.History(limit) })
@@ -23,8 +23,7 @@
 	return entries
 }
 
-// TableAt returns the table of a revision that was in force, as long as it is
-// remembered.
+// TableAt returns the table of an accepted revision, if it is still retained.
 func (t *Tables) TableAt(revision int64) (*policy.Table, bool) {
 	if table, kept := t.recentTable(revision); kept {
 		return table, true
--- a/internal/tables/peers.go
+++ b/internal/tables/peers.go
@@ -17,67 +17,67 @@
 const (
 	// fetchTimeout bounds one MethodTable call.
 	fetchTimeout = 2 * time.Second
-	// fetchRetry is the pause after no member ahead gave its table.
-	fetchRetry = time.Second
-	// wholeTable is asked for in place of a revision to get all rows.
-	wholeTable int64 = -1
+	// fetchRetryInterval is the delay after fetching from all members with a higher revision failed.
+	fetchRetryInterval = time.Second
+	// fullTable is sent in place of a revision to request all rows.
+	fullTable int64 = -1
 )
 
-// tableRequest asks a peer for its table.
+// tableRequest requests a peer's table.
 type tableRequest struct {
-	// Revision that the asking node has; wholeTable for all rows.
+	// Revision is the requesting node's revision, or fullTable for all rows.
 	Revision int64 `msgpack:"r"`
 }
 
-// tableResponse is a peer's table: whole, or as changes from the revision asked
-// with. Neither is set when the peer has no higher revision.
+// tableResponse is a peer's table: all rows, or the changes since the requested
+// revision. Neither is set when the peer has no higher revision.
 type tableResponse struct {
-	// Ready tells that the peer itself once knew the highest revision.
+	// Ready is true once the peer has loaded the latest revision.
 	Ready    bool               `msgpack:"ok"`
 	Revision int64              `msgpack:"r"`
-	Whole    bool               `msgpack:"w,omitempty"`
+	Full     bool               `msgpack:"w,omitempty"`
 	Rows     []policy.Row       `msgpack:"rows,omitempty"`
 	Changes  []policy.RowChange `msgpack:"c,omitempty"`
 }
 
 // handleTable answers MethodTable.
 func (t *Tables) handleTable(_ context.Context, request peer.Request) (any, error) {
-	var asked tableRequest
-	if err := request.Decode(&asked); err != nil {
+	var query tableRequest
+	if err := request.Decode(&query); err != nil {
 		return nil, err
 	}
 	table := t.Table()
-	response := &tableResponse{Ready: t.started.Load(), Revision: table.Revision}
-	if asked.Revision >= table.Revision {
+	response := &tableResponse{Ready: t.caughtUp.Load(), Revision: table.Revision}
+	if query.Revision >= table.Revision {
 		return response, nil
 	}
-	base, kept := t.recentTable(asked.Revision)
+	base, kept := t.recentTable(query.Revision)
 	if kept {
 		response.Changes = policy.Diff(base.Rows, table.Rows)
 	}
 	if !kept || len(response.Changes) > len(table.Rows) {
 		response.Changes = nil
-		response.Whole = true
+		response.Full = true
 		response.Rows = table.Rows
 	}
 	return response, nil
 }
 
-// followPeers fetches a revision as soon as a member announces a higher one.
-func (t *Tables) followPeers(ctx context.Context) error {
+// watchPeers fetches a revision as soon as a member announces a higher one.
+func (t *Tables) watchPeers(ctx context.Context) error {
 	for {
-		delay := peersInterval
+		delay := peerPollInterval
 		if !t.fetchHigher(ctx) {
-			delay = fetchRetry
+			delay = fetchRetryInterval
 		}
-		if err := pause(ctx, delay); err != nil {
+		if err := sleep(ctx, delay); err != nil {
 			return err
 		}
 	}
 }
 
-// fetchHigher asks the members that announce a higher revision, the highest
-// first, until one has given it. It reports false when none did.
+// fetchHigher fetches from the members that announce a higher revision, highest
+// first, until one succeeds. It reports false when all fail.
 func (t *Tables) fetchHigher(ctx context.Context) bool {
 	ahead := t.membersAhead()
 	for _, member := range ahead {
@@ -96,7 +96,7 @@
 	ahead := slices.DeleteFunc(t.others(), func(member cluster.Member) bool {
 		return member.TableRevision <= revision
 	})
-	// Nodes that learn of a revision at once should not all ask the same one.
+	// Spread the load: many nodes may notice a new revision at the same time.
 	rand.Shuffle(len(ahead), func(i, j int) { ahead[i], ahead[j] = ahead[j], ahead[i] })
 	slices.SortStableFunc(ahead, func(a, b cluster.Member) int {
 		return cmp.Compare(b.TableRevision, a.TableRevision)
@@ -104,7 +104,7 @@
 	return ahead
 }
 
-// others returns the known members without this node.
+// others returns the known members except this node.
 func (t *Tables) others() []cluster.Member {
 	self := t.options.View.Self().ID
 	var others []cluster.Member
@@ -116,8 +116,8 @@
 	return others
 }
 
-// fetch asks one peer for what it has above this node's revision, adopts it,
-// and reports whether the peer is ready.
+// fetch adopts the peer's table if its revision is higher and reports whether
+// the peer is ready.
 func (t *Tables) fetch(ctx context.Context, address string) (ready bool, err error) {
 	base := t.Table()
 	response, err := t.call(ctx, address, base.Revision)
@@ -129,7 +129,7 @@
 	}
 	table, err := response.table(base)
 	if errors.Is(err, policy.ErrChangeMismatch) {
-		table, err = t.fetchWhole(ctx, address)
+		table, err = t.fetchFull(ctx, address)
 	}
 	if err != nil {
 		return false, err
@@ -138,8 +138,8 @@
 	return response.Ready, nil
 }
 
-func (t *Tables) fetchWhole(ctx context.Context, address string) (*policy.Table, error) {
-	response, err := t.call(ctx, address, wholeTable)
+func (t *Tables) fetchFull(ctx context.Context, address string) (*policy.Table, error) {
+	response, err := t.call(ctx, address, fullTable)
 	if err != nil {
 		return nil, err
 	}
@@ -152,15 +152,15 @@
 	var response tableResponse
 	request := &tableRequest{Revision: revision}
 	if err := t.options.Caller.Call(ctx, address, peer.MethodTable, request, &response); err != nil {
-		return tableResponse{}, errors.Wrap(err, "ask peer for its table")
+		return tableResponse{}, errors.Wrap(err, "fetch table from peer")
 	}
 	return response, nil
 }
 
-// table builds the peer's table, from the base that was asked with when the
-// response carries changes.
+// table returns the peer's table, applying the changes to base unless the
+// response contains all rows.
 func (r *tableResponse) table(base *policy.Table) (*policy.Table, error) {
-	if r.Whole {
+	if r.Full {
 		return &policy.Table{Revision: r.Revision, Rows: r.Rows}, nil
 	}
 	rows, err := policy.ApplyChanges(base.Rows, r.Changes)
--- a/internal/tables/propose.go
+++ b/internal/tables/propose.go
@@ -12,19 +12,18 @@
 	"github.com/corkpulley/corkpulley/internal/logstream"
 )
 
-// ProposeTimeout bounds the wait of Propose for the log's verdict.
+// ProposeTimeout bounds a call of Propose.
 const ProposeTimeout = 15 * time.Second
 
-// proposeCatchUp bounds the wait for the log's end before anything is proposed.
+// proposeCatchUp bounds reading to the log's end before a proposal is appended.
 const proposeCatchUp = 5 * time.Second
 
-// ProposalError is why a proposal was not accepted. It wraps an
-// *errkind.Error.
+// ProposalError explains why a proposal was rejected. It wraps an *errkind.Error.
 type ProposalError struct {
 	Err *errkind.Error
-	// Conflicts are the rows that others changed since the base (TableConflict).
+	// Conflicts are the rows changed concurrently since the base (TableConflict).
 	Conflicts []policy.RowChange
-	// Problems are all mistakes of the table (TableInvalid).
+	// Problems are all validation errors of the table (TableInvalid).
 	Problems []policy.Problem
 }
 
@@ -34,12 +33,13 @@
 // Unwrap returns the *errkind.Error.
 func (e *ProposalError) Unwrap() error { return e.Err }
 
-// Propose proposes an edit and waits for the verdict that the log's order
-// gives it. A repeat with the same ProposalID gets the first verdict again.
+// Propose appends an edit to the config stream and waits until it is accepted
+// or rejected. A repeat with the same ProposalID returns the first decision.
 //
 // Errors are *errkind.Error or *ProposalError: InvalidRequest, TableInvalid,
-// TableConflict; LogUnavailable when nothing was proposed; OutcomeUnknown when
-// the proposal may still be accepted (repeat it to learn the verdict).
+// TableConflict; PayloadTooLarge when the edit exceeds one record;
+// LogUnavailable when nothing was appended; OutcomeUnknown when the proposal
+// may still be accepted (repeat the call to get the decision).
 func (t *Tables) Propose(ctx context.Context, request api.TableProposal) (api.TableAccepted, error) {
 	ctx, cancel := context.WithTimeout(ctx, ProposeTimeout)
 	defer cancel()
@@ -62,13 +62,13 @@
 	return t.propose(ctx, edit)
 }
 
-// edit is a proposal with the whole table that it makes of its base.
+// edit is a proposal together with the complete rows of the resulting table.
 type edit struct {
 	rows     []policy.Row
 	proposal policy.Proposal
 }
 
-// proposeCatchUp reads to the log's end: only then is a verdict that exists known.
+// proposeCatchUp reads to the log's end, so that an existing decision on the proposal is found.
 func (t *Tables) proposeCatchUp(ctx context.Context, proposalID string) error {
 	ctx, cancel := context.WithTimeout(ctx, proposeCatchUp)
 	defer cancel()
@@ -79,22 +79,22 @@
 	case t.isPending(proposalID):
 		return outcomeUnknown(proposalID)
 	default:
-		return errkind.New(errkind.LogUnavailable, "nothing was proposed, the config stream cannot be read: %v", err)
+		return errkind.New(errkind.LogUnavailable, "proposal not appended: config stream cannot be read: %v", err)
 	}
 }
 
 func (t *Tables) propose(ctx context.Context, edit *edit) (api.TableAccepted, error) {
 	state := t.readState(edit)
 	if state.decided {
-		return state.answer(edit)
+		return state.response(edit)
 	}
 	base := edit.proposal.BaseRevision
 	switch {
 	case base > state.current.Revision:
 		return api.TableAccepted{}, errkind.New(errkind.InvalidRequest,
-			"base revision %d does not exist, revision %d is in force", base, state.current.Revision)
+			"base revision %d does not exist; the active revision is %d", base, state.current.Revision)
 	case base < state.current.Revision:
-		// Its base is never in force again: no need to append it.
+		// The proposal would be rejected as stale: revisions only increase.
 		return api.TableAccepted{}, state.conflict(edit)
 	case len(edit.proposal.Changes) == 0:
 		return api.TableAccepted{Revision: base, Changes: []policy.RowChange{}}, nil
@@ -107,10 +107,10 @@
 	if !state.decided {
 		return api.TableAccepted{}, outcomeUnknown(edit.proposal.ProposalID)
 	}
-	return state.answer(edit)
+	return state.response(edit)
 }
 
-// appendProposal brings the proposal into the stream and returns when it is judged.
+// appendProposal appends the proposal to the stream and returns once it is decided.
 func (t *Tables) appendProposal(ctx context.Context, edit *edit) error {
 	proposalID := edit.proposal.ProposalID
 	if !t.markPending(proposalID) {
@@ -120,7 +120,7 @@
 	proposal.Changes = policy.Compact(proposal.Changes)
 	_, err := t.options.Stream.ProposeWithLate(ctx,
 		logstream.Proposal{Kind: policy.KindProposal, Body: &proposal},
-		func(outcome logstream.Outcome) { t.lateOutcome(proposalID, outcome) })
+		func(outcome logstream.Outcome) { t.handleLateOutcome(proposalID, outcome) })
 	if err == nil || errors.Is(err, logstream.ErrNotProposed) {
 		t.clearPending(proposalID)
 	}
@@ -130,15 +130,15 @@
 	case errors.Is(err, logstream.ErrBadProposal):
 		return errkind.New(errkind.PayloadTooLarge, "the edit does not fit into one record: %v", err)
 	case errors.Is(err, logstream.ErrNotProposed):
-		return errkind.New(errkind.LogUnavailable, "nothing was proposed: %v", err)
+		return errkind.New(errkind.LogUnavailable, "proposal not appended: %v", err)
 	default:
-		t.options.Logger.Warn().Err(err).Str("proposal_id", proposalID).Msg("proposal's outcome not yet known")
+		t.options.Logger.Warn().Err(err).Str("proposal_id", proposalID).Msg("proposal outcome unknown")
 		return outcomeUnknown(proposalID)
 	}
 }
 
-// awaitDecision waits for the verdict on a proposal that an earlier call of
-// this process brought under way.
+// awaitDecision waits for the decision on a proposal that another call of this
+// process is appending.
 func (t *Tables) awaitDecision(ctx context.Context, proposalID string) error {
 	for {
 		applied := t.options.Stream.Applied()
@@ -155,10 +155,10 @@
 	}
 }
 
-func (t *Tables) lateOutcome(proposalID string, outcome logstream.Outcome) {
+func (t *Tables) handleLateOutcome(proposalID string, outcome logstream.Outcome) {
 	t.clearPending(proposalID)
 	t.options.Logger.Info().Str("proposal_id", proposalID).Int64("offset", outcome.Offset).
-		Uint8("verdict", uint8(outcome.Verdict)).Msg("proposal's outcome known late")
+		Uint8("verdict", uint8(outcome.Verdict)).Msg("proposal outcome received after the call returned")
 }
 
 func (t *Tables) isPending(proposalID string) bool {
@@ -167,7 +167,7 @@
 	return t.pending[proposalID]
 }
 
-// markPending reports false when the proposal is under way already.
+// markPending reports false when an append of the proposal is already in progress.
 func (t *Tables) markPending(proposalID string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -186,13 +186,13 @@
 
 func invalidTable(problems []policy.Problem) error {
 	return &ProposalError{
-		Err:      errkind.New(errkind.TableInvalid, "the table has %d mistakes", len(problems)),
+		Err:      errkind.New(errkind.TableInvalid, "the table has %d validation errors", len(problems)),
 		Problems: problems,
 	}
 }
 
 func outcomeUnknown(proposalID string) error {
 	return errors.Wrap(errkind.New(errkind.OutcomeUnknown,
-		"the log has not given a verdict yet; proposal %q may still be accepted, repeat it to learn", proposalID),
+		"proposal %q is not decided yet and may still be accepted; repeat it to get the decision", proposalID),
 		"propose table")
 }
--- a/internal/tables/readiness.go
+++ b/internal/tables/readiness.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// ContactLimit is the age of the freshest log contact in reach from which
-	// on a node without a majority of its peers refuses new work.
+	// ContactLimit is the age of the most recent log contact in the cluster from
+	// which a node that cannot reach a majority of its peers refuses new work.
 	ContactLimit = 8 * time.Second
-	// logPatience is how long a starting node waits for the log before it
-	// takes the peers' word.
-	logPatience = 3 * time.Second
-	// catchUpTimeout bounds one try to reach the log's end.
+	// peerFallbackDelay is how long a starting node tries the log alone before it
+	// also loads the table from peers.
+	peerFallbackDelay = 3 * time.Second
+	// catchUpTimeout bounds one attempt to read to the log's end.
 	catchUpTimeout = 10 * time.Second
-	// startRetry is the pause between tries of a starting node.
-	startRetry = 200 * time.Millisecond
+	// catchUpRetryInterval is the delay between attempts of a starting node.
+	catchUpRetryInterval = 200 * time.Millisecond
 )
 
-// Current returns nil when this node may take new work. Otherwise it returns
-// an *errkind.Error: NotReady until it once knew the highest revision,
-// NotCurrent while it hears neither the log nor a majority of the known nodes.
+// Current returns nil when this node may accept new work. Otherwise it returns
+// an *errkind.Error: NotReady until it has loaded the latest revision once,
+// NotCurrent while it reaches neither the log nor a majority of the known nodes.
 func (t *Tables) Current() error {
-	if !t.started.Load() {
-		return errkind.New(errkind.NotReady, "this node has not yet caught up with the table")
+	if !t.caughtUp.Load() {
+		return errkind.New(errkind.NotReady, "this node has not yet loaded the latest table revision")
 	}
-	// This node's own contact comes first: it is cheap and nearly always fresh.
+	// The local contact is checked first: it is cheap and usually recent.
 	if isFresh(t.LogContact()) || isFresh(t.options.View.LogContact()) {
 		return nil
 	}
@@ -38,55 +38,55 @@
 		return nil
 	}
 	return errkind.New(errkind.NotCurrent,
-		"no contact with the log for %s, and %d of %d known nodes in reach", ContactLimit, reachable, known)
+		"no contact with the log for %s, and %d of %d known nodes reachable", ContactLimit, reachable, known)
 }
 
 func isFresh(contact time.Time) bool {
 	return !contact.IsZero() && time.Since(contact) < ContactLimit
 }
 
-// startFromLog makes the node ready once it has read to the log's end.
-func (t *Tables) startFromLog(ctx context.Context) error {
-	for !t.started.Load() {
+// catchUpFromLog makes the node ready once it has read to the log's end.
+func (t *Tables) catchUpFromLog(ctx context.Context) error {
+	for !t.caughtUp.Load() {
 		err := t.catchUp(ctx)
 		if err == nil {
-			t.markStarted("log")
+			t.markCaughtUp("log")
 			return nil
 		}
-		t.options.Logger.Warn().Err(err).Msg("config stream not caught up")
-		if err := pause(ctx, startRetry); err != nil {
+		t.options.Logger.Warn().Err(err).Msg("reading the config stream to its end failed")
+		if err := sleep(ctx, catchUpRetryInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startFromPeers makes the node ready, once the log has kept it waiting, by the
-// highest revision that the reachable members of its zone hold.
-func (t *Tables) startFromPeers(ctx context.Context) error {
-	if err := pause(ctx, logPatience); err != nil {
+// catchUpFromPeers makes the node ready with the highest revision of its zone's
+// members if the log was not read within peerFallbackDelay.
+func (t *Tables) catchUpFromPeers(ctx context.Context) error {
+	if err := sleep(ctx, peerFallbackDelay); err != nil {
 		return err
 	}
-	for !t.started.Load() {
-		if t.askZone(ctx) {
-			t.markStarted("peers")
+	for !t.caughtUp.Load() {
+		if t.fetchFromZone(ctx) {
+			t.markCaughtUp("peers")
 			return nil
 		}
-		if err := pause(ctx, startRetry); err != nil {
+		if err := sleep(ctx, catchUpRetryInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func pause(ctx context.Context, duration time.Duration) error {
+func sleep(ctx context.Context, duration time.Duration) error {
 	if !retry.Sleep(ctx, duration) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-// catchUp adopts everything that the log holds now.
+// catchUp reads to the log's current end and adopts the resulting table.
 func (t *Tables) catchUp(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
@@ -97,10 +97,10 @@
 	return nil
 }
 
-// askZone asks all reachable members of this node's zone. It reports
-// true when each of them answered and one at least is itself ready: nodes that
-// all start at once know nothing, and neither does a node alone.
-func (t *Tables) askZone(ctx context.Context) bool {
+// fetchFromZone fetches from all alive members of this node's zone. It reports
+// true when each fetch succeeded and at least one member is ready; members that
+// are still starting may all lack the latest revision.
+func (t *Tables) fetchFromZone(ctx context.Context) bool {
 	zone := t.options.View.Self().Zone
 	anyReady := false
 	for _, member := range t.others() {
@@ -109,7 +109,7 @@
 		}
 		ready, err := t.fetch(ctx, member.Address)
 		if err != nil {
-			t.options.Logger.Warn().Err(err).Str("member", member.ID).Msg("member did not give its table")
+			t.options.Logger.Warn().Err(err).Str("member", member.ID).Msg("table fetch from zone member failed")
 			return false
 		}
 		anyReady = anyReady || ready
@@ -117,8 +117,8 @@
 	return anyReady
 }
 
-func (t *Tables) markStarted(source string) {
-	if t.started.CompareAndSwap(false, true) {
+func (t *Tables) markCaughtUp(source string) {
+	if t.caughtUp.CompareAndSwap(false, true) {
 		t.options.Logger.Info().Int64("revision", t.Table().Revision).
 			Str("source", source).Msg("table caught up")
 	}
--- a/internal/tables/tables.go
+++ b/internal/tables/tables.go
@@ -1,10 +1,10 @@
-// Package tables keeps the table revision in force on this node: the highest
-// of what the config stream gave and what a peer gave. It also proposes edits
-// and tells whether this node may know that its table is current.
+// Package tables maintains this node's active table: the highest revision
+// received from the config stream or from a peer. It also proposes edits and
+// reports whether the active table is recent enough to accept new work.
 //
-// Invariant: the table in force only moves to higher revisions. A revision
-// names one table for ever (it is the offset of the accepting record plus 1),
-// so it does not matter from whom it came.
+// Invariant: the active revision only increases. A revision identifies one
+// immutable table (it is the offset of the accepting record plus 1), so tables
+// from the stream and from peers are interchangeable.
 package tables
 
 import (
@@ -23,29 +23,26 @@
 )
 
 const (
-	// peersInterval is how often the members' announced revisions are looked
-	// at. The log tells most nodes of a new revision; without it, this is small
-	// against the time that the announcement takes.
-	peersInterval = 250 * time.Millisecond
-	// contactInterval is how often the log contact is looked at. It is small
-	// against probeAfter and ContactLimit.
-	contactInterval = 500 * time.Millisecond
-	// keptTables bounds the tables kept to answer peers with rows changed.
-	keptTables = 64
+	// peerPollInterval is how often the members' announced revisions are checked.
+	peerPollInterval = 250 * time.Millisecond
+	// contactPollInterval is how often the time of the last log contact is checked.
+	contactPollInterval = 500 * time.Millisecond
+	// maxRecentTables bounds the revisions kept for sending peers changed rows only.
+	maxRecentTables = 64
 )
 
-// Options are the parts that Tables is built on; all but Logger are needed.
+// Options holds the dependencies of Tables; all but Logger are required.
 type Options struct {
 	// Stream is the config stream, reduced by Reducer.
 	Stream  logstream.Stream
 	Reducer *policy.Reducer
-	// Caller and Registry are the peer transport; New registers MethodTable.
+	// Caller and Registry are the peer transport; New registers peer.MethodTable.
 	Caller    peer.Caller
 	Registry  peer.Registry
 	View      cluster.View
 	Announcer cluster.Announcer
-	// LastLogContact tells when this node last read to the end of the config
-	// stream (local clock); the zero time when it never did.
+	// LastLogContact returns when this node last read to the end of the config
+	// stream (local clock), or the zero time if it never did.
 	LastLogContact func() time.Time
 	Logger         zerolog.Logger
 }
@@ -54,16 +51,16 @@
 type Tables struct {
 	options Options
 
-	// table is the one in force; it is written under mutex only.
+	// table is the active table; it is written with mutex held only.
 	table atomic.Pointer[policy.Table]
-	// started is set once this node has known the highest revision.
-	started atomic.Bool
-
-	mutex   sync.Mutex
-	changed chan struct{}   // closed and replaced at each new revision
-	recent  []*policy.Table // up to keptTables, rising revisions
-	pending map[string]bool // proposal IDs with an append under way
-	probed  time.Time       // when this node last read to the log's end by itself
+	// caughtUp is set once this node has loaded the latest revision.
+	caughtUp atomic.Bool
+
+	mutex     sync.Mutex
+	changed   chan struct{}   // closed and replaced at each new revision
+	recent    []*policy.Table // up to maxRecentTables, in ascending order of revision
+	pending   map[string]bool // proposal IDs with an append in progress
+	lastProbe time.Time       // start of the last successful probe of the log
 }
 
 // New returns Tables with the empty table; call Run to fill it.
@@ -80,24 +77,24 @@
 	return t
 }
 
-// Run follows the config stream and the peers until ctx ends; it then returns
-// ctx's error.
+// Run updates the table from the config stream and from peers until ctx is
+// done; it then returns ctx's error.
 func (t *Tables) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return t.followStream(ctx) })
-	group.Go(func() error { return t.followPeers(ctx) })
+	group.Go(func() error { return t.watchStream(ctx) })
+	group.Go(func() error { return t.watchPeers(ctx) })
 	group.Go(func() error { return t.announceContact(ctx) })
 	group.Go(func() error { return t.probeLog(ctx) })
-	group.Go(func() error { return t.startFromLog(ctx) })
-	group.Go(func() error { return t.startFromPeers(ctx) })
+	group.Go(func() error { return t.catchUpFromLog(ctx) })
+	group.Go(func() error { return t.catchUpFromPeers(ctx) })
 	return group.Wait()
 }
 
-// Table returns the table in force; it is never nil.
+// Table returns the active table; it is never nil.
 func (t *Tables) Table() *policy.Table { return t.table.Load() }
 
-// Changed returns a channel that is closed when a higher revision than the
-// given one is in force.
+// Changed returns a channel that is closed once the active revision is higher
+// than the given one.
 func (t *Tables) Changed(revision int64) <-chan struct{} {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -109,7 +106,7 @@
 	return t.changed
 }
 
-// adopt puts a table in force if its revision is higher.
+// adopt makes the table active if its revision is higher than the active one.
 func (t *Tables) adopt(table *policy.Table, source string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -118,17 +115,17 @@
 	}
 	t.table.Store(table)
 	t.recent = append(t.recent, table)
-	if len(t.recent) > keptTables {
+	if len(t.recent) > maxRecentTables {
 		t.recent = append([]*policy.Table(nil), t.recent[1:]...)
 	}
 	close(t.changed)
 	t.changed = make(chan struct{})
 	t.options.Announcer.AnnounceTableRevision(table.Revision)
 	t.options.Logger.Info().Int64("revision", table.Revision).Int("rows", len(table.Rows)).
-		Str("source", source).Msg("table revision in force")
+		Str("source", source).Msg("table revision activated")
 }
 
-// recentTable returns a table that was in force on this node, if it is kept.
+// recentTable returns an earlier active table, if it is still retained.
 func (t *Tables) recentTable(revision int64) (*policy.Table, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -140,8 +137,8 @@
 	return nil, false
 }
 
-// followStream adopts each revision that the config stream accepts.
-func (t *Tables) followStream(ctx context.Context) error {
+// watchStream adopts each revision that the config stream accepts.
+func (t *Tables) watchStream(ctx context.Context) error {
 	for {
 		applied := t.options.Stream.Applied()
 		t.adoptFromStream()
--- a/internal/tables/tables_test.go
+++ b/internal/tables/tables_test.go
@@ -17,8 +17,8 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/logservice"
 )
 
-// tableOf returns the CSV of live services, all with the same cap.
-func tableOf(limit int, services ...string) string {
+// liveTableCSV returns the CSV of a table of live services with the same cap.
+func liveTableCSV(limit int, services ...string) string {
 	var rows []policy.Row
 	for _, service := range services {
 		rows = append(rows, policy.Row{
@@ -39,24 +39,24 @@
 	return accepted.Revision
 }
 
-func TestProposeJudgesByTheLogsOrder(t *testing.T) {
+func TestProposeDetectsConflictsInLogOrder(t *testing.T) {
 	network, log := newTestNetwork(), newTestLog(t)
 	one, two := startNode(t, network, log, "one"), startNode(t, network, log, "two")
 	one.awaitCurrent(t)
 	ctx := context.Background()
 
-	first, err := one.tables.Propose(ctx, proposal("first", 0, tableOf(1, "a", "b")))
+	first, err := one.tables.Propose(ctx, proposal("first", 0, liveTableCSV(1, "a", "b")))
 	assert.NilError(t, err)
 	assert.Equal(t, first.Revision, int64(1))
 	assert.Equal(t, len(first.Changes), 2)
 	assert.Equal(t, one.tables.Table().Revision, first.Revision)
 	two.awaitRevision(t, first.Revision)
 
-	second, err := two.tables.Propose(ctx, proposal("second", first.Revision, tableOf(2, "a")))
+	second, err := two.tables.Propose(ctx, proposal("second", first.Revision, liveTableCSV(2, "a")))
 	assert.NilError(t, err)
 
-	// Edited from the first revision, it would undo the second.
-	_, err = one.tables.Propose(ctx, proposal("stale", first.Revision, tableOf(1, "a", "b", "c")))
+	// An edit based on the first revision would overwrite the second.
+	_, err = one.tables.Propose(ctx, proposal("stale", first.Revision, liveTableCSV(1, "a", "b", "c")))
 	requireKind(t, err, errkind.TableConflict)
 	var rejected *ProposalError
 	assert.Assert(t, errors.As(err, &rejected))
@@ -64,11 +64,11 @@
 	assert.Equal(t, rejected.Conflicts[0].Service, "a")
 	assert.DeepEqual(t, rejected.Conflicts[0].Columns, []string{"cap"})
 
-	// The same proposal again has its verdict already, through any node.
-	again, err := one.tables.Propose(ctx, proposal("second", first.Revision, tableOf(2, "a")))
+	// A repeated proposal returns the first decision on any node.
+	again, err := one.tables.Propose(ctx, proposal("second", first.Revision, liveTableCSV(2, "a")))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, again, second)
-	_, err = one.tables.Propose(ctx, proposal("second", first.Revision, tableOf(3, "a")))
+	_, err = one.tables.Propose(ctx, proposal("second", first.Revision, liveTableCSV(3, "a")))
 	requireKind(t, err, errkind.InvalidRequest)
 
 	history := one.tables.History(1)
@@ -79,7 +79,7 @@
 	assert.Equal(t, len(earlier.Rows), 2)
 }
 
-func TestProposeRefusesWithoutTheLog(t *testing.T) {
+func TestProposeAppendsNothingWhenInvalidOrUnchanged(t *testing.T) {
 	log := newTestLog(t)
 	node := startNode(t, newTestNetwork(), log, "one")
 	node.awaitCurrent(t)
@@ -90,17 +90,17 @@
 	var rejected *ProposalError
 	assert.Assert(t, errors.As(err, &rejected))
 	assert.Assert(t, len(rejected.Problems) > 0)
-	_, err = node.tables.Propose(ctx, proposal("", 0, tableOf(1, "a")))
+	_, err = node.tables.Propose(ctx, proposal("", 0, liveTableCSV(1, "a")))
 	requireKind(t, err, errkind.InvalidRequest)
-	_, err = node.tables.Propose(ctx, proposal("ahead", 9, tableOf(1, "a")))
+	_, err = node.tables.Propose(ctx, proposal("ahead", 9, liveTableCSV(1, "a")))
 	requireKind(t, err, errkind.InvalidRequest)
-	unchanged, err := node.tables.Propose(ctx, proposal("same", 0, tableOf(1)))
+	unchanged, err := node.tables.Propose(ctx, proposal("same", 0, liveTableCSV(1)))
 	assert.NilError(t, err)
 	assert.Equal(t, unchanged.Revision, int64(0))
 	assert.Equal(t, node.tables.options.Stream.Applied(), int64(0))
 }
 
-func TestProposeOfSeveralOperatorsAtOnce(t *testing.T) {
+func TestProposeAcceptsOneOfConcurrentEdits(t *testing.T) {
 	network, log := newTestNetwork(), newTestLog(t)
 	log.SetControl(standin.Control{LoseAnswers: 0.5})
 	nodes := []*testNode{startNode(t, network, log, "one"), startNode(t, network, log, "two")}
@@ -110,7 +110,7 @@
 	var running sync.WaitGroup
 	for i := range operators {
 		running.Go(func() {
-			edit := proposal(fmt.Sprint(i), 0, tableOf(i+1, "a"))
+			edit := proposal(fmt.Sprint(i), 0, liveTableCSV(i+1, "a"))
 			_, results[i] = nodes[i%2].tables.Propose(context.Background(), edit)
 		})
 	}
@@ -127,7 +127,7 @@
 	assert.Equal(t, len(nodes[0].tables.History(operators)), 1)
 }
 
-func TestProposeTellsTheTruthAboutTheOutcome(t *testing.T) {
+func TestProposeErrorKindsWhileLogFails(t *testing.T) {
 	log := newTestLog(t)
 	node := startNode(t, newTestNetwork(), log, "one")
 	node.awaitCurrent(t)
@@ -138,21 +138,21 @@
 	}
 
 	log.SetControl(standin.Control{Down: true})
-	_, err := node.tables.Propose(short(), proposal("never", 0, tableOf(1, "a")))
+	_, err := node.tables.Propose(short(), proposal("never", 0, liveTableCSV(1, "a")))
 	requireKind(t, err, errkind.LogUnavailable)
 
-	// Once it is on its way to the log, its caller can leave but not stop it.
+	// Canceling the call does not withdraw a proposal whose append is in progress.
 	log.SetControl(standin.Control{Refuse: 1})
-	edit := proposal("late", 0, tableOf(1, "a"))
-	ctx, leave := context.WithCancel(context.Background())
-	left := make(chan error, 1)
+	edit := proposal("late", 0, liveTableCSV(1, "a"))
+	ctx, cancelPropose := context.WithCancel(context.Background())
+	result := make(chan error, 1)
 	go func() {
 		_, err := node.tables.Propose(ctx, edit)
-		left <- err
+		result <- err
 	}()
 	awaitCondition(t, func() bool { return node.tables.isPending("late") })
-	leave()
-	requireKind(t, <-left, errkind.OutcomeUnknown)
+	cancelPropose()
+	requireKind(t, <-result, errkind.OutcomeUnknown)
 	log.SetControl(standin.Control{Down: true})
 	_, err = node.tables.Propose(short(), edit)
 	requireKind(t, err, errkind.OutcomeUnknown)
@@ -165,22 +165,22 @@
 	awaitCondition(t, func() bool { return !node.tables.isPending("late") })
 }
 
-func TestPeersGiveTheTableWhileTheLogIsDown(t *testing.T) {
+func TestCatchUpFromPeersWhileLogIsDown(t *testing.T) {
 	network, log, downLog := newTestNetwork(), newTestLog(t), newTestLog(t)
 	downLog.SetControl(standin.Control{Down: true})
 	source := startNode(t, network, log, "source")
 	source.awaitCurrent(t)
-	mustPropose(t, source, "first", tableOf(1, "a", "b"))
+	mustPropose(t, source, "first", liveTableCSV(1, "a", "b"))
 
-	// The late node cannot read the log: it starts from its zone.
+	// The late node cannot read the log and catches up from its zone.
 	late := startNode(t, network, downLog, "late")
 	requireKind(t, late.tables.Current(), errkind.NotReady)
 	late.awaitCurrent(t)
 	assert.DeepEqual(t, late.tables.Table(), source.tables.Table())
 
-	// Then it follows by rows changed.
+	// Later revisions arrive as row changes.
 	for i := range 3 {
-		revision := mustPropose(t, source, fmt.Sprint(i), tableOf(i+2, "a", "b", "c"))
+		revision := mustPropose(t, source, fmt.Sprint(i), liveTableCSV(i+2, "a", "b", "c"))
 		late.awaitRevision(t, revision)
 		assert.DeepEqual(t, late.tables.Table().Rows, source.tables.Table().Rows)
 	}
@@ -188,12 +188,12 @@
 	assert.Assert(t, known)
 }
 
-func TestPeersAnswerWithChangesOrTheWholeTable(t *testing.T) {
+func TestHandleTableReturnsChangesOrFullTable(t *testing.T) {
 	network, log := newTestNetwork(), newTestLog(t)
 	node := startNode(t, network, log, "one")
 	node.awaitCurrent(t)
-	first := mustPropose(t, node, "first", tableOf(1, "a", "b", "c"))
-	second := mustPropose(t, node, "second", tableOf(1, "a", "b", "d"))
+	first := mustPropose(t, node, "first", liveTableCSV(1, "a", "b", "c"))
+	second := mustPropose(t, node, "second", liveTableCSV(1, "a", "b", "d"))
 
 	ask := func(revision int64) tableResponse {
 		response, err := node.tables.call(context.Background(), "one", revision)
@@ -202,39 +202,39 @@
 		return response
 	}
 	assert.Equal(t, len(ask(first).Changes), 2)
-	assert.Assert(t, !ask(first).Whole)
-	assert.Equal(t, len(ask(wholeTable).Rows), 3)
+	assert.Assert(t, !ask(first).Full)
+	assert.Equal(t, len(ask(fullTable).Rows), 3)
 	assert.Equal(t, len(ask(second).Changes), 0)
-	assert.Assert(t, !ask(second).Whole)
+	assert.Assert(t, !ask(second).Full)
 }
 
-func TestNodesThatKnowNothingDoNotServe(t *testing.T) {
+func TestFetchFromZoneNeedsReadyPeer(t *testing.T) {
 	network, downLog := newTestNetwork(), newTestLog(t)
 	downLog.SetControl(standin.Control{Down: true})
 	one, two := startNode(t, network, downLog, "one"), startNode(t, network, downLog, "two")
 	ctx := context.Background()
 
-	// Both are reachable and answer, but neither has ever known the revision.
-	assert.Assert(t, !one.tables.askZone(ctx))
-	two.tables.markStarted("test")
-	assert.Assert(t, one.tables.askZone(ctx))
+	// Both respond, but neither has loaded the latest revision.
+	assert.Assert(t, !one.tables.fetchFromZone(ctx))
+	two.tables.markCaughtUp("test")
+	assert.Assert(t, one.tables.fetchFromZone(ctx))
 
-	// A member that is taken for alive and does not answer may hold a higher one.
+	// An alive member that does not respond may have a higher revision.
 	three := startNode(t, network, downLog, "three")
-	network.set(func() { three.cut = true })
-	assert.Assert(t, !one.tables.askZone(ctx))
+	network.set(func() { three.unreachable = true })
+	assert.Assert(t, !one.tables.fetchFromZone(ctx))
 	network.set(func() { three.member.Zone = "elsewhere" })
-	assert.Assert(t, one.tables.askZone(ctx))
+	assert.Assert(t, one.tables.fetchFromZone(ctx))
 
-	// A node alone has nobody to ask.
+	// No other member of the zone is alive.
 	network.set(func() { two.member.State = cluster.StateSuspect })
-	assert.Assert(t, !one.tables.askZone(ctx))
+	assert.Assert(t, !one.tables.fetchFromZone(ctx))
 }
 
-func TestCurrentNeedsTheLogOrAMajority(t *testing.T) {
+func TestCurrentNeedsLogContactOrMajority(t *testing.T) {
 	network := newTestNetwork()
 	node := newNode(t, network, newTestLog(t), "one")
-	node.tables.markStarted("test")
+	node.tables.markCaughtUp("test")
 	old := time.Now().Add(-2 * ContactLimit)
 	for name, test := range map[string]struct {
 		own, inReach     time.Time
@@ -244,9 +244,9 @@
 		"own contact":      {own: time.Now(), inReach: old, reachable: 1, known: 9, current: true},
 		"another's":        {own: old, inReach: time.Now(), reachable: 2, known: 9, current: true},
 		"majority":         {own: old, inReach: old, reachable: 5, known: 9, current: true},
-		"half only":        {own: old, inReach: old, reachable: 4, known: 8},
-		"never any":        {reachable: 1, known: 2},
-		"minority, silent": {own: old, inReach: old, reachable: 2, known: 9},
+		"exactly half":     {own: old, inReach: old, reachable: 4, known: 8},
+		"no contact ever":  {reachable: 1, known: 2},
+		"minority reached": {own: old, inReach: old, reachable: 2, known: 9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			network.set(func() {
@@ -263,8 +263,8 @@
 	}
 }
 
-func TestALogThatIsSilentIsProbed(t *testing.T) {
-	// The stream never tells of a contact: the node asks the log itself.
+func TestProbeLogRefreshesLogContact(t *testing.T) {
+	// LastLogContact stays zero, so only a probe can refresh the contact.
 	node := startNode(t, newTestNetwork(), newTestLog(t), "one")
 	awaitCondition(t, func() bool { return isFresh(node.tables.LogContact()) })
 }
