--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -13,35 +13,33 @@
 	"github.com/corkpulley/corkpulley/internal/core/lease"
 )
 
-// Problem is one mistake in the settings.
+// Problem is an invalid setting.
 type Problem struct {
 	Key      string `json:"key"`
 	Value    string `json:"value"`
 	Expected string `json:"expected"`
 }
 
-// String is the one-line form for people.
+// String returns a one-line description.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s = %q: expected %s", p.Key, p.Value, p.Expected)
 }
 
 // Ranges of the numeric settings.
 const (
-	MinProbeInterval = 50 * time.Millisecond
-	MaxProbeInterval = 10 * time.Second
-	MinGrace         = time.Second
-	MaxGrace         = time.Hour
-	MinLoads         = 1
-	MaxLoads         = 10_000
-	MinLease         = 500 * time.Millisecond
-	MaxLease         = time.Minute
-	// MaxOrderQuiet is as long as orders are remembered.
-	MaxOrderQuiet     = lease.MaxQuiet
-	MaxPartitions     = 1024
-	MaxProcessors     = 1024
-	MaxMemoryMB       = 1 << 20
-	MaxReadsPerSecond = 10_000_000
-	// MaxReadMBPerSecond is in megabytes.
+	MinProbeInterval   = 50 * time.Millisecond
+	MaxProbeInterval   = 10 * time.Second
+	MinGrace           = time.Second
+	MaxGrace           = time.Hour
+	MinLoads           = 1
+	MaxLoads           = 10_000
+	MinLease           = 500 * time.Millisecond
+	MaxLease           = time.Minute
+	MaxOrderQuiet      = lease.MaxQuiet // orders are retained for longer than this
+	MaxPartitions      = 1024
+	MaxProcessors      = 1024
+	MaxMemoryMB        = 1 << 20
+	MaxReadsPerSecond  = 10_000_000
 	MaxReadMBPerSecond = 1_000_000
 	MinRecordBytes     = 4 << 10
 	MaxRecordBytes     = 64 << 20
@@ -53,7 +51,7 @@
 	MaxCallerStall     = time.Hour
 )
 
-// Policies and Levels list the allowed words.
+// Allowed values of scheduling.policy and log.level.
 var (
 	Policies = []string{"default", "round-robin", "least-load", "one-hop"}
 	Levels   = []string{"debug", "info", "warn", "error"}
@@ -68,7 +66,7 @@
 	problems []Problem
 }
 
-// Check returns every mistake in the settings; none when they are usable.
+// Check returns all invalid settings, or none when the settings are usable.
 func Check(settings Settings) []Problem {
 	var c checker
 	c.pattern("node.id", settings.Node.ID, nodeIDPattern, "1..63 of a-z, 0-9, '-' and '.'")
@@ -79,10 +77,10 @@
 	}
 	c.number("node.memory_mb", settings.Node.MemoryMB, 0, MaxMemoryMB)
 	c.topology(settings.Topology, settings.Node)
-	c.listeners(settings.Listen)
-	c.advertised(settings.Listen.Peers, settings.Advertise.Peers)
+	c.listenAddresses(settings.Listen)
+	c.advertiseAddress(settings.Listen.Peers, settings.Advertise.Peers)
 	for i, seed := range settings.Cluster.Seeds {
-		c.reachable(fmt.Sprintf("cluster.seeds[%d]", i), seed)
+		c.dialAddress(fmt.Sprintf("cluster.seeds[%d]", i), seed)
 	}
 	c.duration("cluster.probe_interval", settings.Cluster.ProbeInterval, MinProbeInterval, MaxProbeInterval)
 	if settings.Hosted.Log != "" {
@@ -94,7 +92,7 @@
 		c.url("platform.scorer", settings.Platform.Scorer)
 	}
 	c.oneOf("scheduling.policy", settings.Scheduling.Policy, Policies)
-	c.loads(settings.Weights.MaxConcurrentLoads)
+	c.concurrentLoads(settings.Weights.MaxConcurrentLoads)
 	c.duration("shutdown.grace", settings.Shutdown.Grace, MinGrace, MaxGrace)
 	c.oneOf("log.level", settings.Log.Level, Levels)
 	return c.problems
@@ -110,7 +108,7 @@
 	}
 }
 
-// topology checks the regions of the zones.
+// topology checks zone and region names, and that the node's own zone has the node's region.
 func (c *checker) topology(topology Topology, node Node) {
 	for _, zone := range slices.Sorted(maps.Keys(topology.Zones)) {
 		region := topology.Zones[zone]
@@ -119,15 +117,15 @@
 		case !namePattern.MatchString(zone):
 			c.add(key, zone, "the name of a zone, 1..63 of a-z, 0-9 and '-'")
 		case zone == node.Zone && region != node.Region:
-			c.add(key, region, fmt.Sprintf("the region of this node, which lies in that zone: %q", node.Region))
+			c.add(key, region, fmt.Sprintf("the region of this node, which is in that zone: %q", node.Region))
 		default:
 			c.pattern(key, region, namePattern, "the name of a region, 1..63 of a-z, 0-9 and '-'")
 		}
 	}
 }
 
-// listeners checks the three addresses that this node binds.
-func (c *checker) listeners(listen Listen) {
+// listenAddresses checks the addresses that this node binds.
+func (c *checker) listenAddresses(listen Listen) {
 	bound := make(map[netip.AddrPort]string)
 	for _, listener := range []struct{ key, value string }{
 		{"listen.callers", listen.Callers},
@@ -140,35 +138,35 @@
 			continue
 		}
 		if other, taken := bound[address]; taken && address.Port() != 0 {
-			c.add(listener.key, listener.value, "an address of its own, not that of "+other)
+			c.add(listener.key, listener.value, "an address different from that of "+other)
 		}
 		bound[address] = listener.key
 	}
 }
 
-// advertised checks the peer address that others are told. One without a
-// machine's IP ("0.0.0.0") may be bound, but nobody can connect to it.
-func (c *checker) advertised(listen, advertise string) {
+// advertiseAddress checks the peer address announced to other nodes. An unspecified
+// address such as 0.0.0.0 can be bound, but not connected to.
+func (c *checker) advertiseAddress(listen, advertise string) {
 	if advertise != "" {
-		c.reachable("advertise.peers", advertise)
+		c.dialAddress("advertise.peers", advertise)
 		return
 	}
 	if bound, err := netip.ParseAddrPort(listen); err == nil && bound.Addr().IsUnspecified() {
-		c.add("advertise.peers", advertise, "an address that other nodes reach, since listen.peers is "+listen)
+		c.add("advertise.peers", advertise, "an address that other nodes can reach, because listen.peers is "+listen)
 	}
 }
 
-// reachable checks an address that some node connects to.
-func (c *checker) reachable(key, value string) {
+// dialAddress checks an address that nodes connect to.
+func (c *checker) dialAddress(key, value string) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil || address.Addr().IsUnspecified() || address.Port() == 0 {
-		c.add(key, value, "ip:port of one machine, port 1..65535")
+		c.add(key, value, "ip:port with a specific IP address, port 1..65535")
 	}
 }
 
 func (c *checker) url(key, value string) {
 	parsed, err := url.Parse(value)
-	// Paths are appended to the URL, so it ends before any query.
+	// Paths are appended to the URL, so it must not have a query or a fragment.
 	valid := err == nil && parsed.Host != "" && (parsed.Scheme == "http" || parsed.Scheme == "https") &&
 		parsed.RawQuery == "" && parsed.Fragment == ""
 	if !valid {
@@ -189,7 +187,7 @@
 }
 
 func (c *checker) hosted(hosted Hosted) {
-	c.reachable("hosted.log", hosted.Log)
+	c.dialAddress("hosted.log", hosted.Log)
 	c.duration("hosted.lease", hosted.Lease, MinLease, MaxLease)
 	c.duration("hosted.order_quiet", hosted.OrderQuiet, 0, MaxOrderQuiet)
 	c.number("hosted.partitions", hosted.Partitions, 1, MaxPartitions)
@@ -204,12 +202,12 @@
 	c.duties(hosted)
 }
 
-// duties checks how the calls are made that one node at a time makes.
+// duties checks the settings of the duties and of usage reports.
 func (c *checker) duties(hosted Hosted) {
 	if hosted.Duties != "" {
-		c.reachable("hosted.duties", hosted.Duties)
+		c.dialAddress("hosted.duties", hosted.Duties)
 	} else if hosted.DutyKinds != "" {
-		c.add("hosted.duties", "", "ip:port of the platform's calls, since hosted.duty_kinds names some")
+		c.add("hosted.duties", "", "ip:port of the platform service for duties, because hosted.duty_kinds is set")
 	}
 	if hosted.UsageWindow != 0 || hosted.Duty(DutyUsage) {
 		c.duration("hosted.usage_window", hosted.UsageWindow, MinUsageWindow, MaxUsageWindow)
@@ -217,7 +215,7 @@
 	c.duration("hosted.usage_due", hosted.UsageDue, MinUsageWindow, MaxUsageWindow)
 }
 
-func (c *checker) loads(value int) {
+func (c *checker) concurrentLoads(value int) {
 	c.number("weights.max_concurrent_loads", value, MinLoads, MaxLoads)
 }
 
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -10,8 +10,8 @@
 	"github.com/corkpulley/corkpulley/internal/buildinfo"
 )
 
-// Flags are the command-line flags of corkpulleyd. A flag that is given wins
-// over the same key of the settings file.
+// Flags are the command-line flags of corkpulleyd. A flag overrides the same
+// key of the settings file.
 type Flags struct {
 	File  string `arg:"--settings,env:CORKPULLEY_SETTINGS" placeholder:"FILE" help:"settings file (TOML)"`
 	Check bool   `arg:"--check" help:"check the settings, print every mistake, and exit"`
@@ -36,26 +36,26 @@
 	Level              *string        `arg:"--log-level" placeholder:"LEVEL" help:"log.level: debug, info, warn or error"`
 }
 
-// Version makes "--version" a flag.
+// Version returns the text for --version.
 func (Flags) Version() string { return "corkpulleyd " + buildinfo.Version() }
 
-// Description is shown at the top of the daemon's help.
+// Description returns the introduction of the help text.
 func (Flags) Description() string {
 	return "corkpulleyd serves live callers and reinforcement-learning trainers from shared model engines.\n" +
-		"Settings come from a TOML file and from flags; flags win. See docs/CONFIG.md."
+		"Settings come from a TOML file and from flags; flags override the file. See docs/CONFIG.md."
 }
 
-// Epilogue is shown at the end of the daemon's help.
+// Epilogue returns the end of the help text.
 func (Flags) Epilogue() string {
 	return "Examples:\n" +
 		"  corkpulleyd --settings corkpulleyd.toml --check\n" +
 		"  corkpulleyd --settings corkpulleyd.toml --node-id n7 --zone tumwater"
 }
 
-// Load reads the settings file, if one is named, and applies the flags. Every
-// mistake found is returned; the settings are usable only when there is none.
-// A file that cannot be read is the only mistake reported, since every key that
-// it should have set would be reported as missing.
+// Load reads the settings file, if flags name one, applies the flags and returns
+// all problems; the settings are usable only when there are none. A file that
+// cannot be read or decoded is reported as the only problem, because the keys
+// that it sets would be reported as missing.
 func Load(flags Flags) (Settings, []Problem) {
 	loaded := Default()
 	var unknown []Problem
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings defines the daemon's settings, which come from a TOML file
-// and from flags (flags win), and checks them all before anything starts.
+// Package settings defines the daemon's settings, reads them from a TOML file
+// and from flags (flags override the file), and validates them.
 package settings
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Settings are the checked settings of one daemon.
+// Settings are the settings of one daemon.
 type Settings struct {
 	Node       Node       `toml:"node"`
 	Topology   Topology   `toml:"topology"`
@@ -23,44 +23,44 @@
 	Log        Log        `toml:"log"`
 }
 
-// Node says who and where this daemon is.
+// Node identifies this daemon and describes its location and resources.
 type Node struct {
 	// ID is unique over all nodes: 1..63 of a-z, 0-9, '-' and '.'.
 	ID string `toml:"id"`
 	// Zone and Region are names of 1..63 of a-z, 0-9 and '-'.
 	Zone   string `toml:"zone"`
 	Region string `toml:"region"`
-	// Processors is the share of processors that this machine may use, 0..1024; 0
-	// when it is not known. Able machines lead rather than others.
+	// Processors is the number of processors available to this process, possibly
+	// fractional, 0..1024; 0 when unknown. Nodes with more are preferred as leaders.
 	Processors float64 `toml:"processors"`
-	// MemoryMB is the memory that this process may use, in MB, 0..1048576; 0 when it is not known. A part of it
-	// may be held for callers and engines.
+	// MemoryMB is the memory available to this process, in MB, 0..1048576; 0 when unknown. It determines
+	// how much may be buffered for callers and engines.
 	MemoryMB int `toml:"memory_mb"`
 }
 
-// Topology says where the zones of the whole system lie.
+// Topology maps the zones of the system to regions.
 type Topology struct {
-	// Zones names the region of each zone. Zones that are not named, but for the node's own, count as
-	// far away, and as outside of whatever regions a request is bound to.
+	// Zones names the region of each zone. A zone that is missing here, other than the node's own, counts
+	// as remote and as outside the regions that a request is restricted to.
 	Zones map[string]string `toml:"zones"`
 }
 
-// Listen holds the addresses ("ip:port"; port 0 picks a free one) of the three listeners.
+// Listen holds the addresses of the listeners ("ip:port"; port 0 picks a free port).
 type Listen struct {
 	Callers   string `toml:"callers"`
 	Peers     string `toml:"peers"`
 	Operators string `toml:"operators"`
 }
 
-// Advertise holds the addresses that others are told, where they differ from
-// the listening ones.
+// Advertise holds the addresses announced to other nodes, where they differ from
+// the listen addresses.
 type Advertise struct {
 	Peers string `toml:"peers"`
 }
 
-// Cluster says how other nodes are found.
+// Cluster configures discovery and failure detection of other nodes.
 type Cluster struct {
-	// Seeds are peer addresses of some other nodes, tried at start.
+	// Seeds are peer addresses of other nodes, contacted to join the cluster.
 	Seeds []string `toml:"seeds"`
 	// ProbeInterval is the time between two failure-detection probes, 50 ms..10 s.
 	ProbeInterval Duration `toml:"probe_interval"`
@@ -74,84 +74,84 @@
 	Scorer      string `toml:"scorer"`
 }
 
-// Hosted says how the node runs on a platform that keeps everything in one
-// partitioned log. It is used when Log is set; the URLs of Platform are then not.
+// Hosted configures a node on a platform that stores all state in one partitioned
+// log. When Log is set, it replaces the URLs of Platform.
 type Hosted struct {
 	// Log is the log's address, ip:port.
 	Log string `toml:"log"`
-	// Lease is how long a leader leads after its last renewal, 500 ms..1 min.
+	// Lease is how long leadership lasts after its last renewal, 500 ms..1 min.
 	Lease Duration `toml:"lease"`
-	// OrderQuiet is the least time between orders to engines from two machines,
-	// 0..1 min.
+	// OrderQuiet is the minimum time between orders to engines from different
+	// machines, 0..10 min.
 	OrderQuiet Duration `toml:"order_quiet"`
-	// EnginesFence is true when engines refuse orders with lower fencing tokens.
+	// EnginesFence is true when engines reject orders with lower fencing tokens.
 	EnginesFence bool `toml:"engines_fence"`
-	// Partitions is the number of partitions of batch jobs, 1..1024. It is the
-	// same on all nodes and never changes while jobs are kept.
+	// Partitions is the number of partitions of batch jobs, 1..1024. It must be the
+	// same on all nodes and must not change while jobs are retained.
 	Partitions int `toml:"partitions"`
-	// RecordBytes and CallBytes are the log's limits for a record and a call.
+	// RecordBytes and CallBytes are the log's size limits for a record and a call,
+	// each 4 KiB..64 MiB.
 	RecordBytes int `toml:"record_bytes"`
 	CallBytes   int `toml:"call_bytes"`
-	// ReadsPerSecond is what the log serves to all nodes together; they read less
-	// often than they would where they are many. 0 for no bound, ..10000000.
+	// ReadsPerSecond is the read rate that the log serves to all nodes together,
+	// 0..10000000; 0 for no limit. Nodes poll less often in larger clusters.
 	ReadsPerSecond int `toml:"reads_per_second"`
-	// ReadMBPerSecond is the megabytes a second that the log's reads bring to all nodes together; periodic full
-	// reads of all nodes together stay within half of it where they can. 0 for no bound, ..1000000.
+	// ReadMBPerSecond is the read throughput of the log for all nodes together, in MB/s, 0..1000000; 0 for no
+	// limit. Periodic full reads of all nodes together use at most half of it where possible.
 	ReadMBPerSecond float64 `toml:"read_mb_per_second"`
-	// KeepJobs is how long a batch job can be read after it was accepted, 1 s..24 h.
+	// KeepJobs is how long a batch job is retained after it was accepted, 1 s..24 h.
 	KeepJobs Duration `toml:"keep_jobs"`
-	// Duties is the address, ip:port, of the platform's calls that one node at a time
-	// makes; empty when there are none.
+	// Duties is the address, ip:port, of the platform service for duties: calls that
+	// only one node at a time makes. Empty when there are none.
 	Duties string `toml:"duties"`
-	// DutyKinds lists the kinds of those calls, separated by commas: DutyUsage, the
-	// reports of use, and DutyScaler, the orders of engines.
+	// DutyKinds is a comma-separated list of the duties to perform: DutyUsage and DutyScaler.
 	DutyKinds string `toml:"duty_kinds"`
-	// UsageWindow is the span of time for which the tenants' use is reported, 0 for no
-	// reports, ..1 h; UsageDue the time after its end by which the report is due, ..1 h.
+	// UsageWindow is the reporting period for tenants' usage, 100 ms..1 h, or 0 for no
+	// reports; UsageDue is the deadline after its end for sending a report, 100 ms..1 h.
 	UsageWindow Duration `toml:"usage_window"`
 	UsageDue    Duration `toml:"usage_due"`
-	// CallerStall is how long a caller may take no byte of its answer before it is cut off, 1 s..1 h.
+	// CallerStall is how long a caller may read nothing of its response before it is disconnected, 1 s..1 h.
 	CallerStall Duration `toml:"caller_stall"`
 }
 
-// The kinds of duties that nodes know.
+// Kinds of duties.
 const (
-	DutyUsage  = "usage"
-	DutyScaler = "scaler"
+	DutyUsage  = "usage"  // usage reports
+	DutyScaler = "scaler" // scaling of engines
 )
 
-// Duty tells whether a kind of duty is among the settings.
+// Duty reports whether the duty is configured.
 func (h Hosted) Duty(kind string) bool {
 	return h.Duties != "" && slices.Contains(strings.Split(h.DutyKinds, ","), kind)
 }
 
-// Scheduling chooses how cells and engines are chosen.
+// Scheduling configures the choice of cells and engines.
 type Scheduling struct {
-	// Policy is "default", or a baseline for experiments: "round-robin",
+	// Policy is "default", or one of the baselines for benchmarks: "round-robin",
 	// "least-load" or "one-hop".
 	Policy string `toml:"policy"`
 }
 
-// Weights bounds weight changes.
+// Weights configures the rollout of weight versions.
 type Weights struct {
-	// MaxConcurrentLoads bounds how many engines load at once over all models, 1..10000;
-	// what the weight store was seen to feed bounds them further.
+	// MaxConcurrentLoads limits how many engines load weights concurrently over all
+	// models, 1..10000. The observed throughput of the weight store limits them further.
 	MaxConcurrentLoads int `toml:"max_concurrent_loads"`
 }
 
-// Shutdown bounds a planned stop.
+// Shutdown configures graceful shutdown.
 type Shutdown struct {
-	// Grace is how long requests in hand may take to finish, 1 s..1 h.
+	// Grace is how long requests in flight may take to finish, 1 s..1 h.
 	Grace Duration `toml:"grace"`
 }
 
-// Log chooses what is logged.
+// Log configures logging.
 type Log struct {
 	// Level is one of debug, info, warn, error.
 	Level string `toml:"level"`
 }
 
-// Duration is a time.Duration written as "500ms" or "10s".
+// Duration is a time.Duration with the text form of time.ParseDuration, such as "500ms".
 type Duration time.Duration
 
 // UnmarshalText parses the TOML form.
@@ -161,7 +161,7 @@
 	return err
 }
 
-// Default settings, where the file and the flags say nothing.
+// Default values of settings.
 const (
 	DefaultProbeInterval      = 500 * time.Millisecond
 	DefaultGrace              = 10 * time.Minute
@@ -182,7 +182,7 @@
 	DefaultOperatorsAddress   = "127.0.0.1:9090"
 )
 
-// Default returns settings with every default filled in.
+// Default returns the settings with every default filled in; required ones stay empty.
 func Default() Settings {
 	return Settings{
 		Listen: Listen{
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,7 +32,7 @@
 	return path
 }
 
-func TestFlagsWinOverFile(t *testing.T) {
+func TestLoadFlagsOverrideFile(t *testing.T) {
 	zone := "hillsboro"
 	loaded, problems := Load(Flags{File: writeFile(t, completeFile), Zone: &zone})
 	assert.Equal(t, len(problems), 0, "%v", problems)
@@ -41,7 +41,7 @@
 	assert.Equal(t, loaded.Scheduling.Policy, DefaultPolicy)
 }
 
-func TestEveryMistakeIsReportedAtOnce(t *testing.T) {
+func TestLoadReportsAllProblems(t *testing.T) {
 	file := writeFile(t, completeFile+"[shutdown]\ngrace = \"1ms\"\n[nodes]\nid = \"x\"\n")
 	level := "loud"
 	address := "localhost:80"
@@ -57,19 +57,19 @@
 	assert.Equal(t, len(problems), 5, "%v", problems)
 }
 
-func TestUnreadableAndMalformedFiles(t *testing.T) {
+func TestLoadUnreadableAndMalformedFiles(t *testing.T) {
 	_, problems := Load(Flags{File: filepath.Join(t.TempDir(), "absent.toml")})
 	assert.Equal(t, problems[0].Key, "--settings")
 	_, problems = Load(Flags{File: writeFile(t, "[node\n")})
 	assert.Equal(t, problems[0].Key, "--settings")
 }
 
-func TestAnUnreadableFileIsTheOnlyMistakeReported(t *testing.T) {
+func TestLoadReportsOnlyTheFileErrorWhenDecodingFails(t *testing.T) {
 	_, problems := Load(Flags{File: writeFile(t, "[node]\nid = 3\n")})
-	assert.Equal(t, len(problems), 1, "what follows from the file not being read is noise: %v", problems)
+	assert.Equal(t, len(problems), 1, "problems caused by the undecoded file are not reported: %v", problems)
 }
 
-func TestAddressesThatCannotWorkAreRefused(t *testing.T) {
+func TestLoadRejectsUnusableAddresses(t *testing.T) {
 	for _, test := range []struct{ text, key string }{
 		{"[listen]\npeers = \"0.0.0.0:7070\"\n", "advertise.peers"},
 		{"[listen]\npeers = \"[::]:7070\"\n", "advertise.peers"},
@@ -86,21 +86,21 @@
 	_, problems := Load(Flags{File: writeFile(t, completeFile), Peers: &any, AdvertisePeers: &reachable})
 	assert.Equal(t, len(problems), 0, "%v", problems)
 	_, problems = Load(Flags{File: writeFile(t, completeFile), Peers: &free, Callers: &free, Operators: &free})
-	assert.Equal(t, len(problems), 0, "free ports never clash: %v", problems)
+	assert.Equal(t, len(problems), 0, "listeners on port 0 do not conflict: %v", problems)
 	_, problems = Load(Flags{File: writeFile(t, completeFile), Seeds: []string{"127.0.0.1:0"}})
 	assert.Equal(t, problems[0].Key, "cluster.seeds[0]")
 	query := "http://127.0.0.1:1/log?tenant=2"
 	_, problems = Load(Flags{File: writeFile(t, completeFile), LogService: &query})
-	assert.Equal(t, len(problems), 1, "a path is appended to the URL: %v", problems)
+	assert.Equal(t, len(problems), 1, "a URL with a query is rejected: %v", problems)
 }
 
-// TestTheExampleIsValid keeps the sample settings usable.
-func TestTheExampleIsValid(t *testing.T) {
+// Guards against example settings that the daemon rejects.
+func TestExampleFileIsValid(t *testing.T) {
 	_, problems := Load(Flags{File: filepath.Join("..", "..", "examples", "corkpulleyd.toml")})
 	assert.Equal(t, len(problems), 0, "%v", problems)
 }
 
-func TestTheTopologyIsChecked(t *testing.T) {
+func TestLoadChecksTopology(t *testing.T) {
 	good := "[topology.zones]\ntumwater = \"pnw\"\nhillsboro = \"pnw\"\nomaha = \"plains\"\n"
 	loaded, problems := Load(Flags{File: writeFile(t, completeFile+good)})
 	assert.Equal(t, len(problems), 0, "%v", problems)
