--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -1,5 +1,5 @@
-// Package operatorapi serves operators: health, status, the table and its
-// history, and the planned stop of this node.
+// Package operatorapi serves the HTTP interface for operators: health, status,
+// the table and its history, and draining of this node.
 package operatorapi
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// Paths of the operators' interface.
+// Paths of the operator interface.
 const (
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
@@ -26,12 +26,12 @@
 	PathEngines = "/v1/engines"
 	PathSteps   = "/v1/steps"
 	PathDrain   = "/v1/drain"
-	// PathZones and PathEvacuation are served where the engine list is kept by a platform.
+	// PathZones and PathEvacuation are served only where a platform manages the list of engines.
 	PathZones      = "/v1/zones"
 	PathEvacuation = "/v1/zones/{zone}/evacuation"
 )
 
-// Query parameters of the operators' interface.
+// Query parameters of the operator interface.
 const (
 	QueryRevision = "revision" // PathTable: an earlier revision
 	QueryLimit    = "limit"    // PathHistory: the number of revisions
@@ -41,44 +41,44 @@
 	ScopeNode = "node"
 )
 
-// TableStore is what the handlers ask of the table; *tables.Tables implements it.
+// TableStore provides the table and its history; *tables.Tables implements it.
 type TableStore interface {
-	// Current returns nil while the table in force may be relied on, else an
-	// *errkind.Error: NotReady until this node has caught up with the table.
+	// Current returns nil while the active table is known to be recent, else an
+	// *errkind.Error: NotReady until this node has loaded the latest revision.
 	Current() error
-	// Table returns the table in force.
+	// Table returns the active table.
 	Table() *policy.Table
-	// TableAt returns the table of an earlier revision, if it is remembered.
+	// TableAt returns the table of an earlier revision, if it is still retained.
 	TableAt(revision int64) (*policy.Table, bool)
-	// History returns up to limit accepted revisions, the newest first.
+	// History returns up to limit accepted revisions, newest first.
 	History(limit int) []api.HistoryEntry
-	// Propose proposes an edit and waits for the verdict.
+	// Propose proposes an edit and waits until it is accepted or rejected.
 	Propose(ctx context.Context, proposal api.TableProposal) (api.TableAccepted, error)
 }
 
-// EngineSource lists engines; with all set, those of every reachable node.
+// EngineSource lists this node's engines or, with all set, those of every reachable node.
 type EngineSource func(ctx context.Context, all bool) ([]api.EngineStatus, error)
 
-// StepSource lists the steps of all reachable ledgers.
+// StepSource lists the steps of all reachable owners.
 type StepSource func(ctx context.Context) ([]api.StepStatus, error)
 
-// Options are the sources that the handlers read; all but Logger are needed.
+// Options holds the dependencies of an API; all but Logger are required.
 type Options struct {
 	Tables TableStore
 	View   cluster.View
-	// Ready returns nil, or why this node takes no new work (*errkind.Error).
+	// Ready returns nil, or an *errkind.Error with the reason why this node accepts no new work.
 	Ready func() error
-	// LastLogContact tells when this node last read to the config stream's end.
+	// LastLogContact returns when this node last read the config stream to its end.
 	LastLogContact func() time.Time
 	Engines        EngineSource
 	Steps          StepSource
-	// Drain begins the planned stop of this node and returns at once; it may
-	// be called more than once.
+	// Drain starts draining this node and returns immediately; it may be called
+	// more than once.
 	Drain  func()
 	Logger zerolog.Logger
 }
 
-// API serves the operators' interface.
+// API serves the operator interface.
 type API struct {
 	options Options
 }
@@ -86,8 +86,7 @@
 // New returns an API.
 func New(options Options) *API { return &API{options: options} }
 
-// Register adds the routes to a router. Unknown paths and methods are the
-// router's own to answer.
+// Register adds the routes to a router.
 func (a *API) Register(router *mux.Router) {
 	router.HandleFunc(PathHealth, a.getHealth).Methods(http.MethodGet)
 	router.HandleFunc(PathReady, a.getReady).Methods(http.MethodGet)
--- a/internal/operatorapi/operatorapi_test.go
+++ b/internal/operatorapi/operatorapi_test.go
@@ -22,9 +22,9 @@
 	"github.com/corkpulley/corkpulley/internal/tables"
 )
 
-// fakeSystem is all that the handlers read.
+// fakeSystem implements the dependencies of the handlers.
 type fakeSystem struct {
-	cluster.View // the methods that the handlers do not use
+	cluster.View // nil: satisfies the interface for methods that the handlers do not call
 	proposeErr   error
 	notReady     error
 	notCurrent   error
@@ -84,8 +84,8 @@
 	return router
 }
 
-// ask sends one request and decodes the answer's body.
-func (f *fakeSystem) ask(t *testing.T, method, target, body string, into any) int {
+// do sends one request, decodes the response body and returns the status code.
+func (f *fakeSystem) do(t *testing.T, method, target, body string, into any) int {
 	t.Helper()
 	request := httptest.NewRequest(method, target, strings.NewReader(body))
 	request.Header.Set("Content-Type", "application/json")
@@ -95,13 +95,13 @@
 	return recorder.Code
 }
 
-func TestStatusAnswersWhileThingsFail(t *testing.T) {
+func TestStatusAnswersWhenSourcesFail(t *testing.T) {
 	system := &fakeSystem{
 		notReady: errkind.New(errkind.NotCurrent, "alone"),
 		stepsErr: errors.New("owner unreachable"),
 	}
 	var status api.Status
-	assert.Equal(t, system.ask(t, http.MethodGet, PathStatus, "", &status), http.StatusOK)
+	assert.Equal(t, system.do(t, http.MethodGet, PathStatus, "", &status), http.StatusOK)
 	assert.Equal(t, status.Ready, false)
 	assert.Equal(t, status.NotReadyCause, "not_current: alone")
 	assert.Equal(t, status.Node.TableRevision, int64(4))
@@ -113,44 +113,44 @@
 
 	var state stateBody
 	var failure api.ErrorBody
-	assert.Equal(t, system.ask(t, http.MethodGet, PathHealth, "", &state), http.StatusOK)
-	assert.Equal(t, system.ask(t, http.MethodGet, PathReady, "", &failure), http.StatusServiceUnavailable)
+	assert.Equal(t, system.do(t, http.MethodGet, PathHealth, "", &state), http.StatusOK)
+	assert.Equal(t, system.do(t, http.MethodGet, PathReady, "", &failure), http.StatusServiceUnavailable)
 	assert.Equal(t, failure.Error.Executed, "no")
-	assert.Equal(t, system.ask(t, http.MethodGet, PathSteps, "", &failure), http.StatusInternalServerError)
+	assert.Equal(t, system.do(t, http.MethodGet, PathSteps, "", &failure), http.StatusInternalServerError)
 	system.notReady = nil
-	assert.Equal(t, system.ask(t, http.MethodGet, PathReady, "", &state), http.StatusOK)
+	assert.Equal(t, system.do(t, http.MethodGet, PathReady, "", &state), http.StatusOK)
 }
 
-// TestNoRevisionIsToldBeforeTheNodeCaughtUp: a started node may hold an old
-// snapshot's table, and a lower revision must never be answered after a higher.
-func TestNoRevisionIsToldBeforeTheNodeCaughtUp(t *testing.T) {
+// Guards against a restarted node that reports a lower revision, from an old
+// snapshot, than it did before.
+func TestNoRevisionReportedBeforeCatchUp(t *testing.T) {
 	behind := errkind.New(errkind.NotReady, "not caught up")
 	system := &fakeSystem{notReady: behind, notCurrent: behind}
 	for _, target := range []string{PathTable, PathTable + "?revision=2", PathTable + "?revision=3", PathHistory} {
 		var failure api.ErrorBody
-		assert.Equal(t, system.ask(t, http.MethodGet, target, "", &failure), http.StatusServiceUnavailable, target)
+		assert.Equal(t, system.do(t, http.MethodGet, target, "", &failure), http.StatusServiceUnavailable, target)
 		assert.Equal(t, failure.Error.Code, "not_ready")
 	}
 	var status map[string]any
-	assert.Equal(t, system.ask(t, http.MethodGet, PathStatus, "", &status), http.StatusOK)
+	assert.Equal(t, system.do(t, http.MethodGet, PathStatus, "", &status), http.StatusOK)
 	assert.Equal(t, status["ready"], false)
 	assert.Equal(t, status["not_ready_cause"], "not_ready: not caught up")
-	_, told := status["table_revision"]
-	assert.Assert(t, !told, "the status tells revision %v", status["table_revision"])
+	_, found := status["table_revision"]
+	assert.Assert(t, !found, "the status reports revision %v", status["table_revision"])
 	var typed api.Status
-	assert.Equal(t, system.ask(t, http.MethodGet, PathStatus, "", &typed), http.StatusOK)
+	assert.Equal(t, system.do(t, http.MethodGet, PathStatus, "", &typed), http.StatusOK)
 	assert.Equal(t, typed.Node.TableRevision, int64(0))
 	var nodes []api.NodeStatus
-	assert.Equal(t, system.ask(t, http.MethodGet, PathNodes, "", &nodes), http.StatusOK)
+	assert.Equal(t, system.do(t, http.MethodGet, PathNodes, "", &nodes), http.StatusOK)
 	for _, members := range [][]api.NodeStatus{typed.Members, nodes} {
 		assert.Equal(t, members[0].TableRevision, int64(0))
-		assert.Equal(t, members[1].TableRevision, int64(2), "what another node announced stands")
+		assert.Equal(t, members[1].TableRevision, int64(2), "the revision announced by another node is kept")
 	}
 
-	// A node that caught up once keeps the table that it knew.
+	// A node that caught up once keeps serving its table without contact to the log.
 	system.notCurrent = errkind.New(errkind.NotCurrent, "alone")
 	var document api.TableDocument
-	assert.Equal(t, system.ask(t, http.MethodGet, PathTable, "", &document), http.StatusOK)
+	assert.Equal(t, system.do(t, http.MethodGet, PathTable, "", &document), http.StatusOK)
 	assert.Equal(t, document.Revision, int64(4))
 }
 
@@ -158,28 +158,28 @@
 	system := &fakeSystem{}
 	for _, target := range []string{PathNodes, PathEngines + "?scope=all", PathSteps, PathHistory} {
 		var list []json.RawMessage
-		assert.Equal(t, system.ask(t, http.MethodGet, target, "", &list), http.StatusOK)
+		assert.Equal(t, system.do(t, http.MethodGet, target, "", &list), http.StatusOK)
 		assert.Assert(t, list != nil, target)
 	}
 	assert.Assert(t, system.allEngines)
 }
 
-func TestTableIsServedByRevision(t *testing.T) {
+func TestTableByRevision(t *testing.T) {
 	system := &fakeSystem{}
 	var document api.TableDocument
-	assert.Equal(t, system.ask(t, http.MethodGet, PathTable, "", &document), http.StatusOK)
+	assert.Equal(t, system.do(t, http.MethodGet, PathTable, "", &document), http.StatusOK)
 	rows, problems := policy.ParseCSV(document.CSV)
 	assert.Equal(t, len(problems), 0)
 	assert.DeepEqual(t, rows, sampleTable.Rows)
 	assert.DeepEqual(t, document.Rows, sampleTable.Rows)
-	assert.Equal(t, system.ask(t, http.MethodGet, PathTable+"?revision=2", "", &document), http.StatusOK)
+	assert.Equal(t, system.do(t, http.MethodGet, PathTable+"?revision=2", "", &document), http.StatusOK)
 	assert.Equal(t, document.Revision, int64(2))
 	var history []api.HistoryEntry
-	assert.Equal(t, system.ask(t, http.MethodGet, PathHistory+"?limit=3", "", &history), http.StatusOK)
+	assert.Equal(t, system.do(t, http.MethodGet, PathHistory+"?limit=3", "", &history), http.StatusOK)
 	assert.Equal(t, len(history), 3)
 }
 
-func TestBadRequestsGetTheirOwnKind(t *testing.T) {
+func TestInvalidRequestErrorKinds(t *testing.T) {
 	for _, test := range []struct {
 		method, target, body string
 		kind                 errkind.Kind
@@ -195,35 +195,35 @@
 	} {
 		t.Run(test.method+" "+test.target, func(t *testing.T) {
 			var failure api.ErrorBody
-			status := (&fakeSystem{}).ask(t, test.method, test.target, test.body, &failure)
+			status := (&fakeSystem{}).do(t, test.method, test.target, test.body, &failure)
 			assert.Equal(t, status, test.kind.Answer().Status)
 			assert.Equal(t, failure.Error.Code, test.kind.String())
 		})
 	}
 }
 
-func TestProposalErrorsNameRowsAndMistakes(t *testing.T) {
+func TestProposalErrorsListConflictsAndProblems(t *testing.T) {
 	system := &fakeSystem{proposeErr: &tables.ProposalError{
 		Err:       errkind.New(errkind.TableConflict, "revision 5 is in force"),
 		Conflicts: []policy.RowChange{{Service: "desk", Columns: []string{"cap"}}},
 		Problems:  []policy.Problem{{Line: 2, Expected: "a number"}},
 	}}
 	var failure api.ErrorBody
-	assert.Equal(t, system.ask(t, http.MethodPost, PathTable, `{"base_revision":4}`, &failure), http.StatusConflict)
+	assert.Equal(t, system.do(t, http.MethodPost, PathTable, `{"base_revision":4}`, &failure), http.StatusConflict)
 	assert.Equal(t, failure.Error.Code, "table_conflict")
 	assert.Equal(t, failure.Error.Conflicts[0].Service, "desk")
 	assert.Equal(t, failure.Error.Problems[0].Line, 2)
 
 	system.proposeErr = nil
 	var accepted api.TableAccepted
-	assert.Equal(t, system.ask(t, http.MethodPost, PathTable, `{"base_revision":4}`, &accepted), http.StatusOK)
+	assert.Equal(t, system.do(t, http.MethodPost, PathTable, `{"base_revision":4}`, &accepted), http.StatusOK)
 	assert.Equal(t, accepted.Revision, int64(5))
 }
 
-func TestDrainBeginsThePlannedStop(t *testing.T) {
+func TestDrainStartsShutdown(t *testing.T) {
 	system := &fakeSystem{}
 	var state stateBody
-	assert.Equal(t, system.ask(t, http.MethodPost, PathDrain, "", &state), http.StatusAccepted)
+	assert.Equal(t, system.do(t, http.MethodPost, PathDrain, "", &state), http.StatusAccepted)
 	assert.Equal(t, state.State, "leaving")
 	assert.Equal(t, system.drained, 1)
 }
--- a/internal/operatorapi/status.go
+++ b/internal/operatorapi/status.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// logReachableWithin is the age of the last log contact up to which the
-	// status calls the log reachable.
+	// logReachableWithin is the maximum age of the last log contact at which the
+	// status reports the log as reachable.
 	logReachableWithin = 5 * time.Second
-	// sourceTimeout bounds how long other nodes are asked for one answer.
-	sourceTimeout = 5 * time.Second
+	// peerQueryTimeout bounds the queries to other nodes for one response.
+	peerQueryTimeout = 5 * time.Second
 )
 
-// stateBody answers PathHealth, PathReady and PathDrain.
+// stateBody is the response body of PathHealth, PathReady and PathDrain.
 type stateBody struct {
 	State string `json:"state"`
 }
 
-// getHealth answers 200 as long as the process serves HTTP at all.
+// getHealth responds 200 as long as the process serves HTTP.
 func (a *API) getHealth(w http.ResponseWriter, _ *http.Request) {
 	httpapi.WriteJSON(w, http.StatusOK, stateBody{State: "ok"})
 }
 
-// getReady answers 200 while this node takes new work.
+// getReady responds 200 while this node accepts new work.
 func (a *API) getReady(w http.ResponseWriter, _ *http.Request) {
 	if err := a.options.Ready(); err != nil {
 		httpapi.WriteError(w, err)
@@ -39,9 +39,9 @@
 	httpapi.WriteJSON(w, http.StatusOK, stateBody{State: "ready"})
 }
 
-// getStatus answers even where steps cannot be listed and before this node has
-// caught up with the table (it then claims no revision): an operator needs it
-// most while something fails.
+// getStatus responds even when steps cannot be listed or this node has not
+// loaded the latest table revision (the revision is then omitted), so that
+// operators can use it during failures.
 func (a *API) getStatus(w http.ResponseWriter, r *http.Request) {
 	status := api.Status{
 		Node:          nodeStatus(a.options.View.Self()),
@@ -56,13 +56,13 @@
 		status.Ready = false
 		status.NotReadyCause = err.Error()
 	}
-	// The view of this node itself may lag behind what it has in force.
+	// The cluster view of this node may lag behind its active revision.
 	status.Node.TableRevision = status.TableRevision
-	ctx, cancel := context.WithTimeout(r.Context(), sourceTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), peerQueryTimeout)
 	defer cancel()
 	steps, err := a.options.Steps(ctx)
 	if err != nil {
-		a.options.Logger.Warn().Err(err).Msg("status without steps")
+		a.options.Logger.Warn().Err(err).Msg("listing steps for the status failed")
 	}
 	status.Steps = append(status.Steps, steps...)
 	httpapi.WriteJSON(w, http.StatusOK, status)
@@ -79,7 +79,7 @@
 			"scope is %q, expected %s or %s", scope, ScopeAll, ScopeNode))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), sourceTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), peerQueryTimeout)
 	defer cancel()
 	engines, err := a.options.Engines(ctx, scope == ScopeAll)
 	if err != nil {
@@ -90,7 +90,7 @@
 }
 
 func (a *API) getSteps(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), sourceTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), peerQueryTimeout)
 	defer cancel()
 	steps, err := a.options.Steps(ctx)
 	if err != nil {
@@ -100,10 +100,10 @@
 	httpapi.WriteJSON(w, http.StatusOK, append([]api.StepStatus{}, steps...))
 }
 
-// postDrain begins the planned stop and answers before it is done: the node
-// finishes its requests first and then exits.
+// postDrain starts draining and responds before it is done: the node finishes
+// its requests in flight and then exits.
 func (a *API) postDrain(w http.ResponseWriter, r *http.Request) {
-	a.options.Logger.Info().Str("remote", r.RemoteAddr).Msg("planned stop asked for")
+	a.options.Logger.Info().Str("remote", r.RemoteAddr).Msg("drain requested")
 	a.options.Drain()
 	httpapi.WriteJSON(w, http.StatusAccepted, stateBody{State: string(cluster.StateLeaving)})
 }
--- a/internal/operatorapi/table.go
+++ b/internal/operatorapi/table.go
@@ -16,15 +16,15 @@
 const (
 	// maxTableBytes bounds the JSON body of a proposal.
 	maxTableBytes = 2 << 20
-	// defaultHistory is the number of revisions listed when none is asked for.
-	defaultHistory = 20
+	// defaultHistoryLimit is the number of revisions listed without QueryLimit.
+	defaultHistoryLimit = 20
 )
 
-// caughtUp returns the NotReady error until this node has caught up with the
-// table. Before that it may hold an old snapshot's table, and an operator who
-// was told a revision must never be told a lower one. NotCurrent is no reason
-// to refuse: a node that lost its contacts keeps the highest table it knew.
-func (a *API) caughtUp() error {
+// checkCaughtUp returns the NotReady error until this node has loaded the latest
+// table revision. Before that, its table may come from an old snapshot, and the
+// revisions reported to operators must not decrease. NotCurrent is not an error
+// here: a node without contact to the log keeps the highest revision it has loaded.
+func (a *API) checkCaughtUp() error {
 	err := a.options.Tables.Current()
 	if errkind.Is(err, errkind.NotReady) {
 		return err
@@ -32,17 +32,16 @@
 	return nil
 }
 
-// revision returns the revision in force on this node, and 0, which claims
-// none, until it has caught up.
+// revision returns the active revision, or 0 until checkCaughtUp succeeds.
 func (a *API) revision() int64 {
-	if a.caughtUp() != nil {
+	if a.checkCaughtUp() != nil {
 		return 0
 	}
 	return a.options.Tables.Table().Revision
 }
 
 func (a *API) getTable(w http.ResponseWriter, r *http.Request) {
-	table, err := a.askedTable(r)
+	table, err := a.requestedTable(r)
 	if err != nil {
 		httpapi.WriteError(w, err)
 		return
@@ -54,8 +53,8 @@
 	httpapi.WriteJSON(w, http.StatusOK, document)
 }
 
-func (a *API) askedTable(r *http.Request) (*policy.Table, error) {
-	if err := a.caughtUp(); err != nil {
+func (a *API) requestedTable(r *http.Request) (*policy.Table, error) {
+	if err := a.checkCaughtUp(); err != nil {
 		return nil, err
 	}
 	if !r.URL.Query().Has(QueryRevision) {
@@ -64,28 +63,28 @@
 	text := r.URL.Query().Get(QueryRevision)
 	revision, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || revision < 0 {
-		return nil, errkind.New(errkind.InvalidRequest, "revision is %q, expected a number of 0 or more", text)
+		return nil, errkind.New(errkind.InvalidRequest, "revision is %q, expected a non-negative integer", text)
 	}
 	table, known := a.options.Tables.TableAt(revision)
 	if !known {
-		return nil, errkind.New(errkind.NotFound, "revision %d never was in force or is no longer remembered", revision)
+		return nil, errkind.New(errkind.NotFound, "revision %d was never active or is no longer retained", revision)
 	}
 	return table, nil
 }
 
 func (a *API) getHistory(w http.ResponseWriter, r *http.Request) {
-	limit := defaultHistory
+	limit := defaultHistoryLimit
 	if r.URL.Query().Has(QueryLimit) {
 		text := r.URL.Query().Get(QueryLimit)
-		asked, err := strconv.Atoi(text)
-		if err != nil || asked < 1 || asked > policy.MaxHistory {
+		parsed, err := strconv.Atoi(text)
+		if err != nil || parsed < 1 || parsed > policy.MaxHistory {
 			httpapi.WriteError(w, errkind.New(errkind.InvalidRequest,
-				"limit is %q, expected a number from 1 to %d", text, policy.MaxHistory))
+				"limit is %q, expected an integer from 1 to %d", text, policy.MaxHistory))
 			return
 		}
-		limit = asked
+		limit = parsed
 	}
-	if err := a.caughtUp(); err != nil {
+	if err := a.checkCaughtUp(); err != nil {
 		httpapi.WriteError(w, err)
 		return
 	}
@@ -108,7 +107,7 @@
 	httpapi.WriteJSON(w, http.StatusOK, accepted)
 }
 
-// writeProposalError answers with the rows in conflict or the mistakes found.
+// writeProposalError writes the error with its conflicting rows and validation errors.
 func writeProposalError(w http.ResponseWriter, err error) {
 	detail := httpapi.ErrorDetail(err)
 	var rejected *tables.ProposalError
