--- a/internal/trainerapi/fuzz_test.go
+++ b/internal/trainerapi/fuzz_test.go
@@ -11,10 +11,10 @@
 	"github.com/corkpulley/corkpulley/internal/api"
 )
 
-// FuzzBodies: whatever a trainer sends to any of the three calls, the answer is
-// 200, or a refusal with its code that says that nothing was run.
+// Guards against request bodies that cause an internal error or a rejection that
+// does not report the request as not executed.
 func FuzzBodies(f *testing.F) {
-	f.Add(goodStep)
+	f.Add(validStep)
 	f.Add(`{"step":"s","trainer_version":1,"holding":["s/0/1"],"max":8,"wait_ms":10}`)
 	f.Add(`{"token":3,"samples":["s/0/1"],"trainer_version":1}`)
 	f.Add(`{"trainer_version":18446744073709551615}`)
@@ -33,12 +33,12 @@
 				assert.Equal(t, detail.Executed, "no", "%s: %+v", path, detail)
 			}
 		}
-		// A live service takes no step, whatever the body.
+		// A live service accepts no steps.
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodPut, "/v1/trainers/desk/steps/s", strings.NewReader(body))
 		request.Header.Set("Content-Type", "application/json")
 		calls.routes.ServeHTTP(recorder, request)
-		assert.Assert(t, recorder.Code != http.StatusOK, "a live service took a step")
+		assert.Assert(t, recorder.Code != http.StatusOK, "a live service accepted a step")
 		assert.Assert(t, recorder.Header().Get(api.HeaderExecuted) == "no")
 	})
 }
--- a/internal/trainerapi/trainerapi.go
+++ b/internal/trainerapi/trainerapi.go
@@ -1,4 +1,4 @@
-// Package trainerapi serves the trainers' HTTP interface: submitting steps,
+// Package trainerapi serves the HTTP interface for trainers: submitting steps,
 // reading their status, abandoning them, fetching samples and acknowledging them.
 package trainerapi
 
@@ -20,8 +20,8 @@
 	maxAckBytes   = 4 << 20
 )
 
-// Client is what the interface asks of the trainer coordinator. Every call may
-// be repeated; errors are *errkind.Error.
+// Client calls the trainer coordinator. All calls are idempotent; errors are
+// *errkind.Error.
 type Client interface {
 	SubmitStep(ctx context.Context, trainer, step string, request api.StepRequest) (api.StepStatus, error)
 	StepStatus(ctx context.Context, trainer, step string) (api.StepStatus, error)
@@ -30,18 +30,18 @@
 	Acknowledge(ctx context.Context, trainer string, request api.AckRequest) (api.AckResponse, error)
 }
 
-// API is the trainers' HTTP interface.
+// API serves the trainer interface.
 type API struct {
 	client Client
 	tables policy.Source
 }
 
-// New returns the interface in front of a coordinator's client.
+// New returns an API that forwards valid requests to the client.
 func New(client Client, tables policy.Source) *API {
 	return &API{client: client, tables: tables}
 }
 
-// Register adds the routes.
+// Register adds the routes to a router.
 func (a *API) Register(router *mux.Router) {
 	router.HandleFunc("/v1/trainers/{trainer}/steps/{step}", a.handle(a.submitStep)).Methods(http.MethodPut)
 	router.HandleFunc("/v1/trainers/{trainer}/steps/{step}", a.handle(a.stepStatus)).Methods(http.MethodGet)
@@ -50,14 +50,14 @@
 	router.HandleFunc("/v1/trainers/{trainer}/ack", a.handle(a.acknowledge)).Methods(http.MethodPost)
 }
 
-// handler answers one call for a trainer known to the table.
+// handler returns the response to one call of a trainer that is in the table.
 type handler func(w http.ResponseWriter, r *http.Request, trainer string) (any, error)
 
-// handle wraps a handler with the checks that all calls share.
+// handle wraps a handler with the checks common to all calls and writes its result.
 func (a *API) handle(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		trainer := mux.Vars(r)["trainer"]
-		response, err := a.checked(w, r, trainer, next)
+		response, err := a.checkAndCall(w, r, trainer, next)
 		if err != nil {
 			httpapi.WriteError(w, err)
 			return
@@ -66,7 +66,7 @@
 	}
 }
 
-func (a *API) checked(w http.ResponseWriter, r *http.Request, trainer string, next handler) (any, error) {
+func (a *API) checkAndCall(w http.ResponseWriter, r *http.Request, trainer string, next handler) (any, error) {
 	if err := a.tables.Current(); err != nil {
 		return nil, err
 	}
--- a/internal/trainerapi/trainerapi_test.go
+++ b/internal/trainerapi/trainerapi_test.go
@@ -71,7 +71,7 @@
 	return f
 }
 
-// do sends one call and returns the status and the error detail, if any.
+// do sends one request and returns the status code and the error detail, if any.
 func (f *fixture) do(t *testing.T, method, path, body string) (int, api.ErrorDetail) {
 	t.Helper()
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
@@ -85,12 +85,12 @@
 	return recorder.Code, answer.Error
 }
 
-const goodStep = `{"prompts":[{"text":"p"}],"samples_per_prompt":2,"max_tokens":8,"trainer_version":1}`
+const validStep = `{"prompts":[{"text":"p"}],"samples_per_prompt":2,"max_tokens":8,"trainer_version":1}`
 
-func TestCallsReachTheCoordinator(t *testing.T) {
+func TestCallsReachCoordinator(t *testing.T) {
 	f := newFixture()
 	for _, call := range []struct{ method, path, body string }{
-		{http.MethodPut, "/v1/trainers/drafts/steps/s-1", goodStep},
+		{http.MethodPut, "/v1/trainers/drafts/steps/s-1", validStep},
 		{http.MethodGet, "/v1/trainers/drafts/steps/s-1", ""},
 		{http.MethodDelete, "/v1/trainers/drafts/steps/s-1", ""},
 		{http.MethodPost, "/v1/trainers/drafts/fetch", `{"trainer_version":1}`},
@@ -105,26 +105,26 @@
 	assert.Equal(t, f.client.fetch.WaitMS, int64(api.DefaultFetchWaitMS))
 }
 
-func TestBadCallsAreRefused(t *testing.T) {
+func TestInvalidCallsRejected(t *testing.T) {
 	f := newFixture()
 	step, fetch, ack := "/v1/trainers/drafts/steps/s", "/v1/trainers/drafts/fetch", "/v1/trainers/drafts/ack"
 	for _, call := range []struct{ method, path, body, code, message string }{
-		{http.MethodPut, "/v1/trainers/nobody/steps/s", goodStep, "unknown_service", "no service"},
-		{http.MethodPut, "/v1/trainers/desk/steps/s", goodStep, "unknown_service", "not a trainer"},
-		{http.MethodPut, "/v1/trainers/drafts/steps/-s", goodStep, "invalid_request", "step ID"},
+		{http.MethodPut, "/v1/trainers/nobody/steps/s", validStep, "unknown_service", "no service"},
+		{http.MethodPut, "/v1/trainers/desk/steps/s", validStep, "unknown_service", "not a trainer"},
+		{http.MethodPut, "/v1/trainers/drafts/steps/-s", validStep, "invalid_request", "step ID"},
 		{http.MethodDelete, "/v1/trainers/drafts/steps/-s", "", "invalid_request", "step ID"},
 		{http.MethodDelete, "/v1/trainers/nobody/steps/s", "", "unknown_service", "no service"},
 		{http.MethodPut, step, ``, "invalid_request", "empty"},
 		{http.MethodPut, step, `{"propmts":[]}`, "invalid_request", "propmts"},
 		{http.MethodPut, step, `{"prompts":[]}`, "invalid_request", "prompts is empty"},
-		{http.MethodPut, step, strings.Replace(goodStep, `"p"`, `""`, 1), "invalid_request", "prompts[0].text"},
-		{http.MethodPut, step, strings.Replace(goodStep, `prompt":2`, `prompt":0`, 1), "invalid_request", "samples_per_prompt"},
-		{http.MethodPut, step, strings.Replace(goodStep, `tokens":8`, `tokens":-1`, 1), "invalid_request", "max_tokens"},
+		{http.MethodPut, step, strings.Replace(validStep, `"p"`, `""`, 1), "invalid_request", "prompts[0].text"},
+		{http.MethodPut, step, strings.Replace(validStep, `prompt":2`, `prompt":0`, 1), "invalid_request", "samples_per_prompt"},
+		{http.MethodPut, step, strings.Replace(validStep, `tokens":8`, `tokens":-1`, 1), "invalid_request", "max_tokens"},
 		{http.MethodPut, step, `{"prompts":[{"text":"` + strings.Repeat("x", maxStepBytes) + `"}]}`, "payload_too_large", ""},
 		{http.MethodPost, fetch, `{"max":-1}`, "invalid_request", "max"},
 		{http.MethodPost, fetch, `{"wait_ms":60001}`, "invalid_request", "wait_ms"},
 		{http.MethodPost, fetch, `{"holding":["x"]}`, "invalid_request", "holding[0]"},
-		{http.MethodPut, step, strings.Replace(goodStep, `version":1`, `version":0`, 1), "invalid_request", "trainer_version"},
+		{http.MethodPut, step, strings.Replace(validStep, `version":1`, `version":0`, 1), "invalid_request", "trainer_version"},
 		{http.MethodPost, fetch, `{}`, "invalid_request", "trainer_version"},
 		{http.MethodPost, ack, `{"token":1,"samples":["s/0/1"]}`, "invalid_request", "trainer_version"},
 		{http.MethodPost, ack, `{"samples":["s/0/1"]}`, "invalid_request", "token"},
@@ -135,17 +135,17 @@
 		assert.Assert(t, strings.Contains(detail.Message, call.message), detail.Message)
 		assert.Equal(t, detail.Executed, "no")
 	}
-	assert.Equal(t, f.client.trainer, "", "nothing reached the coordinator")
+	assert.Equal(t, f.client.trainer, "", "no call must reach the coordinator")
 }
 
-func TestRefusedWhileTheTableMayBeOld(t *testing.T) {
+func TestCallsRejectedWhileTableNotCurrent(t *testing.T) {
 	f := newFixture()
-	f.tables.current = errkind.New(errkind.NotCurrent, "heard neither log nor peers")
-	status, detail := f.do(t, http.MethodPut, "/v1/trainers/drafts/steps/s", goodStep)
+	f.tables.current = errkind.New(errkind.NotCurrent, "no contact with the log or with peers")
+	status, detail := f.do(t, http.MethodPut, "/v1/trainers/drafts/steps/s", validStep)
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Equal(t, detail.Code, "not_current")
 	f.tables.current = nil
 	f.client.err = errkind.New(errkind.StepMismatch, "another request")
-	status, _ = f.do(t, http.MethodPut, "/v1/trainers/drafts/steps/s", goodStep)
+	status, _ = f.do(t, http.MethodPut, "/v1/trainers/drafts/steps/s", validStep)
 	assert.Equal(t, status, http.StatusConflict)
 }
--- a/internal/trainerapi/validate.go
+++ b/internal/trainerapi/validate.go
@@ -7,8 +7,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// Bounds of the fields of requests. Names that end in Bytes or MS
-// are in bytes or milliseconds; the others count.
+// Limits of request fields.
 const (
 	maxPromptBytes = 256 << 10
 	maxGroupBytes  = 256
@@ -46,7 +45,7 @@
 	case request.SamplesPerPrompt < 1 || request.SamplesPerPrompt > ledger.MaxSamplesPerPrompt:
 		return outOfRange("samples_per_prompt", int64(request.SamplesPerPrompt), 1, ledger.MaxSamplesPerPrompt)
 	case len(request.Prompts) > ledger.MaxSlots/request.SamplesPerPrompt:
-		return errkind.New(errkind.InvalidRequest, "%d prompts of %d samples: at most %d samples a step",
+		return errkind.New(errkind.InvalidRequest, "%d prompts with %d samples each exceed the limit of %d samples per step",
 			len(request.Prompts), request.SamplesPerPrompt, ledger.MaxSlots)
 	case request.MaxTokens < 1 || request.MaxTokens > maxTokens:
 		return outOfRange("max_tokens", int64(request.MaxTokens), 1, maxTokens)
@@ -59,11 +58,12 @@
 	return checkTrainerVersion(request.TrainerVersion)
 }
 
-// checkTrainerVersion refuses a call that does not name the trainer's version:
-// versions count from 1, and none of any age is stale beside version 0.
+// checkTrainerVersion rejects calls without the trainer's version. Versions start
+// at 1; with version 0, no sample would count as stale.
 func checkTrainerVersion(version uint64) error {
 	if version == 0 {
-		return errkind.New(errkind.InvalidRequest, "trainer_version is missing or 0, expected the weight version that the trainer is at")
+		return errkind.New(errkind.InvalidRequest,
+			"trainer_version is missing or 0, expected the trainer's current weight version")
 	}
 	return nil
 }
