--- a/internal/httpapi/decode.go
+++ b/internal/httpapi/decode.go
@@ -23,14 +23,15 @@
 
 const mediaTypeJSON = "application/json"
 
-// DecodeJSON reads one JSON object of at most limit bytes into a pointer to a
-// struct. A wrong content type or encoding, an oversized or slow body, and each
-// mistake in the object give an *errkind.Error that names it.
+// DecodeJSON decodes a JSON object of at most limit bytes into a pointer to a
+// struct. It rejects unknown fields. Errors are *errkind.Error:
+// UnsupportedMediaType, PayloadTooLarge, RequestTimeout after BodyTimeout, and
+// InvalidRequest for an invalid object.
 func DecodeJSON(w http.ResponseWriter, r *http.Request, limit int64, into any) error {
-	return decodeWithin(w, r, limit, BodyTimeout, into)
+	return decodeJSONWithin(w, r, limit, BodyTimeout, into)
 }
 
-func decodeWithin(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration, into any) error {
+func decodeJSONWithin(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration, into any) error {
 	if err := checkMediaType(r.Header); err != nil {
 		return err
 	}
@@ -69,15 +70,15 @@
 }
 
 func readBody(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration) ([]byte, error) {
-	// Not every ResponseWriter supports deadlines (tests' recorders do not).
+	// Errors are ignored: httptest.ResponseRecorder does not support deadlines.
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(timeout))
 	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
-		// After an error the deadline stays: net/http reads what is left of the
-		// body before it answers, and would wait for it without end.
+		// The deadline is cleared on success only: after an error, net/http reads
+		// the rest of the body before it responds and must not wait indefinitely.
 		_ = controller.SetReadDeadline(time.Time{})
 		return content, nil
 	case errors.As(err, &tooLarge):
@@ -85,12 +86,12 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, errkind.New(errkind.RequestTimeout, "body was not received within %s", timeout)
 	default:
-		return nil, errkind.New(errkind.InvalidRequest, "body was not received whole: %v", err)
+		return nil, errkind.New(errkind.InvalidRequest, "reading the body failed: %v", err)
 	}
 }
 
-// checkObject refuses what the decoder would let pass: "null" leaves the struct
-// as it is, and bytes that are not UTF-8 would be replaced in silence.
+// checkObject rejects input that encoding/json accepts: null, which leaves the
+// struct unchanged, and invalid UTF-8, which is silently replaced.
 func checkObject(content []byte) error {
 	trimmed := bytes.TrimSpace(content)
 	switch {
@@ -99,7 +100,7 @@
 	case !utf8.Valid(content):
 		return errkind.New(errkind.InvalidRequest, "body is not valid UTF-8")
 	case trimmed[0] != '{' && json.Valid(trimmed):
-		return errkind.New(errkind.InvalidRequest, "body is another JSON value, expected a JSON object")
+		return errkind.New(errkind.InvalidRequest, "body is a JSON value of another type, expected a JSON object")
 	default:
 		return nil
 	}
@@ -113,7 +114,7 @@
 		return errkind.New(errkind.InvalidRequest, "field %q is a %s, expected %s",
 			jsonPath(wrongType.Field), wrongType.Value, describeType(wrongType.Type))
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return errkind.New(errkind.InvalidRequest, "body ends too early, expected a whole JSON object")
+		return errkind.New(errkind.InvalidRequest, "body ends too early, expected a complete JSON object")
 	case errors.As(err, &syntax):
 		return errkind.New(errkind.InvalidRequest, "body is not valid JSON at byte %d: %v", syntax.Offset, err)
 	default:
@@ -122,8 +123,8 @@
 	}
 }
 
-// jsonPath drops the names of embedded structs, which no caller sees: the
-// names of fields in bodies begin with a small letter.
+// jsonPath removes the names of embedded Go structs from a field path; they
+// contain capital letters, which JSON field names do not.
 func jsonPath(path string) string {
 	var visible []string
 	for name := range strings.SplitSeq(path, ".") {
@@ -134,7 +135,7 @@
 	return strings.Join(visible, ".")
 }
 
-// describeType names a Go type in the words of JSON.
+// describeType returns the JSON term for a Go type.
 func describeType(expected reflect.Type) string {
 	switch expected.Kind() {
 	case reflect.Pointer:
--- a/internal/httpapi/decode_test.go
+++ b/internal/httpapi/decode_test.go
@@ -30,7 +30,7 @@
 	return http.Header{"Content-Type": {"application/json"}}
 }
 
-func TestDecodeJSONTakesAnObject(t *testing.T) {
+func TestDecodeJSONAcceptsObject(t *testing.T) {
 	into, err := decode(" {\"model\":\"a\",\"max_tokens\":3}\n", jsonHeader())
 	assert.NilError(t, err)
 	assert.Equal(t, into, body{Model: "a", Tokens: 3})
@@ -40,7 +40,7 @@
 	assert.NilError(t, err)
 }
 
-func TestDecodeJSONNamesTheMistake(t *testing.T) {
+func TestDecodeJSONErrorMessages(t *testing.T) {
 	for _, test := range []struct{ content, kind, message string }{
 		{"", "invalid_request", "empty"},
 		{"null", "invalid_request", "expected a JSON object"},
@@ -60,11 +60,11 @@
 		assert.Assert(t, err != nil, test.content)
 		assert.Equal(t, errkind.KindOf(err).String(), test.kind, "%q: %v", test.content, err)
 		assert.Assert(t, strings.Contains(err.Error(), test.message), "%q: %v", test.content, err)
-		assert.Assert(t, !strings.Contains(err.Error(), "Go "), "%q names the program's types: %v", test.content, err)
+		assert.Assert(t, !strings.Contains(err.Error(), "Go "), "%q exposes Go types: %v", test.content, err)
 	}
 }
 
-func TestDecodeJSONRefusesOtherEncodings(t *testing.T) {
+func TestDecodeJSONRejectsUnsupportedEncodings(t *testing.T) {
 	for _, header := range []http.Header{
 		{},
 		{"Content-Type": {"text/plain"}},
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,5 +1,5 @@
-// Package httpapi holds what all HTTP handlers share: the router, bounded and
-// strict decoding of JSON bodies, and error answers from the table of error kinds.
+// Package httpapi provides the router, the strict decoding of JSON bodies and the
+// error responses that all HTTP interfaces share.
 package httpapi
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-// WriteJSON answers with a JSON body.
+// WriteJSON writes a response with a JSON body.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", mediaTypeJSON)
 	w.WriteHeader(status)
@@ -32,13 +32,13 @@
 	}
 }
 
-// WriteError answers with the status, headers and body for the error's kind.
+// WriteError writes the response for the error's kind: status, headers and body.
 func WriteError(w http.ResponseWriter, err error) {
 	WriteErrorDetail(w, errkind.KindOf(err), ErrorDetail(err))
 }
 
-// WriteErrorDetail is WriteError for a detail that carries more than the kind
-// does, such as the rows in conflict.
+// WriteErrorDetail is WriteError with a given detail, for errors with more than
+// ErrorDetail sets, such as conflicting rows.
 func WriteErrorDetail(w http.ResponseWriter, kind errkind.Kind, detail api.ErrorDetail) {
 	w.Header().Set(api.HeaderExecuted, detail.Executed)
 	if detail.RetryAfterMS > 0 {
--- a/internal/httpapi/router.go
+++ b/internal/httpapi/router.go
@@ -11,14 +11,14 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-// routedMethods are the methods that routes are registered for.
-var routedMethods = []string{
+// candidateMethods are the methods that routes may be registered for.
+var candidateMethods = []string{
 	http.MethodDelete, http.MethodGet, http.MethodPatch, http.MethodPost, http.MethodPut,
 }
 
-// NewRouter returns a router whose unknown paths and methods are answered from
-// the table of error kinds. Paths are taken as they are: a redirect to a
-// cleaned path would turn a POST into a GET.
+// NewRouter returns a router that responds to unknown paths and methods with the
+// error body of errkind. It does not redirect to cleaned paths, because clients
+// repeat a redirected POST as a GET.
 func NewRouter() *mux.Router {
 	router := mux.NewRouter().SkipClean(true)
 	router.NotFoundHandler = http.HandlerFunc(NotFound)
@@ -26,45 +26,46 @@
 	return router
 }
 
-// NewHandler wraps a router with what holds for every request of a listener:
-// its body must arrive within BodyTimeout, and HEAD is answered like GET.
+// NewHandler wraps a router so that request bodies must arrive within BodyTimeout
+// and HEAD is handled like GET.
 func NewHandler(router *mux.Router) http.Handler {
-	return boundBody(BodyTimeout, allowHead(router))
+	return withBodyTimeout(BodyTimeout, serveHeadAsGet(router))
 }
 
-// boundBody bounds the wait for a request's body, also where no handler reads
-// it: before an answer net/http reads what is left of a body. DecodeJSON lifts
-// the bound once it has the whole body.
-func boundBody(timeout time.Duration, next http.Handler) http.Handler {
+// withBodyTimeout sets a read deadline for request bodies. It also applies when
+// no handler reads the body, because net/http reads the rest of it before
+// responding. DecodeJSON clears the deadline once the body is complete.
+func withBodyTimeout(timeout time.Duration, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength != 0 {
-			// Every connection of net/http supports deadlines.
+			// No error occurs here: connections of net/http support deadlines.
 			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(timeout))
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// allowHead answers HEAD where GET is allowed; net/http drops the body.
-func allowHead(next http.Handler) http.Handler {
+// serveHeadAsGet handles HEAD with the handler for GET; net/http discards the body.
+func serveHeadAsGet(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodHead {
 			next.ServeHTTP(w, r)
 			return
 		}
-		// A shallow copy: net/http looks at the method of the original.
+		// The original request keeps its method, from which net/http decides to discard the body.
 		get := *r
 		get.Method = http.MethodGet
 		next.ServeHTTP(w, &get)
 	})
 }
 
-// NotFound answers an unknown path with the error table's form.
+// NotFound responds to requests for unknown paths.
 func NotFound(w http.ResponseWriter, r *http.Request) {
 	WriteError(w, errkind.New(errkind.NotFound, "no resource at %s", r.URL.Path))
 }
 
-// MethodNotAllowed answers a known path asked with another method, and OPTIONS.
+// MethodNotAllowed responds to requests with an unsupported method for a known
+// path, and to OPTIONS.
 func MethodNotAllowed(router *mux.Router) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Allow", strings.Join(allowedMethods(router, r), ", "))
@@ -78,11 +79,11 @@
 
 func allowedMethods(router *mux.Router, r *http.Request) []string {
 	allowed := []string{http.MethodOptions}
-	for _, method := range routedMethods {
-		asked := *r
-		asked.Method = method
+	for _, method := range candidateMethods {
+		candidate := *r
+		candidate.Method = method
 		var match mux.RouteMatch
-		if !router.Match(&asked, &match) || match.MatchErr != nil {
+		if !router.Match(&candidate, &match) || match.MatchErr != nil {
 			continue
 		}
 		allowed = append(allowed, method)
--- a/internal/httpapi/router_test.go
+++ b/internal/httpapi/router_test.go
@@ -17,8 +17,7 @@
 
 const (
 	testBodyTimeout = 200 * time.Millisecond
-	// answerLimit is generous: only a server that never answers exceeds it.
-	answerLimit = 30 * time.Second
+	answerTimeout   = 30 * time.Second
 )
 
 func newTestServer(t *testing.T) *httptest.Server {
@@ -28,13 +27,13 @@
 	}).Methods(http.MethodGet)
 	router.HandleFunc("/v1/things", func(w http.ResponseWriter, r *http.Request) {
 		var into body
-		if err := decodeWithin(w, r, bodyLimit, testBodyTimeout, &into); err != nil {
+		if err := decodeJSONWithin(w, r, bodyLimit, testBodyTimeout, &into); err != nil {
 			WriteError(w, err)
 			return
 		}
 		WriteJSON(w, http.StatusOK, into)
 	}).Methods(http.MethodPost)
-	server := httptest.NewServer(boundBody(testBodyTimeout, allowHead(router)))
+	server := httptest.NewServer(withBodyTimeout(testBodyTimeout, serveHeadAsGet(router)))
 	t.Cleanup(server.Close)
 	return server
 }
@@ -51,13 +50,13 @@
 	return response, string(content)
 }
 
-func TestHeadIsGetWithoutBody(t *testing.T) {
+func TestHeadAnsweredLikeGet(t *testing.T) {
 	response, content := send(t, newTestServer(t), http.MethodHead, "/v1/things")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, content, "")
 }
 
-func TestOptionsAndWrongMethodsNameTheAllowedOnes(t *testing.T) {
+func TestAllowHeaderOnOptionsAndWrongMethod(t *testing.T) {
 	server := newTestServer(t)
 	response, _ := send(t, server, http.MethodOptions, "/v1/things")
 	assert.Equal(t, response.StatusCode, http.StatusNoContent)
@@ -69,8 +68,8 @@
 	assert.Assert(t, strings.Contains(content, "method_not_allowed"), content)
 }
 
-// TestUnknownPathsAreErrorsNotRedirects: a redirected POST would come back as GET.
-func TestUnknownPathsAreErrorsNotRedirects(t *testing.T) {
+// Guards against redirects, after which clients repeat a POST as a GET.
+func TestUnknownPathsNotRedirected(t *testing.T) {
 	server := newTestServer(t)
 	for _, path := range []string{"/", "/v1//things", "/v1/things/", "/v1/./things", "/v2"} {
 		response, content := send(t, server, http.MethodPost, path)
@@ -81,26 +80,26 @@
 	}
 }
 
-// TestSlowBodyIsAnswered: a caller that stops in the middle of its body gets
-// an answer, also when nothing reads the body.
-func TestSlowBodyIsAnswered(t *testing.T) {
+// Guards against requests that hang because the client never completes its body,
+// also when no handler reads the body.
+func TestIncompleteBodyIsAnswered(t *testing.T) {
 	server := newTestServer(t)
 	for _, test := range []struct{ path, contentType, status string }{
 		{"/v1/things", "application/json", "HTTP/1.1 408 "},
 		{"/v1/things", "text/plain", "HTTP/1.1 415 "},
 		{"/nowhere", "application/json", "HTTP/1.1 404 "},
 	} {
-		answer := sendPartOfBody(t, server, test.path, test.contentType)
+		answer := sendIncompleteBody(t, server, test.path, test.contentType)
 		assert.Assert(t, strings.HasPrefix(answer, test.status), "%s: %q", test.path, answer)
 	}
 }
 
-func sendPartOfBody(t *testing.T, server *httptest.Server, path, contentType string) string {
+func sendIncompleteBody(t *testing.T, server *httptest.Server, path, contentType string) string {
 	t.Helper()
 	connection, err := net.Dial("tcp", server.Listener.Addr().String())
 	assert.NilError(t, err)
 	defer connection.Close()
-	assert.NilError(t, connection.SetDeadline(time.Now().Add(answerLimit)))
+	assert.NilError(t, connection.SetDeadline(time.Now().Add(answerTimeout)))
 	_, err = io.WriteString(connection, "POST "+path+" HTTP/1.1\r\nHost: a\r\n"+
 		"Content-Type: "+contentType+"\r\nContent-Length: 20\r\n\r\n{\"model\":")
 	assert.NilError(t, err)
