--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,20 +1,20 @@
 // Package api defines the JSON bodies of corkpulley's HTTP interfaces for
-// callers, trainers and operators. The daemon, corkctl and corkbench share them.
+// callers, trainers and operators.
 package api
 
 import "github.com/corkpulley/corkpulley/internal/core/policy"
 
-// Headers of the callers' interface.
+// Headers of the caller interface.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderRequestID      = "X-Request-Id"
-	// HeaderExecuted tells on every error whether the request ran: no, yes, unknown.
+	// HeaderExecuted states on every error whether the request ran: no, yes or unknown.
 	HeaderExecuted = "X-Corkpulley-Executed"
 )
 
 // CompletionRequest is the body of POST /v1/completions.
 type CompletionRequest struct {
-	Model       string   `json:"model"` // the service's name
+	Model       string   `json:"model"` // name of the service
 	Prompt      string   `json:"prompt"`
 	MaxTokens   int      `json:"max_tokens,omitempty"`
 	Temperature *float64 `json:"temperature,omitempty"`
@@ -24,14 +24,14 @@
 	User string `json:"user,omitempty"`
 }
 
-// VersionSpan names the weight version that produced tokens [From, To).
+// VersionSpan is the weight version that generated tokens [From, To).
 type VersionSpan struct {
 	Version uint64 `json:"version" msgpack:"v"`
 	From    int    `json:"from" msgpack:"f"`
 	To      int    `json:"to" msgpack:"t"`
 }
 
-// CompletionChoice is one answer (there is always exactly one).
+// CompletionChoice is one generated completion. There is always exactly one.
 type CompletionChoice struct {
 	Index        int     `json:"index"`
 	Text         string  `json:"text"`
@@ -46,8 +46,8 @@
 	CachedTokens     int `json:"cached_tokens"`
 }
 
-// Completion is the whole answer, and the body of each SSE event of a streamed
-// one (which ends with "data: [DONE]"). The last event carries Usage and Versions.
+// Completion is the response body, and the body of each SSE event of a streamed
+// response (which ends with "data: [DONE]"). The last event has Usage and Versions.
 type Completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"` // "text_completion"
@@ -55,11 +55,11 @@
 	Model   string             `json:"model"`
 	Choices []CompletionChoice `json:"choices"`
 	Usage   *Usage             `json:"usage,omitempty"`
-	// Versions names the weight versions of the tokens of this body.
+	// Versions are the weight versions that generated the tokens of this body.
 	Versions []VersionSpan `json:"weight_versions,omitempty"`
 }
 
-// ErrorBody is the body of every error answer and of an SSE error event.
+// ErrorBody is the body of every error response and of an SSE error event.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
@@ -70,35 +70,35 @@
 	Message   string `json:"message"`
 	Executed  string `json:"executed"` // "no", "yes", "unknown"
 	Retryable bool   `json:"retryable"`
-	// RetryAfterMS suggests a delay; also sent as Retry-After in seconds.
+	// RetryAfterMS is the suggested delay before a retry; also sent as Retry-After in seconds.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
-	// Conflicts lists table rows changed by others, with code table_conflict.
+	// Conflicts lists the rows changed concurrently; set with code table_conflict.
 	Conflicts []policy.RowChange `json:"conflicts,omitempty"`
-	// Problems lists every mistake of a table, with code table_invalid.
+	// Problems lists all validation errors of a table; set with code table_invalid.
 	Problems []policy.Problem `json:"problems,omitempty"`
 }
 
-// StepRequest is the body of PUT /v1/trainers/{trainer}/steps/{step}: the
-// same id with the same body is answered again, another body is refused (step_mismatch).
+// StepRequest is the body of PUT /v1/trainers/{trainer}/steps/{step}. It is
+// idempotent; a different body for the same step is rejected with step_mismatch.
 type StepRequest struct {
 	Prompts []StepPrompt `json:"prompts"`
-	// SamplesPerPrompt wanted, 1..1024.
+	// SamplesPerPrompt is the number of samples to generate for each prompt, 1..1024.
 	SamplesPerPrompt int     `json:"samples_per_prompt"`
 	MaxTokens        int     `json:"max_tokens"`
 	Temperature      float64 `json:"temperature,omitempty"`
 	Seed             int64   `json:"seed,omitempty"`
-	// TrainerVersion is the weight version that the trainer is at.
+	// TrainerVersion is the trainer's current weight version, from 1.
 	TrainerVersion uint64 `json:"trainer_version"`
 }
 
 // StepPrompt is one prompt of a step.
 type StepPrompt struct {
-	// Group names prompts of the same kind, for learning lengths; optional.
+	// Group identifies prompts with similar output lengths, for predicting lengths; optional.
 	Group string `json:"group,omitempty"`
 	Text  string `json:"text"`
 }
 
-// StepStatus answers a submitted step and GET of the same path.
+// StepStatus is the response to PUT, GET and DELETE of a step.
 type StepStatus struct {
 	Trainer      string `json:"trainer"`
 	Step         string `json:"step"`
@@ -108,7 +108,8 @@
 	Acknowledged int    `json:"acknowledged"`
 	Discarded    int    `json:"discarded"` // samples discarded as stale so far
 	Done         bool   `json:"done"`      // all wanted samples acknowledged
-	// Abandoned: the trainer gave the step up; nothing of it runs or is delivered.
+	// Abandoned is true once the trainer canceled the step; its samples are no
+	// longer generated or delivered.
 	Abandoned bool   `json:"abandoned,omitempty"`
 	Owner     string `json:"owner,omitempty"`
 	Epoch     int64  `json:"epoch,omitempty"`
@@ -118,33 +119,33 @@
 type FetchRequest struct {
 	// Step limits the fetch to one step; empty for any.
 	Step string `json:"step,omitempty"`
-	// TrainerVersion is the weight version that the trainer is at now.
+	// TrainerVersion is the trainer's current weight version, from 1.
 	TrainerVersion uint64 `json:"trainer_version"`
-	// Holding lists sample IDs delivered before and not yet acknowledged that
-	// the trainer still has; they are not sent again.
+	// Holding lists IDs of unacknowledged samples that the trainer already has;
+	// they are not sent again.
 	Holding []string `json:"holding,omitempty"`
 	Max     int      `json:"max,omitempty"`     // samples at once, default DefaultFetchMax
 	WaitMS  int64    `json:"wait_ms,omitempty"` // default DefaultFetchWaitMS, at most 60000
 }
 
-// What a FetchRequest means when it leaves Max or WaitMS (milliseconds) out.
+// Defaults of FetchRequest.Max (samples) and FetchRequest.WaitMS (milliseconds).
 const (
 	DefaultFetchMax    = 64
 	DefaultFetchWaitMS = 10_000
 )
 
-// FetchResponse carries samples; a later fetch supersedes the token for those
-// samples that it delivers again.
+// FetchResponse contains samples and the token to acknowledge them with. A later
+// fetch that delivers a sample again supersedes the earlier token for it.
 type FetchResponse struct {
 	Token   int64    `json:"token"`
 	Samples []Sample `json:"samples"`
-	// Steps are the states of the steps asked for.
+	// Steps are the states of the requested steps.
 	Steps []StepStatus `json:"steps,omitempty"`
 }
 
 // Sample is one finished, scored sample.
 type Sample struct {
-	// ID is unique: step, slot and attempt.
+	// ID is unique for the step, slot and attempt.
 	ID     string  `json:"id"`
 	Step   string  `json:"step"`
 	Prompt int     `json:"prompt"` // index in StepRequest.Prompts
@@ -152,21 +153,21 @@
 	Text   string  `json:"text"`
 	Tokens int     `json:"tokens"`
 	Score  float64 `json:"score"`
-	// Versions covers [0, Tokens) without a gap.
+	// Versions covers [0, Tokens) without gaps.
 	Versions     []VersionSpan `json:"weight_versions"`
 	FinishReason string        `json:"finish_reason"`
 }
 
-// AckRequest is the body of POST /v1/trainers/{trainer}/ack. It may be repeated.
+// AckRequest is the body of POST /v1/trainers/{trainer}/ack. It is idempotent.
 type AckRequest struct {
 	Token          int64    `json:"token"`
 	Samples        []string `json:"samples"`
 	TrainerVersion uint64   `json:"trainer_version"`
 }
 
-// AckResponse tells which samples now count as delivered. A trainer uses a
-// sample only once it stands in Accepted. Rejected ones were superseded or
-// became stale; their slots are filled again.
+// AckResponse lists the samples that are now delivered. A trainer may use a
+// sample only once it is in Accepted. Rejected samples were superseded or became
+// stale; replacements are generated.
 type AckResponse struct {
 	Accepted []string `json:"accepted"`
 	Rejected []string `json:"rejected,omitempty"`
@@ -174,27 +175,27 @@
 
 // TableProposal is the body of POST /v1/table.
 type TableProposal struct {
-	// BaseRevision is the revision that the edit started from.
+	// BaseRevision is the revision that the edit is based on.
 	BaseRevision int64  `json:"base_revision"`
 	CSV          string `json:"csv"`
 	Operator     string `json:"operator,omitempty"`
-	// ProposalID makes a repeated call harmless.
+	// ProposalID identifies the edit, so that a repeated call has no further effect.
 	ProposalID string `json:"proposal_id"`
 }
 
-// TableAccepted answers an accepted proposal.
+// TableAccepted is the response to an accepted proposal.
 type TableAccepted struct {
 	Revision int64              `json:"revision"`
 	Changes  []policy.RowChange `json:"changes"`
 }
 
-// TableDocument answers GET /v1/table.
+// TableDocument is the response to GET /v1/table.
 type TableDocument struct {
 	policy.Table
 	CSV string `json:"csv"`
 }
 
-// HistoryEntry is one accepted revision; GET /v1/table/history answers a list.
+// HistoryEntry is one accepted revision in the response to GET /v1/table/history.
 type HistoryEntry struct {
 	Revision int64              `json:"revision"`
 	Base     int64              `json:"base"`
@@ -203,7 +204,7 @@
 	Changes  []policy.RowChange `json:"changes"`
 }
 
-// NodeStatus is one line of GET /v1/status.
+// NodeStatus is one node in the responses to GET /v1/status and GET /v1/nodes.
 type NodeStatus struct {
 	ID            string        `json:"id"`
 	Zone          string        `json:"zone"`
@@ -219,7 +220,7 @@
 	Epoch  int64  `json:"epoch"`
 }
 
-// CellStatus is one cell of GET /v1/status.
+// CellStatus is one cell in the response to GET /v1/status.
 type CellStatus struct {
 	Zone    string `json:"zone"`
 	Pool    string `json:"pool"`
@@ -231,7 +232,8 @@
 	Queued  int    `json:"queued"`
 }
 
-// EngineStatus is one engine of GET /v1/engines (engines of the node's own cells, or all with ?scope=all).
+// EngineStatus is one engine in the response to GET /v1/engines, which lists the
+// engines of the node's own cells, or all with ?scope=all.
 type EngineStatus struct {
 	ID       string            `json:"id"`
 	Address  string            `json:"address"`
@@ -243,12 +245,12 @@
 	Node     string            `json:"node"`
 }
 
-// Status answers GET /v1/status.
+// Status is the response to GET /v1/status.
 type Status struct {
 	Node          NodeStatus `json:"node"`
 	Ready         bool       `json:"ready"`
 	NotReadyCause string     `json:"not_ready_cause,omitempty"`
-	// TableRevision is left out until the node has caught up with the table.
+	// TableRevision is omitted until the node has loaded the latest revision.
 	TableRevision int64        `json:"table_revision,omitempty"`
 	LogReachable  bool         `json:"log_reachable"`
 	Members       []NodeStatus `json:"members"`
@@ -256,35 +258,36 @@
 	Steps         []StepStatus `json:"steps"`
 }
 
-// Zones is one node's view of the zones that engines are in.
+// Zones is a node's view of the zones with engines.
 type Zones struct {
 	Node string `json:"node"`
-	// Leading is true while the node runs the items of batch jobs.
+	// Leading is true while the node runs items of batch jobs.
 	Leading bool `json:"leading"`
-	// AgeMs is how old the newest of what the node knows of evacuations is.
+	// AgeMs is the age of the node's information about evacuations, in milliseconds.
 	AgeMs int64 `json:"age_ms"`
-	// LeftOut are the services whose engines this node does not follow, which are missing in the counts.
+	// LeftOut are the services whose engines this node does not track; the counts exclude them.
 	LeftOut []string     `json:"left_out,omitempty"`
 	Zones   []ZoneStatus `json:"zones"`
 }
 
-// ZoneStatus is one zone as a node sees it.
+// ZoneStatus is a node's view of one zone.
 type ZoneStatus struct {
 	Zone      string `json:"zone"`
 	Evacuated bool   `json:"evacuated"`
-	// Since is when the evacuation came into force at this node or was taken back there, and Offset the
-	// place of its record in the log; both are absent where there never was one.
+	// Since is when the latest start or end of an evacuation took effect on this node; Offset is that of its
+	// record in the log. Both are omitted if the zone was never evacuated.
 	Since  string `json:"since,omitempty"`
 	Offset int64  `json:"offset,omitempty"`
-	// Engines is the number of engines listed in the zone; zero for a zone that nobody knows.
+	// Engines is the number of engines in the zone; zero for an unknown zone.
 	Engines int `json:"engines"`
-	// InFlight is the number of this node's requests at them, and Items how many of these are items of
-	// batch jobs, which only a leading node has.
+	// InFlight is the number of this node's requests in flight at these engines. Items is how many of them are
+	// items of batch jobs, which only a leading node runs.
 	InFlight int `json:"in_flight"`
 	Items    int `json:"items"`
 }
 
-// EvacuationAccepted is the answer to an order about a zone: the log has it.
+// EvacuationAccepted is the response to the start or end of a zone's evacuation,
+// sent once the log has stored it.
 type EvacuationAccepted struct {
 	Zone      string `json:"zone"`
 	Evacuated bool   `json:"evacuated"`
