--- a/internal/engine/codes.go
+++ b/internal/engine/codes.go
@@ -1,6 +1,6 @@
 package engine
 
-// Codes of a Refusal.
+// Values of Refusal.Code.
 const (
 	CodeDraining      = "draining"
 	CodeOverloaded    = "overloaded"
@@ -9,18 +9,18 @@
 	CodeUnknownStream = "unknown_stream"
 	CodeStaleFence    = "stale_fence"
 	CodeInvalid       = "invalid"
-	// CodeUnknownModel: the engine does not hold the model.
+	// CodeUnknownModel means that the engine does not serve the model.
 	CodeUnknownModel = "unknown_model"
 )
 
-// Kinds of an Order.
+// Values of Order.Kind.
 const (
 	OrderLoad  = "load"
 	OrderDrain = "drain"
 	OrderServe = "serve"
 )
 
-// Reasons in Chunk.FinishReason.
+// Values of Chunk.FinishReason.
 const (
 	FinishStop     = "stop"
 	FinishLength   = "length"
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -4,15 +4,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlockBytes is the length in bytes of a prompt block that prefix caches
-// work with. Token counts are estimated as bytes / BytesPerToken.
+// PrefixBlockBytes is the size of the prompt blocks that prefix caches store, in bytes.
 const PrefixBlockBytes = 64
 
-// BytesPerToken converts prompt bytes to an estimate of tokens.
+// BytesPerToken is the ratio used to estimate the tokens of a prompt from its bytes.
 const BytesPerToken = 4
 
-// PrefixHashes returns one hash for each whole block of the prompt; each hash
-// covers the model, the version and all of the prompt up to the block's end.
+// PrefixHashes returns one hash for each complete block of the prompt. A hash
+// covers the model, the version and the prompt up to the end of the block.
 func PrefixHashes(model string, version uint64, prompt string) []uint64 {
 	blocks := len(prompt) / PrefixBlockBytes
 	hashes := make([]uint64, 0, blocks)
