--- a/internal/message/progress.go
+++ b/internal/message/progress.go
@@ -2,11 +2,11 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// EncodeMsgpack encodes the message as msgpack encodes its fields by their
-// tags, without the reflection that each relayed chunk would pay for.
+// EncodeMsgpack encodes the message like its msgpack tags, but without reflection,
+// because it runs for each relayed chunk.
 func (p Progress) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	e := fieldEncoder{encoder: encoder}
-	e.count(p.fields())
+	e.count(p.fieldCount())
 	e.unsigned("a", uint64(p.Attempt))
 	e.unsigned("ea", uint64(p.EngineAttempt))
 	if p.Engine != "" {
@@ -14,12 +14,12 @@
 	}
 	e.integer("f", p.FirstToken)
 	if len(p.Tokens) > 0 {
-		e.texts("t", p.Tokens)
+		e.textArray("t", p.Tokens)
 	}
 	e.unsigned("v", p.Version)
 	if p.Finished {
 		e.key("d")
-		e.note(encoder.EncodeBool(true))
+		e.setError(encoder.EncodeBool(true))
 	}
 	if p.FinishReason != "" {
 		e.text("fr", p.FinishReason)
@@ -29,13 +29,13 @@
 	}
 	if p.Load != nil {
 		e.key("l")
-		e.note(encoder.Encode(p.Load))
+		e.setError(encoder.Encode(p.Load))
 	}
 	return e.err
 }
 
-// fields counts the fields that are encoded: four always, the others unless empty.
-func (p *Progress) fields() int {
+// fieldCount returns the number of encoded fields: four required ones and the optional ones that are set.
+func (p *Progress) fieldCount() int {
 	count := 4
 	for _, present := range [...]bool{
 		p.Engine != "", len(p.Tokens) > 0, p.Finished, p.FinishReason != "", p.CachedTokens != 0, p.Load != nil,
@@ -53,35 +53,35 @@
 	err     error
 }
 
-func (e *fieldEncoder) note(err error) {
+func (e *fieldEncoder) setError(err error) {
 	if e.err == nil {
 		e.err = err
 	}
 }
 
-func (e *fieldEncoder) count(fields int) { e.note(e.encoder.EncodeMapLen(fields)) }
+func (e *fieldEncoder) count(fields int) { e.setError(e.encoder.EncodeMapLen(fields)) }
 
-func (e *fieldEncoder) key(name string) { e.note(e.encoder.EncodeString(name)) }
+func (e *fieldEncoder) key(name string) { e.setError(e.encoder.EncodeString(name)) }
 
 func (e *fieldEncoder) text(name, value string) {
 	e.key(name)
-	e.note(e.encoder.EncodeString(value))
+	e.setError(e.encoder.EncodeString(value))
 }
 
-func (e *fieldEncoder) texts(name string, values []string) {
+func (e *fieldEncoder) textArray(name string, values []string) {
 	e.key(name)
-	e.note(e.encoder.EncodeArrayLen(len(values)))
+	e.setError(e.encoder.EncodeArrayLen(len(values)))
 	for _, value := range values {
-		e.note(e.encoder.EncodeString(value))
+		e.setError(e.encoder.EncodeString(value))
 	}
 }
 
 func (e *fieldEncoder) unsigned(name string, value uint64) {
 	e.key(name)
-	e.note(e.encoder.EncodeUint(value))
+	e.setError(e.encoder.EncodeUint(value))
 }
 
 func (e *fieldEncoder) integer(name string, value int) {
 	e.key(name)
-	e.note(e.encoder.EncodeInt(int64(value)))
+	e.setError(e.encoder.EncodeInt(int64(value)))
 }
--- a/internal/message/progress_test.go
+++ b/internal/message/progress_test.go
@@ -11,7 +11,7 @@
 	_ "github.com/corkpulley/corkpulley/internal/common/fixedseed"
 )
 
-// taggedProgress is a Progress that msgpack encodes by its tags.
+// taggedProgress is a Progress without EncodeMsgpack, which msgpack encodes by its tags.
 type taggedProgress Progress
 
 func encodeCompactly(t *rapid.T, value any) []byte {
@@ -22,13 +22,12 @@
 	return buffer.Bytes()
 }
 
-// TestProgressIsEncodedByItsTags: a field that is added to the type and not to
-// the encoding fails here, as each field is drawn.
-func TestProgressIsEncodedByItsTags(t *testing.T) {
+// Guards against fields that are added to Progress but not to EncodeMsgpack.
+func TestProgressEncodingMatchesTags(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		progress := rapid.Make[Progress]().Draw(t, "progress")
-		wanted := encodeCompactly(t, (*taggedProgress)(&progress))
-		assert.DeepEqual(t, encodeCompactly(t, progress), wanted)
-		assert.DeepEqual(t, encodeCompactly(t, &progress), wanted)
+		expected := encodeCompactly(t, (*taggedProgress)(&progress))
+		assert.DeepEqual(t, encodeCompactly(t, progress), expected)
+		assert.DeepEqual(t, encodeCompactly(t, &progress), expected)
 	})
 }
