--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,15 +1,15 @@
-// Package buildinfo tells which build of corkpulley a program is.
+// Package buildinfo describes the build of the running program.
 package buildinfo
 
 import (
 	"runtime/debug"
 )
 
-// unknown stands for what the Go tool did not record, such as in tests.
+// unknown replaces a version that the Go tool did not record, as in tests.
 const unknown = "unknown"
 
-// Version returns the module's version, the commit where it was recorded
-// ("-dirty" when the tree had changes), and the Go release.
+// Version returns the module version, the commit if recorded (with "-dirty" for
+// a modified working tree) and the Go version.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
