--- a/internal/goldenrecord/fields.go
+++ b/internal/goldenrecord/fields.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// separator stands between the names of a path of fields.
-	separator = "."
-	// elements stands for all elements of a list.
-	elements = "[]"
+	// pathSeparator separates the field names of a path.
+	pathSeparator = "."
+	// elementSuffix after the path of a list denotes its elements.
+	elementSuffix = "[]"
 )
 
-// container is the value of a field that holds others.
+// container is the value recorded for a map or a list.
 type container string
 
 const (
@@ -26,7 +26,7 @@
 	list   container = "list"
 )
 
-// fieldsOf returns the fields of an encoded record by their paths.
+// fieldsOf decodes a record and returns its fields by path, including nested ones.
 func fieldsOf(t *testing.T, raw []byte) map[string]any {
 	t.Helper()
 	var decoded any
@@ -41,20 +41,20 @@
 	case map[string]any:
 		fields[path] = object
 		for name, each := range value {
-			collect(fields, strings.TrimPrefix(path+separator+name, separator), each)
+			collect(fields, strings.TrimPrefix(path+pathSeparator+name, pathSeparator), each)
 		}
 	case []any:
 		fields[path] = list
 		for _, each := range value {
-			collect(fields, path+elements, each)
+			collect(fields, path+elementSuffix, each)
 		}
 	default:
 		fields[path] = value
 	}
 }
 
-// classOf returns the type of a field on the wire; integers of all sizes are one type.
-func classOf(value any) string {
+// wireType returns the encoded type of a field; all sizes of integers are one type.
+func wireType(value any) string {
 	if container, ok := value.(container); ok {
 		return string(container)
 	}
@@ -67,11 +67,11 @@
 	}
 }
 
-// empty returns a pointer to a new record of the type.
-func empty(record any) any { return reflect.New(reflect.TypeOf(record).Elem()).Interface() }
+// newRecord returns a pointer to a zero value of the type that record points to.
+func newRecord(record any) any { return reflect.New(reflect.TypeOf(record).Elem()).Interface() }
 
-// Fill sets all fields of the record that the pointer leads to: each to another value that isn't zero, and lists and maps
-// to one element.
+// Fill sets all exported fields of the struct that record points to: scalars to distinct non-zero values, except that
+// booleans are true, and slices and maps to one element.
 func Fill(record any) {
 	next := 0
 	fill(reflect.ValueOf(record).Elem(), &next)
--- a/internal/goldenrecord/goldenrecord.go
+++ b/internal/goldenrecord/goldenrecord.go
@@ -1,9 +1,9 @@
-// Package goldenrecord compares records and messages with those that earlier builds wrote, for tests.
+// Package goldenrecord tests the encoding of records and messages for compatibility with earlier builds.
 //
-// A golden file holds a record as the encoder of an earlier build wrote it, with all fields filled: so its fields are also
-// those that the decoder of that build knows. To write the files of a build, copy this package and the tests that call it
-// into a working tree of its commit, and run these with CORKPULLEY_GOLDEN_COMMIT set to the commit; then take the
-// folders testdata/golden/COMMIT over.
+// A golden file is a record encoded by an earlier build with all fields set, so it has every field that the decoder
+// of that build knows. To write the golden files of a build, copy this package and the tests that use it into a
+// working tree of its commit, run the tests with CORKPULLEY_GOLDEN_COMMIT set to the commit, and copy the resulting
+// directories testdata/golden/COMMIT back.
 package goldenrecord
 
 import (
@@ -19,25 +19,26 @@
 )
 
 const (
-	// writeVariable names the commit for which golden files are written.
-	writeVariable = "CORKPULLEY_GOLDEN_COMMIT"
-	folder        = "testdata/golden"
-	extension     = ".msgpack"
-	folderMode    = 0o755
-	fileMode      = 0o644
+	// commitVariable names the commit for which golden files are written.
+	commitVariable  = "CORKPULLEY_GOLDEN_COMMIT"
+	goldenDirectory = "testdata/golden"
+	extension       = ".msgpack"
+	directoryMode   = 0o755
+	fileMode        = 0o644
 )
 
-// Sample is a kind of record.
+// Sample is a record type to compare with its golden files.
 type Sample struct {
+	// Name is the base name of the golden files.
 	Name string
-	// Value is a pointer to an empty record.
+	// Value is a pointer to a zero record.
 	Value any
-	// Added are the paths of fields that this build writes and an earlier one doesn't know, by the commit of that build. The
-	// earlier decoder skips them, so that their zero value must mean what that build did.
+	// Added lists, by commit of an earlier build, the paths of the fields that this build writes and that build does
+	// not know. The earlier decoder skips them, so their zero value must mean the behavior of that build.
 	Added map[string][]string
 }
 
-// Check compares this build's records with the golden files.
+// Check compares the records of this build with the golden files, or writes golden files if Writing.
 func Check(t *testing.T, samples ...Sample) {
 	t.Helper()
 	if commit := Writing(); commit != "" {
@@ -54,8 +55,8 @@
 	}
 }
 
-// CheckNumbers compares numbers that are sent or stored, by their names, with those of earlier builds: a number keeps its
-// meaning.
+// CheckNumbers checks that enumeration values, by name, equal those in the golden files, or writes a golden file if
+// Writing.
 func CheckNumbers(t *testing.T, name string, numbers map[string]int64) {
 	t.Helper()
 	if commit := Writing(); commit != "" {
@@ -65,17 +66,17 @@
 	for _, commit := range Commits(t, name) {
 		var earlier map[string]int64
 		assert.NilError(t, msgpack.Unmarshal(Read(t, commit, name), &earlier))
-		for each, number := range earlier {
-			today, found := numbers[each]
-			assert.Assert(t, found && today == number, "%s: %s is %d, now %d", commit, each, number, today)
+		for key, number := range earlier {
+			current, found := numbers[key]
+			assert.Assert(t, found && current == number, "%s: %s is %d, now %d", commit, key, number, current)
 		}
 	}
 }
 
-// Commits returns the commits that have a golden file of the name, of which there must be one.
+// Commits returns the commits with a golden file of the name. The test fails if there is none.
 func Commits(t *testing.T, name string) []string {
 	t.Helper()
-	files, err := filepath.Glob(pathOf("*", name))
+	files, err := filepath.Glob(goldenPath("*", name))
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) > 0, "no golden file %s", name)
 	var commits []string
@@ -85,57 +86,59 @@
 	return commits
 }
 
-// Write writes a golden file.
+// Write encodes a record to a golden file.
 func Write(t *testing.T, commit, name string, record any) {
 	t.Helper()
 	raw, err := msgpack.Marshal(record)
 	assert.NilError(t, err)
-	assert.NilError(t, os.MkdirAll(filepath.Join(folder, commit), folderMode))
-	assert.NilError(t, os.WriteFile(pathOf(commit, name), raw, fileMode))
+	assert.NilError(t, os.MkdirAll(filepath.Join(goldenDirectory, commit), directoryMode))
+	assert.NilError(t, os.WriteFile(goldenPath(commit, name), raw, fileMode))
 }
 
-// Writing returns the commit whose golden files this run writes; empty where it reads them.
-func Writing() string { return os.Getenv(writeVariable) }
+// Writing returns the commit for which this run writes golden files, or "" if it reads them.
+func Writing() string { return os.Getenv(commitVariable) }
 
 // Read returns a golden file.
 func Read(t *testing.T, commit, name string) []byte {
 	t.Helper()
-	raw, err := os.ReadFile(pathOf(commit, name))
+	raw, err := os.ReadFile(goldenPath(commit, name))
 	assert.NilError(t, err)
 	return raw
 }
 
-func pathOf(commit, name string) string { return filepath.Join(folder, commit, name+extension) }
+func goldenPath(commit, name string) string {
+	return filepath.Join(goldenDirectory, commit, name+extension)
+}
 
-// check compares both directions: this build decodes what the earlier one wrote, and writes all that the earlier
-// decoder knows in the same types.
+// check tests both directions: this build decodes the golden record without loss, and encodes every field of it with
+// the same type.
 func (s Sample) check(t *testing.T, commit string, golden []byte) {
 	t.Helper()
 	earlier := fieldsOf(t, golden)
-	decoded := empty(s.Value)
+	decoded := newRecord(s.Value)
 	assert.NilError(t, msgpack.Unmarshal(golden, decoded))
-	again := fieldsOf(t, encode(t, decoded))
+	reencoded := fieldsOf(t, encode(t, decoded))
 	for path, value := range earlier {
-		assert.DeepEqual(t, again[path], value)
+		assert.DeepEqual(t, reencoded[path], value)
 	}
-	filled := empty(s.Value)
+	filled := newRecord(s.Value)
 	Fill(filled)
-	today := fieldsOf(t, encode(t, filled))
+	current := fieldsOf(t, encode(t, filled))
 	for path, value := range earlier {
-		_, found := today[path]
-		assert.Assert(t, found, "%s: no field %s any more", commit, path)
-		assert.Equal(t, classOf(today[path]), classOf(value), "%s: field %s has another type", commit, path)
+		_, found := current[path]
+		assert.Assert(t, found, "%s: field %s is missing", commit, path)
+		assert.Equal(t, wireType(current[path]), wireType(value), "%s: type of field %s changed", commit, path)
 	}
-	assert.DeepEqual(t, addedTo(earlier, today), slices.Sorted(slices.Values(s.Added[commit])))
+	assert.DeepEqual(t, addedTo(earlier, current), slices.Sorted(slices.Values(s.Added[commit])))
 }
 
-// addedTo returns the paths of today's fields that an earlier build doesn't know, without those below one of them.
-func addedTo(earlier, today map[string]any) []string {
+// addedTo returns the paths of fields that are in current but not in earlier, without the descendants of such fields.
+func addedTo(earlier, current map[string]any) []string {
 	var added []string
-	for _, path := range slices.Sorted(maps.Keys(today)) {
+	for _, path := range slices.Sorted(maps.Keys(current)) {
 		_, known := earlier[path]
 		below := slices.ContainsFunc(added, func(above string) bool {
-			return strings.HasPrefix(path, above+separator) || strings.HasPrefix(path, above+elements)
+			return strings.HasPrefix(path, above+pathSeparator) || strings.HasPrefix(path, above+elementSuffix)
 		})
 		if !known && !below {
 			added = append(added, path)
--- a/internal/goldenrecord/goldenrecord_test.go
+++ b/internal/goldenrecord/goldenrecord_test.go
@@ -21,8 +21,8 @@
 	Last  bool    `msgpack:"l"`
 }
 
-// Guards against fields that are left out of the comparison, since they are zero or lie deeper.
-func TestAllFieldsOfARecordAreCompared(t *testing.T) {
+// Guards against zero or nested fields that the comparison omits.
+func TestFieldsOfCoversNestedFields(t *testing.T) {
 	var filled record
 	Fill(&filled)
 	raw, err := msgpack.Marshal(&filled)
@@ -30,7 +30,7 @@
 	fields := fieldsOf(t, raw)
 	classes := make(map[string]string)
 	for path, value := range fields {
-		classes[path] = classOf(value)
+		classes[path] = wireType(value)
 	}
 	assert.DeepEqual(t, classes, map[string]string{
 		"": "map", "i": "integer", "r": "[]uint8", "f": "float64", "l": "bool",
@@ -39,9 +39,9 @@
 	})
 }
 
-// Guards against a new field that is compared with nothing.
-func TestAddedFieldsAreFound(t *testing.T) {
+// Guards against new fields that are not listed in Sample.Added.
+func TestAddedToFindsNewFields(t *testing.T) {
 	earlier := map[string]any{"": object, "i": int8(1), "p": list}
-	today := map[string]any{"": object, "i": int8(1), "p": list, "p[]": int8(1), "z": object, "z.a": int8(1), "zz": int8(1)}
-	assert.DeepEqual(t, addedTo(earlier, today), []string{"p[]", "z", "zz"})
+	current := map[string]any{"": object, "i": int8(1), "p": list, "p[]": int8(1), "z": object, "z.a": int8(1), "zz": int8(1)}
+	assert.DeepEqual(t, addedTo(earlier, current), []string{"p[]", "z", "zz"})
 }
