--- a/internal/settings/order_quiet_test.go
+++ b/internal/settings/order_quiet_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against a node that does not start because it rejects the platform's order_quiet.
-func TestCheckAcceptsOrderQuietUpToLimit(t *testing.T) {
+func TestCheckAcceptsTypicalOrderQuietValues(t *testing.T) {
 	for _, quiet := range []time.Duration{0, 500 * time.Millisecond, 10 * time.Second, 90 * time.Second} {
 		settings := Default()
 		settings.Node = Node{ID: "n1", Zone: "tumwater", Region: "pnw"}
