--- a/internal/router/budget.go
+++ b/internal/router/budget.go
@@ -8,20 +8,19 @@
 )
 
 const (
-	// retryRatio is the share of requests that may be retried: under overload
-	// retries add at most this much to the load.
+	// retryRatio is the share of requests that may be retried, which bounds the load that retries add
+	// under overload.
 	retryRatio = 0.15
-	// retryBurst lets a short trouble pass without a refusal.
+	// retryBurst is the number of retries allowed in a burst by the request bucket.
 	retryBurst = 20
-	// idleRetriesPerSecond keeps retries possible on a node with little
-	// traffic, where the ratio would earn one in minutes.
+	// idleRetriesPerSecond allows retries on a node whose traffic is too low to earn them by
+	// retryRatio.
 	idleRetriesPerSecond = 2
 	idleRetryBurst       = 4
 )
 
-// retryBudget bounds retries by a share of the requests. Its first bucket is
-// filled by requests rather than by time: it runs on a virtual clock that
-// advances one second with each request.
+// retryBudget bounds retries to a share of the requests. The byRequest bucket is filled by requests
+// rather than by time: it runs on a virtual clock that advances one second per request.
 type retryBudget struct {
 	start     time.Time
 	requests  atomic.Int64
@@ -37,12 +36,12 @@
 	}
 }
 
-// request counts one request, which earns retryRatio of a retry.
+// request counts a request, which earns retryRatio of a retry.
 func (b *retryBudget) request() {
 	b.requests.Add(1)
 }
 
-// allow takes one retry from the budget, if there is one.
+// allow takes one retry from the budget and reports whether there was one.
 func (b *retryBudget) allow(now time.Time) bool {
 	virtualNow := b.start.Add(time.Duration(b.requests.Load()) * time.Second)
 	return b.byRequest.AllowN(virtualNow, 1) || b.byTime.AllowN(now, 1)
--- a/internal/router/classify.go
+++ b/internal/router/classify.go
@@ -10,46 +10,46 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// verdict is what an error of one answer stream means for the request.
-type verdict uint8
+// attemptOutcome is what the error of an answer stream means for the request.
+type attemptOutcome uint8
 
 const (
-	// verdictDone: the answer is whole.
-	verdictDone verdict = iota
-	// verdictFail: the error is the request's answer.
-	verdictFail
-	// verdictElsewhere: the cell did not run the request; another may.
-	verdictElsewhere
-	// verdictHandover is verdictElsewhere for a dispatcher that is gone or no
-	// longer the cell's owner: the cell itself may take the request soon.
-	verdictHandover
-	// verdictReattach: the stream broke; the dispatcher may still run the request.
-	verdictReattach
-	// verdictLost: the dispatcher no longer has the request, which may have run.
-	verdictLost
+	// outcomeDone: the answer is complete.
+	outcomeDone attemptOutcome = iota
+	// outcomeFailed: the error is returned to the caller.
+	outcomeFailed
+	// outcomeRetryElsewhere: the cell did not run the request; another cell may.
+	outcomeRetryElsewhere
+	// outcomeHandover: as outcomeRetryElsewhere, but the dispatcher is gone or no longer owns the
+	// cell, so the same cell may accept the request soon.
+	outcomeHandover
+	// outcomeReattach: the stream broke; the dispatcher may still be running the request.
+	outcomeReattach
+	// outcomeLost: the dispatcher no longer has the request, which may have run.
+	outcomeLost
 )
 
-// consumerError carries an error of the caller's onPiece.
+// consumerError wraps an error returned by onPiece, or the end of the request context.
 type consumerError struct{ err error }
 
 func (e *consumerError) Error() string { return e.err.Error() }
 func (e *consumerError) Unwrap() error { return e.err }
 
 var (
-	// errUnfinished is a stream that ended cleanly before the answer was whole.
-	errUnfinished = errors.New("router: answer stream ended before the answer was whole")
-	// errDispatcherGone is the end of a stream whose dispatcher left the members.
+	// errIncompleteAnswer: the stream ended cleanly before the answer was complete.
+	errIncompleteAnswer = errors.New("router: answer stream ended before the answer was complete")
+	// errDispatcherGone: the dispatcher of the stream is no longer a cluster member.
 	errDispatcherGone = errors.New("router: the dispatcher is no longer a member")
 )
 
-// classify judges the error of a stream. attached tells that the stream was
-// opened by attaching, delivered that the attempt brought tokens: in both cases
-// a refusal can no longer mean that the request did not run, but for an
-// attached one that its dispatcher's queue gave up.
-func classify(err error, attached, delivered bool) verdict {
+// classify maps the error of a stream to an outcome. attached is set for streams opened by attaching,
+// delivered if the attempt produced tokens. In both cases a refusal no longer proves that the request
+// did not run, except that an attached stream may report the end of the attempt in its dispatcher's
+// queue.
+func classify(err error, attached, delivered bool) attemptOutcome {
 	var consumer *consumerError
 	if errors.As(err, &consumer) {
-		return verdictFail
+		return outcomeFailed
 	}
 	var known *errkind.Error
 	if errors.As(err, &known) {
@@ -57,33 +57,32 @@
 	}
 	var delivery *peer.DeliveryError
 	if errors.As(err, &delivery) && !delivery.Sent && !attached {
-		return verdictHandover
+		return outcomeHandover
 	}
-	if isFaultyAnswer(err) {
-		return verdictLost
+	if isMalformedAnswer(err) {
+		return outcomeLost
 	}
-	return verdictReattach
+	return outcomeReattach
 }
 
-func classifyKind(kind errkind.Kind, begun bool) verdict {
+func classifyKind(kind errkind.Kind, started bool) attemptOutcome {
 	switch kind {
 	case errkind.QueueFull, errkind.CapReached, errkind.EngineRefused, errkind.NoCapacity:
-		return unlessBegun(verdictElsewhere, begun)
+		return unlessStarted(outcomeRetryElsewhere, started)
 	case errkind.Draining, errkind.NotOwner, errkind.ShuttingDown, errkind.NotReady, errkind.NotCurrent:
-		return unlessBegun(verdictHandover, begun)
+		return unlessStarted(outcomeHandover, started)
 	case errkind.NotFound, errkind.QueueTimeout:
-		return unlessBegun(verdictFail, begun)
+		return unlessStarted(outcomeFailed, started)
 	case errkind.EngineFailed, errkind.OutcomeUnknown, errkind.Internal, errkind.Canceled:
-		return verdictLost
+		return outcomeLost
 	default:
-		return verdictFail
+		return outcomeFailed
 	}
 }
 
-// endedInQueue reports a kind with which only a dispatcher's own record of the
-// attempt ends, and only while no engine had any part of it. A node that knows
-// nothing of the attempt answers with other kinds, so even after a broken
-// stream this one tells that the attempt did not run.
+// endedInQueue reports whether an attempt that ends with this kind never left its dispatcher's queue.
+// Nodes without a record of the attempt answer with other kinds, so the kind proves that the attempt
+// did not run even after a broken stream.
 func endedInQueue(kind errkind.Kind) bool {
 	switch kind {
 	case errkind.QueueTimeout, errkind.QueueFull, errkind.CapReached, errkind.EngineRefused, errkind.Draining:
@@ -93,25 +92,26 @@
 	}
 }
 
-func unlessBegun(refusal verdict, begun bool) verdict {
-	if begun {
-		return verdictLost
+func unlessStarted(refusal attemptOutcome, started bool) attemptOutcome {
+	if started {
+		return outcomeLost
 	}
 	return refusal
 }
 
-// isFaultyAnswer reports an answer that another attach would only repeat.
-func isFaultyAnswer(err error) bool {
+// isMalformedAnswer reports whether err is a fault in the answer itself, which attaching again would
+// repeat.
+func isMalformedAnswer(err error) bool {
 	var short *answer.ShortError
 	return errors.As(err, &short) ||
 		errors.Is(err, answer.ErrUnnamedVersion) ||
 		errors.Is(err, answer.ErrNegativeIndex)
 }
 
-// truthful returns the error for the caller. Once an attempt may have run, no
-// answer says that the request did not run.
-func truthful(err error, mayHaveRun, repeatable bool) *errkind.Error {
-	known := asKind(err)
+// callerError converts err for the caller. If an attempt may have run, the result never claims that
+// the request was not executed.
+func callerError(err error, mayHaveRun, repeatable bool) *errkind.Error {
+	known := toKindError(err)
 	if !mayHaveRun || known.Kind.Answer().Execution != errkind.NotExecuted {
 		return known
 	}
@@ -119,11 +119,11 @@
 	if repeatable {
 		kind = errkind.EngineFailed
 	}
-	return errkind.New(kind, "an attempt of the request was lost part-way and it could not be continued: %s", known.Message)
+	return errkind.New(kind, "an attempt of the request was interrupted and could not be continued: %s", known.Message)
 }
 
-// asKind gives errors of the transport and of the caller a kind.
-func asKind(err error) *errkind.Error {
+// toKindError converts transport, context and consumer errors to an errkind.Error.
+func toKindError(err error) *errkind.Error {
 	var known *errkind.Error
 	if errors.As(err, &known) {
 		return known
@@ -136,8 +136,8 @@
 	if errors.As(err, &delivery) && !delivery.Sent {
 		return errkind.New(errkind.NoCapacity, "no dispatcher could be reached: %v", delivery.Err)
 	}
-	if errors.As(err, &delivery) || errors.Is(err, errUnfinished) || errors.Is(err, errDispatcherGone) {
-		return errkind.New(errkind.OutcomeUnknown, "the answer stream broke: %v", err)
+	if errors.As(err, &delivery) || errors.Is(err, errIncompleteAnswer) || errors.Is(err, errDispatcherGone) {
+		return errkind.New(errkind.OutcomeUnknown, "answer stream interrupted: %v", err)
 	}
 	return errkind.New(errkind.EngineFailed, "%v", err)
 }
--- a/internal/router/fake_test.go
+++ b/internal/router/fake_test.go
@@ -18,8 +18,8 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// fakeCluster is a View, an Announcer, a policy.Source and a Caller whose
-// dispatchers are functions.
+// fakeCluster implements cluster.View, cluster.Announcer, policy.Source and peer.Caller with scripted
+// dispatchers.
 type fakeCluster struct {
 	cluster.View
 	cluster.Announcer
@@ -33,7 +33,7 @@
 	dispatchers map[string]dispatcherFunc
 }
 
-// dispatcherFunc answers one stream.
+// dispatcherFunc handles one answer stream.
 type dispatcherFunc func(ctx context.Context, submit message.Submit, send func(message.Progress)) error
 
 func newFakeCluster(nodes ...string) *fakeCluster {
@@ -84,7 +84,7 @@
 	return errors.New("no calls expected")
 }
 
-// remove lets a node drop out of the members.
+// remove removes a node from the members.
 func (f *fakeCluster) remove(node string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -139,31 +139,29 @@
 		}
 		return io.EOF
 	case <-s.ctx.Done():
-		return broken()
+		return connectionReset()
 	}
 }
 
 func (s *fakeStream) Close() { s.cancel() }
 
-func broken() error {
+func connectionReset() error {
 	return &peer.DeliveryError{Sent: true, Err: errors.New("connection reset")}
 }
 
-// truth is the answer that every dispatcher gives: length tokens, the version
-// rising after each ten.
-const truthLength = 25
+// answerLength is the number of tokens of the reference answer, whose version rises every ten tokens.
+const answerLength = 25
 
-func truthToken(index int) string { return fmt.Sprintf("t%d ", index) }
+func answerToken(index int) string { return fmt.Sprintf("t%d ", index) }
 
-// generate sends tokens from an index up to another or the end of the true
-// answer, one by one, and returns the index after them.
+// generate sends reference tokens [from, to), one message each, and returns the next index.
 func generate(submit message.Submit, from, to int, send func(message.Progress)) int {
 	index := from
-	for ; index < min(to, truthLength); index++ {
+	for ; index < min(to, answerLength); index++ {
 		send(message.Progress{
 			Attempt:    submit.Attempt,
 			FirstToken: index,
-			Tokens:     []string{truthToken(index)},
+			Tokens:     []string{answerToken(index)},
 			Version:    3 + uint64(index/10),
 		})
 	}
@@ -171,11 +169,11 @@
 }
 
 func finish(submit message.Submit, send func(message.Progress)) {
-	send(message.Progress{Attempt: submit.Attempt, FirstToken: truthLength, Finished: true, FinishReason: "stop"})
+	send(message.Progress{Attempt: submit.Attempt, FirstToken: answerLength, Finished: true, FinishReason: "stop"})
 }
 
-// firstWanted is the index that a stream starts at.
-func firstWanted(submit message.Submit) int {
+// startIndex returns the first token index that the submission asks for.
+func startIndex(submit message.Submit) int {
 	if submit.Attach {
 		return submit.ResumeFrom
 	}
@@ -183,7 +181,7 @@
 }
 
 func serve(_ context.Context, submit message.Submit, send func(message.Progress)) error {
-	generate(submit, firstWanted(submit), truthLength, send)
+	generate(submit, startIndex(submit), answerLength, send)
 	finish(submit, send)
 	return nil
 }
@@ -192,7 +190,6 @@
 	return func(context.Context, message.Submit, func(message.Progress)) error { return err }
 }
 
-// hang never answers.
 func hang(ctx context.Context, _ message.Submit, _ func(message.Progress)) error {
 	<-ctx.Done()
 	return ctx.Err()
@@ -216,7 +213,7 @@
 		Announcer:       f,
 		Tables:          f,
 		Logger:          zerolog.Nop(),
-		Policy:          "least-load", // the first cell of equal ones
+		Policy:          "least-load", // picks the first of equal cells
 		HandoverTimeout: time.Second,
 		ContinueTimeout: 2 * time.Second,
 		StaleAfter:      time.Hour,
--- a/internal/router/faults_test.go
+++ b/internal/router/faults_test.go
@@ -13,7 +13,7 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// faults are the ways in which a dispatcher answers.
+// faults are the dispatcher behaviors to draw from.
 var faults = []struct {
 	runs bool
 	make func(tokens int) dispatcherFunc
@@ -22,7 +22,7 @@
 	{false, func(int) dispatcherFunc { return refuse(errkind.New(errkind.Draining, "leaving")) }},
 	{true, func(int) dispatcherFunc { return serve }},
 	{true, loseAfter},
-	{true, func(tokens int) dispatcherFunc { return endAfter(tokens, broken()) }},
+	{true, func(tokens int) dispatcherFunc { return endAfter(tokens, connectionReset()) }},
 	{true, func(tokens int) dispatcherFunc {
 		return endAfter(tokens, errkind.New(errkind.EngineFailed, "engine crashed"))
 	}},
@@ -31,40 +31,40 @@
 			if submit.Attach {
 				return serve(ctx, submit, send)
 			}
-			generate(submit, firstWanted(submit)+tokens, truthLength, send)
+			generate(submit, startIndex(submit)+tokens, answerLength, send)
 			finish(submit, send)
 			return nil
 		}
 	}},
-	{true, func(int) dispatcherFunc { // refuses to be attached to
+	{true, func(int) dispatcherFunc { // rejects attaching
 		return func(_ context.Context, submit message.Submit, _ func(message.Progress)) error {
 			if submit.Attach {
 				return errkind.New(errkind.InvalidRequest, "not understood")
 			}
-			return broken()
+			return connectionReset()
 		}
 	}},
-	{true, func(tokens int) dispatcherFunc { // ends before the answer is whole
+	{true, func(tokens int) dispatcherFunc { // ends before the answer is complete
 		return func(_ context.Context, submit message.Submit, send func(message.Progress)) error {
-			end := generate(submit, firstWanted(submit), firstWanted(submit)+tokens, send)
+			end := generate(submit, startIndex(submit), startIndex(submit)+tokens, send)
 			send(message.Progress{Attempt: submit.Attempt, FirstToken: end, Finished: true, FinishReason: "error"})
 			return nil
 		}
 	}},
 }
 
-// TestAnyFaultsGiveTheWholeAnswerOrATrueError runs requests over dispatchers
-// with random faults and checks the promises that the router keeps.
-func TestAnyFaultsGiveTheWholeAnswerOrATrueError(t *testing.T) {
+// Guards against duplicate execution, incomplete answers and wrong execution claims under random
+// dispatcher faults.
+func TestRandomFaultsYieldCompleteAnswerOrAccurateError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// The wrapper hides T.Deadline, which tells real time and so panics here.
+		// Hides T.Deadline, which panics inside a synctest bubble.
 		rapid.Check(struct{ testing.TB }{t}, func(t *rapid.T) {
 			nodes := []string{"n0", "n1", "n2"}
 			fake := newFakeCluster(nodes...)
 			starts := 0
 			for _, node := range nodes {
 				fault := faults[rapid.IntRange(0, len(faults)-1).Draw(t, node)]
-				handler := fault.make(rapid.IntRange(0, truthLength).Draw(t, "tokens"))
+				handler := fault.make(rapid.IntRange(0, answerLength).Draw(t, "tokens"))
 				fake.dispatchers[node] = func(ctx context.Context, submit message.Submit, send func(message.Progress)) error {
 					if fault.runs && !submit.Attach {
 						starts++
@@ -78,11 +78,11 @@
 				assert.Assert(t, starts <= 1, "started %d times", starts)
 			}
 			if seen.err == nil {
-				seen.assertWhole(t)
+				seen.assertComplete(t)
 				return
 			}
 			if errkind.KindOf(seen.err).Answer().Execution == errkind.NotExecuted {
-				assert.Equal(t, starts, 0, "said not to have run: %v", seen.err)
+				assert.Equal(t, starts, 0, "reported as not executed: %v", seen.err)
 			}
 		})
 	})
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -7,10 +7,10 @@
 	"github.com/corkpulley/corkpulley/internal/cluster"
 )
 
-// memberIndexAge is how old the index may be. The view is late by more anyway.
-const memberIndexAge = 100 * time.Millisecond
+// memberIndexMaxAge is the age after which the index is rebuilt.
+const memberIndexMaxAge = 100 * time.Millisecond
 
-// memberIndex finds members by ID without a walk over all of them for each request.
+// memberIndex looks up members by ID without scanning all of them for each request.
 type memberIndex struct {
 	view cluster.View
 
@@ -23,11 +23,11 @@
 	return &memberIndex{view: view}
 }
 
-// find returns a member that is not dead.
+// find returns the member with the ID unless it is dead.
 func (m *memberIndex) find(nodeID string, now time.Time) (cluster.Member, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.byID == nil || now.Sub(m.built) > memberIndexAge {
+	if m.byID == nil || now.Sub(m.built) > memberIndexMaxAge {
 		m.rebuild(now)
 	}
 	member, known := m.byID[nodeID]
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -5,12 +5,12 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Values of the retry metric's label.
+// Values of the label "kind" of corkpulley_router_retries_total.
 const (
-	retryElsewhere = "elsewhere" // refused as not run, sent to another cell
-	retryReattach  = "reattach"  // broken stream, attached again
-	retryContinue  = "continue"  // lost dispatcher, continued at another cell
-	retryDenied    = "denied"    // not retried: the budget was spent
+	retryElsewhere = "elsewhere" // refused before execution, sent to another cell
+	retryReattach  = "reattach"  // reattached after a broken stream
+	retryContinue  = "continue"  // continued at another cell after losing the dispatcher
+	retryDenied    = "denied"    // retry budget exhausted
 )
 
 type metrics struct {
--- a/internal/router/onehop_test.go
+++ b/internal/router/onehop_test.go
@@ -11,14 +11,13 @@
 	"github.com/corkpulley/corkpulley/internal/core/routing"
 )
 
-// Self implements cluster.View: the router's own node.
+// Self implements cluster.View.
 func (f *fakeCluster) Self() cluster.Member {
 	return cluster.Member{ID: "node", Address: "node", Zone: "a", State: cluster.StateAlive}
 }
 
-// TestOneHopSendsToTheNodeItself: under the baseline without a shared queue
-// only cells of other zones go to their dispatchers.
-func TestOneHopSendsToTheNodeItself(t *testing.T) {
+// Cells of the own zone must not be reached through their dispatchers under StrategyOneHop.
+func TestOneHopSubmitsToOwnNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0", "n1")
 		fake.cells[1].Cell.Zone = "b"
--- a/internal/router/options.go
+++ b/internal/router/options.go
@@ -14,53 +14,48 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// Defaults of Options.
+// Defaults for Options.
 const (
-	// DefaultStaleAfter is several gossip rounds.
+	// DefaultStaleAfter covers several gossip rounds.
 	DefaultStaleAfter = 5 * time.Second
-	// DefaultReattachTimeout covers a broken connection and a short pause of
-	// the dispatcher's process.
+	// DefaultReattachTimeout covers a broken connection and a short pause of the dispatcher process.
 	DefaultReattachTimeout = 3 * time.Second
-	// DefaultHandoverTimeout covers the change of a cell's owner.
+	// DefaultHandoverTimeout covers a change of a cell's owner.
 	DefaultHandoverTimeout = 2 * time.Second
-	// DefaultContinueTimeout covers the failure of a node that runs the only
-	// cell of a pool: detection, a new owner and its first digest.
+	// DefaultContinueTimeout covers the failure of the node that runs the only cell of a pool: failure
+	// detection, the new owner and its first digest.
 	DefaultContinueTimeout = 15 * time.Second
 )
 
-// Options configures a CellRouter. All fields but those with a default are
-// required.
+// Options configures a CellRouter. Fields without a documented default are required.
 type Options struct {
 	NodeID string
 	Zone   string
 	Region string
-	// Regions maps known zones to regions; optional.
+	// Regions maps zones to regions; optional.
 	Regions   map[string]string
 	Caller    peer.Caller
 	View      cluster.View
 	Announcer cluster.Announcer
 	Tables    policy.Source
-	// Policy is the routing.Strategy; empty or unknown takes routing.StrategyDefault.
+	// Policy names a routing.Strategy; empty or unknown selects routing.StrategyDefault.
 	Policy string
 	Logger zerolog.Logger
-	// Registerer takes the router's metrics; nil keeps them unregistered.
+	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
-	// Seed makes the choice of cells repeatable; 0 derives one from NodeID.
+	// Seed makes cell selection deterministic; 0 derives it from NodeID.
 	Seed uint64
-	// StaleAfter is the age from which a digest counts as late.
+	// StaleAfter is the age from which a digest counts as stale.
 	StaleAfter time.Duration
-	// ReattachTimeout bounds the attempts to re-attach to one dispatcher since
-	// the last token from it.
+	// ReattachTimeout bounds reattaching to one dispatcher, counted from its last token.
 	ReattachTimeout time.Duration
-	// HandoverTimeout bounds how long a new request waits for a cell that is
-	// changing hands and refuses it.
+	// HandoverTimeout bounds how long a new request waits for a cell whose ownership is changing.
 	HandoverTimeout time.Duration
-	// ContinueTimeout bounds how long a request that lost its dispatcher
-	// part-way looks for another cell.
+	// ContinueTimeout bounds the search for another cell after a request lost its dispatcher.
 	ContinueTimeout time.Duration
 }
 
-// CellRouter implements Router over the cells of the cluster.
+// CellRouter implements Router on the cells of the cluster. It is safe for concurrent use.
 type CellRouter struct {
 	options  Options
 	locality routing.Locality
@@ -70,10 +65,10 @@
 	metrics  *metrics
 }
 
-// shardCount is the number of locks that requests spread over, by pool.
+// shardCount is the number of locks; pools are distributed over them by hash.
 const shardCount = 16
 
-// shard holds the state of the pools that hash to it.
+// shard holds the routing state of the pools that hash to it.
 type shard struct {
 	mutex   sync.Mutex
 	tracker *routing.Tracker
@@ -83,7 +78,7 @@
 
 var _ Router = (*CellRouter)(nil)
 
-// New returns a router. It starts nothing and needs no stop.
+// New returns a router. It starts no goroutines and needs no shutdown.
 func New(options Options) *CellRouter {
 	setDefaults(&options)
 	strategy := routing.Strategy(options.Policy)
--- a/internal/router/overload_test.go
+++ b/internal/router/overload_test.go
@@ -11,20 +11,19 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// breakThen breaks the first stream and ends those that attach to it with the error.
+// breakThen breaks the first stream and fails attaching streams with end.
 func breakThen(end error) dispatcherFunc {
 	return func(_ context.Context, submit message.Submit, _ func(message.Progress)) error {
 		if submit.Attach {
 			return end
 		}
-		return broken()
+		return connectionReset()
 	}
 }
 
-// TestDispatcherSaysAfterABreakThatNothingRan: the stream to the dispatcher
-// broke while the request was queued there, and the queue gave it up. Only the
-// request's own queue answers with these kinds, so it did not run.
-func TestDispatcherSaysAfterABreakThatNothingRan(t *testing.T) {
+// Only the dispatcher's own queue answers an attach with these kinds, so they must not become
+// OutcomeUnknown.
+func TestReattachReportsQueueRefusalAsNotExecuted(t *testing.T) {
 	for _, kind := range []errkind.Kind{
 		errkind.QueueTimeout, errkind.EngineRefused, errkind.CapReached, errkind.QueueFull, errkind.Draining,
 	} {
@@ -39,9 +38,8 @@
 	}
 }
 
-// TestAttachRefusedByTheNodeLeavesTheOutcomeOpen: these kinds come from the
-// node, which knows nothing of the request.
-func TestAttachRefusedByTheNodeLeavesTheOutcomeOpen(t *testing.T) {
+// These kinds come from a node without a record of the request and do not prove that it did not run.
+func TestReattachRefusedByNodeIsOutcomeUnknown(t *testing.T) {
 	for _, kind := range []errkind.Kind{errkind.ShuttingDown, errkind.NotOwner, errkind.NoCapacity, errkind.NotFound} {
 		synctest.Test(t, func(t *testing.T) {
 			fake := newFakeCluster("n0")
@@ -52,22 +50,21 @@
 	}
 }
 
-// TestContinuedRequestOutlastsACrowdedQueue: a request that lost its dispatcher
-// is not given up because the next one had no free engine in time.
-func TestContinuedRequestOutlastsACrowdedQueue(t *testing.T) {
+// A request that lost its dispatcher must not fail because the next queue times out.
+func TestContinuedRequestRetriesAfterQueueTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0", "n1")
 		fake.dispatchers["n0"] = loseAfter(3)
-		crowded := true
+		queueFull := true
 		fake.dispatchers["n1"] = func(ctx context.Context, submit message.Submit, send func(message.Progress)) error {
-			if crowded {
-				crowded = false
+			if queueFull {
+				queueFull = false
 				return errkind.New(errkind.QueueTimeout, "no engine became free")
 			}
 			return serve(ctx, submit, send)
 		}
 		seen := run(t.Context(), fake, testRequest(true))
-		seen.assertWhole(t)
+		seen.assertComplete(t)
 		for _, submit := range fake.submitted() {
 			assert.Equal(t, submit.Continued, submit.Attempt > 1, "attempt %d", submit.Attempt)
 		}
--- a/internal/router/refusals.go
+++ b/internal/router/refusals.go
@@ -6,30 +6,29 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-// refusals sums up the cells that did not run a request.
+// refusals collects the refusals of the cells that did not run a request.
 type refusals struct {
 	last *errkind.Error
-	// soonest is the shortest delay after which one of the cells may take the request.
-	soonest time.Duration
-	// handover is set when a refusing cell is changing hands.
+	// minDelay is the shortest retry delay of any refusal.
+	minDelay time.Duration
+	// handover is set if the ownership of a refusing cell is changing.
 	handover bool
 }
 
-func (r *refusals) add(err error, outcome verdict) {
-	known := asKind(err)
+func (r *refusals) add(err error, outcome attemptOutcome) {
+	known := toKindError(err)
 	delay := known.Delay()
-	if r.last == nil || delay < r.soonest {
-		r.soonest = delay
+	if r.last == nil || delay < r.minDelay {
+		r.minDelay = delay
 	}
 	r.last = known
-	r.handover = r.handover || outcome == verdictHandover
+	r.handover = r.handover || outcome == outcomeHandover
 }
 
-// final returns the answer for a request that no cell took: the last refusal
-// with the shortest delay that any cell named.
-func (r *refusals) final() *errkind.Error {
+// finalError returns the last refusal with the shortest retry delay of all.
+func (r *refusals) finalError() *errkind.Error {
 	if r.last == nil {
-		return errkind.New(errkind.NoCapacity, "no cell is known that may run the request")
+		return errkind.New(errkind.NoCapacity, "no known cell can run the request")
 	}
-	return &errkind.Error{Kind: r.last.Kind, Message: r.last.Message, RetryAfter: r.soonest}
+	return &errkind.Error{Kind: r.last.Kind, Message: r.last.Message, RetryAfter: r.minDelay}
 }
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -15,64 +15,62 @@
 )
 
 const (
-	// finishError and finishCanceled end a token stream that is not a whole answer.
+	// Finish reasons that mark an incomplete answer.
 	finishError    = "error"
 	finishCanceled = "canceled"
 )
 
-// reattachRetries paces the tries to attach to an attempt again.
-var reattachRetries = retry.Policy{First: 20 * time.Millisecond, Longest: 300 * time.Millisecond}
+// reattachBackoff paces reattaching to an attempt.
+var reattachBackoff = retry.Policy{First: 20 * time.Millisecond, Longest: 300 * time.Millisecond}
 
-// runAttempt runs one attempt at its dispatcher to the end of the answer,
-// through any number of broken streams.
-func (a *attempts) runAttempt(ctx context.Context, submit message.Submit, chosen choice) (verdict, error) {
+// runAttempt runs one attempt at its dispatcher, reattaching after broken streams.
+func (a *attempts) runAttempt(ctx context.Context, submit message.Submit, chosen choice) (attemptOutcome, error) {
 	before := a.assembler.Next()
 	err := a.stream(ctx, submit, chosen.target)
 	if err == nil {
-		return verdictDone, nil
+		return outcomeDone, nil
 	}
 	outcome := classify(err, false, a.assembler.Next() > before)
-	if outcome != verdictReattach {
+	if outcome != outcomeReattach {
 		return outcome, err
 	}
-	// From here on the dispatcher may have given the request to an engine.
-	begun := a.mayHaveRun
+	// From here on the dispatcher may have passed the request to an engine.
+	started := a.mayHaveRun
 	a.mayHaveRun = true
 	outcome, err = a.reattach(ctx, submit, chosen.target, err)
-	if outcome == verdictElsewhere || outcome == verdictHandover || isQueueTimeout(outcome, err) {
-		a.mayHaveRun = begun
+	if outcome == outcomeRetryElsewhere || outcome == outcomeHandover || isQueueTimeout(outcome, err) {
+		a.mayHaveRun = started
 	}
 	return outcome, err
 }
 
-// isQueueTimeout reports an attempt that waited in its queue to the end.
-func isQueueTimeout(outcome verdict, err error) bool {
-	return outcome == verdictFail && errkind.Is(err, errkind.QueueTimeout)
+// isQueueTimeout reports whether the attempt timed out in the dispatcher's queue.
+func isQueueTimeout(outcome attemptOutcome, err error) bool {
+	return outcome == outcomeFailed && errkind.Is(err, errkind.QueueTimeout)
 }
 
-// reattach attaches to the same attempt again until the answer is whole, the
-// dispatcher is known to have lost it, or ReattachTimeout passes without a
-// token. Attaching never starts a request, so it is safe for all of them. Only
-// a repeatable request goes by the view and leaves sooner: it has elsewhere to
-// go, and the view may be wrong.
-func (a *attempts) reattach(ctx context.Context, submit message.Submit, to target, err error) (verdict, error) {
-	delays := reattachRetries.Delays()
+// reattach attaches to the attempt until the answer is complete, the dispatcher no longer has it, or
+// no token arrives for ReattachTimeout. Attaching never starts a request, so it is safe for all
+// requests. Only repeatable requests stop early when the dispatcher is no longer a member: they can
+// continue at another cell, and the membership view may be wrong.
+func (a *attempts) reattach(ctx context.Context, submit message.Submit, to target, err error) (attemptOutcome, error) {
+	delays := reattachBackoff.Delays()
 	lastProgress := time.Now()
 	start := len(submit.Generated)
 	for time.Since(lastProgress) < a.router.options.ReattachTimeout {
 		if a.request.Row.Repeatable && a.router.dispatcherGone(to) {
-			return verdictLost, errDispatcherGone
+			return outcomeLost, errDispatcherGone
 		}
 		if waitErr := wait(ctx, delays.NextBackOff()); waitErr != nil {
-			return verdictFail, waitErr
+			return outcomeFailed, waitErr
 		}
 		a.router.metrics.retries.WithLabelValues(retryReattach).Inc()
 		before := a.assembler.Next()
 		err = a.stream(ctx, attach(submit, before), to)
 		if err == nil {
-			return verdictDone, nil
+			return outcomeDone, nil
 		}
-		if outcome := classify(err, true, a.assembler.Next() > start); outcome != verdictReattach {
+		if outcome := classify(err, true, a.assembler.Next() > start); outcome != outcomeReattach {
 			return outcome, err
 		}
 		if a.assembler.Next() > before {
@@ -80,41 +78,40 @@
 			delays.Reset()
 		}
 	}
-	return verdictLost, err
+	return outcomeLost, err
 }
 
-// stream opens one answer stream and relays it; nil means that the answer is
-// whole. Closing it tells the dispatcher that nobody listens any more.
+// stream opens an answer stream and relays it; nil means that the answer is complete. Closing the
+// stream tells the dispatcher that the caller no longer reads it.
 func (a *attempts) stream(ctx context.Context, submit message.Submit, to target) error {
 	stream, err := a.router.options.Caller.OpenStream(ctx, to.address, peer.MethodSubmit, &submit)
 	if err != nil {
-		return contextFirst(ctx, err)
+		return preferContextError(ctx, err)
 	}
 	defer stream.Close()
 	stopOnCancel := context.AfterFunc(ctx, stream.Close)
 	defer stopOnCancel()
 	watch := a.watch(stream, to)
 	defer watch.stop()
-	return contextFirst(ctx, a.relay(stream))
+	return preferContextError(ctx, a.relay(stream))
 }
 
-// contextFirst prefers the end of the request over the broken stream that
-// follows from it.
-func contextFirst(ctx context.Context, err error) error {
+// preferContextError returns the context's error instead of the stream error that it caused.
+func preferContextError(ctx context.Context, err error) error {
 	if err == nil || ctx.Err() == nil {
 		return err
 	}
 	return &consumerError{err: context.Cause(ctx)}
 }
 
-// relay hands the new tokens of a stream to the caller until the answer is whole.
+// relay passes the new tokens of a stream to the caller until the answer is complete.
 func (a *attempts) relay(stream peer.Stream) error {
 	for !a.assembler.Finished() {
-		// Each message gets memory of its own: the caller may keep the tokens.
+		// Each message is allocated anew because the caller may retain its tokens.
 		var progress message.Progress
 		if err := stream.Receive(&progress); err != nil {
 			if errors.Is(err, io.EOF) {
-				return errUnfinished
+				return errIncompleteAnswer
 			}
 			return err
 		}
@@ -128,10 +125,10 @@
 	return nil
 }
 
-// accept takes one message and hands its new tokens to the caller.
+// accept processes one message and passes its new tokens to the caller.
 func (a *attempts) accept(progress *message.Progress) error {
-	cutShort := progress.Finished && isCutShort(progress.FinishReason)
-	if cutShort {
+	truncated := progress.Finished && isTruncated(progress.FinishReason)
+	if truncated {
 		progress.Finished = false
 	}
 	run, err := a.assembler.Accept(progress)
@@ -141,13 +138,13 @@
 	if err := a.deliver(run); err != nil {
 		return err
 	}
-	if cutShort {
+	if truncated {
 		return errkind.New(errkind.EngineFailed, "the engine ended the answer with %q", progress.FinishReason)
 	}
 	return nil
 }
 
-func isCutShort(finishReason string) bool {
+func isTruncated(finishReason string) bool {
 	return finishReason == finishError || finishReason == finishCanceled
 }
 
@@ -165,7 +162,7 @@
 	return nil
 }
 
-// wait returns early with a consumerError when ctx ends.
+// wait sleeps for delay, or returns a consumerError when ctx ends first.
 func wait(ctx context.Context, delay time.Duration) error {
 	if !retry.Sleep(ctx, delay) {
 		return &consumerError{err: context.Cause(ctx)}
--- a/internal/router/relay_bench_test.go
+++ b/internal/router/relay_bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// endlessStream gives a message of four tokens at each Receive.
+// endlessStream returns a message of four tokens on each Receive.
 type endlessStream struct{ next int }
 
 func (s *endlessStream) Receive(into any) error {
@@ -25,7 +25,7 @@
 
 func (s *endlessStream) Close() {}
 
-// BenchmarkRelay measures one relayed message, the decoding of msgpack aside.
+// BenchmarkRelay measures relaying one message, without msgpack decoding.
 func BenchmarkRelay(b *testing.B) {
 	relayed := 0
 	request := testRequest(false)
@@ -42,8 +42,7 @@
 	_ = run.relay(&endlessStream{})
 }
 
-// BenchmarkChoose measures the choice among the cells of 6,100 engines by one
-// of 420 nodes, with 3 zones.
+// BenchmarkChoose measures cell selection among 381 cells in 3 zones and 420 nodes.
 func BenchmarkChoose(b *testing.B) {
 	var nodes []string
 	for index := range 420 {
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -11,27 +11,27 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-// maxContinuations bounds how often one request is continued at another cell: a
-// request that breaks each engine it meets must end.
+// maxContinuations bounds how often a request continues at another cell, so that a request that
+// crashes engines cannot circulate forever.
 const maxContinuations = 8
 
-// searchRetries paces the search for a cell that takes the request.
-var searchRetries = retry.Policy{First: 25 * time.Millisecond, Longest: 500 * time.Millisecond}
+// cellWaitBackoff paces the wait for a cell that accepts the request.
+var cellWaitBackoff = retry.Policy{First: 25 * time.Millisecond, Longest: 500 * time.Millisecond}
 
-// attempts is the state of one request while it runs. It is used by one goroutine.
+// attempts is the state of a running request. It is confined to one goroutine.
 type attempts struct {
 	router    *CellRouter
 	request   *Request
 	onPiece   func(Piece) error
 	assembler answer.Assembler
-	// tokens are the answer so far; kept for repeatable requests only.
+	// tokens is the answer so far, kept only for repeatable requests.
 	tokens []string
-	// number is the attempt in force, from 1.
+	// number is the current attempt, starting at 1.
 	number        uint32
 	continuations int
 	tried         triedSet
 	refusals      refusals
-	// mayHaveRun is set once an attempt was sent and not refused as not run.
+	// mayHaveRun is set once an attempt was submitted and not refused as not executed.
 	mayHaveRun bool
 }
 
@@ -47,8 +47,8 @@
 		onPiece: onPiece,
 		tried:   make(triedSet),
 	}
-	if err := run.toTheEnd(ctx); err != nil {
-		return Result{}, truthful(err, run.begun(), request.Row.Repeatable)
+	if err := run.runToCompletion(ctx); err != nil {
+		return Result{}, callerError(err, run.mayHaveStarted(), request.Row.Repeatable)
 	}
 	return Result{
 		Tokens:       run.assembler.Next(),
@@ -58,8 +58,8 @@
 	}, nil
 }
 
-// begun reports whether an attempt of the request may have run.
-func (a *attempts) begun() bool {
+// mayHaveStarted reports whether any attempt may have run.
+func (a *attempts) mayHaveStarted() bool {
 	return a.mayHaveRun || a.assembler.Next() > 0
 }
 
@@ -73,14 +73,14 @@
 	return nil
 }
 
-// toTheEnd submits the request until the answer is whole or an error is final.
-func (a *attempts) toTheEnd(ctx context.Context) error {
-	search := a.newSearch(a.router.options.HandoverTimeout)
+// runToCompletion submits the request until the answer is complete or an error is final.
+func (a *attempts) runToCompletion(ctx context.Context) error {
+	waiting := a.newCellWait(a.router.options.HandoverTimeout)
 	for ctx.Err() == nil {
 		row, revision := a.router.currentRow(a.request)
 		chosen, found := a.router.choose(row, a.request, a.tried)
 		if !found {
-			if err := a.searchAgain(ctx, search); err != nil {
+			if err := a.waitForCell(ctx, waiting); err != nil {
 				return err
 			}
 			continue
@@ -89,32 +89,32 @@
 		a.assembler.StartAttempt(a.number)
 		a.countSubmission(chosen)
 		outcome, err := a.runAttempt(ctx, a.submit(row, revision, chosen), chosen)
-		if outcome == verdictLost {
-			search = a.newSearch(a.router.options.ContinueTimeout)
+		if outcome == outcomeLost {
+			waiting = a.newCellWait(a.router.options.ContinueTimeout)
 		}
-		if final, err := a.judge(outcome, err, chosen); final {
+		if final, err := a.handleOutcome(outcome, err, chosen); final {
 			return err
 		}
 	}
-	return a.ended(ctx)
+	return a.contextError(ctx)
 }
 
-// judge decides after an attempt whether the request is at its end.
-func (a *attempts) judge(outcome verdict, err error, chosen choice) (final bool, _ error) {
+// handleOutcome updates the request after an attempt and reports whether the request has ended.
+func (a *attempts) handleOutcome(outcome attemptOutcome, err error, chosen choice) (final bool, _ error) {
 	a.tried[chosen.target] = struct{}{}
 	if a.mayHaveRun && isQueueTimeout(outcome, err) {
-		// Giving up a request that has begun would waste its work; the search
-		// for a cell that takes it has a bound of its own.
-		outcome = verdictElsewhere
+		// Failing a request that has started would waste its work; waitForCell bounds the search for
+		// another cell.
+		outcome = outcomeRetryElsewhere
 	}
 	switch outcome {
-	case verdictDone:
+	case outcomeDone:
 		return true, nil
-	case verdictElsewhere, verdictHandover:
-		a.router.refused(a.request.Row.Service, chosen.cell, err)
+	case outcomeRetryElsewhere, outcomeHandover:
+		a.router.recordRefusal(a.request.Row.Service, chosen.cell, err)
 		a.refusals.add(err, outcome)
 		err = a.spendRetry()
-	case verdictLost:
+	case outcomeLost:
 		a.logLost(chosen, err)
 		if a.assembler.CompleteAt(a.request.MaxTokens) {
 			return true, nil
@@ -140,26 +140,25 @@
 		Msg("attempt lost")
 }
 
-// spendRetry takes a retry from the budget, or gives the refusal up at once. A
-// request that has begun is not bounded by it: its work is already in the
-// system, and giving it up would waste it.
+// spendRetry takes a retry from the budget, or returns the last refusal if none is left. Requests that
+// may have started are exempt: failing them would waste work already done.
 func (a *attempts) spendRetry() error {
 	if a.mayHaveRun {
 		return nil
 	}
 	if !a.router.budget.allow(time.Now()) {
 		a.router.metrics.retries.WithLabelValues(retryDenied).Inc()
-		return a.refusals.final()
+		return a.refusals.finalError()
 	}
 	a.router.metrics.retries.WithLabelValues(retryElsewhere).Inc()
 	return nil
 }
 
-// continueAfter decides whether a request that lost its dispatcher goes on.
+// continueAfter decides whether a request continues after it lost its dispatcher.
 func (a *attempts) continueAfter(err error) error {
 	a.mayHaveRun = true
 	if !a.request.Row.Repeatable {
-		return notRepeated(err)
+		return nonRepeatableError(err)
 	}
 	if a.continuations >= maxContinuations {
 		return err
@@ -169,49 +168,48 @@
 	return nil
 }
 
-// notRepeated keeps an answer that already tells the truth about a request
-// that ran, and makes all else OutcomeUnknown.
-func notRepeated(err error) error {
-	known := asKind(err)
+// nonRepeatableError returns the error of a non-repeatable request that may have run: EngineFailed is
+// kept, all other errors become OutcomeUnknown.
+func nonRepeatableError(err error) error {
+	known := toKindError(err)
 	if known.Kind == errkind.EngineFailed {
 		return known
 	}
 	return errkind.New(errkind.OutcomeUnknown, "the request may have run and is not repeatable: %s", known.Message)
 }
 
-// search is the wait for a cell when all known ones were tried.
-type search struct {
+// cellWait is the bounded wait for a cell after all known ones were tried.
+type cellWait struct {
 	deadline time.Time
 	delays   interface{ NextBackOff() time.Duration }
 }
 
-func (a *attempts) newSearch(timeout time.Duration) *search {
-	return &search{
+func (a *attempts) newCellWait(timeout time.Duration) *cellWait {
+	return &cellWait{
 		deadline: time.Now().Add(timeout),
-		delays:   searchRetries.Delays(),
+		delays:   cellWaitBackoff.Delays(),
 	}
 }
 
-// searchAgain waits a little and forgets the tried targets, where that may
-// help: for a request that has begun, and for cells that change hands. All
-// else gets its final answer at once.
-func (a *attempts) searchAgain(ctx context.Context, current *search) error {
-	hopeful := a.mayHaveRun || a.refusals.handover
-	if !hopeful || time.Now().After(current.deadline) {
-		return a.refusals.final()
+// waitForCell backs off and clears the tried targets if the request may have started or a refusing
+// cell is changing owners. Otherwise, or past the deadline, it returns the final error.
+func (a *attempts) waitForCell(ctx context.Context, current *cellWait) error {
+	retryable := a.mayHaveRun || a.refusals.handover
+	if !retryable || time.Now().After(current.deadline) {
+		return a.refusals.finalError()
 	}
 	if wait(ctx, current.delays.NextBackOff()) != nil {
-		return a.ended(ctx)
+		return a.contextError(ctx)
 	}
 	clear(a.tried)
 	return nil
 }
 
-// ended returns the error of a request whose context ended between attempts.
-// When the deadline passed before any cell took it, it certainly did not run.
-func (a *attempts) ended(ctx context.Context) error {
+// contextError returns the error of a request whose context ended between attempts. If the deadline
+// passed before any cell accepted the request, the request did not run.
+func (a *attempts) contextError(ctx context.Context) error {
 	if !a.mayHaveRun && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return a.refusals.final()
+		return a.refusals.finalError()
 	}
 	return &consumerError{err: context.Cause(ctx)}
 }
--- a/internal/router/run_test.go
+++ b/internal/router/run_test.go
@@ -15,7 +15,7 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// outcome is what the caller of a request saw.
+// outcome is what the caller of a request received.
 type outcome struct {
 	tokens []string
 	result Result
@@ -34,25 +34,25 @@
 	return seen
 }
 
-// testReporter is what the checks need of a testing.T and of a rapid.T.
+// testReporter is implemented by testing.T and rapid.T.
 type testReporter interface {
 	assert.TestingT
 	Helper()
 }
 
-func (o *outcome) assertWhole(t testReporter) {
+func (o *outcome) assertComplete(t testReporter) {
 	t.Helper()
 	assert.NilError(t, o.err)
-	assert.Equal(t, len(o.tokens), truthLength)
+	assert.Equal(t, len(o.tokens), answerLength)
 	for index, token := range o.tokens {
-		assert.Equal(t, token, truthToken(index))
+		assert.Equal(t, token, answerToken(index))
 	}
-	assert.Equal(t, o.result.Tokens, truthLength)
+	assert.Equal(t, o.result.Tokens, answerLength)
 	assert.Equal(t, o.result.FinishReason, "stop")
 	assert.DeepEqual(t, o.result.Versions, []api.VersionSpan{
 		{Version: 3, From: 0, To: 10},
 		{Version: 4, From: 10, To: 20},
-		{Version: 5, From: 20, To: truthLength},
+		{Version: 5, From: 20, To: answerLength},
 	})
 }
 
@@ -61,7 +61,7 @@
 	assert.Assert(t, errkind.Is(o.err, kind), "got %v, want %v", o.err, kind)
 }
 
-func TestWholeAnswer(t *testing.T) {
+func TestCompleteAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0")
 		load := message.CellDigest{Node: "n0", Sequence: 9}
@@ -70,7 +70,7 @@
 			return serve(ctx, submit, send)
 		}
 		seen := run(t.Context(), fake, testRequest(true))
-		seen.assertWhole(t)
+		seen.assertComplete(t)
 		assert.DeepEqual(t, fake.observed, []message.CellDigest{load})
 		submits := fake.submitted()
 		assert.Equal(t, len(submits), 1)
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestRefusedRequestRunsElsewhere(t *testing.T) {
+func TestRefusedRequestIsRetriedAtAnotherCell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, kind := range []errkind.Kind{
 			errkind.QueueFull, errkind.Draining, errkind.NotOwner, errkind.EngineRefused, errkind.NoCapacity,
@@ -88,12 +88,12 @@
 			fake.dispatchers["n1"] = refuse(errkind.New(kind, "no"))
 			fake.dispatchers["n2"] = serve
 			seen := run(t.Context(), fake, testRequest(false))
-			seen.assertWhole(t)
+			seen.assertComplete(t)
 		}
 	})
 }
 
-func TestRefusedByAllIsAnsweredAtOnce(t *testing.T) {
+func TestRefusalByAllCellsIsReturnedWithoutWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0", "n1")
 		started := time.Now()
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestCellThatChangesHandsTakesTheRequest(t *testing.T) {
+func TestRequestWaitsForCellHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0")
 		fake.dispatchers["n0"] = refuse(errkind.New(errkind.NotOwner, "not mine"))
@@ -120,25 +120,25 @@
 			fake.dispatchers["n0"] = serve
 		})
 		seen := run(t.Context(), fake, testRequest(false))
-		seen.assertWhole(t)
+		seen.assertComplete(t)
 	})
 }
 
-func TestBrokenStreamIsAttachedAgain(t *testing.T) {
+func TestBrokenStreamIsReattached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, repeatable := range []bool{true, false} {
 			fake := newFakeCluster("n0", "n1")
 			fake.dispatchers["n1"] = refuse(errkind.New(errkind.InvalidRequest, "wrong cell"))
 			fake.dispatchers["n0"] = func(_ context.Context, submit message.Submit, send func(message.Progress)) error {
-				from := max(firstWanted(submit)-2, 0) // an overlap
+				from := max(startIndex(submit)-2, 0) // an overlap
 				if from > 15 {
 					return serve(t.Context(), submit, send)
 				}
 				generate(submit, from, from+6, send)
-				return broken()
+				return connectionReset()
 			}
 			seen := run(t.Context(), fake, testRequest(repeatable))
-			seen.assertWhole(t)
+			seen.assertComplete(t)
 			for index, submit := range fake.submitted() {
 				assert.Equal(t, submit.Attach, index > 0)
 				assert.Equal(t, submit.Attempt, uint32(1))
@@ -147,31 +147,31 @@
 	})
 }
 
-// endAfter ends each stream with the error after so many tokens.
+// endAfter ends each stream with err after the given number of tokens.
 func endAfter(tokens int, err error) dispatcherFunc {
 	return func(_ context.Context, submit message.Submit, send func(message.Progress)) error {
-		generate(submit, firstWanted(submit), firstWanted(submit)+tokens, send)
+		generate(submit, startIndex(submit), startIndex(submit)+tokens, send)
 		return err
 	}
 }
 
-// loseAfter breaks each stream after so many tokens and then knows nothing of the request.
+// loseAfter breaks the stream after the given number of tokens and then has no record of the request.
 func loseAfter(tokens int) dispatcherFunc {
 	return func(ctx context.Context, submit message.Submit, send func(message.Progress)) error {
 		if submit.Attach {
 			return errkind.New(errkind.NotFound, "no such request")
 		}
-		return endAfter(tokens, broken())(ctx, submit, send)
+		return endAfter(tokens, connectionReset())(ctx, submit, send)
 	}
 }
 
-func TestLostDispatcher(t *testing.T) {
+func TestRequestContinuesAfterLostDispatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0", "n1")
 		fake.dispatchers["n0"] = loseAfter(12)
 		fake.dispatchers["n1"] = serve
 		seen := run(t.Context(), fake, testRequest(true))
-		seen.assertWhole(t)
+		seen.assertComplete(t)
 		submits := fake.submitted()
 		last := submits[len(submits)-1]
 		assert.Equal(t, last.Attempt, uint32(2))
@@ -179,7 +179,7 @@
 	})
 }
 
-func TestAnswerAtItsBoundIsWhole(t *testing.T) {
+func TestAnswerAtMaxTokensIsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0")
 		fake.dispatchers["n0"] = loseAfter(20)
@@ -192,7 +192,7 @@
 	})
 }
 
-func TestCellInTroubleIsAvoided(t *testing.T) {
+func TestFailingCellIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, kind := range []errkind.Kind{errkind.CapReached, errkind.NotOwner, errkind.NoCapacity} {
 			fake := newFakeCluster("n0", "n1")
@@ -209,7 +209,7 @@
 	})
 }
 
-func TestDispatcherThatDiesInSilenceIsLeft(t *testing.T) {
+func TestHungDispatcherIsReplacedOnceNotAMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0", "n1")
 		fake.dispatchers["n0"] = func(ctx context.Context, submit message.Submit, send func(message.Progress)) error {
@@ -219,11 +219,11 @@
 		}
 		fake.dispatchers["n1"] = serve
 		seen := run(t.Context(), fake, testRequest(true))
-		seen.assertWhole(t)
+		seen.assertComplete(t)
 	})
 }
 
-func TestRequestThatBeganIsNeverSaidNotToHaveRun(t *testing.T) {
+func TestStartedRequestIsNotReportedAsNotExecuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0", "n1")
 		fake.dispatchers["n0"] = loseAfter(3)
@@ -233,7 +233,7 @@
 	})
 }
 
-func TestCallerThatLeavesClosesTheStream(t *testing.T) {
+func TestCanceledCallerClosesStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0")
 		closed := make(chan struct{})
@@ -254,7 +254,7 @@
 	})
 }
 
-func TestRetriesStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0", "n1", "n2", "n3")
 		for _, node := range []string{"n0", "n1", "n2", "n3"} {
@@ -272,7 +272,7 @@
 	})
 }
 
-func TestRowInForceIsUsed(t *testing.T) {
+func TestCurrentRowUsesNewerTable(t *testing.T) {
 	fake := newFakeCluster("n0")
 	request := testRequest(false)
 	request.TableRevision = 4
--- a/internal/router/submission.go
+++ b/internal/router/submission.go
@@ -7,10 +7,9 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// currentRow returns the row in force for the request and its revision. A
-// request keeps its own row when the service now uses another model, pool or
-// kind: tokens of two models never make one answer. A request that was once
-// not repeatable stays so.
+// currentRow returns the request's row and revision from the current table. The request keeps its own
+// row if the service changed its model, pool or kind, because an answer must not mix tokens of two
+// models. A request that is not repeatable stays so.
 func (r *CellRouter) currentRow(request *Request) (policy.Row, int64) {
 	table := r.options.Tables.Table()
 	if table == nil || table.Revision <= request.TableRevision {
@@ -25,7 +24,7 @@
 	return row, table.Revision
 }
 
-// submit builds the message of a new attempt.
+// submit builds the submission of a new attempt.
 func (a *attempts) submit(row policy.Row, revision int64, chosen choice) message.Submit {
 	request := a.request
 	return message.Submit{
@@ -45,13 +44,13 @@
 		Priority:       row.Priority,
 		Urgent:         request.Urgent != nil && request.Urgent(),
 		Repeatable:     row.Repeatable,
-		Continued:      a.begun(),
+		Continued:      a.mayHaveStarted(),
 		QueueTimeout:   request.QueueTimeout,
 	}
 }
 
-// attach turns the message of an attempt into one that attaches to it. The
-// prompt stays at home: the dispatcher has it.
+// attach converts a submission to one that attaches to the same attempt. The prompt is omitted because
+// the dispatcher already has it.
 func attach(submit message.Submit, resumeFrom int) message.Submit {
 	submit.Attach = true
 	submit.ResumeFrom = resumeFrom
--- a/internal/router/target.go
+++ b/internal/router/target.go
@@ -12,35 +12,32 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// capAvoidance is how long a cell that refused a service with
-// errkind.CapReached is avoided: dispatchers split a cap over the cells by
-// engines, and a cell whose part is 0 refuses every request.
+// capAvoidance is how long a cell that refused a service with errkind.CapReached is avoided. A cap is
+// divided among cells by engine count, and a cell with a share of 0 refuses every request.
 const capAvoidance = 2 * time.Second
 
-// troubleAvoidance is how long a cell is avoided whose dispatcher could not be
-// reached, changes hands or found no engine. It keeps the retries few, and so
-// inside the budget, until the digests show the trouble.
-const troubleAvoidance = 500 * time.Millisecond
+// failureAvoidance is how long a cell is avoided after its dispatcher was unreachable, changed owners
+// or found no engine, until the digests reflect the failure. It keeps retries within the budget.
+const failureAvoidance = 500 * time.Millisecond
 
-// target is one dispatcher of one cell.
+// target is a cell and the node to submit to.
 type target struct {
 	cell    message.CellID
 	node    string
 	address string
 }
 
-// triedSet holds the targets that already refused or lost a request.
+// triedSet holds the targets that refused or lost the request.
 type triedSet map[target]struct{}
 
-// choice is a target with the version floor that it was chosen under.
+// choice is a target and the minimum version used to select it.
 type choice struct {
 	target
 	minVersion uint64
 }
 
-// choose picks a cell for a request and the dispatcher to ask; false when
-// every eligible cell was tried or none is known. The submission is counted
-// against the cell until its next digest.
+// choose selects a cell and the dispatcher to submit to; false if every eligible cell was tried or
+// none is known. The submission counts as load of the cell until its next digest.
 func (r *CellRouter) choose(row policy.Row, request *Request, tried triedSet) (choice, bool) {
 	digests := r.options.View.Cells()
 	now := time.Now()
@@ -63,8 +60,8 @@
 	return choice{target: found, minVersion: minVersion}, true
 }
 
-// pickUntried picks among the cells until one has an untried dispatcher. It
-// adds the others to the query's excluded cells. The caller holds the shard's lock.
+// pickUntried picks cells until one has an untried dispatcher and adds the others to query.Excluded.
+// Must be called with the shard's mutex held.
 func (r *CellRouter) pickUntried(shard *shard, cells []routing.Cell, query routing.Query, tried triedSet) (target, bool) {
 	for {
 		eligible := routing.Eligible(cells, query, r.options.StaleAfter)
@@ -79,9 +76,9 @@
 	}
 }
 
-// refused takes back the count of a submission that the cell did not take, and
-// avoids the cell for a while. A full queue is no reason: the digests show it.
-func (r *CellRouter) refused(service string, cell message.CellID, err error) {
+// recordRefusal removes the submission from the cell's load and, unless the queue was full, avoids the
+// cell for a while. The digests already show a full queue.
+func (r *CellRouter) recordRefusal(service string, cell message.CellID, err error) {
 	shard := &r.shards[shardIndex(cell.Pool)]
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -91,15 +88,15 @@
 	case errkind.Is(err, errkind.CapReached):
 		shard.avoid.Add(service, cell, time.Now().Add(capAvoidance))
 	default:
-		shard.avoid.Add(service, cell, time.Now().Add(troubleAvoidance))
+		shard.avoid.Add(service, cell, time.Now().Add(failureAvoidance))
 	}
 }
 
-// dispatcher returns the likeliest node that runs the cell's dispatcher and was
-// not tried: the one that told of the cell, else the one that the members of
-// the cell's zone name as its owner, which differs while the cell changes hands.
+// dispatcher returns an untried node that is likely to run the cell's dispatcher: the sender of the
+// digest, else the owner computed from the members of the cell's zone. The two differ while ownership
+// changes.
 func (r *CellRouter) dispatcher(digest *message.CellDigest, tried triedSet) (target, bool) {
-	if r.dispatchesItself(digest.Cell) {
+	if r.isSelfDispatched(digest.Cell) {
 		own := target{cell: digest.Cell, node: r.options.NodeID, address: r.options.View.Self().Address}
 		_, done := tried[own]
 		return own, !done
@@ -123,15 +120,15 @@
 	return target{}, false
 }
 
-// dispatchesItself reports a cell that this node sends to without the cell's
-// own dispatcher, which is the baseline routing.StrategyOneHop.
-func (r *CellRouter) dispatchesItself(cell message.CellID) bool {
+// isSelfDispatched reports whether this node dispatches to the cell itself, as routing.StrategyOneHop
+// does within its own zone.
+func (r *CellRouter) isSelfDispatched(cell message.CellID) bool {
 	oneHop := routing.Strategy(r.options.Policy) == routing.StrategyOneHop
 	return oneHop && cell.Zone == r.options.Zone
 }
 
-// mayDispatch reports whether the digest's sender may still take work. A
-// sender in another zone need not be among the members known here.
+// mayDispatch reports whether the digest's sender may still accept requests. Members of other zones
+// may be unknown here.
 func (r *CellRouter) mayDispatch(digest *message.CellDigest) bool {
 	member, known := r.members.find(digest.Node, time.Now())
 	if !known {
@@ -140,8 +137,8 @@
 	return member.State == cluster.StateAlive || member.State == cluster.StateSuspect
 }
 
-// effectiveMinVersion returns the version floor: the request's own, and for
-// live services the floor that the row sets below the version in force.
+// effectiveMinVersion returns the minimum version: the request's own, raised for live services to the
+// row's staleness limit.
 func effectiveMinVersion(row policy.Row, request *Request, digests []message.CellDigest) uint64 {
 	if row.Kind != policy.KindLive {
 		return request.MinVersion
@@ -153,8 +150,8 @@
 	return xxhash.Sum64String(pool) % shardCount
 }
 
-// digestsOfShard returns the digests of all pools that share the pool's shard:
-// the shard's tracker forgets cells that it is not shown.
+// digestsOfShard returns the digests of all pools in the shard of pool. The shard's tracker drops
+// cells that are missing from an update.
 func digestsOfShard(digests []message.CellDigest, pool string) []*message.CellDigest {
 	wanted := shardIndex(pool)
 	selected := make([]*message.CellDigest, 0, len(digests))
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -7,19 +7,19 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// watchInterval is how often a request looks whether its dispatcher is still
-// among the members, for the failure that breaks no connection.
+// watchInterval is how often a request checks that its dispatcher is still a member, to detect
+// failures that do not break the connection.
 const watchInterval = time.Second
 
-// dispatcherWatch closes a stream once its dispatcher dropped out of the members.
+// dispatcherWatch closes a stream once its dispatcher is no longer a member.
 type dispatcherWatch struct {
 	mutex   sync.Mutex
 	timer   *time.Timer
 	stopped bool
 }
 
-// watch watches the dispatcher of a repeatable request's stream. For others it
-// does nothing: the view may be wrong, and they have nowhere else to go.
+// watch monitors the dispatcher of a repeatable request. For other requests it does nothing: they
+// cannot continue elsewhere, and the membership view may be wrong.
 func (a *attempts) watch(stream peer.Stream, to target) *dispatcherWatch {
 	watch := &dispatcherWatch{}
 	if !a.request.Row.Repeatable || to.cell.Zone != a.router.options.Zone {
@@ -27,11 +27,11 @@
 	}
 	watch.mutex.Lock()
 	defer watch.mutex.Unlock()
-	watch.timer = time.AfterFunc(watchInterval, func() { watch.look(a.router, stream, to) })
+	watch.timer = time.AfterFunc(watchInterval, func() { watch.check(a.router, stream, to) })
 	return watch
 }
 
-func (w *dispatcherWatch) look(router *CellRouter, stream peer.Stream, to target) {
+func (w *dispatcherWatch) check(router *CellRouter, stream peer.Stream, to target) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.stopped {
@@ -44,7 +44,7 @@
 	w.timer.Reset(watchInterval)
 }
 
-// stop ends the watch; the stream is not closed by it afterwards.
+// stop ends the watch; it does not close the stream afterwards.
 func (w *dispatcherWatch) stop() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -54,8 +54,8 @@
 	}
 }
 
-// dispatcherGone reports whether a dispatcher of this node's zone is no longer
-// among the members. Other zones' members are known only in part.
+// dispatcherGone reports whether a dispatcher in this node's zone is no longer a member. Members of
+// other zones are only partly known, so it reports false for them.
 func (r *CellRouter) dispatcherGone(to target) bool {
 	if to.cell.Zone != r.options.Zone {
 		return false
