--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -6,10 +6,10 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// objectCompletion is the object name of every completion body.
+// objectCompletion is the "object" value of completion bodies.
 const objectCompletion = "text_completion"
 
-// completionTemplate holds what all bodies of one answer share.
+// completionTemplate holds the fields shared by all bodies of an answer.
 type completionTemplate struct {
 	id           string
 	created      int64
@@ -17,7 +17,7 @@
 	promptTokens int
 }
 
-// body returns a completion with the text; finishReason is nil until the end.
+// body returns a completion with the text; finishReason is nil except at the end of the answer.
 func (t *completionTemplate) body(text string, finishReason *string, versions []api.VersionSpan) api.Completion {
 	return api.Completion{
 		ID:       t.id,
@@ -29,7 +29,7 @@
 	}
 }
 
-// finalBody returns the completion that ends an answer.
+// finalBody returns the last completion of an answer, with its usage.
 func (t *completionTemplate) finalBody(text string, result router.Result) api.Completion {
 	completion := t.body(text, &result.FinishReason, result.Versions)
 	completion.Usage = &api.Usage{
@@ -41,7 +41,7 @@
 	return completion
 }
 
-// promptTokens estimates the tokens of a prompt: engines tokenize, not nodes.
+// promptTokens estimates the number of prompt tokens, since only engines tokenize.
 func promptTokens(prompt string) int {
 	return (len(prompt) + engine.BytesPerToken - 1) / engine.BytesPerToken
 }
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -13,36 +13,36 @@
 
 var errAborted = errkind.New(errkind.Internal, "the request's handler was aborted")
 
-// responder sends one answer in one form (events or one JSON body).
+// responder sends an answer as server-sent events or as one JSON body.
 type responder interface {
-	// piece takes new tokens; an error cancels the request.
+	// piece accepts new tokens; an error cancels the request.
 	piece(piece router.Piece) error
 	finish(result router.Result) error
-	// fail answers with an error, as far as the answer's state still allows.
+	// fail sends an error in the form that is still possible after what was already sent.
 	fail(err error)
 }
 
-// handleCompletion answers POST /v1/completions.
+// handleCompletion serves POST /v1/completions.
 func (g *Gateway) handleCompletion(w http.ResponseWriter, r *http.Request) {
-	// The error stands only when the handler panics before it sets the outcome.
+	// err is overwritten unless the handler panics.
 	record := &record{requestID: g.newRequestID(), started: time.Now(), err: errAborted}
 	w.Header().Set(api.HeaderRequestID, record.requestID)
-	entered := g.inHand.enter()
+	entered := g.inflight.enter()
 	if entered {
-		defer g.inHand.leave()
+		defer g.inflight.leave()
 	}
 	defer g.report(record)
 	call, err := g.admit(w, r, record.requestID, entered)
 	if err != nil {
 		record.err = err
-		g.newFailure(w).fail(err)
+		g.newErrorResponder(w).fail(err)
 		return
 	}
 	record.call = call
 	record.err = g.answer(r.Context(), w, record)
 }
 
-// admit returns the checked request, unless this node may not take new work.
+// admit validates the request, or refuses it if this node is not accepting requests.
 func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, requestID string, entered bool) (*call, error) {
 	if !entered {
 		return nil, errkind.New(errkind.ShuttingDown, "this node is stopping")
@@ -57,7 +57,7 @@
 func (g *Gateway) answer(ctx context.Context, w http.ResponseWriter, record *record) error {
 	responder := g.newResponder(w, record.call)
 	result, err := g.run(ctx, record.call, func(piece router.Piece) error {
-		record.note(piece)
+		record.addPiece(piece)
 		return responder.piece(piece)
 	})
 	record.result = result
@@ -68,8 +68,8 @@
 	return responder.finish(result)
 }
 
-// run runs the request: at most once when it is keyed and not repeatable. A
-// key on a repeatable request is only logged, as a second run does no harm.
+// run executes the request, at most once if it has an idempotency key and is not repeatable. The key
+// of a repeatable request is only logged because running it twice is safe.
 func (g *Gateway) run(ctx context.Context, call *call, onPiece func(router.Piece) error) (router.Result, error) {
 	if call.key == "" || call.request.Row.Repeatable {
 		return g.options.Router.Run(ctx, call.request, onPiece)
@@ -93,10 +93,10 @@
 	if call.stream {
 		return &eventResponder{writer: writer, template: template}
 	}
-	return &plainResponder{writer: writer, template: template}
+	return &jsonResponder{writer: writer, template: template}
 }
 
-// newFailure returns a responder for a request that was not admitted.
-func (g *Gateway) newFailure(w http.ResponseWriter) responder {
-	return &plainResponder{writer: newDeadlineWriter(w, g.options.WriteTimeout)}
+// newErrorResponder returns a responder for a request that was not admitted.
+func (g *Gateway) newErrorResponder(w http.ResponseWriter) responder {
+	return &jsonResponder{writer: newDeadlineWriter(w, g.options.WriteTimeout)}
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -16,26 +16,25 @@
 	eventDone         = "data: [DONE]\n\n"
 )
 
-// eventResponder streams an answer as server-sent events, one for each piece.
-// The status line is sent with the first event, so that an error before it
-// still gets a status of its own.
+// eventResponder streams an answer as server-sent events, one per piece. The status line is sent with
+// the first event, so that an earlier error can still set the HTTP status.
 type eventResponder struct {
 	writer   *deadlineWriter
 	template completionTemplate
 	started  bool
-	// form is set with the first piece.
-	form   eventForm
+	// event is set with the first piece.
+	event  eventTemplate
 	buffer []byte
 }
 
 func (e *eventResponder) piece(piece router.Piece) error {
 	var err error
-	if e.form.before == "" {
-		if e.form, err = newEventForm(&e.template); err != nil {
+	if e.event.before == "" {
+		if e.event, err = newEventTemplate(&e.template); err != nil {
 			return err
 		}
 	}
-	if e.buffer, err = e.form.appendEvent(e.buffer[:0], &piece); err != nil {
+	if e.buffer, err = e.event.appendEvent(e.buffer[:0], &piece); err != nil {
 		return err
 	}
 	return e.write(e.buffer)
@@ -47,19 +46,19 @@
 
 func (e *eventResponder) fail(err error) {
 	if !e.started {
-		plain := plainResponder{writer: e.writer}
+		plain := jsonResponder{writer: e.writer}
 		plain.fail(err)
 		return
 	}
-	// The caller sees from the event that the answer is not whole; [DONE] does not follow.
+	// The error event marks the answer as incomplete; [DONE] is not sent.
 	_ = e.send(eventError, api.ErrorBody{Error: httpapi.ErrorDetail(err)}, "")
 }
 
-// send writes one event with a JSON body, and the text that follows it.
+// send writes an event with a JSON body, followed by suffix.
 func (e *eventResponder) send(eventName string, body any, suffix string) error {
 	event := bytes.NewBufferString(eventName)
 	event.WriteString("data: ")
-	// Encode ends the line; the empty line after it ends the event.
+	// Encode ends the line; the blank line after it ends the event.
 	if err := json.NewEncoder(event).Encode(body); err != nil {
 		return err
 	}
@@ -72,7 +71,7 @@
 	e.writer.extend()
 	e.start()
 	if _, err := e.writer.Write(event); err != nil {
-		return callerGone(err)
+		return callerWriteError(err)
 	}
 	return e.writer.flush()
 }
--- a/internal/gateway/eventform.go
+++ b/internal/gateway/eventtemplate.go
@@ -8,41 +8,39 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// emptyText stands in the encoded body of an event without text.
+// emptyText is the text field in an encoded event without text.
 const emptyText = `"text":""`
 
-// eventForm is the encoded event of a piece without its text and its span. It
-// is the same for all pieces of an answer, which are encoded often and are
-// small, so it is encoded once.
-type eventForm struct {
+// eventTemplate is an encoded piece event without its text and version span. Everything else is the
+// same for all pieces of an answer, so it is encoded only once.
+type eventTemplate struct {
 	before string
 	after  string
 }
 
-// newEventForm encodes the event of an answer's pieces by encoding/json and
-// cuts it at the text.
-func newEventForm(template *completionTemplate) (eventForm, error) {
+// newEventTemplate encodes an event with encoding/json and splits it at the text.
+func newEventTemplate(template *completionTemplate) (eventTemplate, error) {
 	body, err := json.Marshal(template.body("", nil, nil))
 	if err != nil {
-		return eventForm{}, err
+		return eventTemplate{}, err
 	}
-	// The text comes after all that callers and operators name.
+	// The text field follows all fields set by callers or operators, so its last occurrence is the right one.
 	encoded := string(body)
 	cut := strings.LastIndex(encoded, emptyText) + len(emptyText) - len(`""`)
-	return eventForm{
+	return eventTemplate{
 		before: "data: " + encoded[:cut],
 		after:  strings.TrimSuffix(encoded[cut+len(`""`):], "}"),
 	}, nil
 }
 
-// appendEvent appends the event of a piece, as encoding/json would encode it.
-func (f *eventForm) appendEvent(event []byte, piece *router.Piece) ([]byte, error) {
-	event = append(event, f.before...)
+// appendEvent appends the event of a piece. The result equals that of encoding/json.
+func (t *eventTemplate) appendEvent(event []byte, piece *router.Piece) ([]byte, error) {
+	event = append(event, t.before...)
 	event, err := appendText(event, piece.Tokens)
 	if err != nil {
 		return event, err
 	}
-	event = append(event, f.after...)
+	event = append(event, t.after...)
 	event = append(event, `,"weight_versions":[{"version":`...)
 	event = strconv.AppendUint(event, piece.Version, 10)
 	event = append(event, `,"from":`...)
@@ -52,8 +50,8 @@
 	return append(event, "}]}\n\n"...), nil
 }
 
-// appendText appends the tokens as one JSON string. Those that are not all plain
-// are joined first, as a character may be split over two of them.
+// appendText appends the tokens as one JSON string. If any token needs escaping, all are joined first
+// because a UTF-8 character may be split across tokens.
 func appendText(event []byte, tokens []string) ([]byte, error) {
 	for _, token := range tokens {
 		if !isPlainText(token) {
@@ -68,7 +66,7 @@
 	return append(event, '"'), nil
 }
 
-// isPlainText reports a text that JSON holds as it is.
+// isPlainText reports whether JSON encodes the text without escaping.
 func isPlainText(text string) bool {
 	for index := range len(text) {
 		switch character := text[index]; {
--- a/internal/gateway/eventform_test.go
+++ b/internal/gateway/eventtemplate_test.go
@@ -13,9 +13,8 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// TestEventsAreEncodedAsByEncodingJSON draws bytes, so that tokens also split
-// characters or are no text at all.
-func TestEventsAreEncodedAsByEncodingJSON(t *testing.T) {
+// Tokens are arbitrary bytes, including split characters and invalid UTF-8.
+func TestEventTemplateMatchesEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		template := completionTemplate{
 			id:      rapid.String().Draw(t, "id"),
@@ -38,9 +37,9 @@
 		wanted, err := json.Marshal(template.body(strings.Join(tokens, ""), nil, []api.VersionSpan{span}))
 		assert.NilError(t, err)
 
-		form, err := newEventForm(&template)
+		pieceEvent, err := newEventTemplate(&template)
 		assert.NilError(t, err)
-		event, err := form.appendEvent(nil, &piece)
+		event, err := pieceEvent.appendEvent(nil, &piece)
 		assert.NilError(t, err)
 		assert.Equal(t, string(event), "data: "+string(wanted)+"\n\n")
 	})
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -45,7 +45,7 @@
 	return f(ctx, request, onPiece)
 }
 
-// fixture is a gateway behind a real HTTP server.
+// fixture is a gateway behind an HTTP server.
 type fixture struct {
 	gateway  *Gateway
 	server   *httptest.Server
@@ -96,7 +96,7 @@
 	return response
 }
 
-// decode reads to the end, which comes only after the handler has returned.
+// decode reads until EOF, which follows the return of the handler.
 func decode[Body any](t *testing.T, reader io.Reader) Body {
 	t.Helper()
 	data, err := io.ReadAll(reader)
@@ -110,7 +110,7 @@
 
 var twoVersions = []api.VersionSpan{{Version: 3, From: 0, To: 2}, {Version: 4, From: 2, To: 3}}
 
-// answerTwo answers with two pieces under two versions.
+// answerTwo sends two pieces under two versions.
 func answerTwo(_ context.Context, _ router.Request, onPiece func(router.Piece) error) (router.Result, error) {
 	if err := onPiece(router.Piece{Tokens: []string{"Lot ", "12 "}, Version: 3}); err != nil {
 		return router.Result{}, err
@@ -121,7 +121,7 @@
 	return router.Result{Tokens: 3, Versions: twoVersions, FinishReason: "stop", CachedTokens: 2}, nil
 }
 
-// counter returns the sum of a counter over its labels.
+// counter returns the sum of a counter over all label values.
 func (f *fixture) counter(t *testing.T, name string) float64 {
 	t.Helper()
 	families, err := f.registry.Gather()
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -13,8 +13,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// FuzzCompletionBody: whatever a caller sends, it is refused as not run or
-// becomes a request inside all bounds, for a live service of the table.
+// Any input must be refused as not executed or become a request for a live service within all limits.
 func FuzzCompletionBody(f *testing.F) {
 	f.Add(`{"model":"lookup","prompt":"Parcel 7?"}`, "")
 	f.Add(`{"model":"permit","prompt":"p","max_tokens":1,"temperature":0,"seed":-1,"stream":true,"user":"u"}`, "key-1")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,10 +1,10 @@
-// Package gateway is the callers' HTTP interface: it checks a live request
-// against the table, runs it through the router (or, when it must run at most
-// once, through the keyed executor) and relays the answer.
+// Package gateway is the HTTP API for callers: it validates a live request against the policy table,
+// runs it through the router (or through the keyed executor if it must run at most once) and relays
+// the answer.
 //
-// There is no buffer between the answer stream and the caller's connection: a
-// slow caller slows its own stream down to the dispatcher, and is dropped when
-// it does not take one event within the write timeout.
+// There is no buffer between the answer stream and the caller's connection: a slow caller applies
+// backpressure to its own stream up to the dispatcher, and is disconnected if it does not read an
+// event within the write timeout.
 package gateway
 
 import (
@@ -22,62 +22,61 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// DefaultWriteTimeout bounds how long a caller may take to accept one event or
-// one whole plain answer.
+// DefaultWriteTimeout bounds how long a caller may take to read one event or one JSON answer.
 const DefaultWriteTimeout = 30 * time.Second
 
-// KeyedExecutor runs keyed requests that are not repeatable at most once.
+// KeyedExecutor runs non-repeatable requests with an idempotency key at most once.
 type KeyedExecutor interface {
-	// Execute is as router.Router.Run; a request whose key was seen before
-	// gets the recorded answer or an error, and never runs again.
+	// Execute behaves like router.Router.Run, but a request whose key was seen before gets the
+	// recorded answer or an error and is not run again.
 	Execute(ctx context.Context, request keyed.Request, onPiece func(router.Piece) error) (router.Result, error)
 }
 
-// Options configures a Gateway. All fields but those with a default are required.
+// Options configures a Gateway. Fields without a documented default are required.
 type Options struct {
 	NodeID string
 	Router router.Router
 	Keyed  KeyedExecutor
 	Tables policy.Source
 	Logger zerolog.Logger
-	// Registerer takes the gateway's metrics; nil keeps them unregistered.
+	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
-	// WriteTimeout replaces DefaultWriteTimeout when it is not zero.
+	// WriteTimeout defaults to DefaultWriteTimeout.
 	WriteTimeout time.Duration
 }
 
-// Gateway answers callers.
+// Gateway serves the HTTP API for callers.
 type Gateway struct {
-	options Options
-	metrics *metrics
-	inHand  *inHand
+	options  Options
+	metrics  *metrics
+	inflight *inflight
 }
 
-// New returns a gateway. It takes requests once it is registered.
+// New returns a gateway. It serves no requests until Register is called.
 func New(options Options) *Gateway {
 	if options.WriteTimeout == 0 {
 		options.WriteTimeout = DefaultWriteTimeout
 	}
 	return &Gateway{
-		options: options,
-		metrics: newMetrics(options.Registerer),
-		inHand:  newInHand(),
+		options:  options,
+		metrics:  newMetrics(options.Registerer),
+		inflight: newInflight(),
 	}
 }
 
-// Register adds the gateway's paths to the HTTP router.
+// Register adds the gateway's routes to the HTTP router.
 func (g *Gateway) Register(router *mux.Router) {
 	router.HandleFunc("/v1/completions", g.handleCompletion).Methods(http.MethodPost)
 	router.HandleFunc("/v1/models", g.handleModels).Methods(http.MethodGet)
 }
 
-// Drain refuses new requests with errkind.ShuttingDown from now on and waits
-// until those in hand are answered. It returns ctx's error when ctx ends first.
+// Drain refuses new requests with errkind.ShuttingDown and waits until those in flight are answered.
+// It returns ctx's error if ctx ends first.
 func (g *Gateway) Drain(ctx context.Context) error {
-	return g.inHand.drain(ctx)
+	return g.inflight.drain(ctx)
 }
 
-// newRequestID returns an ID that no other request of any node has.
+// newRequestID returns an ID that is unique across all nodes.
 func (g *Gateway) newRequestID() string {
 	return g.options.NodeID + "-" + xid.New().String()
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -18,7 +18,7 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-func TestPlainAnswer(t *testing.T) {
+func TestJSONAnswer(t *testing.T) {
 	var seen router.Request
 	f := newFixture(t, func(ctx context.Context, request router.Request, onPiece func(router.Piece) error) (router.Result, error) {
 		seen = request
@@ -40,7 +40,7 @@
 	assert.Equal(t, f.counter(t, "corkpulley_gateway_tokens_total"), 8.0)
 }
 
-// readEvents returns the data of each event, with "error: " before those named error.
+// readEvents returns the data of each event, prefixed with "error: " for error events.
 func readEvents(t *testing.T, reader io.Reader) []string {
 	t.Helper()
 	var events []string
@@ -60,7 +60,7 @@
 	return events
 }
 
-func TestEvents(t *testing.T) {
+func TestEventStreamAnswer(t *testing.T) {
 	f := newFixture(t, answerTwo)
 	response := f.post(t, `{"model":"lookup","prompt":"p","stream":true}`)
 	assert.Equal(t, response.Header.Get("Content-Type"), contentTypeEvents)
@@ -77,7 +77,7 @@
 	assert.Equal(t, events[3], "[DONE]")
 }
 
-func TestErrorBeforeAndAfterTheFirstEvent(t *testing.T) {
+func TestErrorBeforeAndAfterFirstEvent(t *testing.T) {
 	f := newFixture(t, func(_ context.Context, request router.Request, onPiece func(router.Piece) error) (router.Result, error) {
 		if request.Prompt == "late" {
 			if err := onPiece(router.Piece{Tokens: []string{"a"}, Version: 1}); err != nil {
@@ -142,9 +142,9 @@
 	assert.Equal(t, f.post(t, valid).StatusCode, http.StatusServiceUnavailable)
 }
 
-func TestKeyedRequestRunsThroughTheExecutor(t *testing.T) {
+func TestNonRepeatableKeyedRequestUsesExecutor(t *testing.T) {
 	f := newFixture(t, func(context.Context, router.Request, func(router.Piece) error) (router.Result, error) {
-		t.Error("a keyed request went around the executor")
+		t.Error("a keyed request bypassed the executor")
 		return router.Result{}, nil
 	})
 	key := strings.Repeat("~", MaxKeyBytes)
@@ -166,7 +166,7 @@
 	assert.Assert(t, f.keyed[0].Fingerprint != f.keyed[2].Fingerprint)
 }
 
-func TestDrainWaitsForRequestsInHand(t *testing.T) {
+func TestDrainWaitsForInflightRequests(t *testing.T) {
 	begun := make(chan struct{})
 	release := make(chan struct{})
 	f := newFixture(t, func(ctx context.Context, request router.Request, onPiece func(router.Piece) error) (router.Result, error) {
@@ -189,7 +189,7 @@
 	assert.NilError(t, f.gateway.Drain(limited))
 }
 
-func TestCallerThatLeavesCancelsItsRequest(t *testing.T) {
+func TestCallerDisconnectCancelsRequest(t *testing.T) {
 	canceled := make(chan error, 1)
 	f := newFixture(t, func(ctx context.Context, _ router.Request, onPiece func(router.Piece) error) (router.Result, error) {
 		if err := onPiece(router.Piece{Tokens: []string{"a"}, Version: 1}); err != nil {
@@ -209,8 +209,8 @@
 	}
 }
 
-// TestSlowCallerIsDropped answers without end to a caller that reads nothing.
-func TestSlowCallerIsDropped(t *testing.T) {
+// Guards against an unbounded answer to a caller that does not read.
+func TestSlowCallerIsDisconnected(t *testing.T) {
 	failed := make(chan error, 1)
 	f := newFixture(t, func(_ context.Context, _ router.Request, onPiece func(router.Piece) error) (router.Result, error) {
 		tokens := []string{strings.Repeat("x", 1<<16)}
@@ -227,7 +227,7 @@
 	case err := <-failed:
 		assert.Assert(t, errkind.Is(err, errkind.Canceled))
 	case <-time.After(testLimit):
-		t.Fatal("the slow caller was not dropped")
+		t.Fatal("the slow caller was not disconnected")
 	}
 }
 
@@ -240,7 +240,7 @@
 	assert.Equal(t, fmt.Sprint(list.Data), "[{lookup model corkpulley} {permit model corkpulley}]")
 }
 
-// BenchmarkEvent measures one relayed piece as an event.
+// BenchmarkEvent measures sending one piece as an event.
 func BenchmarkEvent(b *testing.B) {
 	writer := newDeadlineWriter(httptest.NewRecorder(), DefaultWriteTimeout)
 	responder := &eventResponder{writer: writer, template: completionTemplate{id: "node-1-x", service: "lookup"}}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// codeOK labels answers that are whole.
+	// codeOK labels complete answers.
 	codeOK = "ok"
-	// serviceUnknown labels requests that name no live service, so that
-	// callers cannot add label values.
+	// serviceUnknown labels requests that name no live service, so that callers cannot create label
+	// values.
 	serviceUnknown = "unknown"
 
 	tokensPrompt     = "prompt"
@@ -17,14 +17,14 @@
 	tokensCompletion = "completion"
 )
 
-// durationBuckets are in seconds: from a cached lookup to a long straggler.
+// durationBuckets are in seconds, from 5 ms to about 5.5 min.
 var durationBuckets = prometheus.ExponentialBuckets(0.005, 2, 17)
 
 type metrics struct {
-	requests  *prometheus.CounterVec
-	firstByte *prometheus.HistogramVec
-	duration  *prometheus.HistogramVec
-	tokens    *prometheus.CounterVec
+	requests         *prometheus.CounterVec
+	timeToFirstToken *prometheus.HistogramVec
+	duration         *prometheus.HistogramVec
+	tokens           *prometheus.CounterVec
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -34,7 +34,7 @@
 			Name: "corkpulley_gateway_requests_total",
 			Help: "Requests by service and code: ok, or the code of the error.",
 		}, []string{"service", "code"}),
-		firstByte: factory.NewHistogramVec(prometheus.HistogramOpts{
+		timeToFirstToken: factory.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "corkpulley_gateway_time_to_first_token_seconds",
 			Help:    "Time from the request's arrival to its first token.",
 			Buckets: durationBuckets,
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -13,14 +13,14 @@
 	Data   []Model `json:"data"`
 }
 
-// Model is one live service, under the name that callers give as model.
+// Model is a live service; ID is the model name that callers use.
 type Model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"` // "model"
 	OwnedBy string `json:"owned_by"`
 }
 
-// handleModels answers GET /v1/models with the live services of the table.
+// handleModels serves GET /v1/models with the live services of the policy table.
 func (g *Gateway) handleModels(w http.ResponseWriter, _ *http.Request) {
 	list := ModelList{Object: "list", Data: []Model{}}
 	for _, row := range g.options.Tables.Table().Rows {
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -13,7 +13,7 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// Bounds of a request.
+// Limits and defaults of a request.
 const (
 	MaxBodyBytes       = 1 << 20
 	MaxPromptBytes     = 256 << 10
@@ -24,24 +24,23 @@
 	MaxKeyBytes        = 128
 )
 
-// completionBody is api.CompletionRequest with an explicit 0 told apart from a
-// missing max_tokens.
+// completionBody is api.CompletionRequest with max_tokens as a pointer, to distinguish 0 from a
+// missing value.
 type completionBody struct {
 	api.CompletionRequest
 	MaxTokens *int `json:"max_tokens"`
 }
 
-// call is one checked request.
+// call is a validated request.
 type call struct {
 	request router.Request
-	// key is the idempotency key; empty when the caller sent none.
+	// key is the idempotency key; empty if the caller sent none.
 	key         string
 	fingerprint string
 	stream      bool
 }
 
-// parse reads and checks a request. Errors are *errkind.Error of a kind that
-// tells that it did not run.
+// parse decodes and validates a request. Errors are *errkind.Error of a kind that means not executed.
 func (g *Gateway) parse(w http.ResponseWriter, r *http.Request, requestID string) (*call, error) {
 	key, err := idempotencyKey(r.Header)
 	if err != nil {
@@ -80,12 +79,12 @@
 		request.Seed = *body.Seed
 		return request
 	}
-	// A seed of the request's own keeps a continuation on the same draw.
+	// A seed derived from the request ID gives a continuation the same random sequence.
 	request.Seed = int64(xxhash.Sum64String(requestID) >> 1)
 	return request
 }
 
-// checkBody checks the ranges and fills in the defaults.
+// checkBody validates the body and fills in defaults.
 func checkBody(body *completionBody) error {
 	if body.Model == "" {
 		return errkind.New(errkind.InvalidRequest, "model is missing, expected a service's name")
@@ -119,7 +118,7 @@
 	return row, nil
 }
 
-// idempotencyKey returns the caller's key; empty when there is none.
+// idempotencyKey returns the caller's key; empty if there is none.
 func idempotencyKey(header http.Header) (string, error) {
 	values := header.Values(api.HeaderIdempotencyKey)
 	if len(values) == 0 {
@@ -145,8 +144,8 @@
 	return true
 }
 
-// fingerprint tells apart different requests under one idempotency key. How
-// the answer is sent (stream) and who asks (user) are no part of it.
+// fingerprint identifies the request's content, to detect reuse of an idempotency key for a different
+// request. stream and user are not included.
 func fingerprint(body *completionBody) string {
 	seed := "none"
 	if body.Seed != nil {
@@ -160,7 +159,7 @@
 		seed,
 		body.Prompt,
 	} {
-		// The length before each field keeps neighbors apart.
+		// The length prefix keeps adjacent fields distinct.
 		_, _ = digest.WriteString(strconv.Itoa(len(field)) + ":" + field)
 	}
 	return strconv.FormatUint(digest.Sum64(), 16)
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -11,25 +11,25 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// HeaderWeightVersions names on a plain answer the weight versions of its
-// tokens, as "version:from-to" separated by commas.
+// HeaderWeightVersions lists the weight versions of a JSON answer's tokens as comma-separated
+// "version:from-to" spans.
 const HeaderWeightVersions = "X-Corkpulley-Weight-Versions"
 
-// plainResponder sends a whole answer as one JSON body.
-type plainResponder struct {
+// jsonResponder sends a complete answer as one JSON body.
+type jsonResponder struct {
 	writer   *deadlineWriter
 	template completionTemplate
 	text     strings.Builder
 }
 
-func (p *plainResponder) piece(piece router.Piece) error {
+func (p *jsonResponder) piece(piece router.Piece) error {
 	for _, token := range piece.Tokens {
 		p.text.WriteString(token)
 	}
 	return nil
 }
 
-func (p *plainResponder) finish(result router.Result) error {
+func (p *jsonResponder) finish(result router.Result) error {
 	body, err := json.Marshal(p.template.finalBody(p.text.String(), result))
 	if err != nil {
 		return err
@@ -40,12 +40,12 @@
 	p.writer.extend()
 	p.writer.WriteHeader(http.StatusOK)
 	if _, err := p.writer.Write(append(body, '\n')); err != nil {
-		return callerGone(err)
+		return callerWriteError(err)
 	}
 	return p.writer.flush()
 }
 
-func (p *plainResponder) fail(err error) {
+func (p *jsonResponder) fail(err error) {
 	p.writer.extend()
 	httpapi.WriteError(p.writer, err)
 	_ = p.writer.flush()
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -7,21 +7,21 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// record is what the log line and the metrics tell about one request.
+// record holds what is logged and counted about a request.
 type record struct {
 	requestID string
 	started   time.Time
-	// call is nil when the request was not admitted.
+	// call is nil if the request was not admitted.
 	call       *call
 	result     router.Result
 	firstToken time.Time
-	// tokens counts those received so far; result has none after an error.
+	// tokens counts the tokens received so far; result is empty after an error.
 	tokens int
 	err    error
 }
 
-// note counts the tokens of one piece.
-func (r *record) note(piece router.Piece) {
+// addPiece counts the tokens of a piece.
+func (r *record) addPiece(piece router.Piece) {
 	if r.tokens == 0 {
 		r.firstToken = time.Now()
 	}
@@ -42,7 +42,7 @@
 	return r.call.request.Row.Service
 }
 
-// report writes the request's log line and counts it.
+// report logs the request and updates the metrics.
 func (g *Gateway) report(record *record) {
 	duration := time.Since(record.started)
 	g.count(record, duration)
@@ -81,7 +81,7 @@
 	}
 	g.metrics.duration.WithLabelValues(service).Observe(duration.Seconds())
 	if !record.firstToken.IsZero() {
-		g.metrics.firstByte.WithLabelValues(service).Observe(record.firstToken.Sub(record.started).Seconds())
+		g.metrics.timeToFirstToken.WithLabelValues(service).Observe(record.firstToken.Sub(record.started).Seconds())
 	}
 	g.metrics.tokens.WithLabelValues(service, tokensCompletion).Add(float64(record.tokens))
 	if record.err == nil {
--- a/internal/gateway/writer.go
+++ b/internal/gateway/writer.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-// deadlineWriter writes to a caller that must take each write within a timeout.
+// deadlineWriter writes to a caller that must accept each write within a timeout.
 type deadlineWriter struct {
 	http.ResponseWriter
 	controller *http.ResponseController
@@ -18,9 +18,8 @@
 	extended time.Time
 }
 
-// extendFraction: the deadline is set anew once this part of the timeout has
-// passed since the last time, rather than for each event.
-const extendFraction = 8
+// extendDivisor limits deadline updates to one per timeout/extendDivisor instead of one per event.
+const extendDivisor = 8
 
 func newDeadlineWriter(w http.ResponseWriter, timeout time.Duration) *deadlineWriter {
 	return &deadlineWriter{
@@ -30,29 +29,27 @@
 	}
 }
 
-// extend gives the caller the timeout, less extendFraction of it at most, for
-// what is written next. A deadline that passes between two writes does no harm, and net/http clears it
-// after the answer; until then it also bounds the last bytes, which net/http
-// writes when the handler has returned.
+// extend moves the write deadline so that the next write has at least the timeout less
+// timeout/extendDivisor. A deadline that expires between writes is harmless: net/http clears it after
+// the answer. Until then it also bounds the bytes that net/http flushes after the handler returns.
 func (w *deadlineWriter) extend() {
 	now := time.Now()
-	if now.Sub(w.extended) < w.timeout/extendFraction {
+	if now.Sub(w.extended) < w.timeout/extendDivisor {
 		return
 	}
 	w.extended = now
-	// Writers without deadlines (tests' recorders) need none.
+	// Writers without deadlines, such as test recorders, are left as they are.
 	_ = w.controller.SetWriteDeadline(now.Add(w.timeout))
 }
 
-// flush sends what was written.
 func (w *deadlineWriter) flush() error {
 	err := w.controller.Flush()
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
-		return callerGone(err)
+		return callerWriteError(err)
 	}
 	return nil
 }
 
-func callerGone(err error) error {
-	return errkind.New(errkind.Canceled, "the caller left or took its answer too slowly: %v", err)
+func callerWriteError(err error) error {
+	return errkind.New(errkind.Canceled, "the caller disconnected or did not read the answer in time: %v", err)
 }
