--- a/test/hosted/batch_test.go
+++ b/test/hosted/batch_test.go
@@ -31,12 +31,12 @@
 	return ids
 }
 
-func checkWhole(t *testing.T, got results, ids []string, events int) {
+func assertAllCompleted(t *testing.T, got results, ids []string, events int) {
 	t.Helper()
 	assert.Equal(t, got.Total, len(ids))
 	seen := map[string]bool{}
 	for _, result := range got.Results {
-		assert.Assert(t, !seen[result.ID], "%s stands at two positions", result.ID)
+		assert.Assert(t, !seen[result.ID], "%s is at two positions", result.ID)
 		seen[result.ID] = true
 		assert.Equal(t, result.State, "completed")
 		assert.Equal(t, result.Text, standin.Text(result.ID, events))
@@ -52,27 +52,25 @@
 	d.configure(batchRoute("/batch/"))
 	nodes := []*process{d.start("n1"), d.start("n2")}
 	ids := itemIDs(20)
-	assert.Equal(t, nodes[0].call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
+	assert.Equal(t, nodes[0].call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	first := d.awaitResults(nodes[1], "job1", len(ids))
-	checkWhole(t, first, ids, 4)
+	assertAllCompleted(t, first, ids, 4)
 	second := d.awaitResults(nodes[0], "job1", len(ids))
 	assert.DeepEqual(t, first.Results, second.Results)
 
-	// Handed in again, it is taken once; a body comes back; the end is kept.
-	assert.Equal(t, nodes[1].call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
+	// Submitting and ending are idempotent, and bodies can be read back.
+	assert.Equal(t, nodes[1].call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	assert.Equal(t, nodes[1].call(http.MethodGet, "/items/job1?id=item3", "", "").body, "body of item3")
 	assert.Equal(t, nodes[0].call(http.MethodDelete, "/lots/job1", "", "").status, http.StatusOK)
 	assert.Equal(t, nodes[1].call(http.MethodDelete, "/lots/job1", "", "").status, http.StatusOK)
 	assert.Equal(t, nodes[1].call(http.MethodGet, "/lots/none", "", "").status, http.StatusNotFound)
 	for _, id := range ids {
-		assert.Equal(t, d.runsOf(id), 1)
+		assert.Equal(t, d.runCount(id), 1)
 	}
 }
 
-// TestHeldReaderIsToldWhenNothingIsMissing: the first of two groups is whole long
-// before the second; a reader that waits hears of both at once, one that does not
-// hears of the first.
-func TestHeldReaderIsToldWhenNothingIsMissing(t *testing.T) {
+// The first group completes long before the second; only a reader without a wait sees it alone.
+func TestLongPollReturnsOnceJobIsComplete(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addEngine(standin.EngineOptions{
@@ -86,8 +84,8 @@
 	})
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", job(1, "short", "long")).status, http.StatusAccepted)
-	held := make(chan answer, 1)
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, "short", "long")).status, http.StatusAccepted)
+	held := make(chan callResult, 1)
 	go func() {
 		held <- node.call(http.MethodGet, "/lots/job1?afterRev=0", "", "", "X-Corkpulley-Wait-Ms", "5000")
 	}()
@@ -98,17 +96,17 @@
 	assert.Equal(t, len(told.Results), 2)
 }
 
-func TestUnreadableJobIsRefusedWithWhatIsWrong(t *testing.T) {
+func TestInvalidJobIsRejectedWithReason(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addModelEngine("e1", 1, 4, 0)
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
 	for body, wanted := range map[string]string{
-		"no job":            "no JSON",
-		`{"requests":[]}`:   "one item",
-		job(1, "a", "a"):    "twice",
-		`{"requests":[{}]}`: "item 0",
+		"no job":             "no JSON",
+		`{"requests":[]}`:    "one item",
+		jobBody(1, "a", "a"): "twice",
+		`{"requests":[{}]}`:  "item 0",
 	} {
 		got := node.call(http.MethodPost, "/batch/x", "job1", body)
 		assert.Equal(t, got.status, http.StatusBadRequest, body)
@@ -118,27 +116,25 @@
 	assert.Equal(t, status, http.StatusNotFound)
 }
 
-// TestRefusedJobNeverRuns: the store takes nothing, so the answer promises that
-// nothing runs, and nothing does once the store is back.
-func TestRefusedJobNeverRuns(t *testing.T) {
+// The rejection promises that nothing runs, also once the log is back.
+func TestRejectedJobNeverRuns(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addModelEngine("e1", 1, 4, 0)
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
 	d.store.Log.SetFault(appendsFail(memlog.Refused))
-	got := node.call(http.MethodPost, "/batch/x", "job1", job(1, "a"))
+	got := node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, "a"))
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
-	d.noFault()
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job2", job(1, "b")).status, http.StatusAccepted)
+	d.clearFaults()
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job2", jobBody(1, "b")).status, http.StatusAccepted)
 	d.awaitResults(node, "job2", 1)
-	assert.Equal(t, d.runsOf("a"), 0)
+	assert.Equal(t, d.runCount("a"), 0)
 }
 
-// TestJobWithLostAnswersIsNotPromisedNotToRun: the record may be in the log, so
-// the answer is no promise, and a second try is taken as the same job.
-func TestJobWithLostAnswersIsNotPromisedNotToRun(t *testing.T) {
+// The record may be in the log, and a retry must be accepted as the same job.
+func TestJobWithLostAppendAnswersIsNotReportedAsNotRun(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addModelEngine("e1", 1, 4, 0)
@@ -150,20 +146,18 @@
 		}
 		return memlog.None
 	})
-	got := node.call(http.MethodPost, "/batch/x", "job1", job(1, "a"))
+	got := node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, "a"))
 	assert.Assert(t, got.status != http.StatusServiceUnavailable && got.status != http.StatusTooManyRequests, "%d", got.status)
-	d.noFault()
-	testwait.Until(t, "the job is taken", func() bool {
-		return node.call(http.MethodPost, "/batch/x", "job1", job(1, "a")).status == http.StatusAccepted
+	d.clearFaults()
+	testwait.Until(t, "the job to be accepted", func() bool {
+		return node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, "a")).status == http.StatusAccepted
 	})
-	checkWhole(t, d.awaitResults(node, "job1", 1), []string{"a"}, 4)
-	assert.Equal(t, d.runsOf("a"), 1)
+	assertAllCompleted(t, d.awaitResults(node, "job1", 1), []string{"a"}, 4)
+	assert.Equal(t, d.runCount("a"), 1)
 }
 
-// TestNewLeaderContinuesWhatRuns stops the leader while items run that outlast its
-// planned stop: the texts are
-// whole, and the runs were continued rather than begun again.
-func TestNewLeaderContinuesWhatRuns(t *testing.T) {
+// Items outlast the leader's planned stop; the next leader must resume them rather than restart them.
+func TestNewLeaderResumesRunningItems(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	const events = 150
@@ -172,14 +166,14 @@
 	}
 	d.configure(batchRoute("/batch/"))
 	leader := d.start("n1")
-	testwait.Until(t, "n1 leads", func() bool { return strings.Contains(leader.logs.String(), "leadership gained") })
+	testwait.Until(t, "n1 to lead", func() bool { return strings.Contains(leader.logs.String(), "leadership gained") })
 	other := d.start("n2")
 	ids := itemIDs(4)
-	assert.Equal(t, leader.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	testwait.Until(t, "the items run", func() bool { return d.runsOf(ids[0]) == 1 && d.runsOf(ids[3]) == 1 })
-	time.Sleep(900 * time.Millisecond) // lets the items make some events
+	assert.Equal(t, leader.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	testwait.Until(t, "the items to run", func() bool { return d.runCount(ids[0]) == 1 && d.runCount(ids[3]) == 1 })
+	time.Sleep(900 * time.Millisecond) // lets the items produce some events
 	leader.cancel()
-	checkWhole(t, d.awaitResults(other, "job1", len(ids)), ids, events)
+	assertAllCompleted(t, d.awaitResults(other, "job1", len(ids)), ids, events)
 	continued := 0
 	for _, engine := range engines {
 		for _, run := range engine.Runs() {
@@ -188,19 +182,18 @@
 			}
 		}
 	}
-	assert.Assert(t, continued > 0, "no run was continued")
+	assert.Assert(t, continued > 0, "no run was resumed")
 }
 
-// TestResultsLastThroughTheLossOfAllNodes: what was read once is read again, at
-// the same positions, from the log alone.
-func TestResultsLastThroughTheLossOfAllNodes(t *testing.T) {
+// Results and their positions are restored from the log alone.
+func TestResultsSurviveLossOfAllNodes(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addModelEngine("e1", 1, 4, 0)
 	d.configure(batchRoute("/batch/"))
 	first := d.start("n1")
 	ids := itemIDs(6)
-	assert.Equal(t, first.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
+	assert.Equal(t, first.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	before := d.awaitResults(first, "job1", len(ids))
 	first.cancel()
 	<-first.done
@@ -209,7 +202,7 @@
 	assert.DeepEqual(t, before.Results, after.Results)
 }
 
-func TestItemsGivenUpAreListedAsExpired(t *testing.T) {
+func TestFailedItemsExpire(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addModelEngine("e1", 1, 4, 0).SetFault(func(id string) standin.EngineFault {
@@ -223,44 +216,44 @@
 	})
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", job(1, "never", "fails", "works")).status, http.StatusAccepted)
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, "never", "fails", "works")).status,
+		http.StatusAccepted)
 	states := map[string]string{}
 	for _, result := range d.awaitResults(node, "job1", 3).Results {
 		states[result.ID] = result.State
 	}
 	assert.DeepEqual(t, states, map[string]string{"never": "expired", "fails": "expired", "works": "completed"})
-	assert.Equal(t, d.runsOf("never"), 1)
-	assert.Equal(t, d.runsOf("fails"), 2) // maxAttempts of the route
+	assert.Equal(t, d.runCount("never"), 1)
+	assert.Equal(t, d.runCount("fails"), 2) // maxAttempts of the route
 }
 
-// TestEndedJobRunsNoMore ends a job whose items wait and run.
-func TestEndedJobRunsNoMore(t *testing.T) {
+// Some items of the job wait when it is ended, others run.
+func TestEndedJobStartsNoMoreItems(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addModelEngine("e1", 1, 400, 20*time.Millisecond)
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
 	ids := itemIDs(30)
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	testwait.Until(t, "items run", func() bool { return len(d.engines[0].Runs()) == 8 })
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	testwait.Until(t, "items to run", func() bool { return len(d.engines[0].Runs()) == 8 })
 	assert.Equal(t, node.call(http.MethodDelete, "/lots/job1", "", "").status, http.StatusOK)
-	testwait.Until(t, "the leader knows", func() bool { return strings.Contains(node.logs.String(), "job ended") })
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job2", job(1, "after")).status, http.StatusAccepted)
-	testwait.Until(t, "the next job runs", func() bool { return d.runsOf("after") == 1 })
+	testwait.Until(t, "the leader to end the job", func() bool { return strings.Contains(node.logs.String(), "job ended") })
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job2", jobBody(1, "after")).status, http.StatusAccepted)
+	testwait.Until(t, "the next job to run", func() bool { return d.runCount("after") == 1 })
 	assert.Equal(t, len(d.engines[0].Runs()), 9)
 }
 
-// TestSamplesNameTheirVersionsAndNoneIsTooOld moves the engines to a new version
-// and asks for it.
-func TestSamplesNameTheirVersionsAndNoneIsTooOld(t *testing.T) {
+// Guards against items that run under an older version than the job's minVersion.
+func TestResultsReportVersionsAtOrAboveMinimum(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addModelEngine("e1", 1, 10, 20*time.Millisecond)
 	d.addModelEngine("e2", 1, 10, 20*time.Millisecond)
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
-	d.nameVersion(2)
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", job(2, itemIDs(6)...)).status, http.StatusAccepted)
+	d.publishVersion(2)
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(2, itemIDs(6)...)).status, http.StatusAccepted)
 	for _, result := range d.awaitResults(node, "job1", 6).Results {
 		assert.DeepEqual(t, result.Versions, []int64{2})
 	}
@@ -272,9 +265,8 @@
 	}
 }
 
-// TestNodeThatCannotBeSureSaysSo: an unknown job is "not found" only after a read
-// to the end of the log.
-func TestNodeThatCannotBeSureSaysSo(t *testing.T) {
+// A job is "not found" only after a read to the end of the log.
+func TestUnknownJobIsUnavailableWhileLogReadsFail(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addModelEngine("e1", 1, 4, 0)
@@ -289,7 +281,7 @@
 	_, status := node.readResults("job1", 0)
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	d.store.Refuse(nil)
-	testwait.Until(t, "not found", func() bool {
+	testwait.Until(t, "the job to be not found", func() bool {
 		_, status := node.readResults("job1", 0)
 		return status == http.StatusNotFound
 	})
--- a/test/hosted/crash_test.go
+++ b/test/hosted/crash_test.go
@@ -20,43 +20,43 @@
 )
 
 const (
-	// crashing stands in the body of requests that end each engine which begins them.
-	crashing = "ends-the-engine"
-	// engineDownTime is how long an engine that crashed is away, engineLapse how long
-	// its entry stays listed.
-	engineDownTime = 300 * time.Millisecond
-	engineLapse    = 250 * time.Millisecond
-	// rebirthTime is how long an engine that starts again under its ID is away.
-	rebirthTime = 150 * time.Millisecond
-	// crashesAllowed is how many engines may end under a request before it is kept
-	// away from them, knownAfter the time that all nodes may take to know, and
-	// sendsAfter how many sends are allowed beyond.
-	crashesAllowed = 3
-	knownAfter     = time.Second
-	sendsAfter     = 3
+	// crashMarker in a request body crashes every engine that starts the request.
+	crashMarker = "ends-the-engine"
+	// engineDownTime is how long a crashed engine is down, crashedEntryTTL how long its entry stays listed.
+	engineDownTime  = 300 * time.Millisecond
+	crashedEntryTTL = 250 * time.Millisecond
+	// quickRestartTime is the down time of an engine that is back before its entry expires.
+	quickRestartTime = 150 * time.Millisecond
+	// crashesAllowed is the number of crashes before a request is quarantined, propagationTime the time for all
+	// nodes to learn of them, and extraSendsAllowed the number of sends accepted after that.
+	crashesAllowed    = 3
+	propagationTime   = time.Second
+	extraSendsAllowed = 3
 )
 
-func endsUnderCrashing(run standin.Run) bool { return strings.Contains(run.Body, crashing) }
+func isCrashRun(run standin.Run) bool { return strings.Contains(run.Body, crashMarker) }
 
-// addHosts starts engines of a service that crash under some requests and come back.
-func (d *deployment) addHosts(count int, options standin.EngineOptions) []*standin.EngineHost {
+// addCrashingHosts starts engines that crash under some requests and restart.
+func (d *deployment) addCrashingHosts(count int, options standin.EngineOptions) []*standin.EngineHost {
 	d.t.Helper()
-	return d.addHostsThatAreAway(count, options, engineDownTime)
+	return d.addCrashingHostsWithDownTime(count, options, engineDownTime)
 }
 
-// addHostsThatAreAway is addHosts with engines that are away for a time after a crash.
-func (d *deployment) addHostsThatAreAway(count int, options standin.EngineOptions, downTime time.Duration) []*standin.EngineHost {
+// addCrashingHostsWithDownTime is addCrashingHosts with the given down time after a crash.
+func (d *deployment) addCrashingHostsWithDownTime(
+	count int, options standin.EngineOptions, downTime time.Duration,
+) []*standin.EngineHost {
 	d.t.Helper()
 	var hosts []*standin.EngineHost
 	options.Zone, options.Slots = "z1", 8
 	if options.EndsUnder == nil {
-		options.EndsUnder = endsUnderCrashing
+		options.EndsUnder = isCrashRun
 	}
 	for i := range count {
 		address, err := benchprocess.FreeAddress()
 		assert.NilError(d.t, err)
 		options.ID = fmt.Sprintf("%s-%d", options.Service, i)
-		host, err := standin.NewEngineHost(d.store, address, options, downTime, engineLapse)
+		host, err := standin.NewEngineHost(d.store, address, options, downTime, crashedEntryTTL)
 		assert.NilError(d.t, err)
 		d.t.Cleanup(host.Close)
 		hosts = append(hosts, host)
@@ -64,13 +64,13 @@
 	return hosts
 }
 
-// crashingRuns returns when requests that end their engine were run, in order.
-func crashingRuns(hosts []*standin.EngineHost) []time.Time {
+// crashRunTimes returns the start times of crashing requests in ascending order.
+func crashRunTimes(hosts []*standin.EngineHost) []time.Time {
 	var runs []time.Time
 	for _, host := range hosts {
 		for _, engine := range host.Engines() {
 			for _, run := range engine.Runs() {
-				if endsUnderCrashing(run) {
+				if isCrashRun(run) {
 					runs = append(runs, run.At)
 				}
 			}
@@ -80,71 +80,69 @@
 	return runs
 }
 
-// assertNotSentOnAndOn checks that few sends follow once engines have ended under a
-// request and all nodes have had time to know.
-func assertNotSentOnAndOn(t *testing.T, hosts []*standin.EngineHost) {
+// assertCrashesBounded checks that few sends of a crashing request follow once all nodes could know of its
+// crashes.
+func assertCrashesBounded(t *testing.T, hosts []*standin.EngineHost) {
 	t.Helper()
-	runs := crashingRuns(hosts)
+	runs := crashRunTimes(hosts)
 	if len(runs) <= crashesAllowed {
 		return
 	}
-	known := runs[crashesAllowed-1].Add(knownAfter)
+	known := runs[crashesAllowed-1].Add(propagationTime)
 	after := 0
 	for _, at := range runs {
 		if at.After(known) {
 			after++
 		}
 	}
-	assert.Assert(t, after <= sendsAfter, "%d engines ended, %d of them %s after the third or later",
-		len(runs), after, knownAfter)
+	assert.Assert(t, after <= extraSendsAllowed, "%d engines crashed, %d of them more than %s after the last allowed crash",
+		len(runs), after, propagationTime)
 }
 
-// sendCrashing sends the same request again and again, at one node after the other, until
-// the time is over. It returns the answers' statuses.
-func sendCrashing(t *testing.T, nodes []*process, prefix string, lasting time.Duration) []int {
+// sendCrashRequests sends the same crashing request to the nodes in turn for the given time and returns
+// the statuses.
+func sendCrashRequests(t *testing.T, nodes []*process, prefix string, lasting time.Duration) []int {
 	t.Helper()
 	var statuses []int
 	for until, i := time.Now().Add(lasting), 0; time.Now().Before(until); i++ {
 		node := nodes[i%len(nodes)]
-		got := node.call(http.MethodPost, prefix+"same", fmt.Sprintf("crash-%d-%d", i, time.Now().UnixNano()), crashing)
+		got := node.call(http.MethodPost, prefix+"same", fmt.Sprintf("crash-%d-%d", i, time.Now().UnixNano()), crashMarker)
 		statuses = append(statuses, got.status)
 		time.Sleep(30 * time.Millisecond)
 	}
 	return statuses
 }
 
-// TestARequestThatCrashesItsEnginesIsNotSentOnAndOn: the same request comes again and
-// again, each time with another ID and at another node.
-func TestARequestThatCrashesItsEnginesIsNotSentOnAndOn(t *testing.T) {
+// The same request arrives repeatedly under new IDs and at different nodes.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	hosts := d.addHosts(3, standin.EngineOptions{Service: "desk"})
+	hosts := d.addCrashingHosts(3, standin.EngineOptions{Service: "desk"})
 	d.configure(safeRoute("/a/"))
 	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
-	sendCrashing(t, nodes, "/a/", 4*time.Second)
-	assertNotSentOnAndOn(t, hosts)
+	sendCrashRequests(t, nodes, "/a/", 4*time.Second)
+	assertCrashesBounded(t, hosts)
 	for i, node := range nodes {
-		testwait.Until(t, "others are served", func() bool {
+		testwait.Until(t, "other requests to be served", func() bool {
 			return node.call(http.MethodPost, "/a/other", fmt.Sprintf("other-%d", i), "").status == http.StatusOK
 		})
 	}
 }
 
-// TestARequestThatCrashesOneEngineAgainAndAgainIsNotSentOnAndOn: the engine is back under
-// its ID before its entry has gone; the end of each of its incarnations counts.
-func TestARequestThatCrashesOneEngineAgainAndAgainIsNotSentOnAndOn(t *testing.T) {
+// Each incarnation that crashes counts, even though the engine's entry never leaves the list.
+func TestCrashingRequestIsQuarantinedAcrossEngineRestarts(t *testing.T) {
 	t.Parallel()
 	for _, engines := range []int{1, 2, 3} {
 		t.Run(fmt.Sprint(engines), func(t *testing.T) {
 			t.Parallel()
 			d := deploy(t)
-			hosts := d.addHostsThatAreAway(engines, standin.EngineOptions{Service: "desk", Born: 1}, rebirthTime)
+			hosts := d.addCrashingHostsWithDownTime(engines, standin.EngineOptions{Service: "desk", Born: 1}, quickRestartTime)
 			d.configure(safeRoute("/a/"))
 			nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
-			sendCrashing(t, nodes, "/a/", 4*time.Second)
-			assertNotSentOnAndOn(t, hosts)
+			sendCrashRequests(t, nodes, "/a/", 4*time.Second)
+			assertCrashesBounded(t, hosts)
 			for i, node := range nodes {
-				testwait.Until(t, "others are served", func() bool {
+				testwait.Until(t, "other requests to be served", func() bool {
 					return node.call(http.MethodPost, "/a/other", fmt.Sprintf("other-%d", i), "").status == http.StatusOK
 				})
 			}
@@ -152,12 +150,11 @@
 	}
 }
 
-// TestAnItemThatCrashesItsEnginesIsNotRunOnAndOn: the other items of its job are whole, and
-// the item is given up at its time.
-func TestAnItemThatCrashesItsEnginesIsNotRunOnAndOn(t *testing.T) {
+// The other items of the job complete; the crashing one expires at its deadline.
+func TestCrashingItemIsQuarantinedAndExpires(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	hosts := d.addHosts(3, standin.EngineOptions{
+	hosts := d.addCrashingHosts(3, standin.EngineOptions{
 		Service: "llm", Versions: map[string]int64{model: 1}, Events: func(string) int { return 20 },
 		EventTime: 10 * time.Millisecond, EventsBeforeEnd: 2,
 	})
@@ -165,53 +162,52 @@
 	drafts["queueTtlS"] = 8
 	d.configure(drafts)
 	node := d.start("n1")
-	ids := []string{"a", "b", crashing, "c", "d", "e", "f"}
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
+	ids := []string{"a", "b", crashMarker, "c", "d", "e", "f"}
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	got := d.awaitResults(node, "job1", len(ids))
 	for _, result := range got.Results {
-		if result.ID == crashing {
+		if result.ID == crashMarker {
 			assert.Equal(t, result.State, "expired")
 			continue
 		}
 		assert.Equal(t, result.State, "completed", result.ID)
 		assert.Equal(t, result.Text, standin.Text(result.ID, 20))
 	}
-	assertNotSentOnAndOn(t, hosts)
+	assertCrashesBounded(t, hosts)
 }
 
-// TestARequestStaysAwayFromEnginesOverARestartOfAll: whoever starts knows what others saw.
-func TestARequestStaysAwayFromEnginesOverARestartOfAll(t *testing.T) {
+// Crash records are read from the log, so nodes that start later do not repeat the crashes.
+func TestQuarantineSurvivesRestartOfAllNodes(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	hosts := d.addHosts(3, standin.EngineOptions{Service: "desk"})
+	hosts := d.addCrashingHosts(3, standin.EngineOptions{Service: "desk"})
 	d.configure(safeRoute("/a/"))
 	before := []*process{d.start("n1"), d.start("n2")}
-	sendCrashing(t, before, "/a/", time.Second)
-	ended := len(crashingRuns(hosts))
-	assert.Assert(t, ended >= 2, "%d engines ended", ended)
+	sendCrashRequests(t, before, "/a/", time.Second)
+	ended := len(crashRunTimes(hosts))
+	assert.Assert(t, ended >= 2, "%d engines crashed", ended)
 	for _, node := range before {
 		node.cancel()
 		<-node.done
 	}
 	after := []*process{d.start("n1"), d.start("n2")}
-	for _, status := range sendCrashing(t, after, "/a/", 2*time.Second) {
+	for _, status := range sendCrashRequests(t, after, "/a/", 2*time.Second) {
 		assert.Equal(t, status, http.StatusServiceUnavailable)
 	}
-	assert.Equal(t, len(crashingRuns(hosts)), ended)
+	assert.Equal(t, len(crashRunTimes(hosts)), ended)
 }
 
-// TestANodeThatStartsWaitsUntilItKnowsWhichRequestsCrash: the log tells everything else
-// before.
-func TestANodeThatStartsWaitsUntilItKnowsWhichRequestsCrash(t *testing.T) {
+// Guards against a node that serves while reads of the crash records still fail.
+func TestStartingNodeReadsCrashRecordsBeforeServing(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	hosts := d.addHosts(3, standin.EngineOptions{Service: "desk"})
+	hosts := d.addCrashingHosts(3, standin.EngineOptions{Service: "desk"})
 	d.configure(safeRoute("/a/"))
 	first := d.start("n1")
-	sendCrashing(t, []*process{first}, "/a/", time.Second)
+	sendCrashRequests(t, []*process{first}, "/a/", time.Second)
 	first.cancel()
 	<-first.done
-	ended := len(crashingRuns(hosts))
+	ended := len(crashRunTimes(hosts))
 	topic := platform.New(d.address, "").CrashTopic()
 	var refused atomic.Int64
 	d.store.Log.SetFault(func(call memlog.Call) memlog.Fault {
@@ -221,16 +217,16 @@
 		return memlog.None
 	})
 	second := d.start("n2")
-	assert.Equal(t, sendCrashing(t, []*process{second}, "/a/", time.Millisecond)[0], http.StatusServiceUnavailable)
-	assert.Equal(t, len(crashingRuns(hosts)), ended)
+	assert.Equal(t, sendCrashRequests(t, []*process{second}, "/a/", time.Millisecond)[0], http.StatusServiceUnavailable)
+	assert.Equal(t, len(crashRunTimes(hosts)), ended)
 }
 
-// TestARequestStaysAwayFromEnginesInAnOutage: the store takes and tells nothing, from
-// before the first engine ends until after the last.
-func TestARequestStaysAwayFromEnginesInAnOutage(t *testing.T) {
+// The log is down from before the first crash; nodes must exchange crash records directly and append them
+// once the log is back.
+func TestQuarantineHoldsDuringLogOutage(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	hosts := d.addHosts(3, standin.EngineOptions{Service: "desk"})
+	hosts := d.addCrashingHosts(3, standin.EngineOptions{Service: "desk"})
 	d.configure(safeRoute("/a/"))
 	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
 	testwait.Until(t, "the nodes know each other", func() bool {
@@ -242,21 +238,20 @@
 		return true
 	})
 	d.store.Log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
-	sendCrashing(t, nodes, "/a/", 4*time.Second)
-	assertNotSentOnAndOn(t, hosts)
-	ended := len(crashingRuns(hosts))
-	d.noFault()
+	sendCrashRequests(t, nodes, "/a/", 4*time.Second)
+	assertCrashesBounded(t, hosts)
+	ended := len(crashRunTimes(hosts))
+	d.clearFaults()
 	testwait.Until(t, "the records are in the log", func() bool {
 		newest, err := d.store.Log.Newest(t.Context(), platform.New(d.address, "").CrashTopic())
 		return err == nil && len(newest.Records) >= ended
 	})
-	sendCrashing(t, nodes, "/a/", time.Second)
-	assertNotSentOnAndOn(t, hosts)
+	sendCrashRequests(t, nodes, "/a/", time.Second)
+	assertCrashesBounded(t, hosts)
 }
 
-// TestOtherKindsOfRequestsAreNotSentOnAndOn: those that run at most once come again as
-// other requests, streams that may go on elsewhere end each engine midway.
-func TestOtherKindsOfRequestsAreNotSentOnAndOn(t *testing.T) {
+// Unsafe requests are sent again by callers, resumable streams are resumed at other engines.
+func TestCrashingUnsafeAndStreamingRequestsAreQuarantined(t *testing.T) {
 	t.Parallel()
 	unsafe := safeRoute("/a/")
 	unsafe["routeKind"] = "unsafe"
@@ -273,44 +268,42 @@
 					EventTime: 10 * time.Millisecond, EventsBeforeEnd: 2,
 				}
 			}
-			hosts := d.addHosts(3, options)
+			hosts := d.addCrashingHosts(3, options)
 			d.configure(route)
 			nodes := []*process{d.start("n1"), d.start("n2")}
-			sendCrashing(t, nodes, "/a/", 3*time.Second)
-			assertNotSentOnAndOn(t, hosts)
-			assert.Assert(t, len(crashingRuns(hosts)) >= 2)
+			sendCrashRequests(t, nodes, "/a/", 3*time.Second)
+			assertCrashesBounded(t, hosts)
+			assert.Assert(t, len(crashRunTimes(hosts)) >= 2)
 		})
 	}
 }
 
-// TestAScoringCallThatCrashesItsEnginesIsNotMadeOnAndOn: other items are scored.
-func TestAScoringCallThatCrashesItsEnginesIsNotMadeOnAndOn(t *testing.T) {
+// Other items of the job are still scored.
+func TestCrashingScoringCallIsQuarantined(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addEngine(standin.EngineOptions{ID: "llm-1", Service: "llm", Versions: map[string]int64{model: 1}})
-	hosts := d.addHosts(3, standin.EngineOptions{Service: "desk"})
+	hosts := d.addCrashingHosts(3, standin.EngineOptions{Service: "desk"})
 	d.configure(batchRoute("/batch/"), safeRoute("/scoring/"))
 	node := d.start("n1")
-	ids := []string{"a", crashing, "b"}
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", scoredJob(1, ids...)).status, http.StatusAccepted)
+	ids := []string{"a", crashMarker, "b"}
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", scoredJobBody(1, ids...)).status, http.StatusAccepted)
 	d.awaitResults(node, "job1", len(ids)-1)
 	time.Sleep(3 * time.Second)
 	got, _ := node.readResults("job1", 0)
 	assert.Equal(t, len(got.Results), len(ids)-1)
-	assertNotSentOnAndOn(t, hosts)
+	assertCrashesBounded(t, hosts)
 }
 
-// firstHold is how long a request is held at first. One that lost two engines which another request
-// ended cannot be told from that one, unless a success of the same request comes after: it is
-// served at its trial then.
-const firstHold = time.Minute
+// initialQuarantine is the first hold of a suspect request. A request that was lost with two engines cannot
+// be told from the one that crashed them until a later run of it succeeds.
+const initialQuarantine = time.Minute
 
-// TestARequestBesideOneThatCrashesIsServed: the same lookup comes again and again from
-// several callers, and many of them are lost with their engines.
-func TestARequestBesideOneThatCrashesIsServed(t *testing.T) {
+// A popular request that is often lost with crashing engines must be served again after its first hold.
+func TestRequestSharingEnginesWithCrashingOneIsServed(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	d.addHosts(3, standin.EngineOptions{Service: "desk"})
+	d.addCrashingHosts(3, standin.EngineOptions{Service: "desk"})
 	d.configure(safeRoute("/a/"))
 	nodes := []*process{d.start("n1"), d.start("n2")}
 	stop := make(chan struct{})
@@ -328,8 +321,8 @@
 		})
 	}
 	for i := range 5 {
-		// Another request each time, so that engines go on ending.
-		body := fmt.Sprintf("%s %d", crashing, i)
+		// Varies the request so that quarantine does not stop the crashes.
+		body := fmt.Sprintf("%s %d", crashMarker, i)
 		for range 3 {
 			nodes[i%len(nodes)].call(http.MethodPost, "/a/x", fmt.Sprintf("crash-%d-%d", i, time.Now().UnixNano()), body)
 		}
@@ -338,18 +331,17 @@
 	close(stop)
 	callers.Wait()
 	for _, node := range nodes {
-		testwait.After(t, "the popular request is served", firstHold, func() bool {
+		testwait.After(t, "the popular request to be served", initialQuarantine, func() bool {
 			return node.call(http.MethodPost, "/a/popular", fmt.Sprint("last-", time.Now().UnixNano()), "").status == http.StatusOK
 		})
 	}
 }
 
-// TestEnginesThatCrashByThemselvesBlameNoItem: engines end again and again under a job's
-// items, each time another one.
-func TestEnginesThatCrashByThemselvesBlameNoItem(t *testing.T) {
+// Engines crash regardless of which items they run; no item may be quarantined for it.
+func TestSpontaneousEngineCrashesQuarantineNoItem(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	hosts := d.addHosts(4, standin.EngineOptions{
+	hosts := d.addCrashingHosts(4, standin.EngineOptions{
 		Service: "llm", Versions: map[string]int64{model: 1}, Events: func(string) int { return 60 },
 		EventTime: 15 * time.Millisecond,
 	})
@@ -359,7 +351,7 @@
 	for i := range 12 {
 		ids = append(ids, fmt.Sprint("item-", i))
 	}
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	for _, host := range hosts[:2] {
 		testwait.Until(t, "items run", func() bool { return len(host.Engines()[len(host.Engines())-1].Runs()) > 0 })
 		host.Crash()
--- a/test/hosted/deployment_test.go
+++ b/test/hosted/deployment_test.go
@@ -1,5 +1,5 @@
-// Package hosted tests nodes as they run on the users' platform, against the
-// platform's stand-in: the whole path, through real sockets.
+// Package hosted tests nodes end to end, over real sockets, against simulated engines and a simulated
+// platform log.
 package hosted
 
 import (
@@ -33,41 +33,40 @@
 	model = "m0"
 )
 
-// deployment is a platform with engines and nodes.
+// deployment is a simulated platform with its engines and nodes.
 type deployment struct {
 	t       *testing.T
 	store   *standin.Store
 	address string
 	engines []*standin.Engine
-	// addresses holds those of the engines by their IDs.
+	// addresses maps engine IDs to addresses.
 	addresses map[string]string
 	nodes     []*process
 	config    int64
-	// tenants is what the configuration says of tenants; nil for nothing. tenantHomes holds the home
-	// regions of those that have some.
+	// tenants and tenantHomes (home regions by tenant name) go into the configuration; nil leaves them out.
 	tenants     []tenant
 	tenantHomes map[string][]string
-	// zones holds the region of each zone; nodes are told it.
+	// zones maps each zone to its region, for the nodes' topology settings.
 	zones map[string]string
-	// duties is the address of the platform's calls; empty for none.
+	// duties is the address of the duties service; empty for none.
 	duties string
-	// scaled is true when engines of the model may be ordered.
-	scaled bool
-	// slowStart is told of all services; empty for nothing.
+	// scalable adds scaling settings to the model service.
+	scalable bool
+	// slowStart holds the slow-start settings of all services; nil for none.
 	slowStart map[string]any
-	// orderQuiet is the least time between orders to one engine from two nodes.
+	// orderQuiet is the minimum time between orders to one engine from two nodes.
 	orderQuiet time.Duration
-	// enginesFence is told to the nodes.
+	// enginesFence sets whether nodes assume that engines check fencing tokens.
 	enginesFence bool
 }
 
-// process is one node.
+// process is a node that runs in the test process.
 type process struct {
-	callers   string
-	operators string
-	cancel    context.CancelFunc
-	done      chan struct{}
-	logs      *lockedBuffer
+	callerURL   string
+	operatorURL string
+	cancel      context.CancelFunc
+	done        chan struct{}
+	logs        *lockedBuffer
 }
 
 type lockedBuffer struct {
@@ -101,7 +100,7 @@
 	return d
 }
 
-// addEngine starts an engine and lists it; it returns its address.
+// addEngine starts an engine and lists it as ready.
 func (d *deployment) addEngine(options standin.EngineOptions) *standin.Engine {
 	d.t.Helper()
 	if options.Slots == 0 {
@@ -117,19 +116,18 @@
 	server := httptest.NewServer(engine)
 	d.t.Cleanup(server.Close)
 	d.addresses[options.ID] = strings.TrimPrefix(server.URL, "http://")
-	d.list(engine)
+	d.listEngine(engine)
 	d.engines = append(d.engines, engine)
 	return engine
 }
 
-// list writes an engine's entry as it stands now.
-func (d *deployment) list(engine *standin.Engine) {
+// listEngine writes the engine's current entry to the engine list.
+func (d *deployment) listEngine(engine *standin.Engine) {
 	d.store.Log.Put("keyed.servers", engine.ID(), engine.Entry(d.addresses[engine.ID()], "ready"))
 }
 
 type route map[string]any
 
-// tenant is one tenant of the configuration.
 type tenant struct {
 	Name string   `json:"name"`
 	Keys []string `json:"apiKeys"`
@@ -149,14 +147,14 @@
 	}
 }
 
-// configure puts a configuration with these routes in force.
+// configure publishes a configuration with the given routes under the next version.
 func (d *deployment) configure(routes ...route) {
 	d.t.Helper()
 	d.config += 3
 	models := map[string]any{
 		"name": "llm", "maxConns": 100, "engine": map[string]any{"models": []map[string]any{{"name": model}}},
 	}
-	if d.scaled {
+	if d.scalable {
 		models["scaling"] = map[string]any{"min": 1, "max": 3, "bootTimeS": 1, "zonePrices": map[string]any{"z1": 1}}
 	}
 	services := []map[string]any{{"name": "desk", "maxConns": 100}, models}
@@ -178,7 +176,7 @@
 	d.store.Log.Put("keyed.op", "config", raw)
 }
 
-// tenantEntries is what the configuration says of the tenants.
+// tenantEntries returns the tenants section of the configuration.
 func (d *deployment) tenantEntries() []map[string]any {
 	entries := []map[string]any{}
 	for _, each := range d.tenants {
@@ -191,34 +189,34 @@
 	return entries
 }
 
-// nameVersion names a weight version.
-func (d *deployment) nameVersion(version int64) {
+// publishVersion publishes a weight version of the model.
+func (d *deployment) publishVersion(version int64) {
 	d.store.Log.Put("keyed.op", "version/"+model, fmt.Appendf(nil, `{"model":%q,"version":%d}`, model, version))
 }
 
 // start starts a node and waits until it is ready.
 func (d *deployment) start(id string) *process {
 	d.t.Helper()
-	return d.startThrough(id, d.address)
+	return d.startWithLog(id, d.address)
 }
 
-// startThrough starts a node that calls the log at an address of its own.
-func (d *deployment) startThrough(id, log string) *process {
+// startWithLog is start with a log address of the node's own.
+func (d *deployment) startWithLog(id, log string) *process {
 	d.t.Helper()
 	p := d.startUnready(settings.Node{ID: id, Zone: "z1", Region: "r1"}, log)
 	testwait.Until(d.t, "node "+id+" is ready", func() bool { return p.status("/readyz") == http.StatusOK })
 	return p
 }
 
-// startAt starts a node in a place, which calls the log at an address of its own.
-func (d *deployment) startAt(node settings.Node, log string) *process {
+// startNode starts a node with the given settings and log address and waits until it is ready.
+func (d *deployment) startNode(node settings.Node, log string) *process {
 	d.t.Helper()
 	p := d.startUnready(node, log)
 	testwait.Until(d.t, "node "+node.ID+" is ready", func() bool { return p.status("/readyz") == http.StatusOK })
 	return p
 }
 
-// startUnready is startAt, but does not wait until the node is ready.
+// startUnready is startNode without the wait for readiness.
 func (d *deployment) startUnready(node settings.Node, log string) *process {
 	d.t.Helper()
 	id := node.ID
@@ -238,7 +236,7 @@
 	assert.Equal(d.t, len(settings.Check(config)), 0, "%v", settings.Check(config))
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &process{
-		callers: "http://" + config.Listen.Callers, operators: "http://" + config.Listen.Operators,
+		callerURL: "http://" + config.Listen.Callers, operatorURL: "http://" + config.Listen.Operators,
 		cancel: cancel, done: make(chan struct{}), logs: &lockedBuffer{},
 	}
 	go func() {
@@ -258,8 +256,7 @@
 	return p
 }
 
-// freeAddresses returns addresses that nobody listens on and that nobody else gets,
-// each another one.
+// freeAddresses reserves distinct loopback addresses that no one listens on.
 func freeAddresses(t *testing.T, count int) []string {
 	t.Helper()
 	addresses := make([]string, count)
@@ -272,7 +269,7 @@
 }
 
 func (p *process) status(path string) int {
-	response, err := http.Get(p.operators + path)
+	response, err := http.Get(p.operatorURL + path)
 	if err != nil {
 		return 0
 	}
@@ -280,18 +277,18 @@
 	return response.StatusCode
 }
 
-// answer is what a client saw.
-type answer struct {
+// callResult is the response or the error that a client got.
+type callResult struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-func (p *process) call(method, path, id, body string, headers ...string) answer {
-	request, err := http.NewRequest(method, p.callers+path, strings.NewReader(body))
+func (p *process) call(method, path, id, body string, headers ...string) callResult {
+	request, err := http.NewRequest(method, p.callerURL+path, strings.NewReader(body))
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
 	request.Host = host
 	if id != "" {
@@ -303,23 +300,23 @@
 	return send(request)
 }
 
-func send(request *http.Request) answer {
+func send(request *http.Request) callResult {
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
 	defer response.Body.Close()
 	raw, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(raw), err: err}
+	return callResult{status: response.StatusCode, header: response.Header, body: string(raw), err: err}
 }
 
-// job is a batch job as a trainer hands it in.
-func job(minVersion int64, ids ...string) string { return encodeJob(minVersion, false, ids) }
+// jobBody encodes a batch job.
+func jobBody(minVersion int64, ids ...string) string { return encodeJob(minVersion, false, ids) }
 
-// scoredJob is a job whose items each have a scoring call.
-func scoredJob(minVersion int64, ids ...string) string { return encodeJob(minVersion, true, ids) }
+// scoredJobBody encodes a batch job whose items each have a scoring call.
+func scoredJobBody(minVersion int64, ids ...string) string { return encodeJob(minVersion, true, ids) }
 
-// scoringID names an item's scoring call.
+// scoringID returns the ID of an item's scoring call.
 func scoringID(item string) string { return "score-" + item }
 
 func encodeJob(minVersion int64, scored bool, ids []string) string {
@@ -341,7 +338,7 @@
 		"step": 1, "model": model, "minVersion": minVersion, "desiredCount": len(ids), "requests": items,
 	})
 	if err != nil {
-		panic(err) // a map of plain values always encodes
+		panic(err)
 	}
 	return string(raw)
 }
@@ -358,7 +355,7 @@
 	} `json:"results"`
 }
 
-// readResults reads a job from a position on.
+// readResults reads the results of a job from a position on, and the status.
 func (p *process) readResults(id string, from int) (results, int) {
 	got := p.call(http.MethodGet, fmt.Sprintf("/lots/%s?afterRev=%d", id, from), "", "")
 	var decoded results
@@ -368,7 +365,7 @@
 	return decoded, got.status
 }
 
-// awaitResults waits until a job has so many results and returns them.
+// awaitResults waits until a job has at least count results.
 func (d *deployment) awaitResults(p *process, id string, count int) results {
 	d.t.Helper()
 	var last results
@@ -379,8 +376,8 @@
 	return last
 }
 
-// runsOf counts the runs of a request over all engines.
-func (d *deployment) runsOf(id string) int {
+// runCount counts the runs of a request over all engines.
+func (d *deployment) runCount(id string) int {
 	count := 0
 	for _, engine := range d.engines {
 		for _, run := range engine.Runs() {
@@ -392,8 +389,7 @@
 	return count
 }
 
-// noFault clears the faults of the store.
-func (d *deployment) noFault() { d.store.Log.SetFault(nil) }
+func (d *deployment) clearFaults() { d.store.Log.SetFault(nil) }
 
 func appendsFail(fault memlog.Fault) func(memlog.Call) memlog.Fault {
 	return func(call memlog.Call) memlog.Fault {
--- a/test/hosted/duties_test.go
+++ b/test/hosted/duties_test.go
@@ -14,14 +14,14 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// usageWindow and usageDue are short, so that tests see several windows.
+// usageWindow and usageDue are short so that a test spans several windows.
 const (
 	usageWindow = time.Second
 	usageDue    = 4 * time.Second
 )
 
-// takeDuties starts what takes the platform's calls that one node at a time makes.
-func (d *deployment) takeDuties() *standin.Duties {
+// startDutiesService starts the service that receives usage reports and scaling orders.
+func (d *deployment) startDutiesService() *standin.Duties {
 	d.t.Helper()
 	calls := standin.NewDuties()
 	server := httptest.NewServer(calls)
@@ -30,8 +30,8 @@
 	return calls
 }
 
-// reportedOf sums up the reports of a tenant over all windows.
-func reportedOf(calls *standin.Duties, tenant string) int64 {
+// reportedUsage sums a tenant's reported usage over all windows.
+func reportedUsage(calls *standin.Duties, tenant string) int64 {
 	windows, _ := calls.Reported()
 	var sum int64
 	for _, counts := range windows {
@@ -40,18 +40,17 @@
 	return sum
 }
 
-// TestUseIsReportedOnceThroughAChangeOfLeaders: while requests come, the leader stops,
-// and for a while calls are carried out without an answer.
-func TestUseIsReportedOnceThroughAChangeOfLeaders(t *testing.T) {
+// Guards against lost or double-counted usage when the leader stops and answers to reports are lost.
+func TestUsageIsReportedOnceAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.orderQuiet, d.enginesFence = time.Second, true
-	calls := d.takeDuties()
-	desk(d, "e1")
+	calls := d.startDutiesService()
+	addDesk(d, "e1")
 	d.tenants = []tenant{{"first", []string{"key-one"}}, {"second", []string{"key-two"}}}
 	d.configure(safeRoute("/a/"))
 	leader := d.start("n1")
-	testwait.Until(t, "the first node leads", func() bool { return len(calls.Usage()) > 0 })
+	testwait.Until(t, "the first node to lead", func() bool { return len(calls.Usage()) > 0 })
 	other := d.start("n2")
 	answered := map[string]int64{}
 	send := func(node *process, key, tenant string, id int) {
@@ -76,12 +75,12 @@
 	for i := range 10 {
 		send(other, "key-two", "second", 100+i)
 	}
-	testwait.Until(t, "all use is reported", func() bool {
-		return reportedOf(calls, "first") == answered["first"] && reportedOf(calls, "second") == answered["second"]
+	testwait.Until(t, "all usage to be reported", func() bool {
+		return reportedUsage(calls, "first") == answered["first"] && reportedUsage(calls, "second") == answered["second"]
 	})
 	windows, differing := calls.Reported()
 	assert.Equal(t, len(differing), 0, "windows with two reports: %v", differing)
-	assertNoGap(t, windows)
+	assertNoWindowGap(t, windows)
 	holders := map[int64]string{}
 	for _, call := range calls.Usage() {
 		assert.Assert(t, holders[call.Fence] == "" || holders[call.Fence] == call.Holder, "two holders of token %d", call.Fence)
@@ -90,8 +89,8 @@
 	assert.Assert(t, len(holders) >= 2, "only one node reported")
 }
 
-// assertNoGap: each window between the first and the last is reported.
-func assertNoGap(t *testing.T, windows map[int64]map[string]int64) {
+// assertNoWindowGap checks that each window between the first and the last is reported.
+func assertNoWindowGap(t *testing.T, windows map[int64]map[string]int64) {
 	t.Helper()
 	first, last := int64(1)<<62, int64(0)
 	for window := range windows {
@@ -103,20 +102,19 @@
 	}
 }
 
-// TestRequestsThatNoEngineBeganAreNotReported: refused ones, and those that the node
-// itself refuses; one that fails at an engine and is answered by another counts once.
-func TestRequestsThatNoEngineBeganAreNotReported(t *testing.T) {
+// Rejected requests do not count; a request that fails at one engine and completes at another counts once.
+func TestUsageExcludesRequestsThatNoEngineStarted(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	calls := d.takeDuties()
-	failing := desk(d, "e1")
+	calls := d.startDutiesService()
+	failing := addDesk(d, "e1")
 	failing.SetFault(func(id string) standin.EngineFault {
 		if id == "fails" {
 			return standin.Fails
 		}
 		return standin.Works
 	})
-	desk(d, "e2").SetFault(func(id string) standin.EngineFault {
+	addDesk(d, "e2").SetFault(func(id string) standin.EngineFault {
 		if id == "full" {
 			return standin.Full
 		}
@@ -133,33 +131,33 @@
 	assert.Equal(t, node.call(http.MethodPost, "/a/x", "nobody", "", authorization, bearer("key-zero")).status,
 		http.StatusUnauthorized)
 	sent := time.Now().Unix()
-	testwait.Until(t, "the windows are reported", func() bool {
+	testwait.Until(t, "the windows to be reported", func() bool {
 		windows, _ := calls.Reported()
 		_, found := windows[sent+2]
 		return found
 	})
-	assert.Equal(t, reportedOf(calls, "first"), int64(3))
+	assert.Equal(t, reportedUsage(calls, "first"), int64(3))
 }
 
-// TestEnginesThatLeftAreOrderedAgain: also where at first there are none to be had.
-func TestEnginesThatLeftAreOrderedAgain(t *testing.T) {
+// A replacement that is sold out at first is ordered again.
+func TestScalerReplacesLostEngines(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	d.scaled = true
-	calls := d.takeDuties()
+	d.scalable = true
+	calls := d.startDutiesService()
 	for i := range 3 {
 		d.addModelEngine(fmt.Sprint("e", i), 1, 4, 0)
 	}
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
-	testwait.Until(t, "the node leads", func() bool { return strings.Contains(node.logs.String(), "leadership gained") })
+	testwait.Until(t, "the node to lead", func() bool { return strings.Contains(node.logs.String(), "leadership gained") })
 	time.Sleep(time.Second)
-	assert.Equal(t, len(calls.Scale()), 0, "what stands was ordered")
+	assert.Equal(t, len(calls.Scale()), 0, "engines were ordered that already run")
 	calls.SoldOut(true)
 	d.store.UnlistEngine("e0")
-	testwait.Until(t, "an order is refused", func() bool { return len(calls.Scale()) > 0 })
+	testwait.Until(t, "an order to be refused", func() bool { return len(calls.Scale()) > 0 })
 	calls.SoldOut(false)
-	testwait.Until(t, "the order is taken", func() bool {
+	testwait.Until(t, "the order to be accepted", func() bool {
 		orders := calls.Scale()
 		return orders[len(orders)-1].Status == http.StatusOK
 	})
--- a/test/hosted/evacuation_test.go
+++ b/test/hosted/evacuation_test.go
@@ -19,16 +19,18 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// evacuate writes the operator's record for a zone, takeBack takes it away.
+// evacuate writes the operator's evacuation record of a zone; cancelEvacuation deletes it.
 func (d *deployment) evacuate(zone string) {
 	d.store.Log.Put("keyed.op", "evacuate/"+zone, []byte("{}"))
 }
 
-func (d *deployment) takeBack(zone string) { d.store.Log.Put("keyed.op", "evacuate/"+zone, nil) }
+func (d *deployment) cancelEvacuation(zone string) {
+	d.store.Log.Put("keyed.op", "evacuate/"+zone, nil)
+}
 
-// zone returns the node's view of a zone; false when it knows of none.
+// zone returns the node's status of a zone; false when it knows none.
 func (p *process) zone(name string) (api.ZoneStatus, bool) {
-	response, err := http.Get(p.operators + "/v1/zones")
+	response, err := http.Get(p.operatorURL + "/v1/zones")
 	if err != nil {
 		return api.ZoneStatus{}, false
 	}
@@ -45,7 +47,7 @@
 	return api.ZoneStatus{}, false
 }
 
-// awaitEvacuated waits until nodes have an evacuation in force, or have taken it back.
+// awaitEvacuated waits until the nodes report the zone as evacuated or not.
 func awaitEvacuated(t *testing.T, zone string, evacuated bool, nodes ...*process) {
 	t.Helper()
 	for _, node := range nodes {
@@ -56,8 +58,8 @@
 	}
 }
 
-// inZone starts engines of both services in a zone.
-func (d *deployment) inZone(zone string) (lookups, models *standin.Engine) {
+// addZoneEngines starts an engine of each service in a zone.
+func (d *deployment) addZoneEngines(zone string) (lookups, models *standin.Engine) {
 	lookups = d.addEngine(standin.EngineOptions{ID: "desk-" + zone, Service: "desk", Zone: zone})
 	models = d.addEngine(standin.EngineOptions{
 		ID: "llm-" + zone, Service: "llm", Zone: zone, Versions: map[string]int64{model: 1},
@@ -66,17 +68,17 @@
 	return lookups, models
 }
 
-// deployZones starts engines in two zones.
+// deployZones starts engines of each service in two zones.
 func deployZones(t *testing.T) (d *deployment, inA, inB []*standin.Engine) {
 	d = deploy(t)
-	lookupsA, modelsA := d.inZone("za")
-	lookupsB, modelsB := d.inZone("zb")
+	lookupsA, modelsA := d.addZoneEngines("za")
+	lookupsB, modelsB := d.addZoneEngines("zb")
 	d.configure(safeRoute("/a/"), safeRoute("/scoring/"), batchRoute("/batch/"))
 	return d, []*standin.Engine{lookupsA, modelsA}, []*standin.Engine{lookupsB, modelsB}
 }
 
-// runs counts what the engines have begun.
-func runs(engines []*standin.Engine) int {
+// totalRuns counts the runs that the engines have started.
+func totalRuns(engines []*standin.Engine) int {
 	count := 0
 	for _, engine := range engines {
 		count += len(engine.Runs())
@@ -84,8 +86,8 @@
 	return count
 }
 
-// work has each node serve live requests and a batch job with scoring calls.
-func (d *deployment) work(t *testing.T, name string, nodes ...*process) {
+// runWorkload has each node serve live requests and a batch job with scoring calls.
+func (d *deployment) runWorkload(t *testing.T, name string, nodes ...*process) {
 	t.Helper()
 	for number, node := range nodes {
 		for request := range 20 {
@@ -98,38 +100,36 @@
 			ids = append(ids, fmt.Sprint(name, number, "item", item))
 		}
 		id := fmt.Sprint(name, number)
-		assert.Equal(t, node.call(http.MethodPost, "/batch/x", id, scoredJob(1, ids...)).status, http.StatusAccepted)
-		checkWhole(t, d.awaitResults(node, id, len(ids)), ids, 4)
+		assert.Equal(t, node.call(http.MethodPost, "/batch/x", id, scoredJobBody(1, ids...)).status, http.StatusAccepted)
+		assertAllCompleted(t, d.awaitResults(node, id, len(ids)), ids, 4)
 	}
 }
 
-// TestNothingIsSentToAnEvacuatedZone: no live request, item, scoring call or order of weights; and after
-// the zone is taken back all of them.
-func TestNothingIsSentToAnEvacuatedZone(t *testing.T) {
+// Covers live requests, items, scoring calls and weight orders; all resume after the evacuation is canceled.
+func TestEvacuatedZoneReceivesNoWork(t *testing.T) {
 	t.Parallel()
 	d, inA, inB := deployZones(t)
 	nodes := []*process{d.start("n1"), d.start("n2")}
 	d.evacuate("za")
 	awaitEvacuated(t, "za", true, nodes...)
-	d.work(t, "held", nodes...)
-	assert.Equal(t, runs(inA), 0)
-	d.nameVersion(2)
-	testwait.Until(t, "the engine of the other zone has loaded", func() bool { return inB[1].Version(model) == 2 })
+	d.runWorkload(t, "held", nodes...)
+	assert.Equal(t, totalRuns(inA), 0)
+	d.publishVersion(2)
+	testwait.Until(t, "the engine of the other zone to load", func() bool { return inB[1].Version(model) == 2 })
 	assert.Equal(t, len(inA[1].Orders()), 0)
-	d.takeBack("za")
+	d.cancelEvacuation("za")
 	awaitEvacuated(t, "za", false, nodes...)
-	testwait.Until(t, "the engine of the zone has loaded", func() bool { return inA[1].Version(model) == 2 })
+	testwait.Until(t, "the engine of the zone to load", func() bool { return inA[1].Version(model) == 2 })
 	round := 0
 	testwait.Until(t, "work at both engines of the zone", func() bool {
 		round++
-		d.work(t, fmt.Sprint("back", round, "-"), nodes...)
+		d.runWorkload(t, fmt.Sprint("back", round, "-"), nodes...)
 		return len(inA[0].Runs()) > 0 && len(inA[1].Runs()) > 0
 	})
 }
 
-// TestWithAllZonesEvacuatedRequestsAreRefusedAndItemsWait: the refusals say at once that nothing ran
-// and when to come again.
-func TestWithAllZonesEvacuatedRequestsAreRefusedAndItemsWait(t *testing.T) {
+// Rejections state that nothing ran and when to retry.
+func TestAllZonesEvacuatedRejectsRequestsAndQueuesItems(t *testing.T) {
 	t.Parallel()
 	d, inA, inB := deployZones(t)
 	node := d.start("n1")
@@ -144,40 +144,39 @@
 	assert.NilError(t, err)
 	assert.Assert(t, delay > 0)
 	ids := itemIDs(5)
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	assert.Equal(t, runs(inA)+runs(inB), 0)
-	d.takeBack("zb")
-	checkWhole(t, d.awaitResults(node, "job1", len(ids)), ids, 4)
-	assert.Equal(t, runs(inA), 0)
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	assert.Equal(t, totalRuns(inA)+totalRuns(inB), 0)
+	d.cancelEvacuation("zb")
+	assertAllCompleted(t, d.awaitResults(node, "job1", len(ids)), ids, 4)
+	assert.Equal(t, totalRuns(inA), 0)
 }
 
-// TestANodeThatStartsKnowsTheEvacuationsBeforeItServes.
-func TestANodeThatStartsKnowsTheEvacuationsBeforeItServes(t *testing.T) {
+func TestStartingNodeReadsEvacuationsBeforeServing(t *testing.T) {
 	t.Parallel()
 	d, inA, _ := deployZones(t)
 	d.evacuate("za")
 	node := d.start("n1")
-	d.work(t, "first", node)
-	assert.Equal(t, runs(inA), 0)
+	d.runWorkload(t, "first", node)
+	assert.Equal(t, totalRuns(inA), 0)
 	status, _ := node.zone("za")
 	assert.Assert(t, status.Evacuated)
 }
 
-// cutLink is a node's way to the log, which can be cut.
-type cutLink struct {
+// cuttableLog is a node's path to the log that can be cut.
+type cuttableLog struct {
 	address string
 	cut     atomic.Bool
 }
 
-func (d *deployment) newCutLink(t *testing.T) *cutLink {
+func (d *deployment) newCuttableLog(t *testing.T) *cuttableLog {
 	t.Helper()
-	link := &cutLink{}
+	link := &cuttableLog{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer := httptest.NewRecorder()
 		if !link.cut.Load() {
 			d.store.ServeHTTP(answer, r)
 		}
-		// A read that waited at the log is cut as well.
+		// Also cuts long polls that were waiting at the log.
 		if link.cut.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -191,65 +190,65 @@
 	return link
 }
 
-// TestANodeThatTheLogTurnsAwayLearnsThroughOthers: of an evacuation, and that it was taken back.
-func TestANodeThatTheLogTurnsAwayLearnsThroughOthers(t *testing.T) {
+// Guards against a node that keeps sending to an evacuated zone because it cannot read the log.
+func TestNodeCutOffFromLogLearnsEvacuationsFromPeers(t *testing.T) {
 	t.Parallel()
 	d, inA, _ := deployZones(t)
 	d.start("n1")
-	link := d.newCutLink(t)
-	node := d.startThrough("n2", link.address)
-	testwait.Until(t, "the node knows the other", func() bool { return strings.Contains(node.logs.String(), `"listed":2`) })
+	link := d.newCuttableLog(t)
+	node := d.startWithLog("n2", link.address)
+	testwait.Until(t, "the node to know its peer", func() bool { return strings.Contains(node.logs.String(), `"listed":2`) })
 	link.cut.Store(true)
 	d.evacuate("za")
 	awaitEvacuated(t, "za", true, node)
-	d.work(t, "held", node)
-	assert.Equal(t, runs(inA), 0)
-	d.takeBack("za")
+	d.runWorkload(t, "held", node)
+	assert.Equal(t, totalRuns(inA), 0)
+	d.cancelEvacuation("za")
 	awaitEvacuated(t, "za", false, node)
 }
 
-// TestReadersOfReplicasLearnOfEvacuations: in a large cluster most nodes do not read the log.
-func TestReadersOfReplicasLearnOfEvacuations(t *testing.T) {
+// In a large cluster most nodes follow the log through replicas.
+func TestReplicaReadersLearnOfEvacuations(t *testing.T) {
 	t.Parallel()
 	d, inA, _ := deployZones(t)
-	d.listDistantNodes()
+	d.listRemoteNodes()
 	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
-	_, others := replicaOf(t, nodes)
+	_, others := awaitReplica(t, nodes)
 	d.evacuate("za")
 	awaitEvacuated(t, "za", true, nodes...)
 	for request := range 20 {
 		got := others[0].call(http.MethodPost, "/a/x", fmt.Sprint("r", request), "body")
 		assert.Equal(t, got.status, http.StatusOK)
 	}
-	assert.Equal(t, runs(inA), 0)
-	d.takeBack("za")
+	assert.Equal(t, totalRuns(inA), 0)
+	d.cancelEvacuation("za")
 	awaitEvacuated(t, "za", false, nodes...)
 }
 
-// TestTheNextLeaderKeepsTheEvacuation: the one before loses the log, and its lease with it.
-func TestTheNextLeaderKeepsTheEvacuation(t *testing.T) {
+// The first leader loses its lease because it is cut off from the log.
+func TestNewLeaderKeepsEvacuation(t *testing.T) {
 	t.Parallel()
 	d, inA, _ := deployZones(t)
-	link := d.newCutLink(t)
-	leader := d.startThrough("n1", link.address)
+	link := d.newCuttableLog(t)
+	leader := d.startWithLog("n1", link.address)
 	testwait.Until(t, "a leader", func() bool { return strings.Contains(leader.logs.String(), "leadership gained") })
 	next := d.start("n2")
 	d.evacuate("za")
 	awaitEvacuated(t, "za", true, leader, next)
 	link.cut.Store(true)
 	testwait.Until(t, "another leader", func() bool { return strings.Contains(next.logs.String(), "leadership gained") })
-	d.work(t, "next", next)
-	assert.Equal(t, runs(inA), 0)
+	d.runWorkload(t, "next", next)
+	assert.Equal(t, totalRuns(inA), 0)
 }
 
-// TestAZoneEvacuatedAgainRightAfterItsReturnStaysEvacuated: also where both changes come in one read.
-func TestAZoneEvacuatedAgainRightAfterItsReturnStaysEvacuated(t *testing.T) {
+// Both changes may arrive in one read of the log.
+func TestZoneEvacuatedAgainRightAfterCancelStaysEvacuated(t *testing.T) {
 	t.Parallel()
 	d, inA, _ := deployZones(t)
 	node := d.start("n1")
 	for range 5 {
 		d.evacuate("za")
-		d.takeBack("za")
+		d.cancelEvacuation("za")
 	}
 	d.evacuate("za")
 	d.evacuate("nowhere")
@@ -257,14 +256,14 @@
 	awaitEvacuated(t, "za", true, node)
 	status, _ := node.zone("nowhere")
 	assert.Equal(t, status.Engines, 0)
-	d.work(t, "held", node)
-	assert.Equal(t, runs(inA), 0)
+	d.runWorkload(t, "held", node)
+	assert.Equal(t, totalRuns(inA), 0)
 }
 
-// order sends an operator's order about a zone to a node.
-func (p *process) order(t *testing.T, method, zone string) (status int, code string) {
+// requestEvacuation calls a node's evacuation API for a zone and returns the status and the error code.
+func (p *process) requestEvacuation(t *testing.T, method, zone string) (status int, code string) {
 	t.Helper()
-	request, err := http.NewRequest(method, p.operators+"/v1/zones/"+zone+"/evacuation", nil)
+	request, err := http.NewRequest(method, p.operatorURL+"/v1/zones/"+zone+"/evacuation", nil)
 	assert.NilError(t, err)
 	got := send(request)
 	assert.NilError(t, got.err)
@@ -273,23 +272,22 @@
 	return got.status, body.Error.Code
 }
 
-// TestOperatorsEvacuateThroughAnyNode: all nodes have it in force then; a name that is none is refused,
-// and so is everything while the log is away.
-func TestOperatorsEvacuateThroughAnyNode(t *testing.T) {
+// Invalid zone names are rejected, and so are all calls while the log is down.
+func TestEvacuationAPIWorksAtAnyNode(t *testing.T) {
 	t.Parallel()
 	d, _, _ := deployZones(t)
 	nodes := []*process{d.start("n1"), d.start("n2")}
-	status, _ := nodes[0].order(t, http.MethodPut, "za")
+	status, _ := nodes[0].requestEvacuation(t, http.MethodPut, "za")
 	assert.Equal(t, status, http.StatusOK)
 	awaitEvacuated(t, "za", true, nodes...)
-	status, _ = nodes[1].order(t, http.MethodDelete, "za")
+	status, _ = nodes[1].requestEvacuation(t, http.MethodDelete, "za")
 	assert.Equal(t, status, http.StatusOK)
 	awaitEvacuated(t, "za", false, nodes...)
-	status, code := nodes[0].order(t, http.MethodPut, "z%20a")
+	status, code := nodes[0].requestEvacuation(t, http.MethodPut, "z%20a")
 	assert.Equal(t, status, http.StatusBadRequest)
 	assert.Equal(t, code, "invalid_request")
 	d.store.Refuse(func(*http.Request) int { return http.StatusServiceUnavailable })
-	status, code = nodes[0].order(t, http.MethodPut, "zb")
+	status, code = nodes[0].requestEvacuation(t, http.MethodPut, "zb")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Equal(t, code, "log_unavailable")
 }
--- a/test/hosted/homes_test.go
+++ b/test/hosted/homes_test.go
@@ -19,31 +19,31 @@
 )
 
 const (
-	// dataTopics begins the names of the topics with bodies and texts: one for each set of homes.
-	dataTopics     = "corkpulley.data"
-	directoryTopic = "corkpulley.nodes"
+	// dataTopicPrefix is the prefix of the topics with bodies and texts, one for each set of home regions.
+	dataTopicPrefix = "corkpulley.data"
+	directoryTopic  = "corkpulley.nodes"
 )
 
-// dataLink is one node's way to the log. It notes which calls touch bodies and texts.
-type dataLink struct {
+// recordingLog is one node's path to the log. It records the calls to topics with bodies and texts.
+type recordingLog struct {
 	address string
 	store   http.Handler
 
 	mu    sync.Mutex
 	calls []string
-	// refused: the log takes no calls of this node. Alone: it never reads of other nodes.
-	refused bool
-	alone   bool
+	// refused fails all calls of the node; directoryHidden fails its reads of the node directory.
+	refused         bool
+	directoryHidden bool
 }
 
 // ServeHTTP implements http.Handler.
-func (l *dataLink) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	ofData := strings.HasPrefix(r.URL.Query().Get("topic"), dataTopics)
+func (l *recordingLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	ofData := strings.HasPrefix(r.URL.Query().Get("topic"), dataTopicPrefix)
 	l.mu.Lock()
 	if ofData {
 		l.calls = append(l.calls, r.URL.Path)
 	}
-	refused := l.refused || l.alone && r.URL.Query().Get("topic") == directoryTopic
+	refused := l.refused || l.directoryHidden && r.URL.Query().Get("topic") == directoryTopic
 	l.mu.Unlock()
 	if refused {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -52,27 +52,27 @@
 	l.store.ServeHTTP(w, r)
 }
 
-// touched returns the calls that touched bodies and texts.
-func (l *dataLink) touched() []string {
+// dataCalls returns the paths of the calls to topics with bodies and texts.
+func (l *recordingLog) dataCalls() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.calls)
 }
 
-func (l *dataLink) refuse(refused bool) {
+func (l *recordingLog) refuse(refused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refused = refused
 }
 
-// regional is a node with its way to the log.
-type regional struct {
+// regionalNode is a node with its path to the log.
+type regionalNode struct {
 	*process
-	link *dataLink
+	link *recordingLog
 }
 
-// deployRegions returns a deployment of three regions, north, south and west, of a zone each, with an
-// engine of either service in each.
+// deployRegions returns a deployment with the regions north, south and west, each of one zone with one
+// engine of each service.
 func deployRegions(t *testing.T, eventTime time.Duration, events int) *deployment {
 	t.Helper()
 	d := deploy(t)
@@ -87,22 +87,21 @@
 	return d
 }
 
-func (d *deployment) startIn(id, zone string) regional {
+func (d *deployment) startInZone(id, zone string) regionalNode {
 	d.t.Helper()
-	return d.startBehind(&dataLink{store: d.store}, id, zone)
+	return d.startBehindLog(&recordingLog{store: d.store}, id, zone)
 }
 
-func (d *deployment) startBehind(link *dataLink, id, zone string) regional {
+func (d *deployment) startBehindLog(link *recordingLog, id, zone string) regionalNode {
 	d.t.Helper()
 	server := httptest.NewServer(link)
 	d.t.Cleanup(server.Close)
 	link.address = strings.TrimPrefix(server.URL, "http://")
-	return regional{d.startAt(settings.Node{ID: id, Zone: zone, Region: d.zones[zone]}, link.address), link}
+	return regionalNode{d.startNode(settings.Node{ID: id, Zone: zone, Region: d.zones[zone]}, link.address), link}
 }
 
-// metrics returns the node's metrics.
 func (p *process) metrics() string {
-	response, err := http.Get(p.operators + "/metrics")
+	response, err := http.Get(p.operatorURL + "/metrics")
 	if err != nil {
 		return ""
 	}
@@ -119,22 +118,22 @@
 	testwait.Until(t, "the metric "+line, func() bool { return strings.Contains(p.metrics(), line+"\n") })
 }
 
-// awaitOthers waits until the node has read of so many nodes, itself among them.
-func (p *process) awaitOthers(t *testing.T, nodes int) {
+// awaitKnownNodes waits until the node knows the given number of nodes, itself included.
+func (p *process) awaitKnownNodes(t *testing.T, nodes int) {
 	t.Helper()
-	testwait.Until(t, "the nodes know each other", func() bool {
+	testwait.Until(t, "the nodes to know each other", func() bool {
 		return strings.Contains(p.logs.String(), fmt.Sprintf(`"known":%d,`, nodes))
 	})
 }
 
-const leads = "corkpulley_hosted_leading 1"
+const leadingMetric = "corkpulley_hosted_leading 1"
 
-func runsAt(homes string) string {
+func runningHomesMetric(homes string) string {
 	return fmt.Sprintf("corkpulley_hosted_running_homes{homes=%q} 1", homes)
 }
 
-// regionsOfRuns returns the regions of the engines that ran any of the requests.
-func (d *deployment) regionsOfRuns(ids ...string) []string {
+// runRegions returns the regions of the engines that ran any of the requests, sorted.
+func (d *deployment) runRegions(ids ...string) []string {
 	regions := map[string]bool{}
 	for _, engine := range d.engines {
 		for _, run := range engine.Runs() {
@@ -152,234 +151,233 @@
 	return found
 }
 
-// bound gives a route home regions.
-func bound(to route, regions ...string) route {
+// withHomes sets a route's home regions.
+func withHomes(to route, regions ...string) route {
 	to["homeRegions"] = regions
 	return to
 }
 
-func TestBoundWorkStaysAtHomeWhileTheLeaderIsElsewhere(t *testing.T) {
+func TestRegionBoundWorkStaysInRegionUnderRemoteLeader(t *testing.T) {
 	t.Parallel()
 	d := deployRegions(t, 0, 4)
-	d.configure(bound(safeRoute("/desk/"), "north"), bound(batchRoute("/batch/"), "north", "west"))
-	south := d.startIn("south", "s1")
-	south.awaitMetric(t, leads)
-	north, west := d.startIn("north", "n1"), d.startIn("west", "w1")
+	d.configure(withHomes(safeRoute("/desk/"), "north"), withHomes(batchRoute("/batch/"), "north", "west"))
+	south := d.startInZone("south", "s1")
+	south.awaitMetric(t, leadingMetric)
+	north, west := d.startInZone("north", "n1"), d.startInZone("west", "w1")
 	var live []string
 	for i := range 20 {
 		id := fmt.Sprint("live", i)
 		live = append(live, id)
-		for _, node := range []regional{south, north, west} {
+		for _, node := range []regionalNode{south, north, west} {
 			assert.Equal(t, node.call(http.MethodGet, "/desk/x", id, "").status, http.StatusOK)
 		}
 	}
-	assert.DeepEqual(t, d.regionsOfRuns(live...), []string{"north"})
+	assert.DeepEqual(t, d.runRegions(live...), []string{"north"})
 
 	ids := itemIDs(20)
-	assert.Equal(t, north.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	checkWhole(t, d.awaitResults(west.process, "job1", len(ids)), ids, 4)
-	for _, region := range d.regionsOfRuns(ids...) {
-		assert.Assert(t, region != "south", "an item ran at an engine outside")
+	assert.Equal(t, north.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	assertAllCompleted(t, d.awaitResults(west.process, "job1", len(ids)), ids, 4)
+	for _, region := range d.runRegions(ids...) {
+		assert.Assert(t, region != "south", "an item ran outside the home regions")
 	}
-	assert.Equal(t, len(south.link.touched()), 0, "the leader read or wrote bodies or texts: %v", south.link.touched())
+	assert.Equal(t, len(south.link.dataCalls()), 0, "the leader read or wrote bodies or texts: %v", south.link.dataCalls())
 	assert.Equal(t, south.call(http.MethodGet, "/lots/none", "", "").status, http.StatusNotFound)
-	south.awaitMetric(t, leads)
-
-	// The node that a client has reached itself takes its job and answers it, once it knows of the others.
-	south.awaitOthers(t, 3)
-	assert.Equal(t, south.call(http.MethodPost, "/batch/x", "job2", job(1, "other")).status, http.StatusAccepted)
-	checkWhole(t, d.awaitResults(south.process, "job2", 1), []string{"other"}, 4)
-	for _, region := range d.regionsOfRuns("other") {
-		assert.Assert(t, region != "south", "an item ran at an engine outside")
+	south.awaitMetric(t, leadingMetric)
+
+	// A node outside the home regions accepts and answers the job once it knows the others.
+	south.awaitKnownNodes(t, 3)
+	assert.Equal(t, south.call(http.MethodPost, "/batch/x", "job2", jobBody(1, "other")).status, http.StatusAccepted)
+	assertAllCompleted(t, d.awaitResults(south.process, "job2", 1), []string{"other"}, 4)
+	for _, region := range d.runRegions("other") {
+		assert.Assert(t, region != "south", "an item ran outside the home regions")
 	}
 }
 
-// TestTheLeaderAsksForTheWeightsThatBoundJobsWant: it orders the engines at home, which it may not send items.
-func TestTheLeaderAsksForTheWeightsThatBoundJobsWant(t *testing.T) {
+// The leader orders engines in the home region although it must not send them items.
+func TestRemoteLeaderOrdersWeightsForRegionBoundJobs(t *testing.T) {
 	t.Parallel()
 	d := deployRegions(t, 0, 4)
-	d.configure(bound(batchRoute("/batch/"), "north"))
-	south := d.startIn("south", "s1")
-	south.awaitMetric(t, leads)
-	north := d.startIn("north", "n1")
-	d.nameVersion(2)
-	assert.Equal(t, north.call(http.MethodPost, "/batch/x", "job1", job(2, "a", "b")).status, http.StatusAccepted)
+	d.configure(withHomes(batchRoute("/batch/"), "north"))
+	south := d.startInZone("south", "s1")
+	south.awaitMetric(t, leadingMetric)
+	north := d.startInZone("north", "n1")
+	d.publishVersion(2)
+	assert.Equal(t, north.call(http.MethodPost, "/batch/x", "job1", jobBody(2, "a", "b")).status, http.StatusAccepted)
 	for _, engine := range d.engines {
 		if engine.ID() == "llm-north" {
-			testwait.Until(t, "the engine is ordered", func() bool { return engine.Version(model) == 2 })
-			d.list(engine)
+			testwait.Until(t, "the engine to load version 2", func() bool { return engine.Version(model) == 2 })
+			d.listEngine(engine)
 		}
 	}
 	got := d.awaitResults(north.process, "job1", 2)
 	for _, result := range got.Results {
 		assert.DeepEqual(t, result.Versions, []int64{2})
 	}
-	assert.DeepEqual(t, d.regionsOfRuns("a", "b"), []string{"north"})
+	assert.DeepEqual(t, d.runRegions("a", "b"), []string{"north"})
 }
 
-func TestAnotherNodeAtHomeTakesUpTheItemsOfOneThatStops(t *testing.T) {
+func TestRegionalFailoverAfterPlannedStop(t *testing.T) {
 	t.Parallel()
 	const events = 150
 	d := deployRegions(t, 20*time.Millisecond, events)
-	d.configure(bound(batchRoute("/batch/"), "north"))
-	south := d.startIn("south", "s1")
-	first := d.startIn("north1", "n1")
-	first.awaitMetric(t, runsAt("north"))
-	second := d.startIn("north2", "n1")
+	d.configure(withHomes(batchRoute("/batch/"), "north"))
+	south := d.startInZone("south", "s1")
+	first := d.startInZone("north1", "n1")
+	first.awaitMetric(t, runningHomesMetric("north"))
+	second := d.startInZone("north2", "n1")
 	ids := itemIDs(4)
-	assert.Equal(t, second.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	testwait.Until(t, "all items run", func() bool {
-		return !slices.ContainsFunc(ids, func(id string) bool { return d.runsOf(id) == 0 })
+	assert.Equal(t, second.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	testwait.Until(t, "all items to run", func() bool {
+		return !slices.ContainsFunc(ids, func(id string) bool { return d.runCount(id) == 0 })
 	})
 	first.cancel()
-	second.awaitMetric(t, runsAt("north"))
-	checkWhole(t, d.awaitResults(second.process, "job1", len(ids)), ids, events)
-	assert.DeepEqual(t, d.regionsOfRuns(ids...), []string{"north"})
-	assert.Equal(t, len(south.link.touched()), 0)
+	second.awaitMetric(t, runningHomesMetric("north"))
+	assertAllCompleted(t, d.awaitResults(second.process, "job1", len(ids)), ids, events)
+	assert.DeepEqual(t, d.runRegions(ids...), []string{"north"})
+	assert.Equal(t, len(south.link.dataCalls()), 0)
 }
 
-// TestAnotherNodeAtHomeTakesUpTheItemsOfOneThatIsCutOff: that one has no way to the log any more and goes
-// on with its items for a while, as a leader does.
-func TestAnotherNodeAtHomeTakesUpTheItemsOfOneThatIsCutOff(t *testing.T) {
+// The first node is cut off from the log and keeps running its items for a while, as a leader does.
+func TestRegionalFailoverAfterLogPartition(t *testing.T) {
 	t.Parallel()
 	const events = 150
 	d := deployRegions(t, 20*time.Millisecond, events)
-	d.configure(bound(batchRoute("/batch/"), "north"))
-	south := d.startIn("south", "s1")
-	first := d.startBehind(&dataLink{store: d.store, alone: true}, "north1", "n1")
-	first.awaitMetric(t, runsAt("north"))
-	second := d.startIn("north2", "n1")
+	d.configure(withHomes(batchRoute("/batch/"), "north"))
+	south := d.startInZone("south", "s1")
+	first := d.startBehindLog(&recordingLog{store: d.store, directoryHidden: true}, "north1", "n1")
+	first.awaitMetric(t, runningHomesMetric("north"))
+	second := d.startInZone("north2", "n1")
 	ids := itemIDs(4)
-	assert.Equal(t, second.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	testwait.Until(t, "all items run", func() bool {
-		return !slices.ContainsFunc(ids, func(id string) bool { return d.runsOf(id) == 0 })
+	assert.Equal(t, second.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	testwait.Until(t, "all items to run", func() bool {
+		return !slices.ContainsFunc(ids, func(id string) bool { return d.runCount(id) == 0 })
 	})
 	first.link.refuse(true)
-	second.awaitMetric(t, runsAt("north"))
-	checkWhole(t, d.awaitResults(second.process, "job1", len(ids)), ids, events)
-	assert.DeepEqual(t, d.regionsOfRuns(ids...), []string{"north"})
-	assert.Equal(t, len(south.link.touched()), 0)
+	second.awaitMetric(t, runningHomesMetric("north"))
+	assertAllCompleted(t, d.awaitResults(second.process, "job1", len(ids)), ids, events)
+	assert.DeepEqual(t, d.runRegions(ids...), []string{"north"})
+	assert.Equal(t, len(south.link.dataCalls()), 0)
 	first.link.refuse(false)
-	second.awaitMetric(t, runsAt("north"))
+	second.awaitMetric(t, runningHomesMetric("north"))
 }
 
-func TestHomesThatChangeMoveTheItemsUnderWay(t *testing.T) {
+func TestHomeRegionChangeMovesRunningItems(t *testing.T) {
 	t.Parallel()
 	const events = 150
 	d := deployRegions(t, 20*time.Millisecond, events)
-	d.configure(bound(batchRoute("/batch/"), "north"))
-	south := d.startIn("south", "s1")
-	south.awaitMetric(t, leads)
-	north, west := d.startIn("north", "n1"), d.startIn("west", "w1")
-	north.awaitMetric(t, runsAt("north"))
+	d.configure(withHomes(batchRoute("/batch/"), "north"))
+	south := d.startInZone("south", "s1")
+	south.awaitMetric(t, leadingMetric)
+	north, west := d.startInZone("north", "n1"), d.startInZone("west", "w1")
+	north.awaitMetric(t, runningHomesMetric("north"))
 	ids := itemIDs(4)
-	assert.Equal(t, north.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	testwait.Until(t, "all items run", func() bool {
-		return !slices.ContainsFunc(ids, func(id string) bool { return d.runsOf(id) == 0 })
+	assert.Equal(t, north.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	testwait.Until(t, "all items to run", func() bool {
+		return !slices.ContainsFunc(ids, func(id string) bool { return d.runCount(id) == 0 })
 	})
-	assert.Equal(t, len(west.link.touched()), 0)
-	d.configure(bound(batchRoute("/batch/"), "west"))
-	west.awaitMetric(t, runsAt("west"))
-	checkWhole(t, d.awaitResults(west.process, "job1", len(ids)), ids, events)
-	assert.DeepEqual(t, d.regionsOfRuns(ids...), []string{"north", "west"})
-	assert.Equal(t, len(south.link.touched()), 0)
+	assert.Equal(t, len(west.link.dataCalls()), 0)
+	d.configure(withHomes(batchRoute("/batch/"), "west"))
+	west.awaitMetric(t, runningHomesMetric("west"))
+	assertAllCompleted(t, d.awaitResults(west.process, "job1", len(ids)), ids, events)
+	assert.DeepEqual(t, d.runRegions(ids...), []string{"north", "west"})
+	assert.Equal(t, len(south.link.dataCalls()), 0)
 }
 
-func TestATenantsHomesBindItsRequestsAlone(t *testing.T) {
+func TestTenantHomeRegionsApplyToItsRequestsOnly(t *testing.T) {
 	t.Parallel()
 	d := deployRegions(t, 0, 4)
 	d.tenants = []tenant{{"free", []string{"key-free"}}, {"bound", []string{"key-bound"}}, {"lost", []string{"key-lost"}}}
 	d.tenantHomes = map[string][]string{"bound": {"west"}, "lost": {"east"}}
-	d.configure(safeRoute("/desk/"), batchRoute("/batch/"), bound(safeRoute("/north/"), "north"))
-	south := d.startIn("south", "s1")
-	south.awaitMetric(t, leads)
-	west := d.startIn("west", "w1")
+	d.configure(safeRoute("/desk/"), batchRoute("/batch/"), withHomes(safeRoute("/north/"), "north"))
+	south := d.startInZone("south", "s1")
+	south.awaitMetric(t, leadingMetric)
+	west := d.startInZone("west", "w1")
 	assert.Equal(t, south.call(http.MethodGet, "/desk/x", "a", "", "Authorization", bearer("key-free")).status, http.StatusOK)
 	assert.Equal(t, south.call(http.MethodGet, "/desk/x", "b", "", "Authorization", bearer("key-bound")).status, http.StatusOK)
-	assert.DeepEqual(t, d.regionsOfRuns("a"), []string{"south"})
-	assert.DeepEqual(t, d.regionsOfRuns("b"), []string{"west"})
+	assert.DeepEqual(t, d.runRegions("a"), []string{"south"})
+	assert.DeepEqual(t, d.runRegions("b"), []string{"west"})
 
 	ids := itemIDs(10)
-	taken := west.call(http.MethodPost, "/batch/x", "job1", job(1, ids...), "Authorization", bearer("key-bound"))
+	taken := west.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...), "Authorization", bearer("key-bound"))
 	assert.Equal(t, taken.status, http.StatusAccepted)
-	testwait.Until(t, "its results", func() bool {
+	testwait.Until(t, "the results of the job", func() bool {
 		got := west.call(http.MethodGet, "/lots/job1?afterRev=0", "", "", "Authorization", bearer("key-bound"))
 		return strings.Count(got.body, `"completed"`) == len(ids)
 	})
-	assert.DeepEqual(t, d.regionsOfRuns(ids...), []string{"west"})
-	assert.Equal(t, len(south.link.touched()), 0)
+	assert.DeepEqual(t, d.runRegions(ids...), []string{"west"})
+	assert.Equal(t, len(south.link.dataCalls()), 0)
 
-	// Nobody may serve these, which is said at once.
+	// No engine may serve these, so they are rejected at once.
 	for path, key := range map[string]string{"/desk/x": "key-lost", "/north/x": "key-bound"} {
 		got := south.call(http.MethodGet, path, "c", "", "Authorization", bearer(key))
 		assert.Equal(t, got.status, http.StatusServiceUnavailable, path)
 		assert.Assert(t, got.header.Get("Retry-After") != "")
 	}
-	got := south.call(http.MethodPost, "/batch/x", "job2", job(1, "lost"), "Authorization", bearer("key-lost"))
+	got := south.call(http.MethodPost, "/batch/x", "job2", jobBody(1, "lost"), "Authorization", bearer("key-lost"))
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, strings.Contains(got.body, "outside_homes"), got.body)
-	assert.Equal(t, len(d.regionsOfRuns("c", "lost")), 0)
+	assert.Equal(t, len(d.runRegions("c", "lost")), 0)
 }
 
-// TestAJobThatWasTakenIsNotRefusedWhenNoNodeIsAtHomeAnyMore: a refusal says that nothing of it runs.
-func TestAJobThatWasTakenIsNotRefusedWhenNoNodeIsAtHomeAnyMore(t *testing.T) {
+// A rejection would state that no item of the job runs.
+func TestAcceptedJobStaysAcceptedWithoutNodesInHomeRegion(t *testing.T) {
 	t.Parallel()
 	d := deployRegions(t, 0, 4)
 	d.configure(batchRoute("/batch/"))
-	south := d.startIn("south", "s1")
-	assert.Equal(t, south.call(http.MethodPost, "/batch/x", "job1", job(1, "a")).status, http.StatusAccepted)
-	checkWhole(t, d.awaitResults(south.process, "job1", 1), []string{"a"}, 4)
-	d.configure(bound(batchRoute("/batch/"), "east"))
-	testwait.Until(t, "the configuration is in force", func() bool {
+	south := d.startInZone("south", "s1")
+	assert.Equal(t, south.call(http.MethodPost, "/batch/x", "job1", jobBody(1, "a")).status, http.StatusAccepted)
+	assertAllCompleted(t, d.awaitResults(south.process, "job1", 1), []string{"a"}, 4)
+	d.configure(withHomes(batchRoute("/batch/"), "east"))
+	testwait.Until(t, "the configuration to be in force", func() bool {
 		return strings.Contains(south.logs.String(), "home region without a zone")
 	})
-	assert.Equal(t, south.call(http.MethodPost, "/batch/x", "job2", job(1, "b")).status, http.StatusServiceUnavailable)
-	assert.Equal(t, south.call(http.MethodPost, "/batch/x", "job1", job(1, "a")).status, http.StatusAccepted)
-	assert.Equal(t, d.runsOf("b"), 0)
+	assert.Equal(t, south.call(http.MethodPost, "/batch/x", "job2", jobBody(1, "b")).status, http.StatusServiceUnavailable)
+	assert.Equal(t, south.call(http.MethodPost, "/batch/x", "job1", jobBody(1, "a")).status, http.StatusAccepted)
+	assert.Equal(t, d.runCount("b"), 0)
 }
 
-// TestANodeThatTheLogRefusesSendsBodiesOnlyByWayOfHome: the node in the south, which clients still reach,
-// gets to the log through others, of which the nearest is no home.
-func TestANodeThatTheLogRefusesSendsBodiesOnlyByWayOfHome(t *testing.T) {
+// A node that is cut off from the log must not relay bodies through its nearest peer outside the home region.
+func TestBodiesAreRelayedOnlyThroughHomeRegion(t *testing.T) {
 	t.Parallel()
 	d := deployRegions(t, 0, 4)
-	d.configure(bound(batchRoute("/batch/"), "north"))
-	south, north, near := d.startIn("south", "s1"), d.startIn("north", "n1"), d.startIn("south2", "s1")
-	for _, node := range []regional{south, north, near} {
-		node.awaitOthers(t, 3)
+	d.configure(withHomes(batchRoute("/batch/"), "north"))
+	south, north, near := d.startInZone("south", "s1"), d.startInZone("north", "n1"), d.startInZone("south2", "s1")
+	for _, node := range []regionalNode{south, north, near} {
+		node.awaitKnownNodes(t, 3)
 	}
 	south.link.refuse(true)
-	testwait.Until(t, "the node goes another way", func() bool {
+	testwait.Until(t, "the node to change its path to the log", func() bool {
 		return strings.Contains(south.logs.String(), "way to the log changed")
 	})
 	var ids []string
 	for i := range 10 {
 		id := fmt.Sprint("item-of-", i)
 		ids = append(ids, id)
-		testwait.Until(t, "the job is taken", func() bool {
-			return south.call(http.MethodPost, "/batch/x", fmt.Sprint("job", i), job(1, id)).status == http.StatusAccepted
+		testwait.Until(t, "the job to be accepted", func() bool {
+			return south.call(http.MethodPost, "/batch/x", fmt.Sprint("job", i), jobBody(1, id)).status == http.StatusAccepted
 		})
 	}
 	for i, id := range ids {
-		checkWhole(t, d.awaitResults(north.process, fmt.Sprint("job", i), 1), []string{id}, 4)
+		assertAllCompleted(t, d.awaitResults(north.process, fmt.Sprint("job", i), 1), []string{id}, 4)
 	}
-	assert.Assert(t, len(north.link.touched()) > 0)
-	assert.Equal(t, len(near.link.touched()), 0, "bodies went by way of a node outside: %v", near.link.touched())
+	assert.Assert(t, len(north.link.dataCalls()) > 0)
+	assert.Equal(t, len(near.link.dataCalls()), 0, "bodies were relayed by a node outside the home region: %v",
+		near.link.dataCalls())
 }
 
-// TestANodeOutsideHasBoundJobsAnsweredAtHome: a read of the log would show it bodies and texts of other jobs.
-func TestANodeOutsideHasBoundJobsAnsweredAtHome(t *testing.T) {
+// A read of the log by a remote node would expose bodies and texts of other jobs to it.
+func TestReadsOfRegionBoundJobsAreAnsweredInHomeRegion(t *testing.T) {
 	t.Parallel()
 	d := deployRegions(t, 0, 4)
-	d.configure(bound(batchRoute("/batch/"), "north"))
-	south, north := d.startIn("south", "s1"), d.startIn("north", "n1")
-	for _, node := range []regional{south, north} {
-		node.awaitOthers(t, 2)
+	d.configure(withHomes(batchRoute("/batch/"), "north"))
+	south, north := d.startInZone("south", "s1"), d.startInZone("north", "n1")
+	for _, node := range []regionalNode{south, north} {
+		node.awaitKnownNodes(t, 2)
 	}
 	ids := itemIDs(10)
-	assert.Equal(t, north.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	checkWhole(t, d.awaitResults(south.process, "job1", len(ids)), ids, 4)
+	assert.Equal(t, north.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	assertAllCompleted(t, d.awaitResults(south.process, "job1", len(ids)), ids, 4)
 	body := south.call(http.MethodGet, "/items/job1?id="+ids[0], "", "")
 	assert.Equal(t, body.status, http.StatusOK, body.body)
-	assert.Equal(t, len(south.link.touched()), 0, "the node outside read bodies or texts: %v", south.link.touched())
+	assert.Equal(t, len(south.link.dataCalls()), 0, "the remote node read bodies or texts: %v", south.link.dataCalls())
 }
--- a/test/hosted/incarnation_test.go
+++ b/test/hosted/incarnation_test.go
@@ -19,74 +19,77 @@
 )
 
 const (
-	// firstStart is when the engines of these tests start first, in milliseconds since 1970.
-	firstStart = 1_700_000_000_000
-	// restartTime is how long an engine is away, entryLife how long an entry stays: the list never misses it.
+	// firstStartMS is the first start of engines, in Unix milliseconds.
+	firstStartMS = 1_700_000_000_000
+	// restartTime is the down time of an engine; entryTTL is long enough for its entry to stay listed meanwhile.
 	restartTime = 100 * time.Millisecond
-	entryLife   = time.Minute
+	entryTTL    = time.Minute
 )
 
-// addRestarting starts an engine that starts again under its ID and at its address.
-func (d *deployment) addRestarting(options standin.EngineOptions) *standin.EngineHost {
+// addRestartingHost starts an engine that restarts under the same ID and address.
+func (d *deployment) addRestartingHost(options standin.EngineOptions) *standin.EngineHost {
 	d.t.Helper()
 	address, err := benchprocess.FreeAddress()
 	assert.NilError(d.t, err)
-	options.Born, options.Zone, options.Slots = firstStart, "z1", 8
-	host, err := standin.NewEngineHost(d.store, address, options, restartTime, entryLife)
+	options.Born, options.Zone, options.Slots = firstStartMS, "z1", 8
+	host, err := standin.NewEngineHost(d.store, address, options, restartTime, entryTTL)
 	assert.NilError(d.t, err)
 	d.t.Cleanup(host.Close)
 	return host
 }
 
-// newestOf is the start of an engine that runs.
-func newestOf(host *standin.EngineHost) *standin.Engine {
+// currentEngine returns the latest incarnation of a host's engine.
+func currentEngine(host *standin.EngineHost) *standin.Engine {
 	engines := host.Engines()
 	return engines[len(engines)-1]
 }
 
-// TestAnEngineThatStartsAgainIsOrderedAndUsedAnew: at the same address, with the first version again, and
-// its entry was never missing.
-func TestAnEngineThatStartsAgainIsOrderedAndUsedAnew(t *testing.T) {
+// A new incarnation has its initial weights, although its address is the same and its entry never expired.
+func TestRestartedEngineIsOrderedAndUsedAgain(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	host := d.addRestarting(standin.EngineOptions{
+	host := d.addRestartingHost(standin.EngineOptions{
 		ID: "llm-1", Service: "llm", Versions: map[string]int64{model: 1}, Events: func(string) int { return 4 },
 		LoadTime: 50 * time.Millisecond,
 	})
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
-	d.nameVersion(2)
-	testwait.Until(t, "the first start has version 2", func() bool { return newestOf(host).Version(model) == 2 })
+	d.publishVersion(2)
+	testwait.Until(t, "the first incarnation to have version 2", func() bool {
+		return currentEngine(host).Version(model) == 2
+	})
 	for starts := 2; starts <= 3; starts++ {
 		id := fmt.Sprint("job", starts)
 		host.Crash()
-		testwait.Until(t, "another start", func() bool { return len(host.Engines()) == starts })
-		testwait.Until(t, "the next start has version 2", func() bool { return newestOf(host).Version(model) == 2 })
-		assert.Equal(t, node.call(http.MethodPost, "/batch/x", id, job(2, "a"+id, "b"+id)).status, http.StatusAccepted)
+		testwait.Until(t, "another incarnation", func() bool { return len(host.Engines()) == starts })
+		testwait.Until(t, "the next incarnation to have version 2", func() bool {
+			return currentEngine(host).Version(model) == 2
+		})
+		assert.Equal(t, node.call(http.MethodPost, "/batch/x", id, jobBody(2, "a"+id, "b"+id)).status, http.StatusAccepted)
 		for _, result := range d.awaitResults(node, id, 2).Results {
 			assert.Equal(t, result.State, "completed")
 			assert.DeepEqual(t, result.Versions, []int64{2})
 		}
-		assert.Equal(t, newestOf(host).ID(), "llm-1")
-		assert.Equal(t, len(newestOf(host).Holders()), 1, "one order for each start")
+		assert.Equal(t, currentEngine(host).ID(), "llm-1")
+		assert.Equal(t, len(currentEngine(host).Holders()), 1, "one order for each incarnation")
 	}
 	assert.Assert(t, strings.Contains(node.logs.String(), "engine started again"))
 	assert.Assert(t, !strings.Contains(node.logs.String(), "engine gone"))
 }
 
-// TestItemsGoOnWhenTheirEngineStartsAgain: at the next start of the same engine, the only one.
-func TestItemsGoOnWhenTheirEngineStartsAgain(t *testing.T) {
+// The next incarnation of the only engine resumes the items.
+func TestItemsResumeAfterEngineRestart(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	host := d.addRestarting(standin.EngineOptions{
+	host := d.addRestartingHost(standin.EngineOptions{
 		ID: "llm-1", Service: "llm", Versions: map[string]int64{model: 1}, Events: func(string) int { return 30 },
 		EventTime: 20 * time.Millisecond,
 	})
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
 	ids := []string{"a", "b", "c"}
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	testwait.Until(t, "items run", func() bool { return len(newestOf(host).Runs()) == len(ids) })
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	testwait.Until(t, "items to run", func() bool { return len(currentEngine(host).Runs()) == len(ids) })
 	host.Crash()
 	for _, result := range d.awaitResults(node, "job1", len(ids)).Results {
 		assert.Equal(t, result.State, "completed")
@@ -94,31 +97,31 @@
 	}
 }
 
-// TestARequestThatEndsEachStartOfItsOnlyEngineIsNotSentOnAndOn: the next start listens soon after each end.
-func TestARequestThatEndsEachStartOfItsOnlyEngineIsNotSentOnAndOn(t *testing.T) {
+// Crashes count per incarnation even though the engine's entry never expires.
+func TestCrashingRequestIsQuarantinedAtSoleEngine(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	host := d.addRestarting(standin.EngineOptions{ID: "desk-1", Service: "desk", EndsUnder: endsUnderCrashing})
+	host := d.addRestartingHost(standin.EngineOptions{ID: "desk-1", Service: "desk", EndsUnder: isCrashRun})
 	d.configure(safeRoute("/a/"))
 	nodes := []*process{d.start("n1"), d.start("n2")}
-	sendCrashing(t, nodes, "/a/", 4*time.Second)
-	assertNotSentOnAndOn(t, []*standin.EngineHost{host})
-	assert.Assert(t, len(host.Crashes()) >= 2, "%d ends", len(host.Crashes()))
+	sendCrashRequests(t, nodes, "/a/", 4*time.Second)
+	assertCrashesBounded(t, []*standin.EngineHost{host})
+	assert.Assert(t, len(host.Crashes()) >= 2, "%d crashes", len(host.Crashes()))
 	for i, node := range nodes {
-		testwait.Until(t, "others are served", func() bool {
+		testwait.Until(t, "other requests to be served", func() bool {
 			return node.call(http.MethodPost, "/a/other", fmt.Sprintf("other-%d", i), "").status == http.StatusOK
 		})
 	}
 }
 
-// startElsewhere starts a plain engine under an ID at an address of its own, and lists it.
-func (d *deployment) startElsewhere(id string, born int64) *standin.Engine {
+// addDeskIncarnation starts and lists an engine with the given ID and start time at a new address.
+func (d *deployment) addDeskIncarnation(id string, born int64) *standin.Engine {
 	d.t.Helper()
 	return d.addEngine(standin.EngineOptions{ID: id, Service: "desk", Born: born})
 }
 
-// entryOf is the entry of an engine in the list.
-func (d *deployment) entryOf(id string) []byte {
+// listedEntry returns an engine's entry in the engine list.
+func (d *deployment) listedEntry(id string) []byte {
 	d.t.Helper()
 	newest, err := d.store.Log.Newest(d.t.Context(), platform.New(d.address, "").EngineTopic())
 	assert.NilError(d.t, err)
@@ -131,17 +134,17 @@
 	return nil
 }
 
-// TestALateEntryOfAnEarlierStartMovesNothing: requests stay with the later start.
-func TestALateEntryOfAnEarlierStartMovesNothing(t *testing.T) {
+// Guards against a delayed write that redirects requests to an ended incarnation.
+func TestLateEntryOfEarlierIncarnationIsIgnored(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.configure(safeRoute("/a/"))
-	d.startElsewhere("e1", firstStart)
-	later := d.startElsewhere("e1", firstStart+1000)
+	d.addDeskIncarnation("e1", firstStartMS)
+	later := d.addDeskIncarnation("e1", firstStartMS+1000)
 	node := d.start("n1")
-	entry := d.entryOf("e1")
-	earlier := d.startElsewhere("e1", firstStart)
-	testwait.Until(t, "the late entry is read", func() bool {
+	entry := d.listedEntry("e1")
+	earlier := d.addDeskIncarnation("e1", firstStartMS)
+	testwait.Until(t, "the late entry to be read", func() bool {
 		return strings.Contains(node.logs.String(), "engine entry of an earlier start")
 	})
 	d.store.Log.Put(platform.New(d.address, "").EngineTopic(), "e1", entry)
@@ -152,16 +155,16 @@
 	assert.Equal(t, len(earlier.Runs()), 0)
 }
 
-// TestAnEngineWhoseClockJumpedBackIsUsed: the entry of the start before is never written again.
-func TestAnEngineWhoseClockJumpedBackIsUsed(t *testing.T) {
+// An incarnation with an earlier start time counts when the entry before is never written again.
+func TestEngineWhoseClockJumpedBackIsUsed(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.configure(safeRoute("/a/"))
-	d.startElsewhere("e1", firstStart)
+	d.addDeskIncarnation("e1", firstStartMS)
 	node := d.start("n1")
-	back := d.startElsewhere("e1", firstStart-1000)
+	back := d.addDeskIncarnation("e1", firstStartMS-1000)
 	number := 0
-	testwait.Until(t, "the engine that started last is used", func() bool {
+	testwait.Until(t, "the latest incarnation to be used", func() bool {
 		number++
 		node.call(http.MethodGet, "/a/x", fmt.Sprint("request", number), "")
 		return len(back.Runs()) > 0
@@ -169,9 +172,9 @@
 	assert.Assert(t, strings.Contains(node.logs.String(), "engine started again"))
 }
 
-// metric returns the value of a metric's line at a node; empty for none.
+// metric returns the value of a metric at the node; empty for none.
 func (p *process) metric(name string) string {
-	response, err := http.Get(p.operators + "/metrics")
+	response, err := http.Get(p.operatorURL + "/metrics")
 	if err != nil {
 		return ""
 	}
@@ -188,92 +191,91 @@
 	return ""
 }
 
-// unusableCount is the number of entries that a node has counted as unusable by a fault.
+// unusableCount returns the node's count of unusable engine entries by fault.
 func (p *process) unusableCount(fault string) string {
 	return p.metric(fmt.Sprintf("corkpulley_hosted_engine_entries_unusable_total{fault=%q}", fault))
 }
 
-// putUnusable writes entries that name no engine to use beside those that do, and one in the place of an
-// engine's own.
-func (d *deployment) putUnusable(replaced string) {
+// putUnusableEntries writes invalid entries to the engine list, one of them in place of the given engine's.
+func (d *deployment) putUnusableEntries(replaced string) {
 	topic := platform.New(d.address, "").EngineTopic()
 	d.store.Log.Put(topic, "bytes", []byte("\x00\xff"))
-	d.store.Log.Put(topic, "no name", d.entryOf("e1"))
+	d.store.Log.Put(topic, "no name", d.listedEntry("e1"))
 	d.store.Log.Put(topic, "elsewhere", []byte(`{"service":"nobody's","address":"127.0.0.1:9","zone":"z1","slots":8,"state":"ready"}`))
 	_, err := d.store.Log.Append(d.t.Context(), eventlog.Partition{Topic: topic}, [][]byte{{200, 'c', 'u', 't'}})
 	assert.NilError(d.t, err)
 	d.store.Log.Put(topic, replaced, []byte(`{"service":"desk","address":"127.0.0.1:9","zone":"z1","slots":"8","state":"ready"}`))
 }
 
-// assertWithdrawn waits until a node has read the unusable entries, and checks that it sends to the others.
+// assertWithdrawn waits until a node has read the unusable entries and checks that it sends the withdrawn
+// engine nothing.
 func assertWithdrawn(t *testing.T, node *process, withdrawn *standin.Engine) {
 	t.Helper()
-	testwait.Until(t, "the entry of the engine's own ID is read", func() bool {
+	testwait.Until(t, "the engine's replaced entry to be read", func() bool {
 		return strings.Contains(node.logs.String(), `"withdrawn":true`)
 	})
 	before := len(withdrawn.Runs())
 	for i := range 20 {
-		id := fmt.Sprint("request", i, node.callers)
+		id := fmt.Sprint("request", i, node.callerURL)
 		assert.Equal(t, node.call(http.MethodGet, "/a/x", id, "").status, http.StatusOK)
 	}
 	assert.Equal(t, len(withdrawn.Runs()), before)
 }
 
-// TestEntriesOfAnotherWriterNameNoEngine: all others hold, and a good entry puts an engine back.
-func TestEntriesOfAnotherWriterNameNoEngine(t *testing.T) {
+// Other engines stay in use, and a valid entry restores the withdrawn engine.
+func TestUnusableEntriesAreIgnored(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	desk(d, "e1")
-	replaced := desk(d, "e2")
-	good := d.entryOf("e2")
+	addDesk(d, "e1")
+	replaced := addDesk(d, "e2")
+	good := d.listedEntry("e2")
 	d.configure(safeRoute("/a/"))
 	node := d.start("n1")
-	d.putUnusable("e2")
+	d.putUnusableEntries("e2")
 	assertWithdrawn(t, node, replaced)
-	testwait.Until(t, "each kind is counted", func() bool {
+	testwait.Until(t, "each kind of fault to be counted", func() bool {
 		return node.unusableCount("unreadable") == "1" && node.unusableCount("unknown_service") == "1" &&
 			node.unusableCount("bad_name") != "" && node.unusableCount("wrong_type") == "1"
 	})
 	d.store.Log.Put(platform.New(d.address, "").EngineTopic(), "e2", good)
 	number := 0
-	testwait.Until(t, "the engine is used again", func() bool {
+	testwait.Until(t, "the engine to be used again", func() bool {
 		number++
 		node.call(http.MethodGet, "/a/x", fmt.Sprint("back", number), "")
 		return len(replaced.Runs()) > 0
 	})
-	// The record without a key is passed over by a node that reads the list whole just then.
+	// A node that reads the whole list just then skips the record without a key.
 	lines := strings.Count(node.logs.String(), "engine entry unusable")
-	assert.Assert(t, lines == 4 || lines == 5, "%d lines of four entries and a record without a key", lines)
+	assert.Assert(t, lines == 4 || lines == 5, "%d lines for four entries and a record without a key", lines)
 }
 
-// TestEntriesOfAnotherWriterNameNoEngineThroughReplicas: nodes that read no list themselves know as much.
-func TestEntriesOfAnotherWriterNameNoEngineThroughReplicas(t *testing.T) {
+// Covers nodes that read the engine list through a replica.
+func TestUnusableEntriesAreIgnoredThroughReplicas(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	desk(d, "e1")
-	replaced := desk(d, "e2")
+	addDesk(d, "e1")
+	replaced := addDesk(d, "e2")
 	d.configure(safeRoute("/a/"))
-	d.listDistantNodes()
+	d.listRemoteNodes()
 	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
-	replicaOf(t, nodes)
-	d.putUnusable("e2")
+	awaitReplica(t, nodes)
+	d.putUnusableEntries("e2")
 	for _, node := range nodes {
 		assertWithdrawn(t, node, replaced)
 	}
 }
 
-// TestANodeThatKnowsEnginesOfUnknownServicesOnlyIsNotReady: it can serve nobody.
-func TestANodeThatKnowsEnginesOfUnknownServicesOnlyIsNotReady(t *testing.T) {
+func TestNodeWithEnginesOfUnknownServicesOnlyIsNotReady(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addEngine(standin.EngineOptions{ID: "e1", Service: "nobody's"})
 	d.configure(safeRoute("/a/"))
 	node := d.startUnready(settings.Node{ID: "n1", Zone: "z1", Region: "r1"}, d.address)
-	testwait.Until(t, "configuration, engine list and ends of engines are read", func() bool {
+	testwait.Until(t, "configuration, engine list and crash records to be read", func() bool {
 		logs := node.logs.String()
 		return strings.Contains(logs, "configuration in force") && strings.Count(logs, "topic read whole") == 3
 	})
 	assert.Equal(t, node.status("/readyz"), http.StatusServiceUnavailable)
-	desk(d, "e2")
-	testwait.Until(t, "it is ready", func() bool { return node.status("/readyz") == http.StatusOK })
+	addDesk(d, "e2")
+	testwait.Until(t, "the node to be ready", func() bool { return node.status("/readyz") == http.StatusOK })
 }
--- a/test/hosted/live_test.go
+++ b/test/hosted/live_test.go
@@ -12,14 +12,14 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-func desk(d *deployment, id string) *standin.Engine {
+func addDesk(d *deployment, id string) *standin.Engine {
 	return d.addEngine(standin.EngineOptions{ID: id, Service: "desk"})
 }
 
-func TestLiveRequestGetsItsWholeAnswerUnaltered(t *testing.T) {
+func TestLiveResponseIsPassedThroughUnaltered(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	engine := desk(d, "e1")
+	engine := addDesk(d, "e1")
 	d.configure(safeRoute("/a/"))
 	node := d.start("n1")
 	got := node.call(http.MethodPost, "/a/x%20y?k=1&k=2", "id1", "the body", "X-Own", "kept")
@@ -35,10 +35,10 @@
 	assert.Equal(t, runs[0].Host, host)
 }
 
-func TestNoRouteIs404AndTooLongABodyIs413(t *testing.T) {
+func TestUnroutedAndOversizedRequestsAreRejected(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	engine := desk(d, "e1")
+	engine := addDesk(d, "e1")
 	d.configure(safeRoute("/a/"))
 	node := d.start("n1")
 	assert.Equal(t, node.call(http.MethodPost, "/b/x", "id1", "").status, http.StatusNotFound)
@@ -49,9 +49,8 @@
 	assert.Equal(t, len(engine.Runs()), 0)
 }
 
-// TestFaultyAnswersOfSafeRequestsAreAskedForAgain tries each fault of the first
-// engine that is asked.
-func TestFaultyAnswersOfSafeRequestsAreAskedForAgain(t *testing.T) {
+// The first engine asked has each fault in turn.
+func TestSafeRequestIsRetriedAfterFaultyResponse(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]standin.EngineFault{
 		"full": standin.Full, "fails": standin.Fails, "cut off": standin.CutOff,
@@ -66,8 +65,8 @@
 				}
 				return standin.Works
 			}
-			desk(d, "e1").SetFault(once)
-			desk(d, "e2").SetFault(once)
+			addDesk(d, "e1").SetFault(once)
+			addDesk(d, "e2").SetFault(once)
 			d.configure(safeRoute("/a/"))
 			node := d.start("n1")
 			got := node.call(http.MethodPost, "/a/x", "id1", "")
@@ -78,8 +77,7 @@
 	}
 }
 
-// TestUnsafeRequestRunsAtMostOnce: whatever may have run is never sent again, and
-// never answered with a status that says it has not run.
+// A request that may have run is neither retried nor reported as not run.
 func TestUnsafeRequestRunsAtMostOnce(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]standin.EngineFault{
@@ -88,8 +86,8 @@
 		t.Run(name, func(t *testing.T) {
 			d := deploy(t)
 			broken := func(string) standin.EngineFault { return fault }
-			desk(d, "e1").SetFault(broken)
-			desk(d, "e2").SetFault(broken)
+			addDesk(d, "e1").SetFault(broken)
+			addDesk(d, "e2").SetFault(broken)
 			unsafe := safeRoute("/a/")
 			unsafe["routeKind"] = "unsafe"
 			d.configure(unsafe)
@@ -97,16 +95,16 @@
 			got := node.call(http.MethodPost, "/a/x", "id1", "")
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.status, http.StatusBadGateway)
-			assert.Equal(t, d.runsOf("id1"), 1)
+			assert.Equal(t, d.runCount("id1"), 1)
 		})
 	}
 }
 
-func TestUnsafeRequestRefusedByAnEngineIsTriedAtAnother(t *testing.T) {
+func TestUnsafeRequestRefusedByEngineIsRetriedAtAnother(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	desk(d, "e1").SetFault(func(string) standin.EngineFault { return standin.Full })
-	desk(d, "e2")
+	addDesk(d, "e1").SetFault(func(string) standin.EngineFault { return standin.Full })
+	addDesk(d, "e2")
 	unsafe := safeRoute("/a/")
 	unsafe["routeKind"] = "unsafe"
 	d.configure(unsafe)
@@ -116,10 +114,10 @@
 	}
 }
 
-func TestRefusalSaysWhenToComeBackAndNothingRan(t *testing.T) {
+func TestRejectionHasRetryAfterAndNothingRuns(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	engine := desk(d, "e1")
+	engine := addDesk(d, "e1")
 	engine.SetFault(func(string) standin.EngineFault { return standin.Full })
 	d.configure(safeRoute("/a/"))
 	node := d.start("n1")
@@ -129,12 +127,11 @@
 	assert.Equal(t, len(engine.Runs()), 0)
 }
 
-// TestSurplusAnswerBelongsToNoRequest: the second answer on a connection is not
-// given to the request that uses the connection next.
-func TestSurplusAnswerBelongsToNoRequest(t *testing.T) {
+// A second response on a connection must not reach the next request on it.
+func TestSurplusResponseIsDiscarded(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	desk(d, "e1").SetFault(func(id string) standin.EngineFault {
+	addDesk(d, "e1").SetFault(func(id string) standin.EngineFault {
 		if strings.HasPrefix(id, "odd") {
 			return standin.Surplus
 		}
@@ -153,14 +150,14 @@
 func TestConfigurationIsFollowedAndNeverReverts(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	desk(d, "e1")
+	addDesk(d, "e1")
 	d.configure(safeRoute("/a/"))
 	node := d.start("n1")
 	d.configure(safeRoute("/a/"), safeRoute("/new/"))
 	testwait.Until(t, "the new route", func() bool {
 		return node.call(http.MethodPost, "/new/x", "id1", "").status == http.StatusOK
 	})
-	// An older version that comes later is not put in force.
+	// Writes an older version and an invalid configuration, which must not take effect.
 	d.config -= 6
 	d.configure(safeRoute("/old/"))
 	d.store.Log.Put("keyed.op", "config", []byte("no configuration"))
@@ -172,15 +169,15 @@
 	assert.Equal(t, node.call(http.MethodPost, "/old/x", "id3", "").status, http.StatusNotFound)
 }
 
-func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
+func TestDrainingEngineGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	leaving := desk(d, "e1")
-	staying := desk(d, "e2")
+	leaving := addDesk(d, "e1")
+	staying := addDesk(d, "e2")
 	d.configure(safeRoute("/a/"))
 	node := d.start("n1")
 	d.store.Log.Put("keyed.servers", "e1", leaving.Entry("127.0.0.1:1", "draining"))
-	testwait.Until(t, "the entry is known", func() bool {
+	testwait.Until(t, "the entry to be read", func() bool {
 		return strings.Contains(node.logs.String(), `"draining":true`)
 	})
 	before := len(leaving.Runs())
@@ -191,9 +188,8 @@
 	assert.Assert(t, len(staying.Runs()) >= 10)
 }
 
-// TestPlannedStopAnswersWhatItHas: a request in hand when the stop begins gets
-// its answer, and the node is no longer ready.
-func TestPlannedStopAnswersWhatItHas(t *testing.T) {
+// The node is no longer ready while it completes the request in flight.
+func TestPlannedStopCompletesInFlightRequests(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addEngine(standin.EngineOptions{
@@ -203,11 +199,11 @@
 	streaming["routeKind"] = "streaming"
 	d.configure(streaming)
 	node := d.start("n1")
-	answers := make(chan answer)
+	answers := make(chan callResult)
 	go func() { answers <- node.call(http.MethodPost, "/s/x", "id1", "") }()
-	testwait.Until(t, "the engine runs it", func() bool { return d.runsOf("id1") == 1 })
+	testwait.Until(t, "the engine to run the request", func() bool { return d.runCount("id1") == 1 })
 	node.cancel()
-	testwait.Until(t, "the node is not ready", func() bool { return node.status("/readyz") != http.StatusOK })
+	testwait.Until(t, "the node to be unready", func() bool { return node.status("/readyz") != http.StatusOK })
 	got := <-answers
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
@@ -215,8 +211,8 @@
 	<-node.done
 }
 
-// TestBrokenStreamContinuesAtAnotherEngine: every piece once, in one answer.
-func TestBrokenStreamContinuesAtAnotherEngine(t *testing.T) {
+// Each event arrives exactly once, in one response.
+func TestBrokenStreamResumesAtAnotherEngine(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	var asked atomic.Int64
@@ -239,5 +235,5 @@
 	for number := 1; number <= 6; number++ {
 		assert.Equal(t, strings.Count(got.body, "data: "+standin.EventData("id1", number)+"\n"), 1, got.body)
 	}
-	assert.Equal(t, d.runsOf("id1"), 2)
+	assert.Equal(t, d.runCount("id1"), 2)
 }
--- a/test/hosted/loglink_test.go
+++ b/test/hosted/loglink_test.go
@@ -16,46 +16,46 @@
 	readPath   = "/log-read"
 )
 
-// logLink is one node's way to the log. It can take the node's appends to the lease or
-// its reads of the lease away, each alone, while all other calls work.
-type logLink struct {
+// logProxy is one node's path to the log. It can fail the node's lease appends or lease reads
+// while all other calls pass.
+type logProxy struct {
 	address string
 	store   *standin.Store
 
 	mu sync.Mutex
-	// refusesAppends: the log does not take appends to the lease.
-	refusesAppends bool
-	// readsHang: reads of the lease are never answered, until their caller gives up.
-	readsHang bool
+	// leaseAppendsRefused answers appends to the lease with 503.
+	leaseAppendsRefused bool
+	// leaseReadsHang leaves reads of the lease unanswered until the caller gives up.
+	leaseReadsHang bool
 }
 
-func (d *deployment) newLogLink(t *testing.T) *logLink {
+func (d *deployment) newLogProxy(t *testing.T) *logProxy {
 	t.Helper()
-	link := &logLink{store: d.store}
+	link := &logProxy{store: d.store}
 	server := httptest.NewServer(link)
 	t.Cleanup(server.Close)
 	link.address = strings.TrimPrefix(server.URL, "http://")
 	return link
 }
 
-func (l *logLink) refuseAppends(refused bool) {
+func (l *logProxy) refuseLeaseAppends(refused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.refusesAppends = refused
+	l.leaseAppendsRefused = refused
 }
 
-func (l *logLink) hangReads(hang bool) {
+func (l *logProxy) hangLeaseReads(hang bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.readsHang = hang
+	l.leaseReadsHang = hang
 }
 
 // ServeHTTP implements http.Handler.
-func (l *logLink) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *logProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	ofLease := r.URL.Query().Get("topic") == leaseTopic
-	refused := ofLease && l.refusesAppends && r.URL.Path == appendPath
-	hangs := ofLease && l.readsHang && r.URL.Path == readPath
+	refused := ofLease && l.leaseAppendsRefused && r.URL.Path == appendPath
+	hangs := ofLease && l.leaseReadsHang && r.URL.Path == readPath
 	l.mu.Unlock()
 	switch {
 	case refused:
--- a/test/hosted/replicas_test.go
+++ b/test/hosted/replicas_test.go
@@ -16,9 +16,8 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// listDistantNodes lists as many nodes of another zone as make the cluster a large one.
-// Nothing answers at their addresses.
-func (d *deployment) listDistantNodes() {
+// listRemoteNodes lists enough unreachable nodes of another zone for the cluster to use replicas.
+func (d *deployment) listRemoteNodes() {
 	d.t.Helper()
 	var records [][]byte
 	for number := range replicaset.MinNodes {
@@ -32,7 +31,7 @@
 	assert.NilError(d.t, err)
 }
 
-// isReplica tells whether the node hands on what it reads, as its newest line on it says.
+// isReplica reports whether the node relays the topics that it reads, by its newest log line about it.
 func (p *process) isReplica() bool {
 	lines := p.logs.String()
 	newest := strings.LastIndex(lines, "sources of followed topics changed")
@@ -43,8 +42,8 @@
 	return strings.Contains(lines[start:newest], `"replica":true`)
 }
 
-// replicaOf waits until one node is the replica and returns it and the others.
-func replicaOf(t *testing.T, nodes []*process) (replica *process, others []*process) {
+// awaitReplica waits until exactly one node is the replica and returns it and the others.
+func awaitReplica(t *testing.T, nodes []*process) (replica *process, others []*process) {
 	t.Helper()
 	testwait.Until(t, "one replica and its readers", func() bool {
 		replica, others = nil, nil
@@ -61,63 +60,61 @@
 	return replica, others
 }
 
-// TestALargeClusterAsksItsReplicas: jobs are read, ended and unknown ones denied at nodes
-// that read no index themselves, and configurations reach these too.
-func TestALargeClusterAsksItsReplicas(t *testing.T) {
+// Nodes without an index of their own read and end jobs, deny unknown ones and follow configurations.
+func TestLargeClusterReadsJobsThroughReplicas(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addModelEngine("e1", 1, 4, 0)
 	d.configure(batchRoute("/batch/"))
-	d.listDistantNodes()
+	d.listRemoteNodes()
 	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3"), d.start("n4")}
-	_, others := replicaOf(t, nodes)
+	_, others := awaitReplica(t, nodes)
 	ids := itemIDs(20)
-	assert.Equal(t, others[0].call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
+	assert.Equal(t, others[0].call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	for _, node := range nodes {
-		checkWhole(t, d.awaitResults(node, "job1", len(ids)), ids, 4)
+		assertAllCompleted(t, d.awaitResults(node, "job1", len(ids)), ids, 4)
 		assert.Equal(t, node.call(http.MethodGet, "/lots/nobody", "", "").status, http.StatusNotFound)
 	}
 	assert.Equal(t, others[1].call(http.MethodDelete, "/lots/job1", "", "").status, http.StatusOK)
 	for _, node := range others {
 		leads := strings.Contains(node.logs.String(), "leadership gained")
 		readsIndex := strings.Contains(node.logs.String(), "index partition in reach")
-		assert.Assert(t, leads || !readsIndex, "a node that is no replica reads the index")
+		assert.Assert(t, leads || !readsIndex, "a node that is neither leader nor replica reads the index")
 	}
 	d.configure(batchRoute("/batch/"), batchRoute("/later/"))
 	for number, node := range nodes {
 		id := fmt.Sprint("later", number)
 		testwait.Until(t, "the new route at each node", func() bool {
-			return node.call(http.MethodPost, "/later/x", id, job(1, "only"+id)).status == http.StatusAccepted
+			return node.call(http.MethodPost, "/later/x", id, jobBody(1, "only"+id)).status == http.StatusAccepted
 		})
 	}
 }
 
-// TestWithoutItsReplicaANodeIsNotSure: it says neither that there is no such job nor that
-// it has not run; configurations reach it all the same.
-func TestWithoutItsReplicaANodeIsNotSure(t *testing.T) {
+// Without its replica, a node must not answer "not found"; configurations still reach it.
+func TestJobReadWithoutReplicaIsUnavailable(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addModelEngine("e1", 1, 4, 0)
 	d.configure(batchRoute("/batch/"))
-	d.listDistantNodes()
+	d.listRemoteNodes()
 	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
-	replica, others := replicaOf(t, nodes)
-	assert.Equal(t, others[0].call(http.MethodPost, "/batch/x", "job1", job(1, "a")).status, http.StatusAccepted)
+	replica, others := awaitReplica(t, nodes)
+	assert.Equal(t, others[0].call(http.MethodPost, "/batch/x", "job1", jobBody(1, "a")).status, http.StatusAccepted)
 	d.awaitResults(others[0], "job1", 1)
 	replica.cancel()
 	<-replica.done
-	testwait.Until(t, "an answer without the replica", func() bool {
+	testwait.Until(t, "job reads to fail without the replica", func() bool {
 		return others[0].call(http.MethodGet, "/lots/job1", "", "").status == http.StatusServiceUnavailable
 	})
 	d.configure(batchRoute("/batch/"), batchRoute("/later/"))
 	testwait.Until(t, "the new route", func() bool {
-		return others[0].call(http.MethodPost, "/later/x", "job2", job(1, "b")).status == http.StatusAccepted
+		return others[0].call(http.MethodPost, "/later/x", "job2", jobBody(1, "b")).status == http.StatusAccepted
 	})
 }
 
-// leavesOutModels tells whether the node follows the engine list without the engines of batch items, as its newest
-// line on it says.
-func (p *process) leavesOutModels() bool {
+// excludesModelEngines reports whether the node follows the engine list without the engines of batch items,
+// by its newest log line about it.
+func (p *process) excludesModelEngines() bool {
 	lines := p.logs.String()
 	newest := strings.LastIndex(lines, "engine list followed")
 	if newest < 0 {
@@ -127,33 +124,32 @@
 	return strings.Contains(lines[start:newest], `"left_out":["llm"]`)
 }
 
-// TestNodesOfALargeClusterLeaveOutEnginesThatTheyNeverChoose: live requests are served and batch items run all the
-// same, also once a configuration sends live requests to these engines.
-func TestNodesOfALargeClusterLeaveOutEnginesThatTheyNeverChoose(t *testing.T) {
+// Nodes that leave out engines still serve live requests, and follow those engines once a route uses them.
+func TestLargeClusterNodesExcludeUnusedEngines(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addEngine(standin.EngineOptions{ID: "desk1", Service: "desk"})
 	models := d.addModelEngine("e1", 1, 4, 0)
 	d.configure(safeRoute("/lookup/"), batchRoute("/batch/"))
-	d.listDistantNodes()
+	d.listRemoteNodes()
 	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3"), d.start("n4")}
-	replica, others := replicaOf(t, nodes)
+	replica, others := awaitReplica(t, nodes)
 	for number, node := range others {
-		testwait.Until(t, "a node without engines of batch items", node.leavesOutModels)
+		testwait.Until(t, "a node that leaves out the engines of batch items", node.excludesModelEngines)
 		assert.Equal(t, node.call(http.MethodGet, "/lookup/x", fmt.Sprint("live", number), "").status, http.StatusOK)
 	}
-	assert.Assert(t, !replica.leavesOutModels())
+	assert.Assert(t, !replica.excludesModelEngines())
 	ids := itemIDs(20)
-	assert.Equal(t, others[0].call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	checkWhole(t, d.awaitResults(others[1], "job1", len(ids)), ids, 4)
-	d.list(models)
+	assert.Equal(t, others[0].call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	assertAllCompleted(t, d.awaitResults(others[1], "job1", len(ids)), ids, 4)
+	d.listEngine(models)
 	live := safeRoute("/lookup/")
 	live["service"] = "llm"
 	d.configure(live, batchRoute("/batch/"))
 	for number, node := range others {
-		testwait.Until(t, "an answer of an engine that was left out", func() bool {
+		testwait.Until(t, "a response of an engine that was left out", func() bool {
 			id := fmt.Sprint("moved", number)
-			return !node.leavesOutModels() && node.call(http.MethodPost, "/lookup/x", id, "x").status == http.StatusOK
+			return !node.excludesModelEngines() && node.call(http.MethodPost, "/lookup/x", id, "x").status == http.StatusOK
 		})
 	}
 }
--- a/test/hosted/scoring_test.go
+++ b/test/hosted/scoring_test.go
@@ -14,8 +14,7 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// deployScored is a deployment with a model engine, scoring engines and routes to
-// both.
+// deployScored returns a deployment with a model engine, scoring engines and routes to both.
 func deployScored(t *testing.T, scorers ...string) *deployment {
 	t.Helper()
 	d := deploy(t)
@@ -27,8 +26,8 @@
 	return d
 }
 
-// failCalls has every scoring engine treat calls as fate says.
-func (d *deployment) failCalls(fate func(id string) standin.EngineFault) {
+// setScoringFault sets the faults of all scoring engines.
+func (d *deployment) setScoringFault(fate func(id string) standin.EngineFault) {
 	for _, engine := range d.engines {
 		if engine.Service() == "desk" {
 			engine.SetFault(fate)
@@ -40,16 +39,15 @@
 	return func(string) standin.EngineFault { return fault }
 }
 
-// TestEachResultBearsTheStampOfItsOwnCall: the call is made as the item says,
-// after the last event.
-func TestEachResultBearsTheStampOfItsOwnCall(t *testing.T) {
+// The scoring call is made as the item specifies, after the last event of its text.
+func TestResultCarriesStampOfItsScoringCall(t *testing.T) {
 	t.Parallel()
 	d := deployScored(t, "d1", "d2")
 	nodes := []*process{d.start("n1"), d.start("n2")}
 	ids := itemIDs(20)
-	assert.Equal(t, nodes[0].call(http.MethodPost, "/batch/x", "job1", scoredJob(1, ids...)).status, http.StatusAccepted)
+	assert.Equal(t, nodes[0].call(http.MethodPost, "/batch/x", "job1", scoredJobBody(1, ids...)).status, http.StatusAccepted)
 	got := d.awaitResults(nodes[1], "job1", len(ids))
-	checkWhole(t, got, ids, 4)
+	assertAllCompleted(t, got, ids, 4)
 	for _, result := range got.Results {
 		assert.Equal(t, result.Score, standin.Stamp(scoringID(result.ID)))
 	}
@@ -63,18 +61,17 @@
 			assert.Equal(t, run.ID, scoringID(item))
 			assert.Equal(t, run.Body, "score "+item)
 			assert.Equal(t, run.Host, host)
-			assert.Assert(t, run.At.Sub(began[item]) >= 4*5*time.Millisecond, "scored before its text was whole")
+			assert.Assert(t, run.At.Sub(began[item]) >= 4*5*time.Millisecond, "scored before its text was complete")
 		}
 	}
 }
 
-// TestScoringCallIsMadeAgainUntilItsAttemptsAreUsedUp: lost answers and refusals
-// are no failed attempts, answers of 500 are.
-func TestScoringCallIsMadeAgainUntilItsAttemptsAreUsedUp(t *testing.T) {
+// Responses with status 500 count as attempts; refusals and lost responses do not.
+func TestScoringCallIsRetriedUpToMaxAttempts(t *testing.T) {
 	t.Parallel()
 	d := deployScored(t, "d1", "d2")
 	var lost atomic.Int64
-	d.failCalls(func(id string) standin.EngineFault {
+	d.setScoringFault(func(id string) standin.EngineFault {
 		switch {
 		case id == scoringID("bad"):
 			return standin.Fails
@@ -85,7 +82,8 @@
 		}
 	})
 	node := d.start("n1")
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", scoredJob(1, "bad", "lost", "good")).status, http.StatusAccepted)
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", scoredJobBody(1, "bad", "lost", "good")).status,
+		http.StatusAccepted)
 	states := map[string]string{}
 	for _, result := range d.awaitResults(node, "job1", 3).Results {
 		states[result.ID] = result.State + " " + result.Score
@@ -94,81 +92,81 @@
 		"bad": "expired ", "lost": "completed " + standin.Stamp(scoringID("lost")),
 		"good": "completed " + standin.Stamp(scoringID("good")),
 	})
-	assert.Equal(t, d.runsOf(scoringID("bad")), 2)
-	assert.Equal(t, d.runsOf(scoringID("lost")), 3)
-	assert.Equal(t, d.runsOf("lost"), 1, "the text was made again")
+	assert.Equal(t, d.runCount(scoringID("bad")), 2)
+	assert.Equal(t, d.runCount(scoringID("lost")), 3)
+	assert.Equal(t, d.runCount("lost"), 1, "the text was generated again")
 }
 
-// TestNextLeaderOnlyScoresWhatIsWhole: nobody takes scoring calls until the leader
-// is gone. Its successor finds the texts in the log.
-func TestNextLeaderOnlyScoresWhatIsWhole(t *testing.T) {
+// Scoring is refused until the first leader has stopped; its successor reads the texts from the log.
+func TestNewLeaderScoresCompleteTextsWithoutRerun(t *testing.T) {
 	t.Parallel()
 	d := deployScored(t, "d1")
-	d.failCalls(always(standin.Full))
+	d.setScoringFault(always(standin.Full))
 	leader := d.start("n1")
 	ids := itemIDs(6)
-	assert.Equal(t, leader.call(http.MethodPost, "/batch/x", "job1", scoredJob(1, ids...)).status, http.StatusAccepted)
+	assert.Equal(t, leader.call(http.MethodPost, "/batch/x", "job1", scoredJobBody(1, ids...)).status, http.StatusAccepted)
 	for _, id := range ids {
-		testwait.Until(t, "a refused call of each item", func() bool {
+		testwait.Until(t, "a refused scoring call of each item", func() bool {
 			return strings.Contains(leader.logs.String(), fmt.Sprintf(`"call":%q`, scoringID(id)))
 		})
 	}
 	next := d.start("n2")
 	leader.cancel()
 	<-leader.done
-	d.failCalls(nil)
-	checkWhole(t, d.awaitResults(next, "job1", len(ids)), ids, 4)
+	d.setScoringFault(nil)
+	assertAllCompleted(t, d.awaitResults(next, "job1", len(ids)), ids, 4)
 	for _, id := range ids {
-		assert.Equal(t, d.runsOf(id), 1, "%s ran again", id)
-		assert.Equal(t, d.runsOf(scoringID(id)), 1)
+		assert.Equal(t, d.runCount(id), 1, "%s ran again", id)
+		assert.Equal(t, d.runCount(scoringID(id)), 1)
 	}
 }
 
-// deployRefused is a deployment whose scoring engine is full, with one node that
-// has the item "a" of "job1", which waits for its score.
-func deployRefused(t *testing.T) (*deployment, *process) {
+// deployWithRefusedScoring returns a deployment whose scoring engine is full, and a node at which item "a"
+// of "job1" waits for its score.
+func deployWithRefusedScoring(t *testing.T) (*deployment, *process) {
 	t.Helper()
 	d := deployScored(t, "d1")
-	d.failCalls(always(standin.Full))
+	d.setScoringFault(always(standin.Full))
 	node := d.start("n1")
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", scoredJob(1, "a")).status, http.StatusAccepted)
-	testwait.Until(t, "a refused call", func() bool { return strings.Contains(node.logs.String(), "scoring call ended") })
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", scoredJobBody(1, "a")).status, http.StatusAccepted)
+	testwait.Until(t, "a refused scoring call", func() bool { return strings.Contains(node.logs.String(), "scoring call ended") })
 	return d, node
 }
 
-// TestNoScoringCallAfterTheEndOfItsJob ends a job whose items wait for their score.
-func TestNoScoringCallAfterTheEndOfItsJob(t *testing.T) {
+// The item waits for its score when its job is ended.
+func TestEndedJobIsNotScored(t *testing.T) {
 	t.Parallel()
-	d, node := deployRefused(t)
+	d, node := deployWithRefusedScoring(t)
 	assert.Equal(t, node.call(http.MethodDelete, "/lots/job1", "", "").status, http.StatusOK)
-	testwait.Until(t, "the end is known", func() bool { return strings.Contains(node.logs.String(), `"message":"job ended"`) })
-	d.failCalls(nil)
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job2", scoredJob(1, "b")).status, http.StatusAccepted)
+	testwait.Until(t, "the end of the job to be known", func() bool {
+		return strings.Contains(node.logs.String(), `"message":"job ended"`)
+	})
+	d.setScoringFault(nil)
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job2", scoredJobBody(1, "b")).status, http.StatusAccepted)
 	d.awaitResults(node, "job2", 1)
-	assert.Equal(t, d.runsOf(scoringID("a")), 0)
+	assert.Equal(t, d.runCount(scoringID("a")), 0)
 }
 
-// TestScoringFollowsTheRouteInForce: the route is gone when the text is whole, and
-// comes back on another service's engine.
-func TestScoringFollowsTheRouteInForce(t *testing.T) {
+// The scoring route is removed while the item waits for its score, and comes back.
+func TestScoringUsesRouteInForce(t *testing.T) {
 	t.Parallel()
-	d, node := deployRefused(t)
+	d, node := deployWithRefusedScoring(t)
 	d.configure(batchRoute("/batch/"))
 	testwait.Until(t, "a call without a route", func() bool { return strings.Contains(node.logs.String(), "no route for") })
-	d.failCalls(nil)
+	d.setScoringFault(nil)
 	d.configure(batchRoute("/batch/"), safeRoute("/scoring/"))
 	got := d.awaitResults(node, "job1", 1)
 	assert.Equal(t, got.Results[0].Score, standin.Stamp(scoringID("a")))
 }
 
-// TestUnreadableScoringCallIsRefused: the job says what is wrong and never runs.
-func TestUnreadableScoringCallIsRefused(t *testing.T) {
+// The response names the scoring call, and the item never runs.
+func TestInvalidScoringCallIsRejected(t *testing.T) {
 	t.Parallel()
 	d := deployScored(t, "d1")
 	node := d.start("n1")
-	body := strings.Replace(scoredJob(1, "a"), `"path":"/scoring/a"`, `"path":"scoring"`, 1)
+	body := strings.Replace(scoredJobBody(1, "a"), `"path":"/scoring/a"`, `"path":"scoring"`, 1)
 	got := node.call(http.MethodPost, "/batch/x", "job1", body)
 	assert.Equal(t, got.status, http.StatusBadRequest)
 	assert.Assert(t, strings.Contains(got.body, "scoring call"), got.body)
-	assert.Equal(t, d.runsOf("a"), 0)
+	assert.Equal(t, d.runCount("a"), 0)
 }
--- a/test/hosted/slowreaders_test.go
+++ b/test/hosted/slowreaders_test.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// smallestMemoryMB is the memory of a small machine, of which a node may hold a sixth for others.
+	// smallestMemoryMB is the memory of a small machine; a node may hold a sixth of it for slow clients.
 	smallestMemoryMB = 112
-	stoppedReaders   = 1000
+	stalledReaders   = 1000
 )
 
-// gauge returns a value of the node's metrics; zero where it has none of the name.
+// gauge returns the value of a metric at the node; zero for none.
 func (p *process) gauge(name string) float64 {
-	response, err := http.Get(p.operators + "/metrics")
+	response, err := http.Get(p.operatorURL + "/metrics")
 	if err != nil {
 		return 0
 	}
@@ -40,10 +40,10 @@
 	return 0
 }
 
-// askAndStop asks for the results of a job and reads nothing of them.
-func (p *process) askAndStop(t *testing.T, job string) net.Conn {
+// openStalledReader requests the results of a job and reads none of the response.
+func (p *process) openStalledReader(t *testing.T, job string) net.Conn {
 	t.Helper()
-	connection, err := net.Dial("tcp", strings.TrimPrefix(p.callers, "http://"))
+	connection, err := net.Dial("tcp", strings.TrimPrefix(p.callerURL, "http://"))
 	assert.NilError(t, err)
 	assert.NilError(t, connection.(*net.TCPConn).SetReadBuffer(4<<10))
 	_, err = fmt.Fprintf(connection, "GET /lots/%s HTTP/1.1\r\nHost: %s\r\n\r\n", job, host)
@@ -51,42 +51,42 @@
 	return connection
 }
 
-// TestAThousandReadersThatStopTakeNoMoreThanTheirShare: the node goes on serving others, and tells readers of
-// results when to come back.
-func TestAThousandReadersThatStopTakeNoMoreThanTheirShare(t *testing.T) {
+// The node keeps serving others and rejects readers beyond the memory limit with Retry-After.
+func TestStalledReadersStayWithinMemoryShare(t *testing.T) {
 	d := deploy(t)
-	desk(d, "desk1")
+	addDesk(d, "desk1")
 	d.addEngine(standin.EngineOptions{
 		ID: "e1", Service: "llm", Versions: map[string]int64{model: 1}, Events: func(string) int { return 4 },
 		Data: func(string, int, int64) string { return strings.Repeat("x", 40<<10) },
 	})
 	d.configure(safeRoute("/lookup/"), batchRoute("/batch/"))
-	node := d.startAt(settings.Node{ID: "n1", Zone: "z1", Region: "r1", MemoryMB: smallestMemoryMB}, d.address)
+	node := d.startNode(settings.Node{ID: "n1", Zone: "z1", Region: "r1", MemoryMB: smallestMemoryMB}, d.address)
 	ids := itemIDs(5)
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	d.awaitResults(node, "job1", len(ids))
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	var readers []net.Conn
-	for range stoppedReaders {
-		readers = append(readers, node.askAndStop(t, "job1"))
+	for range stalledReaders {
+		readers = append(readers, node.openStalledReader(t, "job1"))
 	}
 	refused := `corkpulley_hosted_memory_refused_total{kind="results"}`
-	testwait.Until(t, "refusals of most readers", func() bool { return node.gauge(refused) > 0.9*stoppedReaders })
+	testwait.Until(t, "most readers to be refused", func() bool { return node.gauge(refused) > 0.9*stalledReaders })
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	held := node.gauge(`corkpulley_hosted_held_bytes{kind="results"}`)
 	assert.Assert(t, held > 0 && held <= smallestMemoryMB<<20/6, "%v bytes", held)
-	t.Logf("heap in use: %d MB before, %d MB beside %d readers", before.HeapInuse>>20, after.HeapInuse>>20, stoppedReaders)
+	t.Logf("heap in use: %d MB before, %d MB with %d stalled readers",
+		before.HeapInuse>>20, after.HeapInuse>>20, stalledReaders)
 	assert.Assert(t, after.HeapInuse < before.HeapInuse+smallestMemoryMB<<20)
 	for number := range 20 {
 		assert.Equal(t, node.call(http.MethodGet, "/lookup/x", fmt.Sprint("live", number), "").status, http.StatusOK)
 	}
-	var denied answer
-	testwait.Until(t, "a reader for whom there is no memory", func() bool {
-		// Of a thousand that came at once some were refused for what others held while they were read to.
-		readers = append(readers, node.askAndStop(t, "job1"))
+	var denied callResult
+	testwait.Until(t, "a reader to be refused for lack of memory", func() bool {
+		// Memory may have been freed since the first readers were refused, so this adds more.
+		readers = append(readers, node.openStalledReader(t, "job1"))
 		denied = node.call(http.MethodGet, "/lots/job1", "", "")
 		return denied.status == http.StatusServiceUnavailable
 	})
@@ -94,7 +94,7 @@
 	for _, reader := range readers {
 		_ = reader.Close()
 	}
-	testwait.Until(t, "results once the readers have gone", func() bool {
+	testwait.Until(t, "results after the readers have closed", func() bool {
 		return node.call(http.MethodGet, "/lots/job1", "", "").status == http.StatusOK
 	})
 }
--- a/test/hosted/slowstart_test.go
+++ b/test/hosted/slowstart_test.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// coldTime is how long engines are cold: beyond all tests.
+	// coldTime outlasts every test.
 	coldTime = time.Minute
-	// coldRate is what a cold engine takes in a second, coldMost what it bears.
-	coldRate = 6.0
-	coldMost = coldRate*1.5 + 5
+	// coldRate is the rate of a cold engine per second, coldBurstLimit the most arrivals that it tolerates in one.
+	coldRate       = 6.0
+	coldBurstLimit = coldRate*1.5 + 5
 )
 
-// bounded is the slow start of all services.
-var bounded = map[string]any{"coldStartS": coldTime.Seconds(), "coldPerS": coldRate}
+// slowStartSettings are the slow-start settings of all services.
+var slowStartSettings = map[string]any{"coldStartS": coldTime.Seconds(), "coldPerS": coldRate}
 
-// coldEngines are engines of the model that have just started.
-func (d *deployment) coldEngines(count int) []*standin.Engine {
+// addColdEngines starts cold engines of the model service.
+func (d *deployment) addColdEngines(count int) []*standin.Engine {
 	var engines []*standin.Engine
 	for i := range count {
 		engines = append(engines, d.addEngine(standin.EngineOptions{
@@ -38,8 +38,8 @@
 	return engines
 }
 
-// mostInASecond is the largest number of arrivals within a second of each other.
-func mostInASecond(arrivals []time.Time) int {
+// peakPerSecond returns the largest number of arrivals in any one second.
+func peakPerSecond(arrivals []time.Time) int {
 	most, first := 0, 0
 	for last := range arrivals {
 		for arrivals[last].Sub(arrivals[first]) >= time.Second {
@@ -50,15 +50,15 @@
 	return most
 }
 
-func assertPaced(t *testing.T, engines ...*standin.Engine) {
+func assertWithinColdRate(t *testing.T, engines ...*standin.Engine) {
 	t.Helper()
 	for _, engine := range engines {
-		most := mostInASecond(engine.Arrivals())
-		assert.Assert(t, float64(most) <= coldMost, "%s got %d in a second", engine.ID(), most)
+		most := peakPerSecond(engine.Arrivals())
+		assert.Assert(t, float64(most) <= coldBurstLimit, "%s got %d requests in a second", engine.ID(), most)
 	}
 }
 
-func arrived(engines []*standin.Engine) int {
+func arrivalCount(engines []*standin.Engine) int {
 	count := 0
 	for _, engine := range engines {
 		count += len(engine.Arrivals())
@@ -66,31 +66,30 @@
 	return count
 }
 
-// TestColdEnginesGetTheirRateOfItemsAcrossATakeover: the lead is handed over at once, without a lease
-// that runs out between the two leaders, and nothing starves.
-func TestColdEnginesGetTheirRateOfItemsAcrossATakeover(t *testing.T) {
+// The old leader hands over at once, without a lease that runs out in between, and all items complete.
+func TestColdEngineItemRateHoldsAcrossTakeover(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	d.slowStart = bounded
-	engines := d.coldEngines(3)
+	d.slowStart = slowStartSettings
+	engines := d.addColdEngines(3)
 	d.configure(batchRoute("/batch/"))
 	leader := d.start("n0")
 	other := d.start("n1")
 	ids := itemIDs(100)
-	assert.Equal(t, leader.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	testwait.Until(t, "a third of the items have run", func() bool { return arrived(engines) > 33 })
+	assert.Equal(t, leader.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	testwait.Until(t, "a third of the items to run", func() bool { return arrivalCount(engines) > 33 })
 	leader.cancel()
 	<-leader.done
-	checkWhole(t, d.awaitResults(other, "job1", len(ids)), ids, 1)
-	assertPaced(t, engines...)
+	assertAllCompleted(t, d.awaitResults(other, "job1", len(ids)), ids, 1)
+	assertWithinColdRate(t, engines...)
 }
 
-// TestColdEnginesThatRefuseItemsGetNoMore: they are still loading, and each item comes again.
-func TestColdEnginesThatRefuseItemsGetNoMore(t *testing.T) {
+// Engines that still load refuse items; retries must stay within the rate.
+func TestColdEngineRateCountsRefusedItems(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	d.slowStart = bounded
-	engines := d.coldEngines(2)
+	d.slowStart = slowStartSettings
+	engines := d.addColdEngines(2)
 	var loaded atomic.Bool
 	for _, engine := range engines {
 		engine.SetFault(func(string) standin.EngineFault {
@@ -103,38 +102,37 @@
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n0")
 	ids := itemIDs(40)
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	testwait.Until(t, "each engine has refused some", func() bool {
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	testwait.Until(t, "each engine to refuse some items", func() bool {
 		return len(engines[0].Arrivals()) > 10 && len(engines[1].Arrivals()) > 10
 	})
 	loaded.Store(true)
-	checkWhole(t, d.awaitResults(node, "job1", len(ids)), ids, 1)
-	assertPaced(t, engines...)
+	assertAllCompleted(t, d.awaitResults(node, "job1", len(ids)), ids, 1)
+	assertWithinColdRate(t, engines...)
 }
 
-// TestAnEngineThatIsListedLaterCountsAsCold though its entry does not say so, while those that were
-// there when the node started are as warm as they say.
-func TestAnEngineThatIsListedLaterCountsAsCold(t *testing.T) {
+// An engine that is listed after the node started is cold even though its entry does not say so.
+func TestNewlyListedEngineIsCold(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	d.slowStart = bounded
+	d.slowStart = slowStartSettings
 	warm := d.addModelEngine("warm", 1, 1, 0)
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n0")
 	late := d.addModelEngine("late", 1, 1, 0)
-	testwait.Until(t, "the late engine counts as cold", func() bool {
+	testwait.Until(t, "the late engine to count as cold", func() bool {
 		return strings.Contains(node.logs.String(), `"reason":"first_seen"`)
 	})
 	ids := itemIDs(300)
-	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", job(1, ids...)).status, http.StatusAccepted)
-	checkWhole(t, d.awaitResults(node, "job1", len(ids)), ids, 1)
-	assertPaced(t, late)
+	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
+	assertAllCompleted(t, d.awaitResults(node, "job1", len(ids)), ids, 1)
+	assertWithinColdRate(t, late)
 	assert.Assert(t, len(warm.Arrivals()) > len(late.Arrivals()))
 }
 
-// flood has many callers ask all nodes until told to stop. It returns how many were answered by each
-// node, how many were refused with a time to come again, and all other answers.
-func flood(nodes []*process, stop *atomic.Bool) (answered []int64, refused int64, others []answer) {
+// flood calls all nodes concurrently until stop is set. It returns the number of successes by node, the
+// number of rejections with Retry-After, and all other results.
+func flood(nodes []*process, stop *atomic.Bool) (answered []int64, refused int64, others []callResult) {
 	const callersPerNode = 6
 	served := make([]atomic.Int64, len(nodes))
 	var denied atomic.Int64
@@ -166,50 +164,49 @@
 	return answered, denied.Load(), others
 }
 
-func coldDesk(d *deployment, id string) *standin.Engine {
+func addColdDesk(d *deployment, id string) *standin.Engine {
 	return d.addEngine(standin.EngineOptions{ID: id, Service: "desk", ColdFor: coldTime})
 }
 
-// TestAllNodesTogetherSendAColdEngineItsRate, and requests that do not fit are refused as not run, with
-// a time to come again, at all nodes. The leader stops in the middle.
-func TestAllNodesTogetherSendAColdEngineItsRate(t *testing.T) {
+// All nodes together keep the rate across a leader change; requests beyond it are rejected with Retry-After.
+func TestColdEngineRateIsSharedByAllNodes(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	d.slowStart = bounded
-	engines := []*standin.Engine{coldDesk(d, "e1"), coldDesk(d, "e2")}
+	d.slowStart = slowStartSettings
+	engines := []*standin.Engine{addColdDesk(d, "e1"), addColdDesk(d, "e2")}
 	d.configure(safeRoute("/a/"))
 	leader := d.start("n0")
 	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
 	var stop atomic.Bool
 	var answered []int64
 	var refused int64
-	var others []answer
+	var others []callResult
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		answered, refused, others = flood(nodes, &stop)
 	}()
-	testwait.Until(t, "the first leader has admitted some", func() bool { return arrived(engines) > 20 })
+	testwait.Until(t, "the first leader to admit some requests", func() bool { return arrivalCount(engines) > 20 })
 	leader.cancel()
 	<-leader.done
-	before := arrived(engines)
-	testwait.Until(t, "the next leader has admitted some", func() bool { return arrived(engines) > before+20 })
+	before := arrivalCount(engines)
+	testwait.Until(t, "the next leader to admit some requests", func() bool { return arrivalCount(engines) > before+20 })
 	stop.Store(true)
 	<-ended
 	assert.Equal(t, len(others), 0, "%+v", others)
 	for i, count := range answered {
-		assert.Assert(t, count > 0, "node %d got nothing of the rate", i+1)
+		assert.Assert(t, count > 0, "node %d got no share of the rate", i+1)
 	}
 	assert.Assert(t, refused > 0)
-	assertPaced(t, engines...)
+	assertWithinColdRate(t, engines...)
 }
 
-// TestWarmEnginesGetWhatColdOnesWouldNot: nothing is refused while they have places.
-func TestWarmEnginesGetWhatColdOnesWouldNot(t *testing.T) {
+// No request is rejected while warm engines have free slots.
+func TestWarmEnginesTakeRequestsBeyondColdRate(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	d.slowStart = bounded
-	cold, warm := coldDesk(d, "e1"), desk(d, "e2")
+	d.slowStart = slowStartSettings
+	cold, warm := addColdDesk(d, "e1"), addDesk(d, "e2")
 	d.configure(safeRoute("/a/"))
 	node := d.start("n0")
 	for i := range 50 {
--- a/test/hosted/takeover_test.go
+++ b/test/hosted/takeover_test.go
@@ -13,58 +13,56 @@
 )
 
 const (
-	// takeoverQuiet is the least time between orders to one engine from two nodes.
-	takeoverQuiet = 2 * time.Second
-	// namingPeriod is the time between two versions that a trainer names.
-	namingPeriod = 100 * time.Millisecond
+	// takeoverOrderGap is the minimum time between orders to one engine from two nodes.
+	takeoverOrderGap = 2 * time.Second
+	// publishPeriod is the time between published weight versions.
+	publishPeriod = 100 * time.Millisecond
 )
 
-// TestOrdersToOneEngineFromTwoNodesLieApart hands the lead over while versions are
-// named all the time, so that the engines are ordered until the last moment.
-func TestOrdersToOneEngineFromTwoNodesLieApart(t *testing.T) {
+// Versions are published throughout the takeover, so that the old leader orders until it stops.
+func TestOrdersFromSuccessiveLeadersKeepMinimumGap(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	d.orderQuiet, d.enginesFence = takeoverQuiet, false
+	d.orderQuiet, d.enginesFence = takeoverOrderGap, false
 	var engines []*standin.Engine
 	for i := range 4 {
 		engines = append(engines, d.addModelEngine(fmt.Sprint("e", i), 1, 4, 0))
 	}
 	d.configure(batchRoute("/batch/"))
 	leader := d.start("n0")
-	last := d.nameVersionsWhile(func() {
-		testwait.Until(t, "engines follow", func() bool { return allFrom(engines, 5) })
+	last := d.publishVersionsWhile(func() {
+		testwait.Until(t, "engines to follow the first leader", func() bool { return allAtLeast(engines, 5) })
 		d.start("n1")
 		leader.cancel()
 		<-leader.done
 	})
-	testwait.Until(t, "all engines have the last version", func() bool { return allFrom(engines, last) })
+	testwait.Until(t, "all engines to have the last version", func() bool { return allAtLeast(engines, last) })
 	changes := 0
 	for _, engine := range engines {
 		var before standin.OrderSeen
 		for _, order := range engine.Orders() {
-			if before.Holder != "" && nodeOf(order.Holder) != nodeOf(before.Holder) {
+			if before.Holder != "" && nodeOfHolder(order.Holder) != nodeOfHolder(before.Holder) {
 				changes++
 				gap := order.At.Sub(before.At)
-				assert.Assert(t, gap >= takeoverQuiet, "%s: %s %s after %s", engine.ID(), order.Holder, gap, before.Holder)
+				assert.Assert(t, gap >= takeoverOrderGap, "%s: %s %s after %s", engine.ID(), order.Holder, gap, before.Holder)
 			}
 			before = order
 		}
 	}
-	assert.Assert(t, changes > 0, "no engine was ordered by two nodes")
+	assert.Assert(t, changes > 0, "no engine got orders of two nodes")
 }
 
-// nameVersionsWhile names one version after the other while work runs and returns
-// the last one.
-func (d *deployment) nameVersionsWhile(work func()) int64 {
+// publishVersionsWhile publishes increasing versions while work runs and returns the last one.
+func (d *deployment) publishVersionsWhile(work func()) int64 {
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	version := int64(1)
 	go func() {
 		defer close(stopped)
-		ticker := time.NewTicker(namingPeriod)
+		ticker := time.NewTicker(publishPeriod)
 		defer ticker.Stop()
 		for {
 			version++
-			d.nameVersion(version)
+			d.publishVersion(version)
 			select {
 			case <-stop:
 				return
@@ -78,13 +76,13 @@
 	return version
 }
 
-// nodeOf is the node's part of a holder's name.
-func nodeOf(holder string) string {
+// nodeOfHolder returns the node part of a lease holder's name.
+func nodeOfHolder(holder string) string {
 	node, _, _ := strings.Cut(holder, "-")
 	return node
 }
 
-func allFrom(engines []*standin.Engine, version int64) bool {
+func allAtLeast(engines []*standin.Engine, version int64) bool {
 	for _, engine := range engines {
 		if engine.Version(model) < version {
 			return false
--- a/test/hosted/tenants_test.go
+++ b/test/hosted/tenants_test.go
@@ -16,10 +16,10 @@
 
 func bearer(key string) string { return "Bearer " + key }
 
-func TestEnginesAreToldTheTenantAndNeverTheKey(t *testing.T) {
+func TestEnginesReceiveTenantButNotKey(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	engine := desk(d, "e1")
+	engine := addDesk(d, "e1")
 	d.tenants = []tenant{{"first", []string{"key-one", "key-two"}}, {"second", []string{"key-three"}}}
 	open := safeRoute("/open/")
 	open["anonymous"] = true
@@ -41,20 +41,20 @@
 		assert.Equal(t, run.Tenant, try.want)
 		assert.Equal(t, run.Credentials, "")
 	}
-	// Without tenants what a client shows of itself is none of the node's affair.
+	// Without tenants, credentials are passed through to the engine.
 	d.tenants = nil
 	d.configure(safeRoute("/b/"))
-	testwait.Until(t, "the route is in force", func() bool {
+	testwait.Until(t, "the route to be in force", func() bool {
 		return node.call(http.MethodPost, "/b/x", "id5", "", authorization, "Basic x").status == http.StatusOK
 	})
 	runs := engine.Runs()
 	assert.Equal(t, runs[len(runs)-1].Credentials, "Basic x")
 }
 
-func TestWhoShowsNoKnownKeyIsRefusedAndNothingRuns(t *testing.T) {
+func TestUnknownKeyIsUnauthorizedAndNothingRuns(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	engine := desk(d, "e1")
+	engine := addDesk(d, "e1")
 	d.addEngine(standin.EngineOptions{ID: "l1", Service: "llm", Versions: map[string]int64{model: 1}})
 	d.tenants = []tenant{{"first", []string{"key-one"}}}
 	d.configure(safeRoute("/a/"), batchRoute("/batch/"))
@@ -65,23 +65,23 @@
 		"two": {bearer("key-one"), bearer("key-one")},
 	} {
 		for _, call := range []struct{ method, path, body string }{
-			{http.MethodPost, "/a/x", ""}, {http.MethodPost, "/batch/x", job(1, "i1")},
+			{http.MethodPost, "/a/x", ""}, {http.MethodPost, "/batch/x", jobBody(1, "i1")},
 			{http.MethodGet, "/lots/j1", ""}, {http.MethodGet, "/items/j1?id=i1", ""}, {http.MethodDelete, "/lots/j1", ""},
 		} {
-			got := node.callShowing(call.method, call.path, "j1", call.body, shown)
+			got := node.callWithAuthorization(call.method, call.path, "j1", call.body, shown)
 			assert.Equal(t, got.status, http.StatusUnauthorized, "%s %s: %s", name, call.path, got.body)
 			assert.Equal(t, got.header.Get("WWW-Authenticate"), "Bearer")
 			assert.Assert(t, strings.Contains(got.body, "unauthorized: "), got.body)
 		}
 	}
-	assert.Equal(t, len(engine.Runs())+d.runsOf("i1"), 0)
+	assert.Equal(t, len(engine.Runs())+d.runCount("i1"), 0)
 }
 
-// callShowing is call with any number of Authorization headers.
-func (p *process) callShowing(method, path, id, body string, shown []string) answer {
-	request, err := http.NewRequest(method, p.callers+path, strings.NewReader(body))
+// callWithAuthorization is call with any number of Authorization headers.
+func (p *process) callWithAuthorization(method, path, id, body string, shown []string) callResult {
+	request, err := http.NewRequest(method, p.callerURL+path, strings.NewReader(body))
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
 	request.Host = host
 	request.Header.Set("X-Corkpulley-Attempt-Id", id)
@@ -89,10 +89,10 @@
 	return send(request)
 }
 
-func TestAKeyThatWasTakenAwayOpensNothing(t *testing.T) {
+func TestRevokedKeyIsUnauthorized(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	desk(d, "e1")
+	addDesk(d, "e1")
 	d.tenants = []tenant{{"first", []string{"key-one", "key-two"}}}
 	d.configure(safeRoute("/a/"))
 	nodes := []*process{d.start("n1"), d.start("n2")}
@@ -102,70 +102,69 @@
 	for _, node := range nodes {
 		assert.Equal(t, status(node, "key-one"), http.StatusOK)
 	}
-	// One key goes and another comes in the same change.
+	// One key is revoked and another added in the same change.
 	d.tenants = []tenant{{"first", []string{"key-two", "key-new"}}}
 	d.configure(safeRoute("/a/"))
 	for _, node := range nodes {
-		testwait.Until(t, "the change is in force", func() bool { return status(node, "key-new") == http.StatusOK })
+		testwait.Until(t, "the change to be in force", func() bool { return status(node, "key-new") == http.StatusOK })
 		assert.Equal(t, status(node, "key-one"), http.StatusUnauthorized)
 		assert.Equal(t, status(node, "key-two"), http.StatusOK)
 	}
 	for _, node := range nodes {
 		for _, key := range []string{"key-one", "key-two", "key-new"} {
-			assert.Assert(t, !strings.Contains(node.logs.String(), key), "a log line holds a key")
+			assert.Assert(t, !strings.Contains(node.logs.String(), key), "a log line contains a key")
 		}
 	}
 }
 
-func TestAJobIsItsTenantsAlone(t *testing.T) {
+func TestJobsAreIsolatedByTenant(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addEngine(standin.EngineOptions{ID: "l1", Service: "llm", Versions: map[string]int64{model: 1}})
 	d.tenants = []tenant{{"first", []string{"key-one"}}, {"second", []string{"key-two"}}}
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
-	assert.Equal(t, node.call(http.MethodPost, "/batch/j", "j", job(1, "a"), authorization, bearer("key-one")).status,
+	assert.Equal(t, node.call(http.MethodPost, "/batch/j", "j", jobBody(1, "a"), authorization, bearer("key-one")).status,
 		http.StatusAccepted)
-	// The other tenant uses the same name for a job of its own.
-	assert.Equal(t, node.call(http.MethodPost, "/batch/j", "j", job(1, "b"), authorization, bearer("key-two")).status,
+	// Another tenant may use the same job name.
+	assert.Equal(t, node.call(http.MethodPost, "/batch/j", "j", jobBody(1, "b"), authorization, bearer("key-two")).status,
 		http.StatusAccepted)
-	read := func(id, key string) answer {
+	read := func(id, key string) callResult {
 		return node.call(http.MethodGet, "/lots/"+id+"?afterRev=0", "", "", authorization, bearer(key))
 	}
-	testwait.Until(t, "both have their own result", func() bool {
+	testwait.Until(t, "each tenant to have its own result", func() bool {
 		return strings.Contains(read("j", "key-one").body, `"id":"a"`) && strings.Contains(read("j", "key-two").body, `"id":"b"`)
 	})
 	for _, run := range d.engines[0].Runs() {
 		assert.Equal(t, run.Tenant, map[string]string{"a": "first", "b": "second"}[run.ID])
 		assert.Equal(t, run.Credentials, "")
 	}
-	assert.Equal(t, node.call(http.MethodPost, "/batch/k", "k", job(1, "c"), authorization, bearer("key-one")).status,
+	assert.Equal(t, node.call(http.MethodPost, "/batch/k", "k", jobBody(1, "c"), authorization, bearer("key-one")).status,
 		http.StatusAccepted)
 	assert.Equal(t, read("k", "key-two").status, http.StatusNotFound)
 	other := []string{authorization, bearer("key-two")}
 	assert.Equal(t, node.call(http.MethodGet, "/items/k?id=c", "", "", other...).status, http.StatusNotFound)
 	assert.Equal(t, node.call(http.MethodDelete, "/lots/k", "", "", other...).status, http.StatusNotFound)
-	// Another key of the tenant reads on after the first was taken away.
+	// A new key of the tenant reads the job after the first was revoked.
 	d.tenants = []tenant{{"first", []string{"key-next"}}, {"second", []string{"key-two"}}}
 	d.configure(batchRoute("/batch/"))
-	testwait.Until(t, "the job goes on", func() bool {
+	testwait.Until(t, "the result of the job", func() bool {
 		return strings.Contains(read("k", "key-next").body, `"id":"c"`)
 	})
 	assert.Equal(t, read("k", "key-one").status, http.StatusUnauthorized)
 }
 
-// TestAKeyUnknownToANodeWithAnOldConfigurationIsNotRefusedForGood: it may have been
-// added since; keys that the node knows it serves on.
-func TestAKeyUnknownToANodeWithAnOldConfigurationIsNotRefusedForGood(t *testing.T) {
+// The key may have been added since, so the answer must be retryable; known keys are still served.
+func TestUnknownKeyAtStaleConfigurationIsUnavailable(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	desk(d, "e1")
+	addDesk(d, "e1")
 	d.tenants = []tenant{{"first", []string{"key-one"}}}
 	d.configure(safeRoute("/a/"))
 	node := d.start("n1")
 	d.store.Log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
-	defer d.noFault()
-	testwait.Until(t, "the configuration is old", func() bool {
+	defer d.clearFaults()
+	testwait.Until(t, "the configuration to be stale", func() bool {
 		return node.call(http.MethodPost, "/a/x", "id", "", authorization, bearer("key-new")).status ==
 			http.StatusServiceUnavailable
 	})
@@ -173,9 +172,8 @@
 	assert.Equal(t, node.call(http.MethodPost, "/a/x", "id", "").status, http.StatusUnauthorized)
 }
 
-// TestJobsOfAnOpenRouteAreReadWithAndWithoutAKey: also where its host has routes that
-// want one.
-func TestJobsOfAnOpenRouteAreReadWithAndWithoutAKey(t *testing.T) {
+// Also holds where other routes of the host require a key.
+func TestJobsOfAnonymousRouteAreReadableWithAndWithoutKey(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addEngine(standin.EngineOptions{ID: "l1", Service: "llm", Versions: map[string]int64{model: 1}})
@@ -185,14 +183,14 @@
 	d.configure(batchRoute("/batch/"), open)
 	node := d.start("n1")
 	key := []string{authorization, bearer("key-one")}
-	assert.Equal(t, node.call(http.MethodPost, "/open/o", "o", job(1, "a"), key...).status, http.StatusAccepted)
-	assert.Equal(t, node.call(http.MethodPost, "/batch/c", "c", job(1, "b"), key...).status, http.StatusAccepted)
+	assert.Equal(t, node.call(http.MethodPost, "/open/o", "o", jobBody(1, "a"), key...).status, http.StatusAccepted)
+	assert.Equal(t, node.call(http.MethodPost, "/batch/c", "c", jobBody(1, "b"), key...).status, http.StatusAccepted)
 	for _, shown := range [][]string{nil, key} {
-		testwait.Until(t, "the open job is read", func() bool {
+		testwait.Until(t, "the anonymous job to be readable", func() bool {
 			return strings.Contains(node.call(http.MethodGet, "/lots/o?afterRev=0", "", "", shown...).body, `"id":"a"`)
 		})
 	}
-	testwait.Until(t, "the tenant's job is read", func() bool {
+	testwait.Until(t, "the tenant's job to be readable", func() bool {
 		return strings.Contains(node.call(http.MethodGet, "/lots/c?afterRev=0", "", "", key...).body, `"id":"b"`)
 	})
 	assert.Equal(t, node.call(http.MethodGet, "/lots/c?afterRev=0", "", "").status, http.StatusNotFound)
--- a/test/hosted/versions_test.go
+++ b/test/hosted/versions_test.go
@@ -14,8 +14,8 @@
 	"github.com/corkpulley/corkpulley/platform"
 )
 
-// raiseCluster writes a record of the cluster version.
-func (d *deployment) raiseCluster(version clusterversion.Version) {
+// writeClusterVersion writes a record that raises the cluster version.
+func (d *deployment) writeClusterVersion(version clusterversion.Version) {
 	d.t.Helper()
 	raised := clusterversion.Raised{Version: version, Holder: "later-1"}
 	value, err := raised.Encode()
@@ -23,11 +23,11 @@
 	d.store.Log.Put(platform.New(d.address, "").VersionTopic(), raised.Key(), value)
 }
 
-// Guards against a downgrade that misreads what a newer build has written: the node must end before it answers.
-func TestABuildBelowTheClusterVersionOpensNoPort(t *testing.T) {
+// Guards against a downgrade that misreads the records of a newer build: the node must exit before it serves.
+func TestBuildOlderThanClusterVersionExitsBeforeListening(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	d.raiseCluster(clusterversion.Build + 1)
+	d.writeClusterVersion(clusterversion.Build + 1)
 	config := settings.Default()
 	config.Node = settings.Node{ID: "a", Zone: "z1", Region: "r1"}
 	var listeners []net.Listener
@@ -37,7 +37,7 @@
 		listeners = append(listeners, listener)
 		return listener.Addr().String()
 	}
-	// A node that opens a port fails at one that is taken, with another error.
+	// All ports are taken, so a node that tries to listen fails with another error.
 	config.Listen = settings.Listen{Callers: taken(), Operators: taken(), Peers: taken()}
 	config.Hosted.Log = d.address
 	err := hosted.Run(t.Context(), config, platform.New(d.address, ""), nil, &bytes.Buffer{})
