--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -1,4 +1,4 @@
-// Package testwait has tests wait for conditions instead of guessed times.
+// Package testwait lets tests poll for conditions instead of sleeping for fixed times.
 package testwait
 
 import (
@@ -9,26 +9,24 @@
 )
 
 const (
-	// limit ends a wait whose condition never comes true; it is far beyond what any
-	// test takes on a busy machine.
-	limit = 30 * time.Second
-	delay = 5 * time.Millisecond
+	// timeout is far beyond what any condition takes on a busy machine.
+	timeout      = 30 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-// Until waits until the condition holds; the test fails, naming what was waited
-// for, when it does not in time.
+// Until polls the condition until it holds and fails the test, naming what it waited for, on a timeout.
 func Until(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	After(t, what, 0, condition)
+	UntilExtended(t, what, 0, condition)
 }
 
-// After is Until for what the product itself may put off for a time.
-func After(t testing.TB, what string, putOff time.Duration, condition func() bool) {
+// UntilExtended is Until with extra added to the timeout, for effects that the product may delay by that time.
+func UntilExtended(t testing.TB, what string, extra time.Duration, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if condition() {
 			return poll.Success()
 		}
 		return poll.Continue("%s", what)
-	}, poll.WithTimeout(putOff+limit), poll.WithDelay(delay))
+	}, poll.WithTimeout(extra+timeout), poll.WithDelay(pollInterval))
 }
--- a/test/hosted/crash_test.go
+++ b/test/hosted/crash_test.go
@@ -331,7 +331,7 @@
 	close(stop)
 	callers.Wait()
 	for _, node := range nodes {
-		testwait.After(t, "the popular request to be served", initialQuarantine, func() bool {
+		testwait.UntilExtended(t, "the popular request to be served", initialQuarantine, func() bool {
 			return node.call(http.MethodPost, "/a/popular", fmt.Sprint("last-", time.Now().UnixNano()), "").status == http.StatusOK
 		})
 	}
