--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,5 +1,5 @@
-// Package soak plays a short fault soak with a fixed seed in every run of the
-// tests. Longer ones, and the seeds that ever failed, are played by corkbench.
+// Package soak runs short fault soaks with fixed seeds. Longer soaks, and all seeds that ever failed, are run by
+// "corkbench soak".
 package soak
 
 import (
@@ -11,8 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/bench/soak"
 )
 
-// TestShortSoak plays some faults at real nodes. The bounds are wide: the machine
-// runs other tests beside it.
+// Bounds are wide because other tests share the machine.
 func TestShortSoak(t *testing.T) {
 	var output bytes.Buffer
 	arguments := &soak.Arguments{
@@ -23,9 +22,8 @@
 	}
 }
 
-// TestShortSoakOfTheLeader plays faults of the leader in series at nodes whose engines do
-// not check fencing tokens: nothing but the lease keeps two nodes from ordering.
-func TestShortSoakOfTheLeader(t *testing.T) {
+// Engines do not check fencing tokens, so that only the lease prevents orders from two nodes.
+func TestShortSoakLeaderFaults(t *testing.T) {
 	var output bytes.Buffer
 	arguments := &soak.Arguments{
 		Seed: 732217, Minutes: 0.34, Nodes: 4, Slack: 6, EnginesFence: soak.No, Schedule: soak.LeaderFaults,
@@ -35,9 +33,9 @@
 	}
 }
 
-// TestShortSoakOfPlacement plays changes of what may be sent a request: engines that start
-// again under their ID, entries that name no engine, evacuations, cold engines, homes.
-func TestShortSoakOfPlacement(t *testing.T) {
+// Covers changes of where a request may run: restarted engines, invalid entries, evacuations, cold engines and
+// home regions.
+func TestShortSoakPlacementFaults(t *testing.T) {
 	var output bytes.Buffer
 	arguments := &soak.Arguments{
 		Seed: 5, Minutes: 0.4, Nodes: 4, Slack: 6, EnginesFence: soak.No, Schedule: soak.PlacementFaults,
@@ -47,7 +45,7 @@
 	}
 }
 
-func TestKeptSeedsAreDescribed(t *testing.T) {
+func TestSeedFileIsValid(t *testing.T) {
 	kept, err := soak.ReadSeeds("seeds.toml")
 	assert.NilError(t, err)
 	assert.Assert(t, len(kept) > 0)
