--- a/test/history/callers.go
+++ b/test/history/callers.go
@@ -4,31 +4,28 @@
 	"github.com/corkpulley/corkpulley/internal/bench/live"
 )
 
-// CheckComplete finds answers that are not the whole answer to their own
-// request, in order. With allowBroken false, an answer that ended without an
-// error told to the caller is a violation too; true is for runs in which the
-// caller's own node was killed or its connection cut. A call that found no node
-// to connect to asked no one.
+// CheckComplete finds responses that are not the complete response to their own request, in order. With
+// allowBroken false, a call that ended with neither a response nor an error is a violation too; true is for
+// runs that kill the caller's node or cut its connection. Calls that could not connect to a node are ignored.
 func CheckComplete(outcomes Outcomes, allowBroken bool) []Violation {
 	var violations []Violation
 	for i := range outcomes {
 		outcome := &outcomes[i]
 		for _, fault := range outcome.Faults {
-			violations = append(violations, violation(RuleComplete, "request %s: %s", name(outcome), fault))
+			violations = append(violations, violation(RuleComplete, "request %s: %s", outcomeName(outcome), fault))
 		}
 		if !outcome.Done && !outcome.NotConnected && !allowBroken {
 			violations = append(violations, violation(RuleComplete, "request %s ended without an answer or an error: %s",
-				name(outcome), outcome.TransportError))
+				outcomeName(outcome), outcome.TransportError))
 		}
 	}
 	return violations
 }
 
-// CheckOwnAnswer finds tokens of whole answers that no engine made for the
-// caller's own prompt: parts of another request's answer, or tokens that an
-// engine made in an attempt that the answer is not of.
+// CheckOwnAnswer finds tokens of complete responses that no engine produced for the caller's prompt: parts of
+// another request's response, or tokens of another attempt.
 func CheckOwnAnswer(outcomes Outcomes, executions []Execution) []Violation {
-	made := madeTokens(executions)
+	made := producedTokens(executions)
 	var violations []Violation
 	for i := range outcomes {
 		outcome := &outcomes[i]
@@ -37,14 +34,15 @@
 		}
 		tokens, err := live.ParseTokens(outcome.Text)
 		if err != nil {
-			violations = append(violations, violation(RuleComplete, "request %s: %v", name(outcome), err))
+			violations = append(violations, violation(RuleComplete, "request %s: %v", outcomeName(outcome), err))
 			continue
 		}
 		prompt := PromptHash(outcome.Call.Prompt)
 		for _, token := range tokens {
-			if !made[madeToken{prompt, token.Index, token.Version}] {
-				violations = append(violations, violation(RuleComplete, "request %s: no engine made token %d under version %d for it",
-					name(outcome), token.Index, token.Version))
+			if !made[producedToken{prompt, token.Index, token.Version}] {
+				violations = append(violations, violation(RuleComplete,
+					"request %s: no engine produced token %d under version %d for it",
+					outcomeName(outcome), token.Index, token.Version))
 				break
 			}
 		}
@@ -52,8 +50,8 @@
 	return violations
 }
 
-// name identifies an outcome in messages.
-func name(outcome *live.Outcome) string {
+// outcomeName identifies an outcome in messages, by its request ID or the end of its prompt.
+func outcomeName(outcome *live.Outcome) string {
 	if outcome.RequestID != "" {
 		return outcome.RequestID
 	}
@@ -62,11 +60,10 @@
 	return prompt[max(0, len(prompt)-shown):]
 }
 
-// CheckNotCut finds calls that a planned stop cut short: those whose answer
-// began or whose request ran, and which got neither the whole answer nor an
-// error. A connection that the stopping node closed before it read the request
-// cut nothing.
-func CheckNotCut(outcomes Outcomes, executions []Execution) []Violation {
+// CheckNotInterrupted finds calls that a planned stop interrupted: their response had begun or their request
+// ran, and they got neither a complete response nor an error. A connection that the node closed before it read
+// the request does not count.
+func CheckNotInterrupted(outcomes Outcomes, executions []Execution) []Violation {
 	ran := map[uint64]bool{}
 	for _, execution := range executions {
 		ran[execution.PromptHash] = true
@@ -78,16 +75,15 @@
 			continue
 		}
 		if outcome.Status != 0 || ran[PromptHash(outcome.Call.Prompt)] {
-			violations = append(violations, violation(RuleNotCut, "request %s was cut short: %s",
-				name(outcome), outcome.TransportError))
+			violations = append(violations, violation(RuleNotInterrupted, "request %s was interrupted: %s",
+				outcomeName(outcome), outcome.TransportError))
 		}
 	}
 	return violations
 }
 
-// CheckNotExecuted finds requests that were refused as not run and stand in an
-// engine's history. A request is known by its ID; by its prompt, too, when no
-// other call had the same prompt.
+// CheckNotExecuted finds requests that were rejected as not run but are in an engine's history. Requests are
+// matched by ID, or by prompt when no other call had the same prompt.
 func CheckNotExecuted(outcomes Outcomes, executions []Execution) []Violation {
 	byID := map[string]Execution{}
 	byPrompt := map[uint64]Execution{}
@@ -107,8 +103,9 @@
 			execution, ran = byPrompt[PromptHash(outcome.Call.Prompt)]
 		}
 		if ran {
-			violations = append(violations, violation(RuleNotExecuted, "request %s was refused with %s as not run, engine %s ran it",
-				name(outcome), outcome.Code, execution.Engine))
+			violations = append(violations, violation(RuleNotExecuted,
+				"request %s was rejected with %s as not run, but engine %s ran it",
+				outcomeName(outcome), outcome.Code, execution.Engine))
 		}
 	}
 	return violations
@@ -122,9 +119,8 @@
 	return uses
 }
 
-// CheckAtMostOnce finds requests that engines started more than once. Prompts
-// are those of the requests that are not repeatable: one prompt stands for one
-// such request, however often callers sent it.
+// CheckAtMostOnce finds requests that engines started more than once. Each prompt belongs to one non-repeatable
+// request, however often callers sent it.
 func CheckAtMostOnce(prompts []string, executions []Execution) []Violation {
 	started := map[uint64][]Execution{}
 	for _, execution := range executions {
--- a/test/history/history.go
+++ b/test/history/history.go
@@ -1,7 +1,6 @@
-// Package history checks recorded histories of concurrent runs against what
-// must always hold. A checker takes what callers, trainers, operators and
-// engines recorded and returns every violation that it finds; it never asks the
-// daemons, whose own counters prove nothing.
+// Package history checks recorded histories of concurrent runs against the system's invariants. A checker
+// takes what callers, trainers, operators and engines recorded and returns all violations. It does not use
+// counters of the daemons under test.
 package history
 
 import (
@@ -16,35 +15,35 @@
 	"github.com/corkpulley/corkpulley/internal/standin/engine"
 )
 
-// Violation is one broken promise.
+// Violation is one violated invariant.
 type Violation struct {
-	// Rule names the checker.
+	// Rule is one of the Rule constants.
 	Rule    string
 	Message string
 }
 
-// String is the one-line form for test output.
+// String returns the violation as one line.
 func (v Violation) String() string { return v.Rule + ": " + v.Message }
 
-// Rules of the checkers.
+// Invariants that the checkers report.
 const (
-	RuleComplete    = "complete response"
-	RuleNotCut      = "planned stop cuts nothing short"
-	RuleNotExecuted = "refusal not executed"
-	RuleAtMostOnce  = "at most once"
-	RuleExactlyOnce = "exactly once delivery"
-	RuleStaleness   = "staleness bound"
-	RuleProvenance  = "version provenance"
-	RuleDrain       = "engine drain"
-	RuleMonotonic   = "configuration never reverts"
-	RuleConvergence = "configuration converges"
+	RuleComplete       = "complete response"
+	RuleNotInterrupted = "planned stop interrupts no call"
+	RuleNotExecuted    = "refusal not executed"
+	RuleAtMostOnce     = "at most once"
+	RuleExactlyOnce    = "exactly once delivery"
+	RuleStaleness      = "staleness bound"
+	RuleProvenance     = "version provenance"
+	RuleDrain          = "engine drain"
+	RuleMonotonic      = "configuration never reverts"
+	RuleConvergence    = "configuration converges"
 )
 
 func violation(rule, format string, arguments ...any) Violation {
 	return Violation{Rule: rule, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// Report joins violations for a test's message; it is empty when there are none.
+// Report joins violations into one message; it is empty when there are none.
 func Report(violations []Violation) string {
 	lines := make([]string, 0, len(violations))
 	for _, found := range violations {
@@ -53,15 +52,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// Execution is one request that an engine really started.
+// Execution is one request that an engine started.
 type Execution struct {
 	Engine      string
 	Incarnation string
 	engine.RequestHistory
 }
 
-// Executions flattens the histories of engines. Histories of the same engine
-// process may be given several times; the longest one counts.
+// Executions flattens the histories of engines. Of several histories of one engine process, the longest counts.
 func Executions(histories ...engine.History) []Execution {
 	longest := map[string]engine.History{}
 	var order []string
@@ -85,10 +83,10 @@
 	return executions
 }
 
-// PromptHash is the hash by which engines' histories name a prompt.
+// PromptHash returns the hash that identifies a prompt in engine histories.
 func PromptHash(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
-// Slot is one wanted sample of a trainer.
+// Slot identifies one sample that a trainer requested.
 type Slot struct {
 	Trainer string
 	Step    string
@@ -96,20 +94,17 @@
 	Index   int
 }
 
-// String names the slot in messages.
 func (s Slot) String() string {
 	return fmt.Sprintf("%s/%s[%d][%d]", s.Trainer, s.Step, s.Prompt, s.Index)
 }
 
-// Delivery is one sample whose acknowledgement the service accepted, as the
-// trainer recorded it.
+// Delivery is one sample whose acknowledgement the service accepted, as recorded by the trainer.
 type Delivery struct {
 	Trainer string
 	Sample  api.Sample
 	// PromptText is the prompt that the trainer submitted for the slot.
 	PromptText string
-	// TrainerVersion is the version that the trainer was at in the
-	// acknowledgement, Bound the staleness bound of its row then.
+	// TrainerVersion is the trainer's version in the acknowledgement, Bound its staleness bound at that time.
 	TrainerVersion uint64
 	Bound          int
 	Accepted       time.Time
@@ -120,10 +115,10 @@
 	return Slot{d.Trainer, d.Sample.Step, d.Sample.Prompt, d.Sample.Index}
 }
 
-// Observation is one answer of a node that named the table revision in force.
+// Observation is a node's response that named its table revision in force.
 type Observation struct {
 	Node string
-	// Started and Ended bound the call by the observer's clock.
+	// Started and Ended are the times of the call by the observer's clock.
 	Started  time.Time
 	Ended    time.Time
 	Revision int64
--- a/test/history/history_test.go
+++ b/test/history/history_test.go
@@ -11,9 +11,8 @@
 	"github.com/corkpulley/corkpulley/internal/standin/engine"
 )
 
-// expect checks that a checker finds nothing, or that it finds exactly one
-// violation of its own rule.
-func expect(t *testing.T, violations []Violation, rule string) {
+// assertViolation checks that there is exactly one violation and that it is of the rule, or none for an empty rule.
+func assertViolation(t *testing.T, violations []Violation, rule string) {
 	t.Helper()
 	if rule == "" {
 		assert.Equal(t, Report(violations), "")
@@ -37,10 +36,10 @@
 	whole := live.Outcome{Done: true}
 	cut := live.Outcome{TransportError: "unexpected EOF"}
 	faulty := live.Outcome{Done: true, Faults: []string{"token 3 of the answer says that it is token 2"}}
-	expect(t, CheckComplete(Outcomes{whole, refused("r", "p"), {NotConnected: true}}, false), "")
-	expect(t, CheckComplete(Outcomes{cut}, true), "")
-	expect(t, CheckComplete(Outcomes{whole, cut}, false), RuleComplete)
-	expect(t, CheckComplete(Outcomes{whole, faulty}, true), RuleComplete)
+	assertViolation(t, CheckComplete(Outcomes{whole, refused("r", "p"), {NotConnected: true}}, false), "")
+	assertViolation(t, CheckComplete(Outcomes{cut}, true), "")
+	assertViolation(t, CheckComplete(Outcomes{whole, cut}, false), RuleComplete)
+	assertViolation(t, CheckComplete(Outcomes{whole, faulty}, true), RuleComplete)
 }
 
 func TestCheckOwnAnswer(t *testing.T) {
@@ -48,37 +47,37 @@
 	answered := func(prompt, text string) live.Outcome {
 		return live.Outcome{Call: live.Call{Prompt: prompt}, Text: text, Done: true}
 	}
-	expect(t, CheckOwnAnswer(Outcomes{answered("one", "0:3 1:3 ")}, ran), "")
-	expect(t, CheckOwnAnswer(Outcomes{answered("two", "0:3 1:3 ")}, ran), RuleComplete)
-	expect(t, CheckOwnAnswer(Outcomes{answered("one", "0:3 1:4 ")}, ran), RuleComplete)
-	expect(t, CheckOwnAnswer(Outcomes{answered("one", "hello")}, ran), RuleComplete)
+	assertViolation(t, CheckOwnAnswer(Outcomes{answered("one", "0:3 1:3 ")}, ran), "")
+	assertViolation(t, CheckOwnAnswer(Outcomes{answered("two", "0:3 1:3 ")}, ran), RuleComplete)
+	assertViolation(t, CheckOwnAnswer(Outcomes{answered("one", "0:3 1:4 ")}, ran), RuleComplete)
+	assertViolation(t, CheckOwnAnswer(Outcomes{answered("one", "hello")}, ran), RuleComplete)
 }
 
 func TestCheckNotExecuted(t *testing.T) {
 	ran := []Execution{execution("r1", "one", "e1", 1)}
-	expect(t, CheckNotExecuted(Outcomes{refused("r2", "two")}, ran), "")
-	expect(t, CheckNotExecuted(Outcomes{refused("r1", "other")}, ran), RuleNotExecuted)
-	expect(t, CheckNotExecuted(Outcomes{refused("", "one")}, ran), RuleNotExecuted)
-	// The same prompt was sent again later, and that call ran.
-	expect(t, CheckNotExecuted(Outcomes{refused("r0", "one"), {Call: live.Call{Prompt: "one"}, RequestID: "r1", Done: true}}, ran), "")
+	assertViolation(t, CheckNotExecuted(Outcomes{refused("r2", "two")}, ran), "")
+	assertViolation(t, CheckNotExecuted(Outcomes{refused("r1", "other")}, ran), RuleNotExecuted)
+	assertViolation(t, CheckNotExecuted(Outcomes{refused("", "one")}, ran), RuleNotExecuted)
+	// A later call with the same prompt ran.
+	assertViolation(t, CheckNotExecuted(Outcomes{refused("r0", "one"), {Call: live.Call{Prompt: "one"}, RequestID: "r1", Done: true}}, ran), "")
 }
 
-func TestCheckNotCut(t *testing.T) {
+func TestCheckNotInterrupted(t *testing.T) {
 	ran := []Execution{execution("r1", "one", "e1", 1)}
 	closedUnread := live.Outcome{Call: live.Call{Prompt: "two"}, TransportError: "EOF"}
 	cutWhileRunning := live.Outcome{Call: live.Call{Prompt: "one"}, TransportError: "EOF"}
 	cutWhileAnswering := live.Outcome{Status: 200, TransportError: "unexpected EOF"}
-	expect(t, CheckNotCut(Outcomes{closedUnread, refused("r", "three")}, ran), "")
-	expect(t, CheckNotCut(Outcomes{closedUnread, cutWhileRunning}, ran), RuleNotCut)
-	expect(t, CheckNotCut(Outcomes{closedUnread, cutWhileAnswering}, ran), RuleNotCut)
+	assertViolation(t, CheckNotInterrupted(Outcomes{closedUnread, refused("r", "three")}, ran), "")
+	assertViolation(t, CheckNotInterrupted(Outcomes{closedUnread, cutWhileRunning}, ran), RuleNotInterrupted)
+	assertViolation(t, CheckNotInterrupted(Outcomes{closedUnread, cutWhileAnswering}, ran), RuleNotInterrupted)
 }
 
 func TestCheckAtMostOnce(t *testing.T) {
 	once := []Execution{execution("r1", "one", "e1", 1), execution("r2", "two", "e2", 2)}
 	twice := append(once, execution("r3", "one", "e2", 3))
-	expect(t, CheckAtMostOnce([]string{"one", "one", "two"}, once), "")
-	expect(t, CheckAtMostOnce([]string{"two"}, twice), "")
-	expect(t, CheckAtMostOnce([]string{"one", "two"}, twice), RuleAtMostOnce)
+	assertViolation(t, CheckAtMostOnce([]string{"one", "one", "two"}, once), "")
+	assertViolation(t, CheckAtMostOnce([]string{"two"}, twice), "")
+	assertViolation(t, CheckAtMostOnce([]string{"one", "two"}, twice), RuleAtMostOnce)
 }
 
 func delivery(index int, text string, spans ...api.VersionSpan) Delivery {
@@ -95,17 +94,17 @@
 func TestCheckExactlyOnce(t *testing.T) {
 	wanted := []Slot{{"t", "1", 0, 0}, {"t", "1", 0, 1}}
 	first, second, third := delivery(0, ""), delivery(1, ""), delivery(2, "")
-	expect(t, CheckExactlyOnce(wanted, []Delivery{first, second}), "")
-	expect(t, CheckExactlyOnce(wanted, []Delivery{first}), RuleExactlyOnce)
-	expect(t, CheckExactlyOnce(wanted, []Delivery{first, second, second}), RuleExactlyOnce)
-	expect(t, CheckExactlyOnce(wanted, []Delivery{first, second, third}), RuleExactlyOnce)
+	assertViolation(t, CheckExactlyOnce(wanted, []Delivery{first, second}), "")
+	assertViolation(t, CheckExactlyOnce(wanted, []Delivery{first}), RuleExactlyOnce)
+	assertViolation(t, CheckExactlyOnce(wanted, []Delivery{first, second, second}), RuleExactlyOnce)
+	assertViolation(t, CheckExactlyOnce(wanted, []Delivery{first, second, third}), RuleExactlyOnce)
 }
 
 func TestCheckStaleness(t *testing.T) {
 	fresh := delivery(0, "0:3 1:4 ", api.VersionSpan{Version: 3, From: 0, To: 1}, api.VersionSpan{Version: 4, From: 1, To: 2})
 	stale := delivery(0, "0:2 1:4 ", api.VersionSpan{Version: 2, From: 0, To: 1}, api.VersionSpan{Version: 4, From: 1, To: 2})
-	expect(t, CheckStaleness([]Delivery{fresh}), "")
-	expect(t, CheckStaleness([]Delivery{fresh, stale}), RuleStaleness)
+	assertViolation(t, CheckStaleness([]Delivery{fresh}), "")
+	assertViolation(t, CheckStaleness([]Delivery{fresh, stale}), RuleStaleness)
 }
 
 func TestCheckProvenance(t *testing.T) {
@@ -115,17 +114,17 @@
 	}
 	spans := []api.VersionSpan{{Version: 3, From: 0, To: 1}, {Version: 4, From: 1, To: 3}}
 	good := delivery(0, "0:3 1:4 2:4 ", spans...)
-	expect(t, CheckProvenance([]Delivery{good}, made), "")
-	expect(t, CheckProvenance([]Delivery{good}, made[:1]), RuleProvenance)
+	assertViolation(t, CheckProvenance([]Delivery{good}, made), "")
+	assertViolation(t, CheckProvenance([]Delivery{good}, made[:1]), RuleProvenance)
 	misnamed := delivery(0, "0:3 1:3 2:4 ", spans...)
-	expect(t, CheckProvenance([]Delivery{misnamed}, made), RuleProvenance)
+	assertViolation(t, CheckProvenance([]Delivery{misnamed}, made), RuleProvenance)
 	unnamed := delivery(0, "0:3 1:4 2:4 ", spans[0])
-	expect(t, CheckProvenance([]Delivery{unnamed}, made), RuleProvenance)
+	assertViolation(t, CheckProvenance([]Delivery{unnamed}, made), RuleProvenance)
 	gap := delivery(0, "0:3 2:4 ", api.VersionSpan{Version: 3, From: 0, To: 1}, api.VersionSpan{Version: 4, From: 1, To: 2})
-	expect(t, CheckProvenance([]Delivery{gap}, made), RuleProvenance)
+	assertViolation(t, CheckProvenance([]Delivery{gap}, made), RuleProvenance)
 }
 
-func TestExecutionsKeepsTheLongestHistoryOfAProcess(t *testing.T) {
+func TestExecutionsKeepsLongestHistoryOfProcess(t *testing.T) {
 	early := engine.History{ID: "e1", Incarnation: "a", Requests: make([]engine.RequestHistory, 1)}
 	late := engine.History{ID: "e1", Incarnation: "a", Requests: make([]engine.RequestHistory, 2)}
 	restarted := engine.History{ID: "e1", Incarnation: "b", Requests: make([]engine.RequestHistory, 1)}
@@ -138,8 +137,8 @@
 	early := execution("r1", "p", "e1", leaving.Add(2*time.Second).UnixNano())
 	late := execution("r2", "p", "e1", leaving.Add(4*time.Second).UnixNano())
 	other := execution("r3", "p", "e2", leaving.Add(4*time.Second).UnixNano())
-	expect(t, CheckDrain("e1", leaving, 3*time.Second, []Execution{early, other}), "")
-	expect(t, CheckDrain("e1", leaving, 3*time.Second, []Execution{early, late, other}), RuleDrain)
+	assertViolation(t, CheckDrain("e1", leaving, 3*time.Second, []Execution{early, other}), "")
+	assertViolation(t, CheckDrain("e1", leaving, 3*time.Second, []Execution{early, late, other}), RuleDrain)
 }
 
 func observation(node string, startSecond, endSecond, revision int64) Observation {
@@ -150,14 +149,14 @@
 	rising := []Observation{observation("n1", 1, 2, 4), observation("n1", 3, 4, 7), observation("n2", 5, 6, 4)}
 	overlapping := observation("n1", 3, 8, 4)
 	reverted := observation("n1", 5, 6, 4)
-	expect(t, CheckMonotonic(append(rising, overlapping)), "")
-	expect(t, CheckMonotonic(append(rising, reverted)), RuleMonotonic)
+	assertViolation(t, CheckMonotonic(append(rising, overlapping)), "")
+	assertViolation(t, CheckMonotonic(append(rising, reverted)), RuleMonotonic)
 }
 
 func TestCheckConvergence(t *testing.T) {
 	accepted, bound, nodes := time.Unix(10, 0), 5*time.Second, []string{"n1", "n2"}
 	good := []Observation{observation("n1", 11, 12, 3), observation("n1", 16, 17, 4), observation("n2", 16, 17, 5)}
-	expect(t, CheckConvergence(4, accepted, bound, nodes, good), "")
-	expect(t, CheckConvergence(4, accepted, bound, nodes, good[:2]), RuleConvergence)
-	expect(t, CheckConvergence(4, accepted, bound, nodes, append(good, observation("n1", 18, 19, 3))), RuleConvergence)
+	assertViolation(t, CheckConvergence(4, accepted, bound, nodes, good), "")
+	assertViolation(t, CheckConvergence(4, accepted, bound, nodes, good[:2]), RuleConvergence)
+	assertViolation(t, CheckConvergence(4, accepted, bound, nodes, append(good, observation("n1", 18, 19, 3))), RuleConvergence)
 }
--- a/test/history/linearizable.go
+++ b/test/history/linearizable.go
@@ -6,26 +6,24 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// checkTimeout bounds one linearizability check; a check that takes longer
-// proves nothing and counts as failed.
+// checkTimeout bounds a linearizability check; a check that times out counts as failed.
 const checkTimeout = time.Minute
 
-// Outcome of an operation as its client knows it.
+// Outcome is the result of an operation as its client knows it.
 type Outcome uint8
 
 // Outcomes of operations.
 const (
-	// Accepted: the operation took effect.
+	// Accepted operations took effect.
 	Accepted Outcome = iota
-	// Refused: the operation did not take effect.
+	// Refused operations did not take effect.
 	Refused
-	// Unknown: the client never learnt; it may have taken effect.
+	// Unknown operations may have taken effect.
 	Unknown
 )
 
-// Linearizable reports whether the operations have an order that respects
-// real time and the model. An operation with an unknown outcome may take effect
-// at any time later: give it UnknownReturn.
+// Linearizable reports whether the operations have an order that respects real time and the model.
+// Operations with an unknown outcome may take effect at any later time and must return at UnknownReturn.
 func Linearizable(model porcupine.Model, operations []porcupine.Operation) bool {
 	return porcupine.CheckOperationsTimeout(model, operations, checkTimeout) == porcupine.Ok
 }
@@ -33,19 +31,19 @@
 // UnknownReturn is the return time of an operation whose outcome is unknown.
 const UnknownReturn = int64(1) << 62
 
-// TableOperation is one proposal of a table edit.
+// TableOperation proposes a table that was edited from revision Base.
 type TableOperation struct {
 	Base int64
 }
 
-// TableResult is its outcome; Revision is set when it was accepted.
+// TableResult is the result of a TableOperation; Revision is set when it was accepted.
 type TableResult struct {
 	Outcome  Outcome
 	Revision int64
 }
 
-// tableState is the revision in force, or, after a proposal with an unknown
-// outcome took effect, that it is some revision above the last known one.
+// tableState is the revision in force. With above set, a proposal with an unknown outcome took effect and the
+// revision is some value above it.
 type tableState struct {
 	revision int64
 	above    bool
@@ -60,8 +58,7 @@
 
 func (s tableState) mustBe(revision int64) bool { return !s.above && revision == s.revision }
 
-// TableModel: a proposal is accepted exactly when it was edited from the
-// revision in force, and then raises it.
+// TableModel accepts a proposal exactly when its base is the revision in force; accepting it raises the revision.
 func TableModel(initial int64) porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{tableState{revision: initial}} },
@@ -92,8 +89,8 @@
 	}
 }
 
-// CheckOneSuccessor finds revisions from which more than one accepted proposal
-// was edited. The model finds them too, later and without a name.
+// CheckOneSuccessor finds revisions from which more than one accepted proposal was edited. TableModel rejects
+// such histories too, but without naming the revision.
 func CheckOneSuccessor(operations []porcupine.Operation) []Violation {
 	successors := map[int64][]int64{}
 	for _, operation := range operations {
@@ -111,17 +108,16 @@
 	return violations
 }
 
-// OwnershipOperation is a claim of a stream (Epoch is then the epoch won and
-// Previous the epoch that the claim names) or an append of a record under an epoch.
+// OwnershipOperation is a claim of a stream, with the epoch won and the previous epoch that it names, or an
+// append of a record under an epoch.
 type OwnershipOperation struct {
 	Claim    bool
 	Previous int64
 	Epoch    int64
 }
 
-// OwnershipModel: a claim takes effect only when it names the epoch in force,
-// epochs only rise, and a record takes effect only under the epoch in force. The
-// output of an operation is its Outcome.
+// OwnershipModel is the model of stream ownership: a claim takes effect only if it names the epoch in force and
+// raises it; an append takes effect only under the epoch in force. Outputs are of type Outcome.
 func OwnershipModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{int64(0)} },
@@ -151,27 +147,25 @@
 	}
 }
 
-// KeyedOperation is one call with an idempotency key.
+// KeyedOperation is a call with an idempotency key.
 type KeyedOperation struct {
 	Key string
 }
 
-// KeyedResult is its outcome; Answer is set when it was answered.
+// KeyedResult is the result of a KeyedOperation; Answer is set when it was accepted.
 type KeyedResult struct {
 	Outcome Outcome
 	Answer  string
 }
 
-// keyedState tells whether the key's request ran, and with which answer if a
-// caller has learnt it.
+// keyedState tells whether a key's request ran, and its response if a caller has received it.
 type keyedState struct {
 	ran    bool
 	known  bool
 	answer string
 }
 
-// KeyedModel: a key's request runs once, and every caller that is answered gets
-// that one answer.
+// KeyedModel runs a key's request at most once and gives every accepted call the same response.
 func KeyedModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Partition: partitionByKey,
@@ -213,8 +207,8 @@
 	return parts
 }
 
-// KeyedOperations turns the callers' history into operations on keys. A call
-// that was answered with a result is Accepted, one refused as not run Refused.
+// KeyedOperations converts the callers' history into operations on keys. Calls that were answered with a result
+// are Accepted, calls that were rejected as not run Refused.
 func KeyedOperations(outcomes Outcomes) []porcupine.Operation {
 	var operations []porcupine.Operation
 	for i := range outcomes {
--- a/test/history/linearizable_test.go
+++ b/test/history/linearizable_test.go
@@ -22,8 +22,8 @@
 	assert.Assert(t, Linearizable(TableModel(0), race))
 	bothAccepted := []porcupine.Operation{proposal(1, 9, 0, Accepted, 4), proposal(1, 9, 0, Accepted, 5)}
 	assert.Assert(t, !Linearizable(TableModel(0), bothAccepted))
-	expect(t, CheckOneSuccessor(race), "")
-	expect(t, CheckOneSuccessor(bothAccepted), RuleMonotonic)
+	assertViolation(t, CheckOneSuccessor(race), "")
+	assertViolation(t, CheckOneSuccessor(bothAccepted), RuleMonotonic)
 	wronglyRefused := []porcupine.Operation{proposal(1, 2, 0, Accepted, 4), proposal(3, 4, 4, Refused, 0)}
 	assert.Assert(t, !Linearizable(TableModel(0), wronglyRefused))
 	reverted := []porcupine.Operation{proposal(1, 2, 0, Accepted, 4), proposal(3, 4, 4, Accepted, 2)}
--- a/test/history/machines.go
+++ b/test/history/machines.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// CheckDrain finds requests that an engine started later than grace after it
-// was told to leave.
+// CheckDrain finds requests that an engine started more than the grace period after it began to drain.
 func CheckDrain(engineID string, leaving time.Time, grace time.Duration, executions []Execution) []Violation {
 	limit := leaving.Add(grace).UnixNano()
 	var violations []Violation
@@ -15,14 +14,14 @@
 			continue
 		}
 		late := time.Duration(execution.StartedUnixNS - leaving.UnixNano())
-		violations = append(violations, violation(RuleDrain, "engine %s started request %s %s after it was leaving",
+		violations = append(violations, violation(RuleDrain, "engine %s started request %s %s after it began to drain",
 			engineID, execution.RequestID, late))
 	}
 	return violations
 }
 
-// CheckMonotonic finds nodes that answered under a lower revision than an
-// earlier answer of the same node. Answers that overlap in time have no order.
+// CheckMonotonic finds nodes that answered under a lower revision than in an earlier response. Responses that
+// overlap in time are not ordered.
 func CheckMonotonic(observations []Observation) []Violation {
 	byNode := map[string][]Observation{}
 	for _, observed := range observations {
@@ -56,8 +55,8 @@
 	return violations
 }
 
-// CheckConvergence finds nodes that answered under a lower revision later than
-// bound after that revision was accepted, or that never answered after it.
+// CheckConvergence finds nodes that were below the revision later than bound after it was accepted, or that
+// did not answer after that time.
 func CheckConvergence(revision int64, accepted time.Time, bound time.Duration, nodes []string, observations []Observation) []Violation {
 	limit := accepted.Add(bound)
 	reached := map[string]bool{}
--- a/test/history/trainers.go
+++ b/test/history/trainers.go
@@ -6,8 +6,8 @@
 	"github.com/corkpulley/corkpulley/internal/bench/live"
 )
 
-// CheckExactlyOnce finds wanted slots that no accepted delivery fills, slots
-// that more than one fills, and deliveries that no one asked for.
+// CheckExactlyOnce finds requested slots with no accepted delivery or with several, and deliveries for slots that
+// were not requested.
 func CheckExactlyOnce(wanted []Slot, deliveries []Delivery) []Violation {
 	count := map[Slot]int{}
 	for _, slot := range wanted {
@@ -17,7 +17,7 @@
 	for i := range deliveries {
 		slot := deliveries[i].Slot()
 		if _, found := count[slot]; !found {
-			violations = append(violations, violation(RuleExactlyOnce, "slot %s was delivered and not wanted", slot))
+			violations = append(violations, violation(RuleExactlyOnce, "slot %s was delivered but not requested", slot))
 			continue
 		}
 		count[slot]++
@@ -33,8 +33,8 @@
 	return violations
 }
 
-// CheckStaleness finds accepted samples whose oldest segment lies further
-// behind the trainer's version than the row's bound.
+// CheckStaleness finds accepted samples whose oldest segment is further behind the trainer's version than the
+// staleness bound.
 func CheckStaleness(deliveries []Delivery) []Violation {
 	var violations []Violation
 	for i := range deliveries {
@@ -51,11 +51,10 @@
 	return violations
 }
 
-// CheckProvenance finds samples whose segments do not name, token for token,
-// the versions that produced them: by the text, in which engine stand-ins write
-// the version of each token, and by the engines' own histories.
+// CheckProvenance finds samples whose segments do not name, token by token, the versions that produced them,
+// by the versions in the sample's text and by the engines' histories.
 func CheckProvenance(deliveries []Delivery, executions []Execution) []Violation {
-	made := madeTokens(executions)
+	made := producedTokens(executions)
 	var violations []Violation
 	for i := range deliveries {
 		delivery := &deliveries[i]
@@ -66,42 +65,42 @@
 	return violations
 }
 
-// madeToken is one token of some answer to a prompt under a version.
-type madeToken struct {
+// producedToken is a token that an engine produced for a prompt under a version.
+type producedToken struct {
 	prompt  uint64
 	index   int
 	version uint64
 }
 
-func madeTokens(executions []Execution) map[madeToken]bool {
-	made := map[madeToken]bool{}
+func producedTokens(executions []Execution) map[producedToken]bool {
+	made := map[producedToken]bool{}
 	for _, execution := range executions {
 		for _, span := range execution.Spans {
 			for index := span.From; index < span.To; index++ {
-				made[madeToken{execution.PromptHash, index, span.Version}] = true
+				made[producedToken{execution.PromptHash, index, span.Version}] = true
 			}
 		}
 	}
 	return made
 }
 
-func sampleFaults(delivery *Delivery, made map[madeToken]bool) []string {
+func sampleFaults(delivery *Delivery, made map[producedToken]bool) []string {
 	sample := &delivery.Sample
 	tokens, err := live.ParseTokens(sample.Text)
 	if err != nil {
 		return []string{err.Error()}
 	}
 	if len(tokens) != sample.Tokens {
-		return []string{fmt.Sprintf("says %d tokens, its text has %d", sample.Tokens, len(tokens))}
+		return []string{fmt.Sprintf("sample has a token count of %d, but its text has %d", sample.Tokens, len(tokens))}
 	}
 	faults := live.CheckVersions(tokens, sample.Versions)
 	prompt := PromptHash(delivery.PromptText)
 	for i, token := range tokens {
 		if token.Index != i {
-			return append(faults, fmt.Sprintf("token %d says that it is token %d", i, token.Index))
+			return append(faults, fmt.Sprintf("token %d is numbered %d", i, token.Index))
 		}
-		if !made[madeToken{prompt, i, token.Version}] {
-			return append(faults, fmt.Sprintf("no engine made token %d under version %d", i, token.Version))
+		if !made[producedToken{prompt, i, token.Version}] {
+			return append(faults, fmt.Sprintf("no engine produced token %d under version %d", i, token.Version))
 		}
 	}
 	return faults
--- a/test/integration/abandon_step_test.go
+++ b/test/integration/abandon_step_test.go
@@ -11,16 +11,15 @@
 	"github.com/corkpulley/corkpulley/internal/bench/topology"
 )
 
-// TestAbandonedStepLeavesTheEngines: a step that its trainer abandoned, asked
-// for at any node and twice, runs on no engine any more, and the next step is
-// delivered whole.
-func TestAbandonedStepLeavesTheEngines(t *testing.T) {
+// Guards against an abandoned step that keeps running on engines or blocks the next step. Abandoning is
+// idempotent and works at any node.
+func TestAbandonedStepIsCanceledOnEngines(t *testing.T) {
 	t.Parallel()
-	// An answer that is not canceled takes longer than any wait of this test.
+	// A sample that is not canceled outlasts every wait of this test.
 	const longTokens = 4000
 	deployment := deploy(t, func(config *topology.Config) {
 		for i := range config.Engines {
-			config.Engines[i].TokenInterval = 2 * patience / longTokens
+			config.Engines[i].TokenInterval = 2 * waitTimeout / longTokens
 		}
 	})
 	client := newTrainerClient(t, deployment)
@@ -50,12 +49,12 @@
 	next.checkDeliveries(executionsOf(t, deployment))
 }
 
-// runningRequests counts the requests that run or wait at the engines.
+// runningRequests counts the requests that run or wait on the engines.
 func runningRequests(t *testing.T, deployment *topology.Deployment) int {
 	t.Helper()
 	running := 0
 	for _, engine := range deployment.Engines() {
-		status, err := engine.Status(limit(t))
+		status, err := engine.Status(waitContext(t))
 		assert.NilError(t, err)
 		running += status.Running + status.Waiting
 	}
--- a/test/integration/at_most_once_test.go
+++ b/test/integration/at_most_once_test.go
@@ -15,20 +15,20 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// permitDesk sends keyed calls the way an anxious caller does: twice at once to
-// different nodes, then again on the next node until answered.
-type permitDesk struct {
+// permitCallers send keyed calls and retry aggressively: two calls at once to different nodes, each retried at
+// the next node until answered.
+type permitCallers struct {
 	addresses []string
 	client    *live.Client
 	recorder  *live.Recorder
 }
 
 const (
-	deskTries       = 8
-	deskCallTimeout = 10 * time.Second
+	permitMaxTries    = 8
+	permitCallTimeout = 10 * time.Second
 )
 
-func (d *permitDesk) issue(number int) {
+func (d *permitCallers) issue(number int) {
 	call := live.Call{
 		Service: permitService, MaxTokens: 64, Stream: number%2 == 0,
 		Prompt:         fmt.Sprintf("issue permit %d [tokens=12]", number),
@@ -36,15 +36,15 @@
 	}
 	var racing sync.WaitGroup
 	for racer := range 2 {
-		racing.Go(func() { d.insist(call, number+racer) })
+		racing.Go(func() { d.retryUntilOK(call, number+racer) })
 	}
 	racing.Wait()
 }
 
-func (d *permitDesk) insist(call live.Call, first int) {
-	for try := range deskTries {
+func (d *permitCallers) retryUntilOK(call live.Call, first int) {
+	for try := range permitMaxTries {
 		call.Address = d.addresses[(first+try)%len(d.addresses)]
-		ctx, cancel := context.WithTimeout(context.Background(), deskCallTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), permitCallTimeout)
 		outcome := d.client.Send(ctx, call)
 		cancel()
 		d.recorder.Add(outcome)
@@ -54,48 +54,48 @@
 	}
 }
 
-// run issues permits, one after the other, until the context ends.
-func (d *permitDesk) run(ctx context.Context, desk int) {
-	const perDesk = 100_000
-	for number := desk * perDesk; ctx.Err() == nil; number++ {
+// run issues permits one after another until the context ends.
+func (d *permitCallers) run(ctx context.Context, caller int) {
+	const permitsPerCaller = 100_000
+	for number := caller * permitsPerCaller; ctx.Err() == nil; number++ {
 		d.issue(number)
 	}
 }
 
-// TestInvariantAtMostOnce: a request that is not repeatable runs at most once
-// over all engines, when callers race and retry on other nodes, a gateway is
-// killed, a node is frozen and woken, and appends' answers are lost.
+// A non-repeatable request runs at most once over all engines when callers race and retry, nodes are killed or
+// frozen, and append answers are lost.
 func TestInvariantAtMostOnce(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t)
-	desk := &permitDesk{addresses: deployment.CallerAddresses(), client: live.NewSingleUseClient(), recorder: live.NewRecorder()}
-	defer desk.client.Close()
+	callers := &permitCallers{
+		addresses: deployment.CallerAddresses(), client: live.NewSingleUseClient(), recorder: live.NewRecorder(),
+	}
+	defer callers.client.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	var desks sync.WaitGroup
+	var group sync.WaitGroup
 	for number := range 4 {
-		desks.Go(func() { desk.run(ctx, number) })
+		group.Go(func() { callers.run(ctx, number) })
 	}
-	issued := &runningLoad{recorder: desk.recorder}
+	issued := &runningLoad{recorder: callers.recorder}
 
 	issued.waitOK(t, 20)
-	assert.NilError(t, deployment.ControlLog(limit(t), logservice.Control{LoseAnswers: 0.3, LateMS: 50}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{LoseAnswers: 0.3, LateMS: 50}))
 	issued.waitOK(t, 20)
-	// Each node in turn, so that every role is hit: gateway, owner of a key's
-	// shard, dispatcher of the engines' cells.
+	// Each node in turn, to hit every role: gateway, owner of a key's shard, dispatcher of a cell.
 	for _, node := range deployment.Nodes() {
 		killAndRestart(t, node, issued)
 		freezeAndThaw(t, node, issued)
 	}
-	assert.NilError(t, deployment.ControlLog(limit(t), logservice.Control{}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{}))
 	issued.waitOK(t, 10)
 	cancel()
-	desks.Wait()
+	group.Wait()
 
-	outcomes := history.Outcomes(desk.recorder.Outcomes())
-	t.Logf("callers: %+v", desk.recorder.Summary())
+	outcomes := history.Outcomes(callers.recorder.Outcomes())
+	t.Logf("callers: %+v", callers.recorder.Summary())
 	executions := executionsOf(t, deployment)
-	holds(t, history.CheckAtMostOnce(promptsOf(outcomes), executions))
+	assertNoViolations(t, history.CheckAtMostOnce(promptsOf(outcomes), executions))
 	checkAnswers(t, outcomes, executions, true)
 	assert.Assert(t, history.Linearizable(history.KeyedModel(), history.KeyedOperations(outcomes)))
 }
--- a/test/integration/combined_faults_test.go
+++ b/test/integration/combined_faults_test.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	// seedVariable replays the schedule of a failed run.
+	// seedVariable names the environment variable with the seed of a run to replay.
 	seedVariable = "CORKPULLEY_FAULT_SEED"
-	// faultTime is how long faults are injected, at the least.
-	faultTime = 24 * time.Second
-	// longestPause and longestFault bound the schedule's draws.
-	longestPause = 700 * time.Millisecond
-	longestFault = 1500 * time.Millisecond
+	// minFaultTime is the minimum time for which faults are injected.
+	minFaultTime = 24 * time.Second
+	// maxPause and maxFaultTime bound the random durations of the schedule.
+	maxPause     = 700 * time.Millisecond
+	maxFaultTime = 1500 * time.Millisecond
 )
 
-// schedule draws faults from a seed and injects them, several at a time.
+// schedule injects random faults, drawn from a seed, up to two at a time.
 type schedule struct {
 	t          *testing.T
 	deployment *topology.Deployment
 	random     *rand.Rand
-	// log holds the faults of the log in force.
-	log logservice.Control
-	// leaving is when leavingEngine began to leave.
+	// logFaults holds the faults of the log that are currently injected.
+	logFaults logservice.Control
+	// leaving is when leavingEngine began to drain.
 	leaving time.Time
 }
 
@@ -46,81 +46,77 @@
 
 func (s *schedule) engine() *topology.Engine {
 	engines := s.deployment.Engines()
-	return engines[s.random.IntN(len(engines)-1)] // the last one is leavingEngine
+	return engines[s.random.IntN(len(engines)-1)] // excludes leavingEngine, the last one
 }
 
-func (s *schedule) draw(longest time.Duration) time.Duration {
+func (s *schedule) randomDuration(longest time.Duration) time.Duration {
 	return time.Duration(s.random.Int64N(int64(longest)))
 }
 
-// must reports a failure of the harness itself.
+// must fails the test on an error of the test setup itself.
 func (s *schedule) must(err error) {
 	s.t.Helper()
 	assert.NilError(s.t, err)
 }
 
-// run injects every kind of fault at least twice, in a drawn order and often
-// two at once, until faultTime is over.
+// run injects every kind of fault at least twice, in random order and mostly in pairs, for at least minFaultTime.
 func (s *schedule) run() {
 	began := time.Now()
-	for round := 0; round < 2 || time.Since(began) < faultTime; round++ {
+	for round := 0; round < 2 || time.Since(began) < minFaultTime; round++ {
 		if round == 1 {
-			s.leave()
+			s.drainLeavingEngine()
 		}
 		kinds := faults()
 		s.random.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 		for i := 0; i+1 < len(kinds); i += 2 {
-			s.inject(kinds[i], kinds[i+1])
+			s.injectPair(kinds[i], kinds[i+1])
 		}
 		if len(kinds)%2 == 1 {
-			s.hold(kinds[len(kinds)-1])
+			s.injectAlone(kinds[len(kinds)-1])
 		}
 	}
 }
 
-// leavingEngine says after the first round that it leaves. It is not killed,
-// since a new process would not leave any more.
+// leavingEngine drains after the first round. It is never killed, since a restart would end its drain.
 const leavingEngine = "e5"
 
-// leave makes the engine drain and notes when.
-func (s *schedule) leave() {
+func (s *schedule) drainLeavingEngine() {
 	drain := true
 	s.leaving = time.Now()
-	s.must(s.deployment.Engine(leavingEngine).Control(limit(s.t), standin.Control{Drain: &drain}))
+	s.must(s.deployment.Engine(leavingEngine).Control(waitContext(s.t), standin.Control{Drain: &drain}))
 }
 
-// inject begins two faults, holds them, and ends them.
-func (s *schedule) inject(first, second fault) {
+// injectPair injects two faults that overlap, or one after the other when they are incompatible.
+func (s *schedule) injectPair(first, second fault) {
 	if first.name == plannedStop {
 		first, second = second, first
 	}
 	if !s.compatible(first, second) {
-		s.hold(first)
-		s.hold(second)
+		s.injectAlone(first)
+		s.injectAlone(second)
 		return
 	}
 	s.t.Logf("%s, %s", first.name, second.name)
 	endFirst := first.begin(s)
-	s.pause(longestFault / 4)
+	s.pause(maxFaultTime / 4)
 	endSecond := second.begin(s)
-	s.pause(longestFault)
+	s.pause(maxFaultTime)
 	endFirst()
 	endSecond()
-	s.pause(longestPause)
+	s.pause(maxPause)
 }
 
-// hold injects one fault alone.
-func (s *schedule) hold(single fault) {
+func (s *schedule) injectAlone(single fault) {
 	s.t.Log(single.name)
 	end := single.begin(s)
-	s.pause(longestFault)
+	s.pause(maxFaultTime)
 	end()
-	s.pause(longestPause)
+	s.pause(maxPause)
 }
 
 func (s *schedule) pause(longest time.Duration) {
 	select {
-	case <-time.After(s.draw(longest)):
+	case <-time.After(s.randomDuration(longest)):
 	case <-s.t.Context().Done():
 	}
 }
@@ -136,8 +132,7 @@
 	return seed
 }
 
-// TestInvariantsCombinedFaults: all promises hold under a seeded schedule of all
-// faults, two at a time and each at least twice, beside mixed load.
+// All invariants hold under mixed load with pairs of random faults.
 func TestInvariantsCombinedFaults(t *testing.T) {
 	t.Parallel()
 	seed := faultSeed(t)
@@ -147,30 +142,32 @@
 		leaving.ID = leavingEngine
 		config.Engines = append(config.Engines, leaving)
 	})
-	initial, err := deployment.Node("n1").Table(limit(t))
+	initial, err := deployment.Node("n1").Table(waitContext(t))
 	assert.NilError(t, err)
-	lookupLoad := startLoad(t, lookups(deployment, 25, 60))
-	desk := &permitDesk{addresses: deployment.CallerAddresses(), client: live.NewSingleUseClient(), recorder: live.NewRecorder()}
-	defer desk.client.Close()
-	watching := startObserver(t, deployment)
-	editing := &operators{t: t, share: 200}
+	lookupLoad := startLoad(t, newLookupLoad(deployment, 25, 60))
+	callers := &permitCallers{
+		addresses: deployment.CallerAddresses(), client: live.NewSingleUseClient(), recorder: live.NewRecorder(),
+	}
+	defer callers.client.Close()
+	observer := startObserver(t, deployment)
+	editors := &tableEditors{t: t, share: 200}
 	training := startTrainer(t, deployment, 20)
 
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	var background sync.WaitGroup
 	for number := range 2 {
-		background.Go(func() { desk.run(ctx, number) })
+		background.Go(func() { callers.run(ctx, number) })
 	}
 	for _, node := range deployment.Nodes()[:2] {
 		background.Go(func() {
 			for ctx.Err() == nil {
-				editing.edit(ctx, node)
+				editors.edit(ctx, node)
 			}
 		})
 	}
-	faulty := &schedule{t: t, deployment: deployment, random: rand.New(rand.NewPCG(seed, seed))}
-	faulty.run()
+	injector := &schedule{t: t, deployment: deployment, random: rand.New(rand.NewPCG(seed, seed))}
+	injector.run()
 	for _, node := range deployment.Nodes() {
 		waitServing(t, node)
 	}
@@ -178,22 +175,22 @@
 	cancel()
 	background.Wait()
 	lookupOutcomes := lookupLoad.stop(t)
-	permitOutcomes := history.Outcomes(desk.recorder.Outcomes())
-	t.Logf("permits: %+v", desk.recorder.Summary())
+	permitOutcomes := history.Outcomes(callers.recorder.Outcomes())
+	t.Logf("permits: %+v", callers.recorder.Summary())
 	executions := executionsOf(t, deployment)
-	observations := watching.stop()
-	t.Logf("%d proposals, %d accepted, %d observations", len(editing.operations), len(editing.accepted), len(observations))
+	observations := observer.stop()
+	t.Logf("%d proposals, %d accepted, %d observations", len(editors.operations), len(editors.accepted), len(observations))
 
 	for _, outcomes := range []history.Outcomes{lookupOutcomes, permitOutcomes} {
 		checkAnswers(t, outcomes, executions, true)
 	}
-	holds(t, history.CheckAtMostOnce(promptsOf(permitOutcomes), executions))
+	assertNoViolations(t, history.CheckAtMostOnce(promptsOf(permitOutcomes), executions))
 	assert.Check(t, history.Linearizable(history.KeyedModel(), history.KeyedOperations(permitOutcomes)))
-	holds(t, history.CheckDrain(leavingEngine, faulty.leaving, drainGrace, executions))
-	holds(t, history.CheckMonotonic(observations))
-	for _, accepted := range editing.accepted {
-		holds(t, history.CheckConvergence(accepted.revision, accepted.at, convergenceBound, nil, observations))
+	assertNoViolations(t, history.CheckDrain(leavingEngine, injector.leaving, drainGrace, executions))
+	assertNoViolations(t, history.CheckMonotonic(observations))
+	for _, accepted := range editors.accepted {
+		assertNoViolations(t, history.CheckConvergence(accepted.revision, accepted.at, convergenceBound, nil, observations))
 	}
-	holds(t, history.CheckOneSuccessor(editing.operations))
-	assert.Check(t, history.Linearizable(history.TableModel(initial.Revision), editing.operations))
+	assertNoViolations(t, history.CheckOneSuccessor(editors.operations))
+	assert.Check(t, history.Linearizable(history.TableModel(initial.Revision), editors.operations))
 }
--- a/test/integration/complete_response_test.go
+++ b/test/integration/complete_response_test.go
@@ -12,20 +12,19 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// TestInvariantCompleteResponse: each caller gets all of its own answer, in
-// order, through engine crashes, cut, stalled and slow links, and duplicated and
-// late chunks.
+// Each caller gets its complete response in order through engine crashes, reset, stalled and slow links, and
+// repeated chunks.
 func TestInvariantCompleteResponse(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t)
-	answers := lookups(deployment, 30, 100)
+	answers := newLookupLoad(deployment, 30, 100)
 	answers.TokenSpread = 36
 	load := startLoad(t, answers)
 	load.waitOK(t, 20)
 
-	crashInMidAnswer(t, deployment, load)
+	crashMidResponse(t, deployment, load)
 
-	cut := busiest(t, deployment)
+	cut := busiestEngine(t, deployment)
 	for range 3 {
 		assert.NilError(t, cut.Link.Reset())
 		load.waitOK(t, 10)
@@ -34,7 +33,7 @@
 	load.waitOK(t, 20)
 	assert.NilError(t, cut.Link.Restore())
 
-	slow := busiest(t, deployment)
+	slow := busiestEngine(t, deployment)
 	assert.NilError(t, slow.Link.SetBandwidth(16))
 	assert.NilError(t, slow.Link.Slice(8, time.Millisecond))
 	load.waitOK(t, 20)
@@ -47,37 +46,36 @@
 	}
 	repeat := true
 	for _, repeating := range deployment.Engines() {
-		assert.NilError(t, repeating.Control(limit(t), standin.Control{RepeatChunks: &repeat}))
+		assert.NilError(t, repeating.Control(waitContext(t), standin.Control{RepeatChunks: &repeat}))
 	}
 	load.waitOK(t, 40)
 	outcomes := load.stop(t)
 	checkAnswers(t, outcomes, executionsOf(t, deployment), false)
 	for i := range outcomes {
 		outcome := &outcomes[i]
-		assert.Check(t, outcome.OK() || outcome.Refused(), "a repeatable call was given up: %+v", outcome)
+		assert.Check(t, outcome.OK() || outcome.Refused(), "a repeatable call failed: %+v", outcome)
 	}
 }
 
-// crashInMidAnswer kills engines until one had begun an answer and not ended it,
-// and goes on until other calls are answered.
-func crashInMidAnswer(t *testing.T, deployment *topology.Deployment, load *runningLoad) {
+// crashMidResponse kills engines until one was in the middle of a response, each time waiting for other calls to
+// be answered.
+func crashMidResponse(t *testing.T, deployment *topology.Deployment, load *runningLoad) {
 	t.Helper()
-	eventually(t, "an engine to crash in the middle of an answer", func() error {
-		crashed := busiest(t, deployment)
+	eventually(t, "an engine to crash in the middle of a response", func() error {
+		crashed := busiestEngine(t, deployment)
 		crashed.Kill()
-		cut := cutAnswers(executionsOf(t, deployment), crashed.ID)
+		cut := interruptedResponses(executionsOf(t, deployment), crashed.ID)
 		load.waitOK(t, 20)
-		assert.NilError(t, crashed.Start(limit(t)))
+		assert.NilError(t, crashed.Start(waitContext(t)))
 		if cut == 0 {
-			return errors.New("the engine was between answers")
+			return errors.New("the engine was not sending a response")
 		}
 		return nil
 	})
 }
 
-// cutAnswers counts the answers that processes of an engine began and, being
-// killed, did not end.
-func cutAnswers(executions []history.Execution, engineID string) int {
+// interruptedResponses counts the responses that an engine began and, being killed, did not end.
+func interruptedResponses(executions []history.Execution, engineID string) int {
 	count := 0
 	for _, execution := range executions {
 		if execution.Engine == engineID && execution.Outcome == standin.OutcomeRunning && len(execution.Spans) > 0 {
--- a/test/integration/deploy_test.go
+++ b/test/integration/deploy_test.go
@@ -14,8 +14,8 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// patience bounds every wait for a condition, generously.
-const patience = 60 * time.Second
+// waitTimeout bounds each wait for a condition.
+const waitTimeout = 60 * time.Second
 
 // Services of the test deployment.
 const (
@@ -28,8 +28,8 @@
 	pool         = "shared"
 )
 
-// trainerBound is the staleness bound of the trainer's row.
-const trainerBound = 2
+// trainerStalenessBound is the staleness bound of the trainer's table row.
+const trainerStalenessBound = 2
 
 const tableHeader = "service,kind,pool,model,version,priority,share,staleness,cap,repeatable,zones,floor"
 
@@ -43,8 +43,7 @@
 	return tableHeader + "\n" + strings.Join(rows, "\n") + "\n"
 }
 
-// defaultConfig is three nodes and four engines in two zones, with a proxy on
-// each link.
+// defaultConfig returns three nodes and four engines in two zones, with a fault-injecting proxy on each link.
 func defaultConfig(t *testing.T) topology.Config {
 	t.Helper()
 	config := topology.Config{
@@ -80,15 +79,13 @@
 	return config
 }
 
-// deploymentsAtOnce bounds the deployments that run at the same time, each with
-// a dozen processes: more would leave their processors too little for promises
-// that have a bound in time.
-const deploymentsAtOnce = 3
+// maxConcurrentDeployments bounds the deployments, of a dozen processes each, that run at once: tests with
+// time bounds need enough processor time.
+const maxConcurrentDeployments = 3
 
-var deploymentSlots = make(chan struct{}, deploymentsAtOnce)
+var deploymentSlots = make(chan struct{}, maxConcurrentDeployments)
 
-// deploy starts a deployment that ends with the test and waits until every node
-// answers a live call.
+// deploy starts a deployment that ends with the test and waits until every node answers a live call.
 func deploy(t *testing.T, change ...func(*topology.Config)) *topology.Deployment {
 	t.Helper()
 	config := defaultConfig(t)
@@ -97,11 +94,11 @@
 	}
 	deploymentSlots <- struct{}{}
 	t.Cleanup(func() { <-deploymentSlots })
-	deployment, err := topology.Start(limit(t), config)
+	deployment, err := topology.Start(waitContext(t), config)
 	assert.NilError(t, err)
 	t.Cleanup(func() {
 		if t.Failed() {
-			showLogs(t, deployment)
+			logNodeTails(t, deployment)
 		}
 		deployment.Close()
 	})
@@ -111,25 +108,25 @@
 	return deployment
 }
 
-// shownLines is how many of its last log lines a failed test shows of each node.
-const shownLines = 25
+// logTailLines is the number of log lines that a failed test prints of each node.
+const logTailLines = 25
 
-func showLogs(t *testing.T, deployment *topology.Deployment) {
+func logNodeTails(t *testing.T, deployment *topology.Deployment) {
 	t.Helper()
 	for _, node := range deployment.Nodes() {
 		if node.Process() == nil {
 			continue
 		}
 		lines := node.Process().Logs()
-		lines = lines[max(0, len(lines)-shownLines):]
+		lines = lines[max(0, len(lines)-logTailLines):]
 		t.Logf("last lines of %s:\n%s", node.ID, strings.Join(lines, "\n"))
 	}
 }
 
-// limit returns a context that bounds one wait.
-func limit(t *testing.T) context.Context {
+// waitContext returns a context that bounds one wait.
+func waitContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -137,7 +134,7 @@
 // eventually polls a condition until it holds.
 func eventually(t *testing.T, what string, condition func() error) {
 	t.Helper()
-	assert.NilError(t, topology.WaitFor(limit(t), what, condition))
+	assert.NilError(t, topology.WaitFor(waitContext(t), what, condition))
 }
 
 func waitServing(t *testing.T, node *topology.Node) {
@@ -146,7 +143,7 @@
 	defer client.Close()
 	call := live.Call{Address: node.Callers, Service: lookupService, Prompt: "is " + node.ID + " serving? [tokens=1]", MaxTokens: 1}
 	eventually(t, node.ID+" to serve", func() error {
-		outcome := client.Send(limit(t), call)
+		outcome := client.Send(waitContext(t), call)
 		if !outcome.OK() {
 			return errors.Errorf("answer: status %d, code %q, transport %q, faults %q",
 				outcome.Status, outcome.Code, outcome.TransportError, outcome.Faults)
@@ -155,22 +152,22 @@
 	})
 }
 
-// restart starts a node that ended and waits until it serves.
+// restart starts a stopped node and waits until it serves.
 func restart(t *testing.T, node *topology.Node) {
 	t.Helper()
-	assert.NilError(t, node.Start(limit(t)))
-	assert.NilError(t, node.WaitReady(limit(t)))
+	assert.NilError(t, node.Start(waitContext(t)))
+	assert.NilError(t, node.WaitReady(waitContext(t)))
 	waitServing(t, node)
 }
 
-// runningLoad is a live load in the background.
+// runningLoad is a live load that runs in the background.
 type runningLoad struct {
 	recorder *live.Recorder
 	cancel   context.CancelFunc
 	ended    chan error
 }
 
-// startLoad sends load until stop, or its own end.
+// startLoad runs a load until stop or until its duration is over.
 func startLoad(t *testing.T, load live.Load) *runningLoad {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -184,14 +181,14 @@
 	return running
 }
 
-// stop ends the arrivals and returns the history after the last answer.
+// stop ends the load and returns the history once all calls have ended.
 func (r *runningLoad) stop(t *testing.T) history.Outcomes {
 	t.Helper()
 	r.cancel()
 	return r.wait(t)
 }
 
-// wait returns the history after the load's own end.
+// wait returns the history once the load and all calls have ended.
 func (r *runningLoad) wait(t *testing.T) history.Outcomes {
 	t.Helper()
 	assert.NilError(t, <-r.ended)
@@ -200,11 +197,11 @@
 	return outcomes
 }
 
-// waitOK waits until that many more calls were answered whole.
+// waitOK waits until the given number of further calls were answered completely.
 func (r *runningLoad) waitOK(t *testing.T, more int) {
 	t.Helper()
 	wanted := r.recorder.Summary().OK + more
-	eventually(t, "calls answered whole", func() error {
+	eventually(t, "calls to be answered completely", func() error {
 		if have := r.recorder.Summary().OK; have < wanted {
 			return errors.Errorf("%d of %d; %+v", have, wanted, r.recorder.Summary())
 		}
@@ -212,14 +209,14 @@
 	})
 }
 
-// busiest waits until an engine runs requests and returns the one that runs most.
-func busiest(t *testing.T, deployment *topology.Deployment) *topology.Engine {
+// busiestEngine waits until an engine runs requests and returns the one that runs most.
+func busiestEngine(t *testing.T, deployment *topology.Deployment) *topology.Engine {
 	t.Helper()
 	var found *topology.Engine
 	eventually(t, "requests to run", func() error {
 		most := 0
 		for _, engine := range deployment.Engines() {
-			status, err := engine.Status(limit(t))
+			status, err := engine.Status(waitContext(t))
 			if err == nil && status.Running > most {
 				most, found = status.Running, engine
 			}
@@ -232,14 +229,12 @@
 	return found
 }
 
-// holds fails the test with every violation found.
-func holds(t *testing.T, violations []history.Violation) {
+func assertNoViolations(t *testing.T, violations []history.Violation) {
 	t.Helper()
 	assert.Check(t, len(violations) == 0, "%d violations:\n%s", len(violations), history.Report(violations))
 }
 
-// executionsOf returns all requests that engines started so far, those of killed
-// engines included.
+// executionsOf returns all requests that engines started so far, including those of killed engines.
 func executionsOf(t *testing.T, deployment *topology.Deployment) []history.Execution {
 	t.Helper()
 	histories, err := deployment.Histories()
@@ -247,11 +242,11 @@
 	return history.Executions(histories...)
 }
 
-// checkAnswers checks all that callers' histories can tell. With allowBroken
-// false, no call may end without an answer or an error.
+// checkAnswers checks the callers' history. With allowBroken false, every call must end with a response or an
+// error.
 func checkAnswers(t *testing.T, outcomes history.Outcomes, executions []history.Execution, allowBroken bool) {
 	t.Helper()
-	holds(t, history.CheckComplete(outcomes, allowBroken))
-	holds(t, history.CheckOwnAnswer(outcomes, executions))
-	holds(t, history.CheckNotExecuted(outcomes, executions))
+	assertNoViolations(t, history.CheckComplete(outcomes, allowBroken))
+	assertNoViolations(t, history.CheckOwnAnswer(outcomes, executions))
+	assertNoViolations(t, history.CheckNotExecuted(outcomes, executions))
 }
--- a/test/integration/exactly_once_test.go
+++ b/test/integration/exactly_once_test.go
@@ -10,15 +10,14 @@
 	"github.com/corkpulley/corkpulley/internal/standin/logservice"
 )
 
-// Size of the steps in these tests.
+// Size of a test step.
 const (
 	stepPrompts = 4
 	stepSamples = 4
 	stepTokens  = 60
 )
 
-// submitAndBegin submits a step and collects its first samples, so that what
-// follows happens in the middle of it.
+// submitAndBegin submits a step and collects its first samples, so that later faults hit it midway.
 func (c *trainerClient) submitAndBegin(step string) {
 	c.t.Helper()
 	before := len(c.deliveries)
@@ -26,7 +25,7 @@
 	c.collect(before + 1)
 }
 
-// owner returns the node that owns the trainer's ledger.
+// owner waits until the owner of the trainer's ledger is running and returns it.
 func (c *trainerClient) owner(step string) *topology.Node {
 	c.t.Helper()
 	var found *topology.Node
@@ -41,15 +40,14 @@
 	return found
 }
 
-// TestInvariantExactlyOnceDelivery: every slot is acknowledged once, through a
-// killed and a frozen coordinator, lost append answers, cut fetches, a trainer
-// that forgets its deliveries, and a long outage of the log.
+// Every slot is acknowledged exactly once through a killed and a frozen ledger owner, lost append answers,
+// interrupted fetches, a trainer that loses its fetched samples, and a log outage.
 func TestInvariantExactlyOnceDelivery(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t)
 	client := newTrainerClient(t, deployment)
 
-	assert.NilError(t, deployment.ControlLog(limit(t), logservice.Control{LoseAnswers: 0.3, LateMS: 30}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{LoseAnswers: 0.3, LateMS: 30}))
 	client.submitAndBegin("lost-answers")
 	client.collectAll()
 
@@ -71,17 +69,17 @@
 	client.collect(len(client.deliveries) + 1)
 	assert.NilError(t, frozen.Thaw())
 	client.collectAll()
-	assert.NilError(t, deployment.ControlLog(limit(t), logservice.Control{}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{}))
 
 	client.submit("cut", stepPrompts, stepSamples, stepTokens)
 	for range 10 {
-		client.cutFetch()
+		client.fetchInterrupted()
 	}
 	client.collectAll()
 
-	// A trainer that lost its fetched samples gets them again.
+	// A trainer that lost its fetched samples can fetch them again.
 	client.submit("forgotten", stepPrompts, stepSamples, stepTokens)
-	eventually(t, "samples to forget", func() error {
+	eventually(t, "samples to be fetched", func() error {
 		if len(client.fetch(fetchWait).Samples) == 0 {
 			return errors.New("none yet")
 		}
@@ -91,25 +89,24 @@
 	client.collectAll()
 
 	client.submitAndBegin("outage")
-	assert.NilError(t, deployment.ControlLog(limit(t), logservice.Control{Down: true}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{Down: true}))
 	for range 3 {
-		client.cutFetch()
+		client.fetchInterrupted()
 	}
-	lookupsGoOn(t, deployment)
-	assert.NilError(t, deployment.ControlLog(limit(t), logservice.Control{}))
+	assertLookupsServed(t, deployment)
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{}))
 	client.collectAll()
 
 	client.checkDeliveries(executionsOf(t, deployment))
 }
 
-// outageLookups are answered during the outage; at their rate they take longer
-// than any call of a trainer looks for an owner.
+// outageLookups make the outage outlast the time that a trainer's call waits for a ledger owner.
 const outageLookups = 240
 
-// lookupsGoOn checks that live calls are answered while the log is down.
-func lookupsGoOn(t *testing.T, deployment *topology.Deployment) {
+// assertLookupsServed checks that live calls are answered while the log is down.
+func assertLookupsServed(t *testing.T, deployment *topology.Deployment) {
 	t.Helper()
-	load := startLoad(t, lookups(deployment, 20, 10))
+	load := startLoad(t, newLookupLoad(deployment, 20, 10))
 	load.waitOK(t, outageLookups)
 	load.stop(t)
 }
--- a/test/integration/fault_free_test.go
+++ b/test/integration/fault_free_test.go
@@ -12,8 +12,8 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// lookups is a load of repeatable live calls over all nodes.
-func lookups(deployment *topology.Deployment, rate float64, tokens int) live.Load {
+// newLookupLoad returns a load of repeatable live calls to all nodes.
+func newLookupLoad(deployment *topology.Deployment, rate float64, tokens int) live.Load {
 	return live.Load{
 		Addresses: deployment.CallerAddresses(), Service: lookupService,
 		Rate: rate, Duration: 10 * time.Minute, Seed: 1, MaxTokens: 1024, Tokens: tokens,
@@ -21,8 +21,8 @@
 	}
 }
 
-// permits is a load of keyed live calls that must run at most once.
-func permits(deployment *topology.Deployment, rate float64, tokens int) live.Load {
+// newPermitLoad returns a load of live calls with idempotency keys that must run at most once.
+func newPermitLoad(deployment *topology.Deployment, rate float64, tokens int) live.Load {
 	return live.Load{
 		Addresses: deployment.CallerAddresses(), Service: permitService,
 		Rate: rate, Duration: 10 * time.Minute, Seed: 2, MaxTokens: 1024, Tokens: tokens,
@@ -30,7 +30,7 @@
 	}
 }
 
-// trainerRun is a trainer in the background.
+// trainerRun is a trainer that runs in the background.
 type trainerRun struct {
 	config  trainer.Config
 	trainer *trainer.Trainer
@@ -38,7 +38,7 @@
 	ended   chan error
 }
 
-// startTrainer trains steps with new weight versions after each.
+// startTrainer trains the given number of steps and publishes a weight version after each.
 func startTrainer(t *testing.T, deployment *topology.Deployment, steps int) *trainerRun {
 	t.Helper()
 	config := trainer.Config{
@@ -46,7 +46,7 @@
 		Prompts: 4, SamplesPerPrompt: 4, MaxTokens: 200, Groups: 2, PrefixBytes: 128, Seed: 5,
 		TrainTime: 50 * time.Millisecond, FetchWait: time.Second,
 		WeightStore: "http://" + deployment.Platform.WeightStore, Model: trainerModel,
-		Bound: trainerBound, CheckTokens: true,
+		Bound: trainerStalenessBound, CheckTokens: true,
 	}
 	running := &trainerRun{config: config, trainer: trainer.New(config), ended: make(chan error, 1)}
 	go func() {
@@ -57,7 +57,7 @@
 	return running
 }
 
-// wanted lists all slots that the trainer asks for.
+// wanted returns all slots that the trainer requests.
 func (r *trainerRun) wanted() []history.Slot {
 	var wanted []history.Slot
 	for _, step := range r.trainer.StepIDs() {
@@ -70,13 +70,13 @@
 	return wanted
 }
 
-// deliveries lists the samples that the trainer may use.
+// deliveries returns the samples that the trainer may use.
 func (r *trainerRun) deliveries(t *testing.T) []history.Delivery {
 	t.Helper()
 	var deliveries []history.Delivery
 	for _, accepted := range r.trainer.Journal().Accepted() {
 		text, known := r.trainer.PromptText(accepted.Sample.Step, accepted.Sample.Prompt)
-		assert.Check(t, known, "sample %s is of no prompt of the trainer", accepted.Sample.ID)
+		assert.Check(t, known, "sample %s is of an unknown prompt", accepted.Sample.ID)
 		deliveries = append(deliveries, history.Delivery{
 			Trainer: trainerName, Sample: accepted.Sample, PromptText: text,
 			TrainerVersion: accepted.TrainerVersion, Bound: r.config.Bound, Accepted: accepted.At,
@@ -85,14 +85,13 @@
 	return deliveries
 }
 
-// check waits for the trainer's end, and checks all that it counted and that
-// its history can tell.
+// check waits for the trainer to end and checks its report and history.
 func (r *trainerRun) check(t *testing.T, deployment *topology.Deployment) {
 	t.Helper()
 	select {
 	case err := <-r.ended:
 		assert.NilError(t, err)
-	case <-limit(t).Done():
+	case <-waitContext(t).Done():
 		t.Fatal("trainer did not end in time")
 	}
 	t.Logf("trainer: %d of %d samples, %d rejected, staleness at most %d",
@@ -100,12 +99,12 @@
 	assert.Check(t, !r.report.Broken(), "%+v", r.report)
 	assert.Equal(t, r.report.SamplesAcknowledged, r.report.SamplesWanted)
 	deliveries := r.deliveries(t)
-	holds(t, history.CheckExactlyOnce(r.wanted(), deliveries))
-	holds(t, history.CheckStaleness(deliveries))
-	holds(t, history.CheckProvenance(deliveries, executionsOf(t, deployment)))
+	assertNoViolations(t, history.CheckExactlyOnce(r.wanted(), deliveries))
+	assertNoViolations(t, history.CheckStaleness(deliveries))
+	assertNoViolations(t, history.CheckProvenance(deliveries, executionsOf(t, deployment)))
 }
 
-// promptsOf lists the prompts of a history.
+// promptsOf returns the prompts of a history.
 func promptsOf(outcomes history.Outcomes) []string {
 	prompts := make([]string, 0, len(outcomes))
 	for i := range outcomes {
@@ -114,13 +113,12 @@
 	return prompts
 }
 
-// TestWholePath runs live calls and a trainer through all nodes without a
-// fault: every call is answered whole and every sample acknowledged once.
-func TestWholePath(t *testing.T) {
+// Without faults, every call is answered completely and every sample acknowledged once.
+func TestFaultFreePath(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t)
-	lookupLoad := startLoad(t, lookups(deployment, 20, 40))
-	permitLoad := startLoad(t, permits(deployment, 5, 10))
+	lookupLoad := startLoad(t, newLookupLoad(deployment, 20, 40))
+	permitLoad := startLoad(t, newPermitLoad(deployment, 5, 10))
 	training := startTrainer(t, deployment, 3)
 	lookupLoad.waitOK(t, 40)
 	permitLoad.waitOK(t, 10)
@@ -133,7 +131,7 @@
 			assert.Check(t, outcomes[i].OK(), "%+v", outcomes[i])
 		}
 	}
-	holds(t, history.CheckAtMostOnce(promptsOf(permitOutcomes), executions))
+	assertNoViolations(t, history.CheckAtMostOnce(promptsOf(permitOutcomes), executions))
 	assert.Assert(t, history.Linearizable(history.KeyedModel(), history.KeyedOperations(permitOutcomes)))
-	assert.NilError(t, deployment.StopNodes(limit(t)))
+	assert.NilError(t, deployment.StopNodes(waitContext(t)))
 }
--- a/test/integration/fault_kinds_test.go
+++ b/test/integration/fault_kinds_test.go
@@ -10,14 +10,13 @@
 	"github.com/corkpulley/corkpulley/internal/standin/weightstore"
 )
 
-// fault is one kind of failure: begin starts it and returns what ends it.
+// fault is one kind of failure; begin injects it and returns the function that ends it.
 type fault struct {
 	name  string
 	begin func(schedule *schedule) (end func())
 }
 
-// plannedStop ends when the process has, so it is always ended last: the other
-// fault of the pair holds while the node stops, and ends then.
+// plannedStop ends only when the process has exited, so in a pair of faults it must be ended last.
 const plannedStop = "node stopped by plan"
 
 func faults() []fault {
@@ -26,14 +25,14 @@
 		{"node frozen", freezeNode},
 		{plannedStop, stopNode},
 		{"engine killed", killEngine},
-		{"engine link stalled", stallEngine},
-		{"peer links reset", resetPeers},
-		{"peer link slow", slowPeer},
-		{"node cut from the log", cutLog},
-		{"log down", downLog},
-		{"append answers lost", loseAnswers},
-		{"weight load fails", failLoad},
-		{"weight store down", downStore},
+		{"engine link stalled", stallEngineLink},
+		{"peer links reset", resetPeerLinks},
+		{"peer link slow", slowPeerLink},
+		{"node cut from the log", cutLogLink},
+		{"log down", stopLog},
+		{"append answers lost", loseAppendAnswers},
+		{"weight load fails", failWeightLoad},
+		{"weight store down", stopWeightStore},
 		{"chunks repeated", repeatChunks},
 	}
 }
@@ -41,7 +40,7 @@
 func killNode(s *schedule) func() {
 	node := s.node()
 	node.Kill()
-	return func() { s.must(node.Start(limit(s.t))) }
+	return func() { s.must(node.Start(waitContext(s.t))) }
 }
 
 func freezeNode(s *schedule) func() {
@@ -54,70 +53,70 @@
 	node := s.node()
 	s.must(node.Signal(syscall.SIGTERM))
 	return func() {
-		code, err := node.Process().Wait(limit(s.t))
+		code, err := node.Process().Wait(waitContext(s.t))
 		s.must(err)
 		assert.Check(s.t, code == 0, "node %s exited with code %d", node.ID, code)
-		s.must(node.Start(limit(s.t)))
+		s.must(node.Start(waitContext(s.t)))
 	}
 }
 
 func killEngine(s *schedule) func() {
 	engine := s.engine()
 	engine.Kill()
-	return func() { s.must(engine.Start(limit(s.t))) }
+	return func() { s.must(engine.Start(waitContext(s.t))) }
 }
 
-func stallEngine(s *schedule) func() {
+func stallEngineLink(s *schedule) func() {
 	link := s.engine().Link
 	s.must(link.Stall())
 	return func() { s.must(link.Restore()) }
 }
 
-func resetPeers(s *schedule) func() {
+func resetPeerLinks(s *schedule) func() {
 	for _, node := range s.deployment.Nodes() {
 		s.must(node.PeerLink.Reset())
 	}
 	return func() {}
 }
 
-func slowPeer(s *schedule) func() {
+func slowPeerLink(s *schedule) func() {
 	link := s.node().PeerLink
 	s.must(link.SetLatency(30 * time.Millisecond))
 	return func() { s.must(link.SetLatency(0)) }
 }
 
-func cutLog(s *schedule) func() {
+func cutLogLink(s *schedule) func() {
 	link := s.node().LogLink
 	link.Cut()
 	return func() { s.must(link.Restore()) }
 }
 
-func downLog(s *schedule) func() {
-	s.log.Down = true
+func stopLog(s *schedule) func() {
+	s.logFaults.Down = true
 	s.controlLog()
 	return func() {
-		s.log.Down = false
+		s.logFaults.Down = false
 		s.controlLog()
 	}
 }
 
-func loseAnswers(s *schedule) func() {
-	s.log.LoseAnswers, s.log.LateMS = 0.5, 50
+func loseAppendAnswers(s *schedule) func() {
+	s.logFaults.LoseAnswers, s.logFaults.LateMS = 0.5, 50
 	s.controlLog()
 	return func() {
-		s.log.LoseAnswers, s.log.LateMS = 0, 0
+		s.logFaults.LoseAnswers, s.logFaults.LateMS = 0, 0
 		s.controlLog()
 	}
 }
 
-// controlLog puts the log's faults in force, several at once if so drawn.
-func (s *schedule) controlLog() { s.must(s.deployment.ControlLog(limit(s.t), s.log)) }
+// controlLog applies all faults of the log that are currently injected.
+func (s *schedule) controlLog() { s.must(s.deployment.ControlLog(waitContext(s.t), s.logFaults)) }
 
-func failLoad(s *schedule) func() {
+func failWeightLoad(s *schedule) func() {
 	engine := s.engine()
 	failures := 1
 	if engine.Running() {
-		s.must(engine.Control(limit(s.t), standin.Control{FailNextLoads: &failures}))
+		s.must(engine.Control(waitContext(s.t), standin.Control{FailNextLoads: &failures}))
 	}
 	return func() {}
 }
@@ -126,20 +125,20 @@
 	engine := s.engine()
 	set := func(on bool) {
 		if engine.Running() {
-			s.must(engine.Control(limit(s.t), standin.Control{RepeatChunks: &on}))
+			s.must(engine.Control(waitContext(s.t), standin.Control{RepeatChunks: &on}))
 		}
 	}
 	set(true)
 	return func() { set(false) }
 }
 
-func downStore(s *schedule) func() {
+func stopWeightStore(s *schedule) func() {
 	down, up := true, false
-	s.must(s.deployment.ControlStore(limit(s.t), weightstore.Control{Down: &down}))
-	return func() { s.must(s.deployment.ControlStore(limit(s.t), weightstore.Control{Down: &up})) }
+	s.must(s.deployment.ControlStore(waitContext(s.t), weightstore.Control{Down: &down}))
+	return func() { s.must(s.deployment.ControlStore(waitContext(s.t), weightstore.Control{Down: &up})) }
 }
 
-// compatible keeps two faults from ending the same machine twice.
+// compatible reports whether two faults can be injected together: they must not both stop a node or an engine.
 func (s *schedule) compatible(first, second fault) bool {
 	for _, machine := range []string{"node", "engine"} {
 		if isProcessFault(first, machine) && isProcessFault(second, machine) {
--- a/test/integration/log_outage_shutdown_test.go
+++ b/test/integration/log_outage_shutdown_test.go
@@ -10,37 +10,35 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// TestInvariantGracefulShutdownWithoutTheLog: SIGTERM of a node that owns
-// ledgers and orders, while the log is down and streams are in hand, cuts
-// nothing short, and the process exits 0 without waiting for the log.
-func TestInvariantGracefulShutdownWithoutTheLog(t *testing.T) {
+// Nodes that own ledgers must drain their streams and exit with 0 on SIGTERM without waiting for the log.
+func TestInvariantGracefulShutdownWithoutLog(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t)
-	load := startLoad(t, lookups(deployment, 30, 400))
+	load := startLoad(t, newLookupLoad(deployment, 30, 400))
 	training := startTrainer(t, deployment, 6)
 	load.waitOK(t, 20)
-	assert.NilError(t, deployment.ControlLog(limit(t), logservice.Control{Down: true}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{Down: true}))
 	load.waitOK(t, 5)
 	for _, node := range deployment.Nodes()[:2] {
 		began := time.Now()
-		code, err := node.Terminate(limit(t))
+		code, err := node.Terminate(waitContext(t))
 		assert.NilError(t, err)
 		assert.Equal(t, code, 0, "node %s", node.ID)
 		t.Logf("node %s ended after %s", node.ID, time.Since(began))
 		load.waitOK(t, 5)
 	}
-	assert.NilError(t, deployment.ControlLog(limit(t), logservice.Control{}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{}))
 	for _, node := range deployment.Nodes()[:2] {
 		restart(t, node)
 	}
 	training.check(t, deployment)
 	outcomes := load.stop(t)
 	executions := executionsOf(t, deployment)
-	holds(t, history.CheckNotCut(outcomes, executions))
+	assertNoViolations(t, history.CheckNotInterrupted(outcomes, executions))
 	checkAnswers(t, outcomes, executions, true)
 	for i := range outcomes {
 		outcome := &outcomes[i]
 		whole := outcome.OK() || outcome.Refused() || outcome.Status == 0
-		assert.Check(t, whole, "a planned stop broke a call: %+v", outcome)
+		assert.Check(t, whole, "a planned stop interrupted a call: %+v", outcome)
 	}
 }
--- a/test/integration/lost_zone_test.go
+++ b/test/integration/lost_zone_test.go
@@ -9,15 +9,14 @@
 	"github.com/corkpulley/corkpulley/internal/bench/topology"
 )
 
-// TestLedgerMovesFromALostZone: when no node of its owner's zone can be heard, a
-// node of another zone takes the ledger over, and each slot is acknowledged once,
-// also after the owner is back.
-func TestLedgerMovesFromALostZone(t *testing.T) {
+// A node of another zone takes over the ledger when its zone is unreachable. Each slot is acknowledged once, also
+// after the old owner is back.
+func TestLedgerFailsOverFromLostZone(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t, func(config *topology.Config) { config.Table = table(defaultRows[:2]...) })
 	waitMembers(t, deployment)
 	row := "comparables,trainer,shared,comparables,latest,3,100,2,-,yes,hillsboro;tumwater,50"
-	_, err := deployment.ApplyTable(limit(t), table(defaultRows[0], defaultRows[1], row))
+	_, err := deployment.ApplyTable(waitContext(t), table(defaultRows[0], defaultRows[1], row))
 	assert.NilError(t, err)
 
 	client := newTrainerClient(t, deployment)
@@ -33,12 +32,12 @@
 	client.checkDeliveries(executionsOf(t, deployment))
 }
 
-// waitMembers waits until every node knows all others, over zones too.
+// waitMembers waits until every node knows all others, across zones.
 func waitMembers(t *testing.T, deployment *topology.Deployment) {
 	t.Helper()
 	eventually(t, "all nodes to know each other", func() error {
 		for _, node := range deployment.Nodes() {
-			status, err := node.Status(limit(t))
+			status, err := node.Status(waitContext(t))
 			if err != nil {
 				return err
 			}
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -1,6 +1,6 @@
-// Package integration proves the promises with real processes: daemons and
-// stand-ins, built once, behind a fault-injecting proxy; histories are recorded
-// at callers, trainers and engines and checked afterwards.
+// Package integration tests the system's invariants with real processes, daemons and simulated engines and
+// platform services, behind fault-injecting proxies. Histories are recorded at callers, trainers and engines
+// and checked afterwards.
 package integration
 
 import (
--- a/test/integration/operators_test.go
+++ b/test/integration/operators_test.go
@@ -17,8 +17,8 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// observer asks every node for the table in force, over and over.
-type observer struct {
+// tableObserver polls every node for its table in force.
+type tableObserver struct {
 	deployment   *topology.Deployment
 	mu           sync.Mutex
 	observations []history.Observation
@@ -26,21 +26,21 @@
 	nodes        sync.WaitGroup
 }
 
-// observeInterval is the time between two looks at one node.
+// observeInterval is the time between polls of one node.
 const observeInterval = 15 * time.Millisecond
 
-func startObserver(t *testing.T, deployment *topology.Deployment) *observer {
+func startObserver(t *testing.T, deployment *topology.Deployment) *tableObserver {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	watching := &observer{deployment: deployment, cancel: cancel}
+	observer := &tableObserver{deployment: deployment, cancel: cancel}
 	for _, node := range deployment.Nodes() {
-		watching.nodes.Go(func() { watching.watch(ctx, node) })
+		observer.nodes.Go(func() { observer.poll(ctx, node) })
 	}
 	t.Cleanup(cancel)
-	return watching
+	return observer
 }
 
-func (o *observer) watch(ctx context.Context, node *topology.Node) {
+func (o *tableObserver) poll(ctx context.Context, node *topology.Node) {
 	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
@@ -56,22 +56,22 @@
 	}
 }
 
-func (o *observer) add(observation history.Observation) {
+func (o *tableObserver) add(observation history.Observation) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.observations = append(o.observations, observation)
 }
 
-func (o *observer) all() []history.Observation {
+func (o *tableObserver) all() []history.Observation {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]history.Observation(nil), o.observations...)
 }
 
-// waitAfter waits until every node has answered after the time.
-func (o *observer) waitAfter(t *testing.T, after time.Time) {
+// waitAfter waits until every node has answered a poll that started after the given time.
+func (o *tableObserver) waitAfter(t *testing.T, after time.Time) {
 	t.Helper()
-	eventually(t, "an answer of every node after the bound", func() error {
+	eventually(t, "an answer of every node after the convergence bound", func() error {
 		answered := map[string]bool{}
 		for _, observation := range o.all() {
 			if observation.Started.After(after) {
@@ -87,17 +87,17 @@
 	})
 }
 
-func (o *observer) stop() []history.Observation {
+func (o *tableObserver) stop() []history.Observation {
 	o.cancel()
 	o.nodes.Wait()
 	return o.all()
 }
 
-// operators race to edit the table and record what they were told.
-type operators struct {
+// tableEditors edit the table concurrently and record the verdicts.
+type tableEditors struct {
 	t  *testing.T
 	mu sync.Mutex
-	// share numbers the edits, so that no two tables are the same.
+	// share numbers the edits, so that all tables differ.
 	share      int
 	operations []porcupine.Operation
 	accepted   []acceptedRevision
@@ -108,7 +108,7 @@
 	at       time.Time
 }
 
-func (o *operators) nextTable() string {
+func (o *tableEditors) nextTable() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.share++
@@ -116,9 +116,9 @@
 	return table(row, defaultRows[1], defaultRows[2])
 }
 
-// edit proposes one change at a node, from the table in force there, and asks
-// with the same proposal until it has the verdict or ctx ends.
-func (o *operators) edit(ctx context.Context, node *topology.Node) {
+// edit proposes one change of the node's table in force and repeats the proposal until its verdict is known or ctx
+// ends.
+func (o *tableEditors) edit(ctx context.Context, node *topology.Node) {
 	current, err := node.Table(ctx)
 	if err != nil {
 		return
@@ -135,7 +135,7 @@
 		Return: history.UnknownReturn,
 		Output: history.TableResult{Outcome: history.Unknown},
 	}
-	for ctx.Err() == nil && !o.verdict(ctx, node, proposal, &operation) {
+	for ctx.Err() == nil && !o.propose(ctx, node, proposal, &operation) {
 		select {
 		case <-ctx.Done():
 		case <-time.After(observeInterval):
@@ -146,8 +146,10 @@
 	o.operations = append(o.operations, operation)
 }
 
-// verdict sends the proposal once and reports whether the answer is final.
-func (o *operators) verdict(ctx context.Context, node *topology.Node, proposal api.TableProposal, operation *porcupine.Operation) bool {
+// propose sends the proposal once and reports whether the answer is final.
+func (o *tableEditors) propose(
+	ctx context.Context, node *topology.Node, proposal api.TableProposal, operation *porcupine.Operation,
+) bool {
 	accepted, err := node.ProposeTable(ctx, proposal)
 	now := time.Now()
 	if err == nil {
@@ -167,11 +169,11 @@
 	return true
 }
 
-// race lets both nodes' operators make edits at the same time.
-func (o *operators) race(edits int, nodes ...*topology.Node) {
+// editConcurrently makes the given number of edits at each node, all nodes at once.
+func (o *tableEditors) editConcurrently(edits int, nodes ...*topology.Node) {
 	o.t.Helper()
 	var racing sync.WaitGroup
-	ctx := limit(o.t)
+	ctx := waitContext(o.t)
 	for _, node := range nodes {
 		racing.Go(func() {
 			for range edits {
@@ -182,8 +184,8 @@
 	racing.Wait()
 }
 
-// last returns the highest revision accepted so far.
-func (o *operators) last() acceptedRevision {
+// latestAccepted returns the highest accepted revision.
+func (o *tableEditors) latestAccepted() acceptedRevision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var highest acceptedRevision
--- a/test/integration/ownership_test.go
+++ b/test/integration/ownership_test.go
@@ -21,33 +21,31 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// submitters submit one small step after the other at every node and record
-// under which epoch each was accepted.
+// submitters submit small steps at every node and record the epoch under which each was accepted.
 type submitters struct {
 	client *trainerClient
-	// base is the version that each step names.
-	base       uint64
-	mu         sync.Mutex
-	operations []porcupine.Operation
-	running    sync.WaitGroup
+	// trainerVersion is the version that each step names.
+	trainerVersion uint64
+	mu             sync.Mutex
+	operations     []porcupine.Operation
+	running        sync.WaitGroup
 }
 
 const (
-	// submittersPerNode call each node at once, so that calls lie in a frozen
-	// node's sockets when it wakes up.
+	// submittersPerNode calls run at once, so that some wait in a frozen node's sockets when it is thawed.
 	submittersPerNode = 3
 	submitInterval    = 30 * time.Millisecond
 )
 
 func startSubmitters(t *testing.T, ctx context.Context, client *trainerClient) *submitters {
 	t.Helper()
-	started := &submitters{client: client, base: client.version}
+	started := &submitters{client: client, trainerVersion: client.version}
 	for _, node := range client.deployment.Nodes() {
 		for number := range submittersPerNode {
 			started.running.Go(func() { started.submit(ctx, node, number) })
 		}
 	}
-	started.running.Go(func() { started.use(ctx) })
+	started.running.Go(func() { started.consume(ctx) })
 	return started
 }
 
@@ -55,22 +53,22 @@
 	for number := 0; ctx.Err() == nil; number++ {
 		step := fmt.Sprintf("%s-%d-%d", node.ID, submitter, number)
 		s.submitOne(ctx, node, step)
-		pause(ctx, submitInterval)
+		sleepContext(ctx, submitInterval)
 	}
 }
 
-// submitOne submits a step once. Only an accepted one tells something about
-// ownership: a failed call may have had an effect or not, and changes no owner.
+// submitOne submits a step once and records it only when accepted: a failed call may or may not have had an
+// effect, and does not change ownership.
 func (s *submitters) submitOne(ctx context.Context, node *topology.Node, step string) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	request := api.StepRequest{
 		Prompts:          []api.StepPrompt{{Group: "ownership", Text: step + " [tokens=2]"}},
-		SamplesPerPrompt: 1, MaxTokens: 8, TrainerVersion: s.base,
+		SamplesPerPrompt: 1, MaxTokens: 8, TrainerVersion: s.trainerVersion,
 	}
 	var status api.StepStatus
 	called := time.Now().UnixNano()
-	if s.client.tryAt(ctx, node.Callers, http.MethodPut, "/steps/"+step, request, &status) != nil {
+	if s.client.sendOnceTo(ctx, node.Callers, http.MethodPut, "/steps/"+step, request, &status) != nil {
 		return
 	}
 	s.mu.Lock()
@@ -81,13 +79,12 @@
 	})
 }
 
-// lateSubmissions are the calls that a frozen owner finds when it wakes up.
+// lateSubmissions is the number of calls that wait at a frozen owner when it is thawed.
 const lateSubmissions = 8
 
-// wake continues a frozen owner that another has replaced. Calls wait for it that
-// were made after the other's steps were accepted, and its connections to the
-// log are gone, so that it takes the calls before it can read that it is fenced.
-func (s *submitters) wake(t *testing.T, ctx context.Context, frozen *topology.Node, round int) {
+// thawFencedOwner thaws an owner that was replaced while frozen. Calls made after the takeover wait in its sockets,
+// and its log connections are reset, so that it handles the calls before it can read that it was fenced.
+func (s *submitters) thawFencedOwner(t *testing.T, ctx context.Context, frozen *topology.Node, round int) {
 	t.Helper()
 	assert.NilError(t, frozen.LogLink.Reset())
 	var sent sync.WaitGroup
@@ -99,35 +96,35 @@
 		})
 	}
 	sent.Wait()
-	pause(ctx, submitInterval) // lets the calls into the node's sockets; nothing hangs on it
+	sleepContext(ctx, submitInterval) // gives the calls time to reach the node's sockets
 	assert.NilError(t, frozen.Thaw())
 }
 
-// use fetches and acknowledges, so that steps end and others may begin.
-func (s *submitters) use(ctx context.Context) {
+// consume fetches and acknowledges samples, so that steps end and later ones can begin.
+func (s *submitters) consume(ctx context.Context) {
 	for ctx.Err() == nil {
-		s.useOnce(ctx)
-		pause(ctx, submitInterval)
+		s.consumeOnce(ctx)
+		sleepContext(ctx, submitInterval)
 	}
 }
 
-func (s *submitters) useOnce(ctx context.Context) {
+func (s *submitters) consumeOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var fetched api.FetchResponse
-	fetch := api.FetchRequest{TrainerVersion: s.base, WaitMS: fetchWait.Milliseconds()}
-	if s.client.try(ctx, http.MethodPost, "/fetch", fetch, &fetched) != nil || len(fetched.Samples) == 0 {
+	fetch := api.FetchRequest{TrainerVersion: s.trainerVersion, WaitMS: fetchWait.Milliseconds()}
+	if s.client.sendOnce(ctx, http.MethodPost, "/fetch", fetch, &fetched) != nil || len(fetched.Samples) == 0 {
 		return
 	}
-	request := api.AckRequest{Token: fetched.Token, TrainerVersion: s.base}
+	request := api.AckRequest{Token: fetched.Token, TrainerVersion: s.trainerVersion}
 	for _, sample := range fetched.Samples {
 		request.Samples = append(request.Samples, sample.ID)
 	}
 	var response api.AckResponse
-	_ = s.client.try(ctx, http.MethodPost, "/ack", request, &response)
+	_ = s.client.sendOnce(ctx, http.MethodPost, "/ack", request, &response)
 }
 
-func pause(ctx context.Context, duration time.Duration) {
+func sleepContext(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(duration):
@@ -140,8 +137,8 @@
 	return append([]porcupine.Operation(nil), s.operations...)
 }
 
-// waitAccepted waits until that many more steps were accepted under an epoch
-// above the given one and returns the highest epoch.
+// waitAccepted waits until that many more steps were accepted under an epoch above the given one, and returns the
+// highest epoch.
 func (s *submitters) waitAccepted(t *testing.T, more int, above int64) int64 {
 	t.Helper()
 	before := len(s.all())
@@ -162,15 +159,15 @@
 	return highest
 }
 
-// claimsOf reads the claims that won from the log, by the rule that a claim wins
-// when it names the epoch in force. Nobody outside knows when a claimant called.
+// claimsOf reads the winning claims from the log: those that name the epoch in force. When a claimant called is
+// unknown, so each may take effect at any time.
 func claimsOf(t *testing.T, deployment *topology.Deployment, stream string) []porcupine.Operation {
 	t.Helper()
 	service := logservice.NewHTTP("http://"+deployment.Platform.Log, &http.Client{})
 	var claims []porcupine.Operation
 	var epoch int64
 	for next := int64(0); ; {
-		batch, err := service.Read(limit(t), stream, next, 500, 0)
+		batch, err := service.Read(waitContext(t), stream, next, 500, 0)
 		assert.NilError(t, err)
 		for _, entry := range batch.Entries {
 			next = entry.Offset + 1
@@ -193,9 +190,8 @@
 	}
 }
 
-// TestLedgerOwnershipIsLinearizable: a record of a ledger counts only under the
-// epoch in force, with owners frozen past the takeover and woken, killed, and
-// cut from the log, and append answers lost.
+// A ledger's record counts only under the epoch in force, with owners frozen past a takeover, killed or cut off
+// from the log, and lost append answers.
 func TestLedgerOwnershipIsLinearizable(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t, func(config *topology.Config) {
@@ -213,19 +209,19 @@
 		frozen := client.owner("n1-0-0")
 		assert.NilError(t, frozen.Freeze())
 		epoch = submitting.waitAccepted(t, 10, epoch)
-		submitting.wake(t, ctx, frozen, round)
+		submitting.thawFencedOwner(t, ctx, frozen, round)
 		submitting.waitAccepted(t, 20, 0)
-		assert.NilError(t, deployment.ControlLog(limit(t), standin.Control{LoseAnswers: 0.3, LateMS: 50}))
+		assert.NilError(t, deployment.ControlLog(waitContext(t), standin.Control{LoseAnswers: 0.3, LateMS: 50}))
 	}
 	killed := client.owner("n1-0-0")
 	killed.Kill()
 	submitting.waitAccepted(t, 10, epoch)
 	restart(t, killed)
-	assert.NilError(t, deployment.ControlLog(limit(t), standin.Control{}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), standin.Control{}))
 
 	cut := client.owner("n1-0-0")
 	cut.LogLink.Cut()
-	pause(ctx, cutTime)
+	sleepContext(ctx, logCutTime)
 	assert.NilError(t, cut.LogLink.Restore())
 	submitting.waitAccepted(t, 20, 0)
 	cancel()
@@ -238,9 +234,10 @@
 		epochs[operation.Input.(history.OwnershipOperation).Epoch] = true
 	}
 	t.Logf("%d claims won, %d steps accepted under %d epochs", len(claims), len(accepted), len(epochs))
-	assert.Assert(t, len(epochs) >= 4, "steps were accepted under %d epochs only, so too little was proved", len(epochs))
+	assert.Assert(t, len(epochs) >= 4, "steps were accepted under %d epochs only, so the test covered too little",
+		len(epochs))
 	assert.Assert(t, history.Linearizable(history.OwnershipModel(), append(claims, accepted...)))
 }
 
-// cutTime is how long a node stays cut from the log; nothing hangs on it.
-const cutTime = time.Second
+// logCutTime is how long a node stays cut off from the log.
+const logCutTime = time.Second
--- a/test/integration/provenance_test.go
+++ b/test/integration/provenance_test.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// maxRounds bounds the steps until all that must be proved has happened.
+	// maxRounds bounds the steps until all required cases have occurred.
 	maxRounds = 12
-	// longTokens make a sample run long enough to be met in the middle.
-	longTokens = 800
+	// longSampleTokens makes samples long enough to be interrupted midway.
+	longSampleTokens = 800
 )
 
-// TestInvariantVersionProvenance: each sample's segments equal what the engines
-// really ran, token for token, through swaps in mid-sample, failed swaps and
-// moves to another engine.
+// Segments of samples must match what the engines ran, token by token, through weight swaps within a sample,
+// failed swaps and moves to another engine.
 func TestInvariantVersionProvenance(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t)
 	client := newTrainerClient(t, deployment)
 	loadFailed := false
-	proved := func() bool {
-		return loadFailed && client.hasMixedSample() && client.hasMovedSample(executionsOf(t, deployment))
+	covered := func() bool {
+		return loadFailed && client.hasMultiVersionSample() && client.hasResumedSample(executionsOf(t, deployment))
 	}
-	for round := 0; !proved(); round++ {
-		assert.Assert(t, round < maxRounds, "no sample under two versions, no moved sample or no failed load, so too little was proved")
-		client.submit(fmt.Sprintf("swap-%d", round), stepPrompts, stepSamples, longTokens)
-		moved := busiest(t, deployment)
+	for round := 0; !covered(); round++ {
+		assert.Assert(t, round < maxRounds,
+			"no sample under two versions, no resumed sample or no failed load, so the test covered too little")
+		client.submit(fmt.Sprintf("swap-%d", round), stepPrompts, stepSamples, longSampleTokens)
+		moved := busiestEngine(t, deployment)
 		failing := otherEngine(deployment, moved)
 		failures := 1
-		assert.NilError(t, failing.Control(limit(t), standin.Control{FailNextLoads: &failures}))
+		assert.NilError(t, failing.Control(waitContext(t), standin.Control{FailNextLoads: &failures}))
 		client.publish()
 		moved.Link.Cut()
 		client.collect(len(client.deliveries) + 1)
@@ -44,12 +44,12 @@
 		moved.Kill()
 		client.collectAll()
 		loadFailed = loadFailed || hasFailedLoad(t, failing)
-		assert.NilError(t, moved.Start(limit(t)))
+		assert.NilError(t, moved.Start(waitContext(t)))
 	}
 	client.checkDeliveries(executionsOf(t, deployment))
 }
 
-// otherEngine returns an engine of the same zone.
+// otherEngine returns another engine of the same zone.
 func otherEngine(deployment *topology.Deployment, engine *topology.Engine) *topology.Engine {
 	for _, other := range deployment.Engines() {
 		if other != engine && other.Zone == engine.Zone {
@@ -59,9 +59,8 @@
 	return deployment.Engines()[0]
 }
 
-// hasMovedSample reports whether a delivered sample was begun on one engine and
-// continued on another.
-func (c *trainerClient) hasMovedSample(executions []history.Execution) bool {
+// hasResumedSample reports whether a delivered sample was resumed on another engine.
+func (c *trainerClient) hasResumedSample(executions []history.Execution) bool {
 	delivered := map[uint64]bool{}
 	for i := range c.deliveries {
 		delivered[history.PromptHash(c.deliveries[i].PromptText)] = true
@@ -74,18 +73,18 @@
 	return false
 }
 
-// hasFailedLoad reports whether an ordered load failed on the engine.
+// hasFailedLoad reports whether an ordered weight load failed on the engine.
 func hasFailedLoad(t *testing.T, engine *topology.Engine) bool {
 	t.Helper()
-	recorded, err := engine.History(limit(t))
+	recorded, err := engine.History(waitContext(t))
 	assert.NilError(t, err)
 	return slices.ContainsFunc(recorded.Orders, func(order standin.OrderHistory) bool {
 		return order.Result == standin.ResultFailed
 	})
 }
 
-// hasMixedSample reports whether a delivered sample has two versions.
-func (c *trainerClient) hasMixedSample() bool {
+// hasMultiVersionSample reports whether a delivered sample has segments of several versions.
+func (c *trainerClient) hasMultiVersionSample() bool {
 	for i := range c.deliveries {
 		if len(c.deliveries[i].Sample.Versions) > 1 {
 			return true
--- a/test/integration/refusal_test.go
+++ b/test/integration/refusal_test.go
@@ -12,12 +12,10 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// cutLatency keeps calls on their way, sent and not yet answered, so that a cut
-// meets some of them.
-const cutLatency = 40 * time.Millisecond
+// resetLatency keeps calls in flight so that a reset interrupts some of them.
+const resetLatency = 40 * time.Millisecond
 
-// resetAllLinks cuts each link into a node or an engine once, while calls are
-// being sent over it.
+// resetAllLinks resets each link to a node or an engine once under load.
 func resetAllLinks(t *testing.T, deployment *topology.Deployment, load *runningLoad) {
 	t.Helper()
 	for _, node := range deployment.Nodes() {
@@ -30,27 +28,26 @@
 	}
 }
 
-// loseAllEngines kills every engine with calls in hand and keeps them away until
-// calls are given up: those that had begun may then not be called not run.
-func loseAllEngines(t *testing.T, deployment *topology.Deployment, load *runningLoad) {
+// killAllEngines kills all engines under load and restarts them once the interrupted calls have ended. Calls that
+// had started must not be reported as not run.
+func killAllEngines(t *testing.T, deployment *topology.Deployment, load *runningLoad) {
 	t.Helper()
-	busiest(t, deployment)
+	busiestEngine(t, deployment)
 	for _, engine := range deployment.Engines() {
 		engine.Kill()
 	}
-	load.waitCutEnded(t, deployment)
+	load.waitInterruptedCalls(t, deployment)
 	for _, engine := range deployment.Engines() {
-		assert.NilError(t, engine.Start(limit(t)))
+		assert.NilError(t, engine.Start(waitContext(t)))
 	}
 	load.waitOK(t, 10)
 }
 
-// waitCutEnded waits until every call of the load that engines had begun and,
-// being killed, did not end has ended at its caller, however it did.
-func (r *runningLoad) waitCutEnded(t *testing.T, deployment *topology.Deployment) {
+// waitInterruptedCalls waits until every lookup that was running on a killed engine has ended at its caller.
+func (r *runningLoad) waitInterruptedCalls(t *testing.T, deployment *topology.Deployment) {
 	t.Helper()
 	executions := executionsOf(t, deployment)
-	eventually(t, "the calls that were cut to end", func() error {
+	eventually(t, "the interrupted calls to end", func() error {
 		ended := map[uint64]bool{}
 		for _, outcome := range r.recorder.Outcomes() {
 			ended[history.PromptHash(outcome.Call.Prompt)] = true
@@ -58,16 +55,15 @@
 		for _, execution := range executions {
 			cut := execution.Service == lookupService && execution.Outcome == standin.OutcomeRunning
 			if cut && !ended[execution.PromptHash] {
-				return errors.Errorf("request %s has not", execution.RequestID)
+				return errors.Errorf("request %s has not ended", execution.RequestID)
 			}
 		}
 		return nil
 	})
 }
 
-// TestInvariantRefusalNotExecuted: no call that was refused as not run stands
-// in any engine's history, under overload, a killed dispatcher, cuts while
-// sending and a node that leaves.
+// Calls rejected as not run must not be in any engine's history, under overload, a killed dispatcher, link resets,
+// lost engines and a planned stop.
 func TestInvariantRefusalNotExecuted(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t, func(config *topology.Config) {
@@ -77,36 +73,36 @@
 			config.Engines[i].Arguments = append(config.Engines[i].Arguments, "--max-waiting", "2")
 		}
 	})
-	overload := lookups(deployment, 60, 30)
+	overload := newLookupLoad(deployment, 60, 30)
 	overload.CallTimeout = 20 * time.Second
 	load := startLoad(t, overload)
-	single := permits(deployment, 20, 30)
+	single := newPermitLoad(deployment, 20, 30)
 	single.Keyed = false
 	single.CallTimeout = 20 * time.Second
 	unrepeatable := startLoad(t, single)
 	load.waitOK(t, 10)
 
-	// One of the two dispatches the cell of their zone.
+	// One of these nodes is the dispatcher of their zone's cell.
 	for _, id := range []string{"n1", "n2"} {
 		killed := deployment.Node(id)
 		killed.Kill()
 		load.waitOK(t, 10)
-		// It may refuse all that it is asked, so only its readiness is awaited.
-		assert.NilError(t, killed.Start(limit(t)))
-		assert.NilError(t, killed.WaitReady(limit(t)))
+		// Under overload the node may reject every call, so this waits for readiness only.
+		assert.NilError(t, killed.Start(waitContext(t)))
+		assert.NilError(t, killed.WaitReady(waitContext(t)))
 	}
 	for _, node := range deployment.Nodes() {
-		assert.NilError(t, node.PeerLink.SetLatency(cutLatency))
+		assert.NilError(t, node.PeerLink.SetLatency(resetLatency))
 	}
 	for _, engine := range deployment.Engines() {
-		assert.NilError(t, engine.Link.SetLatency(cutLatency))
+		assert.NilError(t, engine.Link.SetLatency(resetLatency))
 	}
 	for range 3 {
 		resetAllLinks(t, deployment, load)
 	}
-	loseAllEngines(t, deployment, load)
+	killAllEngines(t, deployment, load)
 	leaving := deployment.Node("n3")
-	code, err := leaving.Terminate(limit(t))
+	code, err := leaving.Terminate(waitContext(t))
 	assert.NilError(t, err)
 	assert.Equal(t, code, 0)
 	load.waitOK(t, 10)
@@ -114,13 +110,13 @@
 	singles := unrepeatable.stop(t)
 	outcomes := append(load.stop(t), singles...)
 	executions := executionsOf(t, deployment)
-	holds(t, history.CheckAtMostOnce(promptsOf(singles), executions))
+	assertNoViolations(t, history.CheckAtMostOnce(promptsOf(singles), executions))
 	refusals := 0
 	for i := range outcomes {
 		if outcomes[i].Refused() {
 			refusals++
 		}
 	}
-	assert.Assert(t, refusals > 0, "nothing was refused, so nothing was proved")
+	assert.Assert(t, refusals > 0, "no call was rejected, so the test covered nothing")
 	checkAnswers(t, outcomes, executions, true)
 }
--- a/test/integration/staleness_test.go
+++ b/test/integration/staleness_test.go
@@ -22,8 +22,8 @@
 	})
 }
 
-// fetchSome fetches until samples come and returns the fetch that had them.
-func (c *trainerClient) fetchSome() api.FetchResponse {
+// fetchUntilSamples fetches until samples arrive and returns that fetch.
+func (c *trainerClient) fetchUntilSamples() api.FetchResponse {
 	c.t.Helper()
 	var fetched api.FetchResponse
 	eventually(c.t, "samples", func() error {
@@ -36,9 +36,8 @@
 	return fetched
 }
 
-// TestInvariantStalenessBound: no sample is handed out beyond the row's bound
-// at the trainer's version, when versions step between done and fetch and
-// between fetch and acknowledgement, the bound is tightened, and the log is down.
+// No sample beyond the staleness bound is delivered when versions advance before the fetch or the acknowledgement,
+// the bound is tightened, or the log is down.
 func TestInvariantStalenessBound(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t)
@@ -46,35 +45,35 @@
 
 	client.submit("done-then-stepped", stepPrompts, stepSamples, stepTokens)
 	client.waitFilled("done-then-stepped")
-	client.stepBeyondBound()
+	client.publishBeyondBound()
 	client.collectAll()
-	assert.Assert(t, client.status("done-then-stepped").Discarded > 0, "no sample became stale, so nothing was proved")
+	assert.Assert(t, client.status("done-then-stepped").Discarded > 0, "no sample became stale, so the test covered nothing")
 
 	client.submit("fetched-then-stepped", stepPrompts, stepSamples, stepTokens)
 	client.waitFilled("fetched-then-stepped")
-	fetched := client.fetchSome()
-	client.stepBeyondBound()
+	fetched := client.fetchUntilSamples()
+	client.publishBeyondBound()
 	accepted := client.acknowledge(fetched).Accepted
 	assert.Check(t, len(accepted) == 0, "stale samples were accepted: %v", accepted)
 	client.collectAll()
 
 	client.submit("log-down", stepPrompts, stepSamples, stepTokens)
 	client.waitFilled("log-down")
-	assert.NilError(t, deployment.ControlLog(limit(t), logservice.Control{Down: true}))
-	client.stepBeyondBound()
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{Down: true}))
+	client.publishBeyondBound()
 	for range 3 {
-		client.cutFetch()
+		client.fetchInterrupted()
 	}
-	assert.NilError(t, deployment.ControlLog(limit(t), logservice.Control{}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{}))
 	client.collectAll()
 
 	client.submit("tightened", stepPrompts, stepSamples, stepTokens)
 	client.waitFilled("tightened")
 	client.publish()
-	fetched = client.fetchSome()
+	fetched = client.fetchUntilSamples()
 	rows := append([]string(nil), defaultRows[:2]...)
 	rows = append(rows, "comparables,trainer,shared,comparables,latest,3,100,0,-,yes,*,50")
-	_, err := deployment.ApplyTable(limit(t), table(rows...))
+	_, err := deployment.ApplyTable(waitContext(t), table(rows...))
 	assert.NilError(t, err)
 	client.bound = 0
 	client.acknowledge(fetched)
@@ -83,9 +82,8 @@
 	client.checkDeliveries(executionsOf(t, deployment))
 }
 
-// stepBeyondBound publishes so many versions that all samples drawn before are
-// too old.
-func (c *trainerClient) stepBeyondBound() {
+// publishBeyondBound publishes enough versions to make all earlier samples stale.
+func (c *trainerClient) publishBeyondBound() {
 	c.t.Helper()
 	for range c.bound + 1 {
 		c.publish()
--- a/test/integration/trainer_client_test.go
+++ b/test/integration/trainer_client_test.go
@@ -19,20 +19,19 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// trainerClient is a trainer whose every move a test decides. It records what
-// it wanted and what the service let it use.
+// trainerClient is a trainer whose calls are made by the test. It records what it requested and what it may use.
 type trainerClient struct {
 	t          *testing.T
 	deployment *topology.Deployment
 	http       *http.Client
 
 	mu sync.Mutex
-	// next is the node asked next.
-	next    int
-	version uint64
-	bound   int
-	prompts map[string][]string
-	// held are samples fetched and not yet used; they survive a restart.
+	// nextNode counts calls, to send them to the nodes in turn.
+	nextNode int
+	version  uint64
+	bound    int
+	prompts  map[string][]string
+	// held holds all fetched samples by ID, across fetches.
 	held       map[string]api.Sample
 	wanted     []history.Slot
 	deliveries []history.Delivery
@@ -45,37 +44,37 @@
 		deployment: deployment,
 		http:       &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 		version:    1,
-		bound:      trainerBound,
+		bound:      trainerStalenessBound,
 		prompts:    map[string][]string{},
 		held:       map[string]api.Sample{},
 	}
 }
 
-// callTimeout bounds one try of a call, so that a frozen node does not hold it.
+// callTimeout bounds one attempt, so that a frozen node does not block the call.
 const callTimeout = 5 * time.Second
 
-// call sends a request to the nodes in turn until one answers with 200.
+// call sends a request to the nodes in turn until one answers with status 200.
 func (c *trainerClient) call(method, path string, body, into any) {
 	c.t.Helper()
 	eventually(c.t, method+" "+path, func() error {
 		ctx, cancel := context.WithTimeout(c.t.Context(), callTimeout)
 		defer cancel()
-		return c.try(ctx, method, path, body, into)
+		return c.sendOnce(ctx, method, path, body, into)
 	})
 }
 
-// try sends a request once, to the next node.
-func (c *trainerClient) try(ctx context.Context, method, path string, body, into any) error {
+// sendOnce sends a request once, to the next node.
+func (c *trainerClient) sendOnce(ctx context.Context, method, path string, body, into any) error {
 	addresses := c.deployment.CallerAddresses()
 	c.mu.Lock()
-	address := addresses[c.next%len(addresses)]
-	c.next++
+	address := addresses[c.nextNode%len(addresses)]
+	c.nextNode++
 	c.mu.Unlock()
-	return c.tryAt(ctx, address, method, path, body, into)
+	return c.sendOnceTo(ctx, address, method, path, body, into)
 }
 
-// tryAt sends a request once, to the node at the address.
-func (c *trainerClient) tryAt(ctx context.Context, address, method, path string, body, into any) error {
+// sendOnceTo sends a request once, to the node at the address.
+func (c *trainerClient) sendOnceTo(ctx context.Context, address, method, path string, body, into any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -100,7 +99,7 @@
 	return json.Unmarshal(answer, into)
 }
 
-// submit asks for samples of each prompt in a step.
+// submit submits a step that requests the given number of samples of each prompt.
 func (c *trainerClient) submit(step string, prompts, samples, tokens int) {
 	c.t.Helper()
 	request := api.StepRequest{SamplesPerPrompt: samples, MaxTokens: 4096, Seed: 11, TrainerVersion: c.version}
@@ -117,7 +116,7 @@
 	assert.Equal(c.t, status.Wanted, prompts*samples)
 }
 
-// status asks for the state of a step.
+// status returns the status of a step.
 func (c *trainerClient) status(step string) api.StepStatus {
 	c.t.Helper()
 	var status api.StepStatus
@@ -125,7 +124,7 @@
 	return status
 }
 
-// fetch asks for samples and keeps those that come.
+// fetch fetches samples and stores them.
 func (c *trainerClient) fetch(wait time.Duration) api.FetchResponse {
 	c.t.Helper()
 	var response api.FetchResponse
@@ -140,15 +139,15 @@
 	return api.FetchRequest{TrainerVersion: c.version, WaitMS: wait.Milliseconds()}
 }
 
-// cutFetch starts a fetch and cuts its connection in the middle.
-func (c *trainerClient) cutFetch() {
+// fetchInterrupted starts a fetch and closes its connection before the response.
+func (c *trainerClient) fetchInterrupted() {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 20*time.Millisecond)
 	defer cancel()
 	var response api.FetchResponse
-	_ = c.try(ctx, http.MethodPost, "/fetch", c.fetchRequest(time.Second), &response)
+	_ = c.sendOnce(ctx, http.MethodPost, "/fetch", c.fetchRequest(time.Second), &response)
 }
 
-// acknowledge names what was fetched and records what may be used.
+// acknowledge acknowledges fetched samples and records the accepted ones as deliveries.
 func (c *trainerClient) acknowledge(fetched api.FetchResponse) api.AckResponse {
 	c.t.Helper()
 	request := api.AckRequest{Token: fetched.Token, TrainerVersion: c.version}
@@ -159,7 +158,7 @@
 	c.call(http.MethodPost, "/ack", request, &response)
 	for _, id := range response.Accepted {
 		sample, held := c.held[id]
-		assert.Assert(c.t, held, "sample %s was accepted and never fetched", id)
+		assert.Assert(c.t, held, "sample %s was accepted but never fetched", id)
 		c.deliveries = append(c.deliveries, history.Delivery{
 			Trainer: trainerName, Sample: sample, PromptText: c.prompts[sample.Step][sample.Prompt],
 			TrainerVersion: request.TrainerVersion, Bound: c.bound, Accepted: time.Now(),
@@ -168,10 +167,10 @@
 	return response
 }
 
-// fetchWait is the long poll of a fetch inside collect.
+// fetchWait is the long-poll time of a fetch.
 const fetchWait = 500 * time.Millisecond
 
-// collect fetches and acknowledges until that many deliveries are recorded.
+// collect fetches and acknowledges until the given total of deliveries is recorded.
 func (c *trainerClient) collect(deliveries int) {
 	c.t.Helper()
 	eventually(c.t, "deliveries", func() error {
@@ -185,8 +184,7 @@
 	})
 }
 
-// collectAll collects until every wanted slot is acknowledged, and checks that
-// the service says so, too.
+// collectAll collects every requested slot and checks that the service reports the steps as done.
 func (c *trainerClient) collectAll() {
 	c.t.Helper()
 	c.collect(len(c.wanted))
@@ -195,7 +193,7 @@
 	}
 }
 
-// publish publishes the next version of the trainer's model and moves to it.
+// publish publishes the next version of the trainer's model and adopts it.
 func (c *trainerClient) publish() {
 	c.t.Helper()
 	c.version++
@@ -203,10 +201,10 @@
 	eventually(c.t, "publication", func() error { return c.deployment.Publish(c.t.Context(), model) })
 }
 
-// checkDeliveries checks all that a trainer's history can tell.
+// checkDeliveries checks the trainer's history.
 func (c *trainerClient) checkDeliveries(ran []history.Execution) {
 	c.t.Helper()
-	holds(c.t, history.CheckExactlyOnce(c.wanted, c.deliveries))
-	holds(c.t, history.CheckStaleness(c.deliveries))
-	holds(c.t, history.CheckProvenance(c.deliveries, ran))
+	assertNoViolations(c.t, history.CheckExactlyOnce(c.wanted, c.deliveries))
+	assertNoViolations(c.t, history.CheckStaleness(c.deliveries))
+	assertNoViolations(c.t, history.CheckProvenance(c.deliveries, ran))
 }
