--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -20,44 +20,41 @@
 	headerDeadline = "X-Corkpulley-Deadline-Ms"
 	headerTokens   = "X-Corkpulley-Token-Count"
 	headerWait     = "X-Corkpulley-Wait-Ms"
-	// itemPromptTokens and itemOutputTokens are the size of each item, in the prompt
-	// and at most out.
+	// Token counts declared for each item: its prompt and its maximum output.
 	itemPromptTokens = 10
 	itemOutputTokens = 90
 )
 
-// Client calls nodes as live callers and trainers do, each call on a connection
-// of its own.
+// Client calls nodes as live callers and trainers do. Each call uses a new connection.
 type Client struct {
 	http *http.Client
-	// key is the API key that it shows; empty for none.
+	// key is the API key sent with each call, if not empty.
 	key string
 }
 
-// WithKey returns a client that shows an API key.
+// WithKey returns a copy of the client that sends an API key.
 func (c *Client) WithKey(key string) *Client { return &Client{http: c.http, key: key} }
 
-// NewClient returns a client whose calls end after the timeout.
+// NewClient returns a client with a timeout for each call.
 func NewClient(timeout time.Duration) *Client {
 	return &Client{http: &http.Client{
 		Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 	}}
 }
 
-// LiveAnswer is what a live caller got.
+// LiveAnswer is the response to a live request.
 type LiveAnswer struct {
 	Status int
-	// ID is the request's ID as the answer names it, Stamped tells whether an
-	// engine's stamp came with it.
+	// ID is the request ID in the response. Stamped reports whether the response carries an engine's signature.
 	ID      string
 	Stamped bool
 	Body    string
-	// Events are the data of a stream's events, in order; Numbers are theirs.
+	// Events and Numbers are the data and the IDs of a stream's events, in order.
 	Events  []string
 	Numbers []int64
 }
 
-// Refused tells whether the status promises that the request never runs.
+// Refused reports whether the status guarantees that the request is never executed.
 func Refused(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout,
@@ -83,7 +80,7 @@
 	return c.http.Do(request)
 }
 
-// Live sends a live request to a node. An error means that no whole answer came.
+// Live sends a live request to a node. An error means that no complete response was received.
 func (c *Client) Live(ctx context.Context, address, path, id, body string, deadline time.Duration) (LiveAnswer, error) {
 	response, err := c.do(ctx, http.MethodPost, address, path, []byte(body), map[string]string{
 		headerRequestID: id, headerDeadline: strconv.FormatInt(deadline.Milliseconds(), 10), headerModel: ModelDrafts,
@@ -105,7 +102,7 @@
 	return answer, err
 }
 
-// readEvents reads the events of a stream until it ends whole.
+// readEvents reads events until the stream is complete.
 func (a *LiveAnswer) readEvents(body io.Reader) error {
 	reader := eventstream.NewReader(body)
 	for {
@@ -121,7 +118,7 @@
 	}
 }
 
-// Job is a batch job as a trainer hands it in.
+// Job is a batch job as a trainer submits it.
 type Job struct {
 	ID         string
 	Step       int64
@@ -134,14 +131,12 @@
 	ID    string
 	Group string
 	Body  string
-	// ScoringID names the item's scoring call under PrefixScoring; empty for none.
+	// ScoringID is the ID of the item's scoring call below PrefixScoring; empty for none.
 	ScoringID string
 }
 
-// ScoringPath is the path of a scoring call.
 func ScoringPath(id string) string { return PrefixScoring + id }
 
-// ScoringBody is the body of the item's scoring call.
 func (i JobItem) ScoringBody() string { return "score " + i.ID }
 
 type wireScoring struct {
@@ -161,7 +156,7 @@
 	}
 }
 
-// ItemPath is the path under which engines get an item.
+// ItemPath returns the path at which engines receive an item.
 func ItemPath(id string) string { return PrefixDrafts + "x/" + id }
 
 type wireItem struct {
@@ -194,7 +189,7 @@
 	return raw, nil
 }
 
-// Submit hands a job in and returns the status; an error means that none came.
+// Submit submits a job and returns the response status; an error means that there was no response.
 func (c *Client) Submit(ctx context.Context, address string, job Job) (int, error) {
 	raw, err := job.encode()
 	if err != nil {
@@ -204,7 +199,7 @@
 	return statusOf(response, err)
 }
 
-// End ends a job and returns the status.
+// End ends a job and returns the response status.
 func (c *Client) End(ctx context.Context, address, jobID string) (int, error) {
 	response, err := c.do(ctx, http.MethodDelete, address, "/lots/"+jobID, nil, nil)
 	return statusOf(response, err)
@@ -225,22 +220,22 @@
 	State    string  `json:"state"`
 	Text     string  `json:"text"`
 	Versions []int64 `json:"versions"`
-	// Score is the stamp of the answer to the scoring call.
+	// Score is the signature on the response to the scoring call.
 	Score string `json:"score"`
 }
 
-// StateCompleted is the state of an item whose whole output is listed.
+// StateCompleted is the state of an item whose result holds its whole output.
 const StateCompleted = "completed"
 
-// JobResults is the answer to a read of a job.
+// JobResults is one page of a job's results.
 type JobResults struct {
 	Total   int          `json:"total"`
 	Next    int          `json:"nextToken"`
 	Results []ItemResult `json:"results"`
 }
 
-// Results reads a job from a position on, held for up to wait until there is a
-// result. The status is zero, with an error, when no whole answer came.
+// Results reads a job's results from a position on, waiting up to wait for the first one.
+// The status is zero, with an error, if no complete response was received.
 func (c *Client) Results(ctx context.Context, address, jobID string, from int, wait time.Duration) (JobResults, int, error) {
 	headers := map[string]string{}
 	if wait > 0 {
--- a/internal/standin/platform/doc.go
+++ b/internal/standin/platform/doc.go
@@ -1,4 +1,3 @@
-// Package platform stands in for the users' platform: its store and its model
-// engines, over HTTP, with the faults that they may have. Tests and corkbench
-// use it; nothing that serves does.
+// Package platform simulates the users' platform for tests and corkbench: its log store and its model engines,
+// served over HTTP with injectable faults.
 package platform
--- a/internal/standin/platform/duties.go
+++ b/internal/standin/platform/duties.go
@@ -11,20 +11,20 @@
 	"github.com/gorilla/mux"
 )
 
-// UsageCall is a report of use as it arrived.
+// UsageCall is a usage report as received.
 type UsageCall struct {
 	Holder string `json:"-"`
 	Fence  int64  `json:"-"`
-	// From is the address that the call came from, without the port.
+	// From is the caller's IP address.
 	From   string           `json:"-"`
 	At     time.Time        `json:"-"`
 	Window int64            `json:"windowNo"`
 	Counts map[string]int64 `json:"counts"`
-	// Status is the answer that was given.
+	// Status is the response status.
 	Status int `json:"-"`
 }
 
-// ScaleCall is an order of engines as it arrived.
+// ScaleCall is a scaling request as received.
 type ScaleCall struct {
 	Holder  string    `json:"-"`
 	Fence   int64     `json:"-"`
@@ -35,71 +35,70 @@
 	Status  int       `json:"-"`
 }
 
-// Duties takes the calls that one node at a time makes. It is an http.Handler.
+// Duties receives usage reports and scaling requests, which one node at a time sends. It is an http.Handler.
 type Duties struct {
 	router *mux.Router
 
 	mu sync.Mutex
-	// ignoreFences is true where lower fencing tokens than one seen are taken.
+	// ignoreFences accepts calls whose fencing token is lower than one already seen.
 	ignoreFences bool
-	// fences holds the highest fencing token of each subject.
+	// fences is the highest fencing token seen for each subject.
 	fences map[string]int64
 	usage  []UsageCall
 	scale  []ScaleCall
-	// soldOut is true while no engines are to be had.
-	soldOut bool
-	// loseAnswers is true while calls are carried out and not answered.
-	loseAnswers bool
+	// noCapacity rejects scaling requests for lack of engines.
+	noCapacity bool
+	// dropResponses closes connections without a response after the call took effect.
+	dropResponses bool
 }
 
-// NewDuties returns what takes the calls.
+// NewDuties returns a receiver without recorded calls.
 func NewDuties() *Duties {
 	d := &Duties{router: mux.NewRouter(), fences: make(map[string]int64)}
-	d.router.HandleFunc("/usage", d.takeUsage).Methods(http.MethodPost)
-	d.router.HandleFunc("/scale", d.takeScale).Methods(http.MethodPost)
+	d.router.HandleFunc("/usage", d.handleUsage).Methods(http.MethodPost)
+	d.router.HandleFunc("/scale", d.handleScale).Methods(http.MethodPost)
 	return d
 }
 
 // ServeHTTP implements http.Handler.
 func (d *Duties) ServeHTTP(w http.ResponseWriter, r *http.Request) { d.router.ServeHTTP(w, r) }
 
-// SoldOut sets whether no engines are to be had.
-func (d *Duties) SoldOut(soldOut bool) {
+// SoldOut sets whether scaling requests are rejected for lack of engines.
+func (d *Duties) SoldOut(noCapacity bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.soldOut = soldOut
+	d.noCapacity = noCapacity
 }
 
-// LoseAnswers sets whether calls are carried out and not answered.
-func (d *Duties) LoseAnswers(lose bool) {
+// LoseAnswers sets whether connections are closed without a response after the call took effect.
+func (d *Duties) LoseAnswers(drop bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.loseAnswers = lose
+	d.dropResponses = drop
 }
 
-// IgnoreFences has calls with lower fencing tokens than one seen taken as well.
+// IgnoreFences accepts calls whose fencing token is lower than one already seen.
 func (d *Duties) IgnoreFences() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ignoreFences = true
 }
 
-// Usage returns the reports in the order of their arrival.
+// Usage returns the usage reports in order of arrival.
 func (d *Duties) Usage() []UsageCall {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]UsageCall(nil), d.usage...)
 }
 
-// Scale returns the orders of engines in the order of their arrival.
+// Scale returns the scaling requests in order of arrival.
 func (d *Duties) Scale() []ScaleCall {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]ScaleCall(nil), d.scale...)
 }
 
-// Reported returns what was taken for each window, and the windows for which two
-// reports were taken that differ.
+// Reported returns the accepted counts of each window, and the windows for which accepted reports differ.
 func (d *Duties) Reported() (windows map[int64]map[string]int64, differing []int64) {
 	windows = make(map[int64]map[string]int64)
 	for _, call := range d.Usage() {
@@ -114,38 +113,38 @@
 	return windows, differing
 }
 
-func (d *Duties) takeUsage(w http.ResponseWriter, r *http.Request) {
+func (d *Duties) handleUsage(w http.ResponseWriter, r *http.Request) {
 	call := UsageCall{At: time.Now(), From: hostOf(r.RemoteAddr)}
-	holder, fence, read := readCall(r, &call)
+	holder, fence, read := decodeCall(r, &call)
 	call.Holder, call.Fence = holder, fence
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	call.Status = d.status("usage", fence, read, false)
 	d.usage = append(d.usage, call)
-	d.answer(w, call.Status)
+	d.respond(w, call.Status)
 }
 
-func (d *Duties) takeScale(w http.ResponseWriter, r *http.Request) {
+func (d *Duties) handleScale(w http.ResponseWriter, r *http.Request) {
 	call := ScaleCall{At: time.Now()}
-	holder, fence, read := readCall(r, &call)
+	holder, fence, read := decodeCall(r, &call)
 	call.Holder, call.Fence = holder, fence
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	call.Status = d.status("scale/"+call.Service+"/"+call.Zone, fence, read, d.soldOut)
+	call.Status = d.status("scale/"+call.Service+"/"+call.Zone, fence, read, d.noCapacity)
 	d.scale = append(d.scale, call)
-	d.answer(w, call.Status)
+	d.respond(w, call.Status)
 }
 
-// readCall reads who calls, and the body into a call; false if one of them is missing.
-func readCall(r *http.Request, into any) (holder string, fence int64, read bool) {
+// decodeCall decodes the caller's headers and the body; read is false if one of them is missing or malformed.
+func decodeCall(r *http.Request, into any) (holder string, fence int64, read bool) {
 	holder = r.Header.Get("X-Corkpulley-Duty-Holder")
 	fence, err := strconv.ParseInt(r.Header.Get("X-Corkpulley-Fencing-Token"), 10, 64)
 	read = err == nil && holder != "" && json.NewDecoder(r.Body).Decode(into) == nil
 	return holder, fence, read
 }
 
-// status decides about a call; mu is held.
-func (d *Duties) status(subject string, fence int64, read, soldOut bool) int {
+// status returns the response status of a call. Must be called with mu held.
+func (d *Duties) status(subject string, fence int64, read, noCapacity bool) int {
 	switch {
 	case !read:
 		return http.StatusBadRequest
@@ -153,16 +152,16 @@
 		return http.StatusConflict
 	}
 	d.fences[subject] = max(fence, d.fences[subject])
-	if soldOut {
+	if noCapacity {
 		return http.StatusConflict
 	}
 	return http.StatusOK
 }
 
-// answer gives the answer, or none; mu is held.
-func (d *Duties) answer(w http.ResponseWriter, status int) {
-	if d.loseAnswers {
-		loseAnswer()
+// respond writes the status, or closes the connection if responses are dropped. Must be called with mu held.
+func (d *Duties) respond(w http.ResponseWriter, status int) {
+	if d.dropResponses {
+		abortConnection()
 	}
 	w.WriteHeader(status)
 }
--- a/internal/standin/platform/engine.go
+++ b/internal/standin/platform/engine.go
@@ -11,7 +11,7 @@
 	"github.com/gorilla/mux"
 )
 
-// Headers of the engines.
+// Headers of the engine protocol.
 const (
 	headerRequestID   = "X-Corkpulley-Attempt-Id"
 	headerExpect      = "X-Corkpulley-Expect-Instance"
@@ -27,32 +27,31 @@
 	headerCredentials = "Authorization"
 )
 
-// EngineFault is what happens to a request at an engine.
+// EngineFault is the fault that an engine injects into a request.
 type EngineFault uint8
 
-// The faults of engines.
 const (
-	// Works: no fault.
+	// Works injects no fault.
 	Works EngineFault = iota
-	// Full: the engine refuses the request as not run.
+	// Full refuses the request as not executed.
 	Full
-	// Fails: the run ends with 500.
+	// Fails responds with 500.
 	Fails
-	// Impossible: the request can never be run.
+	// Impossible responds that the request can never be executed.
 	Impossible
-	// CutOff: the answer ends early.
+	// CutOff truncates the response.
 	CutOff
-	// Silent: the engine runs the request and never answers.
+	// Silent executes the request and never responds.
 	Silent
-	// AnswerLost: the engine runs the request and closes the connection.
+	// AnswerLost executes the request and closes the connection.
 	AnswerLost
-	// Surplus: a second answer follows the first on the connection.
+	// Surplus sends a second response on the connection.
 	Surplus
-	// Foreign: the answer bears the ID of another request.
+	// Foreign responds with the ID of another request.
 	Foreign
 )
 
-// Run is one request that an engine has begun.
+// Run is a request that an engine started to execute.
 type Run struct {
 	ID    string
 	Path  string
@@ -61,58 +60,56 @@
 	After int64
 	Host  string
 	At    time.Time
-	// Tenant is the tenant that the engine was told, Credentials what it was shown of
-	// the client's.
+	// Tenant and Credentials are the tenant and the client's Authorization header as forwarded to the engine.
 	Tenant      string
 	Credentials string
 }
 
-// OrderSeen is one order as the engine received it.
+// OrderSeen is an order as received by the engine.
 type OrderSeen struct {
 	Holder  string
 	Fence   int64
 	Version int64
 	At      time.Time
-	// From is the address that the order came from, without the port.
+	// From is the sender's IP address.
 	From string
-	// Expected is how many orders the sender believed the engine to have taken, noCount
-	// where it does not say; Taken is how many it had.
+	// Expected is the number of accepted orders that the sender assumed, or countUnknown if it sent none.
+	// Taken is the number that the engine had accepted.
 	Expected int64
 	Taken    int64
-	// Status is the engine's answer.
+	// Status is the response status.
 	Status int
 }
 
-// EngineOptions describe an engine.
+// EngineOptions configures an engine.
 type EngineOptions struct {
 	ID string
-	// Born is when the engine started, in milliseconds since 1970; zero where it does not tell.
+	// Born is the start time in Unix milliseconds; zero leaves it out of entries and reports.
 	Born    int64
 	Service string
 	Zone    string
 	Slots   int
-	// Versions holds the weight version of each model; an engine without models
-	// gives plain answers.
+	// Versions is the weight version of each model. An engine without models sends plain responses.
 	Versions map[string]int64
-	// Events is the number of events of an item, EventTime the time for each.
+	// Events returns the number of events of an item; EventTime is the time for each.
 	Events    func(id string) int
 	EventTime time.Duration
-	// Data makes the data of an event; EventData without the version when nil.
+	// Data returns the data of an event. Defaults to EventData, which ignores the version.
 	Data func(id string, number int, version int64) string
-	// LoadTime is how long a change of weights takes.
+	// LoadTime is the duration of a weight change.
 	LoadTime time.Duration
-	// EndsUnder tells which runs end the engine's process, EventsBeforeEnd how many
-	// events of a stream it makes before. End ends the process. See EngineHost.
+	// EndsUnder reports whether a run crashes the engine, EventsBeforeEnd is the number of events that its stream
+	// sends first, and End performs the crash. See EngineHost.
 	EndsUnder       func(run Run) bool
 	EventsBeforeEnd int
 	End             func(run Run)
-	// ColdFor is how long after its start the engine's entry says that it is cold.
+	// ColdFor is how long after its start the engine reports that it is cold.
 	ColdFor time.Duration
-	// CheckFences refuses orders with lower fencing tokens than one seen.
+	// CheckFences rejects orders whose fencing token is lower than that of an accepted one.
 	CheckFences bool
 }
 
-// Engine is a model engine. It is an http.Handler.
+// Engine simulates a model engine. It is an http.Handler.
 type Engine struct {
 	options EngineOptions
 	router  *mux.Router
@@ -125,13 +122,13 @@
 	busy     bool
 	orders   int64
 	fence    int64
-	seen     []OrderSeen
+	received []OrderSeen
 	arrivals []Arrival
-	// coldUntil is when it is warm.
+	// coldUntil is the time at which the engine is warm.
 	coldUntil time.Time
 }
 
-// NewEngine returns an engine.
+// NewEngine returns an engine that is not listed in a store yet.
 func NewEngine(options EngineOptions) *Engine {
 	if options.Data == nil {
 		options.Data = func(id string, number int, _ int64) string { return EventData(id, number) }
@@ -140,11 +137,11 @@
 		options: options, versions: maps.Clone(options.Versions), router: mux.NewRouter().SkipClean(true),
 		coldUntil: time.Now().Add(options.ColdFor),
 	}
-	e.router.HandleFunc("/report", e.report).Methods(http.MethodGet)
-	e.router.HandleFunc("/order", e.order).Methods(http.MethodPost)
-	e.router.HandleFunc("/healthz", e.health).Methods(http.MethodGet)
-	e.router.NotFoundHandler = http.HandlerFunc(e.serve)
-	e.router.MethodNotAllowedHandler = http.HandlerFunc(e.serve)
+	e.router.HandleFunc("/report", e.handleReport).Methods(http.MethodGet)
+	e.router.HandleFunc("/order", e.handleOrder).Methods(http.MethodPost)
+	e.router.HandleFunc("/healthz", e.handleHealth).Methods(http.MethodGet)
+	e.router.NotFoundHandler = http.HandlerFunc(e.handleRequest)
+	e.router.MethodNotAllowedHandler = http.HandlerFunc(e.handleRequest)
 	return e
 }
 
@@ -159,33 +156,33 @@
 	e.router.ServeHTTP(w, r)
 }
 
-// SetFault sets what decides the fate of each request; nil for no faults.
+// SetFault sets the function that selects the fault of each request; nil for no faults.
 func (e *Engine) SetFault(fault func(id string) EngineFault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = fault
 }
 
-// Runs returns the requests that the engine has begun.
+// Runs returns the requests that the engine started to execute.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Run(nil), e.runs...)
 }
 
-// Version returns the engine's version of a model.
+// Version returns the engine's weight version of a model.
 func (e *Engine) Version(model string) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.versions[model]
 }
 
-// Holders returns who has ordered the engine, in the order of the orders taken.
+// Holders returns the holders of the accepted orders, in order.
 func (e *Engine) Holders() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var holders []string
-	for _, order := range e.seen {
+	for _, order := range e.received {
 		if order.Status == http.StatusAccepted {
 			holders = append(holders, order.Holder)
 		}
@@ -193,26 +190,25 @@
 	return holders
 }
 
-// Orders returns all orders that the engine received and could read.
+// Orders returns all well-formed orders that the engine received.
 func (e *Engine) Orders() []OrderSeen {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]OrderSeen(nil), e.seen...)
+	return append([]OrderSeen(nil), e.received...)
 }
 
-// ID returns the engine's own ID, which a later start of it may have again.
+// ID returns the engine's ID, which a later process may reuse.
 func (e *Engine) ID() string { return e.options.ID }
 
-// Service returns the name of the engine's service.
 func (e *Engine) Service() string { return e.options.Service }
 
-// Entry is the engine's record in the list of engines.
+// Entry returns the engine's record for the engine list.
 func (e *Engine) Entry(address, state string) []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	raw, err := json.Marshal(e.withBorn(map[string]any{
+	raw, err := json.Marshal(e.withStartTime(map[string]any{
 		"service": e.options.Service, "address": address, "zone": e.options.Zone, "version": "v1",
-		"slots": e.options.Slots, "state": state, "coldLeftMs": e.coldLeft().Milliseconds(), "models": e.modelList(),
+		"slots": e.options.Slots, "state": state, "coldLeftMs": e.coldRemaining().Milliseconds(), "models": e.modelList(),
 		"seqNo": e.orders,
 	}))
 	if err != nil {
@@ -221,15 +217,15 @@
 	return raw
 }
 
-// withBorn adds when the engine started to what it says of itself.
-func (e *Engine) withBorn(said map[string]any) map[string]any {
+// withStartTime adds the engine's start time to an entry or report.
+func (e *Engine) withStartTime(fields map[string]any) map[string]any {
 	if e.options.Born != 0 {
-		said["born"] = e.options.Born
+		fields["born"] = e.options.Born
 	}
-	return said
+	return fields
 }
 
-// modelList is the wire form of the versions; mu is held.
+// modelList returns the wire form of the versions. Must be called with mu held.
 func (e *Engine) modelList() []map[string]any {
 	list := []map[string]any{}
 	for name, version := range e.versions {
@@ -238,8 +234,8 @@
 	return list
 }
 
-// endsUnder tells whether the engine's process ends under a run.
-func (e *Engine) endsUnder(run Run) bool {
+// crashesOn reports whether a run crashes the engine.
+func (e *Engine) crashesOn(run Run) bool {
 	return e.options.EndsUnder != nil && e.options.EndsUnder(run)
 }
 
--- a/internal/standin/platform/engine_arrivals.go
+++ b/internal/standin/platform/engine_arrivals.go
@@ -5,33 +5,32 @@
 	"time"
 )
 
-// Arrival is one request that reached an engine: begun, or refused because the engine was
-// full. Requests for another engine are none.
+// Arrival is a request that reached an engine, whether executed or refused for lack of slots.
+// Requests addressed to another engine are not recorded.
 type Arrival struct {
 	ID string
 	At time.Time
-	// From is the address that the request came from, without the port.
+	// From is the sender's IP address.
 	From string
 }
 
-// ExpectedEngine is the ID of the engine that a request is meant for; empty where it tells none.
+// ExpectedEngine returns the ID of the engine that a request is addressed to, or "".
 func ExpectedEngine(r *http.Request) string { return r.Header.Get(headerExpect) }
 
-// arrived notes a request.
-func (e *Engine) arrived(r *http.Request) {
+func (e *Engine) recordArrival(r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.arrivals = append(e.arrivals, Arrival{ID: r.Header.Get(headerRequestID), At: time.Now(), From: hostOf(r.RemoteAddr)})
 }
 
-// ArrivalsSeen returns the requests that reached the engine, in the order of their arrival.
+// ArrivalsSeen returns the requests that reached the engine, in order of arrival.
 func (e *Engine) ArrivalsSeen() []Arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Arrival(nil), e.arrivals...)
 }
 
-// Arrivals returns when requests reached the engine.
+// Arrivals returns the arrival times of the requests that reached the engine.
 func (e *Engine) Arrivals() []time.Time {
 	var times []time.Time
 	for _, each := range e.ArrivalsSeen() {
@@ -40,8 +39,7 @@
 	return times
 }
 
-// TurnCold makes the engine cold for a time from now on, or for as long as it is cold already. Its entry
-// in the list is to be listed again.
+// TurnCold makes the engine cold for at least a duration from now on. The caller must list its entry again.
 func (e *Engine) TurnCold(lasting time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,5 +48,5 @@
 	}
 }
 
-// coldLeft is how much longer the engine is cold; mu is held.
-func (e *Engine) coldLeft() time.Duration { return max(0, time.Until(e.coldUntil)) }
+// coldRemaining returns how much longer the engine is cold. Must be called with mu held.
+func (e *Engine) coldRemaining() time.Duration { return max(0, time.Until(e.coldUntil)) }
--- a/internal/standin/platform/engine_control.go
+++ b/internal/standin/platform/engine_control.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-func (e *Engine) report(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) handleReport(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	answerJSON(w, http.StatusOK, e.withBorn(map[string]any{
+	writeJSON(w, http.StatusOK, e.withStartTime(map[string]any{
 		"stage": "both", "models": e.modelList(), "busy": e.busy, "seqNo": e.orders,
 		"queuedCount": 0, "runningCount": e.running,
 	}))
 }
 
-func (e *Engine) health(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	cold := e.coldLeft()
+	cold := e.coldRemaining()
 	e.mu.Unlock()
 	w.Header().Set(headerInstance, e.options.ID)
 	w.Header().Set(headerColdMs, strconv.FormatInt(cold.Milliseconds(), 10))
 	w.WriteHeader(http.StatusOK)
 }
 
-// noCount stands in an OrderSeen for an order that does not say how many came before it.
-const noCount = -1
+// countUnknown is OrderSeen.Expected for an order that does not state a count.
+const countUnknown = -1
 
-// hostOf is an address without its port.
+// hostOf returns an address without its port.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return host
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Kind     string `json:"opKind"`
 		Model    string `json:"model"`
@@ -63,14 +63,14 @@
 	case e.versions[body.Model] == body.Version:
 		status = http.StatusOK
 	}
-	seen := OrderSeen{
+	received := OrderSeen{
 		Holder: body.Holder, Fence: body.Fence, Version: body.Version, At: time.Now(), From: hostOf(r.RemoteAddr),
-		Expected: noCount, Taken: e.orders, Status: status,
+		Expected: countUnknown, Taken: e.orders, Status: status,
 	}
 	if body.Expected != nil {
-		seen.Expected = *body.Expected
+		received.Expected = *body.Expected
 	}
-	e.seen = append(e.seen, seen)
+	e.received = append(e.received, received)
 	if status != http.StatusAccepted {
 		w.WriteHeader(status)
 		return
--- a/internal/standin/platform/engine_host.go
+++ b/internal/standin/platform/engine_host.go
@@ -10,17 +10,15 @@
 	"github.com/go-faster/errors"
 )
 
-// EngineHost runs an engine at one address, again and again, as where a supervisor restarts
-// a process that crashed: each start is another engine with an ID of its own, or, where the
-// options tell when the first one started, the same ID with a later start.
+// EngineHost runs an engine at a fixed address and restarts it after each crash, as a supervisor does.
+// Each start has a new ID or, if EngineOptions.Born is set, the same ID and a later start time.
 type EngineHost struct {
 	store   *Store
 	address string
 	options EngineOptions
-	// downTime is the time from a crash to the next start, lapseTime to when the entry
-	// in the list of engines goes.
-	downTime  time.Duration
-	lapseTime time.Duration
+	// restartDelay is the time from a crash to the next start, entryTTL the time to the removal of its list entry.
+	restartDelay time.Duration
+	entryTTL     time.Duration
 
 	mu      sync.Mutex
 	engines []*Engine
@@ -30,18 +28,18 @@
 	timers  []*time.Timer
 }
 
-// NewEngineHost starts the first engine at an address where nobody else listens. The
-// options' ID is the prefix of the engines' IDs, or the ID of all where Born is set.
+// NewEngineHost starts the first engine at a free address. The options' ID is the prefix of the engines' IDs,
+// or the ID of all of them if Born is set.
 func NewEngineHost(
-	store *Store, address string, options EngineOptions, downTime, lapseTime time.Duration,
+	store *Store, address string, options EngineOptions, restartDelay, entryTTL time.Duration,
 ) (*EngineHost, error) {
-	host := &EngineHost{store: store, address: address, options: options, downTime: downTime, lapseTime: lapseTime}
+	host := &EngineHost{store: store, address: address, options: options, restartDelay: restartDelay, entryTTL: entryTTL}
 	host.mu.Lock()
 	defer host.mu.Unlock()
 	return host, host.start()
 }
 
-// start begins the next engine; mu is held.
+// start starts the next engine. Must be called with mu held.
 func (h *EngineHost) start() error {
 	listener, err := net.Listen("tcp", h.address)
 	if err != nil {
@@ -57,7 +55,7 @@
 	return nil
 }
 
-// nextOptions are those of the next start; mu is held.
+// nextOptions returns the options of the next start. Must be called with mu held.
 func (h *EngineHost) nextOptions() EngineOptions {
 	options := h.options
 	if options.Born == 0 {
@@ -70,8 +68,8 @@
 	return options
 }
 
-// lapse has an engine's entry go, unless a later start under its ID has written it meanwhile.
-func (h *EngineHost) lapse(engine *Engine) {
+// expireEntry removes an engine's list entry unless a later start has rewritten it under the same ID.
+func (h *EngineHost) expireEntry(engine *Engine) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	newest := h.engines[len(h.engines)-1]
@@ -80,7 +78,7 @@
 	}
 }
 
-// crash ends the engine with all its connections and has another one start.
+// crash stops the engine, closes its connections and schedules the restart.
 func (h *EngineHost) crash() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -91,12 +89,12 @@
 	engine := h.engines[len(h.engines)-1]
 	_ = h.server.Close()
 	h.server = nil
-	lapse := time.AfterFunc(h.lapseTime, func() { h.lapse(engine) })
-	restart := time.AfterFunc(h.downTime, h.restart)
-	h.timers = append(h.timers, lapse, restart)
+	expireEntry := time.AfterFunc(h.entryTTL, func() { h.expireEntry(engine) })
+	restart := time.AfterFunc(h.restartDelay, h.restart)
+	h.timers = append(h.timers, expireEntry, restart)
 }
 
-// restart begins the next engine, or tries again soon while the address is taken.
+// restart starts the next engine, and retries while the address is in use.
 func (h *EngineHost) restart() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,24 +107,24 @@
 	}
 }
 
-// Engines returns all engines so far, the newest last.
+// Engines returns all engines started so far, newest last.
 func (h *EngineHost) Engines() []*Engine {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]*Engine(nil), h.engines...)
 }
 
-// Crashes returns when engines crashed here.
+// Crashes returns the times of the crashes.
 func (h *EngineHost) Crashes() []time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]time.Time(nil), h.crashes...)
 }
 
-// Crash ends the engine whatever it runs.
+// Crash crashes the running engine.
 func (h *EngineHost) Crash() { h.crash() }
 
-// Close ends the engine for good.
+// Close stops the engine without a restart.
 func (h *EngineHost) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/standin/platform/engine_answers.go
+++ b/internal/standin/platform/engine_responses.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-func (e *Engine) serve(w http.ResponseWriter, r *http.Request) {
-	e.arrived(r)
+func (e *Engine) handleRequest(w http.ResponseWriter, r *http.Request) {
+	e.recordArrival(r)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -39,33 +39,33 @@
 	case Silent:
 		<-r.Context().Done()
 	case AnswerLost:
-		loseAnswer()
+		abortConnection()
 	case Foreign:
 		w.Header().Set(headerRequestID, "another")
 		_, _ = io.WriteString(w, Answer(id))
 	default:
 		if len(e.options.Versions) > 0 {
-			e.stream(w, r, run, fault)
+			e.writeStream(w, r, run, fault)
 			return
 		}
-		if e.endsUnder(run) {
+		if e.crashesOn(run) {
 			e.options.End(run)
-			loseAnswer()
+			abortConnection()
 		}
-		e.plain(w, id, fault)
+		e.writePlain(w, id, fault)
 	}
 }
 
-// Stamp is the signature of an engine's answer.
+// Stamp returns the signature of an engine's response.
 func Stamp(id string) string { return "stamp-" + id }
 
-// Answer is the body of a plain answer.
+// Answer returns the body of a plain response.
 func Answer(id string) string { return "the whole answer to " + id }
 
-// EventData is the data of an event of an item.
+// EventData returns the data of an event of an item.
 func EventData(id string, number int) string { return fmt.Sprintf("%s-%d", id, number) }
 
-// Text is the whole output of an item.
+// Text returns the whole output of an item.
 func Text(id string, events int) string {
 	lines := make([]string, events)
 	for i := range lines {
@@ -74,21 +74,21 @@
 	return strings.Join(lines, "\n")
 }
 
-func (e *Engine) plain(w http.ResponseWriter, id string, fault EngineFault) {
+func (e *Engine) writePlain(w http.ResponseWriter, id string, fault EngineFault) {
 	answer := Answer(id)
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 	if fault == CutOff {
 		_, _ = io.WriteString(w, answer[:len(answer)/2])
-		loseAnswer()
+		abortConnection()
 	}
 	_, _ = io.WriteString(w, answer)
 	if fault == Surplus {
-		surplus(w, answer)
+		writeDuplicate(w, answer)
 	}
 }
 
-// surplus sends the whole answer again, in the place of the next one.
-func surplus(w http.ResponseWriter, answer string) {
+// writeDuplicate sends a second response, in place of the one to the next request.
+func writeDuplicate(w http.ResponseWriter, answer string) {
 	control := http.NewResponseController(w)
 	if control.Flush() != nil {
 		return
@@ -103,7 +103,7 @@
 	_ = buffered.Flush()
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, run Run, fault EngineFault) {
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, run Run, fault EngineFault) {
 	model := r.Header.Get(headerModel)
 	after, _ := strconv.Atoi(r.Header.Get(headerLastEvent))
 	version := e.Version(model)
@@ -118,14 +118,14 @@
 			return
 		case <-time.After(e.options.EventTime):
 		}
-		if e.endsUnder(run) && number > after+e.options.EventsBeforeEnd {
+		if e.crashesOn(run) && number > after+e.options.EventsBeforeEnd {
 			e.options.End(run)
-			loseAnswer()
+			abortConnection()
 		}
 		if fault == CutOff && number > (after+events)/2 {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", number)
 			_ = flush.Flush()
-			loseAnswer()
+			abortConnection()
 		}
 		if now := e.Version(model); now != version {
 			version = now
--- a/internal/standin/platform/groups.go
+++ b/internal/standin/platform/groups.go
@@ -15,24 +15,24 @@
 	topicEngines = "keyed.servers"
 )
 
-// partitionsPerTopic is how many partitions of a topic a group deals out.
+// partitionsPerTopic is the number of partitions that a group assigns per topic.
 const partitionsPerTopic = 12
 
-// group deals partitions to members.
+// group assigns partitions to its members.
 type group struct {
 	generation int64
 	topics     []string
 	members    map[string]*member
 	owner      map[eventlog.Partition]string
 	committed  map[eventlog.Partition]int64
-	// heldSince is the generation from which the owner holds a partition.
-	heldSince map[eventlog.Partition]int64
+	// ownedSince is the generation in which each partition's owner last changed.
+	ownedSince map[eventlog.Partition]int64
 }
 
 type member struct {
-	heard    int64
-	expires  time.Time
-	lifetime time.Duration
+	lastGeneration int64
+	expires        time.Time
+	lifetime       time.Duration
 }
 
 type joinBody struct {
@@ -46,7 +46,7 @@
 	Offset     int64    `json:"offset"`
 }
 
-func (s *Store) groupCall(w http.ResponseWriter, r *http.Request) (joinBody, *group, bool) {
+func (s *Store) decodeGroupCall(w http.ResponseWriter, r *http.Request) (joinBody, *group, bool) {
 	var body joinBody
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || body.Group == "" || body.Member == "" {
 		http.Error(w, "group and member are wanted", http.StatusBadRequest)
@@ -56,7 +56,7 @@
 	if !found {
 		known = &group{
 			members: make(map[string]*member), owner: make(map[eventlog.Partition]string),
-			committed: make(map[eventlog.Partition]int64), heldSince: make(map[eventlog.Partition]int64),
+			committed: make(map[eventlog.Partition]int64), ownedSince: make(map[eventlog.Partition]int64),
 		}
 		s.groups[body.Group] = known
 	}
@@ -67,7 +67,7 @@
 func (s *Store) join(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	body, joined, ok := s.groupCall(w, r)
+	body, joined, ok := s.decodeGroupCall(w, r)
 	if !ok {
 		return
 	}
@@ -81,9 +81,9 @@
 		known = &member{}
 		joined.members[body.Member] = known
 		joined.topics = body.Topics
-		joined.deal()
+		joined.rebalance()
 	}
-	known.heard, known.lifetime = body.Generation, lifetime
+	known.lastGeneration, known.lifetime = body.Generation, lifetime
 	known.expires = time.Now().Add(lifetime)
 	rows := [][3]any{}
 	for _, partition := range joined.partitions() {
@@ -91,19 +91,19 @@
 			rows = append(rows, [3]any{partition.Topic, partition.Number, joined.committed[partition]})
 		}
 	}
-	answerJSON(w, http.StatusOK, map[string]any{"generation": joined.generation, "ttlMs": body.TTLMs, "parts": rows})
+	writeJSON(w, http.StatusOK, map[string]any{"generation": joined.generation, "ttlMs": body.TTLMs, "parts": rows})
 }
 
 func (s *Store) leave(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	body, left, ok := s.groupCall(w, r)
+	body, left, ok := s.decodeGroupCall(w, r)
 	if !ok {
 		return
 	}
 	if _, found := left.members[body.Member]; found {
 		delete(left.members, body.Member)
-		left.deal()
+		left.rebalance()
 	}
 	w.WriteHeader(http.StatusOK)
 }
@@ -111,12 +111,12 @@
 func (s *Store) commit(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	body, known, ok := s.groupCall(w, r)
+	body, known, ok := s.decodeGroupCall(w, r)
 	if !ok {
 		return
 	}
 	partition := eventlog.Partition{Topic: body.Topic, Number: body.Part}
-	if known.owner[partition] != body.Member || body.Generation < known.heldSince[partition] {
+	if known.owner[partition] != body.Member || body.Generation < known.ownedSince[partition] {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -136,16 +136,16 @@
 			}
 		}
 	}
-	answerJSON(w, http.StatusOK, map[string]any{"parts": rows})
+	writeJSON(w, http.StatusOK, map[string]any{"parts": rows})
 }
 
-// Rebalance deals all partitions of a group anew at once.
+// Rebalance reassigns all partitions of a group at once.
 func (s *Store) Rebalance(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if known, found := s.groups[name]; found {
 		known.owner = make(map[eventlog.Partition]string)
-		known.deal()
+		known.rebalance()
 	}
 }
 
@@ -159,7 +159,7 @@
 	return all
 }
 
-// expire drops members that have been silent too long.
+// expire removes members whose TTL has passed.
 func (g *group) expire(now time.Time) {
 	dropped := false
 	for name, each := range g.members {
@@ -169,12 +169,12 @@
 		}
 	}
 	if dropped {
-		g.deal()
+		g.rebalance()
 	}
 }
 
-// deal spreads the partitions evenly over the members, in a new generation.
-func (g *group) deal() {
+// rebalance distributes the partitions evenly over the members, in a new generation.
+func (g *group) rebalance() {
 	g.generation++
 	var names []string
 	for name := range g.members {
@@ -188,7 +188,7 @@
 		}
 		if g.owner[partition] != owner {
 			g.owner[partition] = owner
-			g.heldSince[partition] = g.generation
+			g.ownedSince[partition] = g.generation
 		}
 	}
 }
--- a/internal/standin/platform/operator.go
+++ b/internal/standin/platform/operator.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// The kinds of routes.
+// Kinds of routes.
 const (
 	RouteSafe   = "safe"
 	RouteUnsafe = "unsafe"
@@ -13,7 +13,7 @@
 	RouteBatch  = "rollout"
 )
 
-// Limits of each route of a Configuration.
+// Settings of each Configuration's routes and services.
 const (
 	routeTimeoutMs   = 10_000
 	lookupTimeoutMs  = 2_000
@@ -31,17 +31,17 @@
 	keyConfiguration = "config"
 )
 
-// StateReady is the state of an engine that takes work.
+// StateReady is the state of an engine that accepts requests.
 const StateReady = "ready"
 
-// Route is one route of a Configuration; its host is RouteHost.
+// Route is one route of a Configuration. Its host is RouteHost.
 type Route struct {
 	Name      string
 	Prefix    string
 	Kind      string
 	Service   string
 	Resumable bool
-	// Homes are the regions that alone may serve and keep its requests; none for all.
+	// Homes are the only regions that may serve and store its requests; none allows all.
 	Homes []string
 }
 
@@ -49,24 +49,23 @@
 type Tenant struct {
 	Name string   `json:"name"`
 	Keys []string `json:"apiKeys"`
-	// Homes are as those of a Route.
+	// Homes has the meaning of Route.Homes.
 	Homes []string `json:"homeRegions,omitempty"`
 }
 
-// SlowStart says how long engines are cold after their start, and how many requests a
-// second one bears meanwhile.
+// SlowStart is how long engines are cold after their start, and the requests per second that a cold engine takes.
 type SlowStart struct {
 	Seconds   float64
 	PerSecond float64
 }
 
-// Configuration is what an operator puts in force.
+// Configuration is a configuration that an operator activates.
 type Configuration struct {
 	Version int64
 	Routes  []Route
-	// Tenants is nil where requests need no key.
+	// Tenants is nil if requests need no key.
 	Tenants []Tenant
-	// SlowStart holds that of each service whose engines are cold after their start.
+	// SlowStart holds the services whose engines start cold.
 	SlowStart map[string]SlowStart
 }
 
@@ -93,7 +92,7 @@
 	Engine         map[string]any `json:"engine,omitempty"`
 }
 
-// services is the wire form of the services.
+// services returns the wire form of the services.
 func (c Configuration) services() []wireService {
 	plain := wireService{Name: ServiceLookup, MaxConnections: engineConnCap}
 	drafts := wireService{Name: ServiceDrafts, MaxConnections: engineConnCap, Engine: map[string]any{
@@ -122,7 +121,6 @@
 	return wire
 }
 
-// encode returns the record of the configuration.
 func (c Configuration) encode() []byte {
 	routes := make([]wireRoute, len(c.Routes))
 	for i, route := range c.Routes {
@@ -147,30 +145,29 @@
 	return raw
 }
 
-// Configure puts a configuration in force.
+// Configure activates a configuration.
 func (s *Store) Configure(configuration Configuration) {
 	s.Log.Put(topicControl, keyConfiguration, configuration.encode())
 }
 
-// NameVersion names a weight version of a model.
+// NameVersion publishes the current weight version of a model.
 func (s *Store) NameVersion(model string, version int64) {
 	s.Log.Put(topicControl, "version/"+model, fmt.Appendf(nil, `{"model":%q,"version":%d}`, model, version))
 }
 
-// keyEvacuate begins the key of the record that evacuates a zone.
+// keyEvacuate is the key prefix of evacuation records.
 const keyEvacuate = "evacuate/"
 
-// Evacuate asks that engines of a zone get nothing more, until EndEvacuation.
+// Evacuate stops requests to the engines of a zone until EndEvacuation.
 func (s *Store) Evacuate(zone string) { s.Log.Put(topicControl, keyEvacuate+zone, []byte("{}")) }
 
-// EndEvacuation takes the evacuation of a zone back.
+// EndEvacuation ends the evacuation of a zone.
 func (s *Store) EndEvacuation(zone string) { s.Log.Put(topicControl, keyEvacuate+zone, nil) }
 
-// PutEngineEntry writes an entry of the list of engines as another writer may, with any
-// content.
+// PutEngineEntry writes an engine list entry with arbitrary content.
 func (s *Store) PutEngineEntry(id string, content []byte) { s.Log.Put(topicEngines, id, content) }
 
-// ListEngine lists an engine at an address, or changes its entry.
+// ListEngine adds an engine to the engine list, or updates its entry.
 func (s *Store) ListEngine(engine *Engine, address string, draining bool) {
 	state := StateReady
 	if draining {
@@ -179,9 +176,9 @@
 	s.Log.Put(topicEngines, engine.ID(), engine.Entry(address, state))
 }
 
-// KeyedTopics returns the topics that the operator and the engines write, of
-// which the store keeps the newest record of each key.
+// KeyedTopics returns the topics written by the operator and the engines, in which the store
+// retains the newest record of each key.
 func KeyedTopics() []string { return []string{topicControl, topicEngines} }
 
-// UnlistEngine takes an engine out of the list.
+// UnlistEngine removes an engine from the engine list.
 func (s *Store) UnlistEngine(id string) { s.Log.Put(topicEngines, id, nil) }
--- a/internal/standin/platform/service.go
+++ b/internal/standin/platform/service.go
@@ -16,8 +16,7 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// Config describes a whole platform in one process: a store with a
-// configuration, and engines of two services.
+// Config configures a whole platform in one process: a configured store, and engines of two services.
 type Config struct {
 	Listen      string        `arg:"--listen" default:"127.0.0.1:0" placeholder:"IP:PORT" help:"address of the store"`
 	Zone        string        `arg:"--zone" default:"z1" help:"zone of the engines"`
@@ -34,7 +33,7 @@
 	Seed        uint64        `arg:"--seed" default:"1" help:"seed of the faults"`
 }
 
-// Names of what the configuration holds.
+// Names used in the configuration.
 const (
 	ServiceLookup = "lookup"
 	ServiceDrafts = "drafts"
@@ -45,10 +44,10 @@
 	PrefixScoring = "/scoring/"
 )
 
-// lateEffects is the time between two releases of late effects.
-const lateEffects = 3 * time.Second
+// lateReleaseInterval is the interval at which delayed appends take effect.
+const lateReleaseInterval = 3 * time.Second
 
-// Service is a running platform.
+// Service is a platform that Run serves.
 type Service struct {
 	config   Config
 	store    *Store
@@ -56,18 +55,18 @@
 	ready    chan struct{}
 }
 
-// NewService returns a platform; Run serves it.
+// NewService returns a platform that listens once Run is called.
 func NewService(config Config) *Service {
 	return &Service{config: config, store: NewStore(DefaultLimits()), ready: make(chan struct{})}
 }
 
-// Ready is closed once the platform listens and its configuration is in force.
+// Ready returns a channel that is closed once the platform listens and its configuration is active.
 func (s *Service) Ready() <-chan struct{} { return s.ready }
 
-// Address returns the store's address; only once the platform is ready.
+// Address returns the store's address. Valid once the platform is ready.
 func (s *Service) Address() string { return s.listener.Addr().String() }
 
-// check returns an error that names every wrong value.
+// check returns an error that lists every invalid option.
 func (c Config) check() error {
 	var wrong []string
 	for name, share := range map[string]float64{"refuse": c.Refuse, "lose-answers": c.LoseAnswers, "late": c.Late} {
@@ -116,10 +115,10 @@
 	}
 	s.store.Configure(s.configuration())
 	s.store.Slow(s.config.Slow)
-	s.store.Log.SetFault(s.faults())
+	s.store.Log.SetFault(s.newFaultFunc())
 	serve(s.listener, s.store)
 	group.Go(func() error {
-		s.releaseLate(ctx)
+		s.releaseLateAppends(ctx)
 		return nil
 	})
 	close(s.ready)
@@ -155,8 +154,8 @@
 	}}
 }
 
-// faults draws the fate of each call from the seed.
-func (s *Service) faults() func(memlog.Call) memlog.Fault {
+// newFaultFunc returns a function that selects the fault of each call, seeded by Config.Seed.
+func (s *Service) newFaultFunc() func(memlog.Call) memlog.Fault {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(s.config.Seed, 0))
 	return func(call memlog.Call) memlog.Fault {
@@ -178,8 +177,8 @@
 	}
 }
 
-func (s *Service) releaseLate(ctx context.Context) {
-	ticker := time.NewTicker(lateEffects)
+func (s *Service) releaseLateAppends(ctx context.Context) {
+	ticker := time.NewTicker(lateReleaseInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -15,24 +15,24 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// Limits of a store.
+// Limits are the limits of a store.
 type Limits struct {
-	// RecordBytes and CallBytes bound a record and a call.
+	// RecordBytes and CallBytes are the maximum sizes of a record and of an append call.
 	RecordBytes int
 	CallBytes   int
-	// TotalBytes is what all partitions together may hold.
+	// TotalBytes is the maximum size of all partitions together.
 	TotalBytes int
-	// AppendTime is how long a partition takes for an append; appends take turns.
+	// AppendTime is the duration of an append. Appends to a partition are serialized.
 	AppendTime time.Duration
-	// MaxQueue is how long an append may wait for its turn before it is refused.
+	// MaxQueue is the longest queueing time after which an append is refused.
 	MaxQueue time.Duration
-	// PageRecords bounds a page of the newest records.
+	// PageRecords is the maximum number of records in a page of the newest records.
 	PageRecords int
-	// MinMemberTTL is the least time for which a member of a group may ask.
+	// MinMemberTTL is the shortest TTL that a group member may request.
 	MinMemberTTL time.Duration
 }
 
-// DefaultLimits are those of the users' pages.
+// DefaultLimits returns the limits that the users' platform documents.
 func DefaultLimits() Limits {
 	return Limits{
 		RecordBytes: 256 << 10, CallBytes: 2 << 20, TotalBytes: 400 << 20,
@@ -41,16 +41,16 @@
 	}
 }
 
-// Store is the store. It is an http.Handler.
+// Store simulates the platform's log store. It is an http.Handler.
 type Store struct {
 	Log    *memlog.Log
 	limits Limits
 	router *mux.Router
 
 	mu sync.Mutex
-	// refuse, when set, decides for each call whether it gets this status.
+	// refuse, if set, returns the status with which a call is refused, or zero to serve it.
 	refuse func(r *http.Request) int
-	// delay is the time before each answer.
+	// delay is the time before each response.
 	delay     time.Duration
 	used      int
 	busyUntil map[eventlog.Partition]time.Time
@@ -63,22 +63,21 @@
 	name      string
 }
 
-// answersKept is how many of a producer's last answers are given again.
-const answersKept = 5
+// retainedResults is the number of a producer's latest results that are kept for retries.
+const retainedResults = 5
 
-// producer is what a partition knows of one writer.
+// producer is a partition's deduplication state for one writer.
 type producer struct {
 	epoch    int64
 	sequence int64
-	answers  map[int64]appended
+	results  map[int64]appendResult
 }
 
-type appended struct {
+type appendResult struct {
 	Offset int64 `json:"offset"`
 	End    int64 `json:"end"`
 }
 
-// NewStore returns an empty store.
 func NewStore(limits Limits) *Store {
 	s := &Store{
 		Log: memlog.New(), limits: limits, router: mux.NewRouter(),
@@ -91,13 +90,13 @@
 		"POST /log-trim": s.trim, "POST /log-join": s.join, "POST /log-leave": s.leave,
 		"POST /log-commit": s.commit, "GET /log-owners": s.owners,
 	} {
-		method, target, _ := cutMethod(path)
+		method, target, _ := splitPattern(path)
 		s.router.HandleFunc(target, handle).Methods(method)
 	}
 	return s
 }
 
-func cutMethod(path string) (method, target string, found bool) {
+func splitPattern(path string) (method, target string, found bool) {
 	for i := range path {
 		if path[i] == ' ' {
 			return path[:i], path[i+1:], true
@@ -106,14 +105,14 @@
 	return "", path, false
 }
 
-// Refuse sets what decides whether a call is refused, and with which status.
+// Refuse sets the function that returns the status with which a call is refused, or zero to serve it.
 func (s *Store) Refuse(refuse func(r *http.Request) int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refuse = refuse
 }
 
-// Slow sets the time before each answer.
+// Slow sets the time before each response.
 func (s *Store) Slow(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,11 +144,11 @@
 	return eventlog.Partition{Topic: query.Get("topic"), Number: number}, nil
 }
 
-func answerJSON(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// loseAnswer ends the connection without an answer.
-func loseAnswer() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without a response.
+func abortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/standin/platform/store_append.go
+++ b/internal/standin/platform/store_append.go
@@ -29,7 +29,7 @@
 		w.WriteHeader(http.StatusForbidden)
 		return
 	}
-	if !s.takeTurn(partition) {
+	if !s.waitForTurn(partition) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -38,8 +38,8 @@
 	s.appendLocked(w, r.URL.Query(), partition, records)
 }
 
-// takeTurn waits for the partition; false when too much waits already.
-func (s *Store) takeTurn(partition eventlog.Partition) bool {
+// waitForTurn waits until the partition can take the append. It returns false if the queue is too long.
+func (s *Store) waitForTurn(partition eventlog.Partition) bool {
 	s.mu.Lock()
 	now := time.Now()
 	turn := s.busyUntil[partition]
@@ -60,11 +60,11 @@
 func (s *Store) appendLocked(w http.ResponseWriter, query url.Values, partition eventlog.Partition, records [][]byte) {
 	writer, known, status, why := s.checkProducer(query, partition)
 	if status != 0 {
-		answerJSON(w, status, why)
+		writeJSON(w, status, why)
 		return
 	}
 	if known != nil {
-		answerJSON(w, http.StatusOK, known)
+		writeJSON(w, http.StatusOK, known)
 		return
 	}
 	size := 0
@@ -79,20 +79,20 @@
 	var conflict *eventlog.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		answerJSON(w, http.StatusPreconditionFailed, map[string]int64{"end": conflict.End})
+		writeJSON(w, http.StatusPreconditionFailed, map[string]int64{"end": conflict.End})
 		return
 	case errors.Is(err, eventlog.ErrOutcomeUnknown):
-		loseAnswer()
+		abortConnection()
 	case err != nil:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	s.used += size
-	answer := appended{Offset: first, End: first + int64(len(records))}
+	answer := appendResult{Offset: first, End: first + int64(len(records))}
 	if writer != nil && len(records) > 0 {
-		writer.remember(answer)
+		writer.recordResult(answer)
 	}
-	answerJSON(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, answer)
 }
 
 func (s *Store) appendTo(query url.Values, partition eventlog.Partition, records [][]byte) (int64, error) {
@@ -112,9 +112,9 @@
 	Epoch  int64  `json:"epoch,omitempty"`
 }
 
-// checkProducer applies epoch and sequence of a producer. It returns the first
-// answer of a call that is repeated, or the status of one that is refused.
-func (s *Store) checkProducer(query url.Values, partition eventlog.Partition) (*producer, *appended, int, *refusal) {
+// checkProducer checks a producer's epoch and sequence number. It returns the original result
+// of a repeated call, or the status of a refused one.
+func (s *Store) checkProducer(query url.Values, partition eventlog.Partition) (*producer, *appendResult, int, *refusal) {
 	name := query.Get("producer")
 	if name == "" {
 		return nil, nil, 0, nil
@@ -128,12 +128,12 @@
 	known, found := s.producers[key]
 	switch {
 	case !found || epoch > known.epoch:
-		known = &producer{epoch: epoch, sequence: sequence - 1, answers: make(map[int64]appended)}
+		known = &producer{epoch: epoch, sequence: sequence - 1, results: make(map[int64]appendResult)}
 		s.producers[key] = known
 	case epoch < known.epoch:
 		return nil, nil, http.StatusConflict, &refusal{Why: "fenced", Epoch: known.epoch}
 	}
-	if answer, repeated := known.answers[sequence]; repeated {
+	if answer, repeated := known.results[sequence]; repeated {
 		return known, &answer, 0, nil
 	}
 	if sequence != known.sequence+1 {
@@ -142,11 +142,11 @@
 	return known, nil, 0, nil
 }
 
-// remember keeps the answer of the producer's newest call.
-func (p *producer) remember(answer appended) {
+// recordResult stores the result of the producer's newest call.
+func (p *producer) recordResult(answer appendResult) {
 	p.sequence++
-	p.answers[p.sequence] = answer
-	delete(p.answers, p.sequence-answersKept)
+	p.results[p.sequence] = answer
+	delete(p.results, p.sequence-retainedResults)
 }
 
 func (s *Store) readRecords(body io.Reader) ([][]byte, error) {
--- a/internal/standin/platform/store_read.go
+++ b/internal/standin/platform/store_read.go
@@ -30,7 +30,7 @@
 	var gone *eventlog.GoneError
 	switch {
 	case errors.As(err, &gone):
-		answerJSON(w, http.StatusGone, map[string]int64{"first": gone.First})
+		writeJSON(w, http.StatusGone, map[string]int64{"first": gone.First})
 		return
 	case err != nil:
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -74,7 +74,7 @@
 			Key: record.Key, Value: base64.StdEncoding.EncodeToString(record.Value), Offset: record.Offset,
 		})
 	}
-	answerJSON(w, http.StatusOK, page)
+	writeJSON(w, http.StatusOK, page)
 }
 
 func (s *Store) trim(w http.ResponseWriter, r *http.Request) {
