--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -10,15 +10,13 @@
 )
 
 const (
-	// batchSlowdown is how much each further request in the batch adds to the
-	// time of a decode step, as a share of the step of a batch of one.
+	// batchSlowdown is the share of the single-request step time that each further request in the batch adds to a step.
 	batchSlowdown = 0.02
-	// shortestStep keeps an idle or paused batch from spinning.
-	shortestStep = 100 * time.Microsecond
+	// minStepTime prevents a busy loop while the batch is stalled.
+	minStepTime = 100 * time.Microsecond
 )
 
-// submit accepts a request into the waiting queue, or tells why not. The caller
-// holds the lock.
+// submit enqueues a request, or returns why it is refused. Must be called with mu held.
 func (s *Server) submit(request engine.GenerateRequest) (*sequence, *engine.Refusal) {
 	if refusal := s.refusal(request); refusal != nil {
 		return nil, refusal
@@ -27,13 +25,13 @@
 	start := len(request.Generated)
 	total := max(start, min(natural, request.MaxTokens))
 	accepted := &sequence{
-		request: request,
-		start:   start,
-		next:    start,
-		visible: start,
-		total:   total,
-		natural: natural <= request.MaxTokens,
-		changed: make(chan struct{}),
+		request:   request,
+		start:     start,
+		nextToken: start,
+		visible:   start,
+		total:     total,
+		natural:   natural <= request.MaxTokens,
+		changed:   make(chan struct{}),
 	}
 	s.sequences[accepted.key()] = accepted
 	s.enqueue(accepted)
@@ -44,7 +42,7 @@
 	return accepted, nil
 }
 
-// refusal tells why a request can't be taken; no part of it ran unless Ran says so.
+// refusal returns why a request is refused, or nil. Nothing was executed unless Ran is set.
 func (s *Server) refusal(request engine.GenerateRequest) *engine.Refusal {
 	if _, exists := s.sequences[sequenceKey{request.RequestID, request.Attempt}]; exists {
 		return &engine.Refusal{Code: engine.CodeInvalid, Message: "the attempt was submitted before", Ran: true}
@@ -71,7 +69,7 @@
 	return nil
 }
 
-// enqueue puts a request behind those of its priority or a higher one.
+// enqueue inserts a request after those of the same or a higher priority.
 func (s *Server) enqueue(accepted *sequence) {
 	position := len(s.waiting)
 	for position > 0 && s.waiting[position-1].request.Priority < accepted.request.Priority {
@@ -80,7 +78,7 @@
 	s.waiting = slices.Insert(s.waiting, position, accepted)
 }
 
-// runSteps is the step loop; it ends when there is nothing to run.
+// runSteps is the step loop. It returns when no request is running or waiting.
 func (s *Server) runSteps() {
 	for {
 		s.mu.Lock()
@@ -101,19 +99,18 @@
 	}
 }
 
-// stepTime returns the time of one decode step of the batch as it is.
+// stepTime returns the duration of a decode step of the current batch.
 func (s *Server) stepTime() time.Duration {
 	return StepTime(s.config.TokenInterval, len(s.running))
 }
 
-// StepTime returns the time of one decode step of a batch (1 or more), given
-// that of a batch of one.
+// StepTime returns the duration of a decode step for a batch size of 1 or more, given that of a single request.
 func StepTime(tokenInterval time.Duration, batch int) time.Duration {
 	factor := 1 + batchSlowdown*float64(batch-1)
-	return max(shortestStep, time.Duration(float64(tokenInterval)*factor))
+	return max(minStepTime, time.Duration(float64(tokenInterval)*factor))
 }
 
-// admit moves waiting requests into free places of the batch.
+// admit moves waiting requests into free slots of the batch.
 func (s *Server) admit() {
 	for len(s.waiting) > 0 && len(s.running) < s.config.MaxBatch {
 		next := s.waiting[0]
@@ -122,20 +119,20 @@
 	}
 }
 
-// start begins the prefill of a request.
+// start starts the prefill of a request.
 func (s *Server) start(next *sequence) {
 	now := time.Now()
 	request := &next.request
 	version := s.models[request.Model].version
 	hashes := engine.PrefixHashes(request.Model, version, request.Prompt)
-	cachedTokens, stored, evicted := s.cache.touch(hashes)
-	s.publish(engine.EventStored, stored)
-	s.publish(engine.EventEvicted, evicted)
+	cachedTokens, stored, evicted := s.cache.lookupAndStore(hashes)
+	s.publishCacheEvent(engine.EventStored, stored)
+	s.publishCacheEvent(engine.EventEvicted, evicted)
 
 	prompt := promptTokens(request.Prompt)
 	next.cachedTokens = min(cachedTokens, prompt)
 	prefill := prompt - next.cachedTokens + len(request.Generated)
-	if s.imports.take(request.KVHandle, xxhash.Sum64String(request.Prompt)) {
+	if s.imports.consume(request.KVHandle, xxhash.Sum64String(request.Prompt)) {
 		prefill = 0
 	}
 	next.readyAt = now.Add(time.Duration(prefill) * s.config.PrefillPerToken)
@@ -146,7 +143,7 @@
 
 func promptTokens(prompt string) int { return len(prompt) / engine.BytesPerToken }
 
-// step makes one token for each request of the batch that is ready.
+// step generates one token for each request in the batch that has finished its prefill.
 func (s *Server) step(now time.Time) {
 	if s.stalled {
 		return
@@ -157,36 +154,36 @@
 			continue
 		}
 		if !current.done() {
-			s.emit(current, model.version)
+			s.emitToken(current, model.version)
 		}
 		if current.done() {
-			s.end(current, current.reason(), false)
+			s.endSequence(current, current.completionReason(), false)
 			continue
 		}
-		current.release(s.config.ChunkTokens)
+		current.releaseTokens(s.config.ChunkTokens)
 	}
 }
 
-// emit makes the next token of a request.
-func (s *Server) emit(current *sequence, version uint64) {
-	current.emit(version)
+// emitToken generates the next token of a request.
+func (s *Server) emitToken(current *sequence, version uint64) {
+	current.emitToken(version)
 	if current.history == nil {
 		return
 	}
-	made := Span{Version: version, From: current.next - 1, To: current.next}
+	made := Span{Version: version, From: current.nextToken - 1, To: current.nextToken}
 	s.historyFile.write(&historyEvent{Request: current.number, Made: &made})
 }
 
-// reason returns why a whole answer ends.
-func (s *sequence) reason() string {
+// completionReason returns the finish reason of a complete answer.
+func (s *sequence) completionReason() string {
 	if s.natural {
 		return engine.FinishStop
 	}
 	return engine.FinishLength
 }
 
-// end takes a request out of the engine's work and wakes its readers.
-func (s *Server) end(current *sequence, reason string, broken bool) {
+// endSequence removes a request from the batch and the queue and notifies its readers.
+func (s *Server) endSequence(current *sequence, reason string, broken bool) {
 	if current.finished || current.broken {
 		return
 	}
@@ -202,11 +199,11 @@
 		s.forget(current)
 	}
 	s.recordEnd(current, time.Now())
-	current.visible = current.next
-	current.wake()
+	current.visible = current.nextToken
+	current.notifyReaders()
 }
 
-// forget drops a request's tokens; its stream is unknown from then on.
+// forget discards a request's tokens. Its stream is unknown afterwards.
 func (s *Server) forget(current *sequence) {
 	if s.sequences[current.key()] == current {
 		delete(s.sequences, current.key())
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -6,10 +6,10 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// tokensPerBlock is the number of tokens that one cached prefix block holds.
+// tokensPerBlock is the number of tokens in a cached prefix block.
 const tokensPerBlock = engine.PrefixBlockBytes / engine.BytesPerToken
 
-// prefixCache keeps the most recently used prompt blocks. The owner locks it.
+// prefixCache is an LRU cache of prompt blocks. It is not safe for concurrent use.
 type prefixCache struct {
 	blocks  *simplelru.LRU[uint64, struct{}]
 	limit   int
@@ -19,21 +19,20 @@
 func newPrefixCache(capacityTokens int) *prefixCache {
 	cache := &prefixCache{limit: max(1, capacityTokens/tokensPerBlock)}
 	onEvict := func(hash uint64, _ struct{}) { cache.evicted = append(cache.evicted, hash) }
-	// The only error of NewLRU is a size below one.
+	// NewLRU fails only for a size below one.
 	cache.blocks, _ = simplelru.NewLRU[uint64, struct{}](cache.limit, onEvict)
 	return cache
 }
 
-// touch looks the blocks of a prompt up and stores those that are missing. It
-// returns the length in tokens of the longest prefix that was there, and the
-// blocks stored and evicted.
-func (c *prefixCache) touch(hashes []uint64) (cachedTokens int, stored, evicted []uint64) {
+// lookupAndStore looks up the blocks of a prompt and stores the missing ones. It returns the length in tokens
+// of the longest cached prefix, and the blocks stored and evicted.
+func (c *prefixCache) lookupAndStore(hashes []uint64) (cachedTokens int, stored, evicted []uint64) {
 	c.evicted = nil
 	cached := 0
 	for cached < len(hashes) && c.blocks.Contains(hashes[cached]) {
 		cached++
 	}
-	// Later blocks are touched first, so that a prefix outlives what extends it.
+	// Later blocks are added first, so that a prefix is evicted after its extensions.
 	kept := hashes[:min(len(hashes), c.limit)]
 	for index := len(kept) - 1; index >= 0; index-- {
 		if !c.blocks.Contains(kept[index]) {
@@ -44,5 +43,5 @@
 	return cached * tokensPerBlock, stored, c.evicted
 }
 
-// tokens returns the tokens held.
-func (c *prefixCache) tokens() int { return c.blocks.Len() * tokensPerBlock }
+// cachedTokens returns the number of tokens in the cache.
+func (c *prefixCache) cachedTokens() int { return c.blocks.Len() * tokensPerBlock }
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -1,7 +1,6 @@
-// Package engine is a stand-in for a model engine: continuous batching, request
-// priorities, a bounded prefix cache, late and gappy cache events, lagging load
-// reports, resume and cancel of streams, weight versions on each chunk, fenced
-// orders, and a history of what it really did for checkers of concurrent runs.
+// Package engine simulates a model engine: continuous batching, request priorities, a bounded prefix cache, delayed
+// and lost cache events, delayed load reports, stream resumption and cancellation, a weight version per chunk, fenced
+// orders, and a history of what it executed for consistency checks.
 package engine
 
 import (
@@ -28,8 +27,7 @@
 	defaultDrainTimeout   = time.Minute
 )
 
-// Config is the setting of one stand-in. Zero fields of a Config built in code
-// take the defaults that the flags show, where a default is not zero.
+// Config configures an engine. Zero fields take the defaults of the command-line flags.
 type Config struct {
 	Listen    string   `arg:"--listen" default:"127.0.0.1:0" help:"address to listen on"`
 	Advertise string   `arg:"--advertise" help:"address to register (default: the one listened on)"`
@@ -64,7 +62,7 @@
 	HistoryFile  string        `arg:"--history-file" help:"file to which the history of requests is appended as it happens; implies --history"`
 }
 
-// withDefaults fills in zero fields.
+// withDefaults returns the config with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	setDefault(&c.Listen, defaultListen)
 	setDefault(&c.MaxBatch, defaultMaxBatch)
@@ -86,7 +84,7 @@
 	}
 }
 
-// Validate reports the first setting that is out of its range.
+// Validate returns an error for the first setting that is out of range.
 func (c Config) Validate() error {
 	c = c.withDefaults()
 	if c.MaxBatch < 1 || c.MaxWaiting < 1 || c.ChunkTokens < 1 || c.CacheTokens < 1 {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -18,16 +18,16 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/engine"
 )
 
-var patience = poll.WithTimeout(30 * time.Second)
+var pollTimeout = poll.WithTimeout(30 * time.Second)
 
-// harness is one engine with a client.
+// harness is an engine with a client.
 type harness struct {
 	*standin.Server
 	engine.Client
 	address string
 }
 
-func start(t *testing.T, config standin.Config) harness {
+func startEngine(t *testing.T, config standin.Config) harness {
 	t.Helper()
 	config.ID = "e1"
 	config.History = true
@@ -46,7 +46,7 @@
 	return harness{Server: server, Client: enginehttp.NewHTTP(nil), address: listener.Listener.Addr().String()}
 }
 
-func ask(id string, tokens int) engine.GenerateRequest {
+func newRequest(id string, tokens int) engine.GenerateRequest {
 	prompt := fmt.Sprintf("value of parcel %s [tokens=%d]", id, tokens)
 	return engine.GenerateRequest{RequestID: id, Attempt: 1, Service: "s", Model: "m", Prompt: prompt, MaxTokens: 10_000}
 }
@@ -59,8 +59,8 @@
 	return stream
 }
 
-// drain reads a stream to its end and checks that the chunks follow each other.
-func drain(t *testing.T, stream engine.Stream, from int) (text string, last engine.Chunk) {
+// readAll reads a stream to its end and checks that the chunks are contiguous.
+func readAll(t *testing.T, stream engine.Stream, from int) (text string, last engine.Chunk) {
 	t.Helper()
 	for next := from; ; {
 		chunk, err := stream.Receive()
@@ -78,7 +78,7 @@
 	}
 }
 
-func refusal(t *testing.T, err error) engine.Refusal {
+func requireRefusal(t *testing.T, err error) engine.Refusal {
 	t.Helper()
 	var failure *engine.SendError
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
@@ -86,15 +86,15 @@
 	return *failure.Refusal
 }
 
-func TestBatchedAnswersAreWhole(t *testing.T) {
-	h := start(t, standin.Config{MaxBatch: 3, ChunkTokens: 2})
+func TestBatchedRequestsReturnCompleteAnswers(t *testing.T) {
+	h := startEngine(t, standin.Config{MaxBatch: 3, ChunkTokens: 2})
 	streams := make(map[string]engine.Stream)
 	for index := range 8 {
 		id := fmt.Sprint("r", index)
-		streams[id] = h.generate(t, ask(id, 5+index))
+		streams[id] = h.generate(t, newRequest(id, 5+index))
 	}
 	for id, stream := range streams {
-		text, last := drain(t, stream, 0)
+		text, last := readAll(t, stream, 0)
 		assert.Equal(t, last.FinishReason, engine.FinishStop)
 		assert.Equal(t, strings.Count(text, ":3 "), 5+int(id[1]-'0'))
 	}
@@ -106,38 +106,38 @@
 	}
 }
 
-func TestContinuationOnAnotherEngineGivesTheSameAnswer(t *testing.T) {
-	request := ask("r", 0)
+func TestContinuationOnAnotherEngineMatchesOriginal(t *testing.T) {
+	request := newRequest("r", 0)
 	request.Prompt = "no directive, so the length is drawn"
 	request.Seed = 11
-	whole, _ := drain(t, start(t, standin.Config{}).generate(t, request), 0)
+	whole, _ := readAll(t, startEngine(t, standin.Config{}).generate(t, request), 0)
 	request.Attempt = 2
 	request.Generated = strings.SplitAfter(whole, " ")[:5]
-	rest, _ := drain(t, start(t, standin.Config{}).generate(t, request), 5)
+	rest, _ := readAll(t, startEngine(t, standin.Config{}).generate(t, request), 5)
 	assert.Equal(t, strings.Join(request.Generated, "")+rest, whole)
 }
 
-func TestMaxTokensCapsTheAnswer(t *testing.T) {
-	h := start(t, standin.Config{})
-	request := ask("r", 50)
+func TestMaxTokensLimitsAnswer(t *testing.T) {
+	h := startEngine(t, standin.Config{})
+	request := newRequest("r", 50)
 	request.MaxTokens = 4
-	text, last := drain(t, h.generate(t, request), 0)
+	text, last := readAll(t, h.generate(t, request), 0)
 	assert.Equal(t, strings.Count(text, ":"), 4)
 	assert.Equal(t, last.FinishReason, engine.FinishLength)
 }
 
 func TestHigherPriorityStartsFirst(t *testing.T) {
-	h := start(t, standin.Config{MaxBatch: 1})
-	first := h.generate(t, ask("first", 60))
+	h := startEngine(t, standin.Config{MaxBatch: 1})
+	first := h.generate(t, newRequest("first", 60))
 	_, err := first.Receive()
 	assert.NilError(t, err)
-	low := ask("low", 1)
-	high := ask("high", 1)
+	low := newRequest("low", 1)
+	high := newRequest("high", 1)
 	high.Priority = 9
 	lowStream := h.generate(t, low)
 	highStream := h.generate(t, high)
-	drain(t, lowStream, 0)
-	drain(t, highStream, 0)
+	readAll(t, lowStream, 0)
+	readAll(t, highStream, 0)
 	var order []string
 	for _, request := range h.History().Requests {
 		order = append(order, request.RequestID)
@@ -145,28 +145,28 @@
 	assert.DeepEqual(t, order, []string{"first", "high", "low"})
 }
 
-func TestResumeContinuesWhereAsked(t *testing.T) {
-	h := start(t, standin.Config{})
-	stream := h.generate(t, ask("r", 400))
+func TestResumeContinuesAtRequestedToken(t *testing.T) {
+	h := startEngine(t, standin.Config{})
+	stream := h.generate(t, newRequest("r", 400))
 	chunk, err := stream.Receive()
 	assert.NilError(t, err)
 	assert.NilError(t, stream.Close())
 	from := chunk.FirstToken + len(chunk.Tokens)
-	request := ask("r", 400)
+	request := newRequest("r", 400)
 	request.ResumeFrom = &from
-	text, _ := drain(t, h.generate(t, request), from)
+	text, _ := readAll(t, h.generate(t, request), from)
 	assert.Equal(t, strings.Count(text, ":"), 400-from)
 	assert.Equal(t, len(h.History().Requests), 1)
 }
 
-func TestAbandonedStreamIsCanceledAndForgotten(t *testing.T) {
-	h := start(t, standin.Config{ResumeWindow: time.Millisecond, TokenInterval: 5 * time.Millisecond})
-	stream := h.generate(t, ask("r", 9_999))
+func TestStreamWithoutReaderExpires(t *testing.T) {
+	h := startEngine(t, standin.Config{ResumeWindow: time.Millisecond, TokenInterval: 5 * time.Millisecond})
+	stream := h.generate(t, newRequest("r", 9_999))
 	_, err := stream.Receive()
 	assert.NilError(t, err)
 	assert.NilError(t, stream.Close())
 	h.waitOutcome(t, engine.FinishCanceled)
-	request := ask("r", 9_999)
+	request := newRequest("r", 9_999)
 	request.ResumeFrom = new(int)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		_, err = h.Generate(t.Context(), h.address, request)
@@ -174,9 +174,9 @@
 			return poll.Continue("the stream is still known")
 		}
 		return poll.Success()
-	}, patience)
-	assert.Equal(t, refusal(t, err).Code, engine.CodeUnknownStream)
-	assert.Assert(t, refusal(t, err).Ran)
+	}, pollTimeout)
+	assert.Equal(t, requireRefusal(t, err).Code, engine.CodeUnknownStream)
+	assert.Assert(t, requireRefusal(t, err).Ran)
 }
 
 // waitOutcome waits until the only request has the outcome.
@@ -188,23 +188,23 @@
 			return poll.Success()
 		}
 		return poll.Continue("history: %+v", requests)
-	}, patience)
+	}, pollTimeout)
 }
 
-func TestCancelEndsTheStream(t *testing.T) {
-	h := start(t, standin.Config{})
-	stream := h.generate(t, ask("r", 9_999))
+func TestCancelFinishesStream(t *testing.T) {
+	h := startEngine(t, standin.Config{})
+	stream := h.generate(t, newRequest("r", 9_999))
 	assert.NilError(t, h.Cancel(t.Context(), h.address, engine.CancelRequest{RequestID: "r", Attempt: 1}))
-	_, last := drain(t, stream, 0)
+	_, last := readAll(t, stream, 0)
 	assert.Equal(t, last.FinishReason, engine.FinishCanceled)
 	assert.NilError(t, h.Cancel(t.Context(), h.address, engine.CancelRequest{RequestID: "other", Attempt: 1}))
 }
 
-func TestRefusedRequestsDidNotRun(t *testing.T) {
-	h := start(t, standin.Config{})
-	unknown := ask("unknown", 1)
+func TestRefusedRequestsAreNotExecuted(t *testing.T) {
+	h := startEngine(t, standin.Config{})
+	unknown := newRequest("unknown", 1)
 	unknown.Model = "other"
-	newer := ask("newer", 1)
+	newer := newRequest("newer", 1)
 	newer.MinVersion = 4
 	drained := true
 	for code, request := range map[string]engine.GenerateRequest{
@@ -213,46 +213,46 @@
 		engine.CodeInvalid:      {RequestID: "r", Model: "m"},
 	} {
 		_, err := h.Generate(t.Context(), h.address, request)
-		assert.Equal(t, refusal(t, err).Code, code)
-		assert.Assert(t, !refusal(t, err).Ran)
+		assert.Equal(t, requireRefusal(t, err).Code, code)
+		assert.Assert(t, !requireRefusal(t, err).Ran)
 	}
 	h.Control(standin.Control{Drain: &drained})
-	_, err := h.Generate(t.Context(), h.address, ask("r", 1))
-	assert.DeepEqual(t, refusal(t, err).Code, engine.CodeDraining)
+	_, err := h.Generate(t.Context(), h.address, newRequest("r", 1))
+	assert.DeepEqual(t, requireRefusal(t, err).Code, engine.CodeDraining)
 	assert.Equal(t, len(h.History().Requests), 0)
 }
 
-func TestTheSameAttemptRunsOnce(t *testing.T) {
-	h := start(t, standin.Config{})
-	drain(t, h.generate(t, ask("r", 2)), 0)
-	_, err := h.Generate(t.Context(), h.address, ask("r", 2))
-	assert.Assert(t, refusal(t, err).Ran)
+func TestRepeatedAttemptIsRefused(t *testing.T) {
+	h := startEngine(t, standin.Config{})
+	readAll(t, h.generate(t, newRequest("r", 2)), 0)
+	_, err := h.Generate(t.Context(), h.address, newRequest("r", 2))
+	assert.Assert(t, requireRefusal(t, err).Ran)
 	assert.Equal(t, len(h.History().Requests), 1)
 }
 
-func TestPrefixCacheServesARepeatedPrompt(t *testing.T) {
-	h := start(t, standin.Config{CacheTokens: 64})
-	request := ask("r1", 1)
+func TestPrefixCacheHitOnRepeatedPrompt(t *testing.T) {
+	h := startEngine(t, standin.Config{CacheTokens: 64})
+	request := newRequest("r1", 1)
 	request.Prompt = strings.Repeat("a", 128) + request.Prompt
-	_, first := drain(t, h.generate(t, request), 0)
+	_, first := readAll(t, h.generate(t, request), 0)
 	request.RequestID = "r2"
-	_, second := drain(t, h.generate(t, request), 0)
+	_, second := readAll(t, h.generate(t, request), 0)
 	assert.Equal(t, first.CachedTokens, 0)
 	assert.Equal(t, second.CachedTokens, 32)
 }
 
-func TestImportedCacheSkipsThePrefill(t *testing.T) {
+func TestImportedKVCacheSkipsPrefill(t *testing.T) {
 	config := standin.Config{PrefillPerToken: time.Hour}
-	h := start(t, standin.Config{})
-	stream := h.generate(t, ask("r", 9_999))
+	h := startEngine(t, standin.Config{})
+	stream := h.generate(t, newRequest("r", 9_999))
 	_, err := stream.Receive()
 	assert.NilError(t, err)
 	export, err := h.KVExport(t.Context(), h.address, engine.CancelRequest{RequestID: "r", Attempt: 1})
 	assert.NilError(t, err)
-	other := start(t, config)
+	other := startEngine(t, config)
 	handle, err := other.KVImport(t.Context(), other.address, export)
 	assert.NilError(t, err)
-	request := ask("r", 9_999)
+	request := newRequest("r", 9_999)
 	request.Attempt = 2
 	request.KVHandle = handle.Handle
 	chunk, err := other.generate(t, request).Receive()
@@ -260,11 +260,10 @@
 	assert.Equal(t, len(chunk.Tokens), 1)
 }
 
-func TestCrashBreaksStreams(t *testing.T) {
-	h := start(t, standin.Config{})
-	stream := h.generate(t, ask("r", 9_999))
-	// The answer's head comes before the request begins to run, and one that never
-	// ran has no history.
+func TestCrashAbortsStreams(t *testing.T) {
+	h := startEngine(t, standin.Config{})
+	stream := h.generate(t, newRequest("r", 9_999))
+	// The headers are sent before the request starts, and a request that never started has no history.
 	_, err := stream.Receive()
 	assert.NilError(t, err)
 	h.Control(standin.Control{Crash: true})
@@ -280,8 +279,8 @@
 	h.waitOutcome(t, standin.OutcomeBroken)
 }
 
-func TestWatchTellsStatusAndCacheEvents(t *testing.T) {
-	h := start(t, standin.Config{EventDelay: time.Millisecond})
+func TestWatchSendsStatusAndCacheEvents(t *testing.T) {
+	h := startEngine(t, standin.Config{EventDelay: time.Millisecond})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	events := make(chan engine.Event, 1000)
@@ -291,9 +290,9 @@
 	}()
 	first := <-events
 	assert.Equal(t, first.Status.State, engine.StateServing)
-	request := ask("r", 1)
+	request := newRequest("r", 1)
 	request.Prompt = strings.Repeat("a", 64) + request.Prompt
-	drain(t, h.generate(t, request), 0)
+	readAll(t, h.generate(t, request), 0)
 	stored := <-events
 	assert.Equal(t, stored.Kind, engine.EventStored)
 	assert.DeepEqual(t, stored.Prefixes, engine.PrefixHashes("m", 3, request.Prompt))
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -14,27 +14,25 @@
 )
 
 const (
-	// maxRequestBytes bounds a request body.
+	// maxRequestBytes is the maximum size of a request body.
 	maxRequestBytes = 64 << 20
-	// defaultWatchInterval serves watchers that ask for no interval.
+	// defaultWatchInterval applies to watch requests without an interval.
 	defaultWatchInterval = time.Second
 )
 
-// Control is the body of POST /v1/control, by which tests inject faults. An
-// absent field changes nothing.
+// Control is the body of POST /v1/control, which injects faults. Absent fields change nothing.
 type Control struct {
 	Drain *bool `json:"drain,omitempty"`
 	Stall *bool `json:"stall,omitempty"`
-	// Crash drops all connections; Run returns ErrCrashed.
+	// Crash closes all connections and makes Run return ErrCrashed.
 	Crash bool `json:"crash,omitempty"`
-	// RepeatChunks sends each chunk twice, the first time together with tokens
-	// that were sent before.
+	// RepeatChunks sends each chunk twice, the first time preceded by tokens that were sent before.
 	RepeatChunks *bool `json:"repeat_chunks,omitempty"`
-	// FailNextLoads makes that many loads fail part-way.
+	// FailNextLoads is the number of following loads that fail during the swap.
 	FailNextLoads *int `json:"fail_next_loads,omitempty"`
 }
 
-// Handler returns the engine's API, the fault control and the history.
+// Handler returns the engine's API, fault injection and history endpoints.
 func (s *Server) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(enginehttp.PathGenerate, s.handleGenerate).Methods(http.MethodPost)
@@ -46,16 +44,16 @@
 	router.HandleFunc(enginehttp.PathKVImport, s.handleKVImport).Methods(http.MethodPost)
 	router.HandleFunc("/v1/control", s.handleControl).Methods(http.MethodPost)
 	router.HandleFunc("/v1/history", s.handleHistory).Methods(http.MethodGet)
-	router.Use(s.whileAlive)
+	router.Use(s.rejectIfCrashed)
 	return router
 }
 
-// whileAlive breaks connections to a crashed engine.
-func (s *Server) whileAlive(next http.Handler) http.Handler {
+// rejectIfCrashed aborts connections to a crashed engine.
+func (s *Server) rejectIfCrashed(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		select {
 		case <-s.crashed:
-			abort()
+			abortConnection()
 		default:
 			next.ServeHTTP(writer, request)
 		}
@@ -73,7 +71,7 @@
 		return
 	}
 	defer s.detach(current)
-	lines := startLines(writer)
+	lines := newLineWriter(writer)
 	send := func(chunks []engine.Chunk) error {
 		for index := range chunks {
 			if err := lines.encoder.Encode(&chunks[index]); err != nil {
@@ -82,19 +80,19 @@
 		}
 		return lines.controller.Flush()
 	}
-	if !s.relay(request.Context(), current, from, send) {
-		abort()
+	if !s.relayChunks(request.Context(), current, from, send) {
+		abortConnection()
 	}
 }
 
-// lineWriter writes JSON values, one a line.
+// lineWriter writes newline-delimited JSON.
 type lineWriter struct {
 	encoder    *json.Encoder
 	controller *http.ResponseController
 }
 
-// startLines sends the headers at once, so that the caller knows the request was taken.
-func startLines(writer http.ResponseWriter) lineWriter {
+// newLineWriter sends the headers immediately, so that the client knows that the request was accepted.
+func newLineWriter(writer http.ResponseWriter) lineWriter {
 	writer.Header().Set("Content-Type", "application/x-ndjson")
 	writer.WriteHeader(http.StatusOK)
 	lines := lineWriter{encoder: json.NewEncoder(writer), controller: http.NewResponseController(writer)}
@@ -108,7 +106,7 @@
 	if err == nil && milliseconds > 0 {
 		interval = time.Duration(milliseconds) * time.Millisecond
 	}
-	lines := startLines(writer)
+	lines := newLineWriter(writer)
 	s.watch(request.Context(), interval, func(event engine.Event) error {
 		if err := lines.encoder.Encode(event); err != nil {
 			return err
@@ -184,7 +182,7 @@
 	httpserver.WriteJSON(writer, http.StatusOK, struct{}{})
 }
 
-// Control applies a fault control.
+// Control applies injected faults.
 func (s *Server) Control(control Control) {
 	if control.Crash {
 		s.crash()
@@ -206,7 +204,7 @@
 	}
 }
 
-// decodeRequest answers a body that can't be read with a refusal: nothing ran.
+// decodeRequest decodes the body, or writes a refusal and returns false.
 func decodeRequest(writer http.ResponseWriter, request *http.Request, message any) bool {
 	body := http.MaxBytesReader(writer, request.Body, maxRequestBytes)
 	if err := json.NewDecoder(body).Decode(message); err != nil {
--- a/internal/standin/engine/historyfile.go
+++ b/internal/standin/engine/historyfile.go
@@ -10,26 +10,22 @@
 	"github.com/go-faster/errors"
 )
 
-// historyFile writes the history of requests as it happens, one JSON line for
-// each event, so that a killed engine leaves all that it did.
+// historyFile appends request events as JSON lines, so that the history of a killed engine is complete.
 //
-// Invariant: an event is written before anyone outside the engine can see its
-// effect. The writes are not buffered in the process, so SIGKILL loses none;
-// they need not survive the machine.
+// Invariant: an event is written before its effect is visible outside the engine. Writes are not buffered in the
+// process, so SIGKILL loses none; they may be lost if the machine fails.
 type historyFile struct {
 	file *os.File
-	// failed receives the first failed write; the engine must end then, since
-	// its history would have a gap.
+	// failed receives the first write error. The engine must then stop, because its history would have a gap.
 	failed chan error
 }
 
-// historyEvent is one line of the file. Request numbers the requests of one
-// process from 0, in the order of their starts.
+// historyEvent is one line of the file. Request numbers the requests of a process from 0, in order of start.
 type historyEvent struct {
 	ID          string `json:"id,omitempty"`
 	Incarnation string `json:"incarnation,omitempty"`
 	Request     int    `json:"request"`
-	// One of the following is set. Begun is the first event of a process.
+	// Exactly one of these is set. Begun is the first event of a process.
 	Begun   bool            `json:"begun,omitempty"`
 	Started *RequestHistory `json:"started,omitempty"`
 	Made    *Span           `json:"made,omitempty"`
@@ -51,7 +47,7 @@
 	return opened, nil
 }
 
-// write appends one event; a nil historyFile takes none.
+// write appends an event. On a nil historyFile it does nothing.
 func (f *historyFile) write(event *historyEvent) {
 	if f == nil {
 		return
@@ -69,7 +65,7 @@
 	}
 }
 
-// failure returns the channel that receives the first failed write.
+// failure returns the channel that receives the first write error.
 func (f *historyFile) failure() <-chan error {
 	if f == nil {
 		return nil
@@ -83,10 +79,9 @@
 	}
 }
 
-// ReadHistoryFile reads what engine processes wrote to Config.HistoryFile, one
-// History for each process in the order of their starts, without orders. The
-// file may be read while an engine still writes it. Errors: an unreadable file,
-// or a line that is no event.
+// ReadHistoryFile reads the events that engine processes wrote to Config.HistoryFile and returns one History per
+// process in order of start, without orders. The file may still be written to. It returns an error if the file
+// is unreadable or a line is not a valid event.
 func ReadHistoryFile(path string) ([]History, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -98,7 +93,7 @@
 	for number := 1; ; number++ {
 		line, err := reader.ReadString('\n')
 		if errors.Is(err, io.EOF) {
-			// A last line without its end is still being written.
+			// An unterminated last line is still being written.
 			return histories, nil
 		}
 		if err != nil {
@@ -126,7 +121,7 @@
 	return histories, histories[len(histories)-1].apply(&event)
 }
 
-// apply takes one event of the process into its history.
+// apply adds an event to the history.
 func (h *History) apply(event *historyEvent) error {
 	if event.Started != nil {
 		if event.Request != len(h.Requests) {
@@ -146,12 +141,12 @@
 		request.EndedUnixNS = event.Ended.UnixNS
 		request.Outcome = event.Ended.Outcome
 	default:
-		return errors.New("event tells nothing")
+		return errors.New("event has no content")
 	}
 	return nil
 }
 
-// appendSpan adds a run of tokens; one that continues the last span extends it.
+// appendSpan adds a token range, merging it with the last one if it continues it.
 func appendSpan(spans []Span, made Span) []Span {
 	last := len(spans) - 1
 	if last >= 0 && spans[last].Version == made.Version && spans[last].To == made.From {
--- a/internal/standin/engine/historyfile_test.go
+++ b/internal/standin/engine/historyfile_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestHistoryFileKeepsWhatAKilledProcessDid(t *testing.T) {
+func TestHistoryFileSurvivesProcessKill(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "e1.history")
 	first, err := openHistoryFile(path, "e1", "a")
 	assert.NilError(t, err)
@@ -16,7 +16,7 @@
 	first.write(&historyEvent{Request: 0, Made: &Span{Version: 3, From: 0, To: 1}})
 	first.write(&historyEvent{Request: 0, Made: &Span{Version: 3, From: 1, To: 2}})
 	first.write(&historyEvent{Request: 0, Made: &Span{Version: 4, From: 2, To: 3}})
-	// Not closed: the process was killed here.
+	// Not closed, as after SIGKILL.
 	second, err := openHistoryFile(path, "e1", "b")
 	assert.NilError(t, err)
 	second.write(&historyEvent{Request: 0, Started: &RequestHistory{RequestID: "r2", Outcome: OutcomeRunning}})
@@ -37,14 +37,14 @@
 	assert.ErrorContains(t, <-second.failure(), "write history file")
 }
 
-func TestHistoryFileRefusesWhatIsNoHistory(t *testing.T) {
+func TestReadHistoryFileRejectsInvalidLines(t *testing.T) {
 	const begun = `{"id":"e1","incarnation":"a","request":0,"begun":true}` + "\n"
 	for want, text := range map[string]string{
 		"decode event":         "no JSON\n",
 		"before the process":   `{"request":0,"started":{}}` + "\n",
 		"which did not start":  begun + `{"request":0,"made":{}}` + "\n",
 		"started after 0":      begun + `{"request":1,"started":{}}` + "\n",
-		"event tells nothing":  begun + `{"request":0,"started":{}}` + "\n" + `{"request":0}` + "\n",
+		"event has no content": begun + `{"request":0,"started":{}}` + "\n" + `{"request":0}` + "\n",
 		"unknown field \"x\"":  `{"x":1}` + "\n",
 		"no such file or dire": "",
 	} {
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -11,34 +11,34 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// importLimit bounds the imported KV caches that wait to be used.
+// importLimit is the maximum number of unused imported KV caches.
 const importLimit = 64
 
-// kvData is the content of a KV export: enough to know its prompt again.
+// kvData is the content of a KV export, which only identifies its prompt.
 type kvData struct {
 	PromptHash uint64 `json:"prompt_hash"`
 }
 
-// importedCaches keeps the most recent imports. The owner locks it.
-type importedCaches struct {
+// importedKV holds the most recent imports. It is not safe for concurrent use.
+type importedKV struct {
 	handles *simplelru.LRU[string, kvData]
 }
 
-func newImportedCaches() *importedCaches {
-	// The only error of NewLRU is a size below one.
+func newImportedKV() *importedKV {
+	// NewLRU fails only for a size below one.
 	handles, _ := simplelru.NewLRU[string, kvData](importLimit, nil)
-	return &importedCaches{handles: handles}
+	return &importedKV{handles: handles}
 }
 
-// put keeps an import and returns its handle.
-func (i *importedCaches) put(data kvData) string {
+// put stores an import and returns its handle.
+func (i *importedKV) put(data kvData) string {
 	handle := xid.New().String()
 	i.handles.Add(handle, data)
 	return handle
 }
 
-// take uses an import up and reports whether it serves the prompt.
-func (i *importedCaches) take(handle string, promptHash uint64) bool {
+// consume removes an import and reports whether it belongs to the prompt.
+func (i *importedKV) consume(handle string, promptHash uint64) bool {
 	data, found := i.handles.Get(handle)
 	if !found {
 		return false
@@ -47,7 +47,7 @@
 	return data.PromptHash == promptHash
 }
 
-// exportKV answers with the KV cache of a request that runs or has ended.
+// exportKV returns the KV cache of a request that has started.
 func (s *Server) exportKV(request engine.CancelRequest) (engine.KVExport, *engine.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,12 +61,12 @@
 	}
 	return engine.KVExport{
 		RequestID: request.RequestID,
-		Tokens:    promptTokens(current.request.Prompt) + current.next,
+		Tokens:    promptTokens(current.request.Prompt) + current.nextToken,
 		Data:      data,
 	}, nil
 }
 
-// importKV keeps an export for a request that names its handle.
+// importKV stores an export and returns the handle by which a request can use it.
 func (s *Server) importKV(export engine.KVExport) (engine.KVHandle, error) {
 	var data kvData
 	if err := json.Unmarshal(export.Data, &data); err != nil {
--- a/internal/standin/engine/length_test.go
+++ b/internal/standin/engine/length_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestShortestDirectiveScalesTheLengths(t *testing.T) {
+func TestMinLengthDirectiveScalesAnswerLengths(t *testing.T) {
 	const answers = 1000
 	longer := 0
 	for seed := range int64(answers) {
@@ -16,7 +16,7 @@
 			longer++
 		}
 	}
-	// A Pareto tail of exponent 1.3: 2^-1.3 = 0.41 of the answers run over twice the shortest.
+	// With a Pareto exponent of 1.3, 2^-1.3 = 0.41 of the answers exceed twice the minimum.
 	assert.Assert(t, longer > answers*3/10 && longer < answers*5/10, "%d", longer)
-	assert.Assert(t, answerLength("a [shortest=0]", 1) >= shortestAnswer)
+	assert.Assert(t, answerLength("a [shortest=0]", 1) >= minAnswerTokens)
 }
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -16,20 +16,20 @@
 	"github.com/corkpulley/corkpulley/internal/platform/weightstore"
 )
 
-// downloadPatience bounds the tries of one download.
-const downloadPatience = 10 * time.Minute
+// downloadTimeout limits the retries of a download.
+const downloadTimeout = 10 * time.Minute
 
-// modelState is one model that the engine holds.
+// modelState is the state of a model on the engine.
 type modelState struct {
-	// version is the one whole in memory; 0 while there is none.
+	// version is the version in memory; 0 for none.
 	version uint64
 	// swapping pauses the model's requests.
 	swapping bool
-	// broken: a load failed part-way, so that no version is whole.
+	// broken is set if a load failed during the swap, so that no version is usable.
 	broken bool
 }
 
-// load is one accepted order to load a version. Loads run one after the other.
+// load is an accepted order to load a version. Loads run one at a time.
 type load struct {
 	order   engine.Order
 	history *OrderHistory
@@ -39,8 +39,8 @@
 	return engine.ModelVersion{Model: l.order.Model, Version: l.order.Version}
 }
 
-// wholeModels lists the models that can run, sorted by name.
-func (s *Server) wholeModels() []engine.ModelVersion {
+// loadedModels returns the models that can serve requests, sorted by name.
+func (s *Server) loadedModels() []engine.ModelVersion {
 	models := make([]engine.ModelVersion, 0, len(s.models))
 	for name, model := range s.models {
 		if !model.broken && model.version > 0 {
@@ -51,10 +51,10 @@
 	return models
 }
 
-// enqueueLoad takes a load order. The caller holds the lock. A waiting load of
-// the same model gives way to the new one; the one that runs is finished first.
+// enqueueLoad enqueues a load order. It replaces a waiting load of the same model, but not a running one.
+// Must be called with mu held.
 func (s *Server) enqueueLoad(order engine.Order, history *OrderHistory) {
-	if s.loadIsNeedless(order) {
+	if s.loadIsRedundant(order) {
 		history.Result = ResultDone
 		return
 	}
@@ -65,14 +65,14 @@
 		}
 	}
 	s.loads = append(s.loads, &load{order: order, history: history})
-	s.announce()
+	s.notifyStateChange()
 	if len(s.loads) == 1 {
 		go s.runLoads()
 	}
 }
 
-// loadIsNeedless tells whether the version is there or on its way already.
-func (s *Server) loadIsNeedless(order engine.Order) bool {
+// loadIsRedundant reports whether the version is already loaded or will be by the last queued load of its model.
+func (s *Server) loadIsRedundant(order engine.Order) bool {
 	for index := len(s.loads) - 1; index >= 0; index-- {
 		if s.loads[index].order.Model == order.Model {
 			return s.loads[index].order.Version == order.Version
@@ -82,11 +82,11 @@
 	return held && !model.broken && model.version == order.Version
 }
 
-// runLoads runs the accepted loads; it ends when there is none left.
+// runLoads runs queued loads until none is left.
 func (s *Server) runLoads() {
 	for {
 		s.mu.Lock()
-		if len(s.loads) == 0 || s.dead {
+		if len(s.loads) == 0 || s.hasCrashed {
 			s.mu.Unlock()
 			return
 		}
@@ -98,13 +98,13 @@
 		s.mu.Lock()
 		current.history.Result = result
 		s.loads = slices.Delete(s.loads, 0, 1)
-		s.announce()
+		s.notifyStateChange()
 		s.mu.Unlock()
 	}
 }
 
-// runLoad downloads a version while the old one goes on, then swaps it in. A
-// failed download leaves the old version whole.
+// runLoad downloads a version while the old one keeps serving, then swaps it in. The old version stays usable
+// if the download fails.
 func (s *Server) runLoad(target engine.ModelVersion) string {
 	if err := s.download(target); err != nil {
 		return ResultFailed
@@ -120,7 +120,7 @@
 	return s.endSwap(target, fails)
 }
 
-// beginSwap pauses the model's requests and decides whether the swap fails.
+// beginSwap pauses the model's requests and reports whether the swap is to fail.
 func (s *Server) beginSwap(name string) (fails bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,17 +152,17 @@
 	return ResultDone
 }
 
-// breakSequences ends the streams of a model's unfinished requests.
+// breakSequences aborts the streams of a model's unfinished requests.
 func (s *Server) breakSequences(model string) {
 	for _, current := range s.sequences {
 		if current.request.Model == model {
-			s.end(current, engine.FinishError, true)
+			s.endSequence(current, engine.FinishError, true)
 		}
 	}
 }
 
-// download fetches the weights, trying again while the store is slow, down or
-// over its rate. A version that the store does not have is a permanent error.
+// download fetches the weights. It retries while the store is slow, unavailable or rate limited; a version unknown
+// to the store is a permanent error.
 func (s *Server) download(target engine.ModelVersion) error {
 	if s.config.Store == "" {
 		return nil
@@ -177,7 +177,7 @@
 		}
 	}()
 	attempt := func() (struct{}, error) { return struct{}{}, s.downloadOnce(ctx, target) }
-	_, err := backoff.Retry(ctx, attempt, backoff.WithMaxElapsedTime(downloadPatience))
+	_, err := backoff.Retry(ctx, attempt, backoff.WithMaxElapsedTime(downloadTimeout))
 	return err
 }
 
@@ -207,11 +207,11 @@
 	}
 }
 
-// retryAfter turns the header's whole seconds into a delay for the next try.
+// retryAfter converts a Retry-After header in whole seconds to an error with that retry delay.
 func retryAfter(header string) error {
 	seconds, err := strconv.Atoi(header)
 	if err != nil || seconds < 1 {
-		return errors.New("weight store is over its rate")
+		return errors.New("weight store rate limit exceeded")
 	}
 	return backoff.RetryAfter(seconds)
 }
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -6,8 +6,8 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// order takes a fenced order. The fence is checked for each model apart, as
-// fences of different models come from different streams.
+// order executes a fenced order. Fencing tokens are checked per model, because those of different models come
+// from different streams.
 func (s *Server) order(order engine.Order) *engine.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/engine/order_test.go
+++ b/internal/standin/engine/order_test.go
@@ -18,7 +18,7 @@
 	standinstore "github.com/corkpulley/corkpulley/internal/standin/weightstore"
 )
 
-func load(fence int64, version uint64) engine.Order {
+func loadOrder(fence int64, version uint64) engine.Order {
 	return engine.Order{Fence: fence, Kind: engine.OrderLoad, Model: "m", Version: version}
 }
 
@@ -32,23 +32,23 @@
 			return poll.Success()
 		}
 		return poll.Continue("status: %+v", status)
-	}, patience)
+	}, pollTimeout)
 	return status
 }
 
-func holds(version uint64) func(engine.Status) bool {
+func hasVersion(version uint64) func(engine.Status) bool {
 	return func(status engine.Status) bool {
 		return status.Loading == nil && len(status.Models) == 1 && status.Models[0].Version == version
 	}
 }
 
-func TestLoadContinuesSequencesUnderTheNewVersion(t *testing.T) {
-	h := start(t, standin.Config{LoadTime: 5 * time.Millisecond, ChunkTokens: 4})
-	stream := h.generate(t, ask("r", 9_999))
+func TestLoadContinuesSequencesWithNewVersion(t *testing.T) {
+	h := startEngine(t, standin.Config{LoadTime: 5 * time.Millisecond, ChunkTokens: 4})
+	stream := h.generate(t, newRequest("r", 9_999))
 	chunk, err := stream.Receive()
 	assert.NilError(t, err)
 	assert.Equal(t, chunk.Version, uint64(3))
-	assert.NilError(t, h.Order(t.Context(), h.address, load(1, 4)))
+	assert.NilError(t, h.Order(t.Context(), h.address, loadOrder(1, 4)))
 	swap := 0
 	for chunk.Version == 3 {
 		swap = chunk.FirstToken + len(chunk.Tokens)
@@ -57,18 +57,18 @@
 	}
 	assert.Equal(t, chunk.FirstToken, swap)
 	assert.Equal(t, chunk.Version, uint64(4))
-	h.waitStatus(t, holds(4))
+	h.waitStatus(t, hasVersion(4))
 	spans := h.History().Requests[0].Spans
 	assert.DeepEqual(t, spans, []standin.Span{{Version: 3, From: 0, To: swap}, {Version: 4, From: swap, To: spans[1].To}})
 }
 
-func TestStaleFencesAreRefusedForTheirModelOnly(t *testing.T) {
-	h := start(t, standin.Config{})
-	assert.NilError(t, h.Order(t.Context(), h.address, load(7, 4)))
-	assert.NilError(t, h.Order(t.Context(), h.address, load(7, 4)))
-	err := h.Order(t.Context(), h.address, load(6, 5))
-	assert.DeepEqual(t, refusal(t, err), engine.Refusal{Code: engine.CodeStaleFence, Message: "a higher fence was seen", Fence: 7})
-	other := load(1, 1)
+func TestStaleFenceIsRefusedPerModel(t *testing.T) {
+	h := startEngine(t, standin.Config{})
+	assert.NilError(t, h.Order(t.Context(), h.address, loadOrder(7, 4)))
+	assert.NilError(t, h.Order(t.Context(), h.address, loadOrder(7, 4)))
+	err := h.Order(t.Context(), h.address, loadOrder(6, 5))
+	assert.DeepEqual(t, requireRefusal(t, err), engine.Refusal{Code: engine.CodeStaleFence, Message: "a higher fence was seen", Fence: 7})
+	other := loadOrder(1, 1)
 	other.Model = "other"
 	assert.NilError(t, h.Order(t.Context(), h.address, other))
 	status := h.waitStatus(t, func(status engine.Status) bool { return len(status.Models) == 2 })
@@ -79,12 +79,12 @@
 	assert.Assert(t, orders[2].Refused)
 }
 
-func TestFailedLoadBreaksTheEngineUntilALaterOne(t *testing.T) {
-	h := start(t, standin.Config{})
-	stream := h.generate(t, ask("r", 9_999))
+func TestFailedLoadBreaksEngineUntilNextLoad(t *testing.T) {
+	h := startEngine(t, standin.Config{})
+	stream := h.generate(t, newRequest("r", 9_999))
 	once := 1
 	h.Control(standin.Control{FailNextLoads: &once})
-	assert.NilError(t, h.Order(t.Context(), h.address, load(1, 4)))
+	assert.NilError(t, h.Order(t.Context(), h.address, loadOrder(1, 4)))
 	for {
 		if _, err := stream.Receive(); err != nil {
 			assert.ErrorContains(t, err, "EOF")
@@ -94,41 +94,41 @@
 	h.waitStatus(t, func(status engine.Status) bool {
 		return status.State == engine.StateBroken && len(status.Models) == 0 && status.Loading == nil
 	})
-	_, err := h.Generate(t.Context(), h.address, ask("r2", 1))
-	assert.Equal(t, refusal(t, err).Code, engine.CodeBroken)
-	assert.Assert(t, !refusal(t, err).Ran)
-	assert.NilError(t, h.Order(t.Context(), h.address, load(1, 4)))
-	h.waitStatus(t, holds(4))
-	drain(t, h.generate(t, ask("r2", 1)), 0)
+	_, err := h.Generate(t.Context(), h.address, newRequest("r2", 1))
+	assert.Equal(t, requireRefusal(t, err).Code, engine.CodeBroken)
+	assert.Assert(t, !requireRefusal(t, err).Ran)
+	assert.NilError(t, h.Order(t.Context(), h.address, loadOrder(1, 4)))
+	h.waitStatus(t, hasVersion(4))
+	readAll(t, h.generate(t, newRequest("r2", 1)), 0)
 }
 
 func TestRoleOrdersDrainAndServe(t *testing.T) {
-	h := start(t, standin.Config{})
+	h := startEngine(t, standin.Config{})
 	assert.NilError(t, h.Order(t.Context(), h.address, engine.Order{Fence: 2, Kind: engine.OrderDrain}))
 	assert.Equal(t, h.Server.Status().State, engine.StateDraining)
 	err := h.Order(t.Context(), h.address, engine.Order{Fence: 1, Kind: engine.OrderServe})
-	assert.Equal(t, refusal(t, err).Code, engine.CodeStaleFence)
+	assert.Equal(t, requireRefusal(t, err).Code, engine.CodeStaleFence)
 	assert.NilError(t, h.Order(t.Context(), h.address, engine.Order{Fence: 2, Kind: engine.OrderServe}))
 	assert.Equal(t, h.Server.Status().State, engine.StateServing)
 }
 
-func TestDownloadsTryAgainWhileTheStoreIsDown(t *testing.T) {
+func TestDownloadRetriesWhileStoreIsDown(t *testing.T) {
 	store := standinstore.New(standinstore.Config{})
 	listener := httptest.NewServer(store.Handler())
 	defer listener.Close()
 	assert.NilError(t, store.Publish("m", weightstore.PublishRequest{Version: 4}))
 	down, up := true, false
 	store.Control(standinstore.Control{Down: &down})
-	h := start(t, standin.Config{Store: listener.URL})
-	assert.NilError(t, h.Order(t.Context(), h.address, load(1, 4)))
+	h := startEngine(t, standin.Config{Store: listener.URL})
+	assert.NilError(t, h.Order(t.Context(), h.address, loadOrder(1, 4)))
 	status := h.Server.Status()
 	assert.Equal(t, status.Loading.Version, uint64(4))
 	assert.Equal(t, status.Models[0].Version, uint64(3))
 	store.Control(standinstore.Control{Down: &up})
-	h.waitStatus(t, holds(4))
-	// A version that the store does not have leaves the old one whole.
-	assert.NilError(t, h.Order(t.Context(), h.address, load(1, 9)))
-	h.waitStatus(t, holds(4))
+	h.waitStatus(t, hasVersion(4))
+	// A version unknown to the store leaves the loaded one in place.
+	assert.NilError(t, h.Order(t.Context(), h.address, loadOrder(1, 9)))
+	h.waitStatus(t, hasVersion(4))
 	assert.Equal(t, h.Server.Status().State, engine.StateServing)
 }
 
@@ -144,10 +144,10 @@
 	<-server.Ready()
 	waitMachine(t, source, machines.StateLive)
 	h := harness{Server: server, Client: enginehttp.NewHTTP(nil), address: server.Address()}
-	stream := h.generate(t, ask("r", 300))
+	stream := h.generate(t, newRequest("r", 300))
 	stop()
 	waitMachine(t, source, machines.StateLeaving)
-	drain(t, stream, 0)
+	readAll(t, stream, 0)
 	assert.NilError(t, <-ended)
 	after, err := source.List(t.Context())
 	assert.NilError(t, err)
@@ -162,5 +162,5 @@
 			return poll.Success()
 		}
 		return poll.Continue("list: %+v, %v", list, err)
-	}, patience)
+	}, pollTimeout)
 }
--- a/internal/standin/engine/repeat_test.go
+++ b/internal/standin/engine/repeat_chunks_test.go
@@ -9,11 +9,11 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/engine"
 )
 
-func TestRepeatedChunksCoverTheAnswer(t *testing.T) {
-	h := start(t, standin.Config{})
+func TestRepeatedChunksCoverAnswer(t *testing.T) {
+	h := startEngine(t, standin.Config{})
 	repeat := true
 	h.Control(standin.Control{RepeatChunks: &repeat})
-	stream := h.generate(t, ask("r", 12))
+	stream := h.generate(t, newRequest("r", 12))
 	next, sent := 0, 0
 	for {
 		chunk, err := stream.Receive()
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -11,22 +11,21 @@
 	"github.com/corkpulley/corkpulley/internal/platform/machines"
 )
 
-// ErrCrashed is what Run returns after a crash asked for by POST /v1/control.
-var ErrCrashed = errors.New("engine stand-in crashed on demand")
+// ErrCrashed is returned by Run after a crash requested through POST /v1/control.
+var ErrCrashed = errors.New("engine stand-in crashed on request")
 
 const (
-	// drainPoll is the interval of looks at the work left during a stop.
-	drainPoll = 10 * time.Millisecond
-	// registrationTimeout bounds one call to the machine list.
+	// drainPollInterval is the interval at which a stopping engine checks for remaining requests.
+	drainPollInterval = 10 * time.Millisecond
+	// registrationTimeout limits one call to the machine list.
 	registrationTimeout = 2 * time.Second
-	// shutdownTimeout bounds the wait for connections after the last request.
+	// shutdownTimeout limits the wait for open connections after the last request.
 	shutdownTimeout   = 5 * time.Second
 	readHeaderTimeout = 10 * time.Second
 )
 
-// Run listens, registers the engine in the machine list, and serves until ctx
-// ends; then it drains: it refuses new requests, is listed as leaving, and
-// finishes what it has within Config.DrainTimeout.
+// Run listens, registers the engine in the machine list and serves until ctx ends. It then drains: it refuses new
+// requests, is listed as leaving, and finishes accepted requests within Config.DrainTimeout.
 func (s *Server) Run(ctx context.Context) error {
 	if s.configError != nil {
 		return errors.Wrap(s.configError, "engine stand-in")
@@ -35,7 +34,7 @@
 	if err != nil {
 		return errors.Wrap(err, "engine stand-in listen")
 	}
-	s.named(listener.Addr().String())
+	s.setAddress(listener.Addr().String())
 	if err := s.startHistoryFile(); err != nil {
 		_ = listener.Close()
 		return err
@@ -62,8 +61,8 @@
 	}
 }
 
-// named notes the address, which names an engine without an ID.
-func (s *Server) named(address string) {
+// setAddress sets the address, and the ID derived from it if none is configured.
+func (s *Server) setAddress(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.address = address
@@ -72,7 +71,7 @@
 	}
 }
 
-// startHistoryFile opens Config.HistoryFile, if any, before the first request.
+// startHistoryFile opens Config.HistoryFile, if set.
 func (s *Server) startHistoryFile() error {
 	if s.config.HistoryFile == "" {
 		return nil
@@ -87,7 +86,7 @@
 	return nil
 }
 
-// stop drains and closes the server.
+// stop drains the engine and shuts the server down.
 func (s *Server) stop(server *http.Server, registration *registration) error {
 	s.mu.Lock()
 	s.setDraining(true)
@@ -107,11 +106,11 @@
 	return nil
 }
 
-// waitIdle waits until no request runs, waits or is still being read.
+// waitIdle waits until no request is running, waiting or being read.
 func (s *Server) waitIdle() error {
 	deadline := time.NewTimer(s.config.DrainTimeout)
 	defer deadline.Stop()
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for !s.idle() {
 		select {
@@ -119,7 +118,7 @@
 		case <-s.crashed:
 			return ErrCrashed
 		case <-deadline.C:
-			return errors.Errorf("engine stand-in: requests still run after %s", s.config.DrainTimeout)
+			return errors.Errorf("engine stand-in: requests still running after %s", s.config.DrainTimeout)
 		}
 	}
 	return nil
@@ -136,7 +135,7 @@
 	return true
 }
 
-// machine returns the engine's entry in the machine list.
+// machine returns the engine's machine list entry.
 func (s *Server) machine() machines.Machine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,8 +156,7 @@
 	return entry
 }
 
-// registration keeps the engine's entry in the machine list fresh. A list that
-// is down is tried again with the next heartbeat.
+// registration renews the engine's machine list entry. A failed call is retried at the next heartbeat.
 type registration struct {
 	server *Server
 	list   *machines.HTTPSource // nil without a machine list
@@ -191,7 +189,7 @@
 	}
 }
 
-// renew sends the entry as it is now.
+// renew sends the current entry.
 func (r *registration) renew() {
 	if r.list == nil {
 		return
@@ -201,7 +199,7 @@
 	_ = r.list.Register(ctx, r.server.machine())
 }
 
-// stop ends the heartbeats.
+// stop stops the heartbeats.
 func (r *registration) stop() {
 	select {
 	case <-r.quit:
@@ -211,7 +209,7 @@
 	<-r.ended
 }
 
-// remove ends the heartbeats and deletes the entry.
+// remove stops the heartbeats and deletes the entry.
 func (r *registration) remove() {
 	r.stop()
 	if r.list == nil {
--- a/internal/standin/engine/sequence.go
+++ b/internal/standin/engine/sequence.go
@@ -7,30 +7,29 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// sequenceKey names one attempt of one request.
+// sequenceKey identifies an attempt of a request.
 type sequenceKey struct {
 	requestID string
 	attempt   uint32
 }
 
-// span is a run of tokens [from, to) of one weight version.
+// span is a range of tokens [From, To) generated with one weight version.
 type span struct {
 	Version uint64 `json:"version"`
 	From    int    `json:"from"`
 	To      int    `json:"to"`
 }
 
-// sequence is one accepted request. All fields are guarded by Server.mu.
+// sequence is an accepted request. All fields are guarded by Server.mu.
 type sequence struct {
 	request engine.GenerateRequest
-	// start is the index of the first token made here; total is the length of
-	// the whole answer.
+	// start is the index of the first token generated here; total is the length of the whole answer.
 	start, total int
-	natural      bool // the answer ends by itself, not by MaxTokens
-	// spans cover [start, next) and tell the version of each token.
-	spans []span
-	next  int
-	// visible is the end of the tokens that were released as chunks.
+	natural      bool // the answer is not truncated by MaxTokens
+	// spans cover [start, nextToken) and hold the version of each token.
+	spans     []span
+	nextToken int
+	// visible is the end of the tokens that readers can see.
 	visible int
 
 	cachedTokens int
@@ -39,15 +38,15 @@
 	started      bool
 	finished     bool
 	finishReason string
-	// broken ends the readers' connections without a finished chunk.
+	// broken aborts the readers' connections without a final chunk.
 	broken bool
 
 	readers int
-	// expiry runs while the sequence has no reader.
+	// expiry is set while the sequence has no reader.
 	expiry *time.Timer
-	// changed is closed and replaced when there is something new to read.
+	// changed is closed and replaced when readers have something new to read.
 	changed chan struct{}
-	// history is nil unless a history is kept; number is its place there.
+	// history is nil unless a history is kept; number is the index in it.
 	history *RequestHistory
 	number  int
 }
@@ -56,34 +55,33 @@
 	return sequenceKey{s.request.RequestID, s.request.Attempt}
 }
 
-// wake tells the readers that there is something new.
-func (s *sequence) wake() {
+func (s *sequence) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// emit makes the next token under the version.
-func (s *sequence) emit(version uint64) {
-	s.spans = appendSpan(s.spans, span{Version: version, From: s.next, To: s.next + 1})
-	s.next++
+// emitToken appends the next token, generated with the version.
+func (s *sequence) emitToken(version uint64) {
+	s.spans = appendSpan(s.spans, span{Version: version, From: s.nextToken, To: s.nextToken + 1})
+	s.nextToken++
 }
 
-// done tells whether the answer is whole.
-func (s *sequence) done() bool { return s.next >= s.total }
+// done reports whether the answer is complete.
+func (s *sequence) done() bool { return s.nextToken >= s.total }
 
-// release makes the tokens readable once there are enough for a chunk, or at the end.
-func (s *sequence) release(chunkTokens int) {
-	if s.next-s.visible < chunkTokens && !s.finished {
+// releaseTokens makes generated tokens visible once there are enough for a chunk, or at the end.
+func (s *sequence) releaseTokens(chunkTokens int) {
+	if s.nextToken-s.visible < chunkTokens && !s.finished {
 		return
 	}
-	if s.visible == s.next && !s.finished {
+	if s.visible == s.nextToken && !s.finished {
 		return
 	}
-	s.visible = s.next
-	s.wake()
+	s.visible = s.nextToken
+	s.notifyReaders()
 }
 
-// read returns the chunks from token index from on; from must lie in [start, visible].
+// read returns the chunks from token index from on; from must be in [start, visible].
 func (s *sequence) read(from int) []engine.Chunk {
 	var chunks []engine.Chunk
 	for _, run := range s.spans {
@@ -115,7 +113,7 @@
 	return chunk
 }
 
-// markFinished sets the end on the last chunk, or adds one without tokens.
+// markFinished marks the last chunk as final, or appends a final chunk without tokens.
 func (s *sequence) markFinished(chunks []engine.Chunk, from int) []engine.Chunk {
 	if len(chunks) == 0 {
 		chunk := s.chunk(max(from, s.visible))
@@ -130,7 +128,7 @@
 	return chunks
 }
 
-// tokens returns the texts of tokens [from, to): "<index>:<version> ".
+// tokens returns the texts of tokens [from, to), each "<index>:<version> ".
 func tokens(from, to int, version uint64) []string {
 	texts := make([]string, 0, to-from)
 	suffix := ":" + strconv.FormatUint(version, 10) + " "
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -11,17 +11,16 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// Server is one stand-in engine. Its state has one lock, as an engine has one
-// step loop. Goroutines run only while there is work, so a Server whose Handler
-// is used without Run needs no stop.
+// Server is a simulated engine. One mutex guards its state. Goroutines run only while there is work, so a Server
+// whose Handler is used without Run needs no shutdown.
 type Server struct {
 	config Config
-	// configError is why Run refuses to start.
+	// configError is the validation error that Run returns.
 	configError error
 	incarnation string
 	ready       chan struct{}
 	crashed     chan struct{}
-	// stopped ends the watch streams once Run has drained.
+	// stopped is closed to end the watch streams once Run has drained.
 	stopped chan struct{}
 
 	mu      sync.Mutex
@@ -29,23 +28,23 @@
 	address string
 	models  map[string]*modelState
 	loads   []*load
-	// fences holds the highest fence seen for each model; "" is the role's.
+	// fences is the highest fencing token seen for each model; "" is the key of role orders.
 	fences    map[string]int64
 	sequences map[sequenceKey]*sequence
 	running   []*sequence
-	// waiting is sorted by priority, then by arrival.
+	// waiting is sorted by descending priority, then by arrival.
 	waiting  []*sequence
 	stepping bool
 	draining bool
 	stalled  bool
-	// repeatChunks: see Control.RepeatChunks.
+	// repeatChunks is Control.RepeatChunks.
 	repeatChunks bool
-	dead         bool
-	// failNextLoads counts loads that fail on demand.
+	hasCrashed   bool
+	// failNextLoads is the number of following loads that fail.
 	failNextLoads int
 	random        *rand.Rand
 	cache         *prefixCache
-	imports       *importedCaches
+	imports       *importedKV
 
 	// stateChanged is closed and replaced on each change of state or versions.
 	stateChanged chan struct{}
@@ -59,14 +58,13 @@
 	orders      []*OrderHistory
 }
 
-// loadReport holds the load figures as last reported.
+// loadReport is a snapshot of the load figures.
 type loadReport struct {
 	at                            time.Time
 	running, waiting, cacheTokens int
 }
 
-// New returns an engine. A config that is not valid is reported by Run; Handler
-// then serves with what could be read of it.
+// New returns an engine. Run returns an error if the config is invalid; Handler serves with its valid models.
 func New(config Config) *Server {
 	configError := config.Validate()
 	config = config.withDefaults()
@@ -83,7 +81,7 @@
 		sequences:    make(map[sequenceKey]*sequence),
 		random:       rand.New(rand.NewPCG(uint64(config.Seed), 0)),
 		cache:        newPrefixCache(config.CacheTokens),
-		imports:      newImportedCaches(),
+		imports:      newImportedKV(),
 		stateChanged: make(chan struct{}),
 		watchers:     make(map[*watcher]struct{}),
 	}
@@ -94,7 +92,7 @@
 	return server
 }
 
-// Address returns the address that Run listens on; empty before Ready.
+// Address returns the address that Run listens on. It is empty before Ready.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,8 +102,8 @@
 // Ready returns a channel that is closed once Run listens.
 func (s *Server) Ready() <-chan struct{} { return s.ready }
 
-// Status returns what GET /v1/status answers: state and versions as of now, the
-// load figures as of up to Config.ReportInterval ago.
+// Status returns the response to GET /v1/status: the current state and versions, and load figures up to
+// Config.ReportInterval old.
 func (s *Server) Status() engine.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +117,7 @@
 		Pool:          s.config.Pool,
 		Zone:          s.config.Zone,
 		State:         s.stateLocked(),
-		Models:        s.wholeModels(),
+		Models:        s.loadedModels(),
 		MaxBatch:      s.config.MaxBatch,
 		Running:       s.report.running,
 		Waiting:       s.report.waiting,
@@ -139,7 +137,7 @@
 	return status
 }
 
-// refreshReport takes new load figures once the last ones are old enough.
+// refreshReport updates the load figures if they are older than Config.ReportInterval.
 func (s *Server) refreshReport() {
 	now := time.Now()
 	if now.Sub(s.report.at) < s.config.ReportInterval {
@@ -149,7 +147,7 @@
 		at:          now,
 		running:     len(s.running),
 		waiting:     len(s.waiting),
-		cacheTokens: s.cache.tokens(),
+		cacheTokens: s.cache.cachedTokens(),
 	}
 }
 
@@ -165,36 +163,36 @@
 	return engine.StateServing
 }
 
-// announce tells the watchers that state or versions changed.
-func (s *Server) announce() {
+// notifyStateChange wakes the watchers after a change of state or versions.
+func (s *Server) notifyStateChange() {
 	close(s.stateChanged)
 	s.stateChanged = make(chan struct{})
 }
 
-// setDraining changes the role.
+// setDraining sets whether the engine refuses new requests.
 func (s *Server) setDraining(draining bool) {
 	if s.draining == draining {
 		return
 	}
 	s.draining = draining
-	s.announce()
+	s.notifyStateChange()
 }
 
-// crash drops all streams and connections, as the end of a process would.
+// crash aborts all streams and connections, as a killed process would.
 func (s *Server) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dead {
+	if s.hasCrashed {
 		return
 	}
-	s.dead = true
+	s.hasCrashed = true
 	for _, current := range s.sequences {
-		s.end(current, engine.FinishError, true)
+		s.endSequence(current, engine.FinishError, true)
 	}
 	s.waiting = nil
-	s.announce()
+	s.notifyStateChange()
 	close(s.crashed)
 }
 
-// abort ends a connection without an answer.
-func abort() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without a response.
+func abortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -7,13 +7,12 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// attach opens a reader: of a new request, or of a known one when ResumeFrom
-// is set. The reader must be detached.
+// attach adds a reader to a new request, or to a known one if ResumeFrom is set. The caller must detach it.
 func (s *Server) attach(request engine.GenerateRequest) (current *sequence, from int, refusal *engine.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dead {
-		abort()
+	if s.hasCrashed {
+		abortConnection()
 	}
 	if request.ResumeFrom == nil {
 		current, refusal = s.submit(request)
@@ -43,8 +42,7 @@
 	}
 }
 
-// detach closes a reader; without another one the stream is kept for
-// Config.ResumeWindow, then canceled and forgotten.
+// detach removes a reader. A stream without readers is canceled and discarded after Config.ResumeWindow.
 func (s *Server) detach(current *sequence) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,22 +58,22 @@
 	if current.readers > 0 {
 		return
 	}
-	s.end(current, engine.FinishCanceled, false)
+	s.endSequence(current, engine.FinishCanceled, false)
 	s.forget(current)
 }
 
-// cancel ends a request; it reports false when the request is not known.
+// cancel finishes a request as canceled and reports whether the request is known.
 func (s *Server) cancel(request engine.CancelRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current, found := s.sequences[sequenceKey{request.RequestID, request.Attempt}]
 	if found {
-		s.end(current, engine.FinishCanceled, false)
+		s.endSequence(current, engine.FinishCanceled, false)
 	}
 	return found
 }
 
-// streamState is what a reader finds at one moment.
+// streamState is a snapshot of a stream for one reader.
 type streamState struct {
 	chunks   []engine.Chunk
 	finished bool
@@ -94,26 +92,25 @@
 	}
 }
 
-// lateTokens is how many tokens before the new ones a late chunk repeats.
-const lateTokens = 3
+// repeatedTokens is the number of already sent tokens that a repeated chunk starts with.
+const repeatedTokens = 3
 
-// chunksToSend returns the new chunks. With repeats on, earlier tokens come late
-// and together with the new ones before these come again.
+// chunksToSend returns the new chunks. With repeatChunks set, they follow a copy of themselves that starts
+// with already sent tokens.
 func (s *Server) chunksToSend(current *sequence, from int) []engine.Chunk {
 	chunks := current.read(from)
 	if !s.repeatChunks || len(chunks) == 0 {
 		return chunks
 	}
-	late := current.read(max(current.start, from-lateTokens))
-	last := &late[len(late)-1]
-	last.Finished = false // the finished chunk ends the stream, so it comes once
+	repeated := current.read(max(current.start, from-repeatedTokens))
+	last := &repeated[len(repeated)-1]
+	last.Finished = false // only the last chunk may end the stream
 	last.FinishReason = ""
-	return append(late, chunks...)
+	return append(repeated, chunks...)
 }
 
-// relay sends the chunks from token index from on, until the last one. It
-// returns false when the stream must break off.
-func (s *Server) relay(ctx context.Context, current *sequence, from int, send func([]engine.Chunk) error) bool {
+// relayChunks sends the chunks from token index from on. It returns false if the stream must be aborted.
+func (s *Server) relayChunks(ctx context.Context, current *sequence, from int, send func([]engine.Chunk) error) bool {
 	for {
 		state := s.readStream(current, from)
 		if len(state.chunks) > 0 {
--- a/internal/standin/engine/watch.go
+++ b/internal/standin/engine/watch.go
@@ -8,28 +8,27 @@
 )
 
 const (
-	// watcherBuffer bounds the cache events that wait for one watcher; what
-	// does not fit is lost, as a gap.
+	// watcherBuffer is the maximum number of queued cache events per watcher; further ones are lost.
 	watcherBuffer = 1024
-	// shortestInterval and longestInterval bound the interval of status events.
-	shortestInterval = 10 * time.Millisecond
-	longestInterval  = time.Minute
+	// minStatusInterval and maxStatusInterval limit the interval of status events.
+	minStatusInterval = 10 * time.Millisecond
+	maxStatusInterval = time.Minute
 )
 
-// watcher is one reader of the watch stream.
+// watcher is a reader of the watch stream.
 type watcher struct {
-	events chan lateEvent
+	events chan delayedEvent
 }
 
-// lateEvent is a cache event and the moment from which it may be sent.
-type lateEvent struct {
+// delayedEvent is a cache event and the time from which it may be sent.
+type delayedEvent struct {
 	due   time.Time
 	event engine.Event
 }
 
-// publish sends a cache event to the watchers, unless it falls into a gap. The
-// caller holds the lock.
-func (s *Server) publish(kind engine.EventKind, prefixes []uint64) {
+// publishCacheEvent queues a cache event for all watchers, or loses it with probability Config.EventGap.
+// Must be called with mu held.
+func (s *Server) publishCacheEvent(kind engine.EventKind, prefixes []uint64) {
 	if len(prefixes) == 0 {
 		return
 	}
@@ -37,24 +36,24 @@
 	if s.random.Float64() < s.config.EventGap {
 		return
 	}
-	late := lateEvent{
+	delayed := delayedEvent{
 		due:   time.Now().Add(s.config.EventDelay),
 		event: engine.Event{Kind: kind, Sequence: s.cacheEvents, Prefixes: prefixes},
 	}
 	for target := range s.watchers {
 		select {
-		case target.events <- late:
+		case target.events <- delayed:
 		default:
 		}
 	}
 }
 
-// watch sends events until ctx ends, the engine crashes, or send fails.
+// watch sends events until ctx ends, the engine stops or crashes, or send fails.
 func (s *Server) watch(ctx context.Context, interval time.Duration, send func(engine.Event) error) {
-	target := &watcher{events: make(chan lateEvent, watcherBuffer)}
+	target := &watcher{events: make(chan delayedEvent, watcherBuffer)}
 	s.addWatcher(target)
 	defer s.removeWatcher(target)
-	ticker := time.NewTicker(min(max(interval, shortestInterval), longestInterval))
+	ticker := time.NewTicker(min(max(interval, minStatusInterval), maxStatusInterval))
 	defer ticker.Stop()
 	for {
 		status, changed := s.statusAndChange()
@@ -67,8 +66,8 @@
 	}
 }
 
-// sendCacheEvents sends cache events as they fall due until a status is due,
-// and returns false when the stream must end.
+// sendCacheEvents sends cache events when they are due until the next status event is due. It returns false if
+// the stream must end.
 func (s *Server) sendCacheEvents(ctx context.Context, target *watcher, tick <-chan time.Time, changed <-chan struct{}, send func(engine.Event) error) bool {
 	delay := time.NewTimer(0)
 	defer delay.Stop()
@@ -87,12 +86,12 @@
 		case <-s.stopped:
 			return false
 		case <-tick:
-			return s.flush(pending, send)
+			return s.sendPending(pending, send)
 		case <-changed:
-			return s.flush(pending, send)
-		case late := <-incoming:
-			pending = &late.event
-			delay.Reset(time.Until(late.due))
+			return s.sendPending(pending, send)
+		case delayed := <-incoming:
+			pending = &delayed.event
+			delay.Reset(time.Until(delayed.due))
 		case <-delay.C:
 			if err := send(*pending); err != nil {
 				return false
@@ -102,7 +101,7 @@
 	}
 }
 
-func (s *Server) flush(pending *engine.Event, send func(engine.Event) error) bool {
+func (s *Server) sendPending(pending *engine.Event, send func(engine.Event) error) bool {
 	return pending == nil || send(*pending) == nil
 }
 
