--- a/internal/standin/trainer/check.go
+++ b/internal/standin/trainer/check.go
@@ -7,9 +7,8 @@
 	"github.com/corkpulley/corkpulley/internal/api"
 )
 
-// namesVersions reports whether the sample's spans cover its tokens without a
-// gap and name a version for each.
-func namesVersions(sample api.Sample) bool {
+// versionsCoverTokens reports whether the sample's spans cover its tokens without gaps and with non-zero versions.
+func versionsCoverTokens(sample api.Sample) bool {
 	next := 0
 	for _, span := range sample.Versions {
 		if span.From != next || span.To <= span.From || span.Version == 0 {
@@ -20,9 +19,9 @@
 	return next == sample.Tokens && sample.Tokens > 0
 }
 
-// matchesText reports whether each token's text, "<index>:<version> " as the
-// engine stand-in writes it, is in order and of the version named for it.
-func matchesText(sample api.Sample) bool {
+// versionsMatchText reports whether the text consists of the tokens "<index>:<version> " that the simulated engine
+// generates, in order and with the versions of the sample's spans.
+func versionsMatchText(sample api.Sample) bool {
 	tokens := strings.SplitAfter(sample.Text, " ")
 	if last := len(tokens) - 1; tokens[last] == "" {
 		tokens = tokens[:last]
--- a/internal/standin/trainer/client.go
+++ b/internal/standin/trainer/client.go
@@ -17,23 +17,22 @@
 )
 
 const (
-	// callMargin is added to a fetch's wait to bound the whole call.
+	// callMargin is the time limit of a call beyond its requested wait.
 	callMargin       = 20 * time.Second
 	maxAnswerBytes   = 64 << 20
 	maxIdleSeconds   = 30
 	maxConnsPerHosts = 4
 )
 
-// callRetries paces the repeats of a call that no node has answered.
-var callRetries = retry.Policy{First: 50 * time.Millisecond, Longest: 2 * time.Second}
+// retryPolicy sets the delays between attempts of a call.
+var retryPolicy = retry.Policy{First: 50 * time.Millisecond, Longest: 2 * time.Second}
 
-// client calls any of the nodes, with the same body until one answers: every
-// call of the trainers' interface may be repeated.
+// client calls any of the nodes, with the same body until one responds: every call of the trainer API is idempotent.
 type client struct {
 	servers []string
 	trainer string
 	http    httpjson.Client
-	// next picks the server; a failed call moves on to the next one.
+	// next selects the server; a failed call advances it.
 	next    atomic.Uint64
 	retries atomic.Int64
 }
@@ -75,22 +74,21 @@
 	return path
 }
 
-// call repeats the same call until a node answers it, ctx ends, or a node says
-// that the call itself is wrong.
+// call repeats a call until a node responds, ctx ends, or a node rejects it permanently.
 func (c *client) call(ctx context.Context, method, path string, limit time.Duration, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return errors.Wrap(err, "trainer: encode request")
 	}
-	delays := callRetries.Delays()
+	delays := retryPolicy.Delays()
 	for {
 		server := c.servers[c.next.Load()%uint64(len(c.servers))]
 		err := c.callOnce(ctx, method, server+path, limit, body, response)
 		if err == nil {
 			return nil
 		}
-		var refused *refusedError
-		if errors.As(err, &refused) && refused.final() {
+		var refused *statusError
+		if errors.As(err, &refused) && refused.permanent() {
 			return err
 		}
 		c.next.Add(1)
@@ -111,7 +109,7 @@
 		return errors.Wrap(err, "trainer: call")
 	}
 	if answer.StatusCode != http.StatusOK {
-		return &refusedError{status: answer.StatusCode, message: strings.TrimSpace(string(answer.Content))}
+		return &statusError{status: answer.StatusCode, message: strings.TrimSpace(string(answer.Content))}
 	}
 	if err := answer.Decode(response); err != nil {
 		return errors.Wrap(err, "trainer")
@@ -119,19 +117,19 @@
 	return nil
 }
 
-// refusedError is an error answer of a node.
-type refusedError struct {
+// statusError is an error response of a node.
+type statusError struct {
 	status  int
 	message string
 }
 
-func (e *refusedError) Error() string {
+func (e *statusError) Error() string {
 	return "trainer: " + http.StatusText(e.status) + ": " + e.message
 }
 
-// final reports whether the same call would be refused again. An unknown
-// trainer or step (404) is not final: the node's table may lag.
-func (e *refusedError) final() bool {
+// permanent reports whether a retry would fail as well. An unknown trainer or step (404) is not permanent,
+// because the node's table may be out of date.
+func (e *statusError) permanent() bool {
 	switch e.status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusRequestEntityTooLarge,
 		http.StatusUnsupportedMediaType, http.StatusUnprocessableEntity, http.StatusMethodNotAllowed:
--- a/internal/standin/trainer/config.go
+++ b/internal/standin/trainer/config.go
@@ -1,7 +1,6 @@
-// Package trainer is a stand-in for a reinforcement learning trainer: it
-// submits steps, fetches and acknowledges samples, "trains", and publishes a
-// new weight version after each step. It counts on its own what it wanted and
-// got, so its report does not rest on what the system says about itself.
+// Package trainer simulates a reinforcement learning trainer: it submits steps, fetches and acknowledges samples,
+// sleeps for the training time, and publishes a weight version after each step. Its report rests on its own counts,
+// not on those of the system under test.
 package trainer
 
 import (
@@ -12,10 +11,10 @@
 	"github.com/corkpulley/corkpulley/internal/platform/weightstore"
 )
 
-// UnknownBound in Config.Bound: staleness is reported but not judged.
+// UnknownBound is the Config.Bound with which staleness is reported but not checked.
 const UnknownBound = -1
 
-// Config configures the stand-in.
+// Config configures a Trainer.
 type Config struct {
 	Listen           string        `arg:"--listen" default:"127.0.0.1:0" help:"address of the report endpoint (ip:port)"`
 	Servers          []string      `arg:"--server,separate" help:"base URL of a node (http://ip:port); may be repeated"`
@@ -41,11 +40,11 @@
 	FetchWait        time.Duration `arg:"--fetch-wait" default:"5s" help:"longest wait of one fetch"`
 	CheckTokens      bool          `arg:"--check-tokens" default:"true" help:"check each token's text against the named versions"`
 
-	// Store takes the place of WeightStore when set.
+	// Store overrides WeightStore if set.
 	Store weightstore.Store `arg:"-"`
 }
 
-// withDefaults fills in what a program that builds a Config may leave out.
+// withDefaults returns the config with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	if c.StepPrefix == "" {
 		c.StepPrefix = "step"
@@ -66,15 +65,15 @@
 func (c Config) validate() error {
 	switch {
 	case len(c.Servers) == 0:
-		return errors.New("trainer: no server given")
+		return errors.New("trainer: no server configured")
 	case c.Trainer == "":
-		return errors.New("trainer: no service name given")
+		return errors.New("trainer: no service name configured")
 	case c.Steps < 1 || c.Prompts < 1 || c.SamplesPerPrompt < 1 || c.MaxTokens < 1 || c.Ahead < 0:
 		return errors.New("trainer: steps, prompts, samples and max-tokens must be 1 or more, ahead 0 or more")
 	case c.Model == "" && (c.Store != nil || c.WeightStore != ""):
-		return errors.New("trainer: a weight store is given, but no model")
+		return errors.New("trainer: weight store configured without a model")
 	case c.Store == nil && c.WeightStore == "" && c.StartVersion == 0:
-		return errors.New("trainer: without a weight store a start version is needed")
+		return errors.New("trainer: start version required without a weight store")
 	}
 	return nil
 }
--- a/internal/standin/trainer/journal.go
+++ b/internal/standin/trainer/journal.go
@@ -8,27 +8,23 @@
 	"github.com/corkpulley/corkpulley/internal/api"
 )
 
-// Journal is what a trainer keeps across restarts: its version, the samples
-// that it fetched and not yet saw confirmed, and those that it may use. Hand
-// the same Journal to a new Trainer to simulate a restart. It is safe for
-// concurrent use.
+// Journal is a trainer's durable state: its version, its pending samples and the accepted ones. Passing the same
+// Journal to a new Trainer simulates a restart. It is safe for concurrent use.
 type Journal struct {
 	mutex sync.Mutex
-	// version is the weight version that the trainer is at; 0 before the first run.
+	// version is the trainer's weight version; 0 before the first run.
 	version uint64
-	// trained counts the steps that were trained on.
+	// trained is the number of trained steps.
 	trained int
 	pending map[string]pendingSample
-	// accepted has all accepted samples, in order.
+	// accepted holds the accepted samples, in order.
 	accepted []AcceptedSample
 	byID     map[string]bool
 	bySlot   map[slotID]int
 	rejected int
-	// wrongVersions counts fetched samples whose spans do not cover their
-	// tokens or do not match the tokens' texts.
-	wrongVersions int
-	// lost counts slots that the system called acknowledged and the trainer
-	// never got.
+	// invalidVersions is the number of fetched samples whose spans do not cover their tokens or do not match their text.
+	invalidVersions int
+	// lost is the number of slots that the system reported as acknowledged without a sample accepted here.
 	lost      int
 	stepTimes []time.Duration
 	idle      time.Duration
@@ -50,13 +46,12 @@
 type AcceptedSample struct {
 	Sample api.Sample `json:"sample"`
 	Token  int64      `json:"token"`
-	// TrainerVersion is the version that the trainer named with the acknowledgement.
+	// TrainerVersion is the version sent with the acknowledgement.
 	TrainerVersion uint64    `json:"trainer_version"`
 	At             time.Time `json:"at"`
 }
 
-// Staleness is how many versions the sample's oldest span lies behind the
-// trainer's version; 0 for spans that are newer.
+// Staleness returns how many versions the sample's oldest span is behind the trainer's version; 0 if none is.
 func (a AcceptedSample) Staleness() uint64 {
 	stale := uint64(0)
 	for _, span := range a.Sample.Versions {
@@ -83,11 +78,11 @@
 	return slices.Clone(j.accepted)
 }
 
-// persist keeps fetched samples under their delivery's token.
-func (j *Journal) persist(token int64, samples []api.Sample, wrongVersions int) {
+// persist stores fetched samples with their delivery's token.
+func (j *Journal) persist(token int64, samples []api.Sample, invalidVersions int) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.wrongVersions += wrongVersions
+	j.invalidVersions += invalidVersions
 	for _, sample := range samples {
 		if !j.byID[sample.ID] {
 			j.pending[sample.ID] = pendingSample{sample: sample, token: token}
@@ -95,8 +90,8 @@
 	}
 }
 
-// holding returns the IDs of the pending samples, sorted.
-func (j *Journal) holding() []string {
+// pendingIDs returns the sorted IDs of the pending samples.
+func (j *Journal) pendingIDs() []string {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	ids := make([]string, 0, len(j.pending))
@@ -107,7 +102,7 @@
 	return ids
 }
 
-// nextAcknowledgement returns the pending samples of the lowest token.
+// nextAcknowledgement returns the pending samples with the lowest token.
 func (j *Journal) nextAcknowledgement() (token int64, ids []string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -125,8 +120,8 @@
 	return token, ids
 }
 
-// settle notes the answer to an acknowledgement.
-func (j *Journal) settle(request api.AckRequest, response api.AckResponse) {
+// applyResponse applies the response to an acknowledgement.
+func (j *Journal) applyResponse(request api.AckRequest, response api.AckResponse) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	for _, id := range response.Accepted {
@@ -160,8 +155,8 @@
 	return slotID{step: sample.Step, prompt: sample.Prompt, index: sample.Index}
 }
 
-// slotsOf counts the slots of a step that have an accepted sample.
-func (j *Journal) slotsOf(step string) int {
+// filledSlots returns the number of slots of a step that have an accepted sample.
+func (j *Journal) filledSlots(step string) int {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	count := 0
--- a/internal/standin/trainer/prompt.go
+++ b/internal/standin/trainer/prompt.go
@@ -7,8 +7,8 @@
 	"github.com/corkpulley/corkpulley/internal/api"
 )
 
-// PromptText returns the text of a prompt that this trainer submits, by its
-// step's ID and its index in the step; false when it submits no such prompt.
+// PromptText returns the text of a submitted prompt by its step ID and its index in the step, or false if the
+// trainer submits no such prompt.
 func (t *Trainer) PromptText(stepID string, index int) (string, bool) {
 	step, known := t.StepNumber(stepID)
 	if !known || index < 0 || index >= t.config.Prompts {
@@ -17,7 +17,7 @@
 	return t.prompt(step, index).Text, true
 }
 
-// StepIDs returns the IDs of all steps that this trainer submits, in order.
+// StepIDs returns the IDs of all submitted steps, in order.
 func (t *Trainer) StepIDs() []string {
 	ids := make([]string, 0, t.config.Steps)
 	for step := range t.config.Steps {
@@ -30,8 +30,7 @@
 	return fmt.Sprintf("%s-%d", t.config.StepPrefix, step)
 }
 
-// StepNumber returns the number, from 0, of the step of an ID; false when the
-// ID is none of this trainer's.
+// StepNumber returns the number of a step, from 0, or false if the ID is unknown.
 func (t *Trainer) StepNumber(id string) (int, bool) {
 	for step := range t.config.Steps {
 		if t.stepID(step) == id {
@@ -41,8 +40,8 @@
 	return 0, false
 }
 
-// stepRequest builds the step's request as a function of the configuration
-// only: a repeat after a restart must be the same request.
+// stepRequest builds the step's request from the configuration only, because a retry after a restart must send
+// the same request.
 func (t *Trainer) stepRequest(step int) api.StepRequest {
 	prompts := make([]api.StepPrompt, 0, t.config.Prompts)
 	for i := range t.config.Prompts {
@@ -58,8 +57,8 @@
 	}
 }
 
-// submitVersion is the version that the trainer is at when it first submits
-// the step: it trains one version a step, and submits Ahead steps before.
+// submitVersion returns the trainer's version when it first submits the step: it trains one version per step and
+// submits Ahead steps in advance.
 func (t *Trainer) submitVersion(step int) uint64 {
 	t.journal.mutex.Lock()
 	defer t.journal.mutex.Unlock()
--- a/internal/standin/trainer/report.go
+++ b/internal/standin/trainer/report.go
@@ -2,27 +2,26 @@
 
 import "time"
 
-// Report is what a trainer counted on its own.
+// Report holds a trainer's own counts.
 type Report struct {
 	Trainer             string `json:"trainer"`
 	Steps               int    `json:"steps"`
 	StepsTrained        int    `json:"steps_trained"`
 	SamplesWanted       int    `json:"samples_wanted"`
 	SamplesAcknowledged int    `json:"samples_acknowledged"`
-	// Rejected acknowledgements, superseded or stale: their slots were filled again.
+	// Rejected counts superseded or stale samples, whose slots were filled again.
 	Rejected int `json:"rejected"`
-	// Duplicates counts samples accepted for a slot that had one already.
+	// Duplicates counts samples accepted for a slot that already had one.
 	Duplicates int `json:"duplicates"`
-	// Lost counts slots that the system called acknowledged and the trainer never got.
+	// Lost counts slots that the system reported as acknowledged without a sample accepted here.
 	Lost int `json:"lost"`
-	// Stale counts samples accepted beyond the bound (none when it is unknown).
+	// Stale counts samples accepted beyond the staleness bound; 0 for UnknownBound.
 	Stale int `json:"stale"`
-	// UnnamedVersions counts fetched samples whose weight versions have gaps or
-	// do not match the tokens' texts.
+	// UnnamedVersions counts fetched samples whose version spans have gaps or do not match their text.
 	UnnamedVersions int     `json:"unnamed_versions"`
 	StalenessMean   float64 `json:"staleness_mean"`
 	StalenessMax    uint64  `json:"staleness_max"`
-	// Staleness lists the staleness of each accepted sample, in order.
+	// Staleness is the staleness of each accepted sample, in order.
 	Staleness    []uint64  `json:"staleness"`
 	IdleSeconds  float64   `json:"idle_seconds"`
 	TrainSeconds float64   `json:"train_seconds"`
@@ -31,7 +30,7 @@
 	Retries      int64     `json:"retries"`
 }
 
-// Broken reports whether a promise to the trainer was broken.
+// Broken reports whether a guarantee to the trainer was violated.
 func (r Report) Broken() bool {
 	return r.Duplicates > 0 || r.Lost > 0 || r.Stale > 0 || r.UnnamedVersions > 0
 }
@@ -41,7 +40,7 @@
 	report := t.journal.report(t.config.Bound)
 	report.Trainer = t.config.Trainer
 	report.Steps = t.config.Steps
-	report.SamplesWanted = t.config.Steps * t.wanted()
+	report.SamplesWanted = t.config.Steps * t.samplesPerStep()
 	report.Retries = t.client.retries.Load()
 	return report
 }
@@ -55,7 +54,7 @@
 		Duplicates:          len(j.accepted) - len(j.bySlot),
 		Rejected:            j.rejected,
 		Lost:                j.lost,
-		UnnamedVersions:     j.wrongVersions,
+		UnnamedVersions:     j.invalidVersions,
 		Staleness:           make([]uint64, 0, len(j.accepted)),
 		IdleSeconds:         j.idle.Seconds(),
 		TrainSeconds:        j.training.Seconds(),
--- a/internal/standin/trainer/store.go
+++ b/internal/standin/trainer/store.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// storeRetryDelay is the pause between two tries at the weight store.
+	// storeRetryDelay is the delay between attempts to call the weight store.
 	storeRetryDelay = 200 * time.Millisecond
-	// storeTimeout bounds one try.
+	// storeTimeout limits one attempt.
 	storeTimeout = 10 * time.Second
 )
 
-// publish puts a version into the weight store, if there is one.
+// publish publishes a version to the weight store, if one is configured.
 func (t *Trainer) publish(ctx context.Context, version uint64) error {
 	if t.store == nil {
 		return nil
--- a/internal/standin/trainer/trainer.go
+++ b/internal/standin/trainer/trainer.go
@@ -14,7 +14,7 @@
 	"github.com/corkpulley/corkpulley/internal/platform/weightstore"
 )
 
-// Trainer is one trainer process.
+// Trainer is a simulated trainer process.
 type Trainer struct {
 	config  Config
 	client  *client
@@ -25,8 +25,7 @@
 // New returns a trainer with an empty journal.
 func New(config Config) *Trainer { return NewWithJournal(config, NewJournal()) }
 
-// NewWithJournal returns a trainer that goes on where the journal's last
-// trainer stopped. The configuration must be the same.
+// NewWithJournal returns a trainer that resumes from a journal. The configuration must be that of the previous run.
 func NewWithJournal(config Config, journal *Journal) *Trainer {
 	config = config.withDefaults()
 	store := config.Store
@@ -41,10 +40,9 @@
 	}
 }
 
-// Journal returns the trainer's journal.
 func (t *Trainer) Journal() *Journal { return t.journal }
 
-// Handler returns the HTTP interface: GET /v1/report.
+// Handler returns the HTTP API: GET /v1/report.
 func (t *Trainer) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/v1/report", func(w http.ResponseWriter, _ *http.Request) {
@@ -53,8 +51,7 @@
 	return router
 }
 
-// Run trains all steps that the journal does not call trained. It returns the
-// report also when it fails or ctx ends first.
+// Run trains all steps that the journal does not list as trained. It returns the report even with an error.
 func (t *Trainer) Run(ctx context.Context) (Report, error) {
 	defer t.client.http.HTTP.CloseIdleConnections()
 	if err := t.config.validate(); err != nil {
@@ -79,7 +76,7 @@
 	return t.journal.version
 }
 
-// start finds the version to begin at, unless the journal names one.
+// start determines the first version, unless the journal holds one.
 func (t *Trainer) start(ctx context.Context) error {
 	if t.version() != 0 {
 		return nil
@@ -107,7 +104,7 @@
 	return nil
 }
 
-// runStep submits the step and those ahead, collects its samples, and trains.
+// runStep submits the step and those ahead of it, collects its samples, and trains.
 func (t *Trainer) runStep(ctx context.Context, step int) error {
 	began := time.Now()
 	for ahead := step; ahead <= step+t.config.Ahead && ahead < t.config.Steps; ahead++ {
@@ -126,38 +123,38 @@
 	return t.train(ctx, began)
 }
 
-// collect fetches and acknowledges until every slot of the step has an
-// accepted sample, or the system says that it has and the trainer has not.
+// collect fetches and acknowledges samples until every slot of the step has an accepted one, or the system reports
+// the step as done while slots are missing.
 func (t *Trainer) collect(ctx context.Context, step string) error {
 	for {
 		if err := t.acknowledgePending(ctx); err != nil {
 			return err
 		}
-		missing := t.wanted() - t.journal.slotsOf(step)
+		missing := t.samplesPerStep() - t.journal.filledSlots(step)
 		if missing <= 0 {
 			return nil
 		}
 		response, err := t.client.fetch(ctx, api.FetchRequest{
 			Step:           step,
 			TrainerVersion: t.version(),
-			Holding:        t.journal.holding(),
+			Holding:        t.journal.pendingIDs(),
 			Max:            t.config.FetchMax,
 			WaitMS:         t.config.FetchWait.Milliseconds(),
 		})
 		if err != nil {
 			return errors.Wrapf(err, "fetch samples of step %s", step)
 		}
-		if len(response.Samples) == 0 && done(response.Steps, step) {
+		if len(response.Samples) == 0 && stepDone(response.Steps, step) {
 			t.journal.mutex.Lock()
 			t.journal.lost += missing
 			t.journal.mutex.Unlock()
 			return nil
 		}
-		t.journal.persist(response.Token, response.Samples, t.countWrongVersions(response.Samples))
+		t.journal.persist(response.Token, response.Samples, t.countInvalidVersions(response.Samples))
 	}
 }
 
-func done(statuses []api.StepStatus, step string) bool {
+func stepDone(statuses []api.StepStatus, step string) bool {
 	for _, status := range statuses {
 		if status.Step == step {
 			return status.Done
@@ -166,18 +163,18 @@
 	return false
 }
 
-func (t *Trainer) countWrongVersions(samples []api.Sample) int {
+func (t *Trainer) countInvalidVersions(samples []api.Sample) int {
 	wrong := 0
 	for _, sample := range samples {
-		if !namesVersions(sample) || (t.config.CheckTokens && !matchesText(sample)) {
+		if !versionsCoverTokens(sample) || (t.config.CheckTokens && !versionsMatchText(sample)) {
 			wrong++
 		}
 	}
 	return wrong
 }
 
-// acknowledgePending acknowledges what the journal holds, each delivery under
-// its own token. A sample is used only once the answer says accepted.
+// acknowledgePending acknowledges the pending samples, one delivery at a time. A sample is used only once its
+// acknowledgement is accepted.
 func (t *Trainer) acknowledgePending(ctx context.Context) error {
 	for {
 		token, ids := t.journal.nextAcknowledgement()
@@ -193,13 +190,13 @@
 			return errors.Wrap(err, "acknowledge samples")
 		}
 		if len(response.Accepted)+len(response.Rejected) == 0 {
-			return errors.New("acknowledgement was answered without any sample")
+			return errors.New("acknowledgement response names no sample")
 		}
-		t.journal.settle(request, response)
+		t.journal.applyResponse(request, response)
 	}
 }
 
-// train "trains" on the step and publishes the new version.
+// train sleeps for the training time and publishes the new version.
 func (t *Trainer) train(ctx context.Context, began time.Time) error {
 	trainBegan := time.Now()
 	if !retry.Sleep(ctx, t.config.TrainTime) {
@@ -218,4 +215,4 @@
 	return nil
 }
 
-func (t *Trainer) wanted() int { return t.config.Prompts * t.config.SamplesPerPrompt }
+func (t *Trainer) samplesPerStep() int { return t.config.Prompts * t.config.SamplesPerPrompt }
--- a/internal/standin/trainer/trainer_test.go
+++ b/internal/standin/trainer/trainer_test.go
@@ -20,19 +20,19 @@
 	}
 }
 
-func TestChecksFindWrongVersions(t *testing.T) {
+func TestVersionChecksRejectInvalidSpans(t *testing.T) {
 	good := sample("a", 0, 3)
-	assert.Assert(t, namesVersions(good) && matchesText(good))
+	assert.Assert(t, versionsCoverTokens(good) && versionsMatchText(good))
 	wrong := sample("a", 0, 2)
-	assert.Assert(t, namesVersions(wrong) && !matchesText(wrong), "another version than the text's")
+	assert.Assert(t, versionsCoverTokens(wrong) && !versionsMatchText(wrong), "another version than the text's")
 	gap := good
 	gap.Versions = gap.Versions[1:]
-	assert.Assert(t, !namesVersions(gap))
+	assert.Assert(t, !versionsCoverTokens(gap))
 	short := good
 	short.Text = "0:3 "
-	assert.Assert(t, !matchesText(short))
+	assert.Assert(t, !versionsMatchText(short))
 	unnamed := sample("a", 0, 0)
-	assert.Assert(t, !namesVersions(unnamed))
+	assert.Assert(t, !versionsCoverTokens(unnamed))
 }
 
 func TestJournalCountsDuplicatesAndStaleSamples(t *testing.T) {
@@ -42,7 +42,7 @@
 	assert.Equal(t, token, int64(5))
 	request := api.AckRequest{Token: token, Samples: ids, TrainerVersion: 4}
 	for range 2 {
-		journal.settle(request, api.AckResponse{Accepted: ids})
+		journal.applyResponse(request, api.AckResponse{Accepted: ids})
 	}
 	report := journal.report(1)
 	assert.Equal(t, report.SamplesAcknowledged, 2)
@@ -50,12 +50,12 @@
 	assert.Equal(t, report.Stale, 1)
 	assert.Equal(t, report.StalenessMax, uint64(3))
 	journal.persist(9, []api.Sample{sample("step-0/0/2", 0, 3)}, 0)
-	journal.settle(api.AckRequest{Token: 9, TrainerVersion: 4}, api.AckResponse{Accepted: []string{"step-0/0/2"}})
+	journal.applyResponse(api.AckRequest{Token: 9, TrainerVersion: 4}, api.AckResponse{Accepted: []string{"step-0/0/2"}})
 	assert.Equal(t, journal.report(UnknownBound).Duplicates, 1)
 	assert.Assert(t, journal.report(UnknownBound).Broken())
 }
 
-func TestTrainerNoticesALostSample(t *testing.T) {
+func TestTrainerCountsLostSamples(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(api.FetchResponse{
 			Steps: []api.StepStatus{{Step: "step-0", Done: true}},
@@ -72,7 +72,7 @@
 	assert.Assert(t, report.Broken())
 }
 
-func TestFlags(t *testing.T) {
+func TestConfigFlags(t *testing.T) {
 	var config Config
 	parser, err := arg.NewParser(arg.Config{}, &config)
 	assert.NilError(t, err)
