--- a/internal/standin/memlog/memlog.go
+++ b/internal/standin/memlog/memlog.go
@@ -1,5 +1,4 @@
-// Package memlog stands in for a platform's partitioned log: in memory, with
-// every fault that the log's users must bear. It implements eventlog.Log.
+// Package memlog implements eventlog.Log in memory, with injectable faults.
 package memlog
 
 import (
@@ -12,36 +11,35 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// Fault is what happens to a call.
+// Fault is the fault injected into a call.
 type Fault uint8
 
-// The faults.
 const (
-	// None: the call works.
+	// None injects no fault.
 	None Fault = iota
-	// Refused: the call has no effect and says so.
+	// Refused fails the call without an effect, with an error that says so.
 	Refused
-	// LostAnswer: the call has its effect and no answer.
+	// LostAnswer performs the call and loses the response.
 	LostAnswer
-	// LostCall: the call has neither an effect nor an answer.
+	// LostCall loses the call: no effect, outcome unknown to the caller.
 	LostCall
-	// LateEffect: the call has no answer, and its effect when Release is called.
+	// LateEffect loses the response and performs the call when Release is called.
 	LateEffect
 )
 
-// Call describes a call to the fault hook.
+// Call describes a call to the fault function.
 type Call struct {
 	Append    bool
 	Partition eventlog.Partition
 }
 
-// Log is the log.
+// Log is an in-memory log. It is safe for concurrent use.
 type Log struct {
-	mu         sync.Mutex
-	partitions map[eventlog.Partition]*partition
-	fault      func(Call) Fault
-	late       []func()
-	changed    chan struct{}
+	mu             sync.Mutex
+	partitions     map[eventlog.Partition]*partition
+	fault          func(Call) Fault
+	pendingEffects []func()
+	changed        chan struct{}
 }
 
 type partition struct {
@@ -59,40 +57,40 @@
 	return &Log{partitions: make(map[eventlog.Partition]*partition), changed: make(chan struct{})}
 }
 
-// SetFault sets what decides the fate of each call; nil for no faults.
+// SetFault sets the function that selects the fault of each call; nil for no faults. It wakes waiting readers.
 func (l *Log) SetFault(fault func(Call) Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = fault
-	l.notify()
+	l.wakeReaders()
 }
 
-// Release carries out all calls whose effect is late.
+// Release performs all delayed appends.
 func (l *Log) Release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, effect := range l.late {
+	for _, effect := range l.pendingEffects {
 		effect()
 	}
-	l.late = nil
-	l.notify()
+	l.pendingEffects = nil
+	l.wakeReaders()
 }
 
-// End returns the end of a partition.
+// End returns the end offset of a partition.
 func (l *Log) End(name eventlog.Partition) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.partition(name).end()
 }
 
-// First returns the first offset kept.
+// First returns the first retained offset of a partition.
 func (l *Log) First(name eventlog.Partition) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.partition(name).first
 }
 
-// Trim drops the records before an offset.
+// Trim discards the records before an offset.
 func (l *Log) Trim(name eventlog.Partition, before int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,17 +101,17 @@
 	}
 }
 
-// Put writes a keyed record and returns its offset; an empty value deletes the key.
+// Put appends a keyed record and returns its offset; an empty value deletes the key.
 func (l *Log) Put(topic, key string, value []byte) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	raw := append([]byte{byte(len(key))}, key...)
 	offset := l.append(eventlog.Partition{Topic: topic}, [][]byte{append(raw, value...)})
-	l.notify()
+	l.wakeReaders()
 	return offset
 }
 
-// partition returns a partition, which comes into being on first use; mu is held.
+// partition returns a partition, creating it if needed. Must be called with mu held.
 func (l *Log) partition(name eventlog.Partition) *partition {
 	p, found := l.partitions[name]
 	if !found {
@@ -123,7 +121,7 @@
 	return p
 }
 
-// append adds records and returns the offset of the first; mu is held.
+// append appends records and returns the offset of the first. Must be called with mu held.
 func (l *Log) append(name eventlog.Partition, records [][]byte) int64 {
 	p := l.partition(name)
 	first := p.end()
@@ -142,8 +140,8 @@
 	return first
 }
 
-// notify wakes all readers; mu is held.
-func (l *Log) notify() {
+// wakeReaders wakes all waiting readers. Must be called with mu held.
+func (l *Log) wakeReaders() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -179,14 +177,14 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer l.notify()
-	switch l.fateOf(Call{Append: true, Partition: name}) {
+	defer l.wakeReaders()
+	switch l.selectFault(Call{Append: true, Partition: name}) {
 	case Refused:
 		return 0, eventlog.ErrNotDone
 	case LostCall:
 		return 0, eventlog.ErrOutcomeUnknown
 	case LateEffect:
-		l.late = append(l.late, func() {
+		l.pendingEffects = append(l.pendingEffects, func() {
 			if holds(l.partition(name).end()) {
 				l.append(name, records)
 			}
@@ -204,8 +202,8 @@
 	return l.append(name, records), nil
 }
 
-// fateOf asks the hook; mu is held.
-func (l *Log) fateOf(call Call) Fault {
+// selectFault returns the fault of a call. Must be called with mu held.
+func (l *Log) selectFault(call Call) Fault {
 	if l.fault == nil {
 		return None
 	}
@@ -237,7 +235,7 @@
 func (l *Log) readNow(name eventlog.Partition, from int64, limit int) (eventlog.Batch, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if fate := l.fateOf(Call{Partition: name}); fate != None {
+	if fate := l.selectFault(Call{Partition: name}); fate != None {
 		return eventlog.Batch{}, nil, eventlog.ErrNotDone
 	}
 	p := l.partition(name)
@@ -261,7 +259,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	name := eventlog.Partition{Topic: topic}
-	if l.fateOf(Call{Partition: name}) != None {
+	if l.selectFault(Call{Partition: name}) != None {
 		return eventlog.KeyedBatch{}, eventlog.ErrNotDone
 	}
 	p := l.partition(name)
