--- a/internal/standin/narrowlog/narrowlog.go
+++ b/internal/standin/narrowlog/narrowlog.go
@@ -1,4 +1,4 @@
-// Package narrowlog stands in for a log of limited read bandwidth.
+// Package narrowlog implements eventlog.Log with limited read bandwidth.
 package narrowlog
 
 import (
@@ -11,15 +11,15 @@
 )
 
 const (
-	// backlog is how much may wait before reads are refused.
-	backlog = 2 * time.Second
-	// readTimeout and newestTimeout are how long readers wait beyond the time that they allow.
+	// maxBacklog is the transfer time already queued beyond which reads are refused.
+	maxBacklog = 2 * time.Second
+	// readTimeout and newestTimeout are the client-side timeouts, in addition to the requested wait.
 	readTimeout   = 900 * time.Millisecond
 	newestTimeout = 1800 * time.Millisecond
 )
 
-// Log serves reads at a rate that all readers share, in the order in which they arrive. A read that it has admitted
-// takes its time also when its reader has left. It implements eventlog.Log.
+// Log serves reads in order of arrival at a rate shared by all readers. An admitted read uses its share of the
+// bandwidth even if its reader has left.
 type Log struct {
 	*memlog.Log
 	bytesPerSecond int
@@ -27,50 +27,49 @@
 	mu        sync.Mutex
 	busyUntil time.Time
 	usage     Usage
-	// refused is a topic whose reads are refused; empty for none.
-	refused string
+	// refusedTopic is the topic whose reads are refused; empty for none.
+	refusedTopic string
 }
 
 var _ eventlog.Log = (*Log)(nil)
 
-// Usage is what a log has served.
+// Usage counts the reads that a log has served.
 type Usage struct {
-	// Bytes is the size of the records of admitted reads, Lost that of reads whose readers had left.
+	// Bytes is the size of the records of admitted reads, Lost the part whose readers had left.
 	Bytes, Lost int
-	// FullReads is the number of admitted full reads.
+	// FullReads is the number of admitted calls of Newest.
 	FullReads int
 }
 
-// New returns a log that serves the records of another one.
+// New returns a log that serves the records of log.
 func New(log *memlog.Log, bytesPerSecond int) *Log {
 	return &Log{Log: log, bytesPerSecond: bytesPerSecond}
 }
 
-// Refuse has all reads of a topic refused.
+// Refuse makes all reads of a topic fail.
 func (l *Log) Refuse(topic string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.refused = topic
+	l.refusedTopic = topic
 }
 
-// Usage returns what was served so far.
 func (l *Log) Usage() Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.usage
 }
 
-// admit refuses a read while too much is waiting.
+// admit returns an error if the topic is refused or the backlog is too long.
 func (l *Log) admit(topic string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if topic == l.refused || time.Until(l.busyUntil) > backlog {
+	if topic == l.refusedTopic || time.Until(l.busyUntil) > maxBacklog {
 		return eventlog.ErrNotDone
 	}
 	return nil
 }
 
-// transfer takes the time of serving so many bytes.
+// transfer waits for as long as the bytes take to transfer after the queued ones.
 func (l *Log) transfer(ctx context.Context, bytes int) error {
 	l.mu.Lock()
 	if now := time.Now(); l.busyUntil.Before(now) {
@@ -142,7 +141,7 @@
 	l.mu.Lock()
 	l.usage.FullReads++
 	l.mu.Unlock()
-	// Full reads carry their values in base64.
+	// Newest is transferred with its values in base64.
 	return batch, l.transfer(ctx, keyedSize(batch)*4/3)
 }
 
