--- a/internal/standin/leaseterm/leaseterm.go
+++ b/internal/standin/leaseterm/leaseterm.go
@@ -1,4 +1,4 @@
-// Package leaseterm stands in for a time of leading, which a test ends, holds back and watches.
+// Package leaseterm implements lease.Term for tests, which control its validity and permits.
 package leaseterm
 
 import (
@@ -9,17 +9,17 @@
 	"github.com/corkpulley/corkpulley/internal/core/lease"
 )
 
-// Term is a time of leading that is valid until it is ended. It implements lease.Term.
+// Term is a lease term that is valid until SetOver(true).
 type Term struct {
-	// Quiet, if set, gives the time before which a subject may not be ordered.
+	// Quiet, if set, returns the time before which no order to a subject may be sent.
 	Quiet func(subject string) time.Time
-	// Refuses, if set, decides whether the log does not take the record of an order.
+	// Refuses, if set, returns the error with which a permit is refused.
 	Refuses func(subject string) error
 
-	mu        sync.Mutex
-	over      bool
-	closed    bool
-	permitted []string
+	mu            sync.Mutex
+	ended         bool
+	permitsClosed bool
+	permitted     []string
 }
 
 var _ lease.Term = (*Term)(nil)
@@ -28,7 +28,7 @@
 func (t *Term) Valid() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.over
+	return !t.ended
 }
 
 // QuietUntil implements lease.Term.
@@ -52,39 +52,39 @@
 	return permit{t}, nil
 }
 
-// permit is open while its term is valid and its permits are not closed.
+// permit is open while its term is valid and permits are not closed.
 type permit struct{ term *Term }
 
 // Open implements lease.Permit.
 func (p permit) Open() bool {
 	p.term.mu.Lock()
 	defer p.term.mu.Unlock()
-	return !p.term.over && !p.term.closed
+	return !p.term.ended && !p.term.permitsClosed
 }
 
-// permitTime is how long the bound of a permit lasts: as that of a real one.
-const permitTime = time.Second
+// permitTimeout is the lifetime of a permit's context, as in the real implementation.
+const permitTimeout = time.Second
 
 // Bound implements lease.Permit.
 func (p permit) Bound(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, permitTime)
+	return context.WithTimeout(ctx, permitTimeout)
 }
 
-// SetOver ends the term, or begins it again.
-func (t *Term) SetOver(over bool) {
+// SetOver ends the term, or makes it valid again.
+func (t *Term) SetOver(ended bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.over = over
+	t.ended = ended
 }
 
-// ClosePermits has each permit, also the next ones, end before its order leaves.
-func (t *Term) ClosePermits(closed bool) {
+// ClosePermits closes or reopens all permits, including future ones.
+func (t *Term) ClosePermits(permitsClosed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.closed = closed
+	t.permitsClosed = permitsClosed
 }
 
-// Permitted returns the subjects of all permits so far.
+// Permitted returns the subjects of all permits granted so far.
 func (t *Term) Permitted() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
