--- a/internal/standin/machines/history.go
+++ b/internal/standin/machines/history.go
@@ -8,25 +8,25 @@
 	"github.com/corkpulley/corkpulley/internal/platform/machines"
 )
 
-// entry is one machine and the time of its last heartbeat.
+// entry is a machine and the time of its last heartbeat.
 type entry struct {
 	machine  machines.Machine
 	lastSeen time.Time
 }
 
-// snapshot is the whole list as it stood from a moment on.
+// snapshot is the list as of a point in time.
 type snapshot struct {
 	at   time.Time
 	list machines.List
 }
 
-// history keeps the list as it is and as it was, so that it can be answered
-// with a lag. It has no clock of its own; times passed in must not go back.
+// history holds the current machine list and past snapshots, so that it can be read with a lag. The caller supplies
+// the time, which must not decrease.
 type history struct {
 	lag, expiry time.Duration
 	entries     map[string]entry
-	// snapshots are in the order of time; the first is the newest that is at
-	// least lag old, or the empty list of the start.
+	// snapshots are in ascending order of time. The first is the newest that is at least lag old, or the initial
+	// empty list.
 	snapshots []snapshot
 }
 
@@ -39,7 +39,6 @@
 	}
 }
 
-// put adds or renews an entry.
 func (h *history) put(machine machines.Machine, now time.Time) {
 	h.expire(now)
 	before, existed := h.entries[machine.ID]
@@ -49,7 +48,6 @@
 	}
 }
 
-// remove deletes an entry.
 func (h *history) remove(id string, now time.Time) {
 	h.expire(now)
 	if _, existed := h.entries[id]; !existed {
@@ -59,7 +57,7 @@
 	h.record(now)
 }
 
-// expire drops the entries without a recent heartbeat.
+// expire removes the entries without a recent heartbeat.
 func (h *history) expire(now time.Time) {
 	before := len(h.entries)
 	for id, current := range h.entries {
@@ -82,14 +80,14 @@
 	h.prune(now)
 }
 
-// prune drops the snapshots that no answer can need any more.
+// prune removes the snapshots that are no longer needed.
 func (h *history) prune(now time.Time) {
 	for len(h.snapshots) > 1 && !h.snapshots[1].at.After(now.Add(-h.lag)) {
 		h.snapshots = h.snapshots[1:]
 	}
 }
 
-// list returns the list as it was lag ago. It must not be changed.
+// list returns the list as of lag ago. The caller must not modify it.
 func (h *history) list(now time.Time) machines.List {
 	h.expire(now)
 	h.prune(now)
--- a/internal/standin/machines/history_test.go
+++ b/internal/standin/machines/history_test.go
@@ -10,11 +10,11 @@
 	"github.com/corkpulley/corkpulley/internal/platform/machines"
 )
 
-var began = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-func at(seconds int) time.Time { return began.Add(time.Duration(seconds) * time.Second) }
+func at(seconds int) time.Time { return startTime.Add(time.Duration(seconds) * time.Second) }
 
-func TestListLagsAndExpires(t *testing.T) {
+func TestHistoryLagAndExpiry(t *testing.T) {
 	list := newHistory(10*time.Second, 30*time.Second)
 	live := machines.Machine{ID: "e1", Address: "127.0.0.1:1", State: machines.StateLive}
 	leaving := live
@@ -34,7 +34,7 @@
 	assert.Equal(t, len(list.list(at(62)).Machines), 0)
 }
 
-func TestListOverHTTP(t *testing.T) {
+func TestServerOverHTTP(t *testing.T) {
 	server := New(Config{})
 	listener := httptest.NewServer(server.Handler())
 	defer listener.Close()
--- a/internal/standin/machines/server.go
+++ b/internal/standin/machines/server.go
@@ -1,5 +1,5 @@
-// Package machines is a stand-in for the platform's list of machines: kept in
-// memory, answered as it was some time ago, and able to be down.
+// Package machines simulates the platform's machine list: in memory, returned with a configurable lag, and with
+// injectable outages.
 package machines
 
 import (
@@ -17,25 +17,24 @@
 	"github.com/corkpulley/corkpulley/internal/standin/httpserver"
 )
 
-// defaultExpiry stands in for a Config without an expiry.
-const defaultExpiry = 5 * time.Second
+const defaultTTL = 5 * time.Second
 
-// Config is the setting of one stand-in.
+// Config configures a Server.
 type Config struct {
 	Listen string `arg:"--listen" default:"127.0.0.1:0" help:"address to listen on"`
-	// Lag is the age of the list that is answered.
+	// Lag is the age of the returned list.
 	Lag time.Duration `arg:"--lag" help:"age of the list that is answered"`
-	// Expiry is the time after which a machine without a heartbeat is dropped.
+	// Expiry is the time without a heartbeat after which a machine is removed. Defaults to 5 s.
 	Expiry time.Duration `arg:"--expiry" default:"5s" help:"time after which a silent machine is dropped"`
 }
 
-// Control is the body of POST /v1/control. An absent field changes nothing.
+// Control is the body of POST /v1/control. Absent fields change nothing.
 type Control struct {
 	// Down makes each call fail with 503.
 	Down *bool `json:"down,omitempty"`
 }
 
-// Server is one stand-in.
+// Server is a simulated machine list.
 type Server struct {
 	*httpserver.Listener
 	config Config
@@ -45,10 +44,10 @@
 	history *history
 }
 
-// New returns an empty list.
+// New returns a server with an empty list.
 func New(config Config) *Server {
 	if config.Expiry == 0 {
-		config.Expiry = defaultExpiry
+		config.Expiry = defaultTTL
 	}
 	return &Server{
 		Listener: httpserver.NewListener("machine list stand-in", config.Listen),
@@ -62,7 +61,7 @@
 	return s.Serve(ctx, s.Handler())
 }
 
-// Handler returns the list's API and the fault control.
+// Handler returns the list's API and the fault injection endpoint.
 func (s *Server) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/v1/control", s.handleControl).Methods(http.MethodPost)
@@ -87,7 +86,7 @@
 	})
 }
 
-// handleList answers the list, or that it is still the one of the asker's tag.
+// handleList returns the list, or 304 if it matches the request's ETag.
 func (s *Server) handleList(writer http.ResponseWriter, request *http.Request) {
 	s.mu.Lock()
 	list := s.history.list(time.Now())
