--- a/internal/standin/logservice/server.go
+++ b/internal/standin/logservice/server.go
@@ -1,5 +1,5 @@
-// Package logservice is the stand-in for the platform's append-only log in
-// tests and trials: streams in memory, with faults that are set over HTTP.
+// Package logservice simulates the platform's append-only log for tests and experiments: in-memory streams, with
+// faults that are set over HTTP.
 package logservice
 
 import (
@@ -23,34 +23,32 @@
 	maxPollWait    = 60 * time.Second
 )
 
-// Config sets up the stand-in.
+// Config configures a Server.
 type Config struct {
 	Listen string `arg:"--listen" default:"127.0.0.1:7400" help:"address to listen on (ip:port)"`
 	Seed   uint64 `arg:"--seed" default:"1" help:"seed of the random faults"`
 }
 
-// Control is the body of POST /v1/control; it replaces all faults at once.
+// Control is the body of POST /v1/control, which replaces all faults.
 type Control struct {
 	// LatencyMS delays each append and read, in milliseconds.
 	LatencyMS int64 `json:"latency_ms"`
-	// Down answers everything with 503, without an effect and without the
-	// word that nothing was appended.
+	// Down makes every call fail with 503 and without an effect. The response does not say that nothing was appended.
 	Down bool `json:"down"`
-	// LoseAnswers is the share (0..1) of appends that take effect and whose
-	// connection then breaks instead of an answer.
+	// LoseAnswers is the share (0..1) of appends that take effect and whose connection is closed without a response.
 	LoseAnswers float64 `json:"lose_answers"`
-	// LateMS delays the effect of appends whose answer is lost, in milliseconds.
+	// LateMS delays the effect of appends whose response is lost, in milliseconds.
 	LateMS int64 `json:"late_ms"`
-	// Refuse is the share (0..1) of appends that are refused, which is said.
+	// Refuse is the share (0..1) of appends that are refused explicitly.
 	Refuse float64 `json:"refuse"`
 }
 
-// StreamEnds answers GET /v1/streams: the end offset of each stream.
+// StreamEnds is the response to GET /v1/streams: the end offset of each stream.
 type StreamEnds struct {
 	Streams map[string]int64 `json:"streams"`
 }
 
-// Server is the stand-in.
+// Server is a simulated log service.
 type Server struct {
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -60,11 +58,11 @@
 
 type stream struct {
 	records [][]byte
-	// grown is closed and replaced with each append.
-	grown chan struct{}
+	// appended is closed and replaced on each append.
+	appended chan struct{}
 }
 
-// New returns a Server without streams or faults.
+// New returns a server without streams or faults.
 func New(config Config) *Server {
 	return &Server{
 		random:  rand.New(rand.NewPCG(config.Seed, config.Seed)),
@@ -72,7 +70,7 @@
 	}
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the log's API and the fault injection endpoint.
 func (s *Server) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/v1/append", s.handleAppend).Methods(http.MethodPost)
@@ -82,7 +80,7 @@
 	return router
 }
 
-// SetControl replaces the faults.
+// SetControl replaces all faults.
 func (s *Server) SetControl(control Control) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,20 +122,20 @@
 		http.Error(writer, "down", http.StatusServiceUnavailable)
 		return
 	}
-	if s.happens(control.Refuse) {
+	if s.drawFault(control.Refuse) {
 		answer := logservice.AppendResponse{Refused: true, Message: "refused"}
 		httpserver.WriteJSON(writer, http.StatusServiceUnavailable, answer)
 		return
 	}
-	if s.happens(control.LoseAnswers) {
-		s.appendLate(name, body.Records, time.Duration(control.LateMS)*time.Millisecond)
-		panic(http.ErrAbortHandler) // breaks the connection without an answer
+	if s.drawFault(control.LoseAnswers) {
+		s.appendAfter(name, body.Records, time.Duration(control.LateMS)*time.Millisecond)
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	offset := s.append(name, body.Records)
 	httpserver.WriteJSON(writer, http.StatusOK, logservice.AppendResponse{Offset: offset})
 }
 
-// delay waits for the latency and returns the faults in force after it.
+// delay waits for the configured latency and returns the faults set after it.
 func (s *Server) delay(request *http.Request) Control {
 	s.mu.Lock()
 	latency := time.Duration(s.control.LatencyMS) * time.Millisecond
@@ -153,13 +151,13 @@
 	return s.control
 }
 
-func (s *Server) happens(share float64) bool {
+func (s *Server) drawFault(share float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.Float64() < share
 }
 
-func (s *Server) appendLate(name string, records [][]byte, after time.Duration) {
+func (s *Server) appendAfter(name string, records [][]byte, after time.Duration) {
 	if after <= 0 {
 		s.append(name, records)
 		return
@@ -173,16 +171,16 @@
 	stream := s.stream(name)
 	offset := int64(len(stream.records))
 	stream.records = append(stream.records, records...)
-	close(stream.grown)
-	stream.grown = make(chan struct{})
+	close(stream.appended)
+	stream.appended = make(chan struct{})
 	return offset
 }
 
-// stream returns the stream, made when it is missing; mu is held.
+// stream returns the stream, creating it if needed. Must be called with mu held.
 func (s *Server) stream(name string) *stream {
 	found, ok := s.streams[name]
 	if !ok {
-		found = &stream{grown: make(chan struct{})}
+		found = &stream{appended: make(chan struct{})}
 		s.streams[name] = found
 	}
 	return found
@@ -205,20 +203,20 @@
 	limit = min(max(limit, 1), maxReadRecords)
 	wait := min(time.Duration(waitMS)*time.Millisecond, maxPollWait)
 	batch := s.poll(request, name, from, limit, wait)
-	if s.down() {
+	if s.isDown() {
 		http.Error(writer, "down", http.StatusServiceUnavailable)
 		return
 	}
 	httpserver.WriteJSON(writer, http.StatusOK, batch)
 }
 
-func (s *Server) down() bool {
+func (s *Server) isDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.control.Down
 }
 
-// poll reads, and waits once for the stream to grow when there is nothing.
+// poll reads from the stream. If there is nothing to read, it waits for the next append and reads once more.
 func (s *Server) poll(
 	request *http.Request, name string, from int64, limit int, wait time.Duration,
 ) logservice.Batch {
@@ -237,7 +235,7 @@
 	return batch
 }
 
-// read returns the records and a channel that is closed when there are more.
+// read returns the records and a channel that is closed on the next append. A negative offset counts from the end.
 func (s *Server) read(name string, from int64, limit int) (logservice.Batch, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -256,5 +254,5 @@
 		}
 		batch.Entries = append(batch.Entries, logservice.Entry{Offset: offset, Data: data})
 	}
-	return batch, stream.grown
+	return batch, stream.appended
 }
--- a/internal/standin/logservice/server_test.go
+++ b/internal/standin/logservice/server_test.go
@@ -20,8 +20,7 @@
 	return response.StatusCode
 }
 
-// TestFaults drives each fault over HTTP and checks its effect on the stream.
-func TestFaults(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	ctx := t.Context()
 	server := httptest.NewServer(New(Config{Seed: 1}).Handler())
 	defer server.Close()
