--- a/internal/standin/weightstore/server.go
+++ b/internal/standin/weightstore/server.go
@@ -1,5 +1,5 @@
-// Package weightstore is a stand-in for the platform's weight store: published
-// versions in memory, and downloads limited by rate. It can be made slow or down.
+// Package weightstore simulates the platform's weight store: published versions in memory, rate-limited downloads,
+// and injectable latency and outages.
 package weightstore
 
 import (
@@ -19,32 +19,32 @@
 	"github.com/corkpulley/corkpulley/internal/standin/httpserver"
 )
 
-// Config is the setting of one stand-in.
+// Config configures a Server.
 type Config struct {
 	Listen string `arg:"--listen" default:"127.0.0.1:0" help:"address to listen on"`
-	// DownloadsPerSecond limits downloads; 0 sets no limit.
+	// DownloadsPerSecond is the download rate limit; 0 for no limit.
 	DownloadsPerSecond float64 `arg:"--downloads-per-second" help:"downloads a second (0: no limit)"`
-	// Burst is the number of downloads that may come at once; at least 1.
+	// Burst is the number of downloads allowed at once; at least 1.
 	Burst int `arg:"--burst" default:"1" help:"downloads that may come at once"`
-	// Latency delays each answer.
+	// Latency is the delay of each response.
 	Latency time.Duration `arg:"--latency" help:"delay of each answer"`
 }
 
-// Control is the body of POST /v1/control. An absent field changes nothing.
+// Control is the body of POST /v1/control. Absent fields change nothing.
 type Control struct {
 	// Down makes each call fail with 503.
 	Down *bool `json:"down,omitempty"`
-	// LatencyMS delays each answer, in milliseconds.
+	// LatencyMS is the delay of each response in milliseconds.
 	LatencyMS *int64 `json:"latency_ms,omitempty"`
 }
 
-// model is what the store holds of one model.
+// model is the state of a model in the store.
 type model struct {
 	latest   uint64
 	versions map[uint64]weightstore.PublishRequest
 }
 
-// Server is one stand-in.
+// Server is a simulated weight store.
 type Server struct {
 	*httpserver.Listener
 	config  Config
@@ -76,9 +76,9 @@
 	return s.Serve(ctx, s.Handler())
 }
 
-// Handler returns the store's API and the fault control.
+// Handler returns the store's API and the fault injection endpoint.
 func (s *Server) Handler() http.Handler {
-	// Models are matched in their escaped form, as their names may hold slashes.
+	// Model names may contain slashes, so paths are matched in their escaped form.
 	router := mux.NewRouter().UseEncodedPath()
 	router.HandleFunc("/v1/control", s.handleControl).Methods(http.MethodPost)
 	store := router.PathPrefix("/v1/models").Subrouter()
@@ -89,7 +89,7 @@
 	return router
 }
 
-// withFaults delays and fails calls as Control asks.
+// withFaults delays and fails calls as set through Control.
 func (s *Server) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		s.mu.Lock()
@@ -106,8 +106,7 @@
 	})
 }
 
-// modelName returns the model in the request's path; net/http has refused a
-// path that can't be unescaped before.
+// modelName returns the model in the request's path. The escaping is valid: net/http rejects other paths.
 func modelName(request *http.Request) string {
 	name, _ := url.PathUnescape(mux.Vars(request)["model"])
 	return name
@@ -136,8 +135,7 @@
 	httpserver.WriteJSON(writer, http.StatusOK, struct{}{})
 }
 
-// Publish adds a version. Versions only rise; a version that is there already
-// stays as it is.
+// Publish adds a version. Versions must increase; publishing a known version again has no effect.
 func (s *Server) Publish(name string, request weightstore.PublishRequest) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +185,7 @@
 	return published, found
 }
 
-// retryAfterSeconds returns the time to the next free download, in whole seconds.
+// retryAfterSeconds returns the time until the next allowed download, in whole seconds.
 func (s *Server) retryAfterSeconds() int {
 	perDownload := time.Duration(float64(time.Second) / s.config.DownloadsPerSecond)
 	return max(1, int((perDownload+time.Second-1)/time.Second))
@@ -202,7 +200,7 @@
 	httpserver.WriteJSON(writer, http.StatusOK, struct{}{})
 }
 
-// Control applies a fault control.
+// Control applies injected faults.
 func (s *Server) Control(control Control) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/weightstore/server_test.go
+++ b/internal/standin/weightstore/server_test.go
@@ -43,7 +43,7 @@
 	return response
 }
 
-func TestAStoreThatIsDownFails(t *testing.T) {
+func TestInfoFailsWhileStoreIsDown(t *testing.T) {
 	standinStore := standin.New(standin.Config{})
 	server := httptest.NewServer(standinStore.Handler())
 	defer server.Close()
