--- a/internal/standin/scorer/scorer.go
+++ b/internal/standin/scorer/scorer.go
@@ -1,6 +1,5 @@
-// Package scorer is a small stand-in for the platform's scoring service. It
-// gives each text a score in [0, 1) that depends only on the seed, the prompt
-// and the text, and can be slow or fail for a share of the calls.
+// Package scorer simulates the platform's scoring service. The score of a text is in [0, 1) and depends only on the
+// seed, the prompt and the text. Calls can be delayed, and a share of them can fail.
 package scorer
 
 import (
@@ -18,10 +17,10 @@
 	"github.com/corkpulley/corkpulley/internal/platform/scorer"
 )
 
-// maxBodyBytes bounds a request.
+// maxBodyBytes is the maximum size of a request body.
 const maxBodyBytes = 8 << 20
 
-// Config configures the stand-in.
+// Config configures a Server.
 type Config struct {
 	Listen    string        `arg:"--listen" default:"127.0.0.1:0" help:"address to listen on (ip:port)"`
 	Seed      int64         `arg:"--seed" default:"1" help:"seed of the scores and of the failures"`
@@ -29,7 +28,7 @@
 	FailShare float64       `arg:"--fail-share" default:"0" help:"share of the calls that fail with status 503, 0..1"`
 }
 
-// Server is the stand-in.
+// Server is a simulated scoring service.
 type Server struct {
 	config Config
 
@@ -38,13 +37,12 @@
 	calls  int64
 }
 
-// New returns a stand-in.
 func New(config Config) *Server {
 	seed := uint64(config.Seed)
 	return &Server{config: config, random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Handler returns the HTTP interface: POST /v1/score.
+// Handler returns the HTTP API: POST /v1/score.
 func (s *Server) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.NotFoundHandler = http.HandlerFunc(httpapi.NotFound)
@@ -53,7 +51,7 @@
 	return router
 }
 
-// Calls returns the number of calls so far, failed ones included.
+// Calls returns the number of calls so far, including failed ones.
 func (s *Server) Calls() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -71,21 +69,21 @@
 	case <-r.Context().Done():
 		return
 	}
-	if s.fails() {
+	if s.drawFailure() {
 		httpapi.WriteError(w, errkind.New(errkind.NotReady, "the stand-in was told to fail this call"))
 		return
 	}
 	httpapi.WriteJSON(w, http.StatusOK, scorer.Response{Score: Score(s.config.Seed, request.Prompt, request.Text)})
 }
 
-func (s *Server) fails() bool {
+func (s *Server) drawFailure() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.calls++
 	return s.random.Float64() < s.config.FailShare
 }
 
-// Score returns the score that a stand-in with the seed gives, in [0, 1).
+// Score returns the score in [0, 1) that a Server with the seed gives.
 func Score(seed int64, prompt, text string) float64 {
 	digest := xxhash.New()
 	for _, part := range []string{strconv.FormatInt(seed, 10), prompt, text} {
--- a/internal/standin/scorer/scorer_test.go
+++ b/internal/standin/scorer/scorer_test.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/platform/scorer"
 )
 
-func TestAdapterAgainstStandIn(t *testing.T) {
+func TestAdapterReturnsDeterministicScore(t *testing.T) {
 	server := httptest.NewServer(New(Config{Seed: 7}).Handler())
 	defer server.Close()
 	adapter := scorer.NewHTTP(server.URL+"/", server.Client())
