--- a/internal/standin/httpserver/httpserver.go
+++ b/internal/standin/httpserver/httpserver.go
@@ -1,5 +1,4 @@
-// Package httpserver holds what the HTTP stand-ins have in common: listening,
-// serving until told to stop, and JSON bodies.
+// Package httpserver contains the HTTP server lifecycle and JSON helpers shared by the simulated services.
 package httpserver
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/go-faster/errors"
 )
 
-// DefaultListen is the address of a stand-in that names none: any free port.
+// DefaultListen is the default listen address: any free port on the loopback interface.
 const DefaultListen = "127.0.0.1:0"
 
 const (
@@ -22,7 +21,7 @@
 	readHeaderTimeout = 10 * time.Second
 )
 
-// Listener listens at one address and tells which one it got. It runs once.
+// Listener serves HTTP at one address. Serve must be called at most once.
 type Listener struct {
 	name   string
 	listen string
@@ -32,8 +31,7 @@
 	address string
 }
 
-// NewListener returns a Listener for the address ("ip:port"; empty takes
-// DefaultListen). The name stands in errors.
+// NewListener returns a Listener for an address ("ip:port"; empty for DefaultListen). Errors contain the name.
 func NewListener(name, listen string) *Listener {
 	if listen == "" {
 		listen = DefaultListen
@@ -44,15 +42,15 @@
 // Ready returns a channel that is closed once Serve listens.
 func (l *Listener) Ready() <-chan struct{} { return l.ready }
 
-// Address returns the address that Serve listens on; empty before Ready.
+// Address returns the address that Serve listens on. It is empty before Ready.
 func (l *Listener) Address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.address
 }
 
-// Serve listens and serves until ctx ends, and then lets begun requests end for
-// shutdownTimeout. An error means that it could not listen or serve.
+// Serve listens and serves until ctx ends, and then waits up to shutdownTimeout for running requests. It returns an
+// error if it could not listen or serve.
 func (l *Listener) Serve(ctx context.Context, handler http.Handler) error {
 	listener, err := net.Listen("tcp", l.listen)
 	if err != nil {
@@ -78,8 +76,8 @@
 	return nil
 }
 
-// DecodeJSON reads the request's body into message; false when it answered 400
-// because the body is no JSON, does not fit, or is larger than 64 KiB.
+// DecodeJSON decodes the request body into message. If the body is invalid or larger than 64 KiB, it responds with
+// 400 and returns false.
 func DecodeJSON(writer http.ResponseWriter, request *http.Request, message any) bool {
 	body := http.MaxBytesReader(writer, request.Body, maxRequestBytes)
 	if err := json.NewDecoder(body).Decode(message); err != nil {
@@ -89,10 +87,10 @@
 	return true
 }
 
-// WriteJSON answers with the status and the body as JSON.
+// WriteJSON writes a response with the status and the body as JSON.
 func WriteJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	// A failed write means that the client left; there is nobody to tell.
+	// A write fails only if the client has disconnected.
 	_ = json.NewEncoder(writer).Encode(body)
 }
--- a/internal/standin/httpserver/httpserver_test.go
+++ b/internal/standin/httpserver/httpserver_test.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/standin/httpserver"
 )
 
-func TestServeTellsItsAddressAndEndsWithItsContext(t *testing.T) {
+func TestServeReportsAddressAndStopsWithContext(t *testing.T) {
 	listener := httpserver.NewListener("echo", "")
 	assert.Equal(t, listener.Address(), "")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -33,7 +33,7 @@
 	assert.NilError(t, <-ended)
 }
 
-func TestDecodeJSONAnswersABadBody(t *testing.T) {
+func TestDecodeJSONRejectsInvalidBody(t *testing.T) {
 	for body, status := range map[string]int{
 		`{"text":"x"}`: http.StatusOK,
 		`{"text":1}`:   http.StatusBadRequest,
