--- a/internal/dispatcher/announce.go
+++ b/internal/dispatcher/announce.go
@@ -8,7 +8,7 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// announcement is what a cell last told the cluster.
+// announcement is the last digest that a cell announced to the cluster.
 type announcement struct {
 	digest scheduler.Digest
 	at     time.Time
@@ -18,10 +18,10 @@
 func (c *cell) digest() message.CellDigest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.describe(c.scheduler.Digest())
+	return c.digestMessage(c.scheduler.Digest())
 }
 
-func (c *cell) describe(digest scheduler.Digest) message.CellDigest {
+func (c *cell) digestMessage(digest scheduler.Digest) message.CellDigest {
 	return message.CellDigest{
 		Cell:     c.id,
 		Node:     c.dispatcher.options.NodeID,
@@ -35,8 +35,8 @@
 	}
 }
 
-// announce tells the cluster about an owned cell when it is due: on change, or
-// after the maximum interval.
+// announce sends the digest of an owned cell to the cluster on change, or after
+// announceMaximumInterval.
 func (c *cell) announce(now time.Time) {
 	digest, due := c.dueAnnouncement(now)
 	if due {
@@ -58,5 +58,5 @@
 		return message.CellDigest{}, false
 	}
 	c.announced = announcement{digest: digest, at: now}
-	return c.describe(digest), true
+	return c.digestMessage(digest), true
 }
--- a/internal/dispatcher/attempt.go
+++ b/internal/dispatcher/attempt.go
@@ -13,15 +13,15 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// outcome tells how one send to an engine ended.
+// outcome is the result of one attempt at an engine.
 type outcome uint8
 
 const (
-	// outcomeFinished: the answer is whole.
+	// outcomeFinished: the answer is complete.
 	outcomeFinished outcome = iota
 	// outcomeNotRun: the request certainly did not run on this engine.
 	outcomeNotRun
-	// outcomeLost: it may have run, and its stream can't be resumed.
+	// outcomeLost: the request may have run, and its stream cannot be resumed.
 	outcomeLost
 	// outcomeCanceled: the task's context ended.
 	outcomeCanceled
@@ -32,64 +32,62 @@
 // String returns the metric label of the outcome.
 func (o outcome) String() string { return outcomeNames[o] }
 
-// attemptResult is the end of one send.
+// attemptResult describes how an attempt ended.
 type attemptResult struct {
 	outcome outcome
-	// reason is the engine's finish reason, with outcomeFinished.
+	// reason is the engine's finish reason, set with outcomeFinished.
 	reason string
-	// refusal is set when the engine refused, with outcomeNotRun.
+	// refusal is set if the engine refused the request, with outcomeNotRun.
 	refusal *engine.Refusal
-	// suspect: the engine itself seems gone, with outcomeLost.
-	suspect bool
-	cause   error
+	// suspectEngine is set if the engine itself may be unreachable, with outcomeLost.
+	suspectEngine bool
+	cause         error
 }
 
-// errGap reports a stream that skipped token indexes.
-var errGap = errors.New("engine stream skipped tokens")
+// errTokenGap reports a stream that skipped token indexes.
+var errTokenGap = errors.New("engine stream skipped tokens")
 
-// errEngineGone ends the attempts on an engine that stays unreachable.
-var errEngineGone = errors.New("engine is unreachable")
+// errEngineUnreachable is the cancel cause of attempts on an engine that stays unreachable.
+var errEngineUnreachable = errors.New("engine is unreachable")
 
-// attempt is one send of a task to an engine, resumes included.
+// attempt is one send of a task to an engine, including its resumes.
 type attempt struct {
 	task   *task
 	placed placement
-	// ctx ends with the task, or with errEngineGone when the engine has been
-	// unreachable for too long.
+	// ctx ends with the task, or with errEngineUnreachable as the cause.
 	ctx context.Context
-	// number is the attempt number that the engine knows.
+	// number is the attempt number sent to the engine.
 	number uint32
-	// firstToken is the answer's length when the attempt began.
+	// firstToken is the length of the answer when the attempt began.
 	firstToken int
-	// version is the weight version of the last tokens.
-	version  uint64
-	reported int
-	// heardAt is when the engine last sent a chunk, or was first asked, in
-	// Unix nanoseconds.
-	heardAt atomic.Int64
+	// version is the weight version of the latest tokens.
+	version        uint64
+	reportedTokens int
+	// lastChunkAt is the time of the last chunk, or of the attempt's creation, in Unix nanoseconds.
+	lastChunkAt atomic.Int64
 }
 
-// newAttempt numbers the next send of the task.
+// newAttempt returns the next numbered attempt of the task.
 func (t *task) newAttempt(placed placement) *attempt {
-	t.sends++
+	t.sendCount++
 	created := &attempt{
-		task:       t,
-		placed:     placed,
-		number:     (t.submit.Attempt-1)*engineAttemptStride + t.sends,
-		firstToken: len(t.tokens),
-		version:    placed.assignment.Version,
-		reported:   len(t.tokens),
+		task:           t,
+		placed:         placed,
+		number:         (t.submit.Attempt-1)*engineAttemptStride + t.sendCount,
+		firstToken:     len(t.tokens),
+		version:        placed.assignment.Version,
+		reportedTokens: len(t.tokens),
 	}
-	created.heardAt.Store(time.Now().UnixNano())
+	created.lastChunkAt.Store(time.Now().UnixNano())
 	return created
 }
 
-// silence returns how long the engine has sent no chunk.
-func (a *attempt) silence(now time.Time) time.Duration {
-	return now.Sub(time.Unix(0, a.heardAt.Load()))
+// idleTime returns the time since the last chunk.
+func (a *attempt) idleTime(now time.Time) time.Duration {
+	return now.Sub(time.Unix(0, a.lastChunkAt.Load()))
 }
 
-// run sends the request and follows its stream to the end.
+// run sends the request and relays its stream to the end.
 func (a *attempt) run() attemptResult {
 	if err := a.task.ctx.Err(); err != nil {
 		return attemptResult{outcome: outcomeCanceled, cause: err}
@@ -107,7 +105,7 @@
 	if refused && failure.Refusal != nil {
 		return attemptResult{outcome: outcomeLost, cause: err}
 	}
-	return a.follow(stream, err)
+	return a.followStream(stream, err)
 }
 
 func (a *attempt) notRun(failure *engine.SendError) attemptResult {
@@ -117,9 +115,9 @@
 	return attemptResult{outcome: outcomeNotRun, refusal: failure.Refusal, cause: failure}
 }
 
-// follow relays the stream; broken ones are resumed at the next token on the
-// same engine. A nil stream with an error counts as broken.
-func (a *attempt) follow(stream engine.Stream, err error) attemptResult {
+// followStream relays the stream and resumes a broken one at the next token on the same engine. A nil
+// stream with an error counts as broken.
+func (a *attempt) followStream(stream engine.Stream, err error) attemptResult {
 	idleResumes := 0
 	for {
 		if err == nil {
@@ -135,25 +133,24 @@
 		}
 		idleResumes++
 		if a.ctx.Err() != nil || idleResumes > maximumIdleResumes {
-			return a.lost(err)
+			return a.lostResult(err)
 		}
 		broken := err
 		if stream, err = a.resume(); err != nil {
-			return a.lost(errors.Wrap(err, "resume after: "+broken.Error()))
+			return a.lostResult(errors.Wrap(err, "resume after: "+broken.Error()))
 		}
 	}
 }
 
-// lost is the result of a stream that can't be resumed.
-func (a *attempt) lost(cause error) attemptResult {
+// lostResult returns the result of a stream that cannot be resumed.
+func (a *attempt) lostResult(cause error) attemptResult {
 	if a.task.ctx.Err() != nil {
 		return attemptResult{outcome: outcomeCanceled, cause: cause}
 	}
-	return attemptResult{outcome: outcomeLost, suspect: true, cause: cause}
+	return attemptResult{outcome: outcomeLost, suspectEngine: true, cause: cause}
 }
 
-// relay passes chunks on until the finished one. An error means that the
-// stream broke.
+// relay processes chunks up to the finished one. It returns an error if the stream breaks.
 func (a *attempt) relay(stream engine.Stream) (attemptResult, error) {
 	defer func() { _ = stream.Close() }()
 	for {
@@ -164,12 +161,12 @@
 			}
 			return attemptResult{}, err
 		}
-		a.heardAt.Store(time.Now().UnixNano())
+		a.lastChunkAt.Store(time.Now().UnixNano())
 		if chunk.RequestID != a.task.submit.RequestID || chunk.Attempt != a.number {
-			// A chunk of an older attempt may not enter the answer.
+			// Ignore chunks of other attempts.
 			continue
 		}
-		if err := a.accept(&chunk); err != nil {
+		if err := a.appendChunk(&chunk); err != nil {
 			return attemptResult{}, err
 		}
 		if chunk.Finished {
@@ -178,7 +175,7 @@
 	}
 }
 
-// finished turns the last chunk into a result.
+// finished converts the last chunk into a result.
 func (a *attempt) finished(chunk *engine.Chunk) attemptResult {
 	switch chunk.FinishReason {
 	case engine.FinishError, engine.FinishCanceled:
@@ -192,11 +189,11 @@
 	}
 }
 
-// accept appends the tokens of a chunk that are new, each index once.
-func (a *attempt) accept(chunk *engine.Chunk) error {
+// appendChunk appends the new tokens of a chunk to the answer, each index once.
+func (a *attempt) appendChunk(chunk *engine.Chunk) error {
 	next := len(a.task.tokens)
 	if chunk.FirstToken > next {
-		return errGap
+		return errTokenGap
 	}
 	known := min(next-chunk.FirstToken, len(chunk.Tokens))
 	fresh := chunk.Tokens[known:]
@@ -205,7 +202,7 @@
 	}
 	piece := message.Progress{
 		Attempt:       a.task.submit.Attempt,
-		EngineAttempt: a.task.sends,
+		EngineAttempt: a.task.sendCount,
 		Engine:        a.placed.assignment.EngineID,
 		FirstToken:    next,
 		Tokens:        fresh,
@@ -224,26 +221,25 @@
 	return nil
 }
 
-// reportProgress tells the scheduler now and then how far the answer is.
+// reportProgress updates the scheduler after every progressReportTokens new tokens.
 func (a *attempt) reportProgress() {
-	if len(a.task.tokens)-a.reported < progressReportTokens {
+	if len(a.task.tokens)-a.reportedTokens < progressReportTokens {
 		return
 	}
-	a.reported = len(a.task.tokens)
-	a.task.cell.progressed(a.task, a.reported-a.firstToken)
+	a.reportedTokens = len(a.task.tokens)
+	a.task.cell.updateProgress(a.task, a.reportedTokens-a.firstToken)
 }
 
-// resume opens the stream again at the next token, for a bounded time. It never
-// starts the request anew.
+// resume reopens the stream at the next token within resumeTimeout. It never restarts the request.
 func (a *attempt) resume() (engine.Stream, error) {
 	a.task.cell.dispatcher.metrics.resumes.Inc()
 	request := a.request()
 	from := len(a.task.tokens)
 	request.ResumeFrom = &from
 	open := func() (engine.Stream, error) {
-		// The timer bounds the opening only; an open stream ends with a.ctx.
+		// The timer limits the opening only; an open stream ends with a.ctx.
 		ctx, cancel := context.WithCancel(a.ctx)
-		timer := time.AfterFunc(resumePatience, cancel)
+		timer := time.AfterFunc(resumeTimeout, cancel)
 		defer timer.Stop()
 		stream, err := a.client().Generate(ctx, a.placed.address, request)
 		if isUnknownStream(err) {
@@ -252,7 +248,7 @@
 		return stream, err
 	}
 	return backoff.Retry(a.ctx, open,
-		backoff.WithBackOff(resumeRetries.Delays()), backoff.WithMaxElapsedTime(resumePatience))
+		backoff.WithBackOff(resumeRetries.Delays()), backoff.WithMaxElapsedTime(resumeTimeout))
 }
 
 func isUnknownStream(err error) bool {
@@ -278,15 +274,15 @@
 	}
 }
 
-// cancelAtEngine tells the engine, best effort, that the attempt is not wanted.
+// cancelAtEngine asks the engine, best effort, to cancel the attempt.
 func (a *attempt) cancelAtEngine() {
 	dispatcher := a.task.cell.dispatcher
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(dispatcher.base), cancelTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(dispatcher.baseContext), cancelTimeout)
 	defer cancel()
 	request := engine.CancelRequest{RequestID: a.task.submit.RequestID, Attempt: a.number}
 	if err := a.client().Cancel(ctx, a.placed.address, request); err != nil {
 		dispatcher.options.Logger.Debug().Err(err).Str("request", a.task.id).
-			Str("engine", a.placed.assignment.EngineID).Msg("engine did not confirm a cancel")
+			Str("engine", a.placed.assignment.EngineID).Msg("engine did not confirm the cancellation")
 	}
 }
 
--- a/internal/dispatcher/buffer.go
+++ b/internal/dispatcher/buffer.go
@@ -9,26 +9,25 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// answerBuffer holds the answer of one task between the engine stream that
-// writes it and the readers that relay it. Its size is bounded: the writer
-// waits while the furthest reader is too far behind.
+// answerBuffer holds the answer of one task between the engine stream that writes it and the readers
+// that relay it. Its size is bounded: the writer blocks while the furthest reader is too far behind.
 //
-// Invariant: pieces are contiguous from base to next; each token index is
-// appended once.
+// Invariant: pieces are contiguous from base to next; each token index is appended once.
 type answerBuffer struct {
 	mutex  sync.Mutex
 	pieces []message.Progress
 	base   int
 	next   int
-	// read is the furthest index that a reader has taken.
+	// read is the furthest index that any reader has acknowledged.
 	read    int
 	readers int
-	// closed: no reader came back in time; none is admitted any more.
+	// closed is set when the linger timeout expired without a reader; no reader is accepted after
+	// that.
 	closed   bool
 	finished *message.Progress
 	err      *errkind.Error
-	// changed and space are closed when there is more to read, or room to
-	// write; nil while nobody waits.
+	// changed is closed when there is more to read, space when there is room to write; both are nil
+	// while nobody waits.
 	changed chan struct{}
 	space   chan struct{}
 }
@@ -37,28 +36,28 @@
 	return &answerBuffer{base: firstToken, next: firstToken, read: firstToken}
 }
 
-// wait returns the channel that wake will close.
-func wait(waiters *chan struct{}) <-chan struct{} {
+// waitChannel returns the channel that wakeWaiters closes.
+func waitChannel(waiters *chan struct{}) <-chan struct{} {
 	if *waiters == nil {
 		*waiters = make(chan struct{})
 	}
 	return *waiters
 }
 
-// wake wakes all that wait. The caller holds the lock.
-func wake(waiters *chan struct{}) {
+// wakeWaiters wakes all waiters. Must be called with mutex held.
+func wakeWaiters(waiters *chan struct{}) {
 	if *waiters != nil {
 		close(*waiters)
 		*waiters = nil
 	}
 }
 
-// append adds new tokens, which start at index next. It blocks while the
-// readers are too far behind and fails when ctx ends.
+// append adds new tokens, which must start at index next. It blocks while the readers are too far
+// behind and returns the error of ctx if that ends.
 func (b *answerBuffer) append(ctx context.Context, piece message.Progress) error {
 	b.mutex.Lock()
 	for b.next-b.read >= bufferUnreadTokens {
-		space := wait(&b.space)
+		space := waitChannel(&b.space)
 		b.mutex.Unlock()
 		select {
 		case <-space:
@@ -72,20 +71,20 @@
 		b.pieces = append(b.pieces, piece)
 	}
 	b.next += len(piece.Tokens)
-	wake(&b.changed)
+	wakeWaiters(&b.changed)
 	return nil
 }
 
-// extendLast adds the tokens to the last piece if they are like its own; false
-// when they need a piece to themselves. Readers may hold the last piece: they
-// see its tokens up to the length that it had, which never change.
+// extendLast appends the tokens to the last piece if both have the same origin and version; it returns
+// false if they need a piece of their own. Readers may hold a copy of the last piece: the tokens
+// within its length never change.
 func (b *answerBuffer) extendLast(piece *message.Progress) bool {
 	if len(b.pieces) == 0 {
 		return false
 	}
 	last := &b.pieces[len(b.pieces)-1]
 	alike := last.EngineAttempt == piece.EngineAttempt && last.Engine == piece.Engine && last.Version == piece.Version
-	if !alike || len(last.Tokens)+len(piece.Tokens) > bufferPieceTokens {
+	if !alike || len(last.Tokens)+len(piece.Tokens) > bufferMaximumPieceTokens {
 		return false
 	}
 	last.Tokens = append(last.Tokens, piece.Tokens...)
@@ -98,7 +97,7 @@
 	defer b.mutex.Unlock()
 	last.FirstToken = b.next
 	b.finished = &last
-	wake(&b.changed)
+	wakeWaiters(&b.changed)
 }
 
 // fail ends the answer with an error.
@@ -109,24 +108,24 @@
 		return
 	}
 	b.err = err
-	wake(&b.changed)
+	wakeWaiters(&b.changed)
 }
 
 func (b *answerBuffer) ended() bool { return b.finished != nil || b.err != nil }
 
-// busy tells whether the answer has not ended, or is still being read.
+// busy reports whether the answer has not ended or is still being read.
 func (b *answerBuffer) busy() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return !b.ended() || b.readers > 0
 }
 
-// enter admits a reader that wants tokens from an index on.
-func (b *answerBuffer) enter(from int) *errkind.Error {
+// addReader registers a reader that starts at a token index.
+func (b *answerBuffer) addReader(from int) *errkind.Error {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.closed {
-		return errkind.New(errkind.OutcomeUnknown, "the request was given up: its caller was gone")
+		return errkind.New(errkind.OutcomeUnknown, "the request was abandoned: its caller disconnected")
 	}
 	if from < b.base {
 		return errkind.New(errkind.OutcomeUnknown, "tokens before %d are no longer kept", b.base)
@@ -135,16 +134,16 @@
 	return nil
 }
 
-// leave tells that a reader left; true when it was the last one.
-func (b *answerBuffer) leave() bool {
+// removeReader unregisters a reader and reports whether it was the last one.
+func (b *answerBuffer) removeReader() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.readers--
 	return b.readers == 0
 }
 
-// closeUnread closes the buffer unless it has a reader.
-func (b *answerBuffer) closeUnread() bool {
+// closeIfUnread closes the buffer unless it has a reader, and reports whether it did.
+func (b *answerBuffer) closeIfUnread() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.readers > 0 {
@@ -154,42 +153,41 @@
 	return true
 }
 
-// window is what a reader finds at its index.
-type window struct {
+// readResult is the part of the answer that is available from an index on.
+type readResult struct {
 	pieces []message.Progress
-	// finished is the last message, set once pieces reach the end.
+	// finished is the last message, set once the answer is complete.
 	finished *message.Progress
 	err      *errkind.Error
-	// changed is closed when there is more to see; nil when there is something now.
+	// changed is closed when more is available; nil if there is something to read now.
 	changed <-chan struct{}
 }
 
-// readFrom returns what follows an index; the reader has sent on all before it.
-// The first piece may begin before the index. The pieces go into the memory of
-// reuse, if it is large enough.
-func (b *answerBuffer) readFrom(from int, reuse []message.Progress) window {
+// readFrom returns the answer from an index on and acknowledges all tokens before it. The first piece
+// may begin before the index. The memory of reuse is used for the pieces if it is large enough.
+func (b *answerBuffer) readFrom(from int, reuse []message.Progress) readResult {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if from < b.base {
-		return window{err: errkind.New(errkind.OutcomeUnknown, "the reader fell too far behind")}
+		return readResult{err: errkind.New(errkind.OutcomeUnknown, "the reader fell too far behind")}
 	}
 	b.advance(from)
 	first := sort.Search(len(b.pieces), func(i int) bool {
 		return b.pieces[i].FirstToken+len(b.pieces[i].Tokens) > from
 	})
-	found := window{
+	found := readResult{
 		pieces:   append(reuse[:0], b.pieces[first:]...),
 		finished: b.finished,
 		err:      b.err,
 	}
 	if len(found.pieces) == 0 && !b.ended() {
-		found.changed = wait(&b.changed)
+		found.changed = waitChannel(&b.changed)
 	}
 	return found
 }
 
-// advance notes that a reader has taken the tokens up to an index, and drops
-// what need not be kept any more.
+// advance acknowledges the tokens before an index and drops pieces that are no longer retained. Must
+// be called with mutex held.
 func (b *answerBuffer) advance(read int) {
 	if read <= b.read {
 		return
@@ -205,5 +203,5 @@
 		dropped++
 	}
 	b.pieces = b.pieces[dropped:]
-	wake(&b.space)
+	wakeWaiters(&b.space)
 }
--- a/internal/dispatcher/caps.go
+++ b/internal/dispatcher/caps.go
@@ -8,18 +8,18 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// cellSize is a cell of any zone with the number of its engines.
+// cellSize is the number of engines of a cell in any zone.
 type cellSize struct {
 	id      message.CellID
 	engines int
 }
 
-// layout lists the cells of each pool over all known zones, sorted.
+// layout lists the cells of each pool over all known zones, sorted by zone and index.
 type layout map[string][]cellSize
 
-// newLayout returns the layout of the cells of this zone, by the engine list,
-// and of all announced ones. Where a cell is announced its digest counts, as
-// the nodes of other zones know nothing else of it.
+// newLayout combines the listed cells of this zone with the announced cells of all zones. The digest
+// of an announced cell takes precedence, because nodes of other zones see only that, unless it reports
+// no engines for a listed cell.
 func newLayout(listed map[message.CellID]cellEngines, announced []message.CellDigest) layout {
 	sizes := make(map[message.CellID]int, len(listed)+len(announced))
 	for id, engines := range listed {
@@ -52,11 +52,9 @@
 	}
 }
 
-// capOf returns the part of a row's cap that falls to a cell, in proportion to
-// its engines. The parts of all cells that may run the service sum up to the
-// cap exactly as long as all nodes see the same digests; for the moment in
-// which they differ the parts may be off by as much.
-func (l layout) capOf(row *policy.Row, cell message.CellID) int {
+// cellCap returns a cell's part of a service cap, in proportion to its engines. The parts of all cells
+// sum to the cap if all nodes see the same digests; while digests differ, the sum may deviate.
+func (l layout) cellCap(row *policy.Row, cell message.CellID) int {
 	total, before, own := 0, 0, 0
 	for _, candidate := range l[cell.Pool] {
 		if len(row.Zones) > 0 && !slices.Contains(row.Zones, candidate.id.Zone) {
--- a/internal/dispatcher/cell.go
+++ b/internal/dispatcher/cell.go
@@ -16,8 +16,8 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// cell is one shard of the dispatcher: the scheduler of a cell of engines with
-// its tasks and engine links, under one lock.
+// cell is one shard of the dispatcher: the scheduler of a cell of engines with its tasks and engine
+// links, under one lock.
 type cell struct {
 	id         message.CellID
 	dispatcher *Dispatcher
@@ -25,27 +25,27 @@
 	mutex     sync.Mutex
 	scheduler *scheduler.Cell
 	prefixes  *prefixcache.Index
-	links     map[string]*link
+	links     map[string]*engineLink
 	tasks     map[string]*task
-	// attempts are the running attempts, by task ID.
+	// attempts are the running attempts by task ID.
 	attempts map[string]runningAttempt
-	// directives are the load directives in force, by model.
+	// directives are the active load directives by model.
 	directives map[string]*directive
-	// owned: rendezvous hashing gives the cell to this node.
+	// owned is set while rendezvous hashing assigns the cell to this node.
 	owned    bool
 	draining bool
-	// usedAt is when the last request came in.
-	usedAt    time.Time
-	announced announcement
+	// lastSubmitAt is the time of the last submission.
+	lastSubmitAt time.Time
+	announced    announcement
 }
 
-// runningAttempt is one attempt that has not ended.
+// runningAttempt is an attempt that has not ended, with its cancel function.
 type runningAttempt struct {
 	attempt *attempt
 	cancel  context.CancelCauseFunc
 }
 
-// newCell returns a cell without engines. The caller holds the dispatcher's lock.
+// newCell returns a cell without engines. Must be called with the dispatcher's mutex held.
 func newCell(owner *Dispatcher, id message.CellID) *cell {
 	prefixes := prefixcache.New(prefixcache.DefaultCapacity)
 	return &cell{
@@ -56,27 +56,27 @@
 			Seed:     xxhash.Sum64String(cellName(id)),
 			Prefixes: prefixes,
 		}),
-		prefixes:   prefixes,
-		links:      make(map[string]*link),
-		tasks:      make(map[string]*task),
-		attempts:   make(map[string]runningAttempt),
-		directives: make(map[string]*directive),
-		draining:   owner.draining,
-		usedAt:     time.Now(),
+		prefixes:     prefixes,
+		links:        make(map[string]*engineLink),
+		tasks:        make(map[string]*task),
+		attempts:     make(map[string]runningAttempt),
+		directives:   make(map[string]*directive),
+		draining:     owner.draining,
+		lastSubmitAt: time.Now(),
 	}
 }
 
-// cellName is the cell's name in logs and metrics.
+// cellName returns the cell's name for logs and metrics.
 func cellName(id message.CellID) string {
 	return fmt.Sprintf("%s/%s/%d", id.Zone, id.Pool, id.Index)
 }
 
-// submit returns the task of a submission: a running one with the same request
-// and attempt, or a new one, which it queues.
+// submit queues a submission and returns its task. If a task for the same request and attempt exists,
+// it returns that one.
 func (c *cell) submit(submit message.Submit, row policy.Row, inFlightCap int) (*task, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.usedAt = time.Now()
+	c.lastSubmitAt = time.Now()
 	if known, ok := c.tasks[taskID(&submit)]; ok {
 		return known, nil
 	}
@@ -84,10 +84,10 @@
 		return nil, errkind.New(errkind.Draining, "node %s is stopping", c.dispatcher.options.NodeID)
 	}
 	if len(c.links) == 0 {
-		return nil, errkind.New(errkind.NoCapacity, "cell %s has no engine", cellName(c.id))
+		return nil, errkind.New(errkind.NoCapacity, "cell %s has no engines", cellName(c.id))
 	}
-	created := newTask(c.dispatcher.base, c, submit, row, inFlightCap)
-	if err := c.scheduler.Enqueue(c.usedAt, created.item(c.usedAt)); err != nil {
+	created := newTask(c.dispatcher.baseContext, c, submit, row, inFlightCap)
+	if err := c.scheduler.Enqueue(c.lastSubmitAt, created.item(c.lastSubmitAt)); err != nil {
 		created.cancel()
 		return nil, err
 	}
@@ -99,19 +99,19 @@
 	if len(c.tasks) == 1 {
 		c.dispatcher.wakeUp()
 	}
-	c.dispatch(c.usedAt)
+	c.dispatch(c.lastSubmitAt)
 	return created, nil
 }
 
-// lookup returns a task; nil when it is not here.
+// lookup returns the task with an ID, or nil.
 func (c *cell) lookup(id string) *task {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.tasks[id]
 }
 
-// forget drops a task that nobody reads any more.
-func (c *cell) forget(t *task) {
+// removeTask removes a task that has no reader.
+func (c *cell) removeTask(t *task) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.tasks[t.id] == t {
@@ -119,45 +119,44 @@
 	}
 }
 
-// dispatch places what may run now. The caller holds the lock.
+// dispatch assigns queued tasks to free engines. Must be called with mutex held.
 func (c *cell) dispatch(now time.Time) {
 	for _, assignment := range c.scheduler.Dispatch(now) {
 		placed := placement{assignment: assignment}
-		if on, ok := c.links[assignment.EngineID]; ok {
-			placed.address = on.address
-			placed.generation = on.generation
+		if link, ok := c.links[assignment.EngineID]; ok {
+			placed.address = link.address
+			placed.generation = link.generation
 		}
-		c.place(assignment.Item.ID, placed)
+		c.deliver(assignment.Item.ID, placed)
 	}
 }
 
-// place hands a placement to a task. A task waits for at most one at a time, so
-// the channel always has room.
-func (c *cell) place(id string, placed placement) {
+// deliver sends a placement to its task. A task waits for at most one at a time, so the channel always
+// has room. Must be called with mutex held.
+func (c *cell) deliver(id string, placed placement) {
 	if waiting, ok := c.tasks[id]; ok {
 		waiting.placed <- placed
 		return
 	}
-	// The task was given up between its withdrawal and now.
+	// The task was abandoned but not yet withdrawn from the queue.
 	c.scheduler.Returned(id)
 }
 
-// tick gives up on queued tasks whose deadline passed, gives starved classes
-// their turn, and follows the directives. It reports whether the cell has tasks.
+// tick expires queued tasks past their deadline, dispatches, cancels attempts on unreachable engines
+// and sends due load orders. It reports whether the cell has tasks.
 func (c *cell) tick(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, expired := range c.scheduler.Expire(now) {
-		c.place(expired.Item.ID, placement{err: expired.Err})
+		c.deliver(expired.Item.ID, placement{err: expired.Err})
 	}
 	c.dispatch(now)
-	c.endLostAttempts(now)
-	c.followDirectives(now)
+	c.cancelUnreachableAttempts(now)
+	c.sendDueOrders(now)
 	return len(c.tasks) > 0
 }
 
-// withdraw takes a task out of the queue, or gives back the engine that it was
-// just placed on.
+// withdraw removes a task from the queue, or releases the engine slot that it was just assigned.
 func (c *cell) withdraw(t *task) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -167,7 +166,8 @@
 	c.dispatch(time.Now())
 }
 
-// release frees the slot of a task whose attempt ended.
+// release frees the engine slot of a task whose attempt ended; ran is false if the engine certainly
+// did not run it.
 func (c *cell) release(t *task, ran bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -180,14 +180,14 @@
 	c.dispatch(now)
 }
 
-// progressed tells how many tokens the running attempt of a task has brought.
-func (c *cell) progressed(t *task, tokens int) {
+// updateProgress reports to the scheduler how many tokens the running attempt of a task has generated.
+func (c *cell) updateProgress(t *task, tokens int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.scheduler.Progressed(t.id, tokens)
 }
 
-// allExcluded tells whether every engine of the cell is in the list.
+// allExcluded reports whether every engine of the cell is in the list.
 func (c *cell) allExcluded(excluded []string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -199,7 +199,7 @@
 	return true
 }
 
-// beginAttempt registers a running attempt. The caller calls end when it is over.
+// beginAttempt registers a running attempt. The caller must call end when the attempt is over.
 func (c *cell) beginAttempt(a *attempt) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancelCause(a.task.ctx)
 	c.mutex.Lock()
@@ -213,21 +213,21 @@
 	}
 }
 
-// endLostAttempts ends the attempts that hang without an error: those on
-// engines that stay unreachable or left the list, and that bring no chunks. An
-// engine that left by plan may still finish its streams. The caller holds the lock.
-func (c *cell) endLostAttempts(now time.Time) {
+// cancelUnreachableAttempts cancels attempts that have received no chunks for engineUnreachableTimeout
+// and whose engine has been unreachable as long or is no longer listed. An engine removed from the
+// list as planned may still finish its streams. Must be called with mutex held.
+func (c *cell) cancelUnreachableAttempts(now time.Time) {
 	for _, running := range c.attempts {
-		on, listed := c.links[running.attempt.placed.assignment.EngineID]
-		gone := !listed || (!on.reachable && now.Sub(on.unreachableSince) > engineGoneTimeout)
-		if gone && running.attempt.silence(now) > engineGoneTimeout {
-			running.cancel(errEngineGone)
+		link, listed := c.links[running.attempt.placed.assignment.EngineID]
+		gone := !listed || (!link.reachable && now.Sub(link.unreachableSince) > engineUnreachableTimeout)
+		if gone && running.attempt.idleTime(now) > engineUnreachableTimeout {
+			running.cancel(errEngineUnreachable)
 		}
 	}
 }
 
-// drain refuses new submissions, and sends away as not run those that are
-// queued and never reached an engine.
+// drain makes the cell refuse new submissions and fails queued tasks that never reached an engine as
+// not executed.
 func (c *cell) drain() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -241,7 +241,7 @@
 	}
 }
 
-// busy tells whether a task has not ended or is still being read.
+// busy reports whether any task has not ended or is still being read.
 func (c *cell) busy() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/dispatcher/cells.go
+++ b/internal/dispatcher/cells.go
@@ -13,17 +13,18 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// cellEngines are the engines of one cell by the engine list.
+// cellEngines are the engines of one cell by engine ID, as given by the engine list.
 type cellEngines map[string]cluster.EngineMachine
 
-// zoneCells are the cells of this node's zone, as cut from a list of machines.
+// zoneCells caches the cells of this node's zone with the list of machines that they were computed
+// from.
 type zoneCells struct {
 	machines []cluster.EngineMachine
 	cells    map[message.CellID]cellEngines
 }
 
-// cellsOfZone returns the cells of this node's zone; they are cut anew only
-// when the engine list changed. Only reconcile calls it.
+// cellsOfZone returns the cells of this node's zone and recomputes them only if the engine list
+// changed. Must be called with reconcileMutex held.
 func (d *Dispatcher) cellsOfZone() map[message.CellID]cellEngines {
 	machines := d.options.EngineList.Engines(d.options.Zone)
 	if d.zoneCells.cells == nil || !slices.Equal(d.zoneCells.machines, machines) {
@@ -35,7 +36,7 @@
 	return d.zoneCells.cells
 }
 
-// assignZone cuts a zone's engines into cells.
+// assignZone partitions a zone's engines into cells.
 func assignZone(zone string, machines []cluster.EngineMachine) map[message.CellID]cellEngines {
 	byID := make(map[string]cluster.EngineMachine, len(machines))
 	pools := make(map[string][]string)
@@ -59,10 +60,11 @@
 	return assigned
 }
 
-// reconcile matches the cells to the engine list, the members and the table.
+// reconcile opens, updates and closes cells to match the engine list, the cluster members and the
+// policy table.
 func (d *Dispatcher) reconcile(now time.Time) {
-	d.reconciling.Lock()
-	defer d.reconciling.Unlock()
+	d.reconcileMutex.Lock()
+	defer d.reconcileMutex.Unlock()
 	d.reconciledAt = now
 	assigned := d.cellsOfZone()
 	sizes := newLayout(assigned, d.options.View.Cells())
@@ -99,8 +101,8 @@
 	return ids
 }
 
-// liveReserve returns the share of a pool's slots that trainers leave free: the
-// default where live services and trainers share the pool, else none.
+// liveReserve returns the share of a pool's slots that trainers must leave free: the default if live
+// services and trainers share the pool, else 0.
 func (d *Dispatcher) liveReserve(pool string) float64 {
 	live, trainer := false, false
 	for _, row := range d.options.Tables.Table().Rows {
@@ -116,33 +118,33 @@
 	return 0
 }
 
-// cell returns a cell by its ID. One that rendezvous gives to another node is
-// opened all the same when the engine list has it: ownership is soft, and two
-// dispatchers for a moment cost efficiency only.
+// cell returns a cell by its ID. A cell that rendezvous hashing assigns to another node is opened as
+// well if the engine list has it: two dispatchers that briefly serve one cell cost efficiency, not
+// correctness.
 func (d *Dispatcher) cell(id message.CellID) (*cell, error) {
 	if found := d.findOrOpen(id); found != nil {
 		return found, nil
 	}
-	d.reconcileAgain(time.Now())
+	d.reconcileOutOfTurn(time.Now())
 	if found := d.findOrOpen(id); found != nil {
 		return found, nil
 	}
-	return nil, errkind.New(errkind.NotOwner, "node %s knows no engines of cell %s", d.options.NodeID, cellName(id))
+	return nil, errkind.New(errkind.NotOwner, "node %s has no engines for cell %s", d.options.NodeID, cellName(id))
 }
 
-// reconcileAgain reconciles out of turn, but not more often than each tick:
-// submissions for unknown cells must stay cheap.
-func (d *Dispatcher) reconcileAgain(now time.Time) {
-	d.reconciling.Lock()
+// reconcileOutOfTurn reconciles at most once per tick interval, so that submissions for unknown cells
+// stay cheap.
+func (d *Dispatcher) reconcileOutOfTurn(now time.Time) {
+	d.reconcileMutex.Lock()
 	recent := now.Sub(d.reconciledAt) < tickInterval
-	d.reconciling.Unlock()
+	d.reconcileMutex.Unlock()
 	if !recent {
 		d.reconcile(now)
 	}
 }
 
-// findOrOpen returns a cell that is open, or opens one that the engine list
-// had when it was last read; nil when it had not.
+// findOrOpen returns an open cell, or opens one that the engine list had at the last reconciliation;
+// nil if there is none.
 func (d *Dispatcher) findOrOpen(id message.CellID) *cell {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -165,7 +167,7 @@
 	return d.cells[id]
 }
 
-// allCells returns the cells sorted by ID.
+// allCells returns the open cells sorted by ID.
 func (d *Dispatcher) allCells() []*cell {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -174,7 +176,8 @@
 	return cells
 }
 
-// reconcile matches a cell to its engines; false when it may be closed.
+// reconcile opens and closes engine links to match the list. It returns false if the cell may be
+// closed.
 func (c *cell) reconcile(now time.Time, engines cellEngines, owned bool, liveReserve float64) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -183,30 +186,30 @@
 		clear(c.directives)
 	}
 	c.scheduler.SetLiveReserve(liveReserve)
-	for id, on := range c.links {
-		if machine, listed := engines[id]; !listed || machine.Address != on.address {
-			c.shut(on)
+	for id, link := range c.links {
+		if machine, listed := engines[id]; !listed || machine.Address != link.address {
+			c.closeLink(link)
 		}
 	}
 	for id, machine := range engines {
-		on, known := c.links[id]
+		link, known := c.links[id]
 		if !known {
-			c.open(machine)
-		} else if on.leaving != machine.Leaving {
-			on.leaving = machine.Leaving
-			c.updateScheduler(on, false)
+			c.openLink(machine)
+		} else if link.leaving != machine.Leaving {
+			link.leaving = machine.Leaving
+			c.updateScheduler(link, false)
 		}
 	}
 	c.dispatch(now)
-	idle := len(c.tasks) == 0 && now.Sub(c.usedAt) > cellIdleTimeout
+	idle := len(c.tasks) == 0 && now.Sub(c.lastSubmitAt) > cellIdleTimeout
 	return (owned && len(engines) > 0) || !idle
 }
 
-// close ends the links of a cell without tasks.
+// close closes all engine links. The cell must have no tasks.
 func (c *cell) close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, on := range c.links {
-		c.shut(on)
+	for _, link := range c.links {
+		c.closeLink(link)
 	}
 }
--- a/internal/dispatcher/continued_test.go
+++ b/internal/dispatcher/continued_test.go
@@ -8,14 +8,14 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// TestContinuedRequestGoesBeforeFreshOnes: a request that another dispatcher
-// lost has waited before and has work to lose.
-func TestContinuedRequestGoesBeforeFreshOnes(t *testing.T) {
+// A request continued from another dispatcher must run before new ones, because it has already waited
+// and made progress.
+func TestContinuedRequestRunsBeforeNewRequests(t *testing.T) {
 	h := newHarness(t, "a")
 	h.change("a", func(status *engine.Status) { status.MaxBatch = 1 })
 	h.eventually(func() bool { return h.dispatcher.CellStatuses()[0].Slots == 1 })
 	hold := make(chan struct{})
-	h.generate["a"] = inTurn(upTo(3, 1, hold), whole(1))
+	h.generate["a"] = inSequence(tokensUpTo(3, 1, hold), wholeAnswer(1))
 	running := h.submit(submission("running"))
 	h.eventually(func() bool { return len(running.tokens()) == 3 })
 	fresh := h.submit(submission("fresh"))
@@ -30,7 +30,7 @@
 		assert.NilError(t, each.wait(t))
 	}
 	var order []string
-	for _, request := range h.sends("a") {
+	for _, request := range h.requestsTo("a") {
 		if request.ResumeFrom == nil {
 			order = append(order, request.RequestID)
 		}
--- a/internal/dispatcher/directive.go
+++ b/internal/dispatcher/directive.go
@@ -13,28 +13,28 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// directive is a load directive in force on a cell.
+// directive is an active load directive of a cell.
 type directive struct {
 	message message.Directive
-	// staleEpoch is the highest fence that an engine answered with when it
-	// refused this directive's epoch; no more orders follow from it then.
+	// staleEpoch is the highest fence returned by an engine that refused this directive's epoch. If it
+	// is set, no more orders are sent for the directive.
 	staleEpoch int64
 }
 
 // orderState is the state of the last load order to one engine.
 type orderState struct {
 	target engine.ModelVersion
-	// sending: the order call has not returned.
+	// sending is set until the order call returns.
 	sending bool
-	// settleUntil is until when an accepted order counts as loading although
-	// the engine does not report it yet.
+	// settleUntil is the time until which an accepted order counts as loading although the engine does
+	// not report it yet.
 	settleUntil time.Time
-	// retryAt is when the next order may be sent.
+	// retryAt is the earliest time of the next order.
 	retryAt time.Time
 }
 
-// observe takes in an engine's report. Once that shows the load, or its end,
-// the reports alone tell how far it is.
+// observe processes an engine's status. Once a status shows the load or its end, settleUntil no longer
+// applies.
 func (o *orderState) observe(status *engine.Status) {
 	shows := status.Loading != nil && *status.Loading == o.target
 	if shows || status.State == engine.StateBroken || slices.Contains(status.Models, o.target) {
@@ -42,37 +42,39 @@
 	}
 }
 
-// loads tells whether the last order has still to show in the reports.
-func (o *orderState) loads(model string, now time.Time) bool {
+// loadPending reports whether a load of the model was ordered that the engine does not report yet.
+func (o *orderState) loadPending(model string, now time.Time) bool {
 	return o.target.Model == model && (o.sending || now.Before(o.settleUntil))
 }
 
-// handleDirective puts a directive in force and answers the cell's progress.
+// handleDirective applies a directive and returns the cell's progress.
 func (d *Dispatcher) handleDirective(_ context.Context, request peer.Request) (any, error) {
 	var received message.Directive
 	if err := request.Decode(&received); err != nil {
 		return nil, errkind.New(errkind.InvalidRequest, "directive: %s", err)
 	}
 	if received.Model == "" || received.Version == 0 || received.Concurrent < 0 {
-		return nil, errkind.New(errkind.InvalidRequest, "directive needs a model, a version and a count from 0")
+		return nil, errkind.New(errkind.InvalidRequest,
+			"directive needs a model, a version and a concurrent count of at least 0")
 	}
-	on, err := d.cell(received.Cell)
+	target, err := d.cell(received.Cell)
 	if err != nil {
 		return nil, err
 	}
-	return on.direct(received)
+	return target.applyDirective(received)
 }
 
-// direct puts a directive in force, unless a later epoch's already is.
-func (c *cell) direct(received message.Directive) (message.DirectiveResult, error) {
+// applyDirective activates a directive unless one of a later epoch is active, and returns the cell's
+// progress.
+func (c *cell) applyDirective(received message.Directive) (message.DirectiveResult, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.owned {
-		return message.DirectiveResult{}, errkind.New(errkind.NotOwner, "cell %s is not this node's", cellName(c.id))
+		return message.DirectiveResult{}, errkind.New(errkind.NotOwner, "cell %s is not owned by this node", cellName(c.id))
 	}
 	current, ok := c.directives[received.Model]
 	if ok && current.message.Epoch > received.Epoch {
-		result := c.progress(&received)
+		result := c.rolloutProgress(&received)
 		result.StaleEpoch = current.message.Epoch
 		return result, nil
 	}
@@ -81,14 +83,14 @@
 		c.directives[received.Model] = current
 	}
 	current.message = received
-	c.followDirectives(time.Now())
-	result := c.progress(&received)
+	c.sendDueOrders(time.Now())
+	result := c.rolloutProgress(&received)
 	result.StaleEpoch = current.staleEpoch
 	return result, nil
 }
 
-// followDirectives sends the orders that are due. The caller holds the lock.
-func (c *cell) followDirectives(now time.Time) {
+// sendDueOrders sends the load orders that are due. Must be called with mutex held.
+func (c *cell) sendDueOrders(now time.Time) {
 	if !c.owned {
 		return
 	}
@@ -104,8 +106,7 @@
 	}
 }
 
-// floor returns the highest floor, in percent, of the table's rows that use the
-// model on this pool.
+// floor returns the highest floor, in percent, of the policy rows that use the model on this pool.
 func (c *cell) floor(model string) int {
 	floor := 0
 	table := c.dispatcher.options.Tables.Table()
@@ -117,27 +118,27 @@
 	return floor
 }
 
-// rolloutEngines describes the engines that are not leaving. The caller holds
-// the lock.
+// rolloutEngines returns the rollout state of the engines that are not leaving. Must be called with
+// mutex held.
 func (c *cell) rolloutEngines(wanted *message.Directive, now time.Time) []rolloutEngine {
 	var engines []rolloutEngine
-	for _, on := range c.links {
-		if !on.leaving {
-			engines = append(engines, on.rolloutEngine(wanted, now))
+	for _, link := range c.links {
+		if !link.leaving {
+			engines = append(engines, link.rolloutEngine(wanted, now))
 		}
 	}
 	return engines
 }
 
-func (l *link) rolloutEngine(wanted *message.Directive, now time.Time) rolloutEngine {
+func (l *engineLink) rolloutEngine(wanted *message.Directive, now time.Time) rolloutEngine {
 	version := l.version(wanted.Model)
 	described := rolloutEngine{
 		id:      l.id,
 		version: version,
 		loading: l.reachable && l.loading(wanted.Model, now),
-		// An engine in order at another version is brought back as well: the
-		// directive, under its epoch, says what should run.
-		reached:   l.reachable && version == wanted.Version && l.status.State != engine.StateBroken,
+		// Engines at any other version, newer ones included, are reloaded: the directive of the
+		// current epoch decides which version should run.
+		atTarget:  l.reachable && version == wanted.Version && l.status.State != engine.StateBroken,
 		inService: l.reachable && version > 0 && l.status.State == engine.StateServing,
 	}
 	described.orderable = l.reachable && l.status.State != engine.StateDraining &&
@@ -145,7 +146,7 @@
 	return described
 }
 
-func (l *link) version(model string) uint64 {
+func (l *engineLink) version(model string) uint64 {
 	for _, held := range l.status.Models {
 		if held.Model == model {
 			return held.Version
@@ -154,29 +155,29 @@
 	return 0
 }
 
-// loading tells whether the engine swaps the model in, or is about to.
-func (l *link) loading(model string, now time.Time) bool {
+// loading reports whether the engine is loading the model or has just been ordered to.
+func (l *engineLink) loading(model string, now time.Time) bool {
 	reported := l.status.Loading != nil && l.status.Loading.Model == model
-	return reported || l.order.loads(model, now)
+	return reported || l.order.loadPending(model, now)
 }
 
-// progress counts how far the cell's engines are. The caller holds the lock.
-func (c *cell) progress(wanted *message.Directive) message.DirectiveResult {
+// rolloutProgress counts the cell's engines by their rollout state. Must be called with mutex held.
+func (c *cell) rolloutProgress(wanted *message.Directive) message.DirectiveResult {
 	now := time.Now()
 	var result message.DirectiveResult
-	for _, on := range c.links {
-		if on.leaving {
+	for _, link := range c.links {
+		if link.leaving {
 			continue
 		}
 		result.Engines++
 		switch {
-		case on.reachable && on.loading(wanted.Model, now):
+		case link.reachable && link.loading(wanted.Model, now):
 			result.Loading++
-		case on.reachable && on.status.State == engine.StateBroken:
+		case link.reachable && link.status.State == engine.StateBroken:
 			result.Broken++
-		case on.reachable && on.version(wanted.Model) >= wanted.Version:
+		case link.reachable && link.version(wanted.Model) >= wanted.Version:
 			result.AtLeast++
-			if on.version(wanted.Model) == wanted.Version {
+			if link.version(wanted.Model) == wanted.Version {
 				result.AtVersion++
 			}
 		}
@@ -184,10 +185,10 @@
 	return result
 }
 
-// order sends one load order. The caller holds the lock.
-func (c *cell) order(on *link, under *directive, now time.Time) {
-	wanted := under.message
-	on.order = orderState{
+// order sends one load order. Must be called with mutex held.
+func (c *cell) order(link *engineLink, active *directive, now time.Time) {
+	wanted := active.message
+	link.order = orderState{
 		target:  engine.ModelVersion{Model: wanted.Model, Version: wanted.Version},
 		sending: true,
 		retryAt: now.Add(orderRetryDelay),
@@ -198,28 +199,28 @@
 		Model:   wanted.Model,
 		Version: wanted.Version,
 	}
-	address := on.address
+	address := link.address
 	c.dispatcher.start(func() {
-		ctx, cancel := context.WithTimeout(c.dispatcher.base, orderTimeout)
+		ctx, cancel := context.WithTimeout(c.dispatcher.baseContext, orderTimeout)
 		defer cancel()
 		err := c.dispatcher.options.EngineClient.Order(ctx, address, order)
-		c.ordered(on, under, order, err)
+		c.handleOrderResult(link, active, order, err)
 	})
 }
 
-// ordered takes in the answer to an order.
-func (c *cell) ordered(on *link, under *directive, order engine.Order, err error) {
+// handleOrderResult processes the result of an order call.
+func (c *cell) handleOrderResult(link *engineLink, active *directive, order engine.Order, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
-	on.order.sending = false
-	on.order.retryAt = now.Add(orderRetryDelay)
+	link.order.sending = false
+	link.order.retryAt = now.Add(orderRetryDelay)
 	logger := c.dispatcher.options.Logger.With().
-		Str("engine", on.id).Str("model", order.Model).
+		Str("engine", link.id).Str("model", order.Model).
 		Uint64("version", order.Version).Int64("fence", order.Fence).Logger()
 	if err == nil {
-		on.order.settleUntil = now.Add(orderSettleTime)
-		on.order.observe(&on.status)
+		link.order.settleUntil = now.Add(orderSettleTime)
+		link.order.observe(&link.status)
 		c.dispatcher.metrics.orders.WithLabelValues("accepted").Inc()
 		logger.Info().Msg("engine accepted a load order")
 		return
@@ -228,6 +229,6 @@
 	logger.Warn().Err(err).Msg("load order failed")
 	var failure *engine.SendError
 	if errors.As(err, &failure) && failure.Refusal != nil && failure.Refusal.Code == engine.CodeStaleFence {
-		under.staleEpoch = max(under.staleEpoch, failure.Refusal.Fence)
+		active.staleEpoch = max(active.staleEpoch, failure.Refusal.Fence)
 	}
 }
--- a/internal/dispatcher/directive_test.go
+++ b/internal/dispatcher/directive_test.go
@@ -14,7 +14,7 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-func TestPlanLoadsKeepsFloorAndConcurrency(t *testing.T) {
+func TestPlanLoadsRespectsFloorAndConcurrency(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		floorPercent := rapid.IntRange(0, 100).Draw(t, "floor")
 		concurrent := rapid.IntRange(0, 4).Draw(t, "concurrent")
@@ -34,7 +34,7 @@
 		orders := planLoads(engines, concurrent, floorPercent)
 		for _, id := range orders {
 			ordered := byID[id]
-			assert.Assert(t, ordered.orderable && !ordered.reached && !ordered.loading)
+			assert.Assert(t, ordered.orderable && !ordered.atTarget && !ordered.loading)
 			if ordered.inService {
 				inService--
 			}
@@ -47,7 +47,7 @@
 
 func drawEngine(t *rapid.T) rolloutEngine {
 	return rolloutEngine{
-		reached:   rapid.Bool().Draw(t, "reached"),
+		atTarget:  rapid.Bool().Draw(t, "reached"),
 		inService: rapid.Bool().Draw(t, "in service"),
 		loading:   rapid.Bool().Draw(t, "loading"),
 		orderable: rapid.Bool().Draw(t, "orderable"),
@@ -63,7 +63,7 @@
 	return response.(message.DirectiveResult)
 }
 
-func TestDirectiveLoadsEnginesOneAfterTheOther(t *testing.T) {
+func TestDirectiveLoadsEnginesSequentially(t *testing.T) {
 	h := newHarness(t, "a", "b", "c")
 	h.rows[0].Floor = 50
 	failures := 1
@@ -102,7 +102,7 @@
 	assert.Equal(t, h.direct(6).StaleEpoch, int64(7))
 }
 
-func TestStaleFenceEndsTheDirective(t *testing.T) {
+func TestDirectiveStopsOnStaleFence(t *testing.T) {
 	h := newHarness(t, "a")
 	h.order = func(string, engine.Order) error {
 		return &engine.SendError{Sent: true, Refusal: &engine.Refusal{Code: engine.CodeStaleFence, Fence: 9}}
@@ -113,7 +113,7 @@
 	assert.Equal(t, len(h.orders), 1)
 }
 
-func TestCapPartsSumUpToTheCap(t *testing.T) {
+func TestCellCapsSumToServiceCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		row := policy.Row{Cap: rapid.IntRange(1, 100).Draw(t, "cap"), Zones: []string{"x", "y"}}
 		var digests []message.CellDigest
@@ -125,7 +125,7 @@
 		sizes := newLayout(nil, digests)
 		sum := 0
 		for _, each := range sizes[testPool] {
-			part := sizes.capOf(&row, each.id)
+			part := sizes.cellCap(&row, each.id)
 			assert.Assert(t, part == 0 || each.id.Zone != "z")
 			sum += part
 		}
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,10 +1,9 @@
-// Package dispatcher runs the one queue in front of each cell of engines that
-// this node owns: it queues submitted requests, picks an engine for each,
-// streams the answer back, and resumes or moves streams that break. It also
-// carries out weight directives on the engines of its cells.
+// Package dispatcher queues submitted requests for the cells of engines that this node owns, assigns
+// each request to an engine, relays its answer, and resumes broken streams or continues them on
+// another engine. It also carries out weight directives on the engines of its cells.
 //
-// Invariant: a request is reported as not executed only when no byte of it
-// reached an engine, or when each engine it reached said that it did not run it.
+// Invariant: a request is reported as not executed only if no byte of it reached an engine, or if
+// every engine that it reached reported that it did not run it.
 package dispatcher
 
 import (
@@ -24,16 +23,15 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// Options are the settings and neighbours of a Dispatcher. All are required
-// except Policy (empty: scheduler.PolicyDefault) and Registerer (nil: metrics
-// are kept but not registered).
+// Options are the settings and dependencies of a Dispatcher. All are required except Policy (empty:
+// scheduler.PolicyDefault) and Registerer (nil: metrics are kept but not registered).
 type Options struct {
 	// NodeID, PeerAddress ("ip:port") and Zone describe this node.
 	NodeID      string
 	PeerAddress string
 	Zone        string
-	// Registry takes the handlers of MethodSubmit, MethodDirective and
-	// MethodCellStatus; its transport must not have been started yet.
+	// Registry receives the handlers of MethodSubmit, MethodDirective and MethodCellStatus; its
+	// transport must not have been started yet.
 	Registry     peer.Registry
 	View         cluster.View
 	Announcer    cluster.Announcer
@@ -45,18 +43,18 @@
 	Registerer   prometheus.Registerer
 }
 
-// Dispatcher owns the cells that rendezvous hashing gives this node. Its
-// methods are safe for concurrent use.
+// Dispatcher owns the cells that rendezvous hashing assigns to this node. Its methods are safe for
+// concurrent use.
 type Dispatcher struct {
 	options Options
 	metrics *metrics
-	// base is the context of all tasks and links; stop ends it.
-	base context.Context
-	stop context.CancelFunc
-	// sequence numbers the digests of this process.
+	// baseContext is the parent context of all tasks and engine links; stop cancels it.
+	baseContext context.Context
+	stop        context.CancelFunc
+	// sequence numbers the cell digests of this process.
 	sequence atomic.Uint64
 	linger   time.Duration
-	// wake ends the long tick of a dispatcher without requests.
+	// wake interrupts the long tick interval of an idle dispatcher.
 	wake chan struct{}
 
 	mutex    sync.Mutex
@@ -65,31 +63,31 @@
 	layout   layout
 	draining bool
 
-	// reconciling guards the fields of reconcile, which runs once at a time. It
-	// is taken before mutex.
-	reconciling  sync.Mutex
-	reconciledAt time.Time
-	zoneCells    zoneCells
+	// reconcileMutex serializes reconcile and guards the two fields below. It is acquired before
+	// mutex.
+	reconcileMutex sync.Mutex
+	reconciledAt   time.Time
+	zoneCells      zoneCells
 
-	// goroutines guards stopped, which is set when Run ends: nothing starts
-	// after that. running counts what was started.
-	goroutines sync.Mutex
+	// startMutex guards stopped, which is set when Run ends; no goroutine starts after that. running
+	// counts the started ones.
+	startMutex sync.Mutex
 	stopped    bool
 	running    sync.WaitGroup
 }
 
-// New returns a dispatcher and registers its handlers. They answer at once, but
-// queues make no progress by time before Run.
+// New returns a dispatcher and registers its handlers. They answer at once, but deadlines and
+// intervals are only processed while Run is running.
 func New(options Options) *Dispatcher {
-	base, stop := context.WithCancel(context.Background())
+	baseContext, stop := context.WithCancel(context.Background())
 	d := &Dispatcher{
-		options: options,
-		metrics: newMetrics(options.Registerer),
-		base:    base,
-		stop:    stop,
-		linger:  lingerTimeout,
-		wake:    make(chan struct{}, 1),
-		cells:   make(map[message.CellID]*cell),
+		options:     options,
+		metrics:     newMetrics(options.Registerer),
+		baseContext: baseContext,
+		stop:        stop,
+		linger:      lingerTimeout,
+		wake:        make(chan struct{}, 1),
+		cells:       make(map[message.CellID]*cell),
 	}
 	options.Registry.HandleStream(peer.MethodSubmit, d.handleSubmit)
 	options.Registry.HandleCall(peer.MethodDirective, d.handleDirective)
@@ -97,8 +95,8 @@
 	return d
 }
 
-// Run follows the engine list, the members and the clock until ctx ends, then
-// cancels what still runs and waits for it. It returns nil.
+// Run processes the engine list, the cluster members and timers until ctx ends, then cancels all
+// running work and waits for it. It always returns nil.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	reconciled := time.Now()
 	d.reconcile(reconciled)
@@ -115,7 +113,7 @@
 			next = d.tick(now)
 			timer.Reset(next)
 		case <-d.wake:
-			// A short tick goes on: many requests must not put it off.
+			// Don't reset a short interval: frequent requests would postpone the tick indefinitely.
 			if next > tickInterval {
 				next = tickInterval
 				timer.Reset(next)
@@ -123,17 +121,16 @@
 		case <-ctx.Done():
 		}
 	}
-	d.goroutines.Lock()
+	d.startMutex.Lock()
 	d.stopped = true
-	d.goroutines.Unlock()
+	d.startMutex.Unlock()
 	d.stop()
 	d.running.Wait()
 	return nil
 }
 
-// tick lets time pass in all cells. It returns the time to the next tick, which
-// is long only while no cell has a request: most of the processor time of an
-// idle node goes into waking up.
+// tick runs the periodic work of all cells and returns the time until the next tick. The interval is
+// long while no cell has a request, to save the processor time of idle wake-ups.
 func (d *Dispatcher) tick(now time.Time) time.Duration {
 	next := reconcileInterval
 	for _, each := range d.allCells() {
@@ -145,7 +142,7 @@
 	return next
 }
 
-// wakeUp shortens a long tick, since there is a request.
+// wakeUp shortens a long tick interval after a request has arrived.
 func (d *Dispatcher) wakeUp() {
 	select {
 	case d.wake <- struct{}{}:
@@ -153,11 +150,10 @@
 	}
 }
 
-// start runs a function in a goroutine that Run waits for; false when Run has
-// ended and so nothing new may start.
+// start runs work in a goroutine that Run waits for. It returns false if Run has ended.
 func (d *Dispatcher) start(work func()) bool {
-	d.goroutines.Lock()
-	defer d.goroutines.Unlock()
+	d.startMutex.Lock()
+	defer d.startMutex.Unlock()
 	if d.stopped {
 		return false
 	}
@@ -165,10 +161,9 @@
 	return true
 }
 
-// Drain is the planned stop. From its call on new submissions are refused as
-// not run (Draining), as are queued ones that never reached an engine. It
-// returns nil when all streams in hand have ended and were relayed, or the
-// error of ctx. Run must go on meanwhile.
+// Drain prepares a planned shutdown: new submissions, and queued ones that never reached an engine,
+// fail with Draining (not executed). It returns nil once all active streams have ended and been
+// relayed, or the error of ctx. Run must keep running meanwhile.
 func (d *Dispatcher) Drain(ctx context.Context) error {
 	d.mutex.Lock()
 	d.draining = true
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -22,10 +22,10 @@
 }
 
 func refusal(code string, ran bool) generate {
-	return refuse(engine.SendError{Sent: true, Refusal: &engine.Refusal{Code: code, Ran: ran}})
+	return failWith(engine.SendError{Sent: true, Refusal: &engine.Refusal{Code: code, Ran: ran}})
 }
 
-func TestWholeAnswer(t *testing.T) {
+func TestSubmitRelaysWholeAnswer(t *testing.T) {
 	h := newHarness(t, "a")
 	received := h.submit(submission("r"))
 	assert.NilError(t, received.wait(t))
@@ -35,22 +35,23 @@
 	assert.Assert(t, received.pieces[0].Load != nil && last.Load != nil)
 }
 
-func TestBrokenStreamIsResumedOnTheSameEngine(t *testing.T) {
+func TestBrokenStreamResumesOnSameEngine(t *testing.T) {
 	h := newHarness(t, "a")
-	h.generate["a"] = inTurn(upTo(2, 1, nil), refuse(engine.SendError{}), upTo(4, 2, nil), whole(2))
+	h.generate["a"] = inSequence(
+		tokensUpTo(2, 1, nil), failWith(engine.SendError{}), tokensUpTo(4, 2, nil), wholeAnswer(2))
 	submit := submission("r")
 	submit.Repeatable = false
 	received := h.submit(submit)
 	assert.NilError(t, received.wait(t))
 	assert.DeepEqual(t, received.tokens(), allTokens)
 	assert.DeepEqual(t, received.versions(), []uint64{1, 1, 2, 2, 2, 2})
-	for position, request := range h.sends("a") {
+	for position, request := range h.requestsTo("a") {
 		assert.Equal(t, request.Attempt, uint32(1))
 		assert.Equal(t, request.ResumeFrom != nil, position > 0)
 	}
 }
 
-func TestLateAndOverlappingChunksAreDropped(t *testing.T) {
+func TestStaleAndOverlappingChunksAreDropped(t *testing.T) {
 	h := newHarness(t, "a")
 	h.generate["a"] = func(ctx context.Context, request engine.GenerateRequest) (engine.Stream, error) {
 		stale := chunks(request, 0, 3, 9)
@@ -67,9 +68,9 @@
 	assert.DeepEqual(t, received.versions(), []uint64{1, 1, 1, 1, 1, 1})
 }
 
-func TestLostEngineRepeatableMovesAndKeepsSegments(t *testing.T) {
+func TestLostEngineRepeatableRequestContinuesOnAnother(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	lost := inTurn(upTo(3, 1, nil), refusal(engine.CodeUnknownStream, false), whole(2))
+	lost := inSequence(tokensUpTo(3, 1, nil), refusal(engine.CodeUnknownStream, false), wholeAnswer(2))
 	h.generate["a"] = lost
 	h.generate["b"] = lost
 	received := h.submit(submission("r"))
@@ -78,7 +79,7 @@
 	assert.DeepEqual(t, received.versions(), []uint64{1, 1, 1, 2, 2, 2})
 	assert.DeepEqual(t, received.engineAttempts(), []uint32{1, 1, 1, 2, 2, 2})
 	var moved *engine.GenerateRequest
-	for _, request := range append(h.sends("a"), h.sends("b")...) {
+	for _, request := range append(h.requestsTo("a"), h.requestsTo("b")...) {
 		if request.Attempt == 2 {
 			moved = &request
 		}
@@ -91,48 +92,48 @@
 	})
 }
 
-func TestStreamsOfAVanishedEngineAreGivenUp(t *testing.T) {
+func TestStreamsOfUnreachableEngineAreCanceled(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	hanging := inTurn(upTo(3, 1, make(chan struct{})), whole(2))
+	hanging := inSequence(tokensUpTo(3, 1, make(chan struct{})), wholeAnswer(2))
 	h.generate["a"] = hanging
 	h.generate["b"] = hanging
 	received := h.submit(submission("r"))
 	h.eventually(func() bool { return len(received.tokens()) == 3 })
-	on := received.engine()
+	lostEngine := received.engine()
 	h.fakeEngines.mutex.Lock()
-	h.silent[on] = true
+	h.unreachable[lostEngine] = true
 	h.fakeEngines.mutex.Unlock()
-	h.change(on, func(*engine.Status) {})
+	h.change(lostEngine, func(*engine.Status) {})
 	h.eventually(func() bool { return h.dispatcher.CellStatuses()[0].Engines == 1 })
 	h.dispatcher.allCells()[0].tick(time.Now())
 	assert.Equal(t, h.dispatcher.CellStatuses()[0].Running, 1)
-	h.dispatcher.allCells()[0].tick(time.Now().Add(2 * engineGoneTimeout))
+	h.dispatcher.allCells()[0].tick(time.Now().Add(2 * engineUnreachableTimeout))
 	assert.NilError(t, received.wait(t))
 	assert.DeepEqual(t, received.tokens(), allTokens)
 	assert.DeepEqual(t, received.versions(), []uint64{1, 1, 1, 2, 2, 2})
 }
 
-func TestLostEngineNotRepeatableIsUnknown(t *testing.T) {
+func TestLostEngineNonRepeatableRequestIsOutcomeUnknown(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	lost := inTurn(refuse(engine.SendError{Sent: true}), refusal(engine.CodeUnknownStream, false), whole(1))
+	lost := inSequence(failWith(engine.SendError{Sent: true}), refusal(engine.CodeUnknownStream, false), wholeAnswer(1))
 	h.generate["a"] = lost
 	h.generate["b"] = lost
 	submit := submission("r")
 	submit.Repeatable = false
 	assert.Equal(t, kindOf(t, h.submit(submit).wait(t)), errkind.OutcomeUnknown)
-	for _, request := range append(h.sends("a"), h.sends("b")...) {
+	for _, request := range append(h.requestsTo("a"), h.requestsTo("b")...) {
 		assert.Equal(t, request.Attempt, uint32(1))
 	}
 }
 
-func TestNotRunGoesToAnotherEngineEvenWhenNotRepeatable(t *testing.T) {
+func TestNotExecutedNonRepeatableRequestIsSentToAnotherEngine(t *testing.T) {
 	for name, failure := range map[string]generate{
 		"refused":  refusal(engine.CodeDraining, false),
-		"not sent": refuse(engine.SendError{}),
+		"not sent": failWith(engine.SendError{}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, "a", "b")
-			once := inTurn(failure, whole(1))
+			once := inSequence(failure, wholeAnswer(1))
 			h.generate["a"] = once
 			h.generate["b"] = once
 			submit := submission("r")
@@ -144,7 +145,7 @@
 	}
 }
 
-func TestRefusalsTellTheTruth(t *testing.T) {
+func TestRefusalErrorKinds(t *testing.T) {
 	tests := []struct {
 		name       string
 		answer     generate
@@ -155,7 +156,7 @@
 		{"invalid", refusal(engine.CodeInvalid, false), true, errkind.InvalidRequest},
 		{"ran, repeatable", refusal(engine.CodeInvalid, true), true, errkind.EngineFailed},
 		{"ran, not repeatable", refusal(engine.CodeInvalid, true), false, errkind.OutcomeUnknown},
-		{"ran, then refused", inTurn(upTo(2, 1, nil), refusal(engine.CodeUnknownStream, false),
+		{"ran, then refused", inSequence(tokensUpTo(2, 1, nil), refusal(engine.CodeUnknownStream, false),
 			refusal(engine.CodeOverloaded, false)), true, errkind.EngineFailed},
 	}
 	for _, test := range tests {
@@ -169,19 +170,19 @@
 	}
 }
 
-func TestQueueTimeoutIsNotRun(t *testing.T) {
+func TestQueueTimeoutReachesNoEngine(t *testing.T) {
 	h := newHarness(t, "a")
 	submit := submission("r")
 	submit.MinVersion = 2
 	submit.QueueTimeout = time.Millisecond
 	assert.Equal(t, kindOf(t, h.submit(submit).wait(t)), errkind.QueueTimeout)
-	assert.Equal(t, len(h.sends("a")), 0)
+	assert.Equal(t, len(h.requestsTo("a")), 0)
 }
 
-func TestAttachAfterTheCallerLeft(t *testing.T) {
+func TestAttachAfterCallerDisconnect(t *testing.T) {
 	h := newHarness(t, "a")
 	hold := make(chan struct{})
-	h.generate["a"] = inTurn(upTo(3, 1, hold), whole(1))
+	h.generate["a"] = inSequence(tokensUpTo(3, 1, hold), wholeAnswer(1))
 	first := h.submit(submission("r"))
 	h.eventually(func() bool { return len(first.tokens()) == 3 })
 	first.leave()
@@ -203,10 +204,10 @@
 	assert.Equal(t, kindOf(t, h.submit(attach).wait(t)), errkind.OutcomeUnknown)
 }
 
-func TestCallerGoneIsCanceledAtTheEngine(t *testing.T) {
+func TestCallerDisconnectCancelsAtEngine(t *testing.T) {
 	h := newHarness(t, "a")
 	h.dispatcher.linger = time.Millisecond
-	h.generate["a"] = upTo(3, 1, make(chan struct{}))
+	h.generate["a"] = tokensUpTo(3, 1, make(chan struct{}))
 	received := h.submit(submission("r"))
 	h.eventually(func() bool { return len(received.tokens()) == 3 })
 	received.leave()
@@ -218,12 +219,12 @@
 	h.eventually(func() bool { return h.dispatcher.CellStatuses()[0].Running == 0 })
 }
 
-func TestDrainFinishesStreamsAndRefusesTheRest(t *testing.T) {
+func TestDrainFinishesStreamsAndRefusesOtherRequests(t *testing.T) {
 	h := newHarness(t, "a")
 	h.change("a", func(status *engine.Status) { status.MaxBatch = 1 })
 	h.eventually(func() bool { return h.dispatcher.CellStatuses()[0].Slots == 1 })
 	hold := make(chan struct{})
-	h.generate["a"] = inTurn(upTo(3, 1, hold), whole(1))
+	h.generate["a"] = inSequence(tokensUpTo(3, 1, hold), wholeAnswer(1))
 	running := h.submit(submission("running"))
 	h.eventually(func() bool { return len(running.tokens()) == 3 })
 	queued := h.submit(submission("queued"))
@@ -244,16 +245,16 @@
 	assert.NilError(t, <-drained)
 }
 
-func TestLeavingAndDrainingEnginesGetNoNewWork(t *testing.T) {
+func TestLeavingAndDrainingEnginesGetNoRequests(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.neighbours.mutex.Lock()
+	h.fakeNode.mutex.Lock()
 	h.machines[0].Leaving = true
-	h.neighbours.mutex.Unlock()
+	h.fakeNode.mutex.Unlock()
 	h.eventually(func() bool { return h.dispatcher.EngineStatuses()[0].State == stateLeaving })
 	for _, id := range []string{"r1", "r2", "r3"} {
 		assert.NilError(t, h.submit(submission(id)).wait(t))
 	}
-	assert.Equal(t, len(h.sends("a")), 0)
+	assert.Equal(t, len(h.requestsTo("a")), 0)
 	h.change("b", func(status *engine.Status) { status.State = engine.StateDraining })
 	h.eventually(func() bool { return h.dispatcher.CellStatuses()[0].Engines == 0 })
 	submit := submission("r4")
@@ -261,7 +262,7 @@
 	assert.Equal(t, kindOf(t, h.submit(submit).wait(t)), errkind.QueueTimeout)
 }
 
-func TestUnknownCellIsNotOwned(t *testing.T) {
+func TestSubmitToUnknownCellIsNotOwner(t *testing.T) {
 	h := newHarness(t, "a")
 	submit := submission("r")
 	submit.Cell.Index = 7
@@ -273,8 +274,8 @@
 func TestCellsAreAnnouncedAndReported(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.eventually(func() bool {
-		h.neighbours.mutex.Lock()
-		defer h.neighbours.mutex.Unlock()
+		h.fakeNode.mutex.Lock()
+		defer h.fakeNode.mutex.Unlock()
 		last := len(h.digests) - 1
 		return last >= 0 && h.digests[last].Slots == 4 && h.digests[last].Node == nodeID
 	})
--- a/internal/dispatcher/fake_engines_test.go
+++ b/internal/dispatcher/fake_engines_test.go
@@ -15,23 +15,23 @@
 
 var errBroken = errors.New("connection reset")
 
-// generate answers one send to a fake engine.
+// generate handles one request to a fake engine.
 type generate func(ctx context.Context, request engine.GenerateRequest) (engine.Stream, error)
 
-// fakeEngines implements what a dispatcher uses of engine.Client; an engine's
-// address is its ID.
+// fakeEngines implements the methods of engine.Client that a dispatcher uses; an engine's address is
+// its ID.
 type fakeEngines struct {
 	engine.Client
 	mutex   sync.Mutex
 	status  map[string]engine.Status
 	changed map[string]chan struct{}
-	// silent engines break their watch streams.
-	silent   map[string]bool
-	generate map[string]generate
-	requests map[string][]engine.GenerateRequest
-	canceled []engine.CancelRequest
-	orders   []string
-	order    func(address string, order engine.Order) error
+	// unreachable engines break their watch streams.
+	unreachable map[string]bool
+	generate    map[string]generate
+	requests    map[string][]engine.GenerateRequest
+	canceled    []engine.CancelRequest
+	orders      []string
+	order       func(address string, order engine.Order) error
 }
 
 func (f *fakeEngines) Generate(
@@ -56,7 +56,7 @@
 ) error {
 	for {
 		f.mutex.Lock()
-		if f.silent[address] {
+		if f.unreachable[address] {
 			f.mutex.Unlock()
 			return errBroken
 		}
@@ -91,13 +91,13 @@
 	f.changed[id] = make(chan struct{})
 }
 
-func (f *fakeEngines) sends(id string) []engine.GenerateRequest {
+func (f *fakeEngines) requestsTo(id string) []engine.GenerateRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return slices.Clone(f.requests[id])
 }
 
-// fakeStream plays chunks, then fails, or blocks until released or canceled.
+// fakeStream delivers chunks, then fails; with hold it first blocks until released or canceled.
 type fakeStream struct {
 	ctx    context.Context
 	chunks []engine.Chunk
@@ -124,8 +124,8 @@
 
 func (s *fakeStream) Close() error { return nil }
 
-// chunks returns the tokens [from, to) one by one, the last one finished if
-// the answer ends there.
+// chunks returns the tokens [from, to) one per chunk; the chunk of the request's last token is marked
+// finished.
 func chunks(request engine.GenerateRequest, from, to int, version uint64) []engine.Chunk {
 	var list []engine.Chunk
 	for index := from; index < to; index++ {
@@ -142,32 +142,32 @@
 	return list
 }
 
-// begin is the index of the first token that the engine owes.
-func begin(request engine.GenerateRequest) int {
+// firstOwedToken returns the index of the first token that the engine must send.
+func firstOwedToken(request engine.GenerateRequest) int {
 	if request.ResumeFrom != nil {
 		return *request.ResumeFrom
 	}
 	return len(request.Generated)
 }
 
-// whole answers all tokens.
-func whole(version uint64) generate {
+// wholeAnswer streams all tokens.
+func wholeAnswer(version uint64) generate {
 	return func(ctx context.Context, request engine.GenerateRequest) (engine.Stream, error) {
-		list := chunks(request, begin(request), request.MaxTokens, version)
+		list := chunks(request, firstOwedToken(request), request.MaxTokens, version)
 		return &fakeStream{ctx: ctx, chunks: list, err: io.EOF}, nil
 	}
 }
 
-// upTo answers the tokens before an index, then breaks or holds.
-func upTo(to int, version uint64, hold <-chan struct{}) generate {
+// tokensUpTo streams the tokens before an index, then breaks or holds.
+func tokensUpTo(to int, version uint64, hold <-chan struct{}) generate {
 	return func(ctx context.Context, request engine.GenerateRequest) (engine.Stream, error) {
-		list := chunks(request, begin(request), to, version)
+		list := chunks(request, firstOwedToken(request), to, version)
 		return &fakeStream{ctx: ctx, chunks: list, err: errBroken, hold: hold}, nil
 	}
 }
 
-// refuse answers with a failure.
-func refuse(failure engine.SendError) generate {
+// failWith fails the request.
+func failWith(failure engine.SendError) generate {
 	return func(context.Context, engine.GenerateRequest) (engine.Stream, error) {
 		if failure.Err == nil {
 			failure.Err = errBroken
@@ -176,8 +176,8 @@
 	}
 }
 
-// inTurn uses each answer once, the last one for all the rest.
-func inTurn(answers ...generate) generate {
+// inSequence uses each answer once, and the last one for all further requests.
+func inSequence(answers ...generate) generate {
 	var mutex sync.Mutex
 	return func(ctx context.Context, request engine.GenerateRequest) (engine.Stream, error) {
 		mutex.Lock()
--- a/internal/dispatcher/harness_test.go
+++ b/internal/dispatcher/harness_test.go
@@ -29,8 +29,8 @@
 
 var testCell = message.CellID{Zone: testZone, Pool: testPool}
 
-// neighbours implements all that a dispatcher uses of its node.
-type neighbours struct {
+// fakeNode implements the cluster, policy and peer interfaces that a dispatcher uses.
+type fakeNode struct {
 	cluster.View
 	cluster.Announcer
 	mutex    sync.Mutex
@@ -41,29 +41,29 @@
 	calls    map[peer.Method]peer.CallHandler
 }
 
-func (n *neighbours) HandleCall(method peer.Method, handler peer.CallHandler) {
+func (n *fakeNode) HandleCall(method peer.Method, handler peer.CallHandler) {
 	n.calls[method] = handler
 }
-func (n *neighbours) HandleStream(method peer.Method, handler peer.StreamHandler) {
+func (n *fakeNode) HandleStream(method peer.Method, handler peer.StreamHandler) {
 	n.streams[method] = handler
 }
-func (n *neighbours) Self() cluster.Member { return cluster.Member{ID: nodeID, Zone: testZone} }
-func (n *neighbours) Members() []cluster.Member {
+func (n *fakeNode) Self() cluster.Member { return cluster.Member{ID: nodeID, Zone: testZone} }
+func (n *fakeNode) Members() []cluster.Member {
 	return []cluster.Member{n.Self()}
 }
-func (n *neighbours) Candidates(string) []cluster.Member     { return n.Members() }
-func (n *neighbours) Cells() []message.CellDigest            { return nil }
-func (n *neighbours) Table() *policy.Table                   { return &policy.Table{Revision: 1, Rows: n.rows} }
-func (n *neighbours) Changed(revision int64) <-chan struct{} { return nil }
-func (n *neighbours) Current() error                         { return nil }
+func (n *fakeNode) Candidates(string) []cluster.Member     { return n.Members() }
+func (n *fakeNode) Cells() []message.CellDigest            { return nil }
+func (n *fakeNode) Table() *policy.Table                   { return &policy.Table{Revision: 1, Rows: n.rows} }
+func (n *fakeNode) Changed(revision int64) <-chan struct{} { return nil }
+func (n *fakeNode) Current() error                         { return nil }
 
-func (n *neighbours) AnnounceCell(digest message.CellDigest) {
+func (n *fakeNode) AnnounceCell(digest message.CellDigest) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.digests = append(n.digests, digest)
 }
 
-func (n *neighbours) Engines(string) []cluster.EngineMachine {
+func (n *fakeNode) Engines(string) []cluster.EngineMachine {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return slices.Clone(n.machines)
@@ -82,7 +82,7 @@
 	return fakeRequest{body: body}
 }
 
-// answer is what a caller received.
+// answer records what a caller received.
 type answer struct {
 	mutex  sync.Mutex
 	pieces []message.Progress
@@ -108,14 +108,14 @@
 	return tokens
 }
 
-// engine is the engine of the last piece.
+// engine returns the engine of the last piece.
 func (a *answer) engine() string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.pieces[len(a.pieces)-1].Engine
 }
 
-// versions lists the version of each token.
+// versions returns the weight version of each token.
 func (a *answer) versions() []uint64 {
 	var versions []uint64
 	for _, piece := range a.pieces {
@@ -126,7 +126,7 @@
 	return versions
 }
 
-// engineAttempts lists the engine attempt of each token.
+// engineAttempts returns the engine attempt of each token.
 func (a *answer) engineAttempts() []uint32 {
 	var attempts []uint32
 	for _, piece := range a.pieces {
@@ -143,18 +143,18 @@
 	select {
 	case <-a.done:
 		return a.err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the answer did not end")
 		return nil
 	}
 }
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// harness is a dispatcher among fakes.
+// harness is a dispatcher with fake engines and a fake node.
 type harness struct {
 	*fakeEngines
-	*neighbours
+	*fakeNode
 	t          *testing.T
 	dispatcher *Dispatcher
 }
@@ -164,14 +164,14 @@
 	h := &harness{
 		t: t,
 		fakeEngines: &fakeEngines{
-			status:   make(map[string]engine.Status),
-			changed:  make(map[string]chan struct{}),
-			silent:   make(map[string]bool),
-			generate: make(map[string]generate),
-			requests: make(map[string][]engine.GenerateRequest),
-			order:    func(string, engine.Order) error { return nil },
+			status:      make(map[string]engine.Status),
+			changed:     make(map[string]chan struct{}),
+			unreachable: make(map[string]bool),
+			generate:    make(map[string]generate),
+			requests:    make(map[string][]engine.GenerateRequest),
+			order:       func(string, engine.Order) error { return nil },
 		},
-		neighbours: &neighbours{
+		fakeNode: &fakeNode{
 			rows:    []policy.Row{{Service: testService, Kind: policy.KindLive, Pool: testPool, Model: testModel, Share: 1}},
 			streams: make(map[peer.Method]peer.StreamHandler),
 			calls:   make(map[peer.Method]peer.CallHandler),
@@ -183,13 +183,13 @@
 			Models: []engine.ModelVersion{{Model: testModel, Version: 1}},
 		}
 		h.changed[id] = make(chan struct{})
-		h.generate[id] = whole(1)
+		h.generate[id] = wholeAnswer(1)
 		h.machines = append(h.machines, cluster.EngineMachine{ID: id, Address: id, Zone: testZone, Pool: testPool})
 	}
 	h.dispatcher = New(Options{
 		NodeID: nodeID, PeerAddress: "127.0.0.1:1", Zone: testZone,
-		Registry: h.neighbours, View: h.neighbours, Announcer: h.neighbours, EngineList: h.neighbours,
-		EngineClient: h.fakeEngines, Tables: h.neighbours, Logger: zerolog.Nop(),
+		Registry: h.fakeNode, View: h.fakeNode, Announcer: h.fakeNode, EngineList: h.fakeNode,
+		EngineClient: h.fakeEngines, Tables: h.fakeNode, Logger: zerolog.Nop(),
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -213,14 +213,14 @@
 		}
 		return poll.Continue("condition does not hold yet")
 	}
-	poll.WaitOn(h.t, check, poll.WithDelay(time.Millisecond), poll.WithTimeout(patience))
+	poll.WaitOn(h.t, check, poll.WithDelay(time.Millisecond), poll.WithTimeout(testTimeout))
 }
 
 // submission returns a repeatable request for six tokens.
 func submission(id string) message.Submit {
 	return message.Submit{
 		RequestID: id, Attempt: 1, Cell: testCell, Service: testService, TableRevision: 1,
-		Model: testModel, Prompt: "parcel", MaxTokens: 6, Repeatable: true, QueueTimeout: patience,
+		Model: testModel, Prompt: "parcel", MaxTokens: 6, Repeatable: true, QueueTimeout: testTimeout,
 	}
 }
 
--- a/internal/dispatcher/limits.go
+++ b/internal/dispatcher/limits.go
@@ -6,79 +6,75 @@
 	"github.com/corkpulley/corkpulley/internal/common/retry"
 )
 
-// Times of the control loops.
+// Intervals of the control loops.
 const (
-	// tickInterval is how often queues are checked for expired deadlines and
-	// starved classes while a cell has requests, and the shortest time between
-	// two reconciliations out of turn.
+	// tickInterval is the interval at which a cell with requests checks deadlines and starved classes,
+	// and the minimum time between two out-of-turn reconciliations.
 	tickInterval = 50 * time.Millisecond
-	// reconcileInterval is how often cells are matched to the engine list, the
-	// members and the table. Without any request it is the tick as well: what is
-	// then left, orders and digests that are due, counts in half seconds.
+	// reconcileInterval is the interval at which cells are matched to the engine list, the members and
+	// the policy table. It is also the tick interval of an idle dispatcher.
 	reconcileInterval = 250 * time.Millisecond
-	// A digest is announced on change, but not more often than the first, and
-	// at least as often as the second.
+	// A changed digest is announced at most once per announceMinimumInterval, an unchanged one once
+	// per announceMaximumInterval.
 	announceMinimumInterval = 500 * time.Millisecond
 	announceMaximumInterval = 2 * time.Second
-	// cellIdleTimeout closes a cell that is another node's by rendezvous and
-	// has had no request for so long.
+	// cellIdleTimeout is the time without a request after which a cell owned by another node is
+	// closed.
 	cellIdleTimeout = 10 * time.Second
-	// drainPollInterval is how often Drain looks for streams in hand.
+	// drainPollInterval is the interval at which Drain checks for active streams.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// Times and bounds of requests.
+// Timeouts and limits of requests.
 const (
-	// defaultQueueTimeout stands in for a Submit without one.
+	// defaultQueueTimeout applies to a Submit without a queue timeout.
 	defaultQueueTimeout = 10 * time.Second
-	// lingerTimeout is how long a request without a reader is kept, so that the
-	// router can attach to it again.
+	// lingerTimeout is how long a request without a reader is kept, so that the router can attach to
+	// it again.
 	lingerTimeout = 5 * time.Second
-	// resumePatience bounds the tries to resume a broken engine stream.
-	resumePatience = 2 * time.Second
-	// maximumIdleResumes bounds the resumes in a row that bring no new token.
+	// resumeTimeout limits the time spent on resuming a broken engine stream.
+	resumeTimeout = 2 * time.Second
+	// maximumIdleResumes limits consecutive resumes that bring no new token.
 	maximumIdleResumes = 5
-	// maximumEngineAttempts bounds the sends of one submission to engines.
+	// maximumEngineAttempts limits the engine attempts of one submission.
 	maximumEngineAttempts = 8
-	// engineAttemptStride spaces the engines' attempt numbers of successive
-	// submissions of one request, so that no two sends share a number. It is
-	// higher than maximumEngineAttempts.
+	// engineAttemptStride separates the engine attempt numbers of successive submissions of one
+	// request, so that each engine attempt has a unique number. It must be greater than
+	// maximumEngineAttempts.
 	engineAttemptStride = 16
-	// cancelTimeout bounds a best-effort cancel at an engine.
+	// cancelTimeout limits a best-effort cancel call to an engine.
 	cancelTimeout = 2 * time.Second
-	// progressReportTokens is how many new tokens pass between two updates of
-	// the scheduler's account of work in flight.
+	// progressReportTokens is the number of new tokens between two progress reports to the scheduler.
 	progressReportTokens = 16
-	// bufferUnreadTokens is how far an engine stream may run ahead of the
-	// reader; bufferRetainedTokens is how many read tokens are kept for a
-	// reader that attaches again.
+	// bufferUnreadTokens is how far an engine stream may run ahead of the reader; bufferRetainedTokens
+	// is how many read tokens are kept for a reader that attaches again.
 	bufferUnreadTokens   = 16384
 	bufferRetainedTokens = 8192
-	// bufferPieceTokens bounds the tokens that are kept as one piece.
-	bufferPieceTokens = 64
+	// bufferMaximumPieceTokens limits the tokens of one buffered piece.
+	bufferMaximumPieceTokens = 64
 )
 
-// Times of engine links and orders.
+// Timeouts and intervals of engine links and load orders.
 const (
-	// watchInterval is the interval of load reports asked of engines.
+	// watchInterval is the interval of load reports requested from engines.
 	watchInterval = 500 * time.Millisecond
-	// watchSilence: a watch stream without any event for so long counts as broken.
-	watchSilence = 5 * time.Second
-	// engineGoneTimeout: the streams of an engine that stayed unreachable for so
-	// long count as lost. An engine that closes its connections is noticed at once.
-	engineGoneTimeout = 5 * time.Second
-	// orderTimeout bounds one order call.
+	// watchIdleTimeout is the time without an event after which a watch stream counts as broken.
+	watchIdleTimeout = 5 * time.Second
+	// engineUnreachableTimeout is the time after which the streams of an unreachable engine count as
+	// lost. An engine that closes its connections is detected at once.
+	engineUnreachableTimeout = 5 * time.Second
+	// orderTimeout limits one order call.
 	orderTimeout = 10 * time.Second
-	// orderSettleTime is how long an accepted order counts as loading before
-	// the engine reports that it loads.
+	// orderSettleTime is how long an accepted order counts as loading before the engine reports the
+	// load.
 	orderSettleTime = 2 * time.Second
-	// orderRetryDelay is the least time between two orders to one engine.
+	// orderRetryDelay is the minimum time between two orders to one engine.
 	orderRetryDelay = time.Second
 )
 
 var (
-	// resumeRetries paces the tries to resume a broken engine stream.
+	// resumeRetries is the backoff between attempts to resume a broken engine stream.
 	resumeRetries = retry.Policy{First: 20 * time.Millisecond, Longest: 400 * time.Millisecond}
-	// reconnectRetries paces the connections of an engine's watch stream.
+	// reconnectRetries is the backoff between connections of an engine's watch stream.
 	reconnectRetries = retry.Policy{First: 50 * time.Millisecond, Longest: 2 * time.Second}
 )
--- a/internal/dispatcher/link.go
+++ b/internal/dispatcher/link.go
@@ -10,18 +10,18 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// link is what a cell knows of one engine. The cell's lock guards it.
-type link struct {
+// engineLink is the state of a cell's connection to one engine. Guarded by the cell's mutex.
+type engineLink struct {
 	id      string
 	address string
 	leaving bool
-	// reachable: the watch stream is up and has brought a status.
+	// reachable is set while the watch stream is connected and has delivered a status.
 	reachable        bool
 	unreachableSince time.Time
 	status           engine.Status
-	// generation counts the connections of the watch stream.
+	// generation counts the connections of the watch stream; events of older ones are ignored.
 	generation uint64
-	// disconnect breaks the current connection of the watch stream.
+	// disconnect closes the current connection of the watch stream.
 	disconnect context.CancelFunc
 	// stop ends the link.
 	stop context.CancelFunc
@@ -29,10 +29,10 @@
 	order orderState
 }
 
-// open starts the watch stream of an engine. The caller holds the lock.
-func (c *cell) open(machine cluster.EngineMachine) {
-	ctx, stop := context.WithCancel(c.dispatcher.base)
-	opened := &link{
+// openLink starts the watch stream of an engine. Must be called with mutex held.
+func (c *cell) openLink(machine cluster.EngineMachine) {
+	ctx, stop := context.WithCancel(c.dispatcher.baseContext)
+	opened := &engineLink{
 		id:               machine.ID,
 		address:          machine.Address,
 		leaving:          machine.Leaving,
@@ -45,128 +45,127 @@
 	c.dispatcher.start(func() { c.watch(ctx, opened) })
 }
 
-// shut ends the link of an engine. The caller holds the lock.
-func (c *cell) shut(closing *link) {
+// closeLink closes the link of an engine. Must be called with mutex held.
+func (c *cell) closeLink(closing *engineLink) {
 	closing.stop()
 	delete(c.links, closing.id)
 	c.scheduler.RemoveEngine(closing.id)
 }
 
-// watch keeps the watch stream of an engine up until ctx ends.
-func (c *cell) watch(ctx context.Context, on *link) {
+// watch keeps the watch stream of an engine connected until ctx ends.
+func (c *cell) watch(ctx context.Context, link *engineLink) {
 	delays := reconnectRetries.Delays()
 	for ctx.Err() == nil {
-		if c.watchOnce(ctx, on) {
+		if c.watchOnce(ctx, link) {
 			delays.Reset()
 		}
 		retry.Sleep(ctx, delays.NextBackOff())
 	}
 }
 
-// watchOnce follows one connection of the watch stream; true when it brought
-// any event.
-func (c *cell) watchOnce(ctx context.Context, on *link) bool {
+// watchOnce reads one connection of the watch stream to its end and reports whether it delivered any
+// event.
+func (c *cell) watchOnce(ctx context.Context, link *engineLink) bool {
 	connection, disconnect := context.WithCancel(ctx)
 	defer disconnect()
-	generation := c.connecting(on, disconnect)
-	silence := time.AfterFunc(watchSilence, disconnect)
+	generation := c.beginConnection(link, disconnect)
+	silence := time.AfterFunc(watchIdleTimeout, disconnect)
 	defer silence.Stop()
 	heard := false
-	err := c.dispatcher.options.EngineClient.Watch(connection, on.address, watchInterval, func(event engine.Event) {
-		silence.Reset(watchSilence)
+	err := c.dispatcher.options.EngineClient.Watch(connection, link.address, watchInterval, func(event engine.Event) {
+		silence.Reset(watchIdleTimeout)
 		heard = true
-		c.observe(on, generation, &event)
+		c.observe(link, generation, &event)
 	})
-	c.disconnected(on, generation)
+	c.endConnection(link, generation)
 	if heard && ctx.Err() == nil {
-		c.dispatcher.options.Logger.Warn().Err(err).Str("engine", on.id).Msg("engine watch stream broke")
+		c.dispatcher.options.Logger.Warn().Err(err).Str("engine", link.id).Msg("engine watch stream broke")
 	}
 	return heard
 }
 
-func (c *cell) connecting(on *link, disconnect context.CancelFunc) uint64 {
+func (c *cell) beginConnection(link *engineLink, disconnect context.CancelFunc) uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	on.generation++
-	on.disconnect = disconnect
-	return on.generation
+	link.generation++
+	link.disconnect = disconnect
+	return link.generation
 }
 
-func (c *cell) disconnected(on *link, generation uint64) {
+func (c *cell) endConnection(link *engineLink, generation uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if on.generation == generation {
-		c.setUnreachable(on)
+	if link.generation == generation {
+		c.setUnreachable(link)
 	}
 }
 
-// suspect takes an engine out of service until its watch stream is up again,
-// unless that has already come anew since the placement was made.
-func (c *cell) suspect(placed placement) {
+// suspectEngine takes an engine out of service and reconnects its watch stream, unless that has
+// reconnected since the placement.
+func (c *cell) suspectEngine(placed placement) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	on, ok := c.links[placed.assignment.EngineID]
-	if !ok || on.generation != placed.generation {
+	link, ok := c.links[placed.assignment.EngineID]
+	if !ok || link.generation != placed.generation {
 		return
 	}
-	on.generation++
-	on.disconnect()
-	c.setUnreachable(on)
+	link.generation++
+	link.disconnect()
+	c.setUnreachable(link)
 }
 
-// setUnreachable takes an engine out of service. The caller holds the lock.
-func (c *cell) setUnreachable(on *link) {
-	if on.reachable {
-		on.reachable = false
-		on.unreachableSince = time.Now()
+// setUnreachable takes an engine out of service. Must be called with mutex held.
+func (c *cell) setUnreachable(link *engineLink) {
+	if link.reachable {
+		link.reachable = false
+		link.unreachableSince = time.Now()
 	}
-	c.updateScheduler(on, false)
+	c.updateScheduler(link, false)
 }
 
-// observe takes in an event, unless it is of an older connection.
-func (c *cell) observe(on *link, generation uint64, event *engine.Event) {
+// observe processes a watch event, unless it is from an older connection.
+func (c *cell) observe(link *engineLink, generation uint64, event *engine.Event) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if on.generation != generation || c.links[on.id] != on {
+	if link.generation != generation || c.links[link.id] != link {
 		return
 	}
 	switch event.Kind {
 	case engine.EventStatus:
 		if event.Status != nil {
-			c.observeStatus(on, *event.Status)
+			c.observeStatus(link, *event.Status)
 		}
 	case engine.EventStored:
-		c.prefixes.Stored(on.id, event.Sequence, event.Prefixes)
+		c.prefixes.Stored(link.id, event.Sequence, event.Prefixes)
 	case engine.EventEvicted:
-		c.prefixes.Evicted(on.id, event.Sequence, event.Prefixes)
+		c.prefixes.Evicted(link.id, event.Sequence, event.Prefixes)
 	}
 }
 
-func (c *cell) observeStatus(on *link, status engine.Status) {
-	if on.status.Incarnation != status.Incarnation {
-		// A new start of the engine has an empty cache.
-		c.prefixes.Remove(on.id)
+func (c *cell) observeStatus(link *engineLink, status engine.Status) {
+	if link.status.Incarnation != status.Incarnation {
+		// A restarted engine has an empty cache.
+		c.prefixes.Remove(link.id)
 	}
 	now := time.Now()
-	on.status = status
-	on.reachable = true
-	on.order.observe(&status)
-	c.updateScheduler(on, true)
-	c.followDirectives(now)
+	link.status = status
+	link.reachable = true
+	link.order.observe(&status)
+	c.updateScheduler(link, true)
+	c.sendDueOrders(now)
 	c.dispatch(now)
 }
 
-// updateScheduler tells the scheduler what the link knows. The caller holds
-// the lock.
-func (c *cell) updateScheduler(on *link, reported bool) {
-	if c.links[on.id] != on {
+// updateScheduler passes the state of the link to the scheduler. Must be called with mutex held.
+func (c *cell) updateScheduler(link *engineLink, reported bool) {
+	if c.links[link.id] != link {
 		return
 	}
 	c.scheduler.UpdateEngine(scheduler.EngineUpdate{
-		ID:        on.id,
-		Status:    on.status,
-		Leaving:   on.leaving,
-		Reachable: on.reachable,
+		ID:        link.id,
+		Status:    link.status,
+		Leaving:   link.leaving,
+		Reachable: link.reachable,
 		Reported:  reported,
 	})
 }
--- a/internal/dispatcher/metrics.go
+++ b/internal/dispatcher/metrics.go
@@ -35,13 +35,13 @@
 			Namespace: metricsNamespace, Subsystem: metricsSubsystem, Name: "queue_wait_seconds",
 			Help: "Time from enqueueing to the choice of an engine, in seconds.", Buckets: queueWaitBuckets,
 		}, []string{"service"}),
-		attempts:     counterVec("engine_attempts_total", "Sends to engines by outcome.", "outcome"),
+		attempts:     counterVec("engine_attempts_total", "Attempts at engines by outcome.", "outcome"),
 		failed:       counterVec("failed_total", "Submissions that ended with an error, by kind.", "kind"),
-		resumes:      counter("stream_resumes_total", "Broken engine streams that were tried to be resumed."),
+		resumes:      counter("stream_resumes_total", "Attempts to resume a broken engine stream."),
 		moves:        counter("moves_total", "Requests continued on an engine after another one was lost."),
 		cachedTokens: counter("cached_prompt_tokens_total", "Prompt tokens that engines served from their prefix caches."),
 		orders:       counterVec("orders_total", "Load orders sent to engines, by result.", "result"),
-		queued:       cellGauge("queued_requests", "Requests that wait for an engine."),
+		queued:       cellGauge("queued_requests", "Requests waiting for an engine."),
 		running:      cellGauge("running_requests", "Requests in flight at engines."),
 		slots:        cellGauge("slots", "Batch slots of the engines in service."),
 	}
@@ -60,7 +60,7 @@
 	m.slots.WithLabelValues(name).Set(float64(digest.Slots))
 }
 
-// forgetCell drops the gauges of a closed cell.
+// forgetCell deletes the gauges of a closed cell.
 func (m *metrics) forgetCell(id message.CellID) {
 	name := cellName(id)
 	m.queued.DeleteLabelValues(name)
--- a/internal/dispatcher/rollout.go
+++ b/internal/dispatcher/rollout.go
@@ -7,28 +7,28 @@
 	"github.com/corkpulley/corkpulley/internal/core/weights"
 )
 
-// rolloutEngine is one engine as a weight rollout sees it.
+// rolloutEngine is the state of one engine in a weight rollout.
 type rolloutEngine struct {
 	id string
-	// reached: holds the model whole at the wanted version.
-	reached bool
-	// inService: takes requests for the model.
+	// atTarget: holds the model at the wanted version and is not broken.
+	atTarget bool
+	// inService: accepts requests for the model.
 	inService bool
-	// loading: is swapping the model in, or was just ordered to.
+	// loading: is loading the model, or was just ordered to.
 	loading bool
 	// orderable: reachable, not leaving, not draining, and due for an order.
 	orderable bool
-	// version of the model; 0 when it holds none.
+	// version of the model; 0 if the engine does not hold it.
 	version uint64
 }
 
-// planLoads returns the engines to order now: at most concurrent loading at
-// once, and never so many that fewer than floorPercent of the engines stay in
-// service. Engines that are out of service anyway go first, then the oldest versions.
+// planLoads returns the engines to order now: at most concurrent engines load at once, and at least
+// floorPercent of the engines stay in service. Engines that are out of service go first, then those
+// with the oldest versions.
 //
-// The floor is weights.FloorEngines over the cell, so one of its engines may load
-// however small the cell is, unless the floor is 100 %: the floor of the operator
-// is over the whole pool, whose cells the coordinator paces by concurrent.
+// The floor is weights.FloorEngines over the cell, so one engine may load in a cell of any size,
+// unless the floor is 100 %. The operator's floor covers the whole pool; the coordinator enforces it
+// through concurrent.
 func planLoads(engines []rolloutEngine, concurrent, floorPercent int) []string {
 	loading, inService := 0, 0
 	for i := range engines {
@@ -40,7 +40,7 @@
 	}
 	spare := inService - weights.FloorEngines(len(engines), floorPercent)
 	var orders []string
-	for _, candidate := range byUrgency(engines) {
+	for _, candidate := range orderCandidates(engines) {
 		if loading >= concurrent {
 			break
 		}
@@ -56,11 +56,11 @@
 	return orders
 }
 
-// byUrgency returns the engines that need an order.
-func byUrgency(engines []rolloutEngine) []rolloutEngine {
+// orderCandidates returns the engines that need an order, in the order of planLoads.
+func orderCandidates(engines []rolloutEngine) []rolloutEngine {
 	var due []rolloutEngine
 	for _, candidate := range engines {
-		if candidate.orderable && !candidate.reached && !candidate.loading {
+		if candidate.orderable && !candidate.atTarget && !candidate.loading {
 			due = append(due, candidate)
 		}
 	}
--- a/internal/dispatcher/run.go
+++ b/internal/dispatcher/run.go
@@ -7,10 +7,10 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// run takes the task through the queue and the engines to its end.
+// run queues the task and sends it to engines until it ends.
 func (t *task) run() {
 	for {
-		placed, err := t.await()
+		placed, err := t.awaitPlacement()
 		if err != nil {
 			t.fail(err)
 			return
@@ -21,7 +21,7 @@
 		result := send.run()
 		t.cell.release(t, result.outcome != outcomeNotRun)
 		t.cell.dispatcher.metrics.attempts.WithLabelValues(result.outcome.String()).Inc()
-		if t.settle(send, result) {
+		if t.handleResult(send, result) {
 			return
 		}
 		if err := t.cell.requeue(t); err != nil {
@@ -31,27 +31,28 @@
 	}
 }
 
-// await waits for a placement.
-func (t *task) await() (placement, *errkind.Error) {
+// awaitPlacement waits until the scheduler has placed the task or rejected it.
+func (t *task) awaitPlacement() (placement, *errkind.Error) {
 	select {
 	case placed := <-t.placed:
 		return placed, placed.err
 	case <-t.ctx.Done():
 		t.cell.withdraw(t)
-		return placement{}, t.stopped()
+		return placement{}, t.stopError()
 	}
 }
 
-// stopped returns why the task's context ended.
-func (t *task) stopped() *errkind.Error {
-	if t.cell.dispatcher.base.Err() != nil {
-		return errkind.New(errkind.ShuttingDown, "the dispatcher stopped")
+// stopError returns the reason why the task's context ended.
+func (t *task) stopError() *errkind.Error {
+	if t.cell.dispatcher.baseContext.Err() != nil {
+		return errkind.New(errkind.ShuttingDown, "the dispatcher has stopped")
 	}
-	return errkind.New(errkind.Canceled, "the caller left")
+	return errkind.New(errkind.Canceled, "the caller disconnected")
 }
 
-// settle decides what follows an attempt; false: the task is queued again.
-func (t *task) settle(send *attempt, result attemptResult) bool {
+// handleResult ends the task or prepares another attempt. It returns false if the task must be queued
+// again.
+func (t *task) handleResult(send *attempt, result attemptResult) bool {
 	engineID := send.placed.assignment.EngineID
 	switch result.outcome {
 	case outcomeFinished:
@@ -59,20 +60,20 @@
 		return true
 	case outcomeCanceled:
 		send.cancelAtEngine()
-		t.fail(t.stopped())
+		t.fail(t.stopError())
 		return true
 	case outcomeNotRun:
-		return t.settleNotRun(send, result)
+		return t.handleNotRun(send, result)
 	default:
-		return t.settleLost(send, result)
+		return t.handleLost(send, result)
 	}
 }
 
-// settleNotRun handles an attempt that certainly did not run. Even a request
-// that is not repeatable may then go to another engine.
-func (t *task) settleNotRun(send *attempt, result attemptResult) bool {
+// handleNotRun handles an attempt that certainly did not run, so even a request that is not repeatable
+// may be sent to another engine.
+func (t *task) handleNotRun(send *attempt, result attemptResult) bool {
 	if result.refusal == nil {
-		t.cell.suspect(send.placed)
+		t.cell.suspectEngine(send.placed)
 	} else {
 		t.excluded = append(t.excluded, send.placed.assignment.EngineID)
 	}
@@ -81,30 +82,30 @@
 		return true
 	}
 	if t.exhausted() {
-		t.fail(errkind.New(errkind.EngineRefused, "no engine took the request: %s", result.cause))
+		t.fail(errkind.New(errkind.EngineRefused, "no engine accepted the request: %s", result.cause))
 		return true
 	}
 	return false
 }
 
-// settleLost handles an attempt that may have run in part and can't be resumed.
-func (t *task) settleLost(send *attempt, result attemptResult) bool {
+// handleLost handles an attempt that may have run in part and cannot be resumed.
+func (t *task) handleLost(send *attempt, result attemptResult) bool {
 	t.cell.dispatcher.start(send.cancelAtEngine)
-	if result.suspect {
-		t.cell.suspect(send.placed)
+	if result.suspectEngine {
+		t.cell.suspectEngine(send.placed)
 	} else {
 		t.excluded = append(t.excluded, send.placed.assignment.EngineID)
 	}
 	switch {
 	case len(t.tokens) >= t.submit.MaxTokens:
-		// Only the engine's last word is missing; the answer is whole.
+		// All tokens arrived; only the final chunk is missing.
 		t.finish(send.placed.assignment.EngineID, engine.FinishLength, send.version)
 		return true
 	case !t.submit.Repeatable:
 		t.fail(errkind.New(errkind.OutcomeUnknown, "the engine stream was lost: %s", result.cause))
 		return true
 	case t.exhausted():
-		t.fail(errkind.New(errkind.EngineFailed, "every engine tried failed: %s", result.cause))
+		t.fail(errkind.New(errkind.EngineFailed, "all attempted engines failed: %s", result.cause))
 		return true
 	default:
 		t.cell.dispatcher.metrics.moves.Inc()
@@ -112,9 +113,9 @@
 	}
 }
 
-// exhausted tells whether there is nothing left to try.
+// exhausted reports whether no further attempt is allowed or possible.
 func (t *task) exhausted() bool {
-	return t.sends >= maximumEngineAttempts || t.cell.allExcluded(t.excluded)
+	return t.sendCount >= maximumEngineAttempts || t.cell.allExcluded(t.excluded)
 }
 
 // requeue queues the task again after an attempt that did not finish.
--- a/internal/dispatcher/status.go
+++ b/internal/dispatcher/status.go
@@ -11,13 +11,13 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// States of api.EngineStatus beyond those that engines report.
+// States of api.EngineStatus in addition to those that engines report.
 const (
 	stateLeaving     = "leaving"
 	stateUnreachable = "unreachable"
 )
 
-// StatusReport answers MethodCellStatus (request: message.Empty).
+// StatusReport is the response of MethodCellStatus (request: message.Empty).
 type StatusReport struct {
 	Engines []api.EngineStatus `msgpack:"e"`
 	Cells   []api.CellStatus   `msgpack:"c"`
@@ -42,7 +42,7 @@
 	return statuses
 }
 
-// CellStatus returns the digest of a cell as operators see it.
+// CellStatus converts the digest of a cell to its operator API form.
 func CellStatus(digest message.CellDigest) api.CellStatus {
 	return api.CellStatus{
 		Zone:    digest.Cell.Zone,
@@ -64,27 +64,27 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	statuses := make([]api.EngineStatus, 0, len(c.links))
-	for _, on := range c.links {
-		models := make(map[string]uint64, len(on.status.Models))
-		for _, held := range on.status.Models {
+	for _, link := range c.links {
+		models := make(map[string]uint64, len(link.status.Models))
+		for _, held := range link.status.Models {
 			models[held.Model] = held.Version
 		}
 		statuses = append(statuses, api.EngineStatus{
-			ID:       on.id,
-			Address:  on.address,
+			ID:       link.id,
+			Address:  link.address,
 			Zone:     c.id.Zone,
 			Pool:     c.id.Pool,
-			State:    on.state(),
+			State:    link.state(),
 			Models:   models,
-			InFlight: c.scheduler.RunningOn(on.id),
+			InFlight: c.scheduler.RunningOn(link.id),
 			Node:     c.dispatcher.options.NodeID,
 		})
 	}
 	return statuses
 }
 
-// state returns the engine's state as operators see it.
-func (l *link) state() string {
+// state returns the engine's state as shown to operators.
+func (l *engineLink) state() string {
 	switch {
 	case !l.reachable:
 		return stateUnreachable
--- a/internal/dispatcher/submit.go
+++ b/internal/dispatcher/submit.go
@@ -10,10 +10,10 @@
 	"github.com/corkpulley/corkpulley/internal/peer"
 )
 
-// maximumSubmitAttempt keeps the engines' attempt numbers inside 32 bits.
+// maximumSubmitAttempt keeps engine attempt numbers within 32 bits.
 const maximumSubmitAttempt = 1 << 27
 
-// handleSubmit runs one submission, or attaches to it, and relays its answer.
+// handleSubmit starts a submission, or attaches to a running one, and relays its answer.
 func (d *Dispatcher) handleSubmit(ctx context.Context, request peer.Request, sender peer.Sender) error {
 	var submit message.Submit
 	if err := request.Decode(&submit); err != nil {
@@ -23,21 +23,21 @@
 		return err
 	}
 	if !submit.Attach && submit.MaxTokens == len(submit.Generated) {
-		last := alreadyWhole(&submit)
+		last := completedProgress(&submit)
 		return sender.Send(&last)
 	}
 	attached, from, err := d.admit(submit)
 	if err != nil {
 		return err
 	}
-	if err := attached.enter(from); err != nil {
+	if err := attached.addReader(from); err != nil {
 		return err
 	}
-	defer attached.leave()
+	defer attached.removeReader()
 	return attached.relay(ctx, from, sender)
 }
 
-// validate returns nil, or what is wrong with a submission.
+// validate returns an InvalidRequest error if the submission is malformed.
 func validate(submit *message.Submit) error {
 	switch {
 	case submit.RequestID == "":
@@ -56,9 +56,8 @@
 	}
 }
 
-// alreadyWhole is the answer to a continued request that lacks nothing but the
-// word that it is finished.
-func alreadyWhole(submit *message.Submit) message.Progress {
+// completedProgress returns the final message for a continued request that already has all its tokens.
+func completedProgress(submit *message.Submit) message.Progress {
 	return message.Progress{
 		Attempt:      submit.Attempt,
 		FirstToken:   len(submit.Generated),
@@ -67,7 +66,7 @@
 	}
 }
 
-// admit returns the task of a submission and the index to relay from.
+// admit returns the task of a submission and the token index to relay from.
 func (d *Dispatcher) admit(submit message.Submit) (*task, int, error) {
 	if submit.Attach {
 		return d.attach(&submit)
@@ -75,7 +74,7 @@
 	if err := d.options.Tables.Current(); err != nil {
 		return nil, 0, err
 	}
-	on, err := d.cell(submit.Cell)
+	target, err := d.cell(submit.Cell)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -87,15 +86,15 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	admitted, err := on.submit(submit, row, inFlightCap)
+	admitted, err := target.submit(submit, row, inFlightCap)
 	return admitted, len(submit.Generated), err
 }
 
-// attach returns the task of an earlier submission. One that is not here may
-// have run here before, so its outcome is unknown.
+// attach returns the task of an earlier submission. An unknown task may have run here before, so its
+// outcome is unknown.
 func (d *Dispatcher) attach(submit *message.Submit) (*task, int, error) {
-	if on := d.find(submit.Cell); on != nil {
-		if known := on.lookup(taskID(submit)); known != nil {
+	if target := d.find(submit.Cell); target != nil {
+		if known := target.lookup(taskID(submit)); known != nil {
 			return known, submit.ResumeFrom, nil
 		}
 	}
@@ -103,8 +102,8 @@
 		"node %s does not have request %s, attempt %d", d.options.NodeID, submit.RequestID, submit.Attempt)
 }
 
-// row returns the table row of a submission. A service that only a newer table
-// than this node's can have gets the least privileges until that arrives.
+// row returns the policy row of a submission's service. A service that may exist only in a newer
+// table gets the least privileges until this node has that table.
 func (d *Dispatcher) row(submit *message.Submit) (policy.Row, error) {
 	table := d.options.Tables.Table()
 	row, ok := table.Row(submit.Service)
@@ -112,43 +111,44 @@
 		return row, nil
 	}
 	if table.Revision >= submit.TableRevision {
-		return row, errkind.New(errkind.UnknownService, "service %q is not in table revision %d", submit.Service, table.Revision)
+		return row, errkind.New(errkind.UnknownService,
+			"service %q is not in table revision %d", submit.Service, table.Revision)
 	}
 	return policy.Row{Service: submit.Service, Kind: policy.KindTrainer, Share: 1}, nil
 }
 
-// inFlightCap returns the requests that the service may have in flight in the cell; 0
-// for no cap.
+// inFlightCap returns the number of requests that the service may have in flight in the cell; 0 for no
+// cap.
 func (d *Dispatcher) inFlightCap(row *policy.Row, cell message.CellID) (int, error) {
 	if row.Cap == 0 {
 		return 0, nil
 	}
 	d.mutex.Lock()
-	part := d.layout.capOf(row, cell)
+	part := d.layout.cellCap(row, cell)
 	d.mutex.Unlock()
 	if part == 0 {
-		// NoCapacity rather than CapReached: other cells have a part.
+		// NoCapacity rather than CapReached: other cells may have a part of the cap.
 		return 0, errkind.New(errkind.NoCapacity,
-			"no part of the cap of service %s (%d) falls to cell %s", row.Service, row.Cap, cellName(cell))
+			"the cap of service %s (%d) leaves no requests for cell %s", row.Service, row.Cap, cellName(cell))
 	}
 	return part, nil
 }
 
-// relay sends the answer from an index on, each token once and in order.
+// relay sends the answer from a token index on, each token once and in order.
 func (t *task) relay(ctx context.Context, from int, sender peer.Sender) error {
 	next := from
 	first := true
-	var found window
+	var found readResult
 	for {
 		found = t.buffer.readFrom(next, found.pieces)
 		for index := range found.pieces {
 			piece := &found.pieces[index]
-			trim(piece, next)
+			trimBefore(piece, next)
 			if first {
-				piece.Load = t.load()
+				piece.Load = t.cellLoad()
 				first = false
 			}
-			// The sender keeps no reference to a message that it has sent.
+			// Send keeps no reference to the message, so the buffer may be reused.
 			if err := sender.Send(piece); err != nil {
 				return err
 			}
@@ -156,14 +156,14 @@
 		}
 		if found.finished != nil {
 			last := *found.finished
-			last.Load = t.load()
+			last.Load = t.cellLoad()
 			return sender.Send(&last)
 		}
 		if found.err != nil {
 			return found.err
 		}
 		if len(found.pieces) > 0 {
-			// Reading on tells the buffer that these pieces were sent.
+			// The next read acknowledges these pieces to the buffer.
 			continue
 		}
 		select {
@@ -174,14 +174,14 @@
 	}
 }
 
-// load returns the cell's digest for a first or last message.
-func (t *task) load() *message.CellDigest {
+// cellLoad returns the cell's digest, which is attached to the first and the last message.
+func (t *task) cellLoad() *message.CellDigest {
 	digest := t.cell.digest()
 	return &digest
 }
 
-// trim drops the tokens of a piece before an index.
-func trim(piece *message.Progress, from int) {
+// trimBefore removes the tokens of a piece before an index.
+func trimBefore(piece *message.Progress, from int) {
 	if skip := from - piece.FirstToken; skip > 0 {
 		piece.Tokens = piece.Tokens[skip:]
 		piece.FirstToken = from
--- a/internal/dispatcher/task.go
+++ b/internal/dispatcher/task.go
@@ -18,57 +18,56 @@
 	return fmt.Sprintf("%s/%d", submit.RequestID, submit.Attempt)
 }
 
-// task is one submission in this dispatcher. It outlives the stream that
-// submitted it by the linger time. Fields without a lock belong to its own
-// goroutine.
+// task is one submission. It outlives the caller's stream by the linger timeout. Fields without a lock
+// are accessed only by the task's own goroutine.
 type task struct {
 	id     string
 	submit message.Submit
 	row    policy.Row
-	// inFlightCap bounds the service's requests in flight here; 0 for no cap.
+	// inFlightCap limits the service's requests in flight in this cell; 0 for no cap.
 	inFlightCap int
 
 	cell   *cell
 	ctx    context.Context
 	cancel context.CancelFunc
 	buffer *answerBuffer
-	// placed receives one placement for each time the task is queued.
+	// placed receives one placement each time the task is queued.
 	placed chan placement
 
-	// tokens is the whole answer so far, that of earlier submissions included.
+	// tokens is the answer so far, including the tokens of earlier submissions.
 	tokens []string
-	// sends counts the sends to engines.
-	sends uint32
-	// excluded engines refused the task or failed it.
+	// sendCount counts the attempts at engines.
+	sendCount uint32
+	// excluded lists the engines that refused or failed the task.
 	excluded []string
-	// mayHaveRun is set once an engine may have run any part of the task. From
-	// then on no answer may say that it did not run.
+	// mayHaveRun is set once an engine may have run any part of the task. From then on no error may
+	// report it as not executed.
 	mayHaveRun bool
-	// requeued: the task waits again after it may have run. The cell's lock
-	// guards it.
+	// requeued is set when the task is queued again after it may have run. Guarded by the cell's
+	// mutex.
 	requeued bool
 
 	lingerMutex sync.Mutex
 	linger      *time.Timer
 }
 
-// placement ends a wait in the queue: an engine, or why there is none.
+// placement is the result of queueing: the assigned engine, or an error.
 type placement struct {
 	assignment scheduler.Assignment
 	address    string
-	// generation is that of the engine's link when it was chosen.
+	// generation is the engine link's generation at assignment.
 	generation uint64
 	err        *errkind.Error
 }
 
-func newTask(parent context.Context, on *cell, submit message.Submit, row policy.Row, inFlightCap int) *task {
+func newTask(parent context.Context, owner *cell, submit message.Submit, row policy.Row, inFlightCap int) *task {
 	ctx, cancel := context.WithCancel(parent)
 	return &task{
 		id:          taskID(&submit),
 		submit:      submit,
 		row:         row,
 		inFlightCap: inFlightCap,
-		cell:        on,
+		cell:        owner,
 		ctx:         ctx,
 		cancel:      cancel,
 		buffer:      newAnswerBuffer(len(submit.Generated)),
@@ -77,7 +76,7 @@
 	}
 }
 
-// item returns the task as it is queued now.
+// item returns the scheduler item of the task.
 func (t *task) item(now time.Time) scheduler.Item {
 	expected := 0
 	if t.submit.ExpectedTokens > 0 {
@@ -100,12 +99,13 @@
 		ExpectedTokens: expected,
 		Urgent:         t.submit.Urgent,
 		Deadline:       now.Add(timeout),
-		Requeued:       t.submit.Continued || t.sends > 0,
+		Requeued:       t.submit.Continued || t.sendCount > 0,
 		Excluded:       slices.Clone(t.excluded),
 	}
 }
 
-// fail ends the task with an error that tells the truth about what ran.
+// fail ends the task with an error. An error that reports the request as not executed is replaced if
+// an engine may have run it.
 func (t *task) fail(err *errkind.Error) {
 	if t.mayHaveRun && err.Kind.Answer().Execution == errkind.NotExecuted {
 		kind := errkind.EngineFailed
@@ -118,11 +118,11 @@
 	t.buffer.fail(err)
 }
 
-// finish ends the task with a whole answer.
+// finish ends the task with a complete answer.
 func (t *task) finish(engineID, reason string, version uint64) {
 	t.buffer.finish(message.Progress{
 		Attempt:       t.submit.Attempt,
-		EngineAttempt: t.sends,
+		EngineAttempt: t.sendCount,
 		Engine:        engineID,
 		Version:       version,
 		Finished:      true,
@@ -130,9 +130,9 @@
 	})
 }
 
-// enter admits a reader and stops the linger timer.
-func (t *task) enter(from int) *errkind.Error {
-	if err := t.buffer.enter(from); err != nil {
+// addReader registers a reader and stops the linger timer.
+func (t *task) addReader(from int) *errkind.Error {
+	if err := t.buffer.addReader(from); err != nil {
 		return err
 	}
 	t.lingerMutex.Lock()
@@ -143,9 +143,9 @@
 	return nil
 }
 
-// leave starts the linger timer when the last reader left.
-func (t *task) leave() {
-	if !t.buffer.leave() {
+// removeReader starts the linger timer when the last reader has left.
+func (t *task) removeReader() {
+	if !t.buffer.removeReader() {
 		return
 	}
 	t.lingerMutex.Lock()
@@ -156,11 +156,11 @@
 	t.linger = time.AfterFunc(t.cell.dispatcher.linger, t.abandon)
 }
 
-// abandon gives the task up unless a reader came back.
+// abandon cancels and removes the task unless it has a reader again.
 func (t *task) abandon() {
-	if !t.buffer.closeUnread() {
+	if !t.buffer.closeIfUnread() {
 		return
 	}
-	t.cell.forget(t)
+	t.cell.removeTask(t)
 	t.cancel()
 }
--- a/internal/dispatcher/tick_test.go
+++ b/internal/dispatcher/tick_test.go
@@ -7,14 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// A dispatcher without requests wakes up seldom; a request brings the short
-// tick, which deadlines and starved classes need.
-func TestTickIsShortWhileThereAreRequests(t *testing.T) {
+// An idle dispatcher must use the long tick interval, one with requests the short one that deadlines
+// and starved classes need.
+func TestTickIntervalIsShortWithRequests(t *testing.T) {
 	h := newHarness(t, "e1")
 	assert.Equal(t, h.dispatcher.tick(time.Now()), reconcileInterval)
 	h.dispatcher.linger = time.Millisecond
 	hold := make(chan struct{})
-	h.generate["e1"] = inTurn(upTo(5, 1, hold), upTo(6, 1, nil))
+	h.generate["e1"] = inSequence(tokensUpTo(5, 1, hold), tokensUpTo(6, 1, nil))
 	received := h.submit(submission("r1"))
 	h.eventually(func() bool { return h.dispatcher.tick(time.Now()) == tickInterval })
 	close(hold)
@@ -22,7 +22,7 @@
 	h.eventually(func() bool { return h.dispatcher.tick(time.Now()) == reconcileInterval })
 }
 
-func TestARequestEndsTheLongTick(t *testing.T) {
+func TestFirstRequestEndsLongTick(t *testing.T) {
 	h := newHarness(t, "e1")
 	idle := New(h.dispatcher.options)
 	idle.reconcile(time.Now())
@@ -30,7 +30,7 @@
 	for _, id := range []string{"r1", "r2"} {
 		_, err := idle.findOrOpen(testCell).submit(submission(id), row, 0)
 		assert.NilError(t, err)
-		// Only the first request of a cell can find a long tick.
+		// Only the first request of a cell can meet a long tick interval.
 		assert.Equal(t, len(idle.wake), 1)
 	}
 	idle.stop()
