--- a/internal/bench/faultproxy/connection.go
+++ b/internal/bench/faultproxy/connection.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// direction is one of the two ways of a connection.
+// direction is the direction of a relayed byte stream.
 type direction int
 
 const (
@@ -16,31 +16,30 @@
 	directions
 )
 
-// faults are what a link does to the bytes of its connections; zero relays them as they come.
+// faults holds the faults that a link injects into its connections. The zero value relays bytes unchanged.
 type faults struct {
 	stalled [directions]bool
 	// latency delays each chunk, without limiting the rate.
 	latency        time.Duration
 	bytesPerSecond int64
-	// sliceBytes is the size of a write, zero for as it comes, and sliceDelay the pause after each.
+	// sliceBytes is the maximum size of a write (0: unlimited), sliceDelay the pause after each write.
 	sliceBytes int
 	sliceDelay time.Duration
 }
 
 const (
-	// chunkBytes is the most that is read at once, and chunksUnderWay how many chunks may wait for their
-	// latency: 8 MB at most, far more than a test sends within one.
-	chunkBytes     = 32 << 10
-	chunksUnderWay = 256
+	// Each direction of a connection buffers up to readBufferBytes*maxQueuedChunks (8 MiB) of delayed data.
+	readBufferBytes = 32 << 10
+	maxQueuedChunks = 256
 )
 
-// chunk is what was read at once.
+// chunk holds the bytes returned by one read.
 type chunk struct {
 	data   []byte
 	readAt time.Time
 }
 
-// connection is one relayed connection.
+// connection relays bytes between a caller and the upstream.
 type connection struct {
 	ends   [directions]net.Conn
 	closed chan struct{}
@@ -54,7 +53,7 @@
 	}
 }
 
-// close closes both ends; it does not wait.
+// close closes both ends without waiting for the relaying goroutines.
 func (c *connection) close() {
 	c.once.Do(func() {
 		close(c.closed)
@@ -64,26 +63,26 @@
 	})
 }
 
-// run relays until an end closes, and calls ended.
-func (c *connection) run(inForce func() faults, ended func()) {
-	var ways sync.WaitGroup
-	for way := range directions {
-		ways.Go(func() {
+// run relays both directions until either end closes, then calls onClose.
+func (c *connection) run(currentFaults func() faults, onClose func()) {
+	var relays sync.WaitGroup
+	for dir := range directions {
+		relays.Go(func() {
 			defer c.close()
-			c.write(way, inForce, c.read(way))
+			c.write(dir, currentFaults, c.read(dir))
 		})
 	}
-	ways.Wait()
-	ended()
+	relays.Wait()
+	onClose()
 }
 
-// read returns what comes from the end opposite to a direction, until it closes.
-func (c *connection) read(way direction) <-chan chunk {
-	chunks := make(chan chunk, chunksUnderWay)
-	source := c.ends[directions-1-way]
+// read returns the chunks read from the source of a direction. The channel is closed when the source closes.
+func (c *connection) read(dir direction) <-chan chunk {
+	chunks := make(chan chunk, maxQueuedChunks)
+	source := c.ends[directions-1-dir]
 	go func() {
 		defer close(chunks)
-		buffer := make([]byte, chunkBytes)
+		buffer := make([]byte, readBufferBytes)
 		for {
 			count, err := source.Read(buffer)
 			if count > 0 {
@@ -101,24 +100,25 @@
 	return chunks
 }
 
-// write passes chunks on under the faults in force, until they end or the connection closes.
-func (c *connection) write(way direction, inForce func() faults, chunks <-chan chunk) {
+// write forwards chunks, applying the link's current faults, until the channel or the connection is closed.
+func (c *connection) write(dir direction, currentFaults func() faults, chunks <-chan chunk) {
 	for each := range chunks {
-		if !c.sleep(time.Until(each.readAt.Add(inForce().latency))) {
+		if !c.sleep(time.Until(each.readAt.Add(currentFaults().latency))) {
 			return
 		}
-		faults := inForce()
-		if faults.stalled[way] {
+		faults := currentFaults()
+		if faults.stalled[dir] {
 			continue
 		}
-		if !c.writeSlices(way, faults, each.data) {
+		if !c.writeSlices(dir, faults, each.data) {
 			return
 		}
 	}
 }
 
-// writeSlices writes a chunk in slices at the rate allowed; false once the connection is closed.
-func (c *connection) writeSlices(way direction, faults faults, data []byte) bool {
+// writeSlices writes data with the configured slicing and bandwidth limit. It returns false if the connection
+// was closed.
+func (c *connection) writeSlices(dir direction, faults faults, data []byte) bool {
 	for len(data) > 0 {
 		slice := data
 		if faults.sliceBytes > 0 {
@@ -128,7 +128,7 @@
 		if faults.bytesPerSecond > 0 && !c.sleep(time.Duration(len(slice))*time.Second/time.Duration(faults.bytesPerSecond)) {
 			return false
 		}
-		if _, err := c.ends[way].Write(slice); err != nil {
+		if _, err := c.ends[dir].Write(slice); err != nil {
 			return false
 		}
 		if faults.sliceBytes > 0 && !c.sleep(faults.sliceDelay) {
@@ -138,7 +138,7 @@
 	return true
 }
 
-// sleep waits; false once the connection is closed.
+// sleep waits for the period. It returns false if the connection was closed meanwhile.
 func (c *connection) sleep(period time.Duration) bool {
 	if period <= 0 {
 		return true
--- a/internal/bench/faultproxy/faultproxy.go
+++ b/internal/bench/faultproxy/faultproxy.go
@@ -1,9 +1,9 @@
-// Package faultproxy puts fault-injecting TCP proxies on the links of a
-// deployment. It serves benches and tests only; the product has no proxy in it.
+// Package faultproxy provides fault-injecting TCP proxies for the links of a
+// deployment under test. It is used by benchmarks and tests only.
 //
-// Faults are settings that each connection looks up for each chunk of bytes, so
-// that setting one never waits for a peer that does not read: deployments are
-// struck while their processes are stopped.
+// Each connection reads the link's fault settings for each chunk of bytes, so
+// changing a setting never blocks on a peer that does not read, such as a
+// process stopped by SIGSTOP.
 package faultproxy
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/corkpulley/corkpulley/internal/common/retry"
 )
 
-// Network owns the links of one deployment.
+// Network holds the links of one deployment. Its methods are safe for concurrent use.
 type Network struct {
 	mu    sync.Mutex
 	links map[string]*Link
@@ -27,8 +27,8 @@
 // NewNetwork returns a network without links.
 func NewNetwork() *Network { return &Network{links: map[string]*Link{}} }
 
-// AddLink starts a proxy from listen ("ip:port") to upstream. Nothing need
-// listen at upstream yet.
+// AddLink starts a proxy from listen ("ip:port") to upstream. The upstream is
+// dialed for each accepted connection and need not be listening yet.
 func (n *Network) AddLink(name, listen, upstream string) (*Link, error) {
 	link := &Link{name: name, address: listen, upstream: upstream, connections: map[*connection]bool{}}
 	if err := link.listen(); err != nil {
@@ -40,14 +40,14 @@
 	return link, nil
 }
 
-// Link returns the link of that name, or nil.
+// Link returns the link with the given name, or nil.
 func (n *Network) Link(name string) *Link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.links[name]
 }
 
-// Close stops all links.
+// Close cuts all links.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// Link is one proxied link. Faults of one link may be set by several goroutines.
+// Link is one proxied link. Its methods are safe for concurrent use.
 type Link struct {
 	name     string
 	address  string
@@ -69,7 +69,6 @@
 	faults      faults
 }
 
-// Name returns the link's name.
 func (l *Link) Name() string { return l.name }
 
 // Address returns the address that the link listens on.
@@ -86,50 +85,49 @@
 	l.closeConnections()
 }
 
-// Reset closes all connections once; new ones are accepted with the same
-// other faults as before.
+// Reset closes all connections. New ones are accepted, with the same faults as before.
 func (l *Link) Reset() error {
 	l.Cut()
 	return l.restart()
 }
 
-// Stall swallows all bytes in both directions, with connections left open,
-// until Restore (which then closes those connections).
+// Stall discards all bytes in both directions and leaves the connections open
+// until Restore, which closes them.
 func (l *Link) Stall() error {
 	l.set(func(set *faults) { set.stalled = [directions]bool{toUpstream: true, toCaller: true} })
 	return nil
 }
 
-// StallOneWay swallows all bytes towards the caller, with connections left open,
-// until Restore: what is sent arrives, and no answer comes back.
+// StallOneWay discards all bytes sent to the caller and leaves the connections
+// open until Restore. Requests reach the upstream, responses are lost.
 func (l *Link) StallOneWay() error {
 	l.set(func(set *faults) { set.stalled[toCaller] = true })
 	return nil
 }
 
-// SetLatency delays both directions by the one-way time; zero removes the delay.
+// SetLatency delays each direction by oneWay; zero removes the delay.
 func (l *Link) SetLatency(oneWay time.Duration) error {
 	l.set(func(set *faults) { set.latency = max(0, oneWay) })
 	return nil
 }
 
-// SetBandwidth limits each direction to that many KiB a second.
+// SetBandwidth limits each direction of each connection to kibPerSecond KiB/s.
 func (l *Link) SetBandwidth(kibPerSecond int64) error {
 	l.set(func(set *faults) { set.bytesPerSecond = kibPerSecond << 10 })
 	return nil
 }
 
-// Slice cuts the byte stream into writes of the given bytes with a delay between them.
+// Slice splits the byte stream into writes of at most bytesEach bytes, with a delay after each.
 func (l *Link) Slice(bytesEach int64, delay time.Duration) error {
 	l.set(func(set *faults) { set.sliceBytes, set.sliceDelay = int(bytesEach), delay })
 	return nil
 }
 
-// Restore ends all faults of the link, an added latency included.
+// Restore removes all faults of the link, including its latency, and accepts connections again.
 func (l *Link) Restore() error {
 	l.mu.Lock()
 	if l.faults.stalled != [directions]bool{} {
-		// Bytes are missing in them.
+		// Bytes of these connections may have been discarded.
 		l.closeConnections()
 	}
 	l.faults = faults{}
@@ -147,14 +145,14 @@
 	change(&l.faults)
 }
 
-// inForce returns the faults in force.
-func (l *Link) inForce() faults {
+// currentFaults returns a copy of the current fault settings.
+func (l *Link) currentFaults() faults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults
 }
 
-// closeConnections closes the connections there are; mu is held.
+// closeConnections closes all open connections. Must be called with mu held.
 func (l *Link) closeConnections() {
 	for each := range l.connections {
 		each.close()
@@ -169,19 +167,19 @@
 	return nil
 }
 
-// addressPatience bounds the wait for a link's address.
-const addressPatience = 2 * time.Second
+// listenTimeout bounds the retries while a link's address is in use.
+const listenTimeout = 2 * time.Second
 
-// addressTries are the delays between tries to listen at it.
-var addressTries = retry.Policy{First: time.Millisecond, Longest: 50 * time.Millisecond}
+// listenRetry sets the delays between attempts to listen.
+var listenRetry = retry.Policy{First: time.Millisecond, Longest: 50 * time.Millisecond}
 
-// listen starts to accept connections. A process that this one starts holds a copy of each open
-// socket from its fork to its exec, so the address of a listener that was closed
-// in between is in use for some milliseconds more.
+// listen starts to accept connections. It retries while the address is in use:
+// a child process inherits open sockets between fork and exec, so the address
+// of a closed listener may stay in use for some milliseconds.
 func (l *Link) listen() error {
-	ctx, cancel := context.WithTimeout(context.Background(), addressPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), listenTimeout)
 	defer cancel()
-	for delays := addressTries.Delays(); ; {
+	for delays := listenRetry.Delays(); ; {
 		listener, err := net.Listen("tcp", l.address)
 		if err == nil {
 			l.accept(listener)
@@ -193,7 +191,7 @@
 	}
 }
 
-// accept serves a new listener, unless another caller has restored the link meanwhile.
+// accept serves a new listener, or closes it if the link is already listening.
 func (l *Link) accept(listener net.Listener) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -205,7 +203,7 @@
 	go l.serve(listener)
 }
 
-// serve takes connections until the listener is closed.
+// serve accepts connections until the listener is closed.
 func (l *Link) serve(listener net.Listener) {
 	for {
 		caller, err := listener.Accept()
@@ -216,12 +214,12 @@
 	}
 }
 
-// upstreamPatience bounds the wait for a connection to upstream.
-const upstreamPatience = 5 * time.Second
+// dialTimeout bounds the dial to the upstream.
+const dialTimeout = 5 * time.Second
 
-// connect relays a caller's connection, unless the link was cut before upstream took it.
+// connect dials the upstream and relays a caller's connection, or closes both if the link was cut meanwhile.
 func (l *Link) connect(listener net.Listener, caller net.Conn) {
-	upstream, err := net.DialTimeout("tcp", l.upstream, upstreamPatience)
+	upstream, err := net.DialTimeout("tcp", l.upstream, dialTimeout)
 	if err != nil {
 		_ = caller.Close()
 		return
@@ -234,11 +232,11 @@
 		return
 	}
 	l.connections[relayed] = true
-	go relayed.run(l.inForce, func() { l.forget(relayed) })
+	go relayed.run(l.currentFaults, func() { l.removeConnection(relayed) })
 }
 
-func (l *Link) forget(ended *connection) {
+func (l *Link) removeConnection(closed *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.connections, ended)
+	delete(l.connections, closed)
 }
--- a/internal/bench/faultproxy/faultproxy_test.go
+++ b/internal/bench/faultproxy/faultproxy_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// patience bounds waits; stalled is how long a stalled link is watched.
+// waitTimeout bounds waits for expected events; stallObservation is how long a stalled link is observed.
 const (
-	patience = 20 * time.Second
-	stalled  = 100 * time.Millisecond
+	waitTimeout      = 20 * time.Second
+	stallObservation = 100 * time.Millisecond
 )
 
-// echoLink returns a link to a server that sends back what it gets.
+// echoLink returns a link to an echo server.
 func echoLink(t *testing.T) *Link {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +46,7 @@
 	return connection
 }
 
-func echo(connection net.Conn, wait time.Duration) error {
+func roundTrip(connection net.Conn, wait time.Duration) error {
 	if err := connection.SetDeadline(time.Now().Add(wait)); err != nil {
 		return err
 	}
@@ -57,75 +57,74 @@
 	return err
 }
 
-func TestCutAndRestore(t *testing.T) {
+func TestLinkCutClosesConnectionsUntilRestore(t *testing.T) {
 	link := echoLink(t)
 	connection := dial(t, link)
-	assert.NilError(t, echo(connection, patience))
+	assert.NilError(t, roundTrip(connection, waitTimeout))
 	link.Cut()
-	assert.Assert(t, echo(connection, patience) != nil)
+	assert.Assert(t, roundTrip(connection, waitTimeout) != nil)
 	_, err := net.Dial("tcp", link.Address())
 	assert.Assert(t, err != nil)
 	assert.NilError(t, link.Restore())
 	assert.NilError(t, link.Restore())
-	assert.NilError(t, echo(dial(t, link), patience))
+	assert.NilError(t, roundTrip(dial(t, link), waitTimeout))
 }
 
-func TestStallSwallowsUntilRestore(t *testing.T) {
+func TestLinkStallDiscardsBytesUntilRestore(t *testing.T) {
 	link := echoLink(t)
 	assert.NilError(t, link.Stall())
 	connection := dial(t, link)
-	assert.Assert(t, echo(connection, stalled) != nil)
+	assert.Assert(t, roundTrip(connection, stallObservation) != nil)
 	assert.NilError(t, link.Restore())
-	assert.NilError(t, echo(dial(t, link), patience))
+	assert.NilError(t, roundTrip(dial(t, link), waitTimeout))
 }
 
-func TestLatencyIsAddedBothWays(t *testing.T) {
+func TestLinkLatencyDelaysBothDirections(t *testing.T) {
 	link := echoLink(t)
 	const oneWay = 20 * time.Millisecond
 	assert.NilError(t, link.SetLatency(oneWay))
 	assert.NilError(t, link.SetLatency(oneWay))
 	connection := dial(t, link)
 	started := time.Now()
-	assert.NilError(t, echo(connection, patience))
+	assert.NilError(t, roundTrip(connection, waitTimeout))
 	assert.Assert(t, time.Since(started) >= 2*oneWay)
 	assert.NilError(t, link.SetLatency(0))
-	assert.NilError(t, echo(dial(t, link), patience))
+	assert.NilError(t, roundTrip(dial(t, link), waitTimeout))
 }
 
-func TestSlowLinksKeepTheBytes(t *testing.T) {
+func TestLinkBandwidthAndSlicingDeliverAllBytes(t *testing.T) {
 	link := echoLink(t)
 	assert.NilError(t, link.SetBandwidth(64))
 	assert.NilError(t, link.Slice(1, time.Millisecond))
-	assert.NilError(t, echo(dial(t, link), patience))
+	assert.NilError(t, roundTrip(dial(t, link), waitTimeout))
 	assert.NilError(t, link.Reset())
-	assert.NilError(t, echo(dial(t, link), patience))
+	assert.NilError(t, roundTrip(dial(t, link), waitTimeout))
 }
 
-// TestRestoreWaitsForItsAddress: another socket holds the link's address for a
-// moment, as a process that is just being started does.
-func TestRestoreWaitsForItsAddress(t *testing.T) {
+// Restore must not fail while a child process between fork and exec still holds the link's address.
+func TestRestoreRetriesWhenAddressInUse(t *testing.T) {
 	link := echoLink(t)
 	link.Cut()
 	holder, err := net.Listen("tcp", link.Address())
 	assert.NilError(t, err)
-	time.AfterFunc(stalled, func() { _ = holder.Close() })
+	time.AfterFunc(stallObservation, func() { _ = holder.Close() })
 	assert.NilError(t, link.Restore())
-	assert.NilError(t, echo(dial(t, link), patience))
+	assert.NilError(t, roundTrip(dial(t, link), waitTimeout))
 }
 
-// TestNewLinkWaitsForItsAddress: the same at its first start.
-func TestNewLinkWaitsForItsAddress(t *testing.T) {
+// AddLink must not fail while another socket briefly holds the link's address.
+func TestAddLinkRetriesWhenAddressInUse(t *testing.T) {
 	holder, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	time.AfterFunc(stalled, func() { _ = holder.Close() })
+	time.AfterFunc(stallObservation, func() { _ = holder.Close() })
 	network := NewNetwork()
 	t.Cleanup(network.Close)
 	_, err = network.AddLink("late", holder.Addr().String(), "127.0.0.1:1")
 	assert.NilError(t, err)
 }
 
-// TestFaultsAreSetBesideAReaderThatStandsStill: bytes to a process that is stopped wait in its connection.
-func TestFaultsAreSetBesideAReaderThatStandsStill(t *testing.T) {
+// Setting a fault must not block while bytes queue up for an upstream that does not read.
+func TestSetFaultsDoesNotBlockOnStoppedReader(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -145,17 +144,17 @@
 	select {
 	case err := <-done:
 		assert.NilError(t, err)
-	case <-time.After(patience):
-		t.Fatal("a fault waits for a peer that does not read")
+	case <-time.After(waitTimeout):
+		t.Fatal("setting a fault blocked on a peer that does not read")
 	}
 }
 
-// fillUntilBlocked writes until nothing more is taken.
+// fillUntilBlocked writes until a write times out.
 func fillUntilBlocked(t *testing.T, connection net.Conn) {
 	t.Helper()
 	block := make([]byte, 1<<20)
 	for {
-		assert.NilError(t, connection.SetWriteDeadline(time.Now().Add(stalled)))
+		assert.NilError(t, connection.SetWriteDeadline(time.Now().Add(stallObservation)))
 		if _, err := connection.Write(block); err != nil {
 			return
 		}
