--- a/internal/bench/process/attributes_other.go
+++ b/internal/bench/process/attributes_other.go
@@ -4,8 +4,8 @@
 
 import "syscall"
 
-// childAttributes puts the child into its own process group. Only Linux can
-// tie the child's life to this process.
+// childAttributes puts the child into its own process group. Pdeathsig is
+// available on Linux only.
 func childAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true}
 }
--- a/internal/bench/process/group.go
+++ b/internal/bench/process/group.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Group remembers the processes of one deployment, so that all of them can be
-// ended together. The zero value is ready for use.
+// Group tracks the processes of one deployment so that they can be killed
+// together. The zero value is ready for use.
 type Group struct {
 	mu        sync.Mutex
 	processes []*Process
 	closed    bool
 }
 
-// Start starts a process of the group; after KillAll it fails with ErrExited.
+// Start starts a process in the group. After KillAll it returns ErrExited.
 func (g *Group) Start(spec Spec) (*Process, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -25,7 +25,7 @@
 	return child, nil
 }
 
-// KillAll ends all processes of the group, the last started first.
+// KillAll kills all processes of the group in reverse order of their start.
 func (g *Group) KillAll() {
 	g.mu.Lock()
 	g.closed = true
--- a/internal/bench/process/linelog.go
+++ b/internal/bench/process/linelog.go
@@ -8,17 +8,19 @@
 	"sync"
 )
 
-// Bounds of the output kept in memory for one process.
+// Bounds of the output buffered in memory for one process. The log is truncated
+// to minKeptLines when it exceeds twice that number.
 const (
-	keptLines    = 4096
+	minKeptLines = 4096
 	maxLineBytes = 64 << 10
 )
 
-// lineLog keeps the last lines that a process wrote and copies all to a file.
+// lineLog buffers the last output lines of a process and appends all lines to
+// a file, if one is set.
 type lineLog struct {
 	mu   sync.Mutex
 	file *os.File
-	// first is the number of kept[0]; lines are numbered from 0.
+	// first is the line number of kept[0]; lines are numbered from 0.
 	first   int
 	kept    []string
 	changed chan struct{}
@@ -40,7 +42,8 @@
 	return log, nil
 }
 
-// writer returns a writer that cuts its own bytes into lines.
+// writer returns a new writer that splits its input into lines and appends
+// them to the log.
 func (l *lineLog) writer() io.Writer { return &lineWriter{log: l} }
 
 func (l *lineLog) append(line string) {
@@ -50,8 +53,8 @@
 		_, _ = l.file.WriteString(line + "\n")
 	}
 	l.kept = append(l.kept, line)
-	if len(l.kept) > 2*keptLines {
-		dropped := len(l.kept) - keptLines
+	if len(l.kept) > 2*minKeptLines {
+		dropped := len(l.kept) - minKeptLines
 		l.first += dropped
 		l.kept = append([]string(nil), l.kept[dropped:]...)
 	}
@@ -59,8 +62,8 @@
 	l.changed = make(chan struct{})
 }
 
-// since returns the kept lines from number next on, the number after the last
-// one, and a channel that is closed with the following line.
+// since returns the buffered lines from line number next on, the number of the
+// line that will follow them, and a channel that is closed when it is appended.
 func (l *lineLog) since(next int) ([]string, int, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,13 +86,13 @@
 	}
 }
 
-// lineWriter is used by one copying goroutine at a time.
+// lineWriter splits its input into lines. It must not be used concurrently.
 type lineWriter struct {
 	log     *lineLog
 	partial []byte
 }
 
-// Write implements io.Writer; an overlong line is cut into several.
+// Write implements io.Writer. Lines longer than maxLineBytes are split.
 func (w *lineWriter) Write(data []byte) (int, error) {
 	w.partial = append(w.partial, data...)
 	for {
--- a/internal/bench/process/ports.go
+++ b/internal/bench/process/ports.go
@@ -9,25 +9,24 @@
 	"github.com/go-faster/errors"
 )
 
-// Ports are taken from below the range that systems use for outgoing
-// connections, so that a port stays free between its choice and its use.
+// Ports are chosen below the ephemeral range, so that an outgoing connection
+// cannot take a port between its reservation and its use.
 const (
 	lowestPort   = 18000
 	highestPort  = 31999
 	portAttempts = 1000
 )
 
-// reservations holds a UDP socket for each port handed out, until this process
-// ends. Nothing is received on them: they tell other processes that take ports
-// by FreeAddress that the TCP port of the same number is taken, also while its
-// owner has not begun to listen or is stopped between two starts.
+// reservations holds a UDP socket for each address that FreeAddress returned,
+// until this process exits. The socket reserves the TCP port of the same number
+// against FreeAddress in other processes, also while nothing listens on it.
 var (
 	reservationsMu sync.Mutex
 	reservations   = map[string]net.PacketConn{}
 )
 
-// FreeAddress returns a loopback address ("127.0.0.1:port") that no one
-// listens on and that no process has got from FreeAddress and still holds.
+// FreeAddress returns a loopback address ("127.0.0.1:port") that is neither in
+// use nor reserved by FreeAddress in any running process.
 func FreeAddress() (string, error) {
 	for range portAttempts {
 		port := lowestPort + rand.IntN(highestPort-lowestPort+1)
@@ -39,7 +38,7 @@
 	return "", errors.Errorf("no free port found in %d attempts", portAttempts)
 }
 
-// reserve reports whether the address is now this caller's alone.
+// reserve reserves the address and reports whether that succeeded.
 func reserve(address string) bool {
 	reservation, err := net.ListenPacket("udp", address)
 	if err != nil {
--- a/internal/bench/process/ports_test.go
+++ b/internal/bench/process/ports_test.go
@@ -7,17 +7,17 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFreeAddressIsHeldAgainstOtherProcesses(t *testing.T) {
+func TestFreeAddressIsReservedAcrossProcesses(t *testing.T) {
 	address, err := FreeAddress()
 	assert.NilError(t, err)
-	// What another process would do: the reservation is not in its memory.
-	assert.Assert(t, !reserve(address), "the address was handed out twice")
+	// reserve does not consult the reservations map, so it behaves as in another process.
+	assert.Assert(t, !reserve(address), "the address was reserved twice")
 	listener, err := net.Listen("tcp", address)
-	assert.NilError(t, err, "the holder itself may listen")
+	assert.NilError(t, err, "the reservation must not prevent its owner from listening")
 	assert.NilError(t, listener.Close())
 }
 
-func TestFreeAddressIsNotOneThatIsListenedOn(t *testing.T) {
+func TestReserveRejectsAddressInUse(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = listener.Close() }()
--- a/internal/bench/process/process.go
+++ b/internal/bench/process/process.go
@@ -1,6 +1,6 @@
-// Package process starts and stops child processes by their binaries, for
-// benches and tests: it waits for ready lines, sends signals by process ID,
-// keeps the logs, and leaves no process behind.
+// Package process manages child processes for benchmarks and tests: it starts
+// binaries, waits for output lines, sends signals, captures logs and kills
+// whole process groups.
 package process
 
 import (
@@ -15,34 +15,34 @@
 
 // Spec describes one child process.
 type Spec struct {
-	// Name is used in errors and for log files.
+	// Name identifies the process in errors.
 	Name string
 	// Path is the binary; Arguments are its flags.
 	Path      string
 	Arguments []string
-	// Environment is added to the parent's environment.
+	// Environment ("KEY=value") is added to the parent's environment.
 	Environment []string
-	// LogPath keeps standard output and error in a file; empty keeps them in
-	// memory only.
+	// LogPath is the file to which standard output and error are appended;
+	// empty buffers them in memory only.
 	LogPath string
 }
 
-// Process is one running or ended child process. Its methods are safe for use
-// by several goroutines.
+// Process is a running or exited child process. Its methods are safe for
+// concurrent use.
 type Process struct {
 	name    string
 	command *exec.Cmd
 	output  *lineLog
 	exited  chan struct{}
-	// exitError is written before exited is closed.
+	// exitError must be read only after exited is closed.
 	exitError error
 }
 
-// ErrExited: the process ended before the condition was met.
+// ErrExited is returned when the process exited before the condition was met.
 var ErrExited = errors.New("process ended")
 
-// reapDelay bounds the wait for a child's output after its end.
-const reapDelay = 5 * time.Second
+// outputDrainTimeout bounds the wait for a child's remaining output after its exit.
+const outputDrainTimeout = 5 * time.Second
 
 // Start starts a child in its own process group. On Linux the child is killed
 // when this process dies.
@@ -56,7 +56,7 @@
 	command.Stdout = output.writer()
 	command.Stderr = output.writer()
 	command.SysProcAttr = childAttributes()
-	command.WaitDelay = reapDelay
+	command.WaitDelay = outputDrainTimeout
 	if err := command.Start(); err != nil {
 		output.close()
 		return nil, errors.Wrapf(err, "start %s", spec.Name)
@@ -77,17 +77,16 @@
 	close(p.exited)
 }
 
-// Name returns the name of the Spec.
 func (p *Process) Name() string { return p.name }
 
-// ID returns the process ID.
+// ID returns the operating system's process ID.
 func (p *Process) ID() int { return p.command.Process.Pid }
 
-// Exited returns a channel that is closed after the process ended.
+// Exited returns a channel that is closed once the process has exited.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// ExitCode returns the exit code, or -1 while the process runs and after it was
-// ended by a signal.
+// ExitCode returns the exit code, or -1 while the process runs or if a signal
+// killed it.
 func (p *Process) ExitCode() int {
 	select {
 	case <-p.exited:
@@ -97,11 +96,11 @@
 	}
 }
 
-// Logs returns the last lines of output, standard output and error together.
+// Logs returns the buffered lines of standard output and error, interleaved.
 func (p *Process) Logs() []string { return p.output.lines() }
 
-// WaitLine returns the first line of output, past or future, that match accepts.
-// Errors: ErrExited, or the context's error.
+// WaitLine returns the first line of output, buffered or future, that match
+// accepts. It returns ErrExited if the process exits first, or ctx's error.
 func (p *Process) WaitLine(ctx context.Context, match func(line string) bool) (string, error) {
 	next := 0
 	for {
@@ -125,7 +124,7 @@
 	case <-ctx.Done():
 		return errors.Wrapf(ctx.Err(), "wait for output of %s, last lines %q", p.name, tail(p.Logs()))
 	case <-p.exited:
-		// The last lines may have come together with the end.
+		// The last lines may have been appended just before the exit.
 		if lines, _, _ := p.output.since(next); len(lines) > 0 {
 			return nil
 		}
@@ -146,13 +145,13 @@
 	return nil
 }
 
-// Freeze stops the process (SIGSTOP); it keeps its sockets and its memory.
+// Freeze suspends the process (SIGSTOP); its sockets stay open.
 func (p *Process) Freeze() error { return p.Signal(syscall.SIGSTOP) }
 
-// Thaw continues a frozen process (SIGCONT).
+// Thaw resumes a suspended process (SIGCONT).
 func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
 
-// Wait waits for the end and returns the exit code.
+// Wait waits until the process exits and returns the exit code.
 func (p *Process) Wait(ctx context.Context) (int, error) {
 	select {
 	case <-p.exited:
@@ -162,8 +161,8 @@
 	}
 }
 
-// Terminate asks for a planned stop (SIGTERM) and returns the exit code. The
-// process is not killed when ctx ends first.
+// Terminate requests a graceful shutdown (SIGTERM) and returns the exit code.
+// The process is not killed when ctx is done first.
 func (p *Process) Terminate(ctx context.Context) (int, error) {
 	if err := p.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, ErrExited) {
 		return -1, err
@@ -171,8 +170,8 @@
 	return p.Wait(ctx)
 }
 
-// Kill ends the process and its group at once (SIGKILL) and waits for the end.
-// It is harmless on an ended process.
+// Kill kills the process group (SIGKILL) and waits for the process to exit. It
+// does nothing if the process has exited.
 func (p *Process) Kill() {
 	select {
 	case <-p.exited:
@@ -183,9 +182,9 @@
 	<-p.exited
 }
 
-// tailLines is the number of log lines that errors quote.
-const tailLines = 5
+// quotedLogLines is the number of log lines included in errors.
+const quotedLogLines = 5
 
 func tail(lines []string) []string {
-	return lines[max(0, len(lines)-tailLines):]
+	return lines[max(0, len(lines)-quotedLogLines):]
 }
--- a/internal/bench/process/process_test.go
+++ b/internal/bench/process/process_test.go
@@ -12,10 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// patience bounds waits for conditions.
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-func script(t *testing.T, text string) *Process {
+func startScript(t *testing.T, text string) *Process {
 	t.Helper()
 	child, err := Start(Spec{Name: "script", Path: "/bin/sh", Arguments: []string{"-c", text}})
 	assert.NilError(t, err)
@@ -23,9 +22,9 @@
 	return child
 }
 
-func limit(t *testing.T) context.Context {
+func timeoutContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -34,62 +33,62 @@
 	return func(line string) bool { return line == want }
 }
 
-func TestWaitLineAndTerminate(t *testing.T) {
-	child := script(t, `trap 'echo bye; exit 7' TERM; echo ready >&2; while :; do sleep 0.01; done`)
-	_, err := child.WaitLine(limit(t), equals("ready"))
+func TestWaitLineFindsPastLinesAndTerminateReturnsExitCode(t *testing.T) {
+	child := startScript(t, `trap 'echo bye; exit 7' TERM; echo ready >&2; while :; do sleep 0.01; done`)
+	_, err := child.WaitLine(timeoutContext(t), equals("ready"))
 	assert.NilError(t, err)
-	code, err := child.Terminate(limit(t))
+	code, err := child.Terminate(timeoutContext(t))
 	assert.NilError(t, err)
 	assert.Equal(t, code, 7)
-	// Lines of the past are found after the end, too.
-	_, err = child.WaitLine(limit(t), equals("bye"))
+	// Buffered lines are matched also after the process exited.
+	_, err = child.WaitLine(timeoutContext(t), equals("bye"))
 	assert.NilError(t, err)
-	code, err = child.Terminate(limit(t))
+	code, err = child.Terminate(timeoutContext(t))
 	assert.NilError(t, err)
 	assert.Equal(t, code, 7)
 }
 
-func TestWaitLineEndsWithTheProcess(t *testing.T) {
-	child := script(t, `echo sorry; exit 3`)
-	_, err := child.WaitLine(limit(t), equals("ready"))
+func TestWaitLineReturnsErrExitedWhenProcessExits(t *testing.T) {
+	child := startScript(t, `echo sorry; exit 3`)
+	_, err := child.WaitLine(timeoutContext(t), equals("ready"))
 	assert.ErrorIs(t, err, ErrExited)
 	assert.ErrorContains(t, err, "code 3")
 	assert.ErrorContains(t, err, "sorry")
 }
 
-func TestKillEndsTheWholeGroup(t *testing.T) {
-	child := script(t, `sleep 1000 & echo "child $!"; wait`)
-	line, err := child.WaitLine(limit(t), func(line string) bool { return strings.HasPrefix(line, "child ") })
+func TestKillEndsProcessGroup(t *testing.T) {
+	child := startScript(t, `sleep 1000 & echo "child $!"; wait`)
+	line, err := child.WaitLine(timeoutContext(t), func(line string) bool { return strings.HasPrefix(line, "child ") })
 	assert.NilError(t, err)
 	grandchild := filepath.Join("/proc", strings.TrimPrefix(line, "child "))
 	child.Kill()
 	child.Kill()
-	ctx := limit(t)
+	ctx := timeoutContext(t)
 	for {
 		state, err := os.ReadFile(filepath.Join(grandchild, "stat"))
 		if err != nil || strings.Contains(string(state), ") Z ") {
 			return
 		}
-		assert.NilError(t, ctx.Err(), "a process of the group is left")
+		assert.NilError(t, ctx.Err(), "a process of the group is still running")
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func TestFreezeAndThaw(t *testing.T) {
-	child := script(t, `while :; do echo tick; sleep 0.01; done`)
-	_, err := child.WaitLine(limit(t), equals("tick"))
+func TestProcessProducesOutputAfterFreezeAndThaw(t *testing.T) {
+	child := startScript(t, `while :; do echo tick; sleep 0.01; done`)
+	_, err := child.WaitLine(timeoutContext(t), equals("tick"))
 	assert.NilError(t, err)
 	assert.NilError(t, child.Freeze())
 	assert.NilError(t, child.Thaw())
 	before := len(child.Logs())
-	ctx := limit(t)
+	ctx := timeoutContext(t)
 	for len(child.Logs()) <= before {
 		assert.NilError(t, ctx.Err())
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func TestGroupRefusesAfterKillAll(t *testing.T) {
+func TestGroupStartFailsAfterKillAll(t *testing.T) {
 	var group Group
 	child, err := group.Start(Spec{Name: "sleeper", Path: "/bin/sh", Arguments: []string{"-c", "sleep 1000"}})
 	assert.NilError(t, err)
@@ -100,7 +99,7 @@
 	assert.ErrorIs(t, err, ErrExited)
 }
 
-func TestFreeAddressesDiffer(t *testing.T) {
+func TestFreeAddressReturnsDistinctUsableAddresses(t *testing.T) {
 	seen := map[string]bool{}
 	for range 50 {
 		address, err := FreeAddress()
