--- a/internal/bench/topology/binaries.go
+++ b/internal/bench/topology/binaries.go
@@ -9,13 +9,13 @@
 	"github.com/go-faster/errors"
 )
 
-// Import paths of the programs.
+// Import paths of the binaries' main packages.
 const (
 	daemonPackage = "github.com/corkpulley/corkpulley/cmd/corkpulleyd"
 	benchPackage  = "github.com/corkpulley/corkpulley/cmd/corkbench"
 )
 
-// Build builds both programs into a directory. The working directory must lie
+// Build compiles both binaries into a directory. The working directory must be
 // inside the module.
 func Build(ctx context.Context, directory string) (Binaries, error) {
 	binaries := Binaries{
@@ -31,12 +31,12 @@
 	return binaries, nil
 }
 
-// Find returns the binaries for a corkbench that runs: itself, and a
-// corkpulleyd beside it, or else one built into the directory.
+// Find returns the running corkbench binary and the corkpulleyd next to it. If
+// there is none, it compiles corkpulleyd into the directory.
 func Find(ctx context.Context, directory string) (Binaries, error) {
 	own, err := os.Executable()
 	if err != nil {
-		return Binaries{}, errors.Wrap(err, "find own binary")
+		return Binaries{}, errors.Wrap(err, "find corkbench executable")
 	}
 	beside := filepath.Join(filepath.Dir(own), "corkpulleyd")
 	if information, err := os.Stat(beside); err == nil && information.Mode().IsRegular() {
@@ -44,7 +44,7 @@
 	}
 	built := filepath.Join(directory, "corkpulleyd")
 	if err := build(ctx, built, daemonPackage); err != nil {
-		return Binaries{}, errors.Wrap(err, "no corkpulleyd beside corkbench, and building it failed")
+		return Binaries{}, errors.Wrap(err, "no corkpulleyd next to corkbench, and building it failed")
 	}
 	return Binaries{Daemon: built, Bench: own}, nil
 }
--- a/internal/bench/topology/config.go
+++ b/internal/bench/topology/config.go
@@ -1,6 +1,6 @@
-// Package topology starts a whole deployment on one machine from a typed
-// description: platform stand-ins, engine stand-ins and daemons, each a process
-// of its own, with fault-injecting proxies on their links where asked for.
+// Package topology starts a deployment on the local host from a Config:
+// platform stand-ins, engine stand-ins and daemons, each as a separate process,
+// optionally with fault-injecting proxies on the links between them.
 package topology
 
 import (
@@ -9,9 +9,9 @@
 	"github.com/go-faster/errors"
 )
 
-// Binaries are the paths of the programs that a deployment runs.
+// Binaries holds the paths of the binaries that a deployment runs.
 type Binaries struct {
-	// Daemon is corkpulleyd; Bench is corkbench, which holds the stand-ins.
+	// Daemon is corkpulleyd; Bench is corkbench, which runs the stand-ins.
 	Daemon string
 	Bench  string
 }
@@ -27,17 +27,17 @@
 	ID   string
 	Zone string
 	Pool string
-	// Models are loaded from the start: "name" or "name@version".
+	// Models are loaded at startup: "name" or "name@version".
 	Models []string
-	// MaxBatch, TokenInterval and LoadTime keep the stand-in's defaults when zero.
+	// MaxBatch, TokenInterval and LoadTime default to the stand-in's own values when zero.
 	MaxBatch      int
 	TokenInterval time.Duration
 	LoadTime      time.Duration
-	// Arguments are further flags of the stand-in.
+	// Arguments are additional flags of the stand-in.
 	Arguments []string
 }
 
-// ModelConfig is a model that the weight store holds from the start.
+// ModelConfig describes a model version to publish in the weight store.
 type ModelConfig struct {
 	Name      string
 	Version   uint64
@@ -47,34 +47,34 @@
 // Config describes a deployment.
 type Config struct {
 	Binaries Binaries
-	// Directory keeps the logs of all processes; it must exist.
+	// Directory receives the logs of all processes; it must exist.
 	Directory string
-	// Region of all machines, required with nodes.
+	// Region of all nodes; required if there are nodes.
 	Region  string
 	Nodes   []NodeConfig
 	Engines []EngineConfig
 	Models  []ModelConfig
-	// Table is the CSV that is applied once the nodes are ready; empty for none.
+	// Table is the CSV policy table applied once the nodes are ready; empty for none.
 	Table string
-	// Policy is the daemons' scheduling policy; empty for the default one.
+	// Policy is the daemons' scheduling policy; empty for the default.
 	Policy string
-	// NodeArguments are further flags of every daemon.
+	// NodeArguments are additional flags of every daemon.
 	NodeArguments []string
-	// Faults puts a proxy on each link: into each node's peer address, from
-	// each node to the log, and into each engine.
+	// Faults adds a proxy to each link: to each node's peer address, from each
+	// node to the log, and to each engine.
 	Faults bool
-	// PeerLatency, CallerLatency and EngineLatency are added one way, rounded up
-	// to whole milliseconds. The first two put a proxy on the links into each
-	// node's peer and callers' addresses also without Faults.
+	// PeerLatency, CallerLatency and EngineLatency are one-way latencies. The
+	// first two add a proxy to each node's peer or caller address even without
+	// Faults.
 	PeerLatency   time.Duration
 	CallerLatency time.Duration
-	// EngineLatency needs Faults.
+	// EngineLatency has no effect without Faults.
 	EngineLatency time.Duration
-	// PlatformArguments are further flags of the platform's stand-ins, by kind.
+	// PlatformArguments are additional flags of the platform stand-ins, by kind.
 	PlatformArguments map[string][]string
 }
 
-// Validate returns why the deployment cannot be started.
+// Validate returns an error if the configuration is incomplete or inconsistent.
 func (c *Config) Validate() error {
 	if c.Binaries.Daemon == "" && len(c.Nodes) > 0 {
 		return errors.New("deployment has nodes and no daemon binary")
@@ -98,10 +98,10 @@
 	seen := map[string]bool{}
 	check := func(id, zone string) error {
 		if id == "" || zone == "" {
-			return errors.Errorf("machine %q in zone %q: both must be named", id, zone)
+			return errors.Errorf("machine %q in zone %q: ID and zone are required", id, zone)
 		}
 		if seen[id] {
-			return errors.Errorf("machine %q is described twice", id)
+			return errors.Errorf("duplicate machine ID %q", id)
 		}
 		seen[id] = true
 		return nil
--- a/internal/bench/topology/control.go
+++ b/internal/bench/topology/control.go
@@ -11,30 +11,30 @@
 	storestandin "github.com/corkpulley/corkpulley/internal/standin/weightstore"
 )
 
-// controlPath is where stand-ins take fault controls.
+// controlPath is the stand-ins' endpoint for fault controls.
 const controlPath = "/v1/control"
 
-// ControlLog sets all faults of the log; the zero Control ends them.
+// ControlLog sets all faults of the log; the zero Control clears them.
 func (d *Deployment) ControlLog(ctx context.Context, control logstandin.Control) error {
 	return d.call(ctx, http.MethodPost, d.Platform.Log, controlPath, control, nil)
 }
 
-// ControlStore sets faults of the weight store.
+// ControlStore sets the faults of the weight store.
 func (d *Deployment) ControlStore(ctx context.Context, control storestandin.Control) error {
 	return d.call(ctx, http.MethodPost, d.Platform.WeightStore, controlPath, control, nil)
 }
 
-// ControlMachines sets faults of the machine list.
+// ControlMachines sets the faults of the machine list.
 func (d *Deployment) ControlMachines(ctx context.Context, control machinesstandin.Control) error {
 	return d.call(ctx, http.MethodPost, d.Platform.Machines, controlPath, control, nil)
 }
 
-// Control sets faults of the engine, or makes it drain.
+// Control sets faults of the engine or starts to drain it.
 func (e *Engine) Control(ctx context.Context, control enginestandin.Control) error {
 	return e.deployment.call(ctx, http.MethodPost, e.Address, controlPath, control, nil)
 }
 
-// Machine returns the entry by which the engine stands in the machine list.
+// Machine returns the engine's machine list entry for the given state.
 func (e *Engine) Machine(state machines.State) machines.Machine {
 	address := e.Address
 	if e.Link != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// ListMachine writes one entry of the machine list, as an operator of the
-// platform would; the machine's own heartbeat may overwrite it.
+// ListMachine writes one entry of the machine list, as a platform operator
+// would. The machine's next heartbeat may overwrite it.
 func (d *Deployment) ListMachine(ctx context.Context, machine machines.Machine) error {
 	return d.call(ctx, http.MethodPut, d.Platform.Machines, "/v1/machines/"+machine.ID, machine, nil)
 }
--- a/internal/bench/topology/deployment.go
+++ b/internal/bench/topology/deployment.go
@@ -12,15 +12,14 @@
 	"github.com/corkpulley/corkpulley/internal/bench/process"
 )
 
-// Deployment is a running deployment. Its methods are safe for use by several
-// goroutines.
+// Deployment is a running deployment. Its methods are safe for concurrent use.
 type Deployment struct {
 	config  Config
 	group   process.Group
 	network *faultproxy.Network
 	http    *http.Client
 
-	// Platform holds the addresses of the platform's stand-ins.
+	// Platform holds the addresses of the platform stand-ins.
 	Platform Platform
 
 	nodeOrder   []string
@@ -29,11 +28,11 @@
 	engines     map[string]*Engine
 }
 
-// requestTimeout bounds one call to a stand-in or an operators' interface.
+// requestTimeout bounds one request to a stand-in or a node's operator API.
 const requestTimeout = 10 * time.Second
 
 // Start starts all processes, publishes the models, waits until every node is
-// ready and applies the table. Whatever was started is ended when it fails.
+// ready and applies the table. On error, it kills the processes that it started.
 func Start(ctx context.Context, config Config) (*Deployment, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -56,7 +55,7 @@
 	if err := d.startPlatform(ctx); err != nil {
 		return errors.Wrap(err, "start platform")
 	}
-	if err := d.publishModels(ctx); err != nil {
+	if err := d.publishInitialModels(ctx); err != nil {
 		return errors.Wrap(err, "publish models")
 	}
 	if err := d.startEngines(ctx); err != nil {
@@ -83,12 +82,13 @@
 		d.engines[engineConfig.ID] = engine
 		d.engineOrder = append(d.engineOrder, engineConfig.ID)
 	}
-	return inParallel(d.engineOrder, func(id string) error {
+	return forEachParallel(d.engineOrder, func(id string) error {
 		return d.engines[id].Start(ctx)
 	})
 }
 
-// startNodes allocates all addresses first: each node's seeds name the others.
+// startNodes allocates all addresses before starting any node, because each node
+// gets the addresses of all others as seeds.
 func (d *Deployment) startNodes(ctx context.Context) error {
 	for _, nodeConfig := range d.config.Nodes {
 		node, err := d.newNode(nodeConfig)
@@ -98,18 +98,18 @@
 		d.nodes[nodeConfig.ID] = node
 		d.nodeOrder = append(d.nodeOrder, nodeConfig.ID)
 	}
-	err := inParallel(d.nodeOrder, func(id string) error {
+	err := forEachParallel(d.nodeOrder, func(id string) error {
 		return d.nodes[id].Start(ctx)
 	})
 	if err != nil {
 		return err
 	}
-	return inParallel(d.nodeOrder, func(id string) error {
+	return forEachParallel(d.nodeOrder, func(id string) error {
 		return d.nodes[id].WaitReady(ctx)
 	})
 }
 
-func inParallel(ids []string, do func(id string) error) error {
+func forEachParallel(ids []string, do func(id string) error) error {
 	failures := make([]error, len(ids))
 	var group sync.WaitGroup
 	for i, id := range ids {
@@ -124,10 +124,10 @@
 	return nil
 }
 
-// Node returns a node by its ID, or nil.
+// Node returns the node with the given ID, or nil.
 func (d *Deployment) Node(id string) *Node { return d.nodes[id] }
 
-// Nodes returns all nodes in the order of the description.
+// Nodes returns all nodes in the order of Config.Nodes.
 func (d *Deployment) Nodes() []*Node {
 	nodes := make([]*Node, 0, len(d.nodeOrder))
 	for _, id := range d.nodeOrder {
@@ -136,10 +136,10 @@
 	return nodes
 }
 
-// Engine returns an engine by its ID, or nil.
+// Engine returns the engine with the given ID, or nil.
 func (d *Deployment) Engine(id string) *Engine { return d.engines[id] }
 
-// Engines returns all engines in the order of the description.
+// Engines returns all engines in the order of Config.Engines.
 func (d *Deployment) Engines() []*Engine {
 	engines := make([]*Engine, 0, len(d.engineOrder))
 	for _, id := range d.engineOrder {
@@ -148,8 +148,8 @@
 	return engines
 }
 
-// CallerAddresses returns where callers reach the nodes, through the proxies of
-// the callers' links if there are any.
+// CallerAddresses returns the caller addresses ("ip:port") of all nodes, or
+// those of their proxies where CallerLatency is set.
 func (d *Deployment) CallerAddresses() []string {
 	addresses := make([]string, 0, len(d.nodeOrder))
 	for _, node := range d.Nodes() {
@@ -158,7 +158,7 @@
 	return addresses
 }
 
-// CallerURLs returns the callers' base URLs of all nodes.
+// CallerURLs returns the base URLs for CallerAddresses.
 func (d *Deployment) CallerURLs() []string {
 	var urls []string
 	for _, address := range d.CallerAddresses() {
@@ -167,8 +167,8 @@
 	return urls
 }
 
-// StopNodes stops all running nodes by plan (SIGTERM), one after the other, and
-// fails when one does not exit with code 0.
+// StopNodes shuts down all running nodes gracefully (SIGTERM), one after the
+// other. It returns an error if one exits with a code other than 0.
 func (d *Deployment) StopNodes(ctx context.Context) error {
 	for _, node := range d.Nodes() {
 		if !node.Running() {
@@ -185,8 +185,7 @@
 	return nil
 }
 
-// Close ends all processes at once and stops the proxies. It is harmless to
-// call it twice.
+// Close kills all processes and stops the proxies. It is idempotent.
 func (d *Deployment) Close() {
 	d.group.KillAll()
 	d.network.Close()
--- a/internal/bench/topology/engine.go
+++ b/internal/bench/topology/engine.go
@@ -18,9 +18,9 @@
 type Engine struct {
 	machine
 	Pool string
-	// Address is the engine's own address, which checkers and tests use.
+	// Address is the address that the engine listens on, without the proxy.
 	Address string
-	// Link carries all traffic from the nodes; nil without Config.Faults.
+	// Link is the proxy for all traffic from the nodes; nil without Config.Faults.
 	Link   *faultproxy.Link
 	config EngineConfig
 }
@@ -42,8 +42,8 @@
 	return created, err
 }
 
-// Start starts the engine, also again after it ended, and waits until it
-// listens. It registers itself in the machine list.
+// Start starts or restarts the engine and waits until it listens. The engine
+// registers itself in the machine list.
 func (e *Engine) Start(ctx context.Context) error {
 	return e.launch(ctx, e.deployment.config.Binaries.Bench, e.arguments(), isListeningLine)
 }
@@ -79,8 +79,8 @@
 	return append(arguments, e.config.Arguments...)
 }
 
-// Status returns what the engine reports, without its reporting lag for state
-// and versions.
+// Status returns the engine's current status, without the lag that the stand-in
+// adds to the state and versions it reports to nodes.
 func (e *Engine) Status(ctx context.Context) (engine.Status, error) {
 	var status engine.Status
 	err := e.deployment.call(ctx, http.MethodGet, e.Address, "/v1/status", nil, &status)
@@ -91,17 +91,17 @@
 	return filepath.Join(e.deployment.config.Directory, e.ID+".history")
 }
 
-// History returns what the engine process that runs did so far, with the orders
-// that it received.
+// History returns the history of the running engine process, including the
+// orders that it received.
 func (e *Engine) History(ctx context.Context) (standin.History, error) {
 	var history standin.History
 	err := e.deployment.call(ctx, http.MethodGet, e.Address, "/v1/history", nil, &history)
 	return history, err
 }
 
-// Histories returns what all engine processes did so far, also those that ended
-// or were killed, as each wrote it down before anyone could see it. It has no
-// orders.
+// Histories returns the histories of all engine processes, including those that
+// exited or were killed, from their history files. Engines write an entry before
+// its effect is visible. Orders are not included.
 func (d *Deployment) Histories() ([]standin.History, error) {
 	var histories []standin.History
 	for _, engine := range d.Engines() {
--- a/internal/bench/topology/http.go
+++ b/internal/bench/topology/http.go
@@ -15,7 +15,7 @@
 	"github.com/corkpulley/corkpulley/internal/api"
 )
 
-// StatusError is an answer with a status that is not 2xx.
+// StatusError is a response with a status other than 2xx.
 type StatusError struct {
 	Status int
 	Body   string
@@ -25,12 +25,12 @@
 
 // Error implements the error interface.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("answered status %d: %s", e.Status, e.Body)
+	return fmt.Sprintf("response status %d: %s", e.Status, e.Body)
 }
 
 const maxBodyBytes = 64 << 20
 
-// call sends one JSON request and decodes the JSON answer into into, if not nil.
+// call sends one JSON request and decodes the JSON response into into, if not nil.
 func (d *Deployment) call(ctx context.Context, method, address, path string, body, into any) error {
 	var content io.Reader
 	if body != nil {
@@ -42,7 +42,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, content)
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := d.http.Do(request)
@@ -52,7 +52,7 @@
 	defer func() { _ = response.Body.Close() }()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
-		return errors.Wrapf(err, "read answer of %s %s", method, path)
+		return errors.Wrapf(err, "read response of %s %s", method, path)
 	}
 	return decodeAnswer(response.StatusCode, answer, into)
 }
@@ -70,19 +70,19 @@
 		return nil
 	}
 	if err := json.Unmarshal(answer, into); err != nil {
-		return errors.Wrap(err, "decode answer")
+		return errors.Wrap(err, "decode response")
 	}
 	return nil
 }
 
-// pollInterval is the time between two looks at a condition.
+// pollInterval is the interval at which WaitFor checks its condition.
 const pollInterval = 20 * time.Millisecond
 
-// permanent marks an error that ends a wait.
+// permanent marks an error on which WaitFor stops polling.
 func permanent(err error) error { return backoff.Permanent(err) }
 
-// WaitFor polls a condition until it returns nil or ctx ends; the error then
-// names what was waited for and the condition's last error.
+// WaitFor polls a condition until it returns nil or a permanent error, or until
+// ctx is done. The error includes what was waited for and the condition's last error.
 func WaitFor(ctx context.Context, what string, condition func() error) error {
 	for {
 		err := condition()
@@ -95,7 +95,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(err, "wait for %s ended (%v); last", what, ctx.Err())
+			return errors.Wrapf(err, "wait for %s: %v; last error", what, ctx.Err())
 		case <-time.After(pollInterval):
 		}
 	}
--- a/internal/bench/topology/latency_test.go
+++ b/internal/bench/topology/latency_test.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/bench/faultproxy"
 )
 
-func TestLatencyIsAddedToCallersAndPeersLinksWithoutFaults(t *testing.T) {
+func TestLinkLatencyAppliesWithoutFaults(t *testing.T) {
 	const oneWay = 20 * time.Millisecond
 	deployment := &Deployment{
 		config:  Config{CallerLatency: oneWay, PeerLatency: oneWay},
@@ -27,7 +27,7 @@
 	}
 }
 
-// roundTrip returns the time that one byte takes there and back.
+// roundTrip listens on one address, dials the other and returns the round-trip time of one byte.
 func roundTrip(t *testing.T, listened, reached string) time.Duration {
 	t.Helper()
 	listener, err := net.Listen("tcp", listened)
@@ -44,7 +44,7 @@
 	connection, err := net.Dial("tcp", reached)
 	assert.NilError(t, err)
 	defer func() { _ = connection.Close() }()
-	assert.NilError(t, connection.SetDeadline(time.Now().Add(patience)))
+	assert.NilError(t, connection.SetDeadline(time.Now().Add(waitTimeout)))
 	started := time.Now()
 	_, err = connection.Write([]byte{1})
 	assert.NilError(t, err)
--- a/internal/bench/topology/machine.go
+++ b/internal/bench/topology/machine.go
@@ -13,11 +13,10 @@
 	"github.com/corkpulley/corkpulley/internal/bench/process"
 )
 
-// startTimeout bounds the wait for a process to say that it listens.
+// startTimeout bounds the wait for a started process to listen.
 const startTimeout = 30 * time.Second
 
-// machine is one process that may be stopped and started again on the same
-// addresses.
+// machine is a process that can be stopped and restarted on the same addresses.
 type machine struct {
 	ID         string
 	Zone       string
@@ -27,7 +26,7 @@
 	process *process.Process
 }
 
-// launch starts the process and waits until it says that it listens.
+// launch starts the process and waits for an output line that listening accepts.
 func (m *machine) launch(ctx context.Context, path string, arguments []string, listening func(string) bool) error {
 	child, err := m.deployment.group.Start(process.Spec{
 		Name:      m.ID,
@@ -49,14 +48,14 @@
 	return nil
 }
 
-// Process returns the latest process of the machine; nil before the first start.
+// Process returns the most recently started process, or nil before the first start.
 func (m *machine) Process() *process.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.process
 }
 
-// Running reports whether the machine's process has been started and not ended.
+// Running reports whether the process has been started and has not exited.
 func (m *machine) Running() bool {
 	child := m.Process()
 	if child == nil {
@@ -70,24 +69,24 @@
 	}
 }
 
-// Kill ends the process at once (SIGKILL).
+// Kill kills the process group (SIGKILL) and waits for the process to exit.
 func (m *machine) Kill() { m.Process().Kill() }
 
-// Freeze stops the process (SIGSTOP) until Thaw; its sockets stay open.
+// Freeze suspends the process (SIGSTOP) until Thaw; its sockets stay open.
 func (m *machine) Freeze() error { return m.Process().Freeze() }
 
-// Thaw continues a frozen process.
+// Thaw resumes a suspended process (SIGCONT).
 func (m *machine) Thaw() error { return m.Process().Thaw() }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the process, not to its group.
 func (m *machine) Signal(signal syscall.Signal) error { return m.Process().Signal(signal) }
 
-// Terminate asks for a planned stop and returns the exit code.
+// Terminate requests a graceful shutdown (SIGTERM) and returns the exit code.
 func (m *machine) Terminate(ctx context.Context) (int, error) {
 	return m.Process().Terminate(ctx)
 }
 
-// isListeningLine recognizes the line that a stand-in prints once it listens.
+// isListeningLine reports whether the line is the one that a stand-in prints once it listens.
 func isListeningLine(line string) bool {
 	var ready struct {
 		Kind    string `json:"kind"`
@@ -96,7 +95,7 @@
 	return json.Unmarshal([]byte(line), &ready) == nil && ready.Kind != "" && ready.Address != ""
 }
 
-// isDaemonListeningLine recognizes the line that corkpulleyd logs once it listens.
+// isDaemonListeningLine reports whether the line is the one that corkpulleyd logs once it listens.
 func isDaemonListeningLine(line string) bool {
 	var entry struct {
 		Message string `json:"message"`
--- a/internal/bench/topology/node.go
+++ b/internal/bench/topology/node.go
@@ -14,18 +14,18 @@
 // Node is one daemon of a deployment.
 type Node struct {
 	machine
-	// Callers, Peers and Operators are the addresses that the daemon listens on.
+	// Callers, Peers and Operators are the addresses ("ip:port") that the daemon listens on.
 	Callers   string
 	Peers     string
 	Operators string
-	// Advertised is the peer address told to other nodes: the proxy's, if any.
+	// Advertised is the peer address advertised to other nodes: the proxy's, if any.
 	Advertised string
-	// PeerLink carries all peer traffic into this node; nil without
-	// Config.Faults or Config.PeerLatency.
+	// PeerLink is the proxy for peer traffic to this node; nil without
+	// Config.Faults and Config.PeerLatency.
 	PeerLink *faultproxy.Link
-	// LogLink carries this node's traffic to the log; nil without Config.Faults.
+	// LogLink is the proxy for this node's traffic to the log; nil without Config.Faults.
 	LogLink *faultproxy.Link
-	// CallerLink carries callers' traffic; nil without Config.CallerLatency.
+	// CallerLink is the proxy for caller traffic; nil without Config.CallerLatency.
 	CallerLink *faultproxy.Link
 }
 
@@ -64,7 +64,7 @@
 	return err
 }
 
-// callerAddress is where callers reach the node: the proxy's address, if any.
+// callerAddress returns the address that callers connect to: the proxy's, if any.
 func (n *Node) callerAddress() string {
 	if n.CallerLink != nil {
 		return n.CallerLink.Address()
@@ -72,7 +72,7 @@
 	return n.Callers
 }
 
-// Start starts the daemon, also again after it ended, and waits until it listens.
+// Start starts or restarts the daemon and waits until it listens.
 func (n *Node) Start(ctx context.Context) error {
 	return n.launch(ctx, n.deployment.config.Binaries.Daemon, n.arguments(), isDaemonListeningLine)
 }
@@ -118,27 +118,27 @@
 func (n *Node) WaitReady(ctx context.Context) error {
 	return WaitFor(ctx, "node "+n.ID+" to be ready", func() error {
 		if !n.Running() {
-			return permanent(errors.Errorf("node %s ended with code %d", n.ID, n.Process().ExitCode()))
+			return permanent(errors.Errorf("node %s exited with code %d", n.ID, n.Process().ExitCode()))
 		}
 		return n.deployment.call(ctx, http.MethodGet, n.Operators, "/readyz", nil, nil)
 	})
 }
 
-// Status returns the node's answer to GET /v1/status.
+// Status returns the node's response to GET /v1/status.
 func (n *Node) Status(ctx context.Context) (api.Status, error) {
 	var status api.Status
 	err := n.deployment.call(ctx, http.MethodGet, n.Operators, "/v1/status", nil, &status)
 	return status, err
 }
 
-// Table returns the table in force at the node.
+// Table returns the policy table that is active on the node.
 func (n *Node) Table(ctx context.Context) (api.TableDocument, error) {
 	var document api.TableDocument
 	err := n.deployment.call(ctx, http.MethodGet, n.Operators, "/v1/table", nil, &document)
 	return document, err
 }
 
-// ProposeTable sends a proposal to this node, once.
+// ProposeTable sends a table proposal to this node without retrying.
 func (n *Node) ProposeTable(ctx context.Context, proposal api.TableProposal) (api.TableAccepted, error) {
 	var accepted api.TableAccepted
 	err := n.deployment.call(ctx, http.MethodPost, n.Operators, "/v1/table", proposal, &accepted)
--- a/internal/bench/topology/platform.go
+++ b/internal/bench/topology/platform.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/platform/weightstore"
 )
 
-// Kinds of stand-ins, as "corkbench standin" names them.
+// Kinds of stand-ins: the subcommands of "corkbench standin".
 const (
 	KindLog         = "log"
 	KindWeightStore = "weightstore"
@@ -20,7 +20,7 @@
 	KindEngine      = "engine"
 )
 
-// Platform holds the real addresses ("ip:port") of the platform's stand-ins.
+// Platform holds the addresses ("ip:port") of the platform stand-ins, without proxies.
 type Platform struct {
 	Log         string
 	WeightStore string
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (d *Deployment) publishModels(ctx context.Context) error {
+func (d *Deployment) publishInitialModels(ctx context.Context) error {
 	for _, model := range d.config.Models {
 		if err := d.Publish(ctx, model); err != nil {
 			return err
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Publish publishes a model's version in the weight store.
+// Publish publishes a model version in the weight store.
 func (d *Deployment) Publish(ctx context.Context, model ModelConfig) error {
 	store := weightstore.NewHTTP("http://"+d.Platform.WeightStore, d.http)
 	request := weightstore.PublishRequest{Version: model.Version, SizeBytes: model.SizeBytes}
@@ -72,14 +72,14 @@
 	return nil
 }
 
-// linkTries bounds the addresses tried for one link: a program that takes its
-// ports by other means may be quicker.
-const linkTries = 5
+// maxLinkAttempts bounds the addresses tried for one link: a process that does
+// not use FreeAddress may take the port first.
+const maxLinkAttempts = 5
 
-// addLink adds a proxied link to an upstream address.
+// addLink starts a proxy on a free address for the upstream address.
 func (d *Deployment) addLink(name, upstream string, latency time.Duration) (*faultproxy.Link, error) {
 	var failure error
-	for range linkTries {
+	for range maxLinkAttempts {
 		listen, err := process.FreeAddress()
 		if err != nil {
 			return nil, err
--- a/internal/bench/topology/table.go
+++ b/internal/bench/topology/table.go
@@ -14,9 +14,9 @@
 // applyTimeout bounds ApplyTable.
 const applyTimeout = 30 * time.Second
 
-// ApplyTable applies a whole table through the first running node and waits
-// until it is in force at every running node. The same proposal is sent again
-// after an unknown outcome.
+// ApplyTable replaces the policy table through the first running node, waits
+// until every running node has it active, and returns the revision. The same
+// proposal is retried after an unknown outcome.
 func (d *Deployment) ApplyTable(ctx context.Context, csv string) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
@@ -38,7 +38,7 @@
 	err = WaitFor(ctx, "table to be accepted", func() error {
 		var failure error
 		accepted, failure = node.ProposeTable(ctx, proposal)
-		return permanentRefusal(failure)
+		return markRejectionPermanent(failure)
 	})
 	if err != nil {
 		return 0, err
@@ -46,9 +46,9 @@
 	return accepted.Revision, d.WaitRevision(ctx, accepted.Revision)
 }
 
-// permanentRefusal marks a verdict on the proposal, which asking again does
-// not change.
-func permanentRefusal(err error) error {
+// markRejectionPermanent marks a rejection of the proposal as permanent, since
+// a retry would be rejected again.
+func markRejectionPermanent(err error) error {
 	var failure *StatusError
 	if !errors.As(err, &failure) {
 		return err
@@ -67,13 +67,13 @@
 			return node, nil
 		}
 	}
-	return nil, errors.New("no node runs")
+	return nil, errors.New("no node is running")
 }
 
-// WaitRevision waits until every running node has the revision, or a higher
-// one, in force.
+// WaitRevision waits until the given table revision or a later one is active on
+// every running node.
 func (d *Deployment) WaitRevision(ctx context.Context, revision int64) error {
-	return WaitFor(ctx, "table revision in force everywhere", func() error {
+	return WaitFor(ctx, "table revision to be active on all nodes", func() error {
 		for _, node := range d.Nodes() {
 			if !node.Running() {
 				continue
