--- a/internal/bench/live/client.go
+++ b/internal/bench/live/client.go
@@ -14,29 +14,29 @@
 	"github.com/corkpulley/corkpulley/internal/api"
 )
 
-// Bounds of one connection and one answer.
+// Limits of connections and responses.
 const (
-	dialTimeout     = 3 * time.Second
-	maxAnswerBytes  = 16 << 20
-	idleConnections = 256
+	dialTimeout        = 3 * time.Second
+	maxResponseBytes   = 16 << 20
+	maxIdleConnections = 256
 )
 
-// Client sends calls. It is safe for use by several goroutines.
+// Client sends calls. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient returns a client with its own connection pool.
+// NewClient returns a client with a separate connection pool.
 func NewClient() *Client { return newClient(false) }
 
-// NewSingleUseClient returns a client that makes a connection for each call, so
-// that no call is lost to the server's close of an idle connection.
+// NewSingleUseClient returns a client that opens a connection for each call, so
+// that no call fails because the server closed an idle connection.
 func NewSingleUseClient() *Client { return newClient(true) }
 
 func newClient(singleUse bool) *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		DisableKeepAlives:   singleUse,
 		DisableCompression:  true,
 	}}}
@@ -50,12 +50,11 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Send sends one call, once, and returns what came back. It never retries: a
-// retry is a call of its own.
+// Send sends one request without retries and returns its outcome.
 func (c *Client) Send(ctx context.Context, call Call) Outcome {
 	started := time.Now()
 	outcome := Outcome{Call: call, Started: started.UnixNano()}
-	if err := c.exchange(ctx, started, &outcome); err != nil {
+	if err := c.roundTrip(ctx, started, &outcome); err != nil {
 		outcome.TransportError = err.Error()
 		outcome.NotConnected = isDialError(err)
 	}
@@ -67,7 +66,7 @@
 	return outcome
 }
 
-func (c *Client) exchange(ctx context.Context, started time.Time, outcome *Outcome) error {
+func (c *Client) roundTrip(ctx context.Context, started time.Time, outcome *Outcome) error {
 	request, err := newRequest(ctx, outcome.Call)
 	if err != nil {
 		return err
@@ -79,14 +78,14 @@
 	defer func() { _ = response.Body.Close() }()
 	outcome.Status = response.StatusCode
 	outcome.RequestID = response.Header.Get(api.HeaderRequestID)
-	body := io.LimitReader(response.Body, maxAnswerBytes)
+	body := io.LimitReader(response.Body, maxResponseBytes)
 	switch {
 	case response.StatusCode != http.StatusOK:
 		return readError(body, response.Header, outcome)
 	case outcome.Call.Stream:
 		return readEvents(body, started, outcome)
 	default:
-		return readWhole(body, started, outcome)
+		return readCompletion(body, started, outcome)
 	}
 }
 
@@ -104,14 +103,14 @@
 	url := "http://" + call.Address + "/v1/completions"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	if call.IdempotencyKey == "" {
 		return request, nil
 	}
-	// net/http sends a request with this header again by itself when an idle
-	// connection breaks; without GetBody it cannot, so one Send is one request.
+	// net/http retries requests that have this header when an idle connection
+	// breaks. Without GetBody it cannot, so that one Send is one request.
 	request.GetBody = nil
 	request.Header.Set(api.HeaderIdempotencyKey, call.IdempotencyKey)
 	return request, nil
@@ -120,36 +119,37 @@
 func readError(body io.Reader, header http.Header, outcome *Outcome) error {
 	var document api.ErrorBody
 	if err := json.NewDecoder(body).Decode(&document); err != nil {
-		return errors.Wrap(err, "decode error answer")
+		return errors.Wrap(err, "decode error response")
 	}
-	takeError(document.Error, outcome)
+	setError(document.Error, outcome)
 	if told := header.Get(api.HeaderExecuted); told != outcome.Executed {
-		fault := "header and body of an error disagree on whether the request ran"
+		fault := "error header and body disagree on whether the request was executed"
 		outcome.Faults = append(outcome.Faults, fault)
 	}
 	return nil
 }
 
-func takeError(detail api.ErrorDetail, outcome *Outcome) {
+func setError(detail api.ErrorDetail, outcome *Outcome) {
 	outcome.Code = detail.Code
 	outcome.Executed = detail.Executed
 	outcome.Done = true
 }
 
-func readWhole(body io.Reader, started time.Time, outcome *Outcome) error {
+func readCompletion(body io.Reader, started time.Time, outcome *Outcome) error {
 	var completion api.Completion
 	if err := json.NewDecoder(body).Decode(&completion); err != nil {
-		return errors.Wrap(err, "decode answer")
+		return errors.Wrap(err, "decode completion")
 	}
 	outcome.TimeToFirstToken = time.Since(started)
-	takeCompletion(&completion, outcome)
+	addCompletion(&completion, outcome)
 	outcome.Done = true
 	return nil
 }
 
-// takeCompletion adds one body of an answer. The last event of a streamed
-// answer, or the only body of a plain one, names the versions of the whole.
-func takeCompletion(completion *api.Completion, outcome *Outcome) {
+// addCompletion adds the body of a plain response or one event of a stream to
+// the outcome. The plain body and the last event carry usage and versions of the
+// whole completion.
+func addCompletion(completion *api.Completion, outcome *Outcome) {
 	for _, choice := range completion.Choices {
 		outcome.Text += choice.Text
 		if choice.FinishReason != nil {
--- a/internal/bench/live/events.go
+++ b/internal/bench/live/events.go
@@ -20,7 +20,7 @@
 	doneData   = []byte("[DONE]")
 )
 
-// eventBody is a completion or an error; an error event has Error set.
+// eventBody is the data of an event: a partial completion, or an error if Error is set.
 type eventBody struct {
 	api.Completion
 	Error *api.ErrorDetail `json:"error"`
@@ -35,7 +35,7 @@
 		if !ok {
 			continue
 		}
-		if err := takeEvent(bytes.TrimSpace(data), started, outcome); err != nil {
+		if err := handleEvent(bytes.TrimSpace(data), started, outcome); err != nil {
 			return err
 		}
 		if outcome.Done {
@@ -48,7 +48,7 @@
 	return errors.Wrap(io.ErrUnexpectedEOF, "event stream ended without [DONE]")
 }
 
-func takeEvent(data []byte, started time.Time, outcome *Outcome) error {
+func handleEvent(data []byte, started time.Time, outcome *Outcome) error {
 	if bytes.Equal(data, doneData) {
 		outcome.Done = true
 		return nil
@@ -58,10 +58,10 @@
 		return errors.Wrap(err, "decode event")
 	}
 	if event.Error != nil {
-		takeError(*event.Error, outcome)
+		setError(*event.Error, outcome)
 		return nil
 	}
-	takeCompletion(&event.Completion, outcome)
+	addCompletion(&event.Completion, outcome)
 	if outcome.TimeToFirstToken == 0 && outcome.Text != "" {
 		outcome.TimeToFirstToken = time.Since(started)
 	}
--- a/internal/bench/live/histogram.go
+++ b/internal/bench/live/histogram.go
@@ -7,14 +7,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of latency histograms, in microseconds.
+// Range (in microseconds) and precision of latency histograms.
 const (
 	lowestMicroseconds  = 1
 	highestMicroseconds = int64(10 * time.Minute / time.Microsecond)
 	significantDigits   = 3
 )
 
-// Quantiles summarizes one histogram, in milliseconds.
+// Quantiles summarizes a histogram; all values but Count are in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -24,7 +24,7 @@
 	Mean  float64 `json:"mean_ms"`
 }
 
-// Histogram counts durations. It is safe for use by several goroutines.
+// Histogram records durations. It is safe for concurrent use.
 type Histogram struct {
 	mu    sync.Mutex
 	inner *hdrhistogram.Histogram
@@ -36,15 +36,15 @@
 	return &Histogram{inner: inner}
 }
 
-// Record adds one duration; those over ten minutes count as ten minutes.
+// Record adds one duration, clamped to the range of 1 µs to 10 min.
 func (h *Histogram) Record(duration time.Duration) {
 	value := min(max(duration.Microseconds(), lowestMicroseconds), highestMicroseconds)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.inner.RecordValue(value) // in range by the line above
+	_ = h.inner.RecordValue(value) // fails only for values out of range
 }
 
-// Quantiles returns the summary so far.
+// Quantiles summarizes the durations recorded so far.
 func (h *Histogram) Quantiles() Quantiles {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/bench/live/live_test.go
+++ b/internal/bench/live/live_test.go
@@ -19,7 +19,7 @@
 
 var twoVersions = []api.VersionSpan{{Version: 3, From: 0, To: 2}, {Version: 4, From: 2, To: 3}}
 
-func answer(text string, tokens int, versions []api.VersionSpan) api.Completion {
+func newCompletion(text string, tokens int, versions []api.VersionSpan) api.Completion {
 	reason := "stop"
 	return api.Completion{
 		ID:       "r1",
@@ -29,7 +29,7 @@
 	}
 }
 
-func send(t *testing.T, call Call, handler http.HandlerFunc) Outcome {
+func sendTo(t *testing.T, call Call, handler http.HandlerFunc) Outcome {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	defer server.Close()
@@ -41,45 +41,45 @@
 
 func sendPlain(t *testing.T, body api.Completion) Outcome {
 	t.Helper()
-	return send(t, Call{Service: "s", MaxTokens: 3}, func(w http.ResponseWriter, _ *http.Request) {
+	return sendTo(t, Call{Service: "s", MaxTokens: 3}, func(w http.ResponseWriter, _ *http.Request) {
 		httpapi.WriteJSON(w, http.StatusOK, body)
 	})
 }
 
-func TestPlainAnswerIsCheckedWhole(t *testing.T) {
-	good := sendPlain(t, answer("0:3 1:3 2:4 ", 3, twoVersions))
+func TestSendValidatesPlainCompletion(t *testing.T) {
+	good := sendPlain(t, newCompletion("0:3 1:3 2:4 ", 3, twoVersions))
 	assert.Assert(t, good.OK(), "%+v", good)
 	assert.Assert(t, good.TimeToFirstToken > 0)
 	for name, bad := range map[string]api.Completion{
-		"gap":             answer("0:3 2:3 3:4 ", 3, twoVersions),
-		"usage":           answer("0:3 1:3 2:4 ", 4, twoVersions),
-		"version":         answer("0:3 1:4 2:4 ", 3, twoVersions),
-		"unnamed token":   answer("0:3 1:3 2:4 ", 3, twoVersions[:1]),
-		"too many tokens": answer("0:4 1:4 2:4 3:4 ", 4, []api.VersionSpan{{Version: 4, From: 0, To: 4}}),
-		"foreign text":    answer("hello", 1, twoVersions),
-		"no usage":        {ID: "r1", Choices: answer("", 0, nil).Choices},
+		"gap":             newCompletion("0:3 2:3 3:4 ", 3, twoVersions),
+		"usage":           newCompletion("0:3 1:3 2:4 ", 4, twoVersions),
+		"version":         newCompletion("0:3 1:4 2:4 ", 3, twoVersions),
+		"unnamed token":   newCompletion("0:3 1:3 2:4 ", 3, twoVersions[:1]),
+		"too many tokens": newCompletion("0:4 1:4 2:4 3:4 ", 4, []api.VersionSpan{{Version: 4, From: 0, To: 4}}),
+		"foreign text":    newCompletion("hello", 1, twoVersions),
+		"no usage":        {ID: "r1", Choices: newCompletion("", 0, nil).Choices},
 	} {
 		outcome := sendPlain(t, bad)
 		assert.Assert(t, outcome.Broken() && !outcome.OK(), "%s: %+v", name, outcome)
 	}
 }
 
-func TestAnswerOfAnotherLengthIsNotTheWholeAnswer(t *testing.T) {
-	three := answer("0:3 1:3 2:4 ", 3, twoVersions)
+func TestSendRejectsCompletionOfUnexpectedLength(t *testing.T) {
+	three := newCompletion("0:3 1:3 2:4 ", 3, twoVersions)
 	for prompt, whole := range map[string]bool{"a [tokens=3]": true, "a [tokens=9]": true, "a [tokens=2]": false} {
-		outcome := send(t, Call{Service: "s", Prompt: prompt, MaxTokens: 3}, func(w http.ResponseWriter, _ *http.Request) {
+		outcome := sendTo(t, Call{Service: "s", Prompt: prompt, MaxTokens: 3}, func(w http.ResponseWriter, _ *http.Request) {
 			httpapi.WriteJSON(w, http.StatusOK, three)
 		})
 		assert.Equal(t, outcome.OK(), whole, "%s: %+v", prompt, outcome)
 	}
-	cut := send(t, Call{Service: "s", Prompt: "a [tokens=4]", MaxTokens: 9}, func(w http.ResponseWriter, _ *http.Request) {
+	cut := sendTo(t, Call{Service: "s", Prompt: "a [tokens=4]", MaxTokens: 9}, func(w http.ResponseWriter, _ *http.Request) {
 		httpapi.WriteJSON(w, http.StatusOK, three)
 	})
 	assert.Assert(t, cut.Broken())
 }
 
-// events answers a stream of the given bodies; each is written as it stands.
-func events(bodies ...any) http.HandlerFunc {
+// streamHandler responds with an event stream: strings are written verbatim, other bodies as JSON events.
+func streamHandler(bodies ...any) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set(api.HeaderRequestID, "r9")
@@ -94,51 +94,51 @@
 	}
 }
 
-func piece(text string) api.Completion {
+func partialCompletion(text string) api.Completion {
 	return api.Completion{ID: "r9", Choices: []api.CompletionChoice{{Text: text}}}
 }
 
-func TestStreamedAnswer(t *testing.T) {
+func TestSendValidatesStreamedCompletion(t *testing.T) {
 	call := Call{Service: "s", Stream: true, MaxTokens: 3}
-	last := answer("2:4 ", 3, twoVersions)
-	whole := send(t, call, events(": comment\n\n", piece("0:3 1:3 "), last, "data: [DONE]\n\n"))
+	last := newCompletion("2:4 ", 3, twoVersions)
+	whole := sendTo(t, call, streamHandler(": comment\n\n", partialCompletion("0:3 1:3 "), last, "data: [DONE]\n\n"))
 	assert.Assert(t, whole.OK(), "%+v", whole)
 	assert.Equal(t, whole.RequestID, "r9")
 
-	cut := send(t, call, events(piece("0:3 1:3 "), last))
+	cut := sendTo(t, call, streamHandler(partialCompletion("0:3 1:3 "), last))
 	assert.Assert(t, !cut.Done && cut.TransportError != "")
 
-	failed := send(t, call, events(piece("0:3 "), api.ErrorBody{Error: api.ErrorDetail{Code: "engine_failed", Executed: "unknown"}}))
+	failed := sendTo(t, call, streamHandler(partialCompletion("0:3 "), api.ErrorBody{Error: api.ErrorDetail{Code: "engine_failed", Executed: "unknown"}}))
 	assert.Assert(t, failed.Done && !failed.OK() && !failed.Broken())
 	assert.Equal(t, failed.Code, "engine_failed")
 
-	doubled := send(t, call, events(piece("0:3 1:3 "), piece("1:3 "), last, "data: [DONE]\n\n"))
+	doubled := sendTo(t, call, streamHandler(partialCompletion("0:3 1:3 "), partialCompletion("1:3 "), last, "data: [DONE]\n\n"))
 	assert.Assert(t, doubled.Broken())
 }
 
-func TestRefusalCarriesItsTruth(t *testing.T) {
-	refused := send(t, Call{Service: "s"}, func(w http.ResponseWriter, _ *http.Request) {
+func TestSendChecksExecutedHeaderAgainstErrorBody(t *testing.T) {
+	refused := sendTo(t, Call{Service: "s"}, func(w http.ResponseWriter, _ *http.Request) {
 		httpapi.WriteError(w, errkind.New(errkind.QueueFull, "full"))
 	})
 	assert.Equal(t, refused.Executed, "no")
 	assert.Equal(t, refused.Status, http.StatusTooManyRequests)
 	assert.Assert(t, refused.Done && !refused.Broken())
 
-	disagreeing := send(t, Call{Service: "s"}, func(w http.ResponseWriter, _ *http.Request) {
+	disagreeing := sendTo(t, Call{Service: "s"}, func(w http.ResponseWriter, _ *http.Request) {
 		detail := httpapi.ErrorDetail(errkind.New(errkind.QueueFull, "full"))
 		httpapi.WriteJSON(w, http.StatusTooManyRequests, api.ErrorBody{Error: detail})
 	})
 	assert.Assert(t, disagreeing.Broken())
 }
 
-func TestLoadSendsEachPromptOnce(t *testing.T) {
+func TestLoadRunSendsUniquePrompts(t *testing.T) {
 	prompts := make(chan string, 64)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var request api.CompletionRequest
 		assert.Check(t, json.NewDecoder(r.Body).Decode(&request))
 		assert.Check(t, r.Header.Get(api.HeaderIdempotencyKey) != "")
 		prompts <- request.Prompt
-		httpapi.WriteJSON(w, http.StatusOK, answer("0:3 1:3 2:4 ", 3, twoVersions))
+		httpapi.WriteJSON(w, http.StatusOK, newCompletion("0:3 1:3 2:4 ", 3, twoVersions))
 	}))
 	defer server.Close()
 	client, recorder := NewClient(), NewRecorder()
@@ -159,7 +159,7 @@
 	assert.Equal(t, summary.Latency.Count, int64(20))
 }
 
-func TestLoadIsSeeded(t *testing.T) {
+func TestLoadCallsAreDeterministicForSeed(t *testing.T) {
 	load := Load{Addresses: []string{"a", "b"}, Service: "s", Seed: 3, Groups: 4}
 	first, second := load, load
 	for number := range 10 {
--- a/internal/bench/live/load.go
+++ b/internal/bench/live/load.go
@@ -11,43 +11,43 @@
 	"github.com/go-faster/errors"
 )
 
-// Load describes an open-loop load: arrivals do not wait for answers.
+// Load describes an open-loop load: arrivals do not wait for responses.
 type Load struct {
-	// Addresses are the nodes' callers' addresses, taken in turn.
+	// Addresses are the caller addresses of the nodes, used round-robin.
 	Addresses []string
 	Service   string
-	// Rate is the mean number of arrivals a second (Poisson).
+	// Rate is the mean number of arrivals per second of a Poisson process.
 	Rate float64
-	// Duration bounds the arrivals; Count does too when it is not zero.
+	// Duration and Count limit the arrivals; zero means no limit. At least one is required.
 	Duration time.Duration
 	Count    int
-	// Seed fixes arrival times and prompts.
+	// Seed determines arrival times and prompts.
 	Seed uint64
-	// MaxTokens bounds each answer. Tokens, when not zero, fixes the length of
-	// each answer instead of the engine's own draw; TokenSpread then adds 0 to
-	// TokenSpread tokens, by the call's number, so that answers differ.
+	// MaxTokens bounds each completion. If Tokens is not zero, it sets the length
+	// of each completion instead of a random length chosen by the engine, plus
+	// 0 to TokenSpread tokens depending on the call's number.
 	MaxTokens   int
 	Tokens      int
 	TokenSpread int
-	// Groups is the number of prompt prefixes shared between calls, each of
-	// PrefixBytes bytes.
+	// Groups is the number of distinct prompt prefixes shared between calls, each
+	// of about PrefixBytes bytes.
 	Groups      int
 	PrefixBytes int
-	// StreamShare (0..1) of the calls asks for server-sent events.
+	// StreamShare is the fraction (0..1) of calls that request server-sent events.
 	StreamShare float64
-	// Keyed gives each call an idempotency key of its own.
+	// Keyed gives each call a unique idempotency key.
 	Keyed bool
-	// CallTimeout bounds one call; default one minute.
+	// CallTimeout bounds one call; zero means one minute.
 	CallTimeout time.Duration
 }
 
 const (
 	defaultCallTimeout = time.Minute
-	// maxInFlight bounds the calls of one load, to bound this process's memory.
+	// maxInFlight limits the concurrent calls of one load to bound memory use.
 	maxInFlight = 4096
 )
 
-// Validate returns why the load cannot be run.
+// Validate returns an error if the load is incomplete or out of range.
 func (l *Load) Validate() error {
 	switch {
 	case len(l.Addresses) == 0:
@@ -66,8 +66,9 @@
 	return nil
 }
 
-// Run sends the load and waits for all answers. Calls in hand when ctx ends are
-// left to their own timeout, so that an answer is never cut by the load itself.
+// Run sends the load and waits for all responses. When ctx is done, it sends no
+// more calls, but calls in flight continue until their own timeout, so that no
+// response is truncated by the load generator.
 func (l *Load) Run(ctx context.Context, client *Client, recorder *Recorder) error {
 	if err := l.Validate(); err != nil {
 		return err
@@ -121,8 +122,8 @@
 	recorder.Add(client.Send(ctx, call))
 }
 
-// call makes the call of that number. Its prompt is unique, so that an engine's
-// history names the call even when the caller never heard its request ID.
+// call returns the call with the given number. Its prompt is unique, so that it
+// can be found in an engine's history even if the caller received no request ID.
 func (l *Load) call(number int, random *rand.Rand) Call {
 	call := Call{
 		Address:   l.Addresses[number%len(l.Addresses)],
--- a/internal/bench/live/recorder.go
+++ b/internal/bench/live/recorder.go
@@ -8,11 +8,11 @@
 type Summary struct {
 	Requests int `json:"requests"`
 	OK       int `json:"ok"`
-	// Refused counts error answers that say that the request did not run.
+	// Refused counts error responses for requests that were not executed.
 	Refused int `json:"refused"`
-	// Failed counts all other calls that were not answered whole.
+	// Failed counts all other calls without a complete and valid response.
 	Failed int `json:"failed"`
-	// Broken counts answers that break a promise; they are part of Failed.
+	// Broken counts responses that violate an invariant (see Outcome.Broken).
 	Broken           int            `json:"broken"`
 	Codes            map[string]int `json:"codes"`
 	CachedTokens     int            `json:"cached_tokens"`
@@ -22,23 +22,23 @@
 	Latency          Quantiles      `json:"latency"`
 }
 
-// Recorder keeps the history of a load. It is safe for use by several goroutines.
+// Recorder records the outcomes of a load. It is safe for concurrent use.
 type Recorder struct {
-	mu       sync.Mutex
-	outcomes []Outcome
-	first    *Histogram
-	latency  *Histogram
+	mu         sync.Mutex
+	outcomes   []Outcome
+	firstToken *Histogram
+	latency    *Histogram
 }
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
-	return &Recorder{first: NewHistogram(), latency: NewHistogram()}
+	return &Recorder{firstToken: NewHistogram(), latency: NewHistogram()}
 }
 
 // Add records one outcome.
 func (r *Recorder) Add(outcome Outcome) {
 	if outcome.OK() {
-		r.first.Record(outcome.TimeToFirstToken)
+		r.firstToken.Record(outcome.TimeToFirstToken)
 		r.latency.Record(outcome.Latency)
 	}
 	r.mu.Lock()
@@ -46,18 +46,18 @@
 	r.outcomes = append(r.outcomes, outcome)
 }
 
-// Outcomes returns a copy of the history, in the order of the calls' ends.
+// Outcomes returns a copy of the recorded outcomes in the order of Add.
 func (r *Recorder) Outcomes() []Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Outcome(nil), r.outcomes...)
 }
 
-// Summary counts what was recorded so far.
+// Summary summarizes the outcomes recorded so far.
 func (r *Recorder) Summary() Summary {
 	summary := Summary{
 		Codes:            map[string]int{},
-		TimeToFirstToken: r.first.Quantiles(),
+		TimeToFirstToken: r.firstToken.Quantiles(),
 		Latency:          r.latency.Quantiles(),
 	}
 	for _, outcome := range r.Outcomes() {
@@ -66,7 +66,7 @@
 	return summary
 }
 
-// codeTransport counts calls whose connection broke.
+// codeTransport is the key in Summary.Codes for calls that failed with a TransportError.
 const codeTransport = "transport"
 
 func (s *Summary) add(outcome *Outcome) {
