--- a/internal/bench/command/command.go
+++ b/internal/bench/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of corkbench.
+// Package command implements the command line of corkbench.
 package command
 
 import (
@@ -20,9 +20,9 @@
 // Exit codes of corkbench.
 const (
 	ExitOK = 0
-	// ExitFailed: the run failed, or a promise was broken in it.
+	// ExitFailed means that the run failed or that an invariant was violated.
 	ExitFailed = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage = 2
 )
 
@@ -38,12 +38,12 @@
 	PathCost *pathcost.Arguments `arg:"subcommand:path-cost" help:"measure what a request and a relayed chunk cost, against the standard library's reverse proxy"`
 }
 
-// Description is shown at the top of the help.
+// Description implements arg.Described.
 func (arguments) Description() string {
-	return "corkbench: stand-ins, load and experiments for corkpulley"
+	return "corkbench: stand-ins, load generation and experiments for corkpulley"
 }
 
-// Epilogue is shown at the end of the help.
+// Epilogue implements arg.Epilogued.
 func (arguments) Epilogue() string {
 	return `Examples:
   corkbench demo --seconds 10 --json
@@ -52,22 +52,22 @@
   corkbench load --address 127.0.0.1:8080 --service clerk-lookup --rate 50 --seconds 30
   corkbench soak --minutes 5 --json
 
-Exit codes: 0 done, 1 failed or a promise was broken, 2 usage.`
+Exit codes: 0 success, 1 failure or violated invariant, 2 invalid usage.`
 }
 
 // Main parses and runs one command line and returns the exit code. SIGTERM and
-// SIGINT end the command by plan; a second one ends it at once.
-func Main(commandLine []string, output, problems io.Writer) int {
+// SIGINT stop the command gracefully; a second signal terminates the process.
+func Main(commandLine []string, output, errorOutput io.Writer) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "corkbench"}, &parsed)
 	if err != nil {
-		return fail(problems, ExitFailed, err)
+		return fail(errorOutput, ExitFailed, err)
 	}
 	if err := parser.Parse(commandLine); err != nil {
-		return usage(parser, err, output, problems)
+		return usage(parser, err, output, errorOutput)
 	}
-	if problem := unnamed(parser); problem != nil {
-		return usage(parser, problem, output, problems)
+	if problem := missingSubcommand(parser); problem != nil {
+		return usage(parser, problem, output, errorOutput)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -87,34 +87,34 @@
 		err = pathcost.Run(ctx, parsed.PathCost, output)
 	}
 	if err != nil {
-		return fail(problems, ExitFailed, err)
+		return fail(errorOutput, ExitFailed, err)
 	}
 	return ExitOK
 }
 
-// unnamed returns which command the command line fails to name, or nil.
-func unnamed(parser *arg.Parser) error {
+// missingSubcommand returns an error if the command line lacks a required subcommand.
+func missingSubcommand(parser *arg.Parser) error {
 	names := parser.SubcommandNames()
 	switch {
 	case len(names) == 0:
-		return errors.New("no command named: expected standin, demo, load, run, soak or path-cost")
+		return errors.New("missing command: expected standin, demo, load, run, soak or path-cost")
 	case len(names) == 1 && names[0] == standinCommand:
-		return errors.New("no stand-in named: expected log, engine, weightstore, machines, scorer or trainer")
+		return errors.New("missing stand-in: expected log, engine, weightstore, machines, scorer or trainer")
 	default:
 		return nil
 	}
 }
 
-func usage(parser *arg.Parser, err error, output, problems io.Writer) int {
+func usage(parser *arg.Parser, err error, output, errorOutput io.Writer) int {
 	if errors.Is(err, arg.ErrHelp) {
 		_ = parser.WriteHelpForSubcommand(output, parser.SubcommandNames()...)
 		return ExitOK
 	}
-	_ = parser.WriteUsageForSubcommand(problems, parser.SubcommandNames()...)
-	return fail(problems, ExitUsage, err)
+	_ = parser.WriteUsageForSubcommand(errorOutput, parser.SubcommandNames()...)
+	return fail(errorOutput, ExitUsage, err)
 }
 
-func fail(problems io.Writer, code int, err error) int {
-	_, _ = fmt.Fprintln(problems, "corkbench:", err)
+func fail(errorOutput io.Writer, code int, err error) int {
+	_, _ = fmt.Fprintln(errorOutput, "corkbench:", err)
 	return code
 }
--- a/internal/bench/command/command_test.go
+++ b/internal/bench/command/command_test.go
@@ -13,28 +13,28 @@
 	"github.com/corkpulley/corkpulley/internal/httpapi"
 )
 
-func run(commandLine ...string) (code int, output, problems string) {
+func runMain(commandLine ...string) (code int, output, problems string) {
 	var standardOutput, standardError bytes.Buffer
 	code = Main(commandLine, &standardOutput, &standardError)
 	return code, standardOutput.String(), standardError.String()
 }
 
-func TestHelpAndUsage(t *testing.T) {
-	code, output, _ := run("--help")
+func TestMainPrintsHelpAndUsage(t *testing.T) {
+	code, output, _ := runMain("--help")
 	assert.Equal(t, code, ExitOK)
 	assert.Assert(t, strings.Contains(output, "Examples:"))
-	code, output, _ = run("standin", "engine", "--help")
+	code, output, _ = runMain("standin", "engine", "--help")
 	assert.Equal(t, code, ExitOK)
 	assert.Assert(t, strings.Contains(output, "--token-interval"))
 	for _, commandLine := range [][]string{nil, {"standin"}, {"dance"}, {"load", "--rate", "fast"}, {"demo", "--bogus"}} {
-		code, _, problems := run(commandLine...)
+		code, _, problems := runMain(commandLine...)
 		assert.Equal(t, code, ExitUsage, "%v", commandLine)
 		assert.Assert(t, problems != "")
 	}
 }
 
-func TestBoundsAreChecked(t *testing.T) {
-	code, _, problems := run("demo", "--seconds", "0")
+func TestMainRejectsArgumentsOutOfRange(t *testing.T) {
+	code, _, problems := runMain("demo", "--seconds", "0")
 	assert.Equal(t, code, ExitFailed)
 	assert.Assert(t, strings.Contains(problems, "1..600"))
 	for _, wrong := range [][]string{
@@ -43,16 +43,16 @@
 		{"run", "--workload", "cascadia", "--compare", "best"},
 		{"run", "--workload", "cascadia", "--compare", "round-robin", "--baseline", "least-load"},
 	} {
-		code, _, problems = run(wrong...)
+		code, _, problems = runMain(wrong...)
 		assert.Equal(t, code, ExitFailed, "%v", wrong)
 		assert.Assert(t, problems != "")
 	}
-	code, _, problems = run("load", "--address", "127.0.0.1:1", "--service", "s", "--rate", "1e9")
+	code, _, problems = runMain("load", "--address", "127.0.0.1:1", "--service", "s", "--rate", "1e9")
 	assert.Equal(t, code, ExitFailed)
 	assert.Assert(t, strings.Contains(problems, "20000"))
 }
 
-func TestLoadFailsOnABrokenAnswer(t *testing.T) {
+func TestLoadFailsOnInconsistentErrorResponse(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		detail := httpapi.ErrorDetail(errkind.New(errkind.QueueFull, "full"))
 		detail.Executed = "yes"
@@ -61,7 +61,7 @@
 	}))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	code, output, problems := run("load", "--address", address, "--service", "s", "--rate", "100", "--seconds", "0.2", "--json")
+	code, output, problems := runMain("load", "--address", address, "--service", "s", "--rate", "100", "--seconds", "0.2", "--json")
 	assert.Equal(t, code, ExitFailed, output)
-	assert.Assert(t, strings.Contains(problems, "broke a promise"))
+	assert.Assert(t, strings.Contains(problems, "violated an invariant"))
 }
--- a/internal/bench/command/load.go
+++ b/internal/bench/command/load.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/bench/live"
 )
 
-// Bounds of the load that one command may send.
+// Upper bounds of the --rate and --seconds flags.
 const (
 	maxRate    = 20_000
 	maxSeconds = 3600
@@ -58,7 +58,7 @@
 		return err
 	}
 	if summary.Broken > 0 {
-		return errors.Errorf("%d answers broke a promise", summary.Broken)
+		return errors.Errorf("%d responses violated an invariant", summary.Broken)
 	}
 	return nil
 }
@@ -68,7 +68,7 @@
 	if asJSON {
 		err = json.NewEncoder(output).Encode(summary)
 	} else {
-		_, err = fmt.Fprintf(output, "requests %d, whole %d, refused %d, failed %d, broken %d\ncodes %v\n"+
+		_, err = fmt.Fprintf(output, "requests %d, complete %d, refused %d, failed %d, invalid %d\ncodes %v\n"+
 			"time to first token: p50 %.1f ms, p99 %.1f ms\nlatency: p50 %.1f ms, p99 %.1f ms\n",
 			summary.Requests, summary.OK, summary.Refused, summary.Failed, summary.Broken, summary.Codes,
 			summary.TimeToFirstToken.P50, summary.TimeToFirstToken.P99, summary.Latency.P50, summary.Latency.P99)
--- a/internal/bench/command/run.go
+++ b/internal/bench/command/run.go
@@ -17,7 +17,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/scheduler"
 )
 
-// maxSeeds bounds the seeds of one command.
+// maxSeeds is the upper bound of the --seeds flag.
 const maxSeeds = 20
 
 type runArguments struct {
@@ -30,13 +30,13 @@
 	Runs     bool   `arg:"--runs" help:"with --json: print each run as a JSON object too"`
 }
 
-// policies returns the policies to run, the one that is judged first.
+// policies returns the scheduling policies to run, the evaluated one first.
 func (a *runArguments) policies() ([]string, error) {
-	judged := scheduler.PolicyDefault
+	evaluated := scheduler.PolicyDefault
 	if a.Baseline != "" && a.Compare != "" {
-		return nil, errors.New("--baseline and --compare exclude each other")
+		return nil, errors.New("--baseline and --compare are mutually exclusive")
 	}
-	names := []string{string(judged)}
+	names := []string{string(evaluated)}
 	switch {
 	case a.Baseline != "":
 		names = []string{a.Baseline}
@@ -55,7 +55,7 @@
 	if a.Seeds < 1 || a.Seeds > maxSeeds {
 		return nil, errors.Errorf("--seeds is %d, expected 1..%d", a.Seeds, maxSeeds)
 	}
-	described, err := workload.ByName(a.Workload)
+	spec, err := workload.ByName(a.Workload)
 	if err != nil {
 		return nil, err
 	}
@@ -63,23 +63,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return &experiment.Plan{Workload: described, Policies: policies, FirstSeed: a.Seed, Seeds: a.Seeds}, nil
+	return &experiment.Plan{Workload: spec, Policies: policies, FirstSeed: a.Seed, Seeds: a.Seeds}, nil
 }
 
-// runExperiment runs a workload and reports what was measured.
+// runExperiment runs a workload under each policy and prints the measurements.
 func runExperiment(ctx context.Context, arguments *runArguments, output io.Writer) error {
 	plan, err := arguments.plan()
 	if err != nil {
 		return err
 	}
 	started := time.Now()
-	plan.Say = func(format string, values ...any) {
+	plan.Progress = func(format string, values ...any) {
 		line := fmt.Sprintf(format, values...)
 		_, _ = fmt.Fprintf(output, "%6.1fs  %s\n", time.Since(started).Seconds(), line)
 	}
 	directory, err := os.MkdirTemp("", "corkbench-")
 	if err != nil {
-		return errors.Wrap(err, "make directory for the daemon")
+		return errors.Wrap(err, "create directory for the daemon binary")
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
 	binaries, err := topology.Find(ctx, directory)
@@ -103,7 +103,7 @@
 			return errors.Wrap(err, "print results")
 		}
 	}
-	return brokenPromises(results)
+	return checkInvariants(results)
 }
 
 func (a *runArguments) printJSON(output io.Writer, results []experiment.Result, comparison experiment.Comparison) error {
@@ -118,15 +118,15 @@
 	return encoder.Encode(comparison)
 }
 
-// brokenPromises returns why a run's figures are no good, whatever its policy.
-func brokenPromises(results []experiment.Result) error {
+// checkInvariants returns an error if any run violated an invariant, which invalidates its measurements.
+func checkInvariants(results []experiment.Result) error {
 	stale, broken := 0, 0
 	for _, result := range results {
 		stale += result.Stale
 		broken += result.Broken
 	}
 	if stale+broken > 0 {
-		return errors.Errorf("%d samples were accepted beyond the staleness bound, %d other promises were broken", stale, broken)
+		return errors.Errorf("%d samples were accepted beyond the staleness bound, %d other invariants were violated", stale, broken)
 	}
 	return nil
 }
--- a/internal/bench/experiment/bound_test.go
+++ b/internal/bench/experiment/bound_test.go
@@ -10,10 +10,9 @@
 	_ "github.com/corkpulley/corkpulley/internal/common/fixedseed"
 )
 
-// millis makes the cases below readable: one token takes a millisecond alone.
 const millis = time.Millisecond
 
-func TestLowerBoundIsTheLongestSampleOrTheWork(t *testing.T) {
+func TestLowerBoundIsMaximumOfLongestSampleAndTotalWork(t *testing.T) {
 	input := boundInput{
 		steps:           [][]stepWork{{{tokens: 100, longest: 50}}},
 		ahead:           []int{0},
@@ -26,7 +25,7 @@
 	assert.Equal(t, lowerBound(input)[0], 50*millis)
 }
 
-func TestLowerBoundOfAStepSubmittedAhead(t *testing.T) {
+func TestLowerBoundWithStepsSubmittedAhead(t *testing.T) {
 	input := boundInput{
 		steps:           [][]stepWork{{{tokens: 10, longest: 50}, {tokens: 10, longest: 70}}},
 		ahead:           []int{1},
@@ -34,14 +33,14 @@
 		tokensPerSecond: 1_000_000,
 		decodeStep:      millis,
 	}
-	// The second step was submitted with the first: it is whole after 70 ms, and
-	// the trainer is ready for it after 50 + 10 ms.
+	// The second step is submitted with the first: it is complete after 70 ms,
+	// and the trainer is ready for it after 50 + 10 ms.
 	assert.Equal(t, lowerBound(input)[0], 60*millis)
 	input.ahead[0] = 0
 	assert.Equal(t, lowerBound(input)[0], 120*millis)
 }
 
-func TestTrainersThatShareEnginesWaitForAllWork(t *testing.T) {
+func TestLowerBoundCountsWorkOfAllTrainersOnSharedEngines(t *testing.T) {
 	step := []stepWork{{tokens: 100, longest: 1}}
 	idle := lowerBound(boundInput{
 		steps:           [][]stepWork{step, step},
@@ -53,8 +52,8 @@
 	assert.DeepEqual(t, idle, []time.Duration{200 * millis, 200 * millis})
 }
 
-// More capacity or more steps ahead never raise the bound.
-func TestLowerBoundFallsWithCapacityAndSteps(t *testing.T) {
+// More capacity or more steps ahead must never raise the bound.
+func TestLowerBoundNeverRisesWithCapacityOrStepsAhead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		work := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) stepWork {
 			longest := rapid.IntRange(1, 500).Draw(t, "longest")
--- a/internal/bench/experiment/compare.go
+++ b/internal/bench/experiment/compare.go
@@ -10,21 +10,20 @@
 	"github.com/corkpulley/corkpulley/internal/bench/workload"
 )
 
-// Plan is a series of runs: under each seed one run of each policy, in turn.
+// Plan is a series of runs: one run of each policy for each seed.
 type Plan struct {
 	Workload *workload.Workload
-	// Policies holds the policy that is judged and, for a comparison, the
-	// baseline.
+	// Policies holds the evaluated policy and, for a comparison, the baseline.
 	Policies  []string
 	FirstSeed uint64
 	Seeds     int
-	// Say prints a line of progress.
-	Say func(format string, arguments ...any)
+	// Progress prints a progress message.
+	Progress func(format string, arguments ...any)
 }
 
-// Execute runs the plan. Which policy goes first changes from seed to seed, so
-// that a drift of the machine's load favours none. Results come in the order of
-// the seeds and, within one, of Policies.
+// Execute runs the plan. The first policy alternates between seeds, so that a
+// drift of the host's load favors no policy. Results are ordered by seed, then
+// by Policies.
 func (p *Plan) Execute(ctx context.Context, binaries topology.Binaries) ([]Result, error) {
 	results := make([]Result, p.Seeds*len(p.Policies))
 	for number := range p.Seeds {
@@ -35,29 +34,29 @@
 				Policy:   p.Policies[position],
 				Seed:     p.FirstSeed + uint64(number),
 			}
-			p.Say("%s, policy %s, seed %d", p.Workload.Name, options.Policy, options.Seed)
+			p.Progress("%s, policy %s, seed %d", p.Workload.Name, options.Policy, options.Seed)
 			result, err := Run(ctx, binaries, options)
 			if err != nil {
 				return nil, err
 			}
-			p.Say("trained for %.1f s, idle %.2f s", result.Seconds, result.IdleSeconds)
+			p.Progress("trained for %.1f s, idle %.2f s", result.Seconds, result.IdleSeconds)
 			results[number*len(p.Policies)+position] = *result
 		}
 	}
 	return results, nil
 }
 
-// Comparison is the outcome of a plan: medians over the seeds for the policy
-// that is judged.
+// Comparison summarizes the results of a plan: medians over all seeds for the
+// evaluated policy, unless stated otherwise.
 type Comparison struct {
 	Workload string `json:"workload"`
 	Policy   string `json:"policy"`
-	// Baseline is empty when only one policy ran; the ratio to it is then 0.
+	// Baseline is empty when only one policy ran; IdleRatioToBaseline is then 0.
 	Baseline string   `json:"baseline,omitempty"`
 	Seeds    []uint64 `json:"seeds"`
-	// TimeScale is how many seconds of the users' time one second stands for.
+	// TimeScale is the number of production seconds that one second of a run represents.
 	TimeScale float64 `json:"time_scale"`
-	// IdleRatioToBaseline is the median of the idle time's ratio, seed by seed.
+	// IdleRatioToBaseline is the median of the per-seed ratios of idle time.
 	IdleRatioToBaseline float64 `json:"idle_ratio_to_baseline"`
 	IdleRatioToBound    float64 `json:"idle_ratio_to_bound"`
 	DiscardedTokenShare float64 `json:"discarded_token_share"`
@@ -66,24 +65,24 @@
 	LiveP99Ratio float64 `json:"live_p99_ratio"`
 	Broken       int     `json:"broken"`
 	LiveFailed   int     `json:"live_failed"`
-	// BaselineTotals has the baseline's own figures, the same way.
+	// BaselineTotals holds the baseline's medians and sums.
 	BaselineTotals *Totals `json:"baseline_totals,omitempty"`
 }
 
-// Compare sums up the results of a plan.
+// Compare summarizes the results of Execute.
 func (p *Plan) Compare(results []Result) Comparison {
-	judged := p.totalsOf(results, 0)
-	middle := median(judged)
+	evaluated := p.totalsOf(results, 0)
+	medians := median(evaluated)
 	comparison := Comparison{
 		Workload:            p.Workload.Name,
 		Policy:              p.Policies[0],
 		TimeScale:           p.Workload.TimeScale,
-		IdleRatioToBound:    middle.IdleRatioToBound,
-		DiscardedTokenShare: middle.DiscardedTokenShare,
-		Stale:               middle.Stale,
-		LiveP99Ratio:        middle.LiveP99Ratio,
-		Broken:              middle.Broken,
-		LiveFailed:          middle.LiveFailed,
+		IdleRatioToBound:    medians.IdleRatioToBound,
+		DiscardedTokenShare: medians.DiscardedTokenShare,
+		Stale:               medians.Stale,
+		LiveP99Ratio:        medians.LiveP99Ratio,
+		Broken:              medians.Broken,
+		LiveFailed:          medians.LiveFailed,
 	}
 	for number := range p.Seeds {
 		comparison.Seeds = append(comparison.Seeds, p.FirstSeed+uint64(number))
@@ -95,9 +94,9 @@
 	baselineMedian := median(baseline)
 	comparison.Baseline = p.Policies[1]
 	comparison.BaselineTotals = &baselineMedian
-	ratios := make([]float64, 0, len(judged))
-	for number := range judged {
-		ratios = append(ratios, ratio(judged[number].IdleSeconds, baseline[number].IdleSeconds))
+	ratios := make([]float64, 0, len(evaluated))
+	for number := range evaluated {
+		ratios = append(ratios, ratio(evaluated[number].IdleSeconds, baseline[number].IdleSeconds))
 	}
 	comparison.IdleRatioToBaseline = medianOf(ratios)
 	return comparison
@@ -111,7 +110,7 @@
 	return totals
 }
 
-// median returns the median of each figure; counts of faults are summed.
+// median returns the median of each measurement and the sum of each fault count.
 func median(totals []Totals) Totals {
 	figure := func(of func(*Totals) float64) float64 {
 		values := make([]float64, 0, len(totals))
@@ -120,7 +119,7 @@
 		}
 		return medianOf(values)
 	}
-	middle := Totals{
+	medians := Totals{
 		IdleSeconds:         figure(func(t *Totals) float64 { return t.IdleSeconds }),
 		BoundIdleSeconds:    figure(func(t *Totals) float64 { return t.BoundIdleSeconds }),
 		IdleRatioToBound:    figure(func(t *Totals) float64 { return t.IdleRatioToBound }),
@@ -128,15 +127,14 @@
 		LiveP99Ratio:        figure(func(t *Totals) float64 { return t.LiveP99Ratio }),
 	}
 	for _, one := range totals {
-		middle.Stale += one.Stale
-		middle.Broken += one.Broken
-		middle.LiveFailed += one.LiveFailed
+		medians.Stale += one.Stale
+		medians.Broken += one.Broken
+		medians.LiveFailed += one.LiveFailed
 	}
-	return middle
+	return medians
 }
 
-// medianOf sorts the values and returns the middle one, or the mean of the two
-// in the middle; 0 for none.
+// medianOf returns the median of the values, or 0 if there are none. It sorts values in place.
 func medianOf(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/bench/experiment/experiment.go
+++ b/internal/bench/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment runs a workload on real processes under a scheduling
-// policy and measures it by what callers, trainers and engines saw; the
-// daemons' own figures are not used.
+// Package experiment runs a workload on a local deployment under a scheduling
+// policy. Measurements come from callers, trainers and engines; the daemons' own
+// metrics are not used.
 package experiment
 
 import (
@@ -18,17 +18,17 @@
 )
 
 const (
-	// warmUpTime of live load opens connections and fills caches, unmeasured.
+	// warmUpTime is the duration of the unmeasured live load that opens connections and fills caches.
 	warmUpTime = time.Second
-	// aloneTime is how long live load is measured without trainers.
-	aloneTime = 5 * time.Second
-	// runTimeout bounds one run; a run that reaches it fails.
+	// liveOnlyTime is the duration of the live load measured without trainers.
+	liveOnlyTime = 5 * time.Second
+	// runTimeout bounds one run.
 	runTimeout = 3 * time.Minute
-	// serveTimeout bounds the wait until each node answers each live service.
+	// serveTimeout bounds the wait until each node serves each live service.
 	serveTimeout = time.Minute
 )
 
-// Options say what to run.
+// Options configures one run.
 type Options struct {
 	Workload *workload.Workload
 	// Policy is the daemons' scheduling policy.
@@ -36,14 +36,15 @@
 	Seed   uint64
 }
 
-// Run runs the workload once: live load alone, then beside the trainers until
-// they have trained all their steps. No process is left behind.
+// Run runs the workload once: first live load only, then live load together with
+// the trainers until they have trained all steps. All processes are stopped
+// before it returns.
 func Run(ctx context.Context, binaries topology.Binaries, options Options) (*Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	directory, err := os.MkdirTemp("", "corkbench-run-")
 	if err != nil {
-		return nil, errors.Wrap(err, "make directory for logs")
+		return nil, errors.Wrap(err, "create log directory")
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
 	deployment, err := topology.Start(ctx, options.Workload.Deployment(binaries, directory, options.Policy))
@@ -56,28 +57,28 @@
 	if err := current.waitServing(ctx); err != nil {
 		return nil, err
 	}
-	if err := current.exercise(ctx); err != nil {
+	if err := current.runPhases(ctx); err != nil {
 		return nil, err
 	}
 	return current.measure()
 }
 
-// run is one run in hand.
+// run is the state of one run.
 type run struct {
 	Options
 	deployment *topology.Deployment
 	client     *live.Client
 
 	// alone and beside hold a recorder for each live service, in order.
-	alone    []*live.Recorder
-	beside   []*live.Recorder
-	trainers []*trainer.Trainer
+	withoutTrainers []*live.Recorder
+	withTrainers    []*live.Recorder
+	trainers        []*trainer.Trainer
 	// began and ended bound the time in which the trainers ran.
-	began time.Time
-	ended time.Time
+	trainingStart time.Time
+	trainingEnd   time.Time
 }
 
-// waitServing waits until every node answers each live service.
+// waitServing waits until every node serves each live service.
 func (r *run) waitServing(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
@@ -99,29 +100,30 @@
 	return nil
 }
 
-func (r *run) exercise(ctx context.Context) error {
+func (r *run) runPhases(ctx context.Context) error {
 	if _, err := r.sendLive(ctx, phaseWarmUp, warmUpTime); err != nil {
 		return err
 	}
 	var err error
-	if r.alone, err = r.sendLive(ctx, phaseAlone, aloneTime); err != nil {
+	if r.withoutTrainers, err = r.sendLive(ctx, phaseWithoutTrainers, liveOnlyTime); err != nil {
 		return err
 	}
 	return r.train(ctx)
 }
 
-// phase numbers the parts of a run, so that each sends prompts and keys of its own.
+// phase identifies a phase of a run. Its number is part of the load's seed, so
+// that each phase sends distinct prompts and idempotency keys.
 type phase uint64
 
 const (
 	phaseWarmUp phase = iota
-	phaseAlone
-	phaseBeside
+	phaseWithoutTrainers
+	phaseWithTrainers
 	phases
 )
 
-// sendLive sends the live load of all services until the duration is over or
-// ctx ends, and waits for all answers.
+// sendLive sends the live load of all services until the duration has passed or
+// ctx is done, and waits for all responses.
 func (r *run) sendLive(ctx context.Context, part phase, duration time.Duration) ([]*live.Recorder, error) {
 	loads := r.Workload.Loads(r.deployment.CallerAddresses(), r.Seed*uint64(phases)+uint64(part))
 	recorders := make([]*live.Recorder, len(loads))
@@ -136,17 +138,16 @@
 	return recorders, firstError(failures)
 }
 
-// train runs the trainers with live load beside them until the last trainer is
-// done.
+// train runs the trainers together with the live load until all trainers are done.
 func (r *run) train(ctx context.Context) error {
 	liveContext, stopLive := context.WithCancel(ctx)
 	defer stopLive()
 	var liveError error
 	var sending sync.WaitGroup
-	sending.Go(func() { r.beside, liveError = r.sendLive(liveContext, phaseBeside, runTimeout) })
-	r.began = time.Now()
+	sending.Go(func() { r.withTrainers, liveError = r.sendLive(liveContext, phaseWithTrainers, runTimeout) })
+	r.trainingStart = time.Now()
 	trainerError := r.runTrainers(ctx)
-	r.ended = time.Now()
+	r.trainingEnd = time.Now()
 	stopLive()
 	sending.Wait()
 	return firstError([]error{trainerError, liveError})
--- a/internal/bench/experiment/histories.go
+++ b/internal/bench/experiment/histories.go
@@ -8,14 +8,14 @@
 )
 
 // made sums up what engines did for one service.
-type made struct {
+type tokenTotals struct {
 	tokens       int
 	promptTokens int
 	cachedTokens int
 }
 
-func madeFor(histories []engine.History, service string) made {
-	var total made
+func totalsForService(histories []engine.History, service string) tokenTotals {
+	var total tokenTotals
 	for _, history := range histories {
 		for _, request := range history.Requests {
 			if request.Service != service {
@@ -23,13 +23,13 @@
 			}
 			total.promptTokens += request.PromptTokens
 			total.cachedTokens += request.CachedTokens
-			total.tokens += tokensOf(request)
+			total.tokens += generatedTokens(request)
 		}
 	}
 	return total
 }
 
-func tokensOf(request engine.RequestHistory) int {
+func generatedTokens(request engine.RequestHistory) int {
 	tokens := 0
 	for _, span := range request.Spans {
 		tokens += span.To - span.From
@@ -37,7 +37,7 @@
 	return tokens
 }
 
-// poolResults sums up the engines' work while the trainers ran.
+// poolResults summarizes the engines' work during the training phase.
 func (r *run) poolResults(histories []engine.History) []PoolResult {
 	results := make([]PoolResult, 0, len(r.Workload.Pools))
 	for _, pool := range r.Workload.Pools {
@@ -48,13 +48,13 @@
 
 func (r *run) poolResult(pool workload.Pool, histories []engine.History) PoolResult {
 	result := PoolResult{Pool: pool.Name, Engines: pool.Engines, Capacity: capacity(pool), LowestUtilisation: 1}
-	window := r.ended.Sub(r.began)
+	window := r.trainingEnd.Sub(r.trainingStart)
 	for _, history := range histories {
 		if !strings.HasPrefix(history.ID, pool.Name+"-") {
 			continue
 		}
-		busy, tokens := r.busy(history)
-		utilisation := ratio(busy, float64(pool.Batch)*float64(window.Nanoseconds()))
+		busyTime, tokens := r.busyTime(history)
+		utilisation := ratio(busyTime, float64(pool.Batch)*float64(window.Nanoseconds()))
 		result.Utilisation += utilisation / float64(pool.Engines)
 		result.LowestUtilisation = min(result.LowestUtilisation, utilisation)
 		result.HighestUtilisation = max(result.HighestUtilisation, utilisation)
@@ -66,16 +66,16 @@
 // busy returns the time, in nanoseconds, that the places of an engine's batch
 // were in use while the trainers ran, and the tokens made, a request that lies
 // partly outside counted in proportion.
-func (r *run) busy(history engine.History) (busy, tokens float64) {
-	began, ended := r.began.UnixNano(), r.ended.UnixNano()
+func (r *run) busyTime(history engine.History) (busyTime, tokens float64) {
+	trainingStart, trainingEnd := r.trainingStart.UnixNano(), r.trainingEnd.UnixNano()
 	for _, request := range history.Requests {
 		end := request.EndedUnixNS
 		if end == 0 {
-			end = ended
+			end = trainingEnd
 		}
-		inside := float64(max(0, min(end, ended)-max(request.StartedUnixNS, began)))
-		busy += inside
-		tokens += float64(tokensOf(request)) * ratio(inside, float64(end-request.StartedUnixNS))
+		inside := float64(max(0, min(end, trainingEnd)-max(request.StartedUnixNS, trainingStart)))
+		busyTime += inside
+		tokens += float64(generatedTokens(request)) * ratio(inside, float64(end-request.StartedUnixNS))
 	}
-	return busy, tokens
+	return busyTime, tokens
 }
--- a/internal/bench/experiment/measure.go
+++ b/internal/bench/experiment/measure.go
@@ -13,9 +13,9 @@
 	"github.com/corkpulley/corkpulley/internal/standin/trainer"
 )
 
-const highQuantile = 0.99
+const p99 = 0.99
 
-// measure reads the engines' histories and puts the result together.
+// measure computes the result from the recorded calls, trainer reports and engine histories.
 func (r *run) measure() (*Result, error) {
 	histories, err := r.deployment.Histories()
 	if err != nil {
@@ -25,7 +25,7 @@
 		Workload: r.Workload.Name,
 		Policy:   r.Policy,
 		Seed:     r.Seed,
-		Seconds:  r.ended.Sub(r.began).Seconds(),
+		Seconds:  r.trainingEnd.Sub(r.trainingStart).Seconds(),
 		Pools:    r.poolResults(histories),
 	}
 	r.addLive(result)
@@ -35,19 +35,19 @@
 
 func (r *run) addLive(result *Result) {
 	for index, service := range r.Workload.Live {
-		alone, beside := r.alone[index].Summary(), r.beside[index].Summary()
+		withoutTrainers, withTrainers := r.withoutTrainers[index].Summary(), r.withTrainers[index].Summary()
 		figures := LiveResult{
 			Service:    service.Service,
 			SharesPool: r.Workload.SharesPool(service.Service),
-			Alone:      liveFigures(alone),
-			Beside:     liveFigures(beside),
-			P99Ratio:   ratio(beside.TimeToFirstToken.P99, alone.TimeToFirstToken.P99),
+			Alone:      liveFigures(withoutTrainers),
+			Beside:     liveFigures(withTrainers),
+			P99Ratio:   ratio(withTrainers.TimeToFirstToken.P99, withoutTrainers.TimeToFirstToken.P99),
 		}
 		if figures.SharesPool {
 			result.LiveP99Ratio = max(result.LiveP99Ratio, figures.P99Ratio)
 		}
-		result.Broken += alone.Broken + beside.Broken
-		result.LiveFailed += alone.Requests - alone.OK + beside.Requests - beside.OK
+		result.Broken += withoutTrainers.Broken + withTrainers.Broken
+		result.LiveFailed += withoutTrainers.Requests - withoutTrainers.OK + withTrainers.Requests - withTrainers.OK
 		result.Live = append(result.Live, figures)
 	}
 }
@@ -66,29 +66,29 @@
 	work := make([][]stepWork, 0, len(r.trainers))
 	generated, accepted := 0, 0
 	for index, running := range r.trainers {
-		described := r.Workload.Trainers[index]
-		steps := stepsOf(running, described.Steps)
+		spec := r.Workload.Trainers[index]
+		steps := stepsOf(running, spec.Steps)
 		work = append(work, steps)
-		figures := trainerResult(described, running.Report(), steps)
-		made := madeFor(histories, described.Service)
-		figures.GeneratedTokens = made.tokens
-		figures.PrefixHitShare = ratio(float64(made.cachedTokens), float64(made.promptTokens))
+		figures := trainerResult(spec, running.Report(), steps)
+		tokenTotals := totalsForService(histories, spec.Service)
+		figures.GeneratedTokens = tokenTotals.tokens
+		figures.PrefixHitShare = ratio(float64(tokenTotals.cachedTokens), float64(tokenTotals.promptTokens))
 		generated += figures.GeneratedTokens
 		accepted += figures.AcceptedTokens
 		result.Trainers = append(result.Trainers, figures)
-		r.addPromises(result, running.Report())
+		r.addViolations(result, running.Report())
 	}
 	r.addBounds(result, work)
 	result.DiscardedTokenShare = ratio(float64(generated-accepted), float64(generated))
 }
 
-func (r *run) addPromises(result *Result, report trainer.Report) {
+func (r *run) addViolations(result *Result, report trainer.Report) {
 	result.Stale += report.Stale
 	result.Broken += report.Duplicates + report.Lost + report.UnnamedVersions
 	result.IdleSeconds += report.IdleSeconds
 }
 
-// stepsOf returns the work of a trainer's steps by the samples that it accepted.
+// stepsOf returns the work of a trainer's steps, computed from its accepted samples.
 func stepsOf(running *trainer.Trainer, steps int) []stepWork {
 	work := make([]stepWork, steps)
 	for _, accepted := range running.Journal().Accepted() {
@@ -102,17 +102,17 @@
 	return work
 }
 
-func trainerResult(described workload.Trainer, report trainer.Report, steps []stepWork) TrainerResult {
+func trainerResult(spec workload.Trainer, report trainer.Report, steps []stepWork) TrainerResult {
 	figures := TrainerResult{
-		Service:       described.Service,
-		Bound:         described.Bound,
+		Service:       spec.Service,
+		Bound:         spec.Bound,
 		Steps:         report.StepsTrained,
 		Samples:       report.SamplesAcknowledged,
 		IdleSeconds:   report.IdleSeconds,
 		IdleShare:     ratio(report.IdleSeconds, report.IdleSeconds+report.TrainSeconds),
 		StepSeconds:   stat.Mean(report.StepSeconds, nil),
 		StalenessMean: report.StalenessMean,
-		StalenessP99:  quantile(highQuantile, report.Staleness),
+		StalenessP99:  quantile(p99, report.Staleness),
 		StalenessMax:  report.StalenessMax,
 		Stale:         report.Stale,
 		Rejected:      report.Rejected,
@@ -124,7 +124,7 @@
 	return figures
 }
 
-// addBounds computes the lower bounds of the trainers of each pool.
+// addBounds adds the lower bounds of idle time for the trainers of each pool.
 func (r *run) addBounds(result *Result, work [][]stepWork) {
 	for _, pool := range r.Workload.Pools {
 		input := boundInput{
@@ -132,14 +132,14 @@
 			decodeStep:      pool.TokenInterval,
 		}
 		var members []int
-		for index, described := range r.Workload.Trainers {
-			if described.Pool != pool.Name {
+		for index, spec := range r.Workload.Trainers {
+			if spec.Pool != pool.Name {
 				continue
 			}
 			members = append(members, index)
 			input.steps = append(input.steps, work[index])
-			input.ahead = append(input.ahead, described.Ahead)
-			input.trainTime = append(input.trainTime, described.TrainTime)
+			input.ahead = append(input.ahead, spec.Ahead)
+			input.trainTime = append(input.trainTime, spec.TrainTime)
 		}
 		for position, idle := range lowerBound(input) {
 			figures := &result.Trainers[members[position]]
@@ -151,18 +151,19 @@
 	result.IdleRatioToBound = ratio(result.IdleSeconds, result.BoundIdleSeconds)
 }
 
-// liveTokensPerSecond is what live services took of a pool while trainers ran.
+// liveTokensPerSecond returns the rate at which a pool generated tokens for live
+// services during the training phase.
 func (r *run) liveTokensPerSecond(pool string) float64 {
 	tokens := 0
 	for index, service := range r.Workload.Live {
 		if service.Pool == pool {
-			tokens += r.beside[index].Summary().CompletionTokens
+			tokens += r.withTrainers[index].Summary().CompletionTokens
 		}
 	}
-	return ratio(float64(tokens), r.ended.Sub(r.began).Seconds())
+	return ratio(float64(tokens), r.trainingEnd.Sub(r.trainingStart).Seconds())
 }
 
-// capacity is the tokens a second that a pool makes with full batches.
+// capacity returns the tokens per second that a pool generates with full batches.
 func capacity(pool workload.Pool) float64 {
 	step := engine.StepTime(pool.TokenInterval, pool.Batch)
 	return float64(pool.Engines*pool.Batch) * float64(time.Second) / float64(step)
@@ -180,7 +181,7 @@
 	return stat.Quantile(part, stat.Empirical, sorted, nil)
 }
 
-// ratio is 0 when there is nothing to divide by.
+// ratio returns numerator/denominator, or 0 if the denominator is 0.
 func ratio(numerator, denominator float64) float64 {
 	if denominator == 0 {
 		return 0
--- a/internal/bench/experiment/result.go
+++ b/internal/bench/experiment/result.go
@@ -2,7 +2,8 @@
 
 import "github.com/corkpulley/corkpulley/internal/bench/live"
 
-// Result is what one run measured. Shares are 0..1; times are those of the run.
+// Result holds the measurements of one run. Shares are fractions (0..1); times are
+// not scaled by the workload's TimeScale.
 type Result struct {
 	Workload string          `json:"workload"`
 	Policy   string          `json:"policy"`
@@ -14,28 +15,29 @@
 	Totals
 }
 
-// Totals are the figures of a run that comparisons are made of.
+// Totals holds the measurements of a run that Comparison summarizes.
 type Totals struct {
-	// IdleSeconds is the time that all trainers waited for samples;
-	// BoundIdleSeconds is the least that it could be (see Bound).
+	// IdleSeconds is the sum of the times that trainers waited for samples;
+	// BoundIdleSeconds is its lower bound (see lowerBound).
 	IdleSeconds      float64 `json:"idle_seconds"`
 	BoundIdleSeconds float64 `json:"bound_idle_seconds"`
 	IdleRatioToBound float64 `json:"idle_ratio_to_bound"`
-	// DiscardedTokenShare is the part of the tokens made for trainers that is in
-	// no accepted sample.
+	// DiscardedTokenShare is the share of tokens generated for trainers that are
+	// not part of an accepted sample.
 	DiscardedTokenShare float64 `json:"discarded_token_share"`
-	// Stale counts samples that a trainer accepted beyond its bound.
+	// Stale counts samples that a trainer accepted beyond its staleness bound.
 	Stale int `json:"stale"`
-	// LiveP99Ratio is the p99 of the time to the first token beside the trainers
-	// to that without them: the highest of the services on trainers' engines.
+	// LiveP99Ratio is the p99 time to first token with trainers divided by that
+	// without them: the maximum over live services that share a pool with trainers.
 	LiveP99Ratio float64 `json:"live_p99_ratio"`
-	// Broken counts broken promises: answers, duplicates, lost samples and
-	// versions not named. LiveFailed counts live calls not answered whole.
+	// Broken counts violated invariants: invalid live responses, duplicate and
+	// lost samples, and tokens without a version. LiveFailed counts live calls
+	// without a complete and valid response.
 	Broken     int `json:"broken"`
 	LiveFailed int `json:"live_failed"`
 }
 
-// TrainerResult is what one trainer counted.
+// TrainerResult holds the measurements of one trainer.
 type TrainerResult struct {
 	Service          string  `json:"service"`
 	Bound            int     `json:"staleness_bound"`
@@ -44,8 +46,8 @@
 	IdleShare        float64 `json:"idle_share"`
 	IdleSeconds      float64 `json:"idle_seconds"`
 	BoundIdleSeconds float64 `json:"bound_idle_seconds"`
-	// StepSeconds is the mean time of a step, from its begin to its published
-	// version; BoundStepSeconds is the lower bound of that mean.
+	// StepSeconds is the mean duration of a step, from its start until its version
+	// is published; BoundStepSeconds is the lower bound of that mean.
 	StepSeconds      float64 `json:"step_seconds"`
 	BoundStepSeconds float64 `json:"bound_step_seconds"`
 	StalenessMean    float64 `json:"staleness_mean"`
@@ -56,21 +58,22 @@
 	AcceptedTokens   int     `json:"accepted_tokens"`
 	GeneratedTokens  int     `json:"generated_tokens"`
 	LongestSample    int     `json:"longest_sample_tokens"`
-	// PrefixHitShare is the part of the prompts' tokens that engines had cached.
+	// PrefixHitShare is the share of prompt tokens found in the engines' prefix caches.
 	PrefixHitShare float64 `json:"prefix_hit_share"`
 }
 
-// LiveResult is what the callers of one service saw.
+// LiveResult holds the measurements by the callers of one service: Alone without
+// trainers, Beside with trainers running.
 type LiveResult struct {
 	Service string `json:"service"`
-	// SharesPool: its engines serve trainers too.
+	// SharesPool reports whether the service's engines also serve trainers.
 	SharesPool bool        `json:"shares_pool"`
 	Alone      LiveFigures `json:"alone"`
 	Beside     LiveFigures `json:"beside"`
 	P99Ratio   float64     `json:"p99_ratio"`
 }
 
-// LiveFigures are the figures of one service in one part of a run.
+// LiveFigures holds the measurements of one service in one phase of a run.
 type LiveFigures struct {
 	Requests       int            `json:"requests"`
 	OK             int            `json:"ok"`
@@ -79,17 +82,17 @@
 	PrefixHitShare float64        `json:"prefix_hit_share"`
 }
 
-// PoolResult is what the engines of a pool did while the trainers ran, by their
-// own histories.
+// PoolResult holds the measurements of a pool during the training phase, computed
+// from the engines' histories.
 type PoolResult struct {
 	Pool    string `json:"pool"`
 	Engines int    `json:"engines"`
-	// Utilisation is the mean part of the batches' places in use.
+	// Utilisation is the mean share (0..1) of batch slots in use.
 	Utilisation float64 `json:"utilisation"`
-	// LowestUtilisation and HighestUtilisation are those of single engines.
+	// LowestUtilisation and HighestUtilisation are the extremes over single engines.
 	LowestUtilisation  float64 `json:"lowest_utilisation"`
 	HighestUtilisation float64 `json:"highest_utilisation"`
 	TokensPerSecond    float64 `json:"tokens_per_second"`
-	// Capacity is the tokens a second that full batches make.
+	// Capacity is the tokens per second that the pool generates with full batches.
 	Capacity float64 `json:"capacity_tokens_per_second"`
 }
