--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -1,4 +1,4 @@
-// Package report prints the results of experiments as tables for people.
+// Package report prints the results of experiments as human-readable tables.
 package report
 
 import (
@@ -18,10 +18,10 @@
 	percent    = 100
 )
 
-// Write prints the setting, a table for each kind of measure, and the medians.
-func Write(output io.Writer, described *workload.Workload, results []experiment.Result, comparison experiment.Comparison) error {
+// Write prints the workload, a table for each kind of measurement, and the medians.
+func Write(output io.Writer, spec *workload.Workload, results []experiment.Result, comparison experiment.Comparison) error {
 	var text strings.Builder
-	writeSetting(&text, described)
+	writeWorkload(&text, spec)
 	writeTotals(&text, results)
 	writeTrainers(&text, results)
 	writeLive(&text, results)
@@ -33,25 +33,25 @@
 	return nil
 }
 
-func writeSetting(text *strings.Builder, described *workload.Workload) {
-	fmt.Fprintf(text, "workload %s: zones %s\n", described.Name, strings.Join(described.Zones, ", "))
-	for _, pool := range described.Pools {
+func writeWorkload(text *strings.Builder, spec *workload.Workload) {
+	fmt.Fprintf(text, "workload %s: zones %s\n", spec.Name, strings.Join(spec.Zones, ", "))
+	for _, pool := range spec.Pools {
 		fmt.Fprintf(text, "  pool %s: %d engines, batches of %d, %s a token\n",
 			pool.Name, pool.Engines, pool.Batch, pool.TokenInterval)
 	}
-	fmt.Fprintf(text, "  one second stands for %.0f; links are not scaled: %s between zones and %s to callers one way,\n"+
-		"  rounded up to whole milliseconds, so what the path costs weighs %.0f times too much here\n",
-		described.TimeScale, described.ZoneLatency, described.ClientLatency, described.TimeScale)
+	fmt.Fprintf(text, "  one second stands for %.0f; link latencies are not scaled: %s between zones and %s to callers, one way,\n"+
+		"  so network latency is overrepresented by a factor of %.0f\n",
+		spec.TimeScale, spec.ZoneLatency, spec.ClientLatency, spec.TimeScale)
 }
 
-// table prints rows of cells separated by tabs, in columns.
+// table prints a title and aligned columns. Cells of the header and of rows are separated by "|".
 func table(text *strings.Builder, title, header string, rows []string) {
 	fmt.Fprintf(text, "\n%s\n", title)
 	writer := tabwriter.NewWriter(text, 0, 0, tabPadding, ' ', tabwriter.AlignRight)
 	for _, row := range append([]string{header}, rows...) {
 		_, _ = fmt.Fprintf(writer, "%s\t\n", strings.ReplaceAll(row, "|", "\t"))
 	}
-	_ = writer.Flush() // a strings.Builder takes every write
+	_ = writer.Flush() // writes to a strings.Builder never fail
 }
 
 func writeTotals(text *strings.Builder, results []experiment.Result) {
@@ -62,7 +62,7 @@
 			percent*result.DiscardedTokenShare, result.Stale, result.LiveP99Ratio, result.LiveFailed, result.Broken))
 	}
 	table(text, "runs (idle: sum over trainers)",
-		"policy|seed|run s|idle s|bound s|idle/bound|discarded|stale|live p99 ratio|live failed|broken", rows)
+		"policy|seed|run s|idle s|bound s|idle/bound|discarded|stale|live p99 ratio|live failed|violations", rows)
 }
 
 func writeTrainers(text *strings.Builder, results []experiment.Result) {
@@ -75,7 +75,7 @@
 				trainer.Samples, trainer.LongestSample, percent*trainer.PrefixHitShare))
 		}
 	}
-	table(text, "trainers (staleness in versions at the acknowledgement)",
+	table(text, "trainers (staleness in versions at acknowledgement)",
 		"policy|seed|trainer|idle|step s|bound s|stale mean|p99|max|limit|samples|longest|prefix hits", rows)
 }
 
@@ -86,7 +86,7 @@
 			for _, part := range []struct {
 				name    string
 				figures experiment.LiveFigures
-			}{{"alone", service.Alone}, {"beside trainers", service.Beside}} {
+			}{{"alone", service.Alone}, {"with trainers", service.Beside}} {
 				rows = append(rows, fmt.Sprintf("%s|%d|%s|%s|%d/%d|%.1f|%.1f|%.1f|%.1f|%.1f %%",
 					result.Policy, result.Seed, service.Service, part.name, part.figures.OK, part.figures.Requests,
 					part.figures.FirstToken.P50, part.figures.FirstToken.P99, part.figures.Latency.P50, part.figures.Latency.P99,
@@ -95,7 +95,7 @@
 		}
 	}
 	table(text, "live calls (milliseconds)",
-		"policy|seed|service|load|whole|first p50|first p99|all p50|all p99|prefix hits", rows)
+		"policy|seed|service|load|complete|first p50|first p99|total p50|total p99|prefix hits", rows)
 }
 
 func writePools(text *strings.Builder, results []experiment.Result) {
@@ -107,7 +107,7 @@
 				percent*pool.LowestUtilisation, percent*pool.HighestUtilisation, pool.TokensPerSecond, pool.Capacity))
 		}
 	}
-	table(text, "engines while the trainers ran (places of the batches in use)",
+	table(text, "engines during training (batch slots in use)",
 		"policy|seed|pool|engines|in use|single engines|tokens/s|capacity", rows)
 }
 
--- a/internal/bench/report/report_test.go
+++ b/internal/bench/report/report_test.go
@@ -10,8 +10,8 @@
 	"github.com/corkpulley/corkpulley/internal/bench/workload"
 )
 
-func TestReportNamesEveryMeasureAndTheScale(t *testing.T) {
-	described, err := workload.ByName("odalaigh")
+func TestWriteIncludesAllMeasurementsAndTimeScale(t *testing.T) {
+	spec, err := workload.ByName("odalaigh")
 	assert.NilError(t, err)
 	results := []experiment.Result{{
 		Policy: "default", Seed: 3,
@@ -20,9 +20,9 @@
 		Pools:    []experiment.PoolResult{{Pool: "drafting", Engines: 11, Utilisation: 0.64}},
 		Totals:   experiment.Totals{IdleSeconds: 2, BoundIdleSeconds: 1, IdleRatioToBound: 2, DiscardedTokenShare: 0.031},
 	}}
-	plan := experiment.Plan{Workload: described, Policies: []string{"default"}, FirstSeed: 3, Seeds: 1}
+	plan := experiment.Plan{Workload: spec, Policies: []string{"default"}, FirstSeed: 3, Seeds: 1}
 	var text strings.Builder
-	assert.NilError(t, Write(&text, described, results, plan.Compare(results)))
+	assert.NilError(t, Write(&text, spec, results, plan.Compare(results)))
 	for _, wanted := range []string{
 		"galway, westport, ballina", "one second stands for 60", "drafting: 11 engines",
 		"season-rules", "50.0 %", "permit-desk", "64 %", "3.1 %", "idle/bound 2.00",
