--- a/internal/bench/pathcost/hop.go
+++ b/internal/bench/pathcost/hop.go
@@ -25,13 +25,13 @@
 
 const loopback = "127.0.0.1:0"
 
-// hop is one process's part of a way to the engine, once it listens.
+// hop is a listening server on a route to the engine.
 type hop struct {
 	address string
 	close   func()
 }
 
-// serveHTTP starts an HTTP server on a port of its own.
+// serveHTTP starts an HTTP server on a free loopback port.
 func serveHTTP(handler http.Handler) (*hop, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -42,20 +42,19 @@
 	return &hop{address: listener.Addr().String(), close: func() { _ = server.Close() }}, nil
 }
 
-// newPlain is the baseline: the standard library's reverse proxy handler, on the
-// same kind of transport as the dispatcher's. It flushes each chunk, as it does
-// for every streamed answer.
-func newPlain(engineAddress string) (*hop, error) {
+// newReverseProxy starts the baseline: the standard library's reverse proxy with
+// the dispatcher's type of transport. It flushes after each chunk.
+func newReverseProxy(engineAddress string) (*hop, error) {
 	handler := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: engineAddress})
 	handler.Transport = enginehttp.NewTransport()
 	handler.FlushInterval = -1
-	return serveHTTP(bodyFirst(handler))
+	return serveHTTP(bufferRequestBody(handler))
 }
 
-// bodyFirst reads the request's body before the handler runs. The engine starts
-// its answer at once, and net/http closes the body of a request when its answer
-// starts: the handler would lose the answer while it still reads the body.
-func bodyFirst(next http.Handler) http.Handler {
+// bufferRequestBody reads the request body before calling next. net/http closes
+// the request body once the response starts, and the engine responds at once, so
+// a proxy that was still reading the body would fail.
+func bufferRequestBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(request.Body)
 		if err != nil {
@@ -67,11 +66,11 @@
 	})
 }
 
-// newGateway is the first hop: gateway, router and peer transport.
+// newGateway starts the first hop: gateway, router and peer transport.
 func newGateway(dispatcherAddress string, logs io.Writer) (*hop, error) {
 	logger := zerolog.New(logs)
 	registry := prometheus.NewRegistry()
-	world := &standalone{self: gatewayID, dispatcher: dispatcherAddress}
+	static := &staticCluster{self: gatewayID, dispatcher: dispatcherAddress}
 	transport := peer.New(peer.Options{
 		NodeID: gatewayID, ListenAddress: loopback, Logger: logger, Registerer: registry,
 	})
@@ -79,12 +78,12 @@
 		return nil, err
 	}
 	cells := router.New(router.Options{
-		NodeID: gatewayID, Zone: zone, Caller: transport, View: world, Announcer: world,
-		Tables: world, Logger: logger, Registerer: registry,
+		NodeID: gatewayID, Zone: zone, Caller: transport, View: static, Announcer: static,
+		Tables: static, Logger: logger, Registerer: registry,
 	})
 	callers := mux.NewRouter()
 	gateway.New(gateway.Options{
-		NodeID: gatewayID, Router: cells, Tables: world, Logger: logger, Registerer: registry,
+		NodeID: gatewayID, Router: cells, Tables: static, Logger: logger, Registerer: registry,
 	}).Register(callers)
 	served, err := serveHTTP(callers)
 	if err != nil {
@@ -96,8 +95,8 @@
 	}}, nil
 }
 
-// newDispatcher is the second hop: peer transport, dispatcher and engine client.
-// It returns once the engine is in service.
+// newDispatcher starts the second hop: peer transport, dispatcher and engine
+// client. It returns once the engine is serving.
 func newDispatcher(ctx context.Context, engineAddress string, logs io.Writer) (*hop, error) {
 	logger := zerolog.New(logs)
 	registry := prometheus.NewRegistry()
@@ -107,11 +106,11 @@
 	if err := transport.Listen(); err != nil {
 		return nil, err
 	}
-	world := &standalone{self: dispatcherID, dispatcher: transport.Address(), engine: engineAddress}
+	static := &staticCluster{self: dispatcherID, dispatcher: transport.Address(), engine: engineAddress}
 	queues := dispatcher.New(dispatcher.Options{
 		NodeID: dispatcherID, PeerAddress: transport.Address(), Zone: zone, Registry: transport,
-		View: world, Announcer: world, EngineList: world, EngineClient: enginehttp.NewHTTP(nil),
-		Tables: world, Logger: logger, Registerer: registry,
+		View: static, Announcer: static, EngineList: static, EngineClient: enginehttp.NewHTTP(nil),
+		Tables: static, Logger: logger, Registerer: registry,
 	})
 	if err := transport.Start(); err != nil {
 		return nil, err
@@ -128,12 +127,12 @@
 	}}
 	if err := waitUntil(ctx, inService); err != nil {
 		served.close()
-		return nil, errors.Wrap(err, "wait for the engine")
+		return nil, errors.Wrap(err, "wait for the engine to be serving")
 	}
 	return served, nil
 }
 
-// closeTimeout bounds the wait for the streams of a transport that closes.
+// closeTimeout bounds the wait for open streams when a transport is closed.
 const closeTimeout = time.Second
 
 func closeTransport(transport *peer.Transport) {
--- a/internal/bench/pathcost/load.go
+++ b/internal/bench/pathcost/load.go
@@ -18,10 +18,10 @@
 	"github.com/corkpulley/corkpulley/internal/platform/enginehttp"
 )
 
-// requestIDs keeps the engine requests of all loads apart.
+// requestIDs generates unique numbers for request IDs and prompts.
 var requestIDs atomic.Uint64
 
-// client sends requests one way and knows the form of its answers.
+// client sends requests over one route and parses its response format.
 type client struct {
 	http    *http.Client
 	url     string
@@ -34,13 +34,13 @@
 	return &client{http: &http.Client{Transport: transport}, url: url}
 }
 
-// prompt tells the engine stand-in how long to answer.
+// prompt returns a unique prompt that makes the engine stand-in generate the given number of tokens.
 func prompt(tokens int) string {
 	return fmt.Sprintf("assessed value of parcel %d? [tokens=%d]", requestIDs.Add(1), tokens)
 }
 
-// newPlainClient speaks to the engine, through the plain handler.
-func newPlainClient(address string) *client {
+// newProxyClient returns a client that uses the engine's API through the reverse proxy.
+func newProxyClient(address string) *client {
 	created := newClient("http://" + address + enginehttp.PathGenerate)
 	created.body = func(tokens int) any {
 		return engine.GenerateRequest{
@@ -56,7 +56,7 @@
 	return created
 }
 
-// newPathClient speaks to the gateway and asks for events.
+// newPathClient returns a client that requests server-sent events from the gateway.
 func newPathClient(address string) *client {
 	created := newClient("http://" + address + "/v1/completions")
 	created.body = func(tokens int) any {
@@ -86,8 +86,8 @@
 	return created
 }
 
-// run sends the requests over so many streams at once and checks that each
-// answer is whole.
+// run sends the requests over the given number of concurrent streams and checks
+// that each response is complete.
 func (c *client) run(ctx context.Context, requests, streams, tokens int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(streams)
@@ -114,39 +114,39 @@
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		detail, _ := io.ReadAll(response.Body)
-		return errors.Errorf("%s answered %s: %s", c.url, response.Status, detail)
+		return errors.Errorf("%s responded with %s: %s", c.url, response.Status, detail)
 	}
 	received, err := c.read(response.Body)
 	if err != nil {
 		return err
 	}
 	if received != tokens {
-		return errors.Errorf("%s answered %d tokens, expected %d", c.url, received, tokens)
+		return errors.Errorf("%s returned %d tokens, expected %d", c.url, received, tokens)
 	}
 	return nil
 }
 
-// read counts the tokens of an answer.
+// read reads a response to its end and returns its number of tokens.
 func (c *client) read(body io.Reader) (int, error) {
 	lines := bufio.NewScanner(body)
 	received := 0
-	whole := false
+	complete := false
 	for lines.Scan() {
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
 		tokens, last, err := c.chunkOf(lines.Bytes())
 		if err != nil {
-			return received, errors.Wrap(err, "read answer")
+			return received, errors.Wrap(err, "parse response")
 		}
 		received += tokens
-		whole = whole || last
+		complete = complete || last
 	}
 	if err := lines.Err(); err != nil {
-		return received, errors.Wrap(err, "read answer")
+		return received, errors.Wrap(err, "read response")
 	}
-	if !whole {
-		return received, errors.New("the answer ended early")
+	if !complete {
+		return received, errors.New("response is truncated")
 	}
 	return received, nil
 }
--- a/internal/bench/pathcost/measure.go
+++ b/internal/bench/pathcost/measure.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// longRequests and shortRequests are sent for each stream in one round.
+	// longRequests and shortRequests are the numbers of requests per stream and round.
 	longRequests  = 4
 	shortRequests = 16
-	// shortTokens is the length of a short answer: nearly all of its cost is
-	// that of the request.
+	// shortTokens is the length of a short response, whose cost is almost
+	// entirely the fixed cost per request.
 	shortTokens = 1
 )
 
-// way is one way to the engine with the processes that make it up.
-type way struct {
+// route is one of the compared routes to the engine. usages holds the usage
+// endpoint of each of its processes.
+type route struct {
 	client *client
 	usages []string
 }
 
-// measure starts the processes, and measures both ways in turn.
+// measure starts the processes and measures both routes alternately.
 func measure(ctx context.Context, arguments *Arguments) (Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -34,7 +35,7 @@
 	}
 	group := &process.Group{}
 	defer group.KillAll()
-	plain, path, err := startWays(ctx, group, engineAddress)
+	plain, path, err := startRoutes(ctx, group, engineAddress)
 	if err != nil {
 		return Report{}, err
 	}
@@ -48,7 +49,7 @@
 		if err != nil {
 			return Report{}, errors.Wrap(err, "path")
 		}
-		// The first round warms connections and memory up.
+		// The first round is a warm-up and is not counted.
 		if round > 0 {
 			samples.add(plainSides[0], pathSides)
 		}
@@ -56,23 +57,23 @@
 	return samples.report(arguments), nil
 }
 
-// startEngine runs the stand-in in this process, which is not measured.
+// startEngine runs the engine stand-in in this process, whose usage is not measured.
 func startEngine(ctx context.Context, arguments *Arguments) (string, error) {
 	engine := standin.New(standin.Config{
 		ID: engineID, Zone: zone, Pool: pool, Models: []string{model},
 		MaxBatch: maxStreams, TokenInterval: arguments.TokenInterval,
 	})
-	ended := make(chan error, 1)
-	go func() { ended <- engine.Run(ctx) }()
+	exited := make(chan error, 1)
+	go func() { exited <- engine.Run(ctx) }()
 	select {
 	case <-engine.Ready():
 		return engine.Address(), nil
-	case err := <-ended:
-		return "", errors.Wrap(err, "engine stand-in ended")
+	case err := <-exited:
+		return "", errors.Wrap(err, "engine stand-in stopped")
 	}
 }
 
-func startWays(ctx context.Context, group *process.Group, engineAddress string) (plain, path way, err error) {
+func startRoutes(ctx context.Context, group *process.Group, engineAddress string) (plain, path route, err error) {
 	baseline, err := startHop(ctx, group, hopPlain, engineAddress)
 	if err != nil {
 		return plain, path, err
@@ -85,13 +86,13 @@
 	if err != nil {
 		return plain, path, err
 	}
-	plain = way{client: newPlainClient(baseline.Address), usages: []string{baseline.Usage}}
-	path = way{client: newPathClient(first.Address), usages: []string{first.Usage, second.Usage}}
+	plain = route{client: newProxyClient(baseline.Address), usages: []string{baseline.Usage}}
+	path = route{client: newPathClient(first.Address), usages: []string{first.Usage, second.Usage}}
 	return plain, path, nil
 }
 
-// round measures each process of the way once.
-func (w *way) round(ctx context.Context, arguments *Arguments) ([]Side, error) {
+// round measures each process of the route once.
+func (w *route) round(ctx context.Context, arguments *Arguments) ([]Side, error) {
 	short := arguments.Streams * shortRequests
 	shortUsages, err := w.load(ctx, short, arguments.Streams, shortTokens)
 	if err != nil {
@@ -109,8 +110,8 @@
 	return sides, nil
 }
 
-// load sends requests and returns what each process of the way used for them.
-func (w *way) load(ctx context.Context, requests, streams, tokens int) ([]Usage, error) {
+// load sends requests and returns the resources that each process of the route used for them.
+func (w *route) load(ctx context.Context, requests, streams, tokens int) ([]Usage, error) {
 	before, err := w.usage(ctx)
 	if err != nil {
 		return nil, err
@@ -128,7 +129,7 @@
 	return after, nil
 }
 
-func (w *way) usage(ctx context.Context) ([]Usage, error) {
+func (w *route) usage(ctx context.Context) ([]Usage, error) {
 	usages := make([]Usage, len(w.usages))
 	for index, address := range w.usages {
 		usage, err := readUsage(ctx, address)
--- a/internal/bench/pathcost/pathcost.go
+++ b/internal/bench/pathcost/pathcost.go
@@ -1,9 +1,9 @@
-// Package pathcost measures what a request and a relayed token chunk cost in
-// processor time and allocations on the way through a gateway and a dispatcher
-// (two processes, peer frames between them, HTTP to an engine stand-in),
-// against the standard library's reverse proxy handler before the same engine.
-// Both are measured in turn in one run, so that the ratio holds on a machine
-// that does other work too.
+// Package pathcost measures the CPU time and allocations per request and per
+// relayed token chunk of the path through a gateway and a dispatcher (two
+// processes connected by the peer transport, HTTP to an engine stand-in),
+// compared with the standard library's reverse proxy in front of the same
+// engine. Both are measured alternately in one run, so that the ratio is less
+// sensitive to other load on the host.
 package pathcost
 
 import (
@@ -50,7 +50,7 @@
 	}
 }
 
-// Run runs the command: a measurement, or one of its own processes.
+// Run runs the measurement or, with --serve, one of the processes that it starts.
 func Run(ctx context.Context, arguments *Arguments, output io.Writer) error {
 	if arguments.Serve != "" {
 		return serve(ctx, arguments.Serve, arguments.Upstream, output)
@@ -68,22 +68,22 @@
 	return report.print(output)
 }
 
-// Cost is what one unit costs in a process, or in several together.
+// Cost is the cost of one request or chunk in a process, or the sum over several processes.
 type Cost struct {
-	// Microseconds of processor time, user and system.
+	// Microseconds is the CPU time, user and system.
 	Microseconds float64 `json:"cpu_us"`
-	// Allocations is the number of heap objects, Bytes their size.
+	// Allocations is the number of allocated heap objects, Bytes their total size.
 	Allocations float64 `json:"allocations"`
 	Bytes       float64 `json:"bytes"`
 }
 
-// Side is the cost of one way to the engine.
+// Side is the cost of one route to the engine or of one of its processes.
 type Side struct {
 	PerChunk   Cost `json:"per_chunk"`
 	PerRequest Cost `json:"per_request"`
 }
 
-// Report is the result of a run: medians over the rounds.
+// Report holds the results of a run: medians over the rounds.
 type Report struct {
 	Rounds     int  `json:"rounds"`
 	Streams    int  `json:"streams"`
@@ -92,8 +92,8 @@
 	Path       Side `json:"path"`
 	Gateway    Side `json:"gateway"`
 	Dispatcher Side `json:"dispatcher"`
-	// The ratios are Path to Plain: of the medians, and the lowest and highest
-	// of one round.
+	// Ratios of CPU time, Path to Plain: of the medians, and the lowest and
+	// highest of a single round.
 	ChunkRatio        float64 `json:"cpu_ratio_per_chunk"`
 	ChunkRatioLowest  float64 `json:"cpu_ratio_per_chunk_lowest"`
 	ChunkRatioHighest float64 `json:"cpu_ratio_per_chunk_highest"`
@@ -112,7 +112,7 @@
 			chunk.Microseconds, chunk.Allocations, chunk.Bytes,
 			request.Microseconds, request.Allocations, request.Bytes)
 	}
-	text += fmt.Sprintf("processor time, path to plain: %.2f per chunk (rounds %.2f to %.2f), %.2f per request\n",
+	text += fmt.Sprintf("CPU time ratio, path to plain: %.2f per chunk (rounds %.2f to %.2f), %.2f per request\n",
 		r.ChunkRatio, r.ChunkRatioLowest, r.ChunkRatioHighest, r.RequestRatio)
 	_, err := io.WriteString(output, text)
 	return err
--- a/internal/bench/pathcost/process.go
+++ b/internal/bench/pathcost/process.go
@@ -14,7 +14,7 @@
 	"github.com/corkpulley/corkpulley/internal/bench/process"
 )
 
-// Names of the hops, for --serve.
+// Values of --serve.
 const (
 	hopPlain      = "plain"
 	hopGateway    = "gateway"
@@ -24,16 +24,16 @@
 // startTimeout bounds the start of one process.
 const startTimeout = 30 * time.Second
 
-// announcement is the line with which a process of this command tells that it
-// serves, and where.
+// announcement is the line that a process started by this command prints once it
+// listens: its address and that of its usage endpoint.
 type announcement struct {
 	Address string `json:"path_cost_address"`
 	Usage   string `json:"path_cost_usage"`
 }
 
-const announcementMark = `{"path_cost_address"`
+const announcementPrefix = `{"path_cost_address"`
 
-// serve is the life of one process of this command.
+// serve runs one hop and its usage endpoint until ctx is done.
 func serve(ctx context.Context, name, upstream string, output io.Writer) error {
 	served, err := newHop(ctx, name, upstream)
 	if err != nil {
@@ -56,7 +56,7 @@
 func newHop(ctx context.Context, name, upstream string) (*hop, error) {
 	switch name {
 	case hopPlain:
-		return newPlain(upstream)
+		return newReverseProxy(upstream)
 	case hopGateway:
 		return newGateway(upstream, os.Stderr)
 	case hopDispatcher:
@@ -66,33 +66,33 @@
 	}
 }
 
-// startHop starts a hop as a process of this same binary.
+// startHop starts a hop as a child process of the same binary and waits for its announcement.
 func startHop(ctx context.Context, group *process.Group, name, upstream string) (announcement, error) {
-	var told announcement
+	var announced announcement
 	binary, err := os.Executable()
 	if err != nil {
-		return told, errors.Wrap(err, "find this binary")
+		return announced, errors.Wrap(err, "find corkbench executable")
 	}
 	child, err := group.Start(process.Spec{
 		Name: name, Path: binary,
 		Arguments: []string{"path-cost", "--serve", name, "--upstream", upstream},
 	})
 	if err != nil {
-		return told, err
+		return announced, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	line, err := child.WaitLine(ctx, func(line string) bool { return strings.HasPrefix(line, announcementMark) })
+	line, err := child.WaitLine(ctx, func(line string) bool { return strings.HasPrefix(line, announcementPrefix) })
 	if err != nil {
-		return told, err
+		return announced, err
 	}
-	if err := json.Unmarshal([]byte(line), &told); err != nil {
-		return told, errors.Wrapf(err, "announcement of %s", name)
+	if err := json.Unmarshal([]byte(line), &announced); err != nil {
+		return announced, errors.Wrapf(err, "parse announcement of %s", name)
 	}
-	return told, nil
+	return announced, nil
 }
 
-// pollInterval is how often a condition is looked at.
+// pollInterval is the interval at which waitUntil checks its condition.
 const pollInterval = 5 * time.Millisecond
 
 func waitUntil(ctx context.Context, condition func() bool) error {
--- a/internal/bench/pathcost/samples.go
+++ b/internal/bench/pathcost/samples.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// perRequest is the cost of one of so many requests.
+// perRequest returns the mean cost of one request.
 func perRequest(usage Usage, requests int) Cost {
 	count := float64(requests)
 	return Cost{
@@ -15,14 +15,14 @@
 	}
 }
 
-// split tells the cost of a chunk from that of a request: short and long are
-// the costs of requests with shortTokens and so many tokens, a chunk for each.
+// split separates the cost per chunk from the fixed cost per request. short and
+// long are the costs of requests with shortTokens chunks and with tokens chunks.
 func split(short, long Cost, tokens int) Side {
 	chunk := long.plus(short, -1).scaled(1 / float64(tokens-shortTokens))
 	return Side{PerChunk: chunk, PerRequest: short.plus(chunk, -shortTokens)}
 }
 
-// plus returns the cost with the other one added so many times.
+// plus returns c + times*other.
 func (c Cost) plus(other Cost, times float64) Cost {
 	return Cost{
 		Microseconds: c.Microseconds + times*other.Microseconds,
@@ -37,12 +37,12 @@
 	return Side{PerChunk: s.PerChunk.plus(other.PerChunk, 1), PerRequest: s.PerRequest.plus(other.PerRequest, 1)}
 }
 
-// samples are the rounds of a run.
+// samples holds the results of each round.
 type samples struct {
 	plain, gateway, dispatcher, path []Side
 }
 
-// add takes in a round: the plain handler's side, and those of gateway and dispatcher.
+// add appends the results of one round. path holds those of the gateway and the dispatcher.
 func (s *samples) add(plain Side, path []Side) {
 	s.plain = append(s.plain, plain)
 	s.gateway = append(s.gateway, path[0])
@@ -93,7 +93,7 @@
 	}
 }
 
-// median sorts the values.
+// median returns the median of the values. It sorts them in place; there must be at least one.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	middle := len(values) / 2
--- a/internal/bench/pathcost/standalone.go
+++ b/internal/bench/pathcost/staticcluster.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// The one service of the measurement.
+// The service, its placement and the node IDs used by the measurement.
 const (
 	service      = "lookup"
 	model        = "clerk"
@@ -21,37 +21,39 @@
 	dispatcherID = "dispatcher"
 )
 
-// standalone is the cluster, table and machine list of a process that is
-// measured: they never change, so the data path alone is measured.
-type standalone struct {
+// staticCluster is the cluster view, policy table and machine list of a measured
+// process. It never changes, so that only the data path is measured.
+type staticCluster struct {
 	self string
 	// dispatcher is the peer address of the dispatcher.
 	dispatcher string
 	engine     string
 }
 
-var _ cluster.View = (*standalone)(nil)
+var _ cluster.View = (*staticCluster)(nil)
 
-func (s *standalone) member(id, address string) cluster.Member {
+func (s *staticCluster) member(id, address string) cluster.Member {
 	return cluster.Member{ID: id, Address: address, Zone: zone, State: cluster.StateAlive}
 }
 
 // Self implements cluster.View.
-func (s *standalone) Self() cluster.Member { return s.member(s.self, s.dispatcher) }
+func (s *staticCluster) Self() cluster.Member { return s.member(s.self, s.dispatcher) }
 
 // Members implements cluster.View.
-func (s *standalone) Members() []cluster.Member { return s.Candidates(zone) }
+func (s *staticCluster) Members() []cluster.Member { return s.Candidates(zone) }
 
 // Candidates implements cluster.View.
-func (s *standalone) Candidates(string) []cluster.Member {
+func (s *staticCluster) Candidates(string) []cluster.Member {
 	return []cluster.Member{s.member(dispatcherID, s.dispatcher)}
 }
 
 // Owner implements cluster.View.
-func (s *standalone) Owner(string) (cluster.Member, int64, bool) { return cluster.Member{}, 0, false }
+func (s *staticCluster) Owner(string) (cluster.Member, int64, bool) {
+	return cluster.Member{}, 0, false
+}
 
 // Cells implements cluster.View.
-func (s *standalone) Cells() []message.CellDigest {
+func (s *staticCluster) Cells() []message.CellDigest {
 	held := engine.ModelVersion{Model: model, Version: modelVersion}
 	return []message.CellDigest{{
 		Cell:    message.CellID{Zone: zone, Pool: pool},
@@ -64,31 +66,31 @@
 }
 
 // Reachability implements cluster.View.
-func (s *standalone) Reachability() (reachable, known int) { return 1, 1 }
+func (s *staticCluster) Reachability() (reachable, known int) { return 1, 1 }
 
 // LogContact implements cluster.View.
-func (s *standalone) LogContact() time.Time { return time.Now() }
+func (s *staticCluster) LogContact() time.Time { return time.Now() }
 
 // AnnounceOwned implements cluster.Announcer.
-func (s *standalone) AnnounceOwned([]cluster.Ownership) {}
+func (s *staticCluster) AnnounceOwned([]cluster.Ownership) {}
 
 // AnnounceCell implements cluster.Announcer.
-func (s *standalone) AnnounceCell(message.CellDigest) {}
+func (s *staticCluster) AnnounceCell(message.CellDigest) {}
 
 // ObserveCell implements cluster.Announcer.
-func (s *standalone) ObserveCell(message.CellDigest) {}
+func (s *staticCluster) ObserveCell(message.CellDigest) {}
 
 // AnnounceTableRevision implements cluster.Announcer.
-func (s *standalone) AnnounceTableRevision(int64) {}
+func (s *staticCluster) AnnounceTableRevision(int64) {}
 
 // AnnounceLogContact implements cluster.Announcer.
-func (s *standalone) AnnounceLogContact(time.Time) {}
+func (s *staticCluster) AnnounceLogContact(time.Time) {}
 
 // AnnounceLeaving implements cluster.Announcer.
-func (s *standalone) AnnounceLeaving() {}
+func (s *staticCluster) AnnounceLeaving() {}
 
 // Engines implements cluster.EngineList.
-func (s *standalone) Engines(string) []cluster.EngineMachine {
+func (s *staticCluster) Engines(string) []cluster.EngineMachine {
 	return []cluster.EngineMachine{{ID: engineID, Address: s.engine, Zone: zone, Pool: pool}}
 }
 
@@ -98,10 +100,10 @@
 }}}
 
 // Table implements policy.Source.
-func (s *standalone) Table() *policy.Table { return &table }
+func (s *staticCluster) Table() *policy.Table { return &table }
 
 // Changed implements policy.Source.
-func (s *standalone) Changed(int64) <-chan struct{} { return nil }
+func (s *staticCluster) Changed(int64) <-chan struct{} { return nil }
 
 // Current implements policy.Source.
-func (s *standalone) Current() error { return nil }
+func (s *staticCluster) Current() error { return nil }
--- a/internal/bench/pathcost/usage.go
+++ b/internal/bench/pathcost/usage.go
@@ -11,14 +11,14 @@
 	"github.com/go-faster/errors"
 )
 
-// Usage is what a process has used since its start.
+// Usage is the CPU time and heap allocations of a process since its start.
 type Usage struct {
 	Processor   time.Duration `json:"processor"`
 	Allocations uint64        `json:"allocations"`
 	Bytes       uint64        `json:"bytes"`
 }
 
-// ownUsage reads this process's usage.
+// ownUsage returns the usage of the current process.
 func ownUsage() (Usage, error) {
 	var resources syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &resources); err != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// handleUsage answers with ownUsage.
+// handleUsage responds with ownUsage as JSON.
 func handleUsage(writer http.ResponseWriter, _ *http.Request) {
 	usage, err := ownUsage()
 	if err != nil {
@@ -48,7 +48,7 @@
 	_ = json.NewEncoder(writer).Encode(usage)
 }
 
-// readUsage asks a process of this command for its usage.
+// readUsage gets the usage from the endpoint of a process started by this command.
 func readUsage(ctx context.Context, address string) (Usage, error) {
 	var usage Usage
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address, nil)
@@ -57,7 +57,7 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return usage, errors.Wrap(err, "ask for usage")
+		return usage, errors.Wrap(err, "get usage")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
