--- a/internal/bench/workload/cascadia.go
+++ b/internal/bench/workload/cascadia.go
@@ -4,16 +4,16 @@
 
 const nameCascadia = "cascadia"
 
-// timeScale: a weight version every four minutes becomes one every four
-// seconds.
+// timeScale is 60: a trainer that publishes a weight version every four minutes
+// in production publishes one every four seconds.
 const timeScale = 60
 
-// Groups of trainers' prompts differ in the length of their answers.
+// groupShortest is the minimum completion length in tokens of each group of trainer prompts.
 var groupShortest = []int{10, 12, 14, 16, 20, 32}
 
-// cascadia is the assessment division: three zones, nine valuation engines that
-// two trainers share with live valuations, and three engines for clerks. Late
-// rollouts cost it most, so its staleness bound is two versions.
+// cascadia returns a workload with three zones, nine valuation engines shared by
+// two trainers and a live service, and three engines for another live service.
+// Its staleness bound of two versions favors throughput over fresh samples.
 func cascadia() *Workload {
 	return &Workload{
 		Name:          nameCascadia,
@@ -23,21 +23,21 @@
 		ClientLatency: 3 * time.Millisecond,
 		TimeScale:     timeScale,
 		Pools: []Pool{
-			enginePool("valuation", 9, "valuation", "comparables", "appeals"),
-			enginePool("clerk", 3, "clerk"),
+			newPool("valuation", 9, "valuation", "comparables", "appeals"),
+			newPool("clerk", 3, "clerk"),
 		},
 		Live: []LiveService{
-			lookup("valuation-lookup", "valuation", "valuation", 50),
-			lookup("clerk-lookup", "clerk", "clerk", 20),
+			newLiveService("valuation-lookup", "valuation", "valuation", 50),
+			newLiveService("clerk-lookup", "clerk", "clerk", 20),
 		},
 		Trainers: []Trainer{
-			sampleTrainer("comparables", "valuation", 2),
-			sampleTrainer("appeals", "valuation", 2),
+			newTrainer("comparables", "valuation", 2),
+			newTrainer("appeals", "valuation", 2),
 		},
 	}
 }
 
-func enginePool(name string, engines int, models ...string) Pool {
+func newPool(name string, engines int, models ...string) Pool {
 	return Pool{
 		Name:            name,
 		Engines:         engines,
@@ -50,7 +50,7 @@
 	}
 }
 
-func lookup(service, pool, model string, rate float64) LiveService {
+func newLiveService(service, pool, model string, rate float64) LiveService {
 	return LiveService{
 		Service:     service,
 		Pool:        pool,
@@ -62,7 +62,7 @@
 	}
 }
 
-func sampleTrainer(service, pool string, bound int) Trainer {
+func newTrainer(service, pool string, bound int) Trainer {
 	return Trainer{
 		Service:          service,
 		Pool:             pool,
--- a/internal/bench/workload/deploy.go
+++ b/internal/bench/workload/deploy.go
@@ -14,14 +14,14 @@
 	weightBytes   = 1 << 20
 	livePriority  = 9
 	trainPriority = 3
-	// floor is the share of a pool, in percent, that stays in service while
-	// weights change.
+	// floor is the percentage of a pool's engines that keeps serving while
+	// weights are updated.
 	floor = 50
 )
 
 const tableHeader = "service,kind,pool,model,version,priority,share,staleness,cap,repeatable,zones,floor\n"
 
-// Deployment describes the processes of the workload under a scheduling policy.
+// Deployment returns the configuration of the workload's deployment under a scheduling policy.
 func (w *Workload) Deployment(binaries topology.Binaries, directory, policy string) topology.Config {
 	config := topology.Config{
 		Binaries:      binaries,
@@ -64,7 +64,7 @@
 	return engines
 }
 
-// Table returns the rows of all services, as CSV.
+// Table returns the policy table of all services as CSV.
 func (w *Workload) Table() string {
 	var table strings.Builder
 	table.WriteString(tableHeader)
@@ -84,7 +84,7 @@
 }
 
 // Loads returns the live load of each service, in the order of Live. The seed
-// fixes arrivals and prompts.
+// determines arrivals and prompts.
 func (w *Workload) Loads(addresses []string, seed uint64) []live.Load {
 	loads := make([]live.Load, 0, len(w.Live))
 	for index, service := range w.Live {
@@ -103,8 +103,8 @@
 	return loads
 }
 
-// TrainerConfigs returns the trainers, in the order of Trainers. The seed fixes
-// prompts and answers.
+// TrainerConfigs returns the trainers' configurations, in the order of Trainers.
+// The seed determines prompts and completions.
 func (w *Workload) TrainerConfigs(servers []string, store string, seed uint64) []trainer.Config {
 	configs := make([]trainer.Config, 0, len(w.Trainers))
 	for index, service := range w.Trainers {
--- a/internal/bench/workload/odalaigh.go
+++ b/internal/bench/workload/odalaigh.go
@@ -4,12 +4,11 @@
 
 const nameOdalaigh = "odalaigh"
 
-// odalaigh is the licence firm: three halls, eleven drafting engines that two
-// trainers share with live replies, and three engines for the permit desk, whose
-// permits are issued at most once. Stale drafts cost it most, so its staleness
-// bound is one version.
+// odalaigh returns a workload with three zones, eleven drafting engines shared by
+// two trainers and a live service, and three engines for a live service whose
+// requests must be executed at most once. Its staleness bound is one version.
 func odalaigh() *Workload {
-	permits := lookup("permit-desk", "permit", "permit", 20)
+	permits := newLiveService("permit-desk", "permit", "permit", 20)
 	permits.Keyed = true
 	return &Workload{
 		Name:          nameOdalaigh,
@@ -19,16 +18,16 @@
 		ClientLatency: 3 * time.Millisecond,
 		TimeScale:     timeScale,
 		Pools: []Pool{
-			enginePool("drafting", 11, "reply", "licence-replies", "season-rules"),
-			enginePool("permit", 3, "permit"),
+			newPool("drafting", 11, "reply", "licence-replies", "season-rules"),
+			newPool("permit", 3, "permit"),
 		},
 		Live: []LiveService{
-			lookup("reply-lookup", "drafting", "reply", 60),
+			newLiveService("reply-lookup", "drafting", "reply", 60),
 			permits,
 		},
 		Trainers: []Trainer{
-			sampleTrainer("licence-replies", "drafting", 1),
-			sampleTrainer("season-rules", "drafting", 1),
+			newTrainer("licence-replies", "drafting", 1),
+			newTrainer("season-rules", "drafting", 1),
 		},
 	}
 }
--- a/internal/bench/workload/workload.go
+++ b/internal/bench/workload/workload.go
@@ -1,5 +1,5 @@
-// Package workload describes the deployments that experiments run: engines,
-// zones, live services and trainers at their real numbers, with time scaled.
+// Package workload defines the deployments and loads of experiments: zones,
+// engines, live services and trainers in production numbers, with time scaled.
 package workload
 
 import (
@@ -8,81 +8,80 @@
 	"github.com/go-faster/errors"
 )
 
-// Workload is one deployment with its load. All times are those of the run; see
-// TimeScale for what they stand for.
+// Workload is a deployment with its load. Durations and rates apply to the run;
+// TimeScale relates them to production.
 type Workload struct {
 	Name   string
 	Region string
-	// Zones hold one node each; engines are dealt over them in turn.
+	// Zones have one node each; the engines of a pool are assigned to them round-robin.
 	Zones []string
-	// ZoneLatency and ClientLatency are added one way on the links between nodes
-	// and between callers and nodes. They are real times, not scaled.
+	// ZoneLatency and ClientLatency are the one-way latencies between nodes and
+	// between callers and nodes. They are not scaled.
 	ZoneLatency   time.Duration
 	ClientLatency time.Duration
 	Pools         []Pool
 	Live          []LiveService
 	Trainers      []Trainer
-	// TimeScale is how many seconds of the users' time one second of the run
-	// stands for.
+	// TimeScale is the number of production seconds that one second of the run represents.
 	TimeScale float64
 }
 
-// Pool is a group of equal engines.
+// Pool is a group of identically configured engines.
 type Pool struct {
 	Name    string
 	Engines int
-	// Models are held from the start, all at version 1.
+	// Models are loaded at startup, at version 1.
 	Models []string
-	// Batch is how many requests one engine runs at once, 1 or more.
+	// Batch is the maximum number of concurrent requests of one engine, at least 1.
 	Batch int
-	// TokenInterval is the decode step of a batch of one.
+	// TokenInterval is the time per token in a batch of one.
 	TokenInterval time.Duration
-	// PrefillPerToken is the time for each prompt token that is not cached.
+	// PrefillPerToken is the prefill time of each prompt token that is not cached.
 	PrefillPerToken time.Duration
-	// LoadTime is the pause of a model while a version is swapped in.
+	// LoadTime is how long a model is paused while a new version is loaded.
 	LoadTime time.Duration
-	// CacheTokens bounds the prefix cache of one engine.
+	// CacheTokens is the capacity of one engine's prefix cache, in tokens.
 	CacheTokens int
 }
 
-// LiveService is a service that people wait for.
+// LiveService is an interactive service with its load.
 type LiveService struct {
 	Service string
 	Pool    string
 	Model   string
-	// Rate is the mean number of arrivals a second.
+	// Rate is the mean number of arrivals per second.
 	Rate        float64
 	MaxTokens   int
 	Groups      int
 	PrefixBytes int
-	// Keyed services are not repeatable: each call has an idempotency key.
+	// Keyed marks a service that is not repeatable: each call has an idempotency key.
 	Keyed bool
 }
 
-// Trainer is a trainer and the model that it trains.
+// Trainer describes a trainer and the model that it trains.
 type Trainer struct {
 	Service string
 	Pool    string
 	Model   string
-	// Bound is the staleness bound of its row, in versions.
+	// Bound is the staleness bound in the policy table, in versions.
 	Bound int
-	// Ahead is how many steps are submitted ahead of the one that is trained.
+	// Ahead is the number of steps submitted ahead of the one being trained.
 	Ahead            int
 	Steps            int
 	Prompts          int
 	SamplesPerPrompt int
 	MaxTokens        int
-	// GroupShortest has, for each prompt group, the shortest answer in tokens;
-	// lengths above it follow a Pareto distribution.
+	// GroupShortest is the minimum completion length in tokens of each prompt
+	// group; lengths follow a Pareto distribution with this minimum.
 	GroupShortest []int
 	PrefixBytes   int
 	TrainTime     time.Duration
 }
 
-// Names lists the workloads that ByName knows.
+// Names lists the names accepted by ByName.
 var Names = []string{nameCascadia, nameOdalaigh}
 
-// ByName returns the workload of a name.
+// ByName returns the workload with the given name.
 func ByName(name string) (*Workload, error) {
 	switch name {
 	case nameCascadia:
@@ -94,7 +93,7 @@
 	}
 }
 
-// Pool returns the pool of a name, or nil.
+// Pool returns the pool with the given name, or nil.
 func (w *Workload) Pool(name string) *Pool {
 	for index := range w.Pools {
 		if w.Pools[index].Name == name {
@@ -104,8 +103,7 @@
 	return nil
 }
 
-// SharesPool reports whether a live service runs on engines that a trainer
-// uses too.
+// SharesPool reports whether a live service shares its pool with a trainer.
 func (w *Workload) SharesPool(service string) bool {
 	for _, live := range w.Live {
 		if live.Service != service {
