--- a/internal/bench/demo/config.go
+++ b/internal/bench/demo/config.go
@@ -8,8 +8,8 @@
 	"github.com/corkpulley/corkpulley/internal/standin/trainer"
 )
 
-// The deployment of the demonstration: live services and a trainer share the
-// engines of one pool.
+// Services, models and pool of the demo: two live services and a trainer share
+// one pool.
 const (
 	lookupService = "clerk-lookup"
 	permitService = "permit-desk"
@@ -63,8 +63,8 @@
 	return config
 }
 
-// liveLoads are plain and streamed lookups, and keyed permits that must run at
-// most once.
+// liveLoads returns the loads of the repeatable lookup service and of the permit
+// service, whose requests have idempotency keys and must be executed at most once.
 func liveLoads(addresses []string, duration time.Duration) []live.Load {
 	return []live.Load{
 		{
@@ -78,7 +78,7 @@
 	}
 }
 
-// secondsPerStep is about how long one of the trainer's steps takes.
+// secondsPerStep is the approximate duration of a training step.
 const secondsPerStep = 2
 
 func trainerConfig(deployment *topology.Deployment, duration time.Duration) trainer.Config {
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo starts a small deployment, sends live requests and trains a few
-// steps at the same time, and checks every answer and every sample.
+// Package demo runs a small deployment with live requests and a trainer at the
+// same time, and validates all responses and samples.
 package demo
 
 import (
@@ -18,14 +18,14 @@
 	"github.com/corkpulley/corkpulley/internal/standin/trainer"
 )
 
-// Arguments are the flags of the demonstration.
+// Arguments are the flags of "corkbench demo".
 type Arguments struct {
 	JSON    bool `arg:"--json" help:"end with one JSON object, the summary"`
 	Seconds int  `arg:"--seconds" default:"8" help:"how long live requests are sent (1..600)"`
 	Keep    bool `arg:"--keep" help:"leave the deployment running until SIGINT or SIGTERM"`
 }
 
-// Summary is what callers and the trainer counted.
+// Summary holds the counts of the live callers and the trainer.
 type Summary struct {
 	LiveRequests        int `json:"live_requests"`
 	LiveOK              int `json:"live_ok"`
@@ -36,51 +36,51 @@
 	Lost                int `json:"lost"`
 	Stale               int `json:"stale"`
 	UnnamedVersions     int `json:"unnamed_versions"`
-	// ExecutedTwice counts not repeatable requests that engines ran again.
+	// ExecutedTwice counts repeated executions of non-repeatable requests.
 	ExecutedTwice int `json:"executed_twice"`
-	// LatestVersion is the last weight version that the trainer published.
+	// LatestVersion is the latest weight version published by the trainer.
 	LatestVersion uint64         `json:"latest_version"`
 	Latency       live.Quantiles `json:"latency"`
 	FirstToken    live.Quantiles `json:"time_to_first_token"`
 }
 
-// broken returns why the demonstration failed, or nil.
-func (s *Summary) broken() error {
+// verify returns an error if an invariant was violated or requests or samples are missing.
+func (s *Summary) verify() error {
 	switch {
 	case s.LiveBroken > 0 || s.Duplicates > 0 || s.Lost > 0 || s.Stale > 0 || s.UnnamedVersions > 0 || s.ExecutedTwice > 0:
-		return errors.New("a promise was broken")
+		return errors.New("an invariant was violated")
 	case s.LiveOK < s.LiveRequests:
-		return errors.Errorf("%d of %d live requests were not answered whole", s.LiveRequests-s.LiveOK, s.LiveRequests)
+		return errors.Errorf("%d of %d live requests have no complete response", s.LiveRequests-s.LiveOK, s.LiveRequests)
 	case s.SamplesAcknowledged != s.SamplesWanted:
-		return errors.Errorf("%d of %d samples reached the trainer", s.SamplesAcknowledged, s.SamplesWanted)
+		return errors.Errorf("only %d of %d samples were acknowledged by the trainer", s.SamplesAcknowledged, s.SamplesWanted)
 	default:
 		return nil
 	}
 }
 
-// Bounds of a run.
+// Limits of a run.
 const (
 	maxSeconds = 600
-	// spareTime is what start, the trainer's last steps and the stop may take
-	// on top of the time that live requests are sent.
-	spareTime = 3 * time.Minute
-	// serveTimeout bounds the wait until all services are answered.
+	// extraRunTime bounds startup, the trainer's last steps and shutdown, in
+	// addition to the time that live requests are sent.
+	extraRunTime = 3 * time.Minute
+	// serveTimeout bounds the wait until every node serves each live service.
 	serveTimeout = time.Minute
 )
 
-// Run runs the demonstration. Progress goes to output, and with JSON set the
-// summary as its last line. No process is left behind.
+// Run runs the demo. It prints progress and then the summary to output, as one
+// JSON line if arguments.JSON is set. All processes are stopped before it returns.
 func Run(ctx context.Context, arguments *Arguments, output io.Writer) error {
 	if arguments.Seconds < 1 || arguments.Seconds > maxSeconds {
 		return errors.Errorf("--seconds is %d, expected 1..%d", arguments.Seconds, maxSeconds)
 	}
 	directory, err := os.MkdirTemp("", "corkpulley-demo-")
 	if err != nil {
-		return errors.Wrap(err, "make directory for logs")
+		return errors.Wrap(err, "create log directory")
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
 	duration := time.Duration(arguments.Seconds) * time.Second
-	bounded, cancel := context.WithTimeout(ctx, duration+spareTime)
+	bounded, cancel := context.WithTimeout(ctx, duration+extraRunTime)
 	defer cancel()
 	progress := &progress{output: output, started: time.Now()}
 	deployment, err := start(bounded, directory, progress)
@@ -88,21 +88,21 @@
 		return err
 	}
 	defer deployment.Close()
-	summary, err := exercise(bounded, deployment, duration, progress)
+	summary, err := runLoads(bounded, deployment, duration, progress)
 	if err != nil {
 		return err
 	}
 	if arguments.Keep {
-		keep(ctx, deployment, progress)
+		waitUntilDone(ctx, deployment, progress)
 	}
-	progress.say("stopping the nodes by plan")
+	progress.printLine("shutting down the nodes")
 	if err := deployment.StopNodes(context.WithoutCancel(bounded)); err != nil {
-		return errors.Wrap(err, "planned stop")
+		return errors.Wrap(err, "shut down nodes")
 	}
 	if err := printSummary(output, summary, arguments.JSON); err != nil {
 		return err
 	}
-	return summary.broken()
+	return summary.verify()
 }
 
 func start(ctx context.Context, directory string, progress *progress) (*topology.Deployment, error) {
@@ -111,14 +111,14 @@
 		return nil, err
 	}
 	config := deploymentConfig(binaries, directory)
-	progress.say("starting %d nodes in %d zones, %d engines and the platform's stand-ins",
+	progress.printLine("starting %d nodes in %d zones, %d engines and the platform stand-ins",
 		len(config.Nodes), len(zones), len(config.Engines))
 	deployment, err := topology.Start(ctx, config)
 	if err != nil {
 		return nil, err
 	}
 	for _, node := range deployment.Nodes() {
-		progress.say("node %s in %s: callers %s, operators %s", node.ID, node.Zone, node.Callers, node.Operators)
+		progress.printLine("node %s in %s: callers %s, operators %s", node.ID, node.Zone, node.Callers, node.Operators)
 	}
 	if err := waitServing(ctx, deployment); err != nil {
 		deployment.Close()
@@ -127,7 +127,7 @@
 	return deployment, nil
 }
 
-// waitServing waits until every node answers each live service.
+// waitServing waits until every node serves each live service.
 func waitServing(ctx context.Context, deployment *topology.Deployment) error {
 	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// exercise sends live requests and trains steps at the same time.
-func exercise(ctx context.Context, deployment *topology.Deployment, duration time.Duration, progress *progress) (*Summary, error) {
+// runLoads runs the live loads and the trainer concurrently and returns their summary.
+func runLoads(ctx context.Context, deployment *topology.Deployment, duration time.Duration, progress *progress) (*Summary, error) {
 	recorder := live.NewRecorder()
 	client := live.NewClient()
 	defer client.Close()
@@ -164,9 +164,9 @@
 		work.Go(func() { failures[i] = loads[i].Run(ctx, client, recorder) })
 	}
 	work.Go(func() { _, failures[len(loads)] = running.Run(ctx) })
-	stopReports := progress.reportEvery(func() string {
+	stopReports := progress.startReporting(func() string {
 		summary, report := recorder.Summary(), running.Report()
-		return fmt.Sprintf("live %d/%d whole, samples %d/%d acknowledged, trainer at version %d",
+		return fmt.Sprintf("live %d/%d complete, samples %d/%d acknowledged, trainer at version %d",
 			summary.OK, summary.Requests, report.SamplesAcknowledged, report.SamplesWanted, report.Version)
 	})
 	work.Wait()
@@ -177,7 +177,7 @@
 		}
 	}
 	if ctx.Err() != nil {
-		return nil, errors.Wrap(ctx.Err(), "demonstration was ended early")
+		return nil, errors.Wrap(ctx.Err(), "demo was interrupted")
 	}
 	executedTwice, err := countExecutedTwice(deployment)
 	if err != nil {
@@ -186,8 +186,8 @@
 	return summarize(recorder.Summary(), running.Report(), executedTwice), nil
 }
 
-// countExecutedTwice counts, over the engines' own histories, the requests of
-// the not repeatable service that an engine started after another had.
+// countExecutedTwice counts repeated executions of requests of the non-repeatable
+// service in the histories of all engines.
 func countExecutedTwice(deployment *topology.Deployment) (int, error) {
 	histories, err := deployment.Histories()
 	if err != nil {
@@ -227,11 +227,11 @@
 	}
 }
 
-func keep(ctx context.Context, deployment *topology.Deployment, progress *progress) {
+func waitUntilDone(ctx context.Context, deployment *topology.Deployment, progress *progress) {
 	for _, node := range deployment.Nodes() {
-		progress.say("kept: http://%s/v1/completions, corkctl --server http://%s status", node.Callers, node.Operators)
+		progress.printLine("kept: http://%s/v1/completions, corkctl --server http://%s status", node.Callers, node.Operators)
 	}
-	progress.say("running until SIGINT or SIGTERM")
+	progress.printLine("running until SIGINT or SIGTERM")
 	<-ctx.Done()
 }
 
@@ -240,8 +240,8 @@
 	if asJSON {
 		err = json.NewEncoder(output).Encode(summary)
 	} else {
-		_, err = fmt.Fprintf(output, "live: %d of %d answered whole, p99 %.1f ms to the first token\n"+
-			"trainer: %d of %d samples acknowledged; duplicates %d, lost %d, stale %d, unnamed versions %d\n",
+		_, err = fmt.Fprintf(output, "live: %d of %d responses complete, p99 time to first token %.1f ms\n"+
+			"trainer: %d of %d samples acknowledged; duplicates %d, lost %d, stale %d, missing versions %d\n",
 			summary.LiveOK, summary.LiveRequests, summary.FirstToken.P99, summary.SamplesAcknowledged, summary.SamplesWanted,
 			summary.Duplicates, summary.Lost, summary.Stale, summary.UnnamedVersions)
 	}
--- a/internal/bench/demo/progress.go
+++ b/internal/bench/demo/progress.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// reportInterval is the time between two progress lines.
+// reportInterval is the interval between progress reports.
 const reportInterval = time.Second
 
-// progress prints lines with the time since the start.
+// progress prints lines prefixed with the time since the start. It is safe for concurrent use.
 type progress struct {
 	mu      sync.Mutex
 	output  io.Writer
 	started time.Time
 }
 
-func (p *progress) say(format string, arguments ...any) {
+func (p *progress) printLine(format string, arguments ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	line := fmt.Sprintf(format, arguments...)
 	_, _ = fmt.Fprintf(p.output, "%6.1fs  %s\n", time.Since(p.started).Seconds(), line)
 }
 
-// reportEvery prints a report at each interval until the returned function is
-// called; no line follows after it returns.
-func (p *progress) reportEvery(report func() string) func() {
+// startReporting prints a report every reportInterval until the returned function
+// is called. No report is printed after that function returns.
+func (p *progress) startReporting(report func() string) func() {
 	stop := make(chan struct{})
 	stopped := make(chan struct{})
 	go func() {
@@ -36,7 +36,7 @@
 		for {
 			select {
 			case <-ticker.C:
-				p.say("%s", report())
+				p.printLine("%s", report())
 			case <-stop:
 				return
 			}
