--- a/internal/bench/standins/standins.go
+++ b/internal/bench/standins/standins.go
@@ -1,5 +1,5 @@
-// Package standins runs the platform's stand-ins as processes of their own, for
-// "corkbench standin".
+// Package standins implements "corkbench standin", which runs one platform
+// stand-in as a process.
 package standins
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/corkpulley/corkpulley/internal/standin/weightstore"
 )
 
-// Arguments chooses one stand-in; its flags are the fields of its Config.
+// Arguments selects one stand-in; its flags are the fields of its Config.
 type Arguments struct {
 	Log         *logservice.Config  `arg:"subcommand:log" help:"append-only log service"`
 	Engine      *engine.Config      `arg:"subcommand:engine" help:"model engine"`
@@ -32,27 +32,27 @@
 	Trainer     *trainer.Config     `arg:"subcommand:trainer" help:"trainer; prints its report when it is done"`
 }
 
-// Kinds of stand-ins that only this command runs.
+// Kinds of stand-ins that are not part of a topology.Deployment.
 const (
 	kindTrainer  = "trainer"
 	kindPlatform = "platform"
 )
 
-// listening is the line printed once a stand-in listens.
-type listening struct {
+// listeningLine is the line printed once a stand-in listens.
+type listeningLine struct {
 	Kind    string `json:"kind"`
 	Address string `json:"address"`
 }
 
-// service is a stand-in that listens by itself.
+// service is a stand-in with its own listener.
 type service interface {
 	Run(ctx context.Context) error
 	Ready() <-chan struct{}
 	Address() string
 }
 
-// Run runs the chosen stand-in until ctx ends, then stops it by plan. A server
-// prints one JSON line with its kind and address once it listens.
+// Run runs the selected stand-in until ctx is done, then shuts it down gracefully.
+// Once it listens, it prints one JSON line with its kind and address.
 func Run(ctx context.Context, arguments *Arguments, output io.Writer) error {
 	switch {
 	case arguments.Log != nil:
@@ -72,25 +72,25 @@
 	case arguments.Trainer != nil:
 		return runTrainer(ctx, *arguments.Trainer, output)
 	default:
-		return errors.New("no stand-in named: expected log, engine, weightstore, machines, scorer, platform or trainer")
+		return errors.New("missing stand-in: expected log, engine, weightstore, machines, scorer, platform or trainer")
 	}
 }
 
 func runService(ctx context.Context, kind string, server service, output io.Writer) error {
-	ended := make(chan error, 1)
-	go func() { ended <- server.Run(ctx) }()
+	exited := make(chan error, 1)
+	go func() { exited <- server.Run(ctx) }()
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		return err
 	case <-server.Ready():
 	}
 	if err := announce(kind, server.Address(), output); err != nil {
 		return err
 	}
-	return <-ended
+	return <-exited
 }
 
-// handlerService serves a stand-in that does not listen by itself.
+// handlerService adds a listener to a stand-in that is only an http.Handler.
 type handlerService struct {
 	*httpserver.Listener
 	handler http.Handler
@@ -105,14 +105,14 @@
 }
 
 func announce(kind, address string, output io.Writer) error {
-	if err := json.NewEncoder(output).Encode(listening{kind, address}); err != nil {
+	if err := json.NewEncoder(output).Encode(listeningLine{kind, address}); err != nil {
 		return errors.Wrap(err, "announce address")
 	}
 	return nil
 }
 
-// runTrainer answers its report at GET /v1/report while the trainer runs, and
-// prints it once all steps are trained or ctx ends.
+// runTrainer runs the trainer, serves its report at GET /v1/report meanwhile, and
+// prints the report once all steps are trained or ctx is done.
 func runTrainer(ctx context.Context, config trainer.Config, output io.Writer) error {
 	running := trainer.New(config)
 	serveContext, stopServing := context.WithCancel(context.Background())
@@ -130,7 +130,7 @@
 		return errors.Wrap(err, "print report")
 	}
 	if report.Broken() {
-		return errors.New("a promise to the trainer was broken")
+		return errors.New("the trainer observed a violated invariant")
 	}
 	return nil
 }
