--- a/internal/bench/experiment/experiment.go
+++ b/internal/bench/experiment/experiment.go
@@ -69,11 +69,11 @@
 	deployment *topology.Deployment
 	client     *live.Client
 
-	// alone and beside hold a recorder for each live service, in order.
+	// withoutTrainers and withTrainers hold a recorder for each live service, in the order of Workload.Live.
 	withoutTrainers []*live.Recorder
 	withTrainers    []*live.Recorder
 	trainers        []*trainer.Trainer
-	// began and ended bound the time in which the trainers ran.
+	// trainingStart and trainingEnd delimit the training phase.
 	trainingStart time.Time
 	trainingEnd   time.Time
 }
--- a/internal/bench/live/check.go
+++ b/internal/bench/live/check.go
@@ -80,8 +80,8 @@
 		add("%d tokens exceed the requested maximum of %d", len(tokens), outcome.Call.MaxTokens)
 	}
 	if fixed, found := lengthFromPrompt(outcome.Call.Prompt); found {
-		if whole := min(fixed, outcome.Call.MaxTokens); len(tokens) != whole {
-			add("%d tokens, but the complete response to this prompt has %d", len(tokens), whole)
+		if expected := min(fixed, outcome.Call.MaxTokens); len(tokens) != expected {
+			add("%d tokens, but the complete response to this prompt has %d", len(tokens), expected)
 		}
 	}
 	if outcome.FinishReason == "" {
--- a/internal/bench/live/client.go
+++ b/internal/bench/live/client.go
@@ -122,7 +122,7 @@
 		return errors.Wrap(err, "decode error response")
 	}
 	setError(document.Error, outcome)
-	if told := header.Get(api.HeaderExecuted); told != outcome.Executed {
+	if executed := header.Get(api.HeaderExecuted); executed != outcome.Executed {
 		fault := "error header and body disagree on whether the request was executed"
 		outcome.Faults = append(outcome.Faults, fault)
 	}
--- a/internal/bench/live/live_test.go
+++ b/internal/bench/live/live_test.go
@@ -66,11 +66,11 @@
 
 func TestSendRejectsCompletionOfUnexpectedLength(t *testing.T) {
 	three := newCompletion("0:3 1:3 2:4 ", 3, twoVersions)
-	for prompt, whole := range map[string]bool{"a [tokens=3]": true, "a [tokens=9]": true, "a [tokens=2]": false} {
+	for prompt, complete := range map[string]bool{"a [tokens=3]": true, "a [tokens=9]": true, "a [tokens=2]": false} {
 		outcome := sendTo(t, Call{Service: "s", Prompt: prompt, MaxTokens: 3}, func(w http.ResponseWriter, _ *http.Request) {
 			httpapi.WriteJSON(w, http.StatusOK, three)
 		})
-		assert.Equal(t, outcome.OK(), whole, "%s: %+v", prompt, outcome)
+		assert.Equal(t, outcome.OK(), complete, "%s: %+v", prompt, outcome)
 	}
 	cut := sendTo(t, Call{Service: "s", Prompt: "a [tokens=4]", MaxTokens: 9}, func(w http.ResponseWriter, _ *http.Request) {
 		httpapi.WriteJSON(w, http.StatusOK, three)
@@ -101,9 +101,9 @@
 func TestSendValidatesStreamedCompletion(t *testing.T) {
 	call := Call{Service: "s", Stream: true, MaxTokens: 3}
 	last := newCompletion("2:4 ", 3, twoVersions)
-	whole := sendTo(t, call, streamHandler(": comment\n\n", partialCompletion("0:3 1:3 "), last, "data: [DONE]\n\n"))
-	assert.Assert(t, whole.OK(), "%+v", whole)
-	assert.Equal(t, whole.RequestID, "r9")
+	complete := sendTo(t, call, streamHandler(": comment\n\n", partialCompletion("0:3 1:3 "), last, "data: [DONE]\n\n"))
+	assert.Assert(t, complete.OK(), "%+v", complete)
+	assert.Equal(t, complete.RequestID, "r9")
 
 	cut := sendTo(t, call, streamHandler(partialCompletion("0:3 1:3 "), last))
 	assert.Assert(t, !cut.Done && cut.TransportError != "")
--- a/internal/bench/topology/binaries.go
+++ b/internal/bench/topology/binaries.go
@@ -38,9 +38,9 @@
 	if err != nil {
 		return Binaries{}, errors.Wrap(err, "find corkbench executable")
 	}
-	beside := filepath.Join(filepath.Dir(own), "corkpulleyd")
-	if information, err := os.Stat(beside); err == nil && information.Mode().IsRegular() {
-		return Binaries{Daemon: beside, Bench: own}, nil
+	sibling := filepath.Join(filepath.Dir(own), "corkpulleyd")
+	if information, err := os.Stat(sibling); err == nil && information.Mode().IsRegular() {
+		return Binaries{Daemon: sibling, Bench: own}, nil
 	}
 	built := filepath.Join(directory, "corkpulleyd")
 	if err := build(ctx, built, daemonPackage); err != nil {
