--- a/internal/coordinator/abandon.go
+++ b/internal/coordinator/abandon.go
@@ -10,9 +10,9 @@
 )
 
 // errAbandoned ends the attempt of a slot whose step was abandoned.
-var errAbandoned = errors.New("the step was abandoned")
+var errAbandoned = errors.New("step abandoned")
 
-// abandon puts the end of a step on record and answers once it is read back.
+// abandon records that the step is abandoned and returns its status once the record is read back.
 func (t *tenure) abandon(ctx context.Context, step string) (api.StepStatus, error) {
 	if _, _, err := t.terms(); err != nil {
 		return api.StepStatus{}, err
@@ -23,7 +23,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	// A verdict other than Accepted says that the step ended in the meantime.
+	// A verdict other than Accepted means that the step ended in the meantime.
 	if _, _, err := t.propose(ctx, ledger.KindStepAbandoned, ledger.StepAbandoned{Step: step}); err != nil {
 		return api.StepStatus{}, t.proposeError(ctx, err)
 	}
@@ -32,7 +32,7 @@
 	return t.stepStatus(step)
 }
 
-// cancelAbandoned stops the runs of slots whose step has ended.
+// cancelAbandoned cancels the runs of slots whose step has ended.
 func (t *tenure) cancelAbandoned() {
 	t.mutex.Lock()
 	running := make([]*slotRun, 0, len(t.running))
@@ -54,7 +54,7 @@
 	}
 }
 
-// cancelWith ends the attempt in hand.
+// cancelWith cancels the current attempt.
 func (r *slotRun) cancelWith(cause error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -63,7 +63,7 @@
 	}
 }
 
-// abandonedStatuses returns the steps that were abandoned of late.
+// abandonedStatuses returns the status of recently abandoned steps.
 func (t *tenure) abandonedStatuses() []api.StepStatus {
 	return t.statuses(t.ledger.AbandonedCounts)
 }
--- a/internal/coordinator/abandon_test.go
+++ b/internal/coordinator/abandon_test.go
@@ -24,9 +24,9 @@
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-// TestAnAbandonedStepStopsForGood: its running slots are canceled, a repeat at
-// any node is answered alike, and nothing of it is delivered or used any more.
-func TestAnAbandonedStepStopsForGood(t *testing.T) {
+// Abandoning a step cancels its running slots, is idempotent on every node, and
+// prevents further delivery and acknowledgement of its samples.
+func TestAbandonedStepIsNeitherRunNorDelivered(t *testing.T) {
 	d := newDeployment(t)
 	a, b := d.start("a"), d.start("b")
 	request := stepRequest(1, 3)
--- a/internal/coordinator/answer.go
+++ b/internal/coordinator/answer.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// answerBuilder puts an answer together from its pieces.
+// answerBuilder assembles an answer from streamed pieces.
 type answerBuilder struct {
 	text   strings.Builder
 	tokens int
@@ -39,14 +39,14 @@
 	return nil
 }
 
-// finish returns the sample, if the answer is whole and every token's version
-// is named; otherwise it is no sample, and the slot is run again.
+// finish returns the sample, or an error if the answer is incomplete or the
+// version of some token is unknown; the slot is then run again.
 func (b *answerBuilder) finish(key ledger.SampleKey, result router.Result) (*ledger.SampleFilled, error) {
 	if result.Tokens != b.tokens {
-		return nil, errors.Errorf("answer has %d tokens, %d were received", result.Tokens, b.tokens)
+		return nil, errors.Errorf("answer incomplete: expected %d tokens, received %d", result.Tokens, b.tokens)
 	}
 	if !slices.Contains([]string{"stop", "length"}, result.FinishReason) {
-		return nil, errors.Errorf("answer ended with %q", result.FinishReason)
+		return nil, errors.Errorf("unexpected finish reason %q", result.FinishReason)
 	}
 	if _, whole := ledger.OldestVersion(b.spans, b.tokens); !whole {
 		return nil, errors.Errorf("weight versions %v do not cover %d tokens", b.spans, b.tokens)
--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -4,7 +4,7 @@
 	"github.com/corkpulley/corkpulley/internal/api"
 )
 
-// Call is one trainer API call on its way to the ledger's owner
+// Call is a trainer API call forwarded to the ledger's owner
 // (peer.MethodTrainer). Exactly one of the pointers is set.
 type Call struct {
 	Trainer     string            `msgpack:"t"`
@@ -15,30 +15,30 @@
 	Abandon     *AbandonCall      `msgpack:"x,omitempty"`
 }
 
-// AbandonCall abandons a step.
+// AbandonCall requests that a step be abandoned.
 type AbandonCall struct {
 	Step string `msgpack:"s"`
 }
 
-// SubmitCall submits a step.
+// SubmitCall requests that a step be submitted.
 type SubmitCall struct {
 	Step    string          `msgpack:"s"`
 	Request api.StepRequest `msgpack:"r"`
 }
 
-// StatusCall asks for the status of a step.
+// StatusCall requests the status of a step.
 type StatusCall struct {
 	Step string `msgpack:"s"`
 }
 
-// Answer answers a Call; the pointer that belongs to the call's kind is set.
+// Answer is the response to a Call; the pointer that matches the kind of call is set.
 type Answer struct {
 	Status      *api.StepStatus    `msgpack:"g,omitempty"`
 	Fetch       *api.FetchResponse `msgpack:"f,omitempty"`
 	Acknowledge *api.AckResponse   `msgpack:"a,omitempty"`
 }
 
-// StatusList answers peer.MethodStepStatus.
+// StatusList is the response to peer.MethodStepStatus.
 type StatusList struct {
 	Steps []api.StepStatus `msgpack:"s"`
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,12 +1,12 @@
-// Package coordinator runs trainers' steps. For each trainer one node owns the
+// Package coordinator runs trainers' steps. For each trainer, one node owns the
 // ledger stream under a fenced epoch: it runs the open slots through the
 // router, has the answers scored, records them, and delivers them to the
-// trainer. Calls for a trainer that arrive at another node are forwarded.
+// trainer. Other nodes forward calls to the owner.
 //
-// Which node claims a ledger is decided softly, by the view of the cluster.
-// Which records count is decided by the stream alone: a node that wrongly
-// believes that it owns a ledger can neither accept a step nor hand out or
-// acknowledge a sample, because it waits for its own record to be read back.
+// The cluster view only suggests which node claims a ledger. The stream alone
+// determines which records are accepted: a node that wrongly believes that it
+// owns a ledger can neither accept a step nor deliver or acknowledge a sample,
+// because each of these waits until the node's own record is read back.
 package coordinator
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// Options are the parts that a coordinator works with; all are required.
+// Options configures a Coordinator; all fields are required.
 type Options struct {
 	NodeID      string
 	PeerAddress string
@@ -42,38 +42,38 @@
 	Registerer  prometheus.Registerer
 }
 
-// Coordinator claims and runs trainers' ledgers, and is the client through
-// which this node's trainer interface reaches any ledger.
+// Coordinator claims and serves trainers' ledgers. It also forwards calls of this
+// node's trainer API to the owner of any ledger.
 type Coordinator struct {
 	options Options
 	metrics *metrics
-	// draining is set once no ledger may be claimed and no call taken any more.
-	draining atomic.Bool
-	drained  chan struct{}
+	// draining is set when no more ledgers may be claimed and no more calls accepted.
+	draining     atomic.Bool
+	drainStarted chan struct{}
 
-	// announcing orders the announcements of owned ledgers.
-	announcing sync.Mutex
+	// announceMutex serializes announcements of owned ledgers.
+	announceMutex sync.Mutex
 
 	mutex sync.Mutex
-	// trainers holds the ledgers that this node follows, by trainer.
-	trainers map[string]*follower
+	// byTrainer holds the ledgers that this node follows, by trainer.
+	byTrainer map[string]*follower
 }
 
 // New returns a coordinator and registers its peer handlers; Run starts it.
 func New(options Options) *Coordinator {
 	c := &Coordinator{
-		options:  options,
-		metrics:  newMetrics(options.Registerer),
-		drained:  make(chan struct{}),
-		trainers: make(map[string]*follower),
+		options:      options,
+		metrics:      newMetrics(options.Registerer),
+		drainStarted: make(chan struct{}),
+		byTrainer:    make(map[string]*follower),
 	}
 	options.Registry.HandleCall(peer.MethodTrainer, c.handleTrainer)
 	options.Registry.HandleCall(peer.MethodStepStatus, c.handleStepStatus)
 	return c
 }
 
-// Statuses returns the unfinished steps of the ledgers that this node owns, and
-// those that were abandoned of late.
+// Statuses returns the unfinished and recently abandoned steps of the ledgers
+// that this node owns.
 func (c *Coordinator) Statuses() []api.StepStatus {
 	var statuses []api.StepStatus
 	for _, owned := range c.tenures() {
@@ -83,9 +83,9 @@
 	return statuses
 }
 
-// follow returns the follower of a trainer, or nil.
-func (c *Coordinator) follow(trainer string) *follower {
+// followerOf returns the followerOf of a trainer's ledger, or nil.
+func (c *Coordinator) followerOf(trainer string) *follower {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.trainers[trainer]
+	return c.byTrainer[trainer]
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -26,7 +26,7 @@
 	return request
 }
 
-// awaitSamples fetches until the step has delivered the wanted number at once.
+// awaitSamples fetches until one response has at least the wanted number of samples.
 func awaitSamples(t *testing.T, n *node, request api.FetchRequest, wanted int) api.FetchResponse {
 	t.Helper()
 	var response api.FetchResponse
@@ -121,7 +121,7 @@
 	assert.Equal(t, status.Discarded, 2)
 }
 
-func TestRunBeyondTheBoundIsCanceledEarly(t *testing.T) {
+func TestRunBeyondStalenessBoundIsCanceled(t *testing.T) {
 	d := newDeployment(t)
 	hold := make(chan struct{})
 	d.engines.hold = hold
@@ -166,7 +166,7 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, answer.Accepted, ack.Samples)
 	again := awaitSamples(t, other, fetch, 1)
-	assert.DeepEqual(t, again.Samples, response.Samples[1:]) // read from the log by the new owner
+	assert.DeepEqual(t, again.Samples, response.Samples[1:]) // the new owner reads them from the log
 	assert.Assert(t, again.Token > response.Token)
 	assert.Equal(t, d.engines.runs, 2, "recorded samples are not run again")
 }
@@ -216,7 +216,7 @@
 	assertKind(t, err, errkind.NotFound)
 }
 
-func TestDrainHandsTheLedgerOver(t *testing.T) {
+func TestDrainReleasesLedgerToAnotherNode(t *testing.T) {
 	d := newDeployment(t)
 	a, b := d.start("a"), d.start("b")
 	owner := d.awaitOwner(a, b)
@@ -235,13 +235,13 @@
 	assert.Equal(t, len(owner.Statuses()), 0)
 	d.awaitOwner(other)
 	close(hold)
-	assert.NilError(t, <-fetched, "a fetch in hand is not cut short")
+	assert.NilError(t, <-fetched, "a pending fetch is not aborted")
 	awaitSamples(t, owner, api.FetchRequest{Step: "s", TrainerVersion: 1, WaitMS: 100}, 1)
 }
 
-// TestTrainerThroughFaults runs the trainer stand-in over HTTP while answers
-// of the log are lost, an owner dies, and the trainer itself starts anew.
-func TestTrainerThroughFaults(t *testing.T) {
+// Runs the simulated trainer over HTTP with lost log responses, an owner failure
+// and a trainer restart: no sample may be lost or acknowledged twice.
+func TestTrainerCompletesStepsDespiteFaults(t *testing.T) {
 	d := newDeployment(t)
 	d.log.SetControl(standinlog.Control{LoseAnswers: 0.3, LateMS: 20, Refuse: 0.1})
 	a, b, c := d.start("a"), d.start("b"), d.start("c")
--- a/internal/coordinator/drain_test.go
+++ b/internal/coordinator/drain_test.go
@@ -12,20 +12,20 @@
 	standinlog "github.com/corkpulley/corkpulley/internal/standin/logservice"
 )
 
-// awaitUnfollowed waits until the node has nothing to do with the ledger.
+// awaitUnfollowed waits until the node no longer follows the ledger.
 func awaitUnfollowed(t *testing.T, n *node) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if n.follow(trainerName) != nil {
+		if n.followerOf(trainerName) != nil {
 			return poll.Continue("the ledger is still followed")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// TestDrainEndsWhileTheLogIsDown: a release is best effort, so a planned stop
-// does not wait for the log's return, and the ledger is not served again.
-func TestDrainEndsWhileTheLogIsDown(t *testing.T) {
+// Releasing a ledger is best effort: Drain must not wait for an unavailable log,
+// and the ledger must not be served again afterwards.
+func TestDrainReturnsWhileLogIsUnavailable(t *testing.T) {
 	d := newDeployment(t)
 	n := d.start("a")
 	_, err := n.SubmitStep(t.Context(), trainerName, "s", stepRequest(1, 2))
--- a/internal/coordinator/fake_deployment_test.go
+++ b/internal/coordinator/fake_deployment_test.go
@@ -26,8 +26,8 @@
 
 const trainerName = "comparables"
 
-// deployment is what the nodes of a test share: the log, the cluster's
-// members, the peer network, the table and the engines behind the router.
+// deployment is the state shared by a test's nodes: the log, the cluster members,
+// the peer network, the policy table and the engines behind the router.
 type deployment struct {
 	t   *testing.T
 	log *standinlog.Server
@@ -59,7 +59,7 @@
 	return d
 }
 
-// setBound puts a new table revision in force.
+// setBound publishes a table revision with another staleness bound.
 func (d *deployment) setBound(bound int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -90,12 +90,12 @@
 	d      *deployment
 	id     string
 	server *httptest.Server
-	log    *gatedLog
+	log    *pausableLog
 	stop   context.CancelFunc
 }
 
 func (d *deployment) start(id string) *node {
-	n := &node{d: d, id: id, log: &gatedLog{Service: logservice.NewHTTP(d.url, http.DefaultClient)}}
+	n := &node{d: d, id: id, log: &pausableLog{Service: logservice.NewHTTP(d.url, http.DefaultClient)}}
 	manager := logstream.NewManager(logstream.Options{
 		Service: n.log, Writer: id + "-process", Logger: zerolog.Nop(), PollWait: 200 * time.Millisecond,
 	})
@@ -129,7 +129,7 @@
 	return n
 }
 
-// setState changes a member's state; a dead one is forgotten.
+// setState changes a member's state; dead members are omitted from the view.
 func (d *deployment) setState(id string, state cluster.MemberState) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -138,7 +138,7 @@
 	d.members[id] = member
 }
 
-// awaitOwner returns the node that owns the ledger, once one does.
+// awaitOwner waits until one of the nodes owns the ledger and returns it.
 func (d *deployment) awaitOwner(nodes ...*node) *node {
 	var owner *node
 	poll.WaitOn(d.t, func(poll.LogT) poll.Result {
@@ -222,7 +222,7 @@
 	return nil, &peer.DeliveryError{Err: errors.New("no streams in this test")}
 }
 
-// Call hands the message over in its encoded form, as the transport does.
+// Call encodes and decodes the messages, as the real transport does.
 func (n *node) Call(ctx context.Context, address string, method peer.Method, request, response any) error {
 	n.d.mutex.Lock()
 	handler := n.d.handlers[address][method]
--- a/internal/coordinator/fake_platform_test.go
+++ b/internal/coordinator/fake_platform_test.go
@@ -17,14 +17,14 @@
 	standinscorer "github.com/corkpulley/corkpulley/internal/standin/scorer"
 )
 
-// gatedLog is a node's access to the log, which stands still while the node is paused.
-type gatedLog struct {
+// pausableLog is a node's log client, whose calls block while it is paused.
+type pausableLog struct {
 	logservice.Service
 	mutex  sync.Mutex
 	resume chan struct{}
 }
 
-func (g *gatedLog) setPaused(paused bool) {
+func (g *pausableLog) setPaused(paused bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.resume != nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-func (g *gatedLog) wait(ctx context.Context) {
+func (g *pausableLog) wait(ctx context.Context) {
 	g.mutex.Lock()
 	resume := g.resume
 	g.mutex.Unlock()
@@ -49,35 +49,36 @@
 	}
 }
 
-func (g *gatedLog) Append(ctx context.Context, stream string, records [][]byte) (int64, error) {
+func (g *pausableLog) Append(ctx context.Context, stream string, records [][]byte) (int64, error) {
 	g.wait(ctx)
 	return g.Service.Append(ctx, stream, records)
 }
 
-func (g *gatedLog) Read(
+func (g *pausableLog) Read(
 	ctx context.Context, stream string, from int64, limit int, wait time.Duration,
 ) (logservice.Batch, error) {
 	g.wait(ctx)
 	batch, err := g.Service.Read(ctx, stream, from, limit, wait)
-	g.wait(ctx) // a read that was under way is not seen while paused either
+	g.wait(ctx) // a read in progress does not return while paused either
 	return batch, err
 }
 
-// fakeRouter stands for the engines: all of them run one version, which may
-// change in the middle of an answer.
+// fakeRouter simulates the engines: all run the same version, which may change
+// in the middle of an answer.
 type fakeRouter struct {
 	mutex   sync.Mutex
 	version uint64
 	tokens  int
 	runs    int
-	// hold, when set, keeps each answer from finishing until it is closed.
+	// hold, when set, blocks each answer after its first token until it is closed.
 	hold chan struct{}
-	// admit, when set, keeps each answer from its first token until a value comes;
-	// admitted counts those, and admittedBefore has the count at each request.
+	// admit, when set, blocks each request before its first token until a value is
+	// received. admitted counts admitted requests; admittedBefore is that count at
+	// the arrival of each request.
 	admit          chan struct{}
 	admitted       int
 	admittedBefore []int
-	// requests are all requests seen, in order.
+	// requests holds all requests, in order of arrival.
 	requests []router.Request
 }
 
@@ -122,7 +123,7 @@
 	return router.Result{Tokens: tokens, FinishReason: "stop"}, nil
 }
 
-// begin notes the request and waits until it is admitted.
+// begin records the request and waits until it is admitted.
 func (f *fakeRouter) begin(ctx context.Context, request router.Request) error {
 	var admit chan struct{}
 	f.set(func(f *fakeRouter) {
@@ -142,7 +143,8 @@
 	return nil
 }
 
-// Info and Publish make the engines follow the trainer's versions at once.
+// Info and Publish implement the weight store; published versions reach the
+// engines immediately.
 func (f *fakeRouter) Info(context.Context, string) (weightstore.ModelInfo, error) {
 	version, _, _ := f.state()
 	return weightstore.ModelInfo{Model: "m", Latest: version}, nil
--- a/internal/coordinator/fetch.go
+++ b/internal/coordinator/fetch.go
@@ -10,11 +10,11 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// maxFetchTextBytes bounds the sample texts of one answer; one sample is always sent.
+// maxFetchTextBytes limits the total sample text of a response with more than one sample.
 const maxFetchTextBytes = 2 << 20
 
-// fetch waits until samples can be delivered, and delivers them. It answers
-// without samples when the wait is over, the step is done or the node drains.
+// fetch waits for deliverable samples and delivers them. The response is empty if
+// the wait times out, the step has ended or the node drains.
 func (t *tenure) fetch(ctx context.Context, request api.FetchRequest) (api.FetchResponse, error) {
 	holding, err := parseKeys(request.Holding)
 	if err != nil {
@@ -25,7 +25,7 @@
 			return api.FetchResponse{}, err
 		}
 	}
-	t.tell(request.TrainerVersion)
+	t.setTrainerVersion(request.TrainerVersion)
 	held := make(map[ledger.SampleKey]bool, len(holding))
 	for _, key := range holding {
 		held[key] = true
@@ -48,10 +48,10 @@
 		case <-t.stream.Changed(applied):
 		case <-timer.C:
 			return response, nil
-		case <-t.coordinator.drained:
+		case <-t.coordinator.drainStarted:
 			return response, nil
 		case <-ctx.Done():
-			return api.FetchResponse{}, errkind.New(errkind.Canceled, "the caller left")
+			return api.FetchResponse{}, errkind.New(errkind.Canceled, "caller canceled the fetch")
 		case <-t.ctx.Done():
 			return api.FetchResponse{}, t.notOwner()
 		}
@@ -65,9 +65,9 @@
 	return time.Duration(request.WaitMS) * time.Millisecond
 }
 
-// fetchOnce delivers what can be delivered now. The delivery is on record
-// under the epoch, read back, before any sample leaves: a fenced owner hands
-// out nothing.
+// fetchOnce delivers the samples that are deliverable now. The delivery is
+// recorded under the epoch and read back before any sample is returned, so a
+// fenced owner delivers nothing.
 func (t *tenure) fetchOnce(
 	ctx context.Context, request api.FetchRequest, held map[ledger.SampleKey]bool,
 ) (api.FetchResponse, error) {
@@ -87,8 +87,8 @@
 	if err != nil {
 		return api.FetchResponse{}, t.proposeError(ctx, err)
 	}
-	if !accepted && t.lags(terms) {
-		return api.FetchResponse{}, errLags(terms)
+	if !accepted && t.tableOutdated(terms) {
+		return api.FetchResponse{}, errTableOutdated(terms)
 	}
 	return t.delivered(ctx, request, ledger.TokenOf(offset), len(candidates))
 }
@@ -115,8 +115,8 @@
 	return keys
 }
 
-// delivered answers with the samples whose current delivery has the token; the
-// reducer may have left some out.
+// delivered returns the samples whose current delivery has the token; the
+// reducer may have excluded some of those proposed.
 func (t *tenure) delivered(
 	ctx context.Context, request api.FetchRequest, token int64, limit int,
 ) (api.FetchResponse, error) {
@@ -135,16 +135,16 @@
 	return response, nil
 }
 
-// sampleBody returns a recorded sample from memory, else from the log.
+// sampleBody returns a recorded sample from the cache or the log.
 func (t *tenure) sampleBody(ctx context.Context, sample ledger.StoredSample) (*ledger.SampleFilled, error) {
-	if body, cached := t.texts.Get(sample.FillOffset); cached {
+	if body, cached := t.sampleCache.Get(sample.FillOffset); cached {
 		return body, nil
 	}
 	body := new(ledger.SampleFilled)
 	if err := t.readBody(ctx, sample.FillOffset, body); err != nil {
 		return nil, err
 	}
-	t.texts.Add(sample.FillOffset, body)
+	t.sampleCache.Add(sample.FillOffset, body)
 	return body, nil
 }
 
@@ -184,7 +184,7 @@
 	return []api.StepStatus{status}
 }
 
-// stepDone reports whether nothing more will come of the step.
+// stepDone reports whether the step is finished or abandoned.
 func (t *tenure) stepDone(step string) bool {
 	if step == "" {
 		return false
--- a/internal/coordinator/follower.go
+++ b/internal/coordinator/follower.go
@@ -18,18 +18,19 @@
 	snapshotEvery = 4096
 	// snapshotFormat is the version of the ledger's snapshot encoding.
 	snapshotFormat = 1
-	// claimInterval is the pause between two looks at the owner's state.
+	// claimInterval is the polling interval for the owner's state.
 	claimInterval = 250 * time.Millisecond
 )
 
-// follower tails one ledger and claims it when its owner is gone.
+// follower tails one ledger and claims it when its owner is unavailable.
 type follower struct {
 	coordinator *Coordinator
 	trainer     string
 	stream      *logstream.TailedStream
-	// ledger is read inside stream.View only.
+	// ledger must be read only inside stream.View.
 	ledger *ledger.Ledger
-	// lengths outlives tenures; each tenure guards it by its own lock.
+	// lengths is kept across tenures, which run one at a time; guarded by the
+	// mutex of the current tenure.
 	lengths *lengths.Estimator
 	// contest delays claims after the ledger was lost to another node.
 	contest weights.Contest
@@ -52,8 +53,8 @@
 	}
 }
 
-// run claims and serves the ledger until ctx ends or this node should no
-// longer follow it. It never leaves while it owns the ledger and ctx lives.
+// run claims and serves the ledger until ctx is done or this node should no
+// longer follow it. It does not return while it owns the ledger and ctx is active.
 func (f *follower) run(ctx context.Context) {
 	defer f.stream.Close()
 	if f.stream.CatchUp(ctx) != nil {
@@ -66,10 +67,10 @@
 		case fence.OwnedBy(f.stream.Writer(), fence.Epoch):
 			f.serve(ctx, fence.Epoch)
 			if f.coordinator.draining.Load() {
-				return // a release that was not read back is not tried again
+				return // a release that was not read back is not retried
 			}
 			f.contest.Lost(time.Now())
-		case !f.wanted():
+		case !f.shouldOwn():
 			return
 		case f.ownerGone(fence) && (!fence.Owned() || f.contest.MayClaim(time.Now())):
 			f.claim(ctx, fence)
@@ -85,8 +86,8 @@
 	return fence
 }
 
-// wanted reports whether this node should own the ledger when its owner is gone.
-func (f *follower) wanted() bool {
+// shouldOwn reports whether this node should own the ledger if its owner is unavailable.
+func (f *follower) shouldOwn() bool {
 	c := f.coordinator
 	if c.draining.Load() || c.options.Tables.Current() != nil {
 		return false
@@ -95,15 +96,15 @@
 	return err == nil && c.prefersSelf(row)
 }
 
-// ownerGone reports whether the ledger should be claimed. This node has one
-// follower for a trainer at a time, so what an earlier one owned is free.
+// ownerGone reports whether the ledger may be claimed. A node has at most one
+// follower per trainer, so a ledger owned by an earlier follower may be claimed.
 func (f *follower) ownerGone(fence logrecord.Fence) bool {
 	options := &f.coordinator.options
 	return fence.Owner == options.NodeID || ownerGone(options.View, fence)
 }
 
-// claim proposes a claim and waits until it is read back; run then looks at
-// the fence again, so a lost or late answer needs no care here.
+// claim proposes a claim and waits until it is read back. run checks the fence
+// again afterwards, so a lost or late response needs no handling here.
 func (f *follower) claim(ctx context.Context, fence logrecord.Fence) {
 	options := &f.coordinator.options
 	outcome, err := f.stream.Propose(ctx, logstream.Proposal{
@@ -123,7 +124,7 @@
 		Bool("won", outcome.Verdict == logrecord.Accepted).Msg("claimed ledger")
 }
 
-// serve runs one tenure to its end.
+// serve runs a tenure until it ends.
 func (f *follower) serve(ctx context.Context, epoch int64) {
 	owned := newTenure(ctx, f, epoch)
 	f.tenure.Store(owned)
--- a/internal/coordinator/forward.go
+++ b/internal/coordinator/forward.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// ownerWait bounds how long a call looks for an owner that answers.
-	ownerWait = 10 * time.Second
-	// ownerRetryDelay is the pause between two tries.
+	// ownerTimeout limits how long a call is retried while no owner responds.
+	ownerTimeout = 10 * time.Second
+	// ownerRetryDelay is the delay between attempts.
 	ownerRetryDelay = 100 * time.Millisecond
 )
 
-// SubmitStep submits a step at the ledger's owner. The same ID with the same
-// request is answered again; with another request it fails with StepMismatch,
-// and with one that does not fit into a log record with PayloadTooLarge.
+// SubmitStep submits a step to the ledger's owner. It is idempotent; it fails with
+// StepMismatch if the ID was submitted with a different request, and with
+// PayloadTooLarge if the request does not fit into a log record.
 func (c *Coordinator) SubmitStep(
 	ctx context.Context, trainer, step string, request api.StepRequest,
 ) (api.StepStatus, error) {
@@ -48,12 +48,12 @@
 	}
 	if len(encoded) > logstream.MaxBodyBytes {
 		return errkind.New(errkind.PayloadTooLarge,
-			"step takes %d bytes on record, at most %d allowed", len(encoded), logstream.MaxBodyBytes)
+			"step record has %d bytes, at most %d allowed", len(encoded), logstream.MaxBodyBytes)
 	}
 	return nil
 }
 
-// StepStatus returns the status of a step; NotFound when it is not known.
+// StepStatus returns the status of a step, or NotFound.
 func (c *Coordinator) StepStatus(ctx context.Context, trainer, step string) (api.StepStatus, error) {
 	return c.statusCall(ctx, Call{Trainer: trainer, Status: &StatusCall{Step: step}})
 }
@@ -69,14 +69,14 @@
 	return *answer.Status, nil
 }
 
-// AbandonStep gives a step up: what it still wants is run, scored and delivered
-// no more. A step that is finished or abandoned already is answered as it is;
-// NotFound when it is not known.
+// AbandonStep stops running, scoring and delivering a step's samples. For a
+// finished or abandoned step it only returns the status; it fails with NotFound
+// if the step is unknown.
 func (c *Coordinator) AbandonStep(ctx context.Context, trainer, step string) (api.StepStatus, error) {
 	return c.statusCall(ctx, Call{Trainer: trainer, Abandon: &AbandonCall{Step: step}})
 }
 
-// Fetch waits for samples that may be delivered and returns them with a token.
+// Fetch waits for deliverable samples and returns them with a delivery token.
 func (c *Coordinator) Fetch(
 	ctx context.Context, trainer string, request api.FetchRequest,
 ) (api.FetchResponse, error) {
@@ -90,7 +90,7 @@
 	return *answer.Fetch, nil
 }
 
-// Acknowledge records which delivered samples the trainer now has for good.
+// Acknowledge records which delivered samples the trainer has durably received.
 func (c *Coordinator) Acknowledge(
 	ctx context.Context, trainer string, request api.AckRequest,
 ) (api.AckResponse, error) {
@@ -104,8 +104,8 @@
 	return *answer.Acknowledge, nil
 }
 
-// call sends the call to the owner, again and again while no owner answers.
-// That is safe, because every call may be repeated.
+// call sends the call to the owner and retries while no owner responds. Retrying
+// is safe because every call is idempotent.
 func (c *Coordinator) call(ctx context.Context, call Call) (Answer, error) {
 	if _, err := trainerRow(c.options.Tables.Table(), call.Trainer); err != nil {
 		return Answer{}, err
@@ -118,18 +118,18 @@
 		if err == nil || !ownerMissing(err) {
 			return answer, err
 		}
-		uncertain = uncertain || maybeArrived(err)
-		if failingSince.IsZero() || time.Since(began) > ownerWait {
+		uncertain = uncertain || mayHaveTakenEffect(err)
+		if failingSince.IsZero() || time.Since(began) > ownerTimeout {
 			failingSince = time.Now()
 		}
-		if time.Since(failingSince) > ownerWait || !retry.Sleep(ctx, ownerRetryDelay) {
-			return Answer{}, giveUp(call, err, uncertain)
+		if time.Since(failingSince) > ownerTimeout || !retry.Sleep(ctx, ownerRetryDelay) {
+			return Answer{}, noOwnerError(call, err, uncertain)
 		}
 	}
 }
 
-// callOnce tries the node that owns the ledger as far as this node knows. Odd
-// tries go to the preferred node, in case the announced owner is out of date.
+// callOnce sends the call to the presumed owner. Odd attempts go to the preferred
+// owner, in case the announced owner is outdated.
 func (c *Coordinator) callOnce(ctx context.Context, call Call, try int) (Answer, error) {
 	if owned := c.tenure(call.Trainer); owned != nil {
 		return owned.answer(ctx, call)
@@ -155,7 +155,8 @@
 	return preferred(c.options.View, row)
 }
 
-// handleTrainer answers a call from another node, if this node owns the ledger.
+// handleTrainer handles a call forwarded by another node; it fails with NotOwner
+// unless this node owns the ledger.
 func (c *Coordinator) handleTrainer(ctx context.Context, request peer.Request) (any, error) {
 	var call Call
 	if err := request.Decode(&call); err != nil {
@@ -176,7 +177,8 @@
 	return &StatusList{Steps: c.Statuses()}, nil
 }
 
-// ownerMissing reports whether the call should be tried at another owner.
+// ownerMissing reports whether the call should be retried, as the node called is
+// unreachable or not the owner.
 func ownerMissing(err error) bool {
 	var delivery *peer.DeliveryError
 	if errors.As(err, &delivery) {
@@ -190,17 +192,17 @@
 	}
 }
 
-// maybeArrived reports whether the call may have had an effect.
-func maybeArrived(err error) bool {
+// mayHaveTakenEffect reports whether the owner may have executed the call.
+func mayHaveTakenEffect(err error) bool {
 	var delivery *peer.DeliveryError
 	return errors.As(err, &delivery) && delivery.Sent
 }
 
-// giveUp returns the error for a call that no owner answered.
-func giveUp(call Call, last error, uncertain bool) error {
+// noOwnerError returns the error for a call that no owner answered.
+func noOwnerError(call Call, last error, uncertain bool) error {
 	changes := call.Submit != nil || call.Acknowledge != nil || call.Abandon != nil
 	if changes && uncertain {
-		return errkind.New(errkind.OutcomeUnknownRepeatable, "the owner's answer was lost; repeat the same call: %v", last)
+		return errkind.New(errkind.OutcomeUnknownRepeatable, "the owner's response was lost; repeat the same call: %v", last)
 	}
 	return errkind.New(errkind.NotReady, "no owner of trainer %q answered: %v", call.Trainer, last)
 }
--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// metrics counts what happens to slots and samples on this node.
+// metrics are the slot and sample metrics of this node.
 type metrics struct {
 	runs    *prometheus.CounterVec
 	samples *prometheus.CounterVec
@@ -13,15 +13,15 @@
 	running prometheus.Gauge
 }
 
-// Results of one run of a slot.
+// Values of the result label of slot runs.
 const (
 	resultFilled   = "filled"
-	resultTooOld   = "too_old"
+	resultStale    = "too_old"
 	resultFailed   = "failed"
-	resultNotTaken = "not_taken"
+	resultRejected = "not_taken"
 )
 
-// Events in the life of a recorded sample.
+// Values of the event label of recorded samples.
 const (
 	eventDelivered    = "delivered"
 	eventAcknowledged = "acknowledged"
--- a/internal/coordinator/freshness.go
+++ b/internal/coordinator/minversion.go
@@ -5,8 +5,8 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// noteFinished notes the trainer's version at the acknowledgement that finished
-// a step: the trainer then trains on it and comes back with a later version.
+// noteFinished stores the trainer's version if an acknowledgement finished a step:
+// the trainer then trains on that step and produces a later version.
 func (t *tenure) noteFinished(keys []ledger.SampleKey, trainerVersion uint64) {
 	finished := false
 	t.stream.View(func() {
@@ -23,10 +23,10 @@
 	t.finishedAt = trainerVersion
 }
 
-// versionsUntil returns how many versions the trainer is expected to make before
-// it takes a step's samples: one of each unfinished step before it, and one more
-// while it trains on a step that it finished at its present version. It is an
-// expectation only; the bound is enforced at the delivery.
+// versionsUntil estimates how many versions the trainer will produce before it
+// consumes the step's samples: one for each earlier unfinished step, and one if
+// it is training on a step finished at its current version. It is an estimate;
+// the staleness bound is enforced on delivery.
 func (t *tenure) versionsUntil(step string) uint64 {
 	versions := uint64(0)
 	t.stream.View(func() { versions = uint64(t.ledger.StepsBefore(step)) })
@@ -38,10 +38,9 @@
 	return versions
 }
 
-// minVersion is the lowest weight version to start a slot under, for a sample
-// that is expected to be taken after the trainer made so many versions more: one
-// that is within the bound then. The trainer's own version is always enough, as
-// no newer one is known to exist.
+// minVersion returns the lowest weight version to start a slot with, such that the
+// sample is still within the staleness bound after versionsUntil further versions.
+// It never exceeds the trainer's version, the newest one known to exist.
 func minVersion(row policy.Row, terms ledger.Terms, versionsUntil uint64) uint64 {
 	taken := terms.TrainerVersion
 	if row.Version == policy.VersionLatest {
--- a/internal/coordinator/outcome_test.go
+++ b/internal/coordinator/outcome_test.go
@@ -14,8 +14,8 @@
 	standinlog "github.com/corkpulley/corkpulley/internal/standin/logservice"
 )
 
-// requireRepeatable checks that the caller is told to send the same call again,
-// and not that it had no effect.
+// requireRepeatable checks that the error is retryable and reports that the call
+// may have been executed.
 func requireRepeatable(t *testing.T, err error) {
 	t.Helper()
 	assert.Assert(t, err != nil)
@@ -24,9 +24,9 @@
 	assert.Equal(t, answer.Execution, errkind.Unknown, "%v", err)
 }
 
-// TestCallsWithAnUnknownOutcomeMayBeRepeated: a record that was not read back in
-// time may be accepted later; the repeat finds it and has no second effect.
-func TestCallsWithAnUnknownOutcomeMayBeRepeated(t *testing.T) {
+// A record that was not read back in time may be accepted later; retrying the
+// call must succeed and not apply it twice.
+func TestCallsWithUnknownOutcomeAreRetryable(t *testing.T) {
 	d := newDeployment(t)
 	n := d.start("a")
 	d.awaitOwner(n)
@@ -54,13 +54,12 @@
 	assert.DeepEqual(t, answer.Accepted, ack.Samples)
 }
 
-// TestACallWhoseOwnerVanishedMayBeRepeated: the call was sent, so it may have
-// had an effect at the owner.
-func TestACallWhoseOwnerVanishedMayBeRepeated(t *testing.T) {
+// A call that was sent may have been executed even if its response was lost.
+func TestCallWithLostResponseIsRetryable(t *testing.T) {
 	lost := &peer.DeliveryError{Sent: true, Err: errors.New("connection reset")}
 	for _, call := range []Call{{Submit: &SubmitCall{}}, {Acknowledge: &api.AckRequest{}}} {
-		requireRepeatable(t, giveUp(call, lost, maybeArrived(lost)))
-		assertKind(t, giveUp(call, lost, false), errkind.NotReady)
+		requireRepeatable(t, noOwnerError(call, lost, mayHaveTakenEffect(lost)))
+		assertKind(t, noOwnerError(call, lost, false), errkind.NotReady)
 	}
-	assertKind(t, giveUp(Call{Fetch: &api.FetchRequest{}}, lost, true), errkind.NotReady)
+	assertKind(t, noOwnerError(Call{Fetch: &api.FetchRequest{}}, lost, true), errkind.NotReady)
 }
--- a/internal/coordinator/placement.go
+++ b/internal/coordinator/placement.go
@@ -13,14 +13,14 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// writerSuffix separates a process's writer ID from the number of the stream
-// runtime in the writer ID of a record.
+// writerSuffix separates the process's writer ID from the stream's number in the
+// writer ID of a record.
 const writerSuffix = "~"
 
-// preferred returns the node that should own the trainer's ledger: the
-// rendezvous winner among the candidates of the row's first zone that has any.
+// preferred returns the node that should own the trainer's ledger, by rendezvous
+// hashing over the candidates of the row's first zone that has any.
 func preferred(view cluster.View, row policy.Row) (cluster.Member, bool) {
-	candidates := homeCandidates(view, row.Zones)
+	candidates := zoneCandidates(view, row.Zones)
 	if len(candidates) == 0 {
 		return cluster.Member{}, false
 	}
@@ -33,7 +33,7 @@
 	return candidates[at], true
 }
 
-func homeCandidates(view cluster.View, zones []string) []cluster.Member {
+func zoneCandidates(view cluster.View, zones []string) []cluster.Member {
 	for _, zone := range zones {
 		if candidates := view.Candidates(zone); len(candidates) > 0 {
 			return candidates
@@ -42,9 +42,9 @@
 	return view.Candidates("")
 }
 
-// ownerGone reports whether the fence's owner seems unable to go on: it is not
-// a known member, is leaving, or has been started anew. A wrong guess costs
-// work that runs twice, never a promise: the fence decides.
+// ownerGone reports whether the fence's owner appears unavailable: it is not a
+// known member, is dead or leaving, or has restarted. A wrong result only causes
+// duplicate work; the fence ensures correctness.
 func ownerGone(view cluster.View, fence logrecord.Fence) bool {
 	if !fence.Owned() {
 		return true
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -14,12 +14,12 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// manageInterval is the pause between two looks at the view, whose changes are
-// not signalled; a new table is seen at once.
+// manageInterval is the polling interval for the cluster view, which does not
+// signal changes; table changes are signaled.
 const manageInterval = 500 * time.Millisecond
 
-// Run follows the ledgers that this node should own, and claims and serves
-// them, until ctx ends. It returns ctx's error.
+// Run follows, claims and serves the ledgers that this node should own until ctx
+// is done. It returns ctx's error.
 func (c *Coordinator) Run(ctx context.Context) error {
 	var followers sync.WaitGroup
 	defer followers.Wait()
@@ -41,17 +41,17 @@
 		return
 	}
 	for _, row := range table.Rows {
-		if row.Kind != policy.KindTrainer || !c.prefersSelf(row) || c.follow(row.Service) != nil {
+		if row.Kind != policy.KindTrainer || !c.prefersSelf(row) || c.followerOf(row.Service) != nil {
 			continue
 		}
 		started := c.newFollower(row.Service)
 		c.mutex.Lock()
-		c.trainers[row.Service] = started
+		c.byTrainer[row.Service] = started
 		c.mutex.Unlock()
 		followers.Go(func() {
 			started.run(ctx)
 			c.mutex.Lock()
-			delete(c.trainers, started.trainer)
+			delete(c.byTrainer, started.trainer)
 			c.mutex.Unlock()
 		})
 	}
@@ -64,7 +64,7 @@
 
 // tenure returns this node's tenure of a trainer's ledger, or nil.
 func (c *Coordinator) tenure(trainer string) *tenure {
-	if followed := c.follow(trainer); followed != nil {
+	if followed := c.followerOf(trainer); followed != nil {
 		return followed.tenure.Load()
 	}
 	return nil
@@ -75,7 +75,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var owned []*tenure
-	for _, followed := range c.trainers {
+	for _, followed := range c.byTrainer {
 		if tenure := followed.tenure.Load(); tenure != nil {
 			owned = append(owned, tenure)
 		}
@@ -89,11 +89,11 @@
 	return owned
 }
 
-// announce tells the cluster which ledgers this node owns. One call at a time,
-// so that the last list told is the newest.
+// announce publishes the list of owned ledgers to the cluster. Calls are
+// serialized so that the last list published is the newest.
 func (c *Coordinator) announce() {
-	c.announcing.Lock()
-	defer c.announcing.Unlock()
+	c.announceMutex.Lock()
+	defer c.announceMutex.Unlock()
 	owned := []cluster.Ownership{}
 	for _, tenure := range c.tenures() {
 		owned = append(owned, cluster.Ownership{Stream: ledger.StreamName(tenure.trainer), Epoch: tenure.epoch})
@@ -102,13 +102,13 @@
 	c.options.Announcer.AnnounceOwned(owned)
 }
 
-// untilDraining returns a context that ends with ctx, or once the planned stop
-// of this node has lasted for the grace.
+// untilDraining returns a context that is canceled with ctx, or when the grace
+// period has passed since draining began.
 func (c *Coordinator) untilDraining(ctx context.Context, grace time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
-		case <-c.drained:
+		case <-c.drainStarted:
 			retry.Sleep(ctx, grace)
 			cancel()
 		case <-ctx.Done():
@@ -117,14 +117,14 @@
 	return ctx, cancel
 }
 
-// Drain takes no new call, answers those in hand, and gives the ledgers up on
-// record, so that other nodes claim them at once. While the log is down the
-// releases are tried for a few seconds only: the ledgers are then claimed once
-// this node is known to be gone. It returns ctx's error when ctx ends before
-// the calls in hand are answered. Run must go on meanwhile.
+// Drain rejects new calls, waits for pending ones and releases the ledgers, so
+// that other nodes can claim them immediately. Each release is limited to
+// releaseTimeout if the log is unavailable; other nodes then claim the ledgers
+// when they see that this node has left. It returns ctx's error if ctx is done
+// first. Run must keep running meanwhile.
 func (c *Coordinator) Drain(ctx context.Context) error {
 	if !c.draining.Swap(true) {
-		close(c.drained)
+		close(c.drainStarted)
 	}
 	for _, owned := range c.tenures() {
 		owned.reschedule()
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// defaultWindow is the number of slots in flight while no cell is known.
+	// defaultWindow is the number of slots in flight if no cell is known.
 	defaultWindow = 16
-	// windowSlack is the part of the cells' slots, in percent, that may wait in
-	// the dispatchers' queues on top, so that no engine runs dry.
+	// windowSlack is the number of additional slots, in percent of the cells'
+	// slots, that may be queued at dispatchers, so that no engine is idle.
 	windowSlack = 25
-	// maxWindow bounds the slots in flight of one trainer.
+	// maxWindow limits the slots in flight of one trainer.
 	maxWindow = 4096
-	// unrecordedFactor bounds the slots that run, are scored or recorded, as a
-	// multiple of the window: the log may be down while engines go on.
+	// unrecordedFactor limits the slots that run, are scored or recorded, as a
+	// multiple of the window: engines may keep generating while the log is down.
 	unrecordedFactor = 4
-	// discardBatch bounds the samples of one discard record.
+	// discardBatch is the maximum number of samples in a discard record.
 	discardBatch = 1024
 )
 
-// schedule does one round: it discards what can no longer be delivered, stops
-// runs that cannot be, and starts open slots.
+// schedule runs one scheduling round: it discards samples beyond the staleness
+// bound, cancels runs that are beyond it or abandoned, and starts open slots.
 func (t *tenure) schedule() {
 	row, terms, err := t.terms()
 	if err != nil {
 		return
 	}
 	t.discardStale(terms)
-	t.cancelTooOld(terms)
+	t.cancelStale(terms)
 	t.cancelAbandoned()
 	t.startSlots(row, terms)
 }
 
-// discardStale puts a discard of the samples beyond the bound on record, one
-// record at a time.
+// discardStale records a discard of samples beyond the staleness bound; at most
+// one such record is pending at a time.
 func (t *tenure) discardStale(terms ledger.Terms) {
 	var stale []ledger.StoredSample
 	t.stream.View(func() { stale = t.ledger.Stale(terms, discardBatch) })
@@ -74,20 +74,20 @@
 	}
 }
 
-// cancelTooOld stops runs whose oldest token is beyond the bound already.
-func (t *tenure) cancelTooOld(terms ledger.Terms) {
+// cancelStale cancels runs whose oldest token is beyond the staleness bound.
+func (t *tenure) cancelStale(terms ledger.Terms) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, run := range t.running {
-		run.cancelTooOld(terms)
+		run.cancelStale(terms)
 	}
 }
 
-// startSlots starts open slots up to the window. Inside a step those go first
-// that are expected to run longest, since the longest answer decides when the
-// step ends. A later step begins only once an engine has each slot of the
-// earlier ones: a dispatcher orders a trainer's queue by expected length, so
-// long slots of a later step would go ahead of short ones of an earlier step.
+// startSlots starts open slots up to the window. Within a step, the slots with the
+// longest expected answers start first, since they determine when the step ends.
+// A later step starts only when all slots of the earlier steps are on engines:
+// dispatchers order a trainer's queue by expected length, so long slots of a
+// later step would overtake short ones of an earlier step.
 func (t *tenure) startSlots(row policy.Row, terms ledger.Terms) {
 	free := t.freeWindow(row)
 	if free <= 0 {
@@ -112,8 +112,8 @@
 	}
 }
 
-// notRunning returns the slots that do not run, and whether some of the others
-// wait for an engine.
+// notRunning returns the slots that are not running, and whether any running slot
+// is waiting for an engine.
 func (t *tenure) notRunning(open []ledger.OpenSlot) (idle []ledger.OpenSlot, waiting bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -128,24 +128,24 @@
 	return idle, waiting
 }
 
-// startStep starts at most limit slots of one step and returns how many.
+// startStep starts at most limit slots of one step and returns the number started.
 func (t *tenure) startStep(slots []ledger.OpenSlot, limit int) int {
 	request, err := t.stepRequest(t.ctx, slots[0])
 	if err != nil {
-		t.logger.Warn().Err(err).Str("step", slots[0].Sample.Step).Msg("step request not read, trying again")
+		t.logger.Warn().Err(err).Str("step", slots[0].Sample.Step).Msg("could not read step request, retrying")
 		return 0
 	}
 	runs := make([]*slotRun, 0, len(slots))
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	expected := make(map[int]int)
+	expectedTokens := make(map[int]int)
 	for _, slot := range slots {
-		if _, known := expected[slot.Prompt]; !known {
-			expected[slot.Prompt] = t.lengths.Expect(lengthGroup(request, slot.Prompt), request.MaxTokens)
+		if _, known := expectedTokens[slot.Prompt]; !known {
+			expectedTokens[slot.Prompt] = t.lengths.Expect(lengthGroup(request, slot.Prompt), request.MaxTokens)
 		}
-		runs = append(runs, &slotRun{tenure: t, slot: slot, request: request, expected: expected[slot.Prompt]})
+		runs = append(runs, &slotRun{tenure: t, slot: slot, request: request, expectedTokens: expectedTokens[slot.Prompt]})
 	}
-	slices.SortStableFunc(runs, func(a, b *slotRun) int { return cmp.Compare(b.expected, a.expected) })
+	slices.SortStableFunc(runs, func(a, b *slotRun) int { return cmp.Compare(b.expectedTokens, a.expectedTokens) })
 	if len(runs) > limit {
 		runs = runs[:limit]
 	}
@@ -155,7 +155,7 @@
 	return len(runs)
 }
 
-// startRun starts one run; mutex is held.
+// startRun starts one run. Must be called with mutex held.
 func (t *tenure) startRun(run *slotRun) {
 	if t.closed || t.ctx.Err() != nil {
 		return
@@ -173,7 +173,7 @@
 	})
 }
 
-// freeWindow returns how many slots may start now.
+// freeWindow returns the number of slots that may be started now.
 func (t *tenure) freeWindow(row policy.Row) int {
 	window := t.window(row)
 	t.mutex.Lock()
@@ -187,8 +187,8 @@
 	return min(window-generating, window*unrecordedFactor-len(t.running))
 }
 
-// window returns how many slots should be in flight: what the cells of the
-// row's pool and zones can run, within the row's cap.
+// window returns the target number of slots in flight: the capacity of the cells
+// in the row's pool and zones plus slack, limited by the row's cap.
 func (t *tenure) window(row policy.Row) int {
 	slots := 0
 	for _, digest := range t.options.View.Cells() {
@@ -210,26 +210,26 @@
 	return len(row.Zones) == 0 || slices.Contains(row.Zones, zone)
 }
 
-// stepRequest returns a step's request from memory, else from the log.
+// stepRequest returns a step's request from the cache or the log.
 func (t *tenure) stepRequest(ctx context.Context, slot ledger.OpenSlot) (*ledger.StepSubmitted, error) {
-	if request, cached := t.steps.Get(slot.Sample.Step); cached {
+	if request, cached := t.requestCache.Get(slot.Sample.Step); cached {
 		return request, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	// A planned stop does not wait for a log that neither answers nor fails.
+	// Draining must not wait for a log that does not respond.
 	ctx, stop := t.coordinator.untilDraining(ctx, 0)
 	defer stop()
 	request := new(ledger.StepSubmitted)
 	if err := t.readBody(ctx, slot.StepOffset, request); err != nil {
 		return nil, err
 	}
-	t.steps.Add(slot.Sample.Step, request)
+	t.requestCache.Add(slot.Sample.Step, request)
 	return request, nil
 }
 
-// lengthGroup names the group that a prompt's answer lengths are learnt under:
-// its own group, else the prompt itself.
+// lengthGroup returns the key for estimating a prompt's answer length: the
+// prompt's group, or a hash of the prompt if it has none.
 func lengthGroup(request *ledger.StepSubmitted, prompt int) string {
 	if group := request.Prompts[prompt].Group; group != "" {
 		return "group:" + group
--- a/internal/coordinator/schedule_test.go
+++ b/internal/coordinator/schedule_test.go
@@ -10,9 +10,9 @@
 	"github.com/corkpulley/corkpulley/internal/api"
 )
 
-// A later step's slots would go ahead of an earlier one's in the dispatchers'
-// queues, which order a trainer's requests by expected length.
-func TestLaterStepStartsOnceAnEngineHasEachSlotOfTheEarlierOne(t *testing.T) {
+// Slots of a later step must not overtake those of an earlier step in the
+// dispatchers' queues, which are ordered by expected length.
+func TestLaterStepStartsAfterEarlierSlotsHaveEngines(t *testing.T) {
 	const samples = 4
 	d := newDeployment(t)
 	admit := make(chan struct{})
@@ -46,13 +46,13 @@
 	})
 }
 
-// A step that waits behind another is delivered under a later version, so its
-// slots must not start under weights that will then be too old.
-func TestSlotsOfALaterStepNeedNewerWeights(t *testing.T) {
+// A step queued behind another is delivered at a later trainer version, so its
+// slots must not start with weights that are stale by then.
+func TestMinVersionAccountsForEarlierSteps(t *testing.T) {
 	d := newDeployment(t) // the bound is one version
 	d.engines.set(func(f *fakeRouter) { f.version = 5 })
 	a := d.start("a")
-	// The second step's version is news: no slot of it may start before it counts.
+	// The second submission raises the trainer version, which must apply before any of its slots start.
 	for number, step := range []string{"first", "second"} {
 		request := stepRequest(1, 2)
 		request.Prompts[0].Text = step
@@ -73,9 +73,9 @@
 	})
 }
 
-// While the trainer trains on a finished step it makes a version, so that the
-// next step is taken one version later.
-func TestSlotsStartedWhileTheTrainerTrainsNeedNewerWeights(t *testing.T) {
+// While the trainer trains on a finished step, the next step is consumed one
+// version later, so its slots need newer weights.
+func TestMinVersionAccountsForTrainingInProgress(t *testing.T) {
 	d := newDeployment(t) // the bound is one version
 	d.engines.set(func(f *fakeRouter) { f.version = 5 })
 	a := d.start("a")
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -13,7 +13,7 @@
 	"github.com/corkpulley/corkpulley/internal/logstream"
 )
 
-// answer answers one call at the ledger's owner.
+// answer handles a call at the ledger's owner.
 func (t *tenure) answer(ctx context.Context, call Call) (Answer, error) {
 	if err := t.beginCall(); err != nil {
 		return Answer{}, err
@@ -36,16 +36,16 @@
 		status, err := t.abandon(ctx, call.Abandon.Step)
 		return Answer{Status: &status}, err
 	default:
-		return Answer{}, errkind.New(errkind.InvalidRequest, "trainer call asks for nothing")
+		return Answer{}, errkind.New(errkind.InvalidRequest, "trainer call has no operation")
 	}
 }
 
-// beginCall counts a call in, unless the tenure is over or ends.
+// beginCall registers a call, or fails if the tenure is ending or over.
 func (t *tenure) beginCall() error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.coordinator.draining.Load() {
-		return errkind.New(errkind.ShuttingDown, "node %s gives the ledger of %q up", t.options.NodeID, t.trainer)
+		return errkind.New(errkind.ShuttingDown, "node %s is releasing the ledger of %q", t.options.NodeID, t.trainer)
 	}
 	if t.closed {
 		return t.notOwner()
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// submit records a step; it is accepted once the record is read back.
+// submit records a step; the step is accepted when the record is read back.
 func (t *tenure) submit(ctx context.Context, call SubmitCall) (api.StepStatus, error) {
 	if _, _, err := t.terms(); err != nil {
 		return api.StepStatus{}, err
@@ -67,12 +67,12 @@
 	if known || err != nil {
 		return status, err
 	}
-	if err := t.checkRoom(); err != nil {
+	if err := t.checkOpenSteps(); err != nil {
 		return api.StepStatus{}, err
 	}
-	// Before the step is on record, which starts its slots: they must not start
-	// under weights that are too old for the version told here.
-	t.tell(call.Request.TrainerVersion)
+	// Must precede the record, which lets the step's slots start: they must not
+	// start with weights that are stale at this trainer version.
+	t.setTrainerVersion(call.Request.TrainerVersion)
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	if _, _, err := t.propose(ctx, ledger.KindStepSubmitted, body); err != nil {
@@ -80,16 +80,16 @@
 	}
 	status, known, err = t.knownStep(body)
 	if err == nil && !known {
-		err = errkind.New(errkind.InvalidRequest, "step %q was refused by the ledger", call.Step)
+		err = errkind.New(errkind.InvalidRequest, "step %q was rejected by the ledger", call.Step)
 	}
 	if err == nil {
-		t.steps.Add(call.Step, body)
+		t.requestCache.Add(call.Step, body)
 	}
 	return status, err
 }
 
-// knownStep answers a step that is on record: its status, or StepMismatch when
-// it was submitted with another request.
+// knownStep returns the status of a step if it is recorded; it fails with
+// StepMismatch if the step was submitted with a different request.
 func (t *tenure) knownStep(body *ledger.StepSubmitted) (api.StepStatus, bool, error) {
 	var counts ledger.Counts
 	var fingerprint uint64
@@ -103,16 +103,16 @@
 	}
 	if fingerprint != body.Fingerprint {
 		return api.StepStatus{}, true, errkind.New(errkind.StepMismatch,
-			"step %q was submitted before with another request", body.Step)
+			"step %q was already submitted with a different request", body.Step)
 	}
 	return t.status(counts), true, nil
 }
 
-func (t *tenure) checkRoom() error {
+func (t *tenure) checkOpenSteps() error {
 	var open int
 	t.stream.View(func() { open = t.ledger.OpenStepCount() })
 	if open >= ledger.MaxOpenSteps {
-		return errkind.New(errkind.QueueFull, "%d steps are not finished, at most %d allowed", open, ledger.MaxOpenSteps)
+		return errkind.New(errkind.QueueFull, "%d unfinished steps, at most %d allowed", open, ledger.MaxOpenSteps)
 	}
 	return nil
 }
@@ -127,13 +127,13 @@
 	return t.status(counts), nil
 }
 
-// acknowledge records an acknowledgement before it confirms it.
+// acknowledge records an acknowledgement and confirms it once it is read back.
 func (t *tenure) acknowledge(ctx context.Context, request api.AckRequest) (api.AckResponse, error) {
 	keys, err := parseKeys(request.Samples)
 	if err != nil {
 		return api.AckResponse{}, err
 	}
-	t.tell(request.TrainerVersion)
+	t.setTrainerVersion(request.TrainerVersion)
 	_, terms, err := t.terms()
 	if err != nil {
 		return api.AckResponse{}, err
@@ -149,8 +149,8 @@
 	if err != nil {
 		return api.AckResponse{}, t.proposeError(ctx, err)
 	}
-	if !accepted && t.lags(terms) {
-		return api.AckResponse{}, errLags(terms)
+	if !accepted && t.tableOutdated(terms) {
+		return api.AckResponse{}, errTableOutdated(terms)
 	}
 	t.noteFinished(keys, request.TrainerVersion)
 	response := t.acknowledged(request.Token, keys)
@@ -165,32 +165,32 @@
 	return api.AckResponse{Accepted: sampleIDs(accepted), Rejected: sampleIDs(rejected)}
 }
 
-// lags reports whether the ledger was already judged under a later table
-// revision than the terms name.
-func (t *tenure) lags(terms ledger.Terms) bool {
+// tableOutdated reports whether the ledger has records evaluated under a later
+// table revision than that of the terms.
+func (t *tenure) tableOutdated(terms ledger.Terms) bool {
 	var revision int64
 	t.stream.View(func() { revision = t.ledger.TableRevision() })
 	return revision > terms.TableRevision
 }
 
-func errLags(terms ledger.Terms) error {
-	return errkind.New(errkind.NotCurrent, "table revision %d is older than one the ledger was judged under", terms.TableRevision)
+func errTableOutdated(terms ledger.Terms) error {
+	return errkind.New(errkind.NotCurrent, "table revision %d is older than that of the ledger", terms.TableRevision)
 }
 
-// proposeError tells what a failed proposal means for the call.
+// proposeError converts the error of a failed proposal to the error of the call.
 func (t *tenure) proposeError(ctx context.Context, err error) error {
 	var known *errkind.Error
 	switch {
 	case errors.As(err, &known):
 		return known
 	case errors.Is(err, logstream.ErrBadProposal):
-		return errkind.New(errkind.PayloadTooLarge, "the record would be too large: %v", err)
+		return errkind.New(errkind.PayloadTooLarge, "record too large: %v", err)
 	case t.ctx.Err() != nil:
 		return t.notOwner()
 	case errors.Is(err, logstream.ErrNotProposed):
 		return errkind.New(errkind.LogUnavailable, "%v", err)
 	case errors.Is(ctx.Err(), context.Canceled):
-		return errkind.New(errkind.Canceled, "the caller left before the record was read back")
+		return errkind.New(errkind.Canceled, "caller canceled before the record was read back")
 	default:
 		return errkind.New(errkind.OutcomeUnknownRepeatable, "the record was not read back in time; repeat the same call")
 	}
--- a/internal/coordinator/slotrun.go
+++ b/internal/coordinator/slotrun.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	// slotQueueTimeout bounds a slot's wait for an engine at a dispatcher.
+	// slotQueueTimeout limits how long a slot is queued at a dispatcher.
 	slotQueueTimeout = 30 * time.Second
-	// scoreTimeout bounds one call of the scoring service.
+	// scoreTimeout limits one call to the scoring service.
 	scoreTimeout = 30 * time.Second
-	// urgentPart: the last slots of a step, one in so many, are urgent.
-	urgentPart = 16
+	// urgentDivisor: the last 1/urgentDivisor of a step's slots are urgent.
+	urgentDivisor = 16
 )
 
-// slotRetries paces the tries to fill, score and record one slot.
+// slotRetries is the backoff for generating, scoring and recording a slot.
 var slotRetries = retry.Policy{First: 50 * time.Millisecond, Longest: 5 * time.Second}
 
-// errTooOld ends a run whose answer could no longer be delivered.
-var errTooOld = errors.New("answer is beyond the staleness bound")
+// errStale ends the attempt of a slot whose answer can no longer be delivered.
+var errStale = errors.New("answer is beyond the staleness bound")
 
-// slotRun runs one open slot until its sample is on record.
+// slotRun runs one open slot until its sample is recorded.
 type slotRun struct {
-	tenure   *tenure
-	slot     ledger.OpenSlot
-	request  *ledger.StepSubmitted
-	expected int
-	// waiting is set while the attempt in hand has no engine yet: from its start
-	// to its first token.
+	tenure         *tenure
+	slot           ledger.OpenSlot
+	request        *ledger.StepSubmitted
+	expectedTokens int
+	// waiting is set while the current attempt waits for an engine: from its
+	// start to its first token.
 	waiting atomic.Bool
-	// generated is set once the answer is whole.
+	// generated is set when the answer is complete.
 	generated atomic.Bool
 
 	mutex sync.Mutex
-	// oldest is the lowest version of the answer so far; 0 before the first token.
-	oldest uint64
-	// cancel ends the attempt in hand.
+	// oldestVersion is the lowest weight version of the tokens received so far; 0 if none.
+	oldestVersion uint64
+	// cancel cancels the current attempt.
 	cancel context.CancelCauseFunc
 }
 
-// run tries until the slot is filled or ctx, the tenure's, ends.
+// run retries until the slot is filled or abandoned, or the tenure's ctx is done.
 func (r *slotRun) run(ctx context.Context) {
 	t := r.tenure
 	delays := slotRetries.Delays()
@@ -61,13 +61,13 @@
 		switch {
 		case err == nil, errors.Is(err, errAbandoned):
 			return
-		case errors.Is(err, errTooOld):
-			t.metrics.runs.WithLabelValues(t.trainer, resultTooOld).Inc()
+		case errors.Is(err, errStale):
+			t.metrics.runs.WithLabelValues(t.trainer, resultStale).Inc()
 		case ctx.Err() != nil:
 			return
 		default:
 			t.metrics.runs.WithLabelValues(t.trainer, resultFailed).Inc()
-			t.logger.Debug().Err(err).Stringer("sample", r.slot.Sample).Msg("slot run failed, trying again")
+			t.logger.Debug().Err(err).Stringer("sample", r.slot.Sample).Msg("slot run failed, retrying")
 		}
 		if !retry.Sleep(ctx, delays.NextBackOff()) {
 			return
@@ -81,7 +81,7 @@
 	return open
 }
 
-// attempt generates, scores and records one answer.
+// attempt generates, scores and records an answer.
 func (r *slotRun) attempt(parent context.Context) error {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
@@ -97,7 +97,7 @@
 		err = r.record(ctx, body)
 	}
 	cause := context.Cause(ctx)
-	if err != nil && (errors.Is(cause, errTooOld) || errors.Is(cause, errAbandoned)) {
+	if err != nil && (errors.Is(cause, errStale) || errors.Is(cause, errAbandoned)) {
 		return cause
 	}
 	return err
@@ -106,50 +106,50 @@
 func (r *slotRun) begin(cancel context.CancelCauseFunc) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.oldest = 0
+	r.oldestVersion = 0
 	r.cancel = cancel
 	r.waiting.Store(true)
 }
 
-// cancelTooOld ends the attempt in hand if its answer is beyond the bound.
-func (r *slotRun) cancelTooOld(terms ledger.Terms) {
+// cancelStale cancels the current attempt if its answer is beyond the staleness bound.
+func (r *slotRun) cancelStale(terms ledger.Terms) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.cancel != nil && r.oldest != 0 && !ledger.Fresh(r.oldest, terms.TrainerVersion, terms.Bound) {
-		r.cancel(errTooOld)
+	if r.cancel != nil && r.oldestVersion != 0 && !ledger.Fresh(r.oldestVersion, terms.TrainerVersion, terms.Bound) {
+		r.cancel(errStale)
 	}
 }
 
-// noteVersion takes a version of the answer's tokens into account; it fails
-// when the answer is beyond the bound by it.
-func (r *slotRun) noteVersion(version uint64) error {
+// observeVersion records the weight version of received tokens; it fails with
+// errStale if that puts the answer beyond the staleness bound.
+func (r *slotRun) observeVersion(version uint64) error {
 	if r.waiting.Swap(false) {
 		r.tenure.reschedule()
 	}
 	_, terms, err := r.tenure.terms()
 	if err != nil {
-		return nil // judged again before delivery
+		return nil // checked again before delivery
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.oldest == 0 || version < r.oldest {
-		r.oldest = version
+	if r.oldestVersion == 0 || version < r.oldestVersion {
+		r.oldestVersion = version
 	}
-	if !ledger.Fresh(r.oldest, terms.TrainerVersion, terms.Bound) {
-		return errTooOld
+	if !ledger.Fresh(r.oldestVersion, terms.TrainerVersion, terms.Bound) {
+		return errStale
 	}
 	return nil
 }
 
-// generate runs the slot's request through the router. It does not start
-// under weights whose sample could not be delivered.
+// generate runs the slot's request through the router, with weights recent enough
+// for the sample to be deliverable.
 func (r *slotRun) generate(ctx context.Context) (*ledger.SampleFilled, error) {
 	row, terms, err := r.tenure.terms()
 	if err != nil {
 		return nil, err
 	}
 	answer := &answerBuilder{}
-	tooOld := false
+	stale := false
 	result, err := r.tenure.options.Router.Run(ctx, router.Request{
 		ID:             xid.New().String(),
 		Row:            row,
@@ -157,20 +157,20 @@
 		MinVersion:     minVersion(row, terms, r.tenure.versionsUntil(r.slot.Sample.Step)),
 		Prompt:         r.request.Prompts[r.slot.Prompt].Text,
 		MaxTokens:      r.request.MaxTokens,
-		ExpectedTokens: r.expected,
+		ExpectedTokens: r.expectedTokens,
 		Seed:           sampleSeed(r.request.Seed, r.slot.Sample),
 		Temperature:    r.request.Temperature,
 		Urgent:         r.urgent,
 		QueueTimeout:   slotQueueTimeout,
 	}, func(piece router.Piece) error {
-		if err := r.noteVersion(piece.Version); err != nil {
-			tooOld = true
+		if err := r.observeVersion(piece.Version); err != nil {
+			stale = true
 			return err
 		}
 		return answer.add(piece)
 	})
-	if tooOld {
-		return nil, errTooOld
+	if stale {
+		return nil, errStale
 	}
 	if err != nil {
 		return nil, err
@@ -178,8 +178,7 @@
 	return answer.finish(r.slot.Sample, result)
 }
 
-// sampleSeed gives each attempt of each slot a seed of its own, as a function
-// of the step's seed. It is never negative.
+// sampleSeed derives a non-negative seed from the step's seed, the slot and the attempt.
 func sampleSeed(seed int64, key ledger.SampleKey) int64 {
 	data := binary.LittleEndian.AppendUint64(nil, uint64(seed))
 	data = binary.LittleEndian.AppendUint64(data, uint64(key.Slot))
@@ -187,16 +186,16 @@
 	return int64(xxhash.Sum64(data) >> 1)
 }
 
-// urgent reports whether the slot is among the last open ones of its step.
+// urgent reports whether the slot is among the last open slots of its step.
 func (r *slotRun) urgent() bool {
 	t := r.tenure
 	var counts ledger.Counts
 	t.stream.View(func() { counts, _ = t.ledger.Counts(r.slot.Sample.Step) })
-	return counts.Open <= max(1, counts.Wanted/urgentPart)
+	return counts.Open <= max(1, counts.Wanted/urgentDivisor)
 }
 
-// score has the answer scored, trying until ctx ends; a repeated call is
-// harmless since it names the sample.
+// score scores the answer, retrying until ctx is done. Scoring is idempotent
+// because the request has the sample's ID.
 func (r *slotRun) score(ctx context.Context, body *ledger.SampleFilled) error {
 	delays := slotRetries.Delays()
 	for {
@@ -205,7 +204,7 @@
 			body.Score = response.Score
 			return nil
 		}
-		r.tenure.logger.Debug().Err(err).Stringer("sample", r.slot.Sample).Msg("scoring failed, trying again")
+		r.tenure.logger.Debug().Err(err).Stringer("sample", r.slot.Sample).Msg("scoring failed, retrying")
 		if !retry.Sleep(ctx, delays.NextBackOff()) {
 			return ctx.Err()
 		}
@@ -231,10 +230,10 @@
 		return err
 	}
 	if !accepted {
-		t.metrics.runs.WithLabelValues(t.trainer, resultNotTaken).Inc()
-		return errors.Errorf("sample %s was not taken by the ledger", r.slot.Sample)
+		t.metrics.runs.WithLabelValues(t.trainer, resultRejected).Inc()
+		return errors.Errorf("sample %s was rejected by the ledger", r.slot.Sample)
 	}
-	t.texts.Add(offset, body)
+	t.sampleCache.Add(offset, body)
 	t.mutex.Lock()
 	t.lengths.Observe(lengthGroup(r.request, r.slot.Prompt), body.Tokens)
 	t.mutex.Unlock()
--- a/internal/coordinator/tenure.go
+++ b/internal/coordinator/tenure.go
@@ -17,25 +17,24 @@
 )
 
 const (
-	// cachedTexts bounds the recorded samples kept in memory for delivery.
-	cachedTexts = 512
-	// cachedSteps bounds the steps' requests kept in memory.
-	cachedSteps = 8
-	// scheduleInterval bounds how long a change of the table or of the cells
-	// goes unseen; records and finished runs are seen at once.
+	// sampleCacheSize is the number of recorded samples cached for delivery.
+	sampleCacheSize = 512
+	// requestCacheSize is the number of step requests cached.
+	requestCacheSize = 8
+	// scheduleInterval is the polling interval for changes of the table and the
+	// cells; records and finished runs trigger scheduling immediately.
 	scheduleInterval = 500 * time.Millisecond
-	// drainGrace is how long a planned stop lets running slots finish.
+	// drainGrace is how long running slots may continue when the ledger is released.
 	drainGrace = 2 * time.Second
-	// releaseTimeout bounds how long a planned stop waits for the release to be
-	// read back: it only saves the others the time until the owner is known to
-	// be gone, so it is not worth waiting for a log that is down.
+	// releaseTimeout limits how long a draining node waits for its release to be
+	// read back. The release only speeds up the next claim, so it is best effort.
 	releaseTimeout = 5 * time.Second
-	// recordTimeout bounds how long a call waits for its record to be read back.
+	// recordTimeout limits how long a call waits for its record to be read back.
 	recordTimeout = 20 * time.Second
 )
 
-// tenure is the time in which this node believes that it owns a ledger under
-// one epoch. Its context ends as soon as the node reads that it does not.
+// tenure is the period in which this node believes that it owns a ledger under
+// one epoch. Its context is canceled when the node reads that the epoch is lost.
 type tenure struct {
 	*follower
 	options *Options
@@ -44,60 +43,61 @@
 	epoch   int64
 	ctx     context.Context
 	cancel  context.CancelFunc
-	// ended is closed when nothing of the tenure runs any more and the cluster was told.
+	// ended is closed when all work of the tenure has finished and the change of
+	// ownership is announced.
 	ended chan struct{}
-	// wake asks for another round of scheduling.
+	// wake triggers a scheduling round.
 	wake chan struct{}
-	// calls counts the calls in hand, slots the running slots.
+	// calls counts the pending calls; slots counts the running slots.
 	calls sync.WaitGroup
 	slots sync.WaitGroup
 
-	texts *lru.Cache[int64, *ledger.SampleFilled]
-	steps *lru.Cache[string, *ledger.StepSubmitted]
+	sampleCache  *lru.Cache[int64, *ledger.SampleFilled]
+	requestCache *lru.Cache[string, *ledger.StepSubmitted]
 
 	mutex sync.Mutex
-	// closed is set once no call and no slot may start any more.
+	// closed is set when no more calls or slots may start.
 	closed  bool
 	running map[ledger.SampleKey]*slotRun
-	// trainerVersion is the one that the trainer named last.
+	// trainerVersion is the version last reported by the trainer.
 	trainerVersion uint64
-	// finishedAt is the trainer's version at the acknowledgement that last
-	// finished a step; 0 for none in this tenure.
+	// finishedAt is the trainer's version when a step was last finished; 0 if no
+	// step was finished in this tenure.
 	finishedAt uint64
 	discarding bool
 }
 
 func newTenure(parent context.Context, f *follower, epoch int64) *tenure {
 	ctx, cancel := context.WithCancel(parent)
-	texts, _ := lru.New[int64, *ledger.SampleFilled](cachedTexts) // fails for sizes below 1 only
-	steps, _ := lru.New[string, *ledger.StepSubmitted](cachedSteps)
+	sampleCache, _ := lru.New[int64, *ledger.SampleFilled](sampleCacheSize) // fails for sizes below 1 only
+	requestCache, _ := lru.New[string, *ledger.StepSubmitted](requestCacheSize)
 	t := &tenure{
-		follower: f,
-		options:  &f.coordinator.options,
-		metrics:  f.coordinator.metrics,
-		logger:   f.coordinator.options.Logger.With().Str("trainer", f.trainer).Int64("epoch", epoch).Logger(),
-		epoch:    epoch,
-		ctx:      ctx,
-		cancel:   cancel,
-		ended:    make(chan struct{}),
-		wake:     make(chan struct{}, 1),
-		texts:    texts,
-		steps:    steps,
-		running:  make(map[ledger.SampleKey]*slotRun),
+		follower:     f,
+		options:      &f.coordinator.options,
+		metrics:      f.coordinator.metrics,
+		logger:       f.coordinator.options.Logger.With().Str("trainer", f.trainer).Int64("epoch", epoch).Logger(),
+		epoch:        epoch,
+		ctx:          ctx,
+		cancel:       cancel,
+		ended:        make(chan struct{}),
+		wake:         make(chan struct{}, 1),
+		sampleCache:  sampleCache,
+		requestCache: requestCache,
+		running:      make(map[ledger.SampleKey]*slotRun),
 	}
 	f.stream.View(func() { t.trainerVersion = f.ledger.TrainerVersion() })
 	return t
 }
 
-// run schedules slots until the epoch is lost or given up.
+// run schedules slots until the epoch is lost or released.
 func (t *tenure) run() {
-	t.logger.Info().Msg("ledger owned")
+	t.logger.Info().Msg("ledger ownership acquired")
 	go t.watchEpoch()
 	timer := time.NewTicker(scheduleInterval)
 	defer timer.Stop()
 	for t.ctx.Err() == nil {
-		if t.unwanted() {
-			t.handOver()
+		if t.shouldRelease() {
+			t.release()
 			break
 		}
 		t.schedule()
@@ -111,18 +111,18 @@
 	t.close()
 	t.slots.Wait()
 	t.calls.Wait()
-	t.logger.Info().Msg("ledger no longer owned")
+	t.logger.Info().Msg("ledger ownership ended")
 }
 
-// unwanted reports whether the ledger should be given up: the table no longer
-// has the trainer, or the epoch was won after the node began to drain.
-func (t *tenure) unwanted() bool {
+// shouldRelease reports whether the ledger should be released: the table no longer
+// has the trainer, or the node is draining.
+func (t *tenure) shouldRelease() bool {
 	_, err := trainerRow(t.options.Tables.Table(), t.trainer)
 	return err != nil || t.coordinator.draining.Load()
 }
 
-// watchEpoch ends the tenure when the stream says that the epoch is lost, and
-// asks for a round of scheduling at each change.
+// watchEpoch cancels the tenure when the epoch is lost, and triggers a scheduling
+// round on each change of the stream.
 func (t *tenure) watchEpoch() {
 	for {
 		applied := t.stream.Applied()
@@ -147,17 +147,16 @@
 	}
 }
 
-// close lets no further call or slot start.
+// close prevents further calls and slots from starting.
 func (t *tenure) close() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.closed = true
 }
 
-// handOver ends the tenure by plan: calls in hand are answered, running slots
-// get a short grace, and the release goes on record; when the node stops and
-// the log is down, the release is left to chance.
-func (t *tenure) handOver() {
+// release gives up the epoch: it waits for pending calls, gives running slots a
+// grace period and records the release, which is best effort while draining.
+func (t *tenure) release() {
 	t.close()
 	waitFor(t.ctx, &t.calls, recordTimeout)
 	waitFor(t.ctx, &t.slots, drainGrace)
@@ -165,11 +164,11 @@
 	defer cancel()
 	_, _, err := t.propose(ctx, logrecord.KindRelease, nil)
 	if err != nil {
-		t.logger.Warn().Err(err).Msg("ledger was not released")
+		t.logger.Warn().Err(err).Msg("could not release the ledger")
 	}
 }
 
-// waitFor waits until the group is done, the limit has passed or ctx ends.
+// waitFor waits until the group is done, the limit has passed or ctx is done.
 func waitFor(ctx context.Context, group *sync.WaitGroup, limit time.Duration) {
 	done := make(chan struct{})
 	go func() {
@@ -185,8 +184,8 @@
 	}
 }
 
-// terms returns the row in force and the terms for records judged now, or why
-// this node may take no decision under the table.
+// terms returns the trainer's current row and the terms for records proposed now.
+// It fails if the table may be outdated or has no such trainer.
 func (t *tenure) terms() (policy.Row, ledger.Terms, error) {
 	if err := t.options.Tables.Current(); err != nil {
 		return policy.Row{}, ledger.Terms{}, err
@@ -206,8 +205,8 @@
 	return row, terms, nil
 }
 
-// tell notes the version that the trainer says it is at.
-func (t *tenure) tell(version uint64) {
+// setTrainerVersion stores the version reported by the trainer.
+func (t *tenure) setTrainerVersion(version uint64) {
 	t.mutex.Lock()
 	changed := t.trainerVersion != version
 	t.trainerVersion = version
@@ -217,8 +216,8 @@
 	}
 }
 
-// propose appends a record under the epoch and returns its read-back offset
-// and whether it was accepted. A fenced record ends the tenure.
+// propose appends a record under the epoch, waits until it is read back, and
+// returns its offset and whether it was accepted. A fenced record ends the tenure.
 func (t *tenure) propose(ctx context.Context, kind logrecord.Kind, body any) (int64, bool, error) {
 	outcome, err := t.stream.Propose(ctx, logstream.Proposal{Kind: kind, Epoch: t.epoch, Body: body})
 	if err != nil {
@@ -235,12 +234,12 @@
 	return errkind.New(errkind.NotOwner, "node %s lost the ledger of %q", t.options.NodeID, t.trainer)
 }
 
-// openStatuses returns the steps that still want samples.
+// openStatuses returns the status of unfinished steps.
 func (t *tenure) openStatuses() []api.StepStatus {
 	return t.statuses(t.ledger.OpenCounts)
 }
 
-// statuses returns the steps that list, read from the ledger, names.
+// statuses returns the status of the steps returned by list, which is called inside stream.View.
 func (t *tenure) statuses(list func() []ledger.Counts) []api.StepStatus {
 	var counts []ledger.Counts
 	t.stream.View(func() { counts = list() })
