--- a/internal/weights/world_test.go
+++ b/internal/weights/cluster_test.go
@@ -24,11 +24,11 @@
 	standinstore "github.com/corkpulley/corkpulley/internal/standin/weightstore"
 )
 
-var patience = poll.WithTimeout(30 * time.Second)
+var pollTimeout = poll.WithTimeout(30 * time.Second)
 
-// world is a cluster of one cell, in memory; the log and the store are real
-// stand-ins.
-type world struct {
+// testCluster is an in-memory cluster with one cell; the log and the weight store
+// are simulated HTTP services.
+type testCluster struct {
 	cluster.View
 	cluster.Announcer
 	log, storeURL string
@@ -43,13 +43,13 @@
 	engines  []uint64 // version of each engine
 	fence    int64
 	received []message.Directive
-	// lagging, when set, is the digest that the cluster still has of the cell.
-	lagging *message.CellDigest
+	// frozenDigest, when set, is the outdated digest that Cells returns.
+	frozenDigest *message.CellDigest
 }
 
-func newWorld(t *testing.T, rows ...policy.Row) *world {
+func newTestCluster(t *testing.T, rows ...policy.Row) *testCluster {
 	t.Helper()
-	w := &world{
+	w := &testCluster{
 		store:   standinstore.New(standinstore.Config{}),
 		table:   &policy.Table{Revision: 1, Rows: rows},
 		changed: make(chan struct{}),
@@ -67,37 +67,37 @@
 	return w
 }
 
-func (w *world) Candidates(string) []cluster.Member {
+func (w *testCluster) Candidates(string) []cluster.Member {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.members
 }
 
-func (w *world) Owner(string) (cluster.Member, int64, bool) {
+func (w *testCluster) Owner(string) (cluster.Member, int64, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return cluster.Member{ID: w.owner}, 0, w.owner != ""
 }
 
-func (w *world) Cells() []message.CellDigest {
+func (w *testCluster) Cells() []message.CellDigest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.lagging != nil {
-		return []message.CellDigest{*w.lagging}
+	if w.frozenDigest != nil {
+		return []message.CellDigest{*w.frozenDigest}
 	}
 	return []message.CellDigest{w.digestLocked()}
 }
 
-// lag keeps what the cluster knows of the cell as it is now.
-func (w *world) lag() {
+// freezeDigest makes Cells return the cell's current digest from now on.
+func (w *testCluster) freezeDigest() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	digest := w.digestLocked()
-	w.lagging = &digest
+	w.frozenDigest = &digest
 }
 
-// digestLocked is the cell as it is; mu is held.
-func (w *world) digestLocked() message.CellDigest {
+// digestLocked returns the cell's current digest. Must be called with mu held.
+func (w *testCluster) digestLocked() message.CellDigest {
 	counts := make(map[uint64]int)
 	for _, version := range w.engines {
 		if version > 0 {
@@ -112,23 +112,23 @@
 	return digest
 }
 
-func (w *world) AnnounceOwned([]cluster.Ownership) {}
+func (w *testCluster) AnnounceOwned([]cluster.Ownership) {}
 
-func (w *world) Table() *policy.Table {
+func (w *testCluster) Table() *policy.Table {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.table
 }
 
-func (w *world) Changed(int64) <-chan struct{} {
+func (w *testCluster) Changed(int64) <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.changed
 }
 
-func (w *world) Current() error { return nil }
+func (w *testCluster) Current() error { return nil }
 
-func (w *world) setRows(rows ...policy.Row) {
+func (w *testCluster) setRows(rows ...policy.Row) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.table = &policy.Table{Revision: w.table.Revision + 1, Rows: rows}
@@ -136,12 +136,12 @@
 	w.changed = make(chan struct{})
 }
 
-func (w *world) OpenStream(context.Context, string, peer.Method, any) (peer.Stream, error) {
+func (w *testCluster) OpenStream(context.Context, string, peer.Method, any) (peer.Stream, error) {
 	return nil, errors.New("not used")
 }
 
-// Call is the dispatcher: it loads at once, up to the allotment.
-func (w *world) Call(_ context.Context, _ string, _ peer.Method, request, response any) error {
+// Call simulates the dispatcher: engines load instantly, up to the allotment.
+func (w *testCluster) Call(_ context.Context, _ string, _ peer.Method, request, response any) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	directive := *request.(*message.Directive)
@@ -169,11 +169,11 @@
 	return nil
 }
 
-// nextDirectives waits for that many directives that were planned from now on.
-func (w *world) nextDirectives(t *testing.T, count int) []message.Directive {
+// nextDirectives waits for count directives planned after the call and returns them.
+func (w *testCluster) nextDirectives(t *testing.T, count int) []message.Directive {
 	t.Helper()
 	w.mu.Lock()
-	known := len(w.received) + 1 // one may be on its way
+	known := len(w.received) + 1 // one may be in transit
 	w.mu.Unlock()
 	var directives []message.Directive
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -184,11 +184,11 @@
 		}
 		directives = append(directives, w.received[known:known+count]...)
 		return poll.Success()
-	}, patience)
+	}, pollTimeout)
 	return directives
 }
 
-func (w *world) setMembers(owner string, ids ...string) {
+func (w *testCluster) setMembers(owner string, ids ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.owner = owner
@@ -198,8 +198,8 @@
 	}
 }
 
-// node starts a coordinator.
-func (w *world) node(t *testing.T, id string) *Coordinator {
+// startNode starts a coordinator that stops at the end of the test.
+func (w *testCluster) startNode(t *testing.T, id string) *Coordinator {
 	t.Helper()
 	manager := logstream.NewManager(logstream.Options{
 		Service: logservice.NewHTTP(w.log, http.DefaultClient), Writer: id, Logger: zerolog.Nop(), PollWait: 100 * time.Millisecond,
@@ -224,7 +224,7 @@
 	return coordinator
 }
 
-func (w *world) waitVersion(t *testing.T, version uint64) {
+func (w *testCluster) waitVersion(t *testing.T, version uint64) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		w.mu.Lock()
@@ -235,7 +235,7 @@
 			}
 		}
 		return poll.Success()
-	}, patience)
+	}, pollTimeout)
 }
 
 func waitOwned(t *testing.T, coordinator *Coordinator, owned int) {
@@ -245,5 +245,5 @@
 			return poll.Success()
 		}
 		return poll.Continue("owned: %v", coordinator.Owned())
-	}, patience)
+	}, pollTimeout)
 }
--- a/internal/weights/contest_test.go
+++ b/internal/weights/contest_test.go
@@ -11,20 +11,20 @@
 	"github.com/corkpulley/corkpulley/internal/platform/logservice"
 )
 
-// TestPartsThatCannotHearEachOtherDoNotFight has two nodes that reach one log
-// and not each other: each takes the other for gone.
-func TestPartsThatCannotHearEachOtherDoNotFight(t *testing.T) {
-	left, right := newWorld(t, row(2, 0)), newWorld(t, row(2, 0))
+// Two nodes that share the log but do not see each other as members must not
+// keep claiming the stream from each other.
+func TestPartitionedNodesDoNotAlternateClaims(t *testing.T) {
+	left, right := newTestCluster(t, row(2, 0)), newTestCluster(t, row(2, 0))
 	right.log = left.log
 	left.setMembers("", "n1")
 	right.setMembers("", "n2")
-	first := left.node(t, "n1")
+	first := left.startNode(t, "n1")
 	waitOwned(t, first, 1)
-	second := right.node(t, "n2")
+	second := right.startNode(t, "n2")
 	waitOwned(t, second, 1)
 	waitOwned(t, first, 0)
 
-	// Each node looks every 10 ms: without a delay they would claim in turn.
+	// Each node checks ownership every 10 ms: without a delay they would alternate.
 	const observed = 2 * time.Second
 	time.Sleep(observed)
 	log := logservice.NewHTTP(left.log, http.DefaultClient)
--- a/internal/weights/direct.go
+++ b/internal/weights/direct.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	// directiveTimeout bounds one call to a dispatcher.
+	// directiveTimeout limits one call to a dispatcher.
 	directiveTimeout = 3 * time.Second
-	// maxDirectiveCalls bounds the calls to dispatchers at once, for one model.
+	// maxDirectiveCalls limits the concurrent calls to dispatchers per model.
 	maxDirectiveCalls = 32
-	// settledInterval is the shortest time between two directives to a cell whose
-	// engines all hold the version; they repair what a digest does not show.
+	// settledInterval is the minimum time between directives to a cell whose engines
+	// all hold the version. They find engines whose change is not in the digest.
 	settledInterval = 5 * time.Second
-	// settledPace is the time between two such directives to any cells, since a
-	// model may have hundreds of cells and control traffic has a budget.
-	settledPace = 250 * time.Millisecond
+	// settledIntervalPerCell raises that interval in proportion to the number of
+	// cells, to limit control traffic for models with hundreds of cells.
+	settledIntervalPerCell = 250 * time.Millisecond
 )
 
-// cellProgress is what one cell last answered.
+// cellProgress is the last known state of a cell.
 type cellProgress struct {
-	// version and allotment are what the cell last confirmed.
+	// version is the version of the last directive that the cell answered.
 	version uint64
-	// granted is the largest allotment that it may still act on.
-	granted int
-	known   bool
-	result  message.DirectiveResult
-	asked   time.Time
+	// granted is the largest allotment that the cell may still act on.
+	granted      int
+	known        bool
+	result       message.DirectiveResult
+	lastAnswered time.Time
 }
 
-// settled reports whether all engines of the cell hold what is wanted.
+// settled reports whether all engines of the cell hold the target version.
 func (p *cellProgress) settled(version uint64, wanted target) bool {
-	return p.known && p.version == version && wanted.placed(p.result) >= p.result.Engines &&
+	return p.known && p.version == version && wanted.upToDate(p.result) >= p.result.Engines &&
 		p.result.Broken == 0 && p.result.Loading == 0 && p.granted == 0
 }
 
-// dispatch is one directive on its way.
-type dispatch struct {
+// directiveCall is a directive to a dispatcher and its outcome.
+type directiveCall struct {
 	address   string
 	directive message.Directive
 	progress  *cellProgress
@@ -50,7 +50,7 @@
 	err       error
 }
 
-// direct plans one wave and sends it to the dispatchers.
+// direct plans the next wave of loads and sends the directives to the dispatchers.
 func (r *runner) direct(ctx context.Context, epoch int64, version uint64, wanted target, maxLoads int) {
 	digests := r.relevantCells(wanted)
 	r.trackCells(digests)
@@ -58,11 +58,11 @@
 	cells := r.plannedCells(digests, version, wanted)
 	plan := r.planner.Plan(now, cells, r.limits(now, version, cells, maxLoads))
 	r.warnBlocked(plan.Blocked)
-	settledAfter := max(settledInterval, time.Duration(len(digests))*settledPace)
-	var dispatches []*dispatch
+	settledAfter := max(settledInterval, time.Duration(len(digests))*settledIntervalPerCell)
+	var dispatches []*directiveCall
 	for _, digest := range digests {
 		progress := r.cells[digest.Cell]
-		settled := progress.settled(version, wanted) && !wanted.misplaced(digest, r.model, version)
+		settled := progress.settled(version, wanted) && !wanted.outdated(digest, r.model, version)
 		if settled && !due(progress, digest, settledAfter) {
 			continue
 		}
@@ -73,14 +73,14 @@
 			Epoch:      epoch,
 			Concurrent: plan.Allotments[digest.Cell],
 		}
-		dispatches = append(dispatches, &dispatch{address: digest.Address, directive: directive, progress: progress})
+		dispatches = append(dispatches, &directiveCall{address: digest.Address, directive: directive, progress: progress})
 	}
 	r.send(ctx, dispatches)
 	r.report(version, wanted)
 }
 
-// limits bounds the next wave by the settings and by what the store was seen
-// to feed.
+// limits returns the limits for the next wave, from the settings and the observed
+// throughput of the weight store.
 func (r *runner) limits(now time.Time, version uint64, cells []weights.Cell, maxLoads int) weights.Limits {
 	running, reached, engines := 0, 0, 0
 	for _, cell := range cells {
@@ -94,7 +94,7 @@
 	return r.pace.Limits(maxLoads, engines)
 }
 
-// allKnown reports whether each cell has answered for the version.
+// allKnown reports whether every cell has answered a directive for the version.
 func (r *runner) allKnown(version uint64) bool {
 	for _, progress := range r.cells {
 		if !progress.known || progress.version != version {
@@ -104,7 +104,7 @@
 	return true
 }
 
-// relevantCells returns the cells whose pool and zone the table gives to the model.
+// relevantCells returns the cells whose pool and zone have a row of the model.
 func (r *runner) relevantCells(wanted target) []message.CellDigest {
 	var relevant []message.CellDigest
 	for _, digest := range r.coordinator.options.View.Cells() {
@@ -115,7 +115,7 @@
 	return relevant
 }
 
-// trackCells keeps the progress of the cells that are there, and of no other.
+// trackCells adds new cells and removes those that no longer exist.
 func (r *runner) trackCells(digests []message.CellDigest) {
 	present := make(map[message.CellID]*cellProgress, len(digests))
 	for _, digest := range digests {
@@ -128,9 +128,9 @@
 	r.cells = present
 }
 
-// plannedCells turns the progress into the planner's input. A cell that has not
-// answered for this version counts as one that needs nothing yet: its directive
-// asks for no load and learns its counts.
+// plannedCells converts the progress to the planner's input. A cell that has not
+// answered for this version is treated as up to date: its first directive
+// allows no loads and returns its counts.
 func (r *runner) plannedCells(digests []message.CellDigest, version uint64, wanted target) []weights.Cell {
 	cells := make([]weights.Cell, 0, len(digests))
 	for _, digest := range digests {
@@ -139,7 +139,7 @@
 		cell := weights.Cell{
 			ID:           digest.Cell,
 			Engines:      progress.result.Engines,
-			AtVersion:    wanted.placed(progress.result),
+			AtVersion:    wanted.upToDate(progress.result),
 			Loading:      progress.result.Loading,
 			Broken:       progress.result.Broken,
 			Absent:       absent(progress.result, digest, r.model),
@@ -154,8 +154,8 @@
 	return cells
 }
 
-// absent counts the engines that neither hold the model in service nor load it:
-// they never had it, or can't be reached.
+// absent returns the number of engines that neither serve nor load the model:
+// they never loaded it or are unreachable.
 func absent(result message.DirectiveResult, digest message.CellDigest, model string) int {
 	held := 0
 	for _, count := range digest.Models {
@@ -166,83 +166,83 @@
 	return max(0, result.Engines-result.Loading-result.Broken-max(held, result.AtLeast))
 }
 
-// due reports whether the dispatcher of a settled cell must hear a directive
-// all the same: after the time, or when the cell has changed.
+// due reports whether a settled cell needs another directive: settledAfter has
+// passed, or its number of engines has changed.
 func due(progress *cellProgress, digest message.CellDigest, settledAfter time.Duration) bool {
-	return time.Since(progress.asked) >= settledAfter || digest.Engines != progress.result.Engines
+	return time.Since(progress.lastAnswered) >= settledAfter || digest.Engines != progress.result.Engines
 }
 
-// send makes the calls, a bounded number at once, and takes the answers in.
-func (r *runner) send(ctx context.Context, dispatches []*dispatch) {
-	places := make(chan struct{}, maxDirectiveCalls)
+// send sends the directives with limited concurrency and applies the results.
+func (r *runner) send(ctx context.Context, dispatches []*directiveCall) {
+	semaphore := make(chan struct{}, maxDirectiveCalls)
 	var calls sync.WaitGroup
 	for _, current := range dispatches {
-		// The cell may act on the directive from now on, whether it answers or not.
+		// The cell may act on the directive even if no answer arrives.
 		current.progress.granted = max(current.progress.granted, current.directive.Concurrent)
-		places <- struct{}{}
+		semaphore <- struct{}{}
 		calls.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-semaphore }()
 			r.call(ctx, current)
 		})
 	}
 	calls.Wait()
 	for _, current := range dispatches {
-		r.take(current)
+		r.applyResult(current)
 	}
 }
 
-func (r *runner) call(ctx context.Context, current *dispatch) {
+func (r *runner) call(ctx context.Context, current *directiveCall) {
 	ctx, cancel := context.WithTimeout(ctx, directiveTimeout)
 	defer cancel()
 	current.err = r.coordinator.options.Caller.Call(ctx, current.address, peer.MethodDirective, &current.directive, &current.result)
 }
 
-// take notes the answer to a directive. A cell that did not answer keeps its
-// last counts, and all that it may have been granted.
-func (r *runner) take(current *dispatch) {
+// applyResult applies the result of a directive. A cell that did not answer keeps
+// its last counts and its largest allotment.
+func (r *runner) applyResult(current *directiveCall) {
 	if current.err != nil {
 		r.count(resultFailed)
-		r.logger.Warn().Err(current.err).Any("cell", current.directive.Cell).Msg("directive was not answered")
+		r.logger.Warn().Err(current.err).Any("cell", current.directive.Cell).Msg("directive failed")
 		return
 	}
 	if current.result.StaleEpoch > current.directive.Epoch {
 		r.count(resultStale)
 		r.fencedEpoch = max(r.fencedEpoch, current.result.StaleEpoch)
 		r.logger.Warn().Int64("epoch", current.directive.Epoch).Int64("seen", current.result.StaleEpoch).
-			Msg("an engine has seen a later owner")
+			Msg("directive rejected: an engine has seen a later epoch")
 		return
 	}
 	r.count(resultDelivered)
 	if !current.progress.known || current.progress.version != current.directive.Version {
-		// Its counts are known only now, so the next wave need not wait.
+		// The first counts are available, so plan the next wave immediately.
 		r.signal()
 	}
 	current.progress.known = true
 	current.progress.version = current.directive.Version
 	current.progress.granted = current.directive.Concurrent
 	current.progress.result = current.result
-	current.progress.asked = time.Now()
+	current.progress.lastAnswered = time.Now()
 }
 
 func (r *runner) count(result string) {
 	r.coordinator.metrics.directives.WithLabelValues(r.model, result).Inc()
 }
 
-// warnBlocked logs when the floor alone keeps pools from loading, once for
-// each change.
+// warnBlocked logs the pools in which the floor prevents any load, when the list
+// of pools has changed.
 func (r *runner) warnBlocked(pools []string) {
 	blocked := strings.Join(pools, ",")
 	if blocked != r.blocked && blocked != "" {
-		r.logger.Warn().Strs("pools", pools).Msg("the floor leaves no engine of the pool free to load")
+		r.logger.Warn().Strs("pools", pools).Msg("floor prevents any load in these pools")
 	}
 	r.blocked = blocked
 }
 
-// report sets the gauges of the model.
+// report updates the model's gauges.
 func (r *runner) report(version uint64, wanted target) {
 	behind, loading := 0, 0
 	for _, progress := range r.cells {
-		behind += max(0, progress.result.Engines-wanted.placed(progress.result))
+		behind += max(0, progress.result.Engines-wanted.upToDate(progress.result))
 		loading += progress.result.Loading
 	}
 	metrics := r.coordinator.metrics
--- a/internal/weights/metrics.go
+++ b/internal/weights/metrics.go
@@ -5,14 +5,14 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Results of a directive, as a label.
+// Values of the result label of directives.
 const (
 	resultDelivered = "delivered"
 	resultFailed    = "failed"
 	resultStale     = "stale_epoch"
 )
 
-// metrics of the weight coordinator.
+// metrics are the metrics of the weight coordinator.
 type metrics struct {
 	owned      prometheus.Gauge
 	wanted     *prometheus.GaugeVec
@@ -48,7 +48,7 @@
 	}
 }
 
-// forget drops the gauges of a model that is not owned any more.
+// forget deletes the gauges of a model that is no longer owned.
 func (m *metrics) forget(model string) {
 	m.wanted.DeleteLabelValues(model)
 	m.behind.DeleteLabelValues(model)
--- a/internal/weights/ownership.go
+++ b/internal/weights/ownership.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// claimTimeout bounds one try to claim; the log may be slow or down.
+	// claimTimeout limits one attempt to claim a stream.
 	claimTimeout = 5 * time.Second
-	// releaseTimeout bounds the wait for a release at a planned stop.
+	// releaseTimeout limits the wait for a release to be read back.
 	releaseTimeout = 5 * time.Second
-	// announcementPatience is how long a live node that owns the stream in the
-	// log may go without announcing it before its stream is claimed.
-	announcementPatience = 5 * time.Second
-	// snapshotEvery keeps the replay of a stream of claims short.
+	// announcementTimeout is how long a live owner according to the log may fail
+	// to announce its ownership before the stream is claimed.
+	announcementTimeout = 5 * time.Second
+	// snapshotEvery is the number of records between snapshots.
 	snapshotEvery = 256
 )
 
-// ownership holds this node's side of one orders stream. The stream is open
-// only while the node is the preferred owner or the owner, so that a node reads
-// few streams. It is used by one goroutine.
+// ownership manages this node's claim to one orders stream. The stream is open
+// only while this node is the owner or the preferred owner, to limit the number
+// of streams read. It is not safe for concurrent use.
 type ownership struct {
 	options    Options
 	preference *preference
@@ -36,9 +36,9 @@
 
 	stream  *logstream.TailedStream
 	reducer *logrecord.OwnershipReducer
-	// silentSince is when a live owner was first found not to announce itself.
-	silentSince time.Time
-	// owning is set while the stream is held; contest counts its losses.
+	// unannouncedSince is when a live owner was first seen not to announce its ownership.
+	unannouncedSince time.Time
+	// owning is set while the stream is owned; contest delays claims after losses.
 	owning  bool
 	contest weights.Contest
 }
@@ -47,11 +47,11 @@
 	return &ownership{options: options, preference: preference, name: StreamName(model), logger: logger}
 }
 
-// settle claims the stream if this node should, and returns the epoch that it
-// holds, as far as the log was read; 0 when it holds none.
-func (o *ownership) settle(ctx context.Context) int64 {
+// acquire claims the stream if this node should own it, and returns the epoch that
+// it holds according to the log as read so far; 0 if none.
+func (o *ownership) acquire(ctx context.Context) int64 {
 	if epoch := o.held(); epoch != 0 {
-		o.silentSince = time.Time{}
+		o.unannouncedSince = time.Time{}
 		o.owning = true
 		return epoch
 	}
@@ -60,7 +60,7 @@
 		o.contest.Lost(time.Now())
 	}
 	if !o.shouldClaim() {
-		o.silentSince = time.Time{}
+		o.unannouncedSince = time.Time{}
 		o.close()
 		return 0
 	}
@@ -68,8 +68,9 @@
 	return o.held()
 }
 
-// held returns the epoch that the stream's state gives to this process. While
-// the log is down the state stays as it was: the engines' fences decide then.
+// held returns the epoch that this process holds according to the stream's state;
+// 0 if none. The state may be outdated while the log is unavailable; engines then
+// reject directives of a lower epoch.
 func (o *ownership) held() int64 {
 	if o.stream == nil {
 		return 0
@@ -87,7 +88,8 @@
 	return fence
 }
 
-// shouldClaim: this node is preferred, and no live node announces the stream.
+// shouldClaim reports whether this node is the preferred owner and no other live
+// node announces ownership of the stream.
 func (o *ownership) shouldClaim() bool {
 	candidates := o.options.View.Candidates("")
 	if o.preference.owner(candidates, o.name) != o.options.NodeID {
@@ -97,10 +99,10 @@
 	if !announced || owner.ID == o.options.NodeID {
 		return true
 	}
-	return !takesWork(candidates, owner.ID)
+	return !isCandidate(candidates, owner.ID)
 }
 
-func takesWork(candidates []cluster.Member, id string) bool {
+func isCandidate(candidates []cluster.Member, id string) bool {
 	for _, member := range candidates {
 		if member.ID == id {
 			return true
@@ -109,18 +111,18 @@
 	return false
 }
 
-// claim proposes a claim on what the stream says now. Its outcome is read from
-// the stream's state, so an unknown one needs no care here.
+// claim proposes a claim based on the stream's current state. The caller reads the
+// outcome from that state, so an unknown outcome needs no handling here.
 func (o *ownership) claim(ctx context.Context) {
 	o.open()
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	if err := o.stream.CatchUp(ctx); err != nil {
-		o.logger.Warn().Err(err).Msg("log does not answer, model is not claimed")
+		o.logger.Warn().Err(err).Msg("log unavailable, model not claimed")
 		return
 	}
 	fence := o.fence()
-	if o.mustWaitFor(fence) || fence.Owned() && !o.contest.MayClaim(time.Now()) {
+	if o.awaitsAnnouncement(fence) || fence.Owned() && !o.contest.MayClaim(time.Now()) {
 		return
 	}
 	outcome, err := o.stream.Propose(ctx, logstream.Proposal{
@@ -132,25 +134,26 @@
 		},
 	})
 	if err != nil {
-		o.logger.Warn().Err(err).Msg("outcome of the claim is not known yet")
+		o.logger.Warn().Err(err).Msg("outcome of the claim is unknown")
 		return
 	}
 	o.logger.Info().Int64("offset", outcome.Offset).
-		Bool("accepted", outcome.Verdict == logrecord.Accepted).Msg("claimed the model")
+		Bool("accepted", outcome.Verdict == logrecord.Accepted).Msg("claimed model")
 }
 
-// mustWaitFor gives a live owner in the log time to announce itself.
-func (o *ownership) mustWaitFor(fence logrecord.Fence) bool {
+// awaitsAnnouncement reports whether the owner according to the log is live and
+// announcementTimeout has not passed yet.
+func (o *ownership) awaitsAnnouncement(fence logrecord.Fence) bool {
 	if !fence.Owned() || fence.Owner == o.options.NodeID {
 		return false
 	}
-	if !takesWork(o.options.View.Candidates(""), fence.Owner) {
+	if !isCandidate(o.options.View.Candidates(""), fence.Owner) {
 		return false
 	}
-	if o.silentSince.IsZero() {
-		o.silentSince = time.Now()
+	if o.unannouncedSince.IsZero() {
+		o.unannouncedSince = time.Now()
 	}
-	return time.Since(o.silentSince) < announcementPatience
+	return time.Since(o.unannouncedSince) < announcementTimeout
 }
 
 func (o *ownership) open() {
@@ -170,7 +173,7 @@
 	o.reducer = nil
 }
 
-// release gives the epoch up, if one is held.
+// release releases the epoch if one is held. It is best effort.
 func (o *ownership) release(ctx context.Context) {
 	epoch := o.held()
 	if epoch == 0 {
--- a/internal/weights/preference.go
+++ b/internal/weights/preference.go
@@ -9,18 +9,18 @@
 	"github.com/corkpulley/corkpulley/internal/cluster"
 )
 
-// preference picks preferred owners by rendezvous hashing. It keeps the hashes
-// of the candidates for as long as the view hands out the same slice, since all
-// models of all nodes look at them every second. The zero value is ready; it is
-// safe for concurrent use.
+// preference selects preferred owners by rendezvous hashing. It caches the hashes
+// of the candidates while the view returns the same slice, since every model is
+// looked up in each round. The zero value is ready to use; it is safe for
+// concurrent use.
 type preference struct {
 	mu         sync.Mutex
 	candidates []cluster.Member
 	ranking    *rendezvous.Rendezvous
 }
 
-// owner returns the ID of the candidate that is preferred for the stream; ""
-// when there is none. The slice must not change afterwards.
+// owner returns the ID of the preferred candidate for the stream, or "" if there
+// are no candidates. The slice must not be modified afterwards.
 func (p *preference) owner(candidates []cluster.Member, stream string) string {
 	if len(candidates) == 0 {
 		return ""
@@ -38,7 +38,7 @@
 	return p.ranking.Lookup(stream)
 }
 
-// sameSlice reports whether both slices share all their elements.
+// sameSlice reports whether both slices are non-empty and share their elements in memory.
 func sameSlice(a, b []cluster.Member) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
--- a/internal/weights/runner.go
+++ b/internal/weights/runner.go
@@ -11,12 +11,13 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// runner looks after one model. Fields below the mutex belong to its goroutine.
+// runner manages one model. mu guards target and maxLoads; the fields below them
+// are used only by the runner's goroutine.
 type runner struct {
 	coordinator *Coordinator
 	model       string
 	logger      zerolog.Logger
-	// wake asks for a look before the interval is over.
+	// wake triggers a round before the interval has passed.
 	wake  chan struct{}
 	quit  chan struct{}
 	ended chan struct{}
@@ -30,7 +31,8 @@
 	planner   weights.Planner
 	pace      weights.Pace
 	cells     map[message.CellID]*cellProgress
-	// fencedEpoch is the highest epoch that an engine has seen.
+	// fencedEpoch is the highest epoch that any engine has reported; directives of
+	// lower epochs are rejected.
 	fencedEpoch int64
 	blocked     string
 }
@@ -50,7 +52,7 @@
 	}
 }
 
-// setTarget tells what the table wants now.
+// setTarget updates the target and the limit of concurrent loads.
 func (r *runner) setTarget(wanted target, maxLoads int) {
 	r.mu.Lock()
 	r.target = wanted
@@ -59,7 +61,7 @@
 	r.signal()
 }
 
-// signal asks for a look before the interval is over.
+// signal triggers a round before the interval has passed.
 func (r *runner) signal() {
 	select {
 	case r.wake <- struct{}{}:
@@ -73,10 +75,10 @@
 	return r.target, r.maxLoads
 }
 
-// stop asks the runner to release what it owns and to end. It is called once.
+// stop makes the runner release its epoch and return. Must be called at most once.
 func (r *runner) stop() { close(r.quit) }
 
-// run looks after the model until ctx ends, or until it is stopped.
+// run manages the model until ctx is done or the runner is stopped.
 func (r *runner) run(ctx context.Context) {
 	defer close(r.ended)
 	working, cancel := context.WithCancel(ctx)
@@ -103,7 +105,7 @@
 	ticker := time.NewTicker(r.coordinator.options.Interval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		r.look(ctx)
+		r.runRound(ctx)
 		select {
 		case <-ticker.C:
 		case <-r.wake:
@@ -112,9 +114,9 @@
 	}
 }
 
-// look is one round: settle who owns the model, then direct the cells.
-func (r *runner) look(ctx context.Context) {
-	epoch := r.ownership.settle(ctx)
+// runRound acquires or checks ownership of the model, then sends directives to the cells.
+func (r *runner) runRound(ctx context.Context) {
+	epoch := r.ownership.acquire(ctx)
 	r.coordinator.setOwned(r.model, epoch)
 	if epoch == 0 {
 		r.cells = make(map[message.CellID]*cellProgress)
--- a/internal/weights/version.go
+++ b/internal/weights/version.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// storePollInterval is the time between two questions to a store that answers.
+	// storePollInterval is the polling interval while the store is available.
 	storePollInterval = time.Second
-	// storeTimeout bounds one question.
+	// storeTimeout limits one request to the store.
 	storeTimeout = 3 * time.Second
 )
 
-// storeRetries paces the questions to a store that does not answer.
+// storeRetries is the backoff while the store is unavailable.
 var storeRetries = retry.Policy{First: storePollInterval, Longest: 15 * time.Second}
 
-// wantedVersion follows the latest version in the weight store. While the store
-// is down the last known version stays. It is used by one goroutine.
+// wantedVersion tracks the latest version in the weight store and keeps the last
+// known version while the store is unavailable. It is not safe for concurrent use.
 type wantedVersion struct {
 	store  weightstore.Store
 	model  string
 	logger zerolog.Logger
 
-	latest uint64
-	next   time.Time
-	delays *backoff.ExponentialBackOff
-	failed bool
+	latest   uint64
+	nextPoll time.Time
+	delays   *backoff.ExponentialBackOff
+	failed   bool
 }
 
 func newWantedVersion(store weightstore.Store, model string, logger zerolog.Logger) *wantedVersion {
 	return &wantedVersion{store: store, model: model, logger: logger, delays: storeRetries.Delays()}
 }
 
-// get returns the pinned version, or the latest known; 0 when there is none.
+// get returns the pinned version, or the latest known version; 0 if there is none.
 func (w *wantedVersion) get(ctx context.Context, pinned uint64) uint64 {
 	if pinned != policy.VersionLatest {
 		return pinned
 	}
-	if now := time.Now(); !now.Before(w.next) {
+	if now := time.Now(); !now.Before(w.nextPoll) {
 		w.poll(ctx, now)
 	}
 	return w.latest
@@ -55,20 +55,20 @@
 	defer cancel()
 	info, err := w.store.Info(ctx, w.model)
 	if err != nil {
-		w.fail(err, now)
+		w.recordFailure(err, now)
 		return
 	}
 	w.failed = false
 	w.delays.Reset()
-	w.next = now.Add(storePollInterval)
-	// Versions only rise; a lower answer is an old one that came late.
+	w.nextPoll = now.Add(storePollInterval)
+	// Versions only increase; a lower one is from a delayed response.
 	w.latest = max(w.latest, info.Latest)
 }
 
-func (w *wantedVersion) fail(err error, now time.Time) {
+func (w *wantedVersion) recordFailure(err error, now time.Time) {
 	if !w.failed {
-		w.logger.Warn().Err(err).Uint64("version", w.latest).Msg("weight store does not answer, last known version stays")
+		w.logger.Warn().Err(err).Uint64("version", w.latest).Msg("weight store unavailable, keeping last known version")
 	}
 	w.failed = true
-	w.next = now.Add(w.delays.NextBackOff())
+	w.nextPoll = now.Add(w.delays.NextBackOff())
 }
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,13 +1,12 @@
-// Package weights runs the weight coordinator: for each model of the table, one
-// node owns the stream orders/<model> and brings the engines to the wanted
+// Package weights implements the weight coordinator: for each model of the table,
+// one node owns the stream orders/<model> and brings the engines to the target
 // version through the dispatchers of their cells.
 //
-// The ground of its promise is the log's order together with the engines: the
-// owner's epoch is the fencing token of each order, and an engine refuses an
-// order with a lower token than one it has seen. So an owner that was replaced
-// without knowing it, and one that can't reach the log, may go on: its orders
-// either come under the newest epoch or are refused. Preferred owners, views of
-// the cluster and timers serve speed only.
+// Correctness rests on the order of the log and on fencing by the engines: the
+// owner's epoch is the fencing token of each directive, and an engine rejects a
+// directive whose token is lower than one it has seen. An owner that was replaced
+// without noticing, or that can't reach the log, may therefore continue. Preferred
+// owners, cluster views and timers only affect how fast ownership moves.
 package weights
 
 import (
@@ -27,15 +26,15 @@
 )
 
 const (
-	// DefaultMaxConcurrentLoads bounds the loads over all models and cells.
+	// DefaultMaxConcurrentLoads is the default limit of concurrent loads over all models and cells.
 	DefaultMaxConcurrentLoads = 8
-	// defaultInterval is the time between two looks at a model.
+	// defaultInterval is the default time between rounds for a model.
 	defaultInterval = time.Second
-	// StreamPrefix and a model's name make the name of its stream.
+	// StreamPrefix is the prefix of stream names; the model's name follows.
 	StreamPrefix = "orders/"
 )
 
-// StreamName returns the name of the stream that decides who owns a model.
+// StreamName returns the name of the stream that determines the owner of a model.
 func StreamName(model string) string { return StreamPrefix + model }
 
 // Options configures a Coordinator. All but MaxConcurrentLoads, Interval and
@@ -49,13 +48,14 @@
 	Caller      peer.Caller
 	Store       weightstore.Store
 	Tables      policy.Source
-	// MaxConcurrentLoads bounds the loads over all models and cells; the
-	// models share it evenly, each has one at least. Zero takes the default.
+	// MaxConcurrentLoads limits the concurrent loads over all models and cells. It
+	// is divided evenly among the models, with at least one load each. Zero means
+	// DefaultMaxConcurrentLoads.
 	MaxConcurrentLoads int
-	// Interval is the time between two looks at a model; zero takes one second.
+	// Interval is the time between rounds for a model; zero means one second.
 	Interval time.Duration
 	Logger   zerolog.Logger
-	// Registerer takes the metrics; nil keeps them private.
+	// Registerer registers the metrics; with nil they are not exported.
 	Registerer prometheus.Registerer
 }
 
@@ -69,7 +69,8 @@
 	return o
 }
 
-// Coordinator owns the orders of some models. It is safe for concurrent use.
+// Coordinator sends the weight directives for the models that this node owns. It
+// is safe for concurrent use.
 type Coordinator struct {
 	options    Options
 	metrics    *metrics
@@ -83,7 +84,7 @@
 	owned   map[string]int64
 }
 
-// New returns a Coordinator that does nothing before Run.
+// New returns a Coordinator; Run starts it.
 func New(options Options) *Coordinator {
 	options = options.withDefaults()
 	return &Coordinator{
@@ -94,8 +95,8 @@
 	}
 }
 
-// Run follows the table until ctx ends. It does not release what it owns: call
-// Drain before ctx ends for a planned stop.
+// Run manages the models of the table until ctx is done. It does not release the
+// owned streams: for a graceful shutdown, call Drain before canceling ctx.
 func (c *Coordinator) Run(ctx context.Context) error {
 	if err := c.begin(); err != nil {
 		return err
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// reconcile has a runner for each model of the table, and no other.
+// reconcile starts runners for new models and stops those of removed models.
 func (c *Coordinator) reconcile(ctx context.Context, active *sync.WaitGroup, wanted map[string]target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,10 +150,10 @@
 	}
 }
 
-// Drain stops giving orders and releases the owned streams, all at once, so
-// that others can claim them at once. While the log is down the releases are
-// tried for a few seconds only: the streams are then claimed once this node is
-// known to be gone. It returns ctx's error when that ends first.
+// Drain stops sending directives and releases all owned streams concurrently, so
+// that other nodes can claim them immediately. Each release is limited to
+// releaseTimeout if the log is unavailable; other nodes then claim the streams
+// when they see that this node has left. It returns ctx's error if ctx is done first.
 func (c *Coordinator) Drain(ctx context.Context) error {
 	runners := c.takeRunners()
 	for _, existing := range runners {
@@ -180,8 +181,8 @@
 	return taken
 }
 
-// setOwned notes the epoch under which a model is owned, 0 for not owned, and
-// tells the cluster when that changed.
+// setOwned sets the epoch under which a model is owned, 0 for none, and announces
+// changes to the cluster.
 func (c *Coordinator) setOwned(model string, epoch int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,7 +198,7 @@
 	c.options.Announcer.AnnounceOwned(c.ownershipsLocked())
 }
 
-// Owned returns the streams owned now, sorted by name.
+// Owned returns the owned streams, sorted by name.
 func (c *Coordinator) Owned() []cluster.Ownership {
 	c.mu.Lock()
 	defer c.mu.Unlock()
