--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// platformIdleConnections is kept for each platform service.
+	// platformIdleConnections is the number of idle connections kept per platform service.
 	platformIdleConnections = 32
-	// platformIdleTimeout closes an unused connection.
+	// platformIdleTimeout is how long an idle connection is kept.
 	platformIdleTimeout = time.Minute
 )
 
-// platformClients are the adapters to the platform's services.
+// platformClients are the clients of the platform's services.
 type platformClients struct {
 	log      logservice.Service
 	weights  weightstore.Store
--- a/internal/node/docs_test.go
+++ b/internal/node/docs_test.go
@@ -20,13 +20,13 @@
 	documentedName  = regexp.MustCompile("(?m)^\\| `(corkpulley_[a-z0-9_]+)` \\|")
 )
 
-// TestOperationsPageNamesEachMetric compares the page with what a node registers.
-func TestOperationsPageNamesEachMetric(t *testing.T) {
+// The operations page must list exactly the metrics that a node registers.
+func TestOperationsPageListsEachMetric(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
 	assert.NilError(t, err)
 	var documented []string
 	for _, match := range documentedName.FindAllStringSubmatch(string(page), -1) {
-		// Those of a hosted node are compared in internal/hosted.
+		// Metrics of hosted nodes are checked in internal/hosted.
 		if !strings.HasPrefix(match[1], "corkpulley_hosted_") {
 			documented = append(documented, match[1])
 		}
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -22,11 +22,11 @@
 
 const (
 	metricsPath = "/metrics"
-	// memberStatusTimeout bounds the wait for one member's part of a status list.
+	// memberStatusTimeout limits the wait for the members' parts of a status list.
 	memberStatusTimeout = 2 * time.Second
 )
 
-// buildServers makes the listeners for callers (with trainers) and operators.
+// buildServers creates the HTTP servers for callers and trainers, and for operators.
 func (n *node) buildServers() error {
 	callers := httpapi.NewRouter()
 	n.roles.gateway.Register(callers)
@@ -53,7 +53,7 @@
 	return err
 }
 
-// ready returns nil, or why this node takes no new work.
+// ready returns nil if this node accepts new work, or the reason why not.
 func (n *node) ready() error {
 	select {
 	case <-n.stopRequested:
@@ -63,12 +63,12 @@
 	}
 }
 
-// engines lists the engines of this node's cells, or of all reachable nodes.
+// engines returns the engines of this node's cells or, with all, of all reachable nodes.
 func (n *node) engines(ctx context.Context, all bool) ([]api.EngineStatus, error) {
 	if !all {
 		return n.roles.dispatcher.EngineStatuses(), nil
 	}
-	reports := askMembers[dispatcher.StatusReport](ctx, n, peer.MethodCellStatus)
+	reports := queryMembers[dispatcher.StatusReport](ctx, n, peer.MethodCellStatus)
 	var engines []api.EngineStatus
 	for _, report := range reports {
 		engines = append(engines, report.Engines...)
@@ -76,18 +76,18 @@
 	return engines, nil
 }
 
-// steps lists the steps of the ledgers of all reachable nodes.
+// steps returns the steps of the ledgers owned by all reachable nodes.
 func (n *node) steps(ctx context.Context) ([]api.StepStatus, error) {
 	var steps []api.StepStatus
-	for _, list := range askMembers[coordinator.StatusList](ctx, n, peer.MethodStepStatus) {
+	for _, list := range queryMembers[coordinator.StatusList](ctx, n, peer.MethodStepStatus) {
 		steps = append(steps, list.Steps...)
 	}
 	return steps, nil
 }
 
-// askMembers calls a status method at every member and returns the answers of
-// those that gave one, in the order of the members.
-func askMembers[Response any](ctx context.Context, n *node, method peer.Method) []Response {
+// queryMembers calls a status method on every live member and returns the
+// successful responses, in the order of the members.
+func queryMembers[Response any](ctx context.Context, n *node, method peer.Method) []Response {
 	ctx, cancel := context.WithTimeout(ctx, memberStatusTimeout)
 	defer cancel()
 	members := n.roles.cluster.Members()
@@ -105,7 +105,7 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // no member's failure fails the list
+	_ = group.Wait() // members that fail are omitted
 	var given []Response
 	for _, answer := range answers {
 		if answer != nil {
--- a/internal/node/logger.go
+++ b/internal/node/logger.go
@@ -9,10 +9,10 @@
 	"github.com/corkpulley/corkpulley/internal/settings"
 )
 
-// timestampField is the name of the field with the time, in milliseconds since 1970.
+// timestampField is the log field with the time, in milliseconds since the Unix epoch.
 const timestampField = "time"
 
-// newLogger returns the daemon's logger: JSON lines with the node's ID and zone.
+// newLogger returns a logger that writes JSON lines with the node's ID and zone.
 func newLogger(config settings.Settings, output io.Writer) zerolog.Logger {
 	level, err := zerolog.ParseLevel(config.Log.Level)
 	if err != nil {
@@ -25,8 +25,8 @@
 		Hook(timestampHook{})
 }
 
-// timestampHook adds the time to each line. The library's own timestamp takes
-// its format from a global variable, which nodes in one process would race for.
+// timestampHook adds the time to each line. The library's own timestamp takes its
+// format from a global variable, a data race if several nodes run in one process.
 type timestampHook struct{}
 
 // Run implements zerolog.Hook.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node wires the roles of one corkpulley process: listeners, the peer
-// transport, the cluster, the table in force, dispatchers, coordinators and the
-// gateway; it runs them and carries out the planned stop.
+// Package node assembles and runs the components of a corkpulley process: HTTP
+// servers, the peer transport, the cluster, the policy table, the dispatcher,
+// coordinators and the gateway. It also implements graceful shutdown.
 package node
 
 import (
@@ -17,14 +17,13 @@
 	"github.com/corkpulley/corkpulley/internal/settings"
 )
 
-// errSuperseded ends a process whose node ID another process has taken: the
-// others no longer listen to it, so it must not take work.
+// errSuperseded is returned when another process has taken this node's ID: the
+// other nodes ignore this process from then on, so it must not accept work.
 var errSuperseded = errors.New("another process took this node's ID")
 
-// Run runs a daemon with checked settings until ctx ends, an operator drains it
-// or another process takes its node ID, and then until the planned stop is
-// complete. It returns nil after a stop that was asked for. Logs are written as
-// JSON lines.
+// Run runs a node with validated settings until ctx is done, an operator drains it
+// or another process takes its node ID, and then shuts it down gracefully. It
+// returns nil after a requested shutdown. Logs are written as JSON lines.
 func Run(ctx context.Context, config settings.Settings, logs io.Writer) error {
 	n, err := newNode(config, newLogger(config, logs))
 	if err != nil {
@@ -33,19 +32,19 @@
 	return n.run(ctx)
 }
 
-// node is one running daemon.
+// node is a running node.
 type node struct {
 	config   settings.Settings
 	logger   zerolog.Logger
 	registry *prometheus.Registry
-	// writer identifies this process start in the log and in the cluster.
+	// writer identifies this run of the process in the log and in the cluster.
 	writer  string
 	clients platformClients
 	roles   roles
 	callers *server
 	admin   *server
 
-	// stopRequested is closed when an operator asks for the planned stop.
+	// stopRequested is closed when a graceful shutdown is requested or begins.
 	stopRequested chan struct{}
 	requestStop   sync.Once
 }
@@ -68,13 +67,13 @@
 	return n, nil
 }
 
-// drain asks for the planned stop; it may be called more than once.
+// drain requests a graceful shutdown; it may be called more than once.
 func (n *node) drain() {
 	n.requestStop.Do(func() { close(n.stopRequested) })
 }
 
-// run serves until a stop is asked for. Roles keep running during the planned
-// stop, because requests in hand still need them.
+// run serves until a shutdown is requested. Roles keep running during the
+// shutdown, because pending requests still need them.
 func (n *node) run(ctx context.Context) error {
 	roleContext, stopRoles := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopRoles()
@@ -100,8 +99,8 @@
 	return errors.Join(reason, stopError)
 }
 
-// awaitStop waits until the daemon has to stop. It returns why, when that is a
-// failure which no role reports.
+// awaitStop waits until the node has to stop. It returns errSuperseded if another
+// process has taken the node's ID, otherwise nil.
 func (n *node) awaitStop(ctx, roles context.Context) error {
 	select {
 	case <-n.roles.cluster.Superseded():
@@ -114,8 +113,8 @@
 	return nil
 }
 
-// startRoles runs each role; a role that fails ends the daemon, since its peers
-// and its operators must not take it for a whole node.
+// startRoles runs each role in a goroutine. A role that fails stops the node, which
+// must not appear healthy to peers and operators without it.
 func (n *node) startRoles(ctx context.Context, group *errgroup.Group) {
 	for name, run := range n.roles.loops() {
 		group.Go(func() error {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -23,10 +23,10 @@
 	"github.com/corkpulley/corkpulley/internal/standin/weightstore"
 )
 
-// limit is generous: it ends a test that hangs, and asserts no speed.
-const limit = 90 * time.Second
+// testTimeout only ends a test that hangs.
+const testTimeout = 90 * time.Second
 
-// platform is one set of stand-ins.
+// platform is a set of simulated platform services.
 type platform struct {
 	log       *logservice.Server
 	addresses settings.Platform
@@ -49,16 +49,16 @@
 	return p
 }
 
-// daemon is one node that runs in this process.
+// daemon is a node that runs in the test process.
 type daemon struct {
 	*node
 	logs *logBuffer
 	stop context.CancelFunc
-	// ended gives the result of the run, once.
+	// ended receives the result of the run, once.
 	ended chan error
 }
 
-// logBuffer keeps log lines; it is safe for concurrent use.
+// logBuffer collects log lines; it is safe for concurrent use.
 type logBuffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
@@ -100,13 +100,13 @@
 
 func (d *daemon) peerAddress() string { return d.roles.transport.Address() }
 
-// awaitEnd waits until the daemon has ended and returns the result.
+// awaitEnd waits until the daemon has stopped and returns the result of its run.
 func (d *daemon) awaitEnd(t *testing.T) error {
 	t.Helper()
 	select {
 	case err := <-d.ended:
 		return err
-	case <-time.After(limit):
+	case <-time.After(testTimeout):
 		t.Fatal("the daemon did not end")
 		return nil
 	}
@@ -119,13 +119,13 @@
 			return poll.Success()
 		}
 		return poll.Continue("%s", what)
-	}, poll.WithTimeout(limit), poll.WithDelay(10*time.Millisecond))
+	}, poll.WithTimeout(testTimeout), poll.WithDelay(10*time.Millisecond))
 }
 
-// TestASupersededProcessStopsByPlan: once another process has taken its node
-// ID, a process takes no work, ends, and says why. While both are young either
-// of them may be the one that ends, so the other starts when this one no longer is.
-func TestASupersededProcessStopsByPlan(t *testing.T) {
+// A process whose node ID was taken by another must reject work and shut down with
+// errSuperseded. Of two young processes either may stop, so the second one starts
+// only when the first is no longer young.
+func TestSupersededProcessShutsDown(t *testing.T) {
 	p := newPlatform(t)
 	peer := p.start(t, "a")
 	old := p.start(t, "b", peer.peerAddress())
@@ -147,8 +147,8 @@
 	eventually(t, "the new process is ready", func() bool { return fresh.ready() == nil })
 }
 
-// leaveUnsettled proposes a record whose outcome stays unknown while the log is down.
-func (d *daemon) leaveUnsettled(t *testing.T) {
+// proposeWithUnknownOutcome proposes a record while the log is down.
+func (d *daemon) proposeWithUnknownOutcome(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
@@ -158,14 +158,14 @@
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
-// TestAPlannedStopEndsWhileTheLogIsDown: what the node still has to append is
-// best effort, and does not fail the stop either.
-func TestAPlannedStopEndsWhileTheLogIsDown(t *testing.T) {
+// Appending final records is best effort: an unavailable log must neither block
+// nor fail a graceful shutdown.
+func TestShutdownCompletesWhileLogIsUnavailable(t *testing.T) {
 	p := newPlatform(t)
 	d := p.start(t, "a")
 	eventually(t, "the node is ready", func() bool { return d.ready() == nil })
 	p.log.SetControl(logservice.Control{Down: true})
-	d.leaveUnsettled(t)
+	d.proposeWithUnknownOutcome(t)
 	d.stop()
 	assert.NilError(t, d.awaitEnd(t))
 }
--- a/internal/node/roles.go
+++ b/internal/node/roles.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// configStream is the stream of table revisions.
+	// configStream is the name of the stream of table revisions.
 	configStream = "config"
-	// configSnapshotEvery is the number of records between two snapshots of the table.
+	// configSnapshotEvery is the number of records between snapshots of the table.
 	configSnapshotEvery = 256
 )
 
-// roles are the parts of a node; every node plays all of them.
+// roles are the components of a node; every node runs all of them.
 type roles struct {
 	transport  *peer.Transport
 	cluster    *cluster.Cluster
@@ -39,8 +39,8 @@
 	weights    *weights.Coordinator
 }
 
-// buildRoles makes the roles in the order of their dependencies. Handlers are
-// registered on the transport before it starts.
+// buildRoles creates the roles in the order of their dependencies. They register
+// their handlers on the transport, which must not have started.
 func (n *node) buildRoles() error {
 	if err := n.buildCluster(); err != nil {
 		return err
@@ -108,7 +108,7 @@
 	})
 }
 
-// lastLogContact tells when this node last read to the end of the config stream.
+// lastLogContact returns when this node last read to the end of the config stream.
 func (n *node) lastLogContact() time.Time {
 	return n.roles.streams.LastContact(configStream)
 }
@@ -196,7 +196,7 @@
 	})
 }
 
-// loops returns the loop of each role by its name.
+// loops returns the Run functions of the roles, by name.
 func (r *roles) loops() map[string]func(context.Context) error {
 	return map[string]func(context.Context) error{
 		"cluster":             r.cluster.Run,
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -12,25 +12,25 @@
 	"github.com/corkpulley/corkpulley/internal/httpapi"
 )
 
-// Limits on HTTP connections. A write deadline is set for each streamed event
-// by the gateway, not here, since answers may last long.
+// Limits of HTTP connections. There is no write timeout because streamed answers
+// may take long; the gateway sets a write deadline for each event.
 const (
-	// readHeaderTimeout bounds the wait for a request's header.
+	// readHeaderTimeout limits the time to read a request's header.
 	readHeaderTimeout = 10 * time.Second
-	// idleTimeout closes a connection without requests.
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds a request's header.
+	// maxHeaderBytes limits the size of a request's header.
 	maxHeaderBytes = 64 << 10
 )
 
-// server is one HTTP listener with its router.
+// server is an HTTP server with its listener.
 type server struct {
 	listener net.Listener
 	http     *http.Server
 }
 
-// listen opens a listener; its handler is the router with the checks that hold
-// for all requests.
+// listen opens a listener for a server whose handler is the router, wrapped in the
+// checks common to all requests.
 func listen(address string, router *mux.Router) (*server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -49,7 +49,7 @@
 
 func (s *server) address() string { return s.listener.Addr().String() }
 
-// serve answers requests until shutdown.
+// serve handles requests until shutdown.
 func (s *server) serve() error {
 	err := s.http.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -58,5 +58,5 @@
 	return err
 }
 
-// shutdown stops listening and waits for requests in hand, bounded by ctx.
+// shutdown stops listening and waits for pending requests until ctx is done.
 func (s *server) shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -8,17 +8,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// bestEffortTimeout bounds each step of the planned stop that only spares
-// others a wait: last records in the log, and the word that this node left.
+// bestEffortTimeout limits each best-effort step of the shutdown: appending the
+// final records to the log and announcing to peers that this node has left.
 const bestEffortTimeout = 5 * time.Second
 
-// stopStep is one named part of the planned stop.
+// stopStep is a named step of the graceful shutdown.
 type stopStep struct {
 	name string
 	run  func(context.Context) error
 }
 
-// do runs the step and names it in its error.
+// do runs the step and wraps its error with the step's name.
 func (s stopStep) do(ctx context.Context) error {
 	if err := s.run(ctx); err != nil {
 		return errors.Wrap(err, s.name)
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// tryStep runs a step that is best effort: the stop goes on without it after
-// bestEffortTimeout, and its failure, which is logged, does not fail the stop.
+// tryStep runs a best-effort step, limited to bestEffortTimeout. A failure is
+// logged and does not fail the shutdown.
 func (n *node) tryStep(ctx context.Context, step stopStep) {
 	ctx, cancel := context.WithTimeout(ctx, bestEffortTimeout)
 	defer cancel()
@@ -36,11 +36,11 @@
 	}
 }
 
-// stop carries out the planned stop: tell the others, take nothing new, finish
-// what is in hand, hand over what is owned, and only then end the roles.
+// stop shuts down gracefully: it announces that this node is leaving, rejects new
+// work, completes pending work, releases owned streams, and then stops the roles.
 func (n *node) stop(stopRoles context.CancelFunc) error {
 	started := time.Now()
-	n.drain() // the node is not ready from now on, whatever began the stop
+	n.drain() // marks the node as not ready, whatever caused the shutdown
 	n.logger.Info().Msg("planned stop begins")
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(n.config.Shutdown.Grace))
 	defer cancel()
@@ -54,7 +54,7 @@
 	return err
 }
 
-// drain takes nothing new, finishes what is in hand and releases what is owned.
+// drain rejects new work, completes pending work and releases owned streams.
 func (r *roles) drain(ctx context.Context) error {
 	var group errgroup.Group
 	for _, step := range []stopStep{
@@ -69,10 +69,10 @@
 	return errors.Join(err, stopStep{"finish the keyed requests", r.keyed.Close}.do(ctx))
 }
 
-// close ends the log streams, the membership and the transport, in this order:
-// releases go to the log first, and the word that this node left goes to its
-// peers last. The log and the peers may be out of reach: nothing that a caller
-// was told depends on either, so neither holds the stop up nor fails it.
+// close closes the log streams, leaves the cluster and closes the transport, in this
+// order: releases must reach the log before peers learn that this node has left.
+// The log and the peers may be unreachable; no response to a caller depends on
+// these steps, so they neither block nor fail the shutdown.
 func (n *node) close(ctx context.Context) error {
 	n.tryStep(ctx, stopStep{"close the log streams", n.roles.streams.Close})
 	n.tryStep(ctx, stopStep{"leave the cluster", n.roles.cluster.Leave})
