--- a/internal/coordinator/follower.go
+++ b/internal/coordinator/follower.go
@@ -32,8 +32,8 @@
 	// lengths is kept across tenures, which run one at a time; guarded by the
 	// mutex of the current tenure.
 	lengths *lengths.Estimator
-	// contest delays claims after the ledger was lost to another node.
-	contest weights.Contest
+	// claimBackoff delays claims after the ledger was lost to another node.
+	claimBackoff weights.Contest
 	// tenure is set while this node believes that it owns the ledger.
 	tenure atomic.Pointer[tenure]
 }
@@ -69,10 +69,10 @@
 			if f.coordinator.draining.Load() {
 				return // a release that was not read back is not retried
 			}
-			f.contest.Lost(time.Now())
+			f.claimBackoff.Lost(time.Now())
 		case !f.shouldOwn():
 			return
-		case f.ownerGone(fence) && (!fence.Owned() || f.contest.MayClaim(time.Now())):
+		case f.ownerGone(fence) && (!fence.Owned() || f.claimBackoff.MayClaim(time.Now())):
 			f.claim(ctx, fence)
 		default:
 			f.wait(ctx, applied)
--- a/internal/weights/direct.go
+++ b/internal/weights/direct.go
@@ -89,9 +89,9 @@
 		engines += cell.Engines
 	}
 	if r.allKnown(version) {
-		r.pace.Observe(now, version, running, reached)
+		r.storeRate.Observe(now, version, running, reached)
 	}
-	return r.pace.Limits(maxLoads, engines)
+	return r.storeRate.Limits(maxLoads, engines)
 }
 
 // allKnown reports whether every cell has answered a directive for the version.
--- a/internal/weights/ownership.go
+++ b/internal/weights/ownership.go
@@ -38,9 +38,9 @@
 	reducer *logrecord.OwnershipReducer
 	// unannouncedSince is when a live owner was first seen not to announce its ownership.
 	unannouncedSince time.Time
-	// owning is set while the stream is owned; contest delays claims after losses.
-	owning  bool
-	contest weights.Contest
+	// owning is set while the stream is owned; claimBackoff delays claims after losses.
+	owning       bool
+	claimBackoff weights.Contest
 }
 
 func newOwnership(options Options, preference *preference, model string, logger zerolog.Logger) *ownership {
@@ -57,7 +57,7 @@
 	}
 	if o.owning {
 		o.owning = false
-		o.contest.Lost(time.Now())
+		o.claimBackoff.Lost(time.Now())
 	}
 	if !o.shouldClaim() {
 		o.unannouncedSince = time.Time{}
@@ -122,7 +122,7 @@
 		return
 	}
 	fence := o.fence()
-	if o.awaitsAnnouncement(fence) || fence.Owned() && !o.contest.MayClaim(time.Now()) {
+	if o.awaitsAnnouncement(fence) || fence.Owned() && !o.claimBackoff.MayClaim(time.Now()) {
 		return
 	}
 	outcome, err := o.stream.Propose(ctx, logstream.Proposal{
