--- a/test/hosted/batch_test.go
+++ b/test/hosted/batch_test.go
@@ -103,9 +103,9 @@
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
 	for body, wanted := range map[string]string{
-		"no job":             "no JSON",
-		`{"requests":[]}`:    "one item",
-		jobBody(1, "a", "a"): "twice",
+		"no job":             "decode batch job",
+		`{"requests":[]}`:    "at least one item",
+		jobBody(1, "a", "a"): "duplicate ID",
 		`{"requests":[{}]}`:  "item 0",
 	} {
 		got := node.call(http.MethodPost, "/batch/x", "job1", body)
