--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -263,11 +263,11 @@
 	Node string `json:"node"`
 	// Leading is true while the node runs items of batch jobs.
 	Leading bool `json:"leading"`
-	// AgeMs is the age of the node's information about evacuations, in milliseconds.
-	AgeMs int64 `json:"age_ms"`
-	// LeftOut are the services whose engines this node does not track; the counts exclude them.
-	LeftOut []string     `json:"left_out,omitempty"`
-	Zones   []ZoneStatus `json:"zones"`
+	// AgeMS is the age of the node's information about evacuations, in milliseconds.
+	AgeMS int64 `json:"age_ms"`
+	// ExcludedServices are the services whose engines this node does not track; the counts exclude them.
+	ExcludedServices []string     `json:"left_out,omitempty"`
+	Zones            []ZoneStatus `json:"zones"`
 }
 
 // ZoneStatus is a node's view of one zone.
--- a/internal/batchjobs/batches_test.go
+++ b/internal/batchjobs/batches_test.go
@@ -41,16 +41,16 @@
 const callLimitBytes = 8192
 
 // outageBacklog returns items that ended during a log outage, with ten times the bytes of one append.
-func outageBacklog(t *testing.T, service *Service) ([]FinishedItem, []RunningItem) {
+func outageBacklog(t *testing.T, service *Service) ([]ItemResult, []ItemProgress) {
 	t.Helper()
 	var names []string
-	var ended []FinishedItem
-	var running []RunningItem
+	var ended []ItemResult
+	var running []ItemProgress
 	for item := range 80 {
 		names = append(names, fmt.Sprint("item", item))
 		text := strings.Repeat(fmt.Sprintf("%02d", item), 512)
 		ended = append(ended, finished("j", item, text)...)
-		running = append(running, RunningItem{
+		running = append(running, ItemProgress{
 			Record: batch.ProgressRecord{Job: "j", Item: item, Chain: "c", To: 3, Versions: []int64{1}}, Text: []byte(text),
 		})
 	}
@@ -108,7 +108,7 @@
 }
 
 // finishedTexts are accessors for texts of a single partition.
-var finishedTexts = textAccessors[FinishedItem]{
-	size:          func(item FinishedItem) int { return len(item.Text) },
-	dataPartition: func(FinishedItem) eventlog.Partition { return eventlog.Partition{} },
+var finishedTexts = textAccessors[ItemResult]{
+	size:          func(item ItemResult) int { return len(item.Text) },
+	dataPartition: func(ItemResult) eventlog.Partition { return eventlog.Partition{} },
 }
--- a/internal/batchjobs/batchjobs.go
+++ b/internal/batchjobs/batchjobs.go
@@ -43,14 +43,14 @@
 	// RecordBytes and CallBytes are the log's limits for one record and one append.
 	RecordBytes int
 	CallBytes   int
-	// KeepJobs is the retention period of a closed job, from the time at which this node first read its record.
-	KeepJobs time.Duration
+	// JobRetention is the retention period of a closed job, from the time at which this node first read its record.
+	JobRetention time.Duration
 	// Budget bounds the rate of log reads of all nodes together.
 	Budget pacing.Budget
-	// Hold, if set, reserves memory for bytes that are about to be read for a caller. Its error is returned to
+	// ReserveMemory, if set, reserves memory for bytes that are about to be read for a caller. Its error is returned to
 	// the caller.
-	Hold   func(bytes int) (release func(), err error)
-	Logger zerolog.Logger
+	ReserveMemory func(bytes int) (release func(), err error)
+	Logger        zerolog.Logger
 }
 
 // Service stores and serves batch jobs. It is safe for concurrent use.
@@ -62,8 +62,8 @@
 
 // New returns a service. Run must be called to read the index.
 func New(log eventlog.Log, options Options) *Service {
-	if options.Hold == nil {
-		options.Hold = func(int) (func(), error) { return func() {}, nil }
+	if options.ReserveMemory == nil {
+		options.ReserveMemory = func(int) (func(), error) { return func() {}, nil }
 	}
 	s := &Service{log: log, options: options}
 	for number := range options.Partitions {
@@ -98,7 +98,7 @@
 		case <-ticker.C:
 		}
 		for _, p := range s.partitions {
-			p.expire(time.Now().Add(-s.options.KeepJobs))
+			p.expire(time.Now().Add(-s.options.JobRetention))
 		}
 	}
 }
@@ -121,8 +121,8 @@
 	}
 }
 
-// Knows reports whether a job had been accepted at the time of the call.
-func (s *Service) Knows(ctx context.Context, jobID string) (bool, error) {
+// Exists reports whether a job had been accepted at the time of the call.
+func (s *Service) Exists(ctx context.Context, jobID string) (bool, error) {
 	_, err := s.partitionOf(jobID).lookUp(ctx, jobID)
 	if errkind.Is(err, errkind.NotFound) {
 		return false, nil
--- a/internal/batchjobs/batchjobs_test.go
+++ b/internal/batchjobs/batchjobs_test.go
@@ -40,7 +40,7 @@
 
 func newService(log eventlog.Log) *Service {
 	return New(log, Options{
-		Partitions: 2, RecordBytes: 4096, CallBytes: 8192, KeepJobs: time.Minute, Logger: zerolog.Nop(),
+		Partitions: 2, RecordBytes: 4096, CallBytes: 8192, JobRetention: time.Minute, Logger: zerolog.Nop(),
 	})
 }
 
@@ -68,11 +68,11 @@
 	return s
 }
 
-func finished(job string, item int, text string) []FinishedItem {
-	return []FinishedItem{{JobID: job, Item: item, Outcome: batch.Completed, Text: []byte(text), Versions: []int64{1}}}
+func finished(job string, item int, text string) []ItemResult {
+	return []ItemResult{{JobID: job, Item: item, Outcome: batch.Completed, Text: []byte(text), Versions: []int64{1}}}
 }
 
-func record(t *testing.T, service *Service, items []FinishedItem) {
+func record(t *testing.T, service *Service, items []ItemResult) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
@@ -134,8 +134,8 @@
 		kind  errkind.Kind
 	}{
 		"refused":     {memlog.Refused, errkind.LogUnavailable},
-		"lost answer": {memlog.LostAnswer, errkind.OutcomeUnknownRepeatable},
-		"late effect": {memlog.LateEffect, errkind.OutcomeUnknownRepeatable},
+		"lost answer": {memlog.LostResponse, errkind.OutcomeUnknownRepeatable},
+		"late effect": {memlog.DelayedEffect, errkind.OutcomeUnknownRepeatable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			log := memlog.New()
@@ -194,7 +194,7 @@
 	o.added = append(o.added, job.ID)
 }
 
-func (o *observer) ItemListed(*batch.Job, int) {}
+func (o *observer) ResultAdded(*batch.Job, int) {}
 
 func (o *observer) JobEnded(job *batch.Job) {
 	o.mu.Lock()
--- a/internal/batchjobs/gap_test.go
+++ b/internal/batchjobs/gap_test.go
@@ -49,7 +49,7 @@
 	assert.NilError(t, err)
 	number := writer.PartitionOf("j1")
 	record := func(item int) {
-		_, err := writer.Record(t.Context(), number, []FinishedItem{
+		_, err := writer.Record(t.Context(), number, []ItemResult{
 			{JobID: "j1", Item: item, Outcome: batch.Completed, Text: []byte("text")},
 		})
 		assert.NilError(t, err)
@@ -87,7 +87,7 @@
 	assert.Equal(t, errkind.KindOf(service.End(t.Context(), "j")), errkind.HistoryLost)
 	target := service.partitionOf("j")
 	target.mu.Lock()
-	target.historyLostAt = boottime.Now().Add(-service.options.KeepJobs)
+	target.historyLostAt = boottime.Now().Add(-service.options.JobRetention)
 	target.mu.Unlock()
 	assert.Equal(t, errkind.KindOf(service.End(t.Context(), "j")), errkind.NotFound)
 }
--- a/internal/batchjobs/homes_test.go
+++ b/internal/batchjobs/homes_test.go
@@ -107,9 +107,9 @@
 	late[0].Homes = bound.Job.Homes
 	_, err := service.Record(t.Context(), service.PartitionOf("bound"), late)
 	assert.NilError(t, err)
-	kept := RunningItem{Homes: bound.Job.Homes, Text: []byte("hidden part")}
+	kept := ItemProgress{Homes: bound.Job.Homes, Text: []byte("hidden part")}
 	kept.Record.Job, kept.Record.To = "bound", 1
-	_, err = service.Keep(t.Context(), service.PartitionOf("bound"), []RunningItem{kept})
+	_, err = service.Keep(t.Context(), service.PartitionOf("bound"), []ItemProgress{kept})
 	assert.NilError(t, err)
 	open, err := log.Read(t.Context(), target.dataPartition(nil), 0, readLimitBytes, 0)
 	assert.NilError(t, err)
--- a/internal/batchjobs/lookup.go
+++ b/internal/batchjobs/lookup.go
@@ -113,5 +113,5 @@
 func (p *partition) earlierJobs(job *batch.JobRecord) []batch.EarlierJob {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state.Earlier(job)
+	return p.state.EarlierJobs(job)
 }
--- a/internal/batchjobs/partition.go
+++ b/internal/batchjobs/partition.go
@@ -79,7 +79,7 @@
 		index:    eventlog.Partition{Topic: indexTopic, Number: number},
 		logger:   options.Logger.With().Int("partition", number).Logger(),
 		budget:   options.Budget,
-		keepJobs: options.KeepJobs,
+		keepJobs: options.JobRetention,
 		wake:     make(chan struct{}, 1),
 		active:   make(chan struct{}),
 		state:    batch.NewPartition(),
@@ -92,7 +92,7 @@
 // topic.
 func (p *partition) dataPartition(regions []string) eventlog.Partition {
 	topic := dataTopic
-	if set := homes.Of(regions); set.Bound() {
+	if set := homes.Of(regions); set.IsRestricted() {
 		topic += "." + set.ID()
 	}
 	return eventlog.Partition{Topic: topic, Number: p.index.Number}
@@ -143,7 +143,7 @@
 	if waiting {
 		return
 	}
-	timer := time.NewTimer(p.budget.Stretch(idleReadPeriod, maxIdleReadPeriod))
+	timer := time.NewTimer(p.budget.ScalePeriod(idleReadPeriod, maxIdleReadPeriod))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -174,7 +174,7 @@
 	p.mu.Unlock()
 	sent := boottime.Now()
 	read, err := p.log.Read(ctx, p.index, from, indexReadLimitBytes, wait)
-	var gone *eventlog.GoneError
+	var gone *eventlog.TrimmedError
 	if errors.As(err, &gone) {
 		p.skipTo(gone.First)
 		return false, nil
@@ -184,7 +184,7 @@
 	}
 	currentAt := sent
 	if len(read.Records) == 0 {
-		currentAt = answered.At(sent, wait, boottime.Now())
+		currentAt = answered.AsOf(sent, wait, boottime.Now())
 	}
 	p.apply(read, currentAt)
 	return read.First+int64(len(read.Records)) >= read.End, nil
@@ -208,7 +208,7 @@
 			continue
 		}
 		if record.IsEmpty() {
-			p.logUnknown(batch.KindOf(raw))
+			p.logUnknown(batch.FieldNames(raw))
 		}
 		p.state.Apply(record, now)
 	}
--- a/internal/batchjobs/progress_test.go
+++ b/internal/batchjobs/progress_test.go
@@ -15,9 +15,9 @@
 // latestJobObserver stores the job of its last notification.
 type latestJobObserver struct{ job *batch.Job }
 
-func (o *latestJobObserver) JobAdded(job *batch.Job)    { o.job = job }
-func (o *latestJobObserver) ItemListed(*batch.Job, int) {}
-func (o *latestJobObserver) JobEnded(*batch.Job)        {}
+func (o *latestJobObserver) JobAdded(job *batch.Job)     { o.job = job }
+func (o *latestJobObserver) ResultAdded(*batch.Job, int) {}
+func (o *latestJobObserver) JobEnded(*batch.Job)         {}
 
 // jobWithProgress saves parts of many items' outputs, one append per part for all items as a leader does, and
 // returns the progress that the next leader reads.
@@ -29,9 +29,9 @@
 	}
 	assert.NilError(t, service.Accept(ctx, submission("j", names...)))
 	for part := range parts {
-		var running []RunningItem
+		var running []ItemProgress
 		for item := range items {
-			running = append(running, RunningItem{
+			running = append(running, ItemProgress{
 				Record: batch.ProgressRecord{
 					Job: "j", Item: item, Chain: "c", From: int64(part), To: int64(part + 1), Versions: []int64{1},
 				},
--- a/internal/batchjobs/results.go
+++ b/internal/batchjobs/results.go
@@ -48,7 +48,7 @@
 		return answer, nil
 	}
 	selected := selectResults(job.Results[from:])
-	release, err := s.options.Hold(copiesPerRead * textBytes(selected))
+	release, err := s.options.ReserveMemory(copiesPerRead * textBytes(selected))
 	if err != nil {
 		return Results{}, err
 	}
@@ -117,7 +117,7 @@
 	if !found {
 		return nil, errkind.New(errkind.NotFound, "batch job %s has no item %s", jobID, itemID)
 	}
-	release, err := s.options.Hold(s.options.RecordBytes)
+	release, err := s.options.ReserveMemory(s.options.RecordBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/batchjobs/staleread_test.go
+++ b/internal/batchjobs/staleread_test.go
@@ -70,7 +70,7 @@
 	for slowLog.answeredReads() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	_, err = writer.Record(t.Context(), writer.PartitionOf("j1"), []FinishedItem{
+	_, err = writer.Record(t.Context(), writer.PartitionOf("j1"), []ItemResult{
 		{JobID: "j1", Item: 0, Outcome: batch.Completed, Text: []byte("text")},
 	})
 	assert.NilError(t, err)
--- a/internal/batchjobs/write.go
+++ b/internal/batchjobs/write.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// FinishedItem is the result of one item, as passed to Record.
-type FinishedItem struct {
+// ItemResult is the result of one item, as passed to Record.
+type ItemResult struct {
 	JobID string
 	// Homes are the home regions from the job's record. They determine the topic of the text.
 	Homes    []string
@@ -83,19 +83,19 @@
 // Record writes results of items of one partition, in as many appends as the log's limits require: the texts
 // first, then the index record that references them. It returns how many of the items, from the first on,
 // were recorded; without an error these are all.
-func (s *Service) Record(ctx context.Context, number int, finished []FinishedItem) (int, error) {
+func (s *Service) Record(ctx context.Context, number int, finished []ItemResult) (int, error) {
 	target := s.partitions[number]
-	texts := textAccessors[FinishedItem]{
-		size:          func(item FinishedItem) int { return len(item.Text) },
-		dataPartition: func(item FinishedItem) eventlog.Partition { return target.dataPartition(item.Homes) },
+	texts := textAccessors[ItemResult]{
+		size:          func(item ItemResult) int { return len(item.Text) },
+		dataPartition: func(item ItemResult) eventlog.Partition { return target.dataPartition(item.Homes) },
 	}
-	return writeBatches(finished, texts, s.options.CallBytes, func(batch []FinishedItem) error {
+	return writeBatches(finished, texts, s.options.CallBytes, func(batch []ItemResult) error {
 		return s.recordBatch(ctx, target, batch)
 	})
 }
 
 // recordBatch writes results whose texts fit into one append.
-func (s *Service) recordBatch(ctx context.Context, target *partition, finished []FinishedItem) error {
+func (s *Service) recordBatch(ctx context.Context, target *partition, finished []ItemResult) error {
 	results := make([]batch.ResultRecord, len(finished))
 	var records [][]byte
 	for i, item := range finished {
@@ -119,8 +119,8 @@
 	return s.appendIndex(ctx, target, batch.Record{Results: results})
 }
 
-// RunningItem is new partial output of a running item, as passed to Keep.
-type RunningItem struct {
+// ItemProgress is new partial output of a running item, as passed to Keep.
+type ItemProgress struct {
 	// Homes are the home regions from the job's record. They determine the topic of the text.
 	Homes  []string
 	Record batch.ProgressRecord
@@ -129,19 +129,19 @@
 
 // Keep saves partial output of running items of one partition, in as many appends as the log's limits require.
 // It returns how many of the items, from the first on, were saved; without an error these are all.
-func (s *Service) Keep(ctx context.Context, number int, running []RunningItem) (int, error) {
+func (s *Service) Keep(ctx context.Context, number int, running []ItemProgress) (int, error) {
 	target := s.partitions[number]
-	texts := textAccessors[RunningItem]{
-		size:          func(item RunningItem) int { return len(item.Text) },
-		dataPartition: func(item RunningItem) eventlog.Partition { return target.dataPartition(item.Homes) },
+	texts := textAccessors[ItemProgress]{
+		size:          func(item ItemProgress) int { return len(item.Text) },
+		dataPartition: func(item ItemProgress) eventlog.Partition { return target.dataPartition(item.Homes) },
 	}
-	return writeBatches(running, texts, s.options.CallBytes, func(batch []RunningItem) error {
+	return writeBatches(running, texts, s.options.CallBytes, func(batch []ItemProgress) error {
 		return s.keepBatch(ctx, target, batch)
 	})
 }
 
 // keepBatch saves partial output whose texts fit into one append.
-func (s *Service) keepBatch(ctx context.Context, target *partition, running []RunningItem) error {
+func (s *Service) keepBatch(ctx context.Context, target *partition, running []ItemProgress) error {
 	progress := make([]batch.ProgressRecord, len(running))
 	var records [][]byte
 	for i, item := range running {
--- a/internal/batchrun/cold.go
+++ b/internal/batchrun/cold.go
@@ -42,7 +42,7 @@
 func freeSlots(engine batchplan.Engine, running int) int {
 	free := engine.Slots - running
 	if engine.Cold {
-		return min(free, engine.Starts)
+		return min(free, engine.MaxStarts)
 	}
 	return free
 }
@@ -50,7 +50,7 @@
 // requestColdStarts requests permits for the cold engines that could run waiting items but have none left.
 func (r *Runner) requestColdStarts(engines []batchplan.Engine) {
 	for _, engine := range engines {
-		if engine.Cold && engine.Usable && engine.Starts == 0 {
+		if engine.Cold && engine.Usable && engine.MaxStarts == 0 {
 			r.options.ColdStarts.Want(engine.ID)
 		}
 	}
--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -48,7 +48,7 @@
 	defer s.mu.Unlock()
 	if s.remaining == 0 {
 		s.denied++
-		return coldpermits.Permit{}, time.Second, coldpermits.Paced
+		return coldpermits.Permit{}, time.Second, coldpermits.RateLimited
 	}
 	s.remaining--
 	s.admitted++
@@ -117,10 +117,10 @@
 func TestWarmEngineIsPacedAfterRefusal(t *testing.T) {
 	env := newColdEnv(t, time.Time{})
 	refused := 0
-	env.engines.refuse = func(string, Call) *RefusedError {
+	env.engines.refuse = func(string, Call) *CallError {
 		refused++
 		if refused <= 3 {
-			return &RefusedError{Refusal: NotExecuted, Detail: "full"}
+			return &CallError{Kind: NotExecuted, Detail: "full"}
 		}
 		return nil
 	}
@@ -154,8 +154,8 @@
 // An engine that loses a connection may have restarted and be cold.
 func TestEngineIsPacedAfterLostConnection(t *testing.T) {
 	env := newColdEnv(t, time.Time{})
-	env.engines.refuse = func(string, Call) *RefusedError {
-		return &RefusedError{Refusal: Broken, ConnectionLost: true, Detail: "reset"}
+	env.engines.refuse = func(string, Call) *CallError {
+		return &CallError{Kind: InvalidResponse, ConnectionLost: true, Detail: "reset"}
 	}
 	env.submit("j", 1, addItemNames(env, 1)...)
 	env.startRunner()
@@ -169,13 +169,13 @@
 func TestItemIsRetriedAfterExpiredPermit(t *testing.T) {
 	env := newColdEnv(t, time.Now().Add(time.Hour))
 	sent := 0
-	env.engines.refuse = func(_ string, call Call) *RefusedError {
+	env.engines.refuse = func(_ string, call Call) *CallError {
 		sent++
-		if call.MayLeave == nil {
-			return &RefusedError{Refusal: Impossible, Detail: "no permit"}
+		if call.MaySend == nil {
+			return &CallError{Kind: NotExecutable, Detail: "no permit"}
 		}
 		if sent == 1 {
-			return &RefusedError{Refusal: HeldBack, Detail: "the permit ended"}
+			return &CallError{Kind: HeldBack, Detail: "the permit ended"}
 		}
 		return nil
 	}
--- a/internal/batchrun/demand.go
+++ b/internal/batchrun/demand.go
@@ -2,8 +2,8 @@
 
 import "github.com/corkpulley/corkpulley/internal/core/incarnation"
 
-// AllRunning returns the number of running items per engine, omitting engines without any.
-func (r *Runner) AllRunning() map[incarnation.ID]int {
+// RunningByEngine returns the number of running items per engine, omitting engines without any.
+func (r *Runner) RunningByEngine() map[incarnation.ID]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.plan.AllRunning()
@@ -22,8 +22,8 @@
 	Tokens int
 	// MinVersion is the highest minimum weight version among the model's open jobs.
 	MinVersion int64
-	// Items is the number of items without a result.
-	Items int
+	// Unfinished is the number of items without a result.
+	Unfinished int
 	// Waiting is the number of items waiting for an engine.
 	Waiting int
 }
@@ -37,7 +37,7 @@
 		demand := demands[job.record.Model]
 		demand.MinVersion = max(demand.MinVersion, job.record.MinVersion)
 		demand.Tokens += job.tokens
-		demand.Items += job.remaining
+		demand.Unfinished += job.remaining
 		demands[job.record.Model] = demand
 	}
 	// Jobs of other runners need weights as well; how many of their items are waiting is not known here.
@@ -45,7 +45,7 @@
 		demand := demands[job.record.Model]
 		demand.MinVersion = max(demand.MinVersion, job.record.MinVersion)
 		demand.Tokens += job.tokens
-		demand.Items += job.remaining
+		demand.Unfinished += job.remaining
 		demands[job.record.Model] = demand
 	}
 	for model, waiting := range r.plan.WaitingByModel() {
@@ -56,8 +56,8 @@
 	return demands
 }
 
-// Items returns the number of unfinished items per service, over the jobs of all runners.
-func (r *Runner) Items() map[string]int {
+// UnfinishedByService returns the number of unfinished items per service, over the jobs of all runners.
+func (r *Runner) UnfinishedByService() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	items := r.plan.Items()
--- a/internal/batchrun/engines.go
+++ b/internal/batchrun/engines.go
@@ -26,13 +26,13 @@
 	Tenant  string
 	Host    string
 	Payload batch.Payload
-	// After is the number of the last event already received; zero for none.
-	After int64
-	// Started reports whether the call continues an earlier run.
-	Started bool
-	// MayLeave reports whether the call may still be sent. It is called right before the first byte is written,
+	// LastEvent is the number of the last event already received; zero for none.
+	LastEvent int64
+	// Continues reports whether the call continues an earlier run.
+	Continues bool
+	// MaySend reports whether the call may still be sent. It is called right before the first byte is written,
 	// from any goroutine; nil means no restriction.
-	MayLeave func() bool
+	MaySend func() bool
 }
 
 func (c Call) fingerprint() quarantine.Fingerprint {
@@ -44,41 +44,41 @@
 // Event is one event of an item's stream.
 type Event = batchitem.Event
 
-// Refusal is the reason why an engine did not serve a call.
-type Refusal uint8
+// CallErrorKind is the reason why an engine did not serve a call.
+type CallErrorKind uint8
 
 const (
 	// NotExecuted: the engine did not run the item; another engine may.
-	NotExecuted Refusal = iota + 1
+	NotExecuted CallErrorKind = iota + 1
 	// WrongEngine: a different engine answered at the address.
 	WrongEngine
-	// Failed: the run failed and counts as an attempt.
-	Failed
-	// Impossible: no engine can run the item.
-	Impossible
-	// Broken: no response, an invalid one, or one that was cut off.
-	Broken
+	// ExecutionFailed: the run failed and counts as an attempt.
+	ExecutionFailed
+	// NotExecutable: no engine can run the item.
+	NotExecutable
+	// InvalidResponse: no response, an invalid one, or one that was cut off.
+	InvalidResponse
 	// HeldBack: sending the call was no longer permitted once it was connected.
 	HeldBack
 )
 
 var refusalNames = [...]string{
-	NotExecuted: "not_executed", WrongEngine: "wrong_engine", Failed: "failed", Impossible: "impossible", Broken: "broken",
+	NotExecuted: "not_executed", WrongEngine: "wrong_engine", ExecutionFailed: "failed", NotExecutable: "impossible", InvalidResponse: "broken",
 	HeldBack: "held_back",
 }
 
 // String returns the refusal's name in logs; empty for none.
-func (r Refusal) String() string { return refusalNames[r] }
+func (r CallErrorKind) String() string { return refusalNames[r] }
 
-// RefusedError is the error of a call or stream that an engine did not serve to the end.
-type RefusedError struct {
-	Refusal Refusal
+// CallError is the error of a call or stream that an engine did not serve to the end.
+type CallError struct {
+	Kind CallErrorKind
 	// ConnectionLost: the engine closed the connection before the response was complete.
 	ConnectionLost bool
 	Detail         string
 }
 
-func (e *RefusedError) Error() string { return e.Detail }
+func (e *CallError) Error() string { return e.Detail }
 
 // Stream is the response to a call.
 type Stream interface {
@@ -96,7 +96,7 @@
 // Guard quarantines items that engines crash on; see crashes.Guard.
 type Guard interface {
 	// ConnectionLost reports whether the engine crashed while running the item.
-	ConnectionLost(ctx context.Context, loss crashes.Loss) bool
+	ConnectionLost(ctx context.Context, loss crashes.LostConnection) bool
 	// Standing returns the crash record of an item.
 	Standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing
 	// Answered records that an engine completed the item.
@@ -117,12 +117,12 @@
 	Note(to incarnation.ID, ratePerSecond float64)
 }
 
-// Scoring is the result of a scoring call.
-type Scoring struct {
+// ScoringResult is the result of a scoring call.
+type ScoringResult struct {
 	// Score is empty if the call failed.
 	Score string
-	// Refused reports whether no engine had a free slot.
-	Refused bool
+	// NoCapacity reports whether no engine had a free slot.
+	NoCapacity bool
 	// Failures is the number of engines that failed the call, MaxAttempts the limit on them.
 	Failures    int
 	MaxAttempts int
@@ -133,9 +133,9 @@
 // Scorer makes scoring calls.
 type Scorer interface {
 	// Score makes the scoring call for a tenant's item once, trying as many engines as its route allows.
-	Score(ctx context.Context, tenant string, call batch.ScoringCall) Scoring
-	// Places returns the service that would serve the call now and its capacity.
-	Places(call batch.ScoringCall) (service string, places admission.Places)
+	Score(ctx context.Context, tenant string, call batch.ScoringCall) ScoringResult
+	// Capacity returns the service that would serve the call now and its capacity.
+	Capacity(call batch.ScoringCall) (service string, places admission.Capacity)
 }
 
 // Jobs stores batch jobs; see batchjobs.Service.
@@ -146,8 +146,8 @@
 	Unobserve(observer batch.Observer)
 	Payloads(ctx context.Context, job batch.JobRecord) ([]batch.Payload, error)
 	// Record and Keep return how many of the items were written, counted from the first.
-	Record(ctx context.Context, partition int, finished []batchjobs.FinishedItem) (int, error)
-	Keep(ctx context.Context, partition int, running []batchjobs.RunningItem) (int, error)
+	Record(ctx context.Context, partition int, finished []batchjobs.ItemResult) (int, error)
+	Keep(ctx context.Context, partition int, running []batchjobs.ItemProgress) (int, error)
 	// KeptTexts returns the saved output by item. With an error, it returns what could be read.
 	KeptTexts(ctx context.Context, job batch.JobRecord, kept map[int]batch.Progress) (map[int][]byte, error)
 	PartitionOf(jobID string) int
--- a/internal/batchrun/evacuation.go
+++ b/internal/batchrun/evacuation.go
@@ -22,11 +22,11 @@
 	}
 	items := r.plan.Items()
 	for service := range listed {
-		if usable[service] || items[service] == 0 || r.options.Fleet.Evacuated(service) == 0 {
+		if usable[service] || items[service] == 0 || r.options.Fleet.CountEvacuated(service) == 0 {
 			continue
 		}
 		r.evacuationLoggedAt = now
 		r.options.Logger.Warn().Str("service", service).Int("items", items[service]).
-			Int("evacuated", r.options.Fleet.Evacuated(service)).Msg("items wait for evacuated zones")
+			Int("evacuated", r.options.Fleet.CountEvacuated(service)).Msg("items wait for evacuated zones")
 	}
 }
--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -29,11 +29,11 @@
 		e.dialling <- engine.ID
 		<-e.release
 	}
-	if !call.MayLeave() {
+	if !call.MaySend() {
 		e.mu.Lock()
 		e.heldBack++
 		e.mu.Unlock()
-		return nil, &RefusedError{Refusal: HeldBack, Detail: "not permitted"}
+		return nil, &CallError{Kind: HeldBack, Detail: "not permitted"}
 	}
 	return e.fakeEngines.Stream(ctx, engine, call)
 }
@@ -112,7 +112,7 @@
 	env.submit("job", 1, "i0")
 	testwait.Until(t, "the item waits", func() bool { return r.Demands()["m"].Waiting == 1 })
 	assert.Equal(t, len(env.jobs.results()), 0)
-	env.fleet.TakeBack("zb", time.Now(), 3)
+	env.fleet.EndEvacuation("zb", time.Now(), 3)
 	for _, result := range env.awaitResults(1) {
 		assert.Equal(t, result.Outcome, batch.Completed)
 	}
--- a/internal/batchrun/fakes_test.go
+++ b/internal/batchrun/fakes_test.go
@@ -27,8 +27,8 @@
 type fakeJobs struct {
 	mu       sync.Mutex
 	state    *batch.Partition
-	recorded []batchjobs.FinishedItem
-	kept     []batchjobs.RunningItem
+	recorded []batchjobs.ItemResult
+	kept     []batchjobs.ItemProgress
 	// texts holds saved texts by the offset of their span.
 	texts       map[int64][]byte
 	unavailable bool
@@ -84,7 +84,7 @@
 	return payloads, nil
 }
 
-func (f *fakeJobs) Record(_ context.Context, _ int, finished []batchjobs.FinishedItem) (int, error) {
+func (f *fakeJobs) Record(_ context.Context, _ int, finished []batchjobs.ItemResult) (int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.unavailable {
@@ -99,7 +99,7 @@
 	return len(finished), nil
 }
 
-func (f *fakeJobs) Keep(_ context.Context, _ int, running []batchjobs.RunningItem) (int, error) {
+func (f *fakeJobs) Keep(_ context.Context, _ int, running []batchjobs.ItemProgress) (int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, item := range running {
@@ -144,10 +144,10 @@
 	return slices.Clone(f.readers[job])
 }
 
-func (f *fakeJobs) results() []batchjobs.FinishedItem {
+func (f *fakeJobs) results() []batchjobs.ItemResult {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]batchjobs.FinishedItem(nil), f.recorded...)
+	return append([]batchjobs.ItemResult(nil), f.recorded...)
 }
 
 // fakeEngines streams events with data of the form ITEM-NUMBER.
@@ -158,7 +158,7 @@
 	pause   map[string]time.Duration
 	version map[string]int64
 	// refuse, if set, returns the error of each call; nil to serve it.
-	refuse func(engine string, call Call) *RefusedError
+	refuse func(engine string, call Call) *CallError
 	calls  []Call
 	at     []string
 }
@@ -172,7 +172,7 @@
 			return nil, refused
 		}
 	}
-	return &fakeStream{ctx: ctx, engines: f, engine: engine.ID, item: call.ItemID, next: call.After + 1}, nil
+	return &fakeStream{ctx: ctx, engines: f, engine: engine.ID, item: call.ItemID, next: call.LastEvent + 1}, nil
 }
 
 func (f *fakeEngines) callsOf(item string) (calls []Call, at []string) {
@@ -223,7 +223,7 @@
 // noopGuard is a Guard for engines that do not crash.
 type noopGuard struct{}
 
-func (noopGuard) ConnectionLost(context.Context, crashes.Loss) bool { return false }
+func (noopGuard) ConnectionLost(context.Context, crashes.LostConnection) bool { return false }
 
 func (noopGuard) Standing(func() quarantine.Fingerprint) quarantine.Standing {
 	return quarantine.Standing{}
@@ -234,9 +234,9 @@
 // fakeScorer returns a score derived from the call's ID.
 type fakeScorer struct {
 	mu     sync.Mutex
-	places admission.Places
+	places admission.Capacity
 	// respond, if set, returns the result of each call.
-	respond func(call batch.ScoringCall) Scoring
+	respond func(call batch.ScoringCall) ScoringResult
 	// hold, if set, blocks calls until it is closed.
 	hold        chan struct{}
 	underWay    int
@@ -244,7 +244,7 @@
 	calls       []string
 }
 
-func (f *fakeScorer) Score(ctx context.Context, _ string, call batch.ScoringCall) Scoring {
+func (f *fakeScorer) Score(ctx context.Context, _ string, call batch.ScoringCall) ScoringResult {
 	f.mu.Lock()
 	f.underWay++
 	f.maxUnderWay = max(f.maxUnderWay, f.underWay)
@@ -262,17 +262,17 @@
 	f.underWay--
 	switch {
 	case ctx.Err() != nil:
-		return Scoring{Detail: "canceled"}
+		return ScoringResult{Detail: "canceled"}
 	case respond != nil:
 		return respond(call)
 	}
-	return Scoring{Score: "stamp of " + call.ID}
+	return ScoringResult{Score: "stamp of " + call.ID}
 }
 
-func (f *fakeScorer) Places(batch.ScoringCall) (string, admission.Places) {
+func (f *fakeScorer) Capacity(batch.ScoringCall) (string, admission.Capacity) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return "scoring", admission.Places{Slots: f.places.Slots, Busy: f.places.Busy + f.underWay}
+	return "scoring", admission.Capacity{Slots: f.places.Slots, Busy: f.places.Busy + f.underWay}
 }
 
 func (f *fakeScorer) callIDs() []string {
@@ -308,7 +308,7 @@
 
 func newTestEnv(t *testing.T, engineIDs ...string) *testEnv {
 	env := &testEnv{
-		t: t, jobs: newFakeJobs(), fleet: fleet.New(), scorer: &fakeScorer{places: admission.Places{Slots: 100}},
+		t: t, jobs: newFakeJobs(), fleet: fleet.New(), scorer: &fakeScorer{places: admission.Capacity{Slots: 100}},
 		engines: &fakeEngines{events: map[string]int{}, pause: map[string]time.Duration{}, version: map[string]int64{}},
 		guard:   noopGuard{}, homes: make(map[string]homes.Set),
 		route: Route{Service: "s", MaxAttempts: 2, Retention: time.Minute},
@@ -335,7 +335,7 @@
 		Jobs: env.jobs, Engines: engines, Fleet: env.fleet, Scorer: env.scorer, Guard: env.guard, ColdStarts: env.coldStarts,
 		Gate:    env.gate,
 		RouteOf: env.routeOf,
-		Within:  homes.Of(regions), HomesOf: env.homesOf, Config: env.configVersion,
+		Homes:   homes.Of(regions), HomesOf: env.homesOf, Config: env.configVersion,
 		Loading: func(incarnation.ID) string { return "" }, AllLoading: func() map[incarnation.ID]string { return nil },
 		Term: fmt.Sprint(env.terms), Logger: zerolog.Nop(),
 	})
@@ -368,10 +368,10 @@
 	env.jobs.apply(batch.Record{Job: &record})
 }
 
-func (env *testEnv) awaitResults(count int) map[string]batchjobs.FinishedItem {
+func (env *testEnv) awaitResults(count int) map[string]batchjobs.ItemResult {
 	env.t.Helper()
 	testwait.Until(env.t, fmt.Sprintf("%d results", count), func() bool { return len(env.jobs.results()) >= count })
-	byItem := map[string]batchjobs.FinishedItem{}
+	byItem := map[string]batchjobs.ItemResult{}
 	for _, result := range env.jobs.results() {
 		byItem[fmt.Sprint(result.JobID, "/", result.Item)] = result
 	}
--- a/internal/batchrun/move.go
+++ b/internal/batchrun/move.go
@@ -114,7 +114,7 @@
 	}
 	r.engineStarts = engineStarts
 	for _, each := range r.runs {
-		if r.options.Fleet.Followed(each.engine) {
+		if r.options.Fleet.IsReplaced(each.engine) {
 			each.stop(stopEngineEnded)
 		}
 	}
--- a/internal/batchrun/observe.go
+++ b/internal/batchrun/observe.go
@@ -37,8 +37,8 @@
 	}
 	for i := range added.items {
 		added.tokens += job.Items[i].Tokens
-		if job.Listed(i) {
-			added.items[i].Listed()
+		if job.HasResult(i) {
+			added.items[i].MarkCompleted()
 		}
 		if savedProgress, found := job.Progress(i); found {
 			added.savedProgress[i] = savedProgress
@@ -108,9 +108,9 @@
 	found := make(map[int]batchitem.Output, len(texts))
 	for item, text := range texts {
 		savedProgress := job.savedProgress[item]
-		found[item] = batchitem.Restore(batchitem.Kept{
+		found[item] = batchitem.Restore(batchitem.SavedOutput{
 			Chain: savedProgress.Chain, Last: savedProgress.To, Versions: savedProgress.Versions,
-			Text: text, Whole: savedProgress.Whole,
+			Text: text, Complete: savedProgress.Complete,
 		})
 	}
 	return found
@@ -132,12 +132,12 @@
 		if item.Ended() {
 			continue
 		}
-		if left, found := kept[i]; found && left.Fits(limits) {
+		if left, found := kept[i]; found && left.Satisfies(limits) {
 			item.Output = left
 			continued++
 		}
 		r.reuseCarriedOver(job, i)
-		if item.Output.IsWhole() {
+		if item.Output.IsComplete() {
 			r.outputComplete(job, i, "output already complete")
 			continue
 		}
@@ -189,8 +189,8 @@
 	return record.Prompt + min(record.Length, maxOutput)
 }
 
-// ItemListed implements batch.Observer.
-func (r *Runner) ItemListed(job *batch.Job, item int) {
+// ResultAdded implements batch.Observer.
+func (r *Runner) ResultAdded(job *batch.Job, item int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, found := r.jobs[job.ID]
@@ -199,7 +199,7 @@
 		return
 	}
 	r.dropItem(known, item)
-	known.items[item].Listed()
+	known.items[item].MarkCompleted()
 	known.remaining--
 	if known.remaining <= 0 {
 		r.removeJob(known)
--- a/internal/batchrun/overcommit.go
+++ b/internal/batchrun/overcommit.go
@@ -35,7 +35,7 @@
 	known, found := r.overcommitted[id]
 	if !found || now.Sub(known.at) > streamLossWindow {
 		route, _ := r.options.RouteOf(job.record.Host, job.record.Path)
-		known = overcommitCheck{at: now, overcommitted: r.plan.Crowded(key, id, route.EngineTokens)}
+		known = overcommitCheck{at: now, overcommitted: r.plan.MemoryOvercommitted(key, id, route.EngineTokens)}
 		r.overcommitted[id] = known
 	}
 	if known.overcommitted {
--- a/internal/batchrun/overcommit_test.go
+++ b/internal/batchrun/overcommit_test.go
@@ -42,7 +42,7 @@
 	case <-e.allStarted:
 	case <-ctx.Done():
 	}
-	return nil, &RefusedError{Refusal: Broken, ConnectionLost: true, Detail: "EOF"}
+	return nil, &CallError{Kind: InvalidResponse, ConnectionLost: true, Detail: "EOF"}
 }
 
 // reportedLosses runs items of a size on one engine that crashes once while running all of them. It returns how
@@ -81,8 +81,8 @@
 func TestRepeatedOvercommittedCrashesAreReported(t *testing.T) {
 	env := newTestEnv(t, "a")
 	env.route.EngineTokens = 1000
-	env.engines.refuse = func(string, Call) *RefusedError {
-		return &RefusedError{Refusal: Broken, ConnectionLost: true, Detail: "EOF"}
+	env.engines.refuse = func(string, Call) *CallError {
+		return &CallError{Kind: InvalidResponse, ConnectionLost: true, Detail: "EOF"}
 	}
 	guard := &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{}}
 	env.guard = guard
--- a/internal/batchrun/progress.go
+++ b/internal/batchrun/progress.go
@@ -69,10 +69,10 @@
 }
 
 // unsavedProgress returns the output to write by partition.
-func (r *Runner) unsavedProgress(minAge time.Duration) (map[int][]batchjobs.RunningItem, map[int][]pendingSave) {
+func (r *Runner) unsavedProgress(minAge time.Duration) (map[int][]batchjobs.ItemProgress, map[int][]pendingSave) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	writes := make(map[int][]batchjobs.RunningItem)
+	writes := make(map[int][]batchjobs.ItemProgress)
 	marks := make(map[int][]pendingSave)
 	now := time.Now()
 	for _, job := range r.jobs {
@@ -92,21 +92,21 @@
 // than minAge. Must be called with mu held.
 func (r *Runner) unsavedItemProgress(
 	job *openJob, index int, now time.Time, minAge time.Duration,
-) (batchjobs.RunningItem, pendingSave, bool) {
+) (batchjobs.ItemProgress, pendingSave, bool) {
 	item := &job.items[index]
-	if item.Ended() || !item.Output.Unkept() {
-		return batchjobs.RunningItem{}, pendingSave{}, false
+	if item.Ended() || !item.Output.HasUnsaved() {
+		return batchjobs.ItemProgress{}, pendingSave{}, false
 	}
 	key := batchplan.Key{Job: job.record.ID, Item: index}
 	if since, busy := r.workingSince(key); busy && now.Sub(since) < minAge {
-		return batchjobs.RunningItem{}, pendingSave{}, false
+		return batchjobs.ItemProgress{}, pendingSave{}, false
 	}
 	part := item.Output.NextPart(r.newChainID)
 	record := batch.ProgressRecord{
 		Job: key.Job, Item: index, Chain: part.Chain, Continues: part.Continues,
-		From: part.From, To: part.To, Versions: part.Versions, Whole: part.Whole,
+		From: part.From, To: part.To, Versions: part.Versions, Complete: part.Complete,
 	}
-	return batchjobs.RunningItem{Homes: job.record.Homes, Record: record, Text: part.Text}, pendingSave{key, part}, true
+	return batchjobs.ItemProgress{Homes: job.record.Homes, Record: record, Text: part.Text}, pendingSave{key, part}, true
 }
 
 // workingSince returns since when an item has been running or waiting for its score. Must be called with mu held.
@@ -133,7 +133,7 @@
 		if job == nil {
 			continue
 		}
-		job.items[mark.key.Item].Output.MarkKept(mark.part)
+		job.items[mark.key.Item].Output.MarkSaved(mark.part)
 	}
 }
 
@@ -178,7 +178,7 @@
 		return
 	}
 	delete(r.carriedOver, id)
-	if item.Output.Empty() && left.output.Fits(job.limits()) {
+	if item.Output.Empty() && left.output.Satisfies(job.limits()) {
 		item.Output = left.output
 	}
 }
--- a/internal/batchrun/quarantine_test.go
+++ b/internal/batchrun/quarantine_test.go
@@ -18,20 +18,20 @@
 	noopGuard
 	mu       sync.Mutex
 	standing map[quarantine.Fingerprint]quarantine.Standing
-	losses   []crashes.Loss
+	losses   []crashes.LostConnection
 }
 
-func (g *fakeGuard) ConnectionLost(_ context.Context, loss crashes.Loss) bool {
+func (g *fakeGuard) ConnectionLost(_ context.Context, loss crashes.LostConnection) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.losses = append(g.losses, loss)
 	return true
 }
 
-func (g *fakeGuard) lost() []crashes.Loss {
+func (g *fakeGuard) lost() []crashes.LostConnection {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]crashes.Loss(nil), g.losses...)
+	return append([]crashes.LostConnection(nil), g.losses...)
 }
 
 func (g *fakeGuard) Standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing {
@@ -82,9 +82,9 @@
 			env.engines.events["x"] = 2
 			guard := &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{itemFingerprint("x"): {Crashes: ended}}}
 			env.guard = guard
-			env.engines.refuse = func(_ string, call Call) *RefusedError {
+			env.engines.refuse = func(_ string, call Call) *CallError {
 				if calls := guard.lost(); len(calls) == 0 {
-					return &RefusedError{Refusal: Broken, ConnectionLost: true, Detail: "EOF"}
+					return &CallError{Kind: InvalidResponse, ConnectionLost: true, Detail: "EOF"}
 				}
 				return nil
 			}
--- a/internal/batchrun/recorder.go
+++ b/internal/batchrun/recorder.go
@@ -27,7 +27,7 @@
 	logger zerolog.Logger
 
 	mu      sync.Mutex
-	pending map[int][]batchjobs.FinishedItem
+	pending map[int][]batchjobs.ItemResult
 	// busy holds the partitions that have a writer.
 	busy map[int]bool
 	wake chan struct{}
@@ -37,13 +37,13 @@
 func newRecorder(jobs Jobs, logger zerolog.Logger) *recorder {
 	return &recorder{
 		jobs: jobs, logger: logger,
-		pending: make(map[int][]batchjobs.FinishedItem),
+		pending: make(map[int][]batchjobs.ItemResult),
 		busy:    make(map[int]bool),
 		wake:    make(chan struct{}, 1),
 	}
 }
 
-func (r *recorder) add(finished batchjobs.FinishedItem) {
+func (r *recorder) add(finished batchjobs.ItemResult) {
 	partition := r.jobs.PartitionOf(finished.JobID)
 	r.mu.Lock()
 	r.pending[partition] = append(r.pending[partition], finished)
@@ -104,7 +104,7 @@
 }
 
 // record retries until all items are written; it returns false if ctx ended first.
-func (r *recorder) record(ctx context.Context, partition int, finished []batchjobs.FinishedItem) bool {
+func (r *recorder) record(ctx context.Context, partition int, finished []batchjobs.ItemResult) bool {
 	for ctx.Err() == nil {
 		tryContext, cancel := context.WithTimeout(ctx, recordTimeout)
 		recorded, err := r.jobs.Record(tryContext, partition, finished)
--- a/internal/batchrun/restart_test.go
+++ b/internal/batchrun/restart_test.go
@@ -13,7 +13,7 @@
 // engineStartedAt returns an engine that started at the given time.
 func engineStartedAt(id string, born int64) fleet.Engine {
 	engine := engineOf(id)
-	engine.Born = born
+	engine.StartMillis = born
 	return engine
 }
 
@@ -36,12 +36,12 @@
 		calls, _ = env.engines.callsOf("x")
 		return len(calls) == 2
 	})
-	assert.Assert(t, calls[1].Started && calls[1].After >= 4)
+	assert.Assert(t, calls[1].Continues && calls[1].LastEvent >= 4)
 	env.engines.mu.Lock()
-	env.engines.events["x"] = int(calls[1].After) + 3
+	env.engines.events["x"] = int(calls[1].LastEvent) + 3
 	env.engines.mu.Unlock()
 	result := env.awaitResults(1)["j/0"]
-	assert.Equal(t, string(result.Text), fullText("x", int(calls[1].After)+3))
+	assert.Equal(t, string(result.Text), fullText("x", int(calls[1].LastEvent)+3))
 }
 
 // Registrations may expire while the registry is unavailable, although the engine is up.
@@ -82,7 +82,7 @@
 	first, second := engineStartedAt("a", 1000), engineStartedAt("a", 2000)
 	env.fleet.Put(first)
 	env.engines.events["x"] = 3
-	env.engines.refuse = func(string, Call) *RefusedError { return &RefusedError{Refusal: NotExecuted} }
+	env.engines.refuse = func(string, Call) *CallError { return &CallError{Kind: NotExecuted} }
 	r, _ := env.startRunner()
 	env.submit("j", 1, "x")
 	testwait.Until(t, "the first incarnation refuses", func() bool {
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -58,7 +58,7 @@
 	isolated bool
 	cancel   context.CancelFunc
 	// sendCheck is the final check before the call is sent.
-	sendCheck *sendgate.Look
+	sendCheck *sendgate.Check
 	// reason is guarded by the runner's mu.
 	reason stopReason
 	// lastEventAt is when the stream last sent an event, as Unix time in nanoseconds; stallTimer fires when it may
@@ -124,20 +124,20 @@
 	ctx, cancel := context.WithCancel(r.ctx)
 	started := &run{
 		engine: engine.Incarnation(), started: time.Now(), isolated: assignment.Item.Suspect, cancel: cancel,
-		sendCheck: r.options.Gate.Look(engine.Incarnation(), mayLeave),
+		sendCheck: r.options.Gate.Check(engine.Incarnation(), mayLeave),
 	}
 	r.runs[key] = started
 	state := &job.items[key.Item]
 	record := job.record.Items[key.Item]
 	call := job.call(key.Item)
-	call.After, call.Started = state.Output.Last(), !state.Output.Empty()
-	call.MayLeave = started.sendCheck.MayLeave
+	call.LastEvent, call.Continues = state.Output.Last(), !state.Output.Empty()
+	call.MaySend = started.sendCheck.MaySend
 	r.options.Logger.Info().Str("job", key.Job).Str("item", record.ID).Str("group", record.Group).
 		Stringer("engine", started.engine).Int("running", assignment.Running).Bool("cold", mayLeave != nil).Dur("pace_ms", assignment.Pace).
-		Int64("version", engine.Versions[job.record.Model]).Int64("after_event", call.After).
+		Int64("version", engine.Versions[job.record.Model]).Int64("after_event", call.LastEvent).
 		Int("length", record.Length).Int("tokens", record.Tokens).
 		Dur("waited_ms", time.Since(job.addedAt)).Msg("item started")
-	r.options.Fleet.Began(engine.Incarnation())
+	r.options.Fleet.RequestStarted(engine.Incarnation())
 	r.wait.Go(func() {
 		defer cancel()
 		err := r.readStream(ctx, job, key, engine, started, call)
@@ -152,7 +152,7 @@
 		r.options.Guard.Answered(call.fingerprint)
 		return
 	}
-	var refused *RefusedError
+	var refused *CallError
 	if !errors.As(err, &refused) || !refused.ConnectionLost {
 		return
 	}
@@ -161,7 +161,7 @@
 			Msg("overcommitted engine lost its connections")
 		return
 	}
-	r.options.Guard.ConnectionLost(r.ctx, crashes.Loss{
+	r.options.Guard.ConnectionLost(r.ctx, crashes.LostConnection{
 		Engine: engine, RequestID: call.ItemID, Fingerprint: call.fingerprint(),
 		Isolated: own.isolated && time.Since(own.started) < batchplan.IsolationTime,
 	})
@@ -208,15 +208,15 @@
 	}
 	if !own.hasEvents {
 		own.hasEvents = true
-		r.options.Fleet.Heard(own.engine, now)
+		r.options.Fleet.RecordResponse(own.engine, now)
 	}
 	switch item.Output.Add(event, job.limits()) {
 	case batchitem.OutOfOrder:
-		return &RefusedError{Refusal: Broken, Detail: "event number out of sequence"}
-	case batchitem.TooOld:
-		return &RefusedError{Refusal: NotExecuted, Detail: "event from a weight version below the job's minimum"}
-	case batchitem.SecondVersion:
-		return &RefusedError{Refusal: NotExecuted, Detail: "weight version changed, but the route requires a single version"}
+		return &CallError{Kind: InvalidResponse, Detail: "event number out of sequence"}
+	case batchitem.VersionTooOld:
+		return &CallError{Kind: NotExecuted, Detail: "event from a weight version below the job's minimum"}
+	case batchitem.MixedVersions:
+		return &CallError{Kind: NotExecuted, Detail: "weight version changed, but the route requires a single version"}
 	}
 	r.observePace(own, now)
 	return nil
@@ -233,7 +233,7 @@
 	if own.sampleEvents < paceSampleEvents {
 		return
 	}
-	r.options.Fleet.Continues(own.engine, own.started, own.sampleStart)
+	r.options.Fleet.RecordStreamProgress(own.engine, own.started, own.sampleStart)
 	if r.options.Loading(own.engine) == "" {
 		r.plan.ObservePace(own.engine, now.Sub(own.sampleStart)/paceSampleEvents)
 	}
@@ -246,21 +246,21 @@
 	defer r.mu.Unlock()
 	whole := errors.Is(err, io.EOF)
 	outcome := fleet.Outcome{At: time.Now()}
-	var refused *RefusedError
-	refusal := Broken
+	var refused *CallError
+	refusal := InvalidResponse
 	if errors.As(err, &refused) {
-		refusal = refused.Refusal
+		refusal = refused.Kind
 	}
 	if own.reason == notStopped && !whole && r.ctx.Err() == nil {
-		outcome.Failed = refusal == Broken
-		outcome.Unreached = refusal == Broken
+		outcome.Failed = refusal == InvalidResponse
+		outcome.Unreached = refusal == InvalidResponse
 		outcome.RefusedItem = refusal == NotExecuted && !own.hasEvents
-		outcome.Gone = refusal == WrongEngine
+		outcome.AddressReused = refusal == WrongEngine
 	}
 	if own.reason == stopStalled {
 		outcome.Failed, outcome.Unreached = true, true
 	}
-	r.options.Fleet.Ended(own.engine, outcome)
+	r.options.Fleet.RequestEnded(own.engine, outcome)
 	if refusal == NotExecuted && own.reason == notStopped {
 		r.pausedUntil[own.engine] = outcome.At.Add(refusalPause)
 	}
@@ -275,7 +275,7 @@
 	switch {
 	case r.ctx.Err() != nil && whole:
 		// Marked as complete so that the final save, if still due, tells the next leader.
-		job.items[key.Item].Whole()
+		job.items[key.Item].StartScoring()
 		return
 	case r.ctx.Err() != nil:
 		return
@@ -288,7 +288,7 @@
 }
 
 // retryOrExpire queues an item whose run did not complete, or expires it. Must be called with mu held.
-func (r *Runner) retryOrExpire(job *openJob, key batchplan.Key, own *run, refusal Refusal, err error) {
+func (r *Runner) retryOrExpire(job *openJob, key batchplan.Key, own *run, refusal CallErrorKind, err error) {
 	state := &job.items[key.Item]
 	route, _ := r.options.RouteOf(job.record.Host, job.record.Path)
 	r.options.Logger.Warn().Err(err).Str("job", key.Job).Str("item", job.record.Items[key.Item].ID).
@@ -306,11 +306,11 @@
 		r.queueItem(job, key.Item, own.engine, time.Time{})
 		r.Wake()
 		return
-	case Impossible:
+	case NotExecutable:
 		r.expire(job, key.Item, "impossible")
 		return
-	case Failed:
-		if state.RunFailed(route.MaxAttempts) {
+	case ExecutionFailed:
+		if state.RecordRunFailure(route.MaxAttempts) {
 			r.expire(job, key.Item, "attempts used up")
 			return
 		}
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -52,10 +52,10 @@
 	// ColdStarts is used only for engines of services with a slow start.
 	ColdStarts ColdStarts
 	RouteOf    RouteOf
-	// Within are the home regions whose jobs this runner runs: jobs bound to exactly these regions or, if it is
+	// Homes are the home regions whose jobs this runner runs: jobs bound to exactly these regions or, if it is
 	// unbound, jobs bound to none. HomesOf returns the homes of a job in the current configuration, whose version
 	// is Config.
-	Within  homes.Set
+	Homes   homes.Set
 	HomesOf func(job *batch.JobRecord) homes.Set
 	Config  func() int64
 	// Loading returns the model whose weights an engine is loading, empty for none; AllLoading returns it for all
@@ -154,7 +154,7 @@
 // Run runs items until ctx ends. Reads and writes of payloads and outputs go only through nodes within the
 // runner's home regions.
 func (r *Runner) Run(ctx context.Context) {
-	ctx = homes.NewContext(ctx, r.options.Within)
+	ctx = homes.NewContext(ctx, r.options.Homes)
 	r.mu.Lock()
 	r.ctx, r.startedAt = ctx, time.Now()
 	r.mu.Unlock()
@@ -227,7 +227,7 @@
 	}
 	text := item.Complete()
 	r.plan.ObserveLength(job.record.Items[index].Length, item.Output.Last())
-	r.record(job, reason, batchjobs.FinishedItem{
+	r.record(job, reason, batchjobs.ItemResult{
 		JobID: job.record.ID, Homes: job.record.Homes, Item: index, Outcome: batch.Completed,
 		Text: text, Versions: item.Output.Versions(), Score: score,
 	})
@@ -241,11 +241,11 @@
 	}
 	r.stopWork(batchplan.Key{Job: job.record.ID, Item: index})
 	item.Drop()
-	r.record(job, reason, batchjobs.FinishedItem{JobID: job.record.ID, Item: index, Outcome: batch.Expired})
+	r.record(job, reason, batchjobs.ItemResult{JobID: job.record.ID, Item: index, Outcome: batch.Expired})
 }
 
 // record removes an ended item from the plan and passes it to the recorder. Must be called with mu held.
-func (r *Runner) record(job *openJob, reason string, finished batchjobs.FinishedItem) {
+func (r *Runner) record(job *openJob, reason string, finished batchjobs.ItemResult) {
 	key := batchplan.Key{Job: job.record.ID, Item: finished.Item}
 	r.plan.Remove(key)
 	delete(r.quarantinedUntil, key)
--- a/internal/batchrun/runner_test.go
+++ b/internal/batchrun/runner_test.go
@@ -40,14 +40,14 @@
 	assert.Equal(t, string(result.Text), fullText("x", 6))
 	calls, at := env.engines.callsOf("x")
 	assert.Equal(t, len(calls), 2)
-	assert.Assert(t, calls[1].Started && calls[1].After >= 2)
+	assert.Assert(t, calls[1].Continues && calls[1].LastEvent >= 2)
 	assert.Assert(t, at[0] != at[1], "continued on the stalled engine")
 }
 
 func TestOutputOfTooOldWeightsIsDiscarded(t *testing.T) {
 	env := newTestEnv(t, "a")
 	env.engines.events["x"] = 3
-	env.fleet.Observe(incarnation.ID{Engine: "a"}, "m", 5) // the fleet expects version 5, but the engine has version 1
+	env.fleet.ObserveVersion(incarnation.ID{Engine: "a"}, "m", 5) // the fleet expects version 5, but the engine has version 1
 	env.startRunner()
 	env.submit("j", 5, "x")
 	testwait.Until(t, "a run that is refused", func() bool { calls, _ := env.engines.callsOf("x"); return len(calls) >= 2 })
@@ -67,7 +67,7 @@
 	env.submit("j", 1, "x")
 	awaitEvents(t, r, "j", 3)
 	env.engines.setVersion("a", 2)
-	env.fleet.Observe(incarnation.ID{Engine: "a"}, "m", 2)
+	env.fleet.ObserveVersion(incarnation.ID{Engine: "a"}, "m", 2)
 	result := env.awaitResults(1)["j/0"]
 	assert.Equal(t, len(result.Versions), 1, "%v", result.Versions)
 	assert.Equal(t, string(result.Text), fullText("x", 10))
@@ -82,9 +82,9 @@
 		env.engines.events[items[i]] = 2
 	}
 	env.engines.pause["a"], env.engines.pause["b"] = 5*time.Millisecond, 5*time.Millisecond
-	env.engines.refuse = func(engine string, _ Call) *RefusedError {
+	env.engines.refuse = func(engine string, _ Call) *CallError {
 		if engine == "a" {
-			return &RefusedError{Refusal: NotExecuted}
+			return &CallError{Kind: NotExecuted}
 		}
 		return nil
 	}
@@ -104,12 +104,12 @@
 
 func TestFailuresAndImpossibleItemsExpire(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
-	env.engines.refuse = func(_ string, call Call) *RefusedError {
+	env.engines.refuse = func(_ string, call Call) *CallError {
 		switch call.ItemID {
 		case "fails":
-			return &RefusedError{Refusal: Failed}
+			return &CallError{Kind: ExecutionFailed}
 		case "never":
-			return &RefusedError{Refusal: Impossible}
+			return &CallError{Kind: NotExecutable}
 		}
 		return nil
 	}
@@ -143,7 +143,7 @@
 	assert.Equal(t, string(env.awaitResults(1)["j/0"].Text), fullText("x", 40))
 	calls, _ := env.engines.callsOf("x")
 	assert.Equal(t, len(calls), 2)
-	assert.Assert(t, calls[1].After >= 5, "continued after event %d", calls[1].After)
+	assert.Assert(t, calls[1].LastEvent >= 5, "continued after event %d", calls[1].LastEvent)
 }
 
 // Guards against fresh items taking the only slot before the saved progress of an earlier leader is read.
@@ -208,7 +208,7 @@
 		return count == 2
 	})
 	calls, _ := env.engines.callsOf("x")
-	assert.Assert(t, calls[len(calls)-1].After >= 5)
+	assert.Assert(t, calls[len(calls)-1].LastEvent >= 5)
 	calls, _ = env.engines.callsOf("y")
 	assert.Equal(t, len(calls), 1, "an item with complete output ran again")
 	for _, result := range env.jobs.results() {
@@ -234,7 +234,7 @@
 	assert.Equal(t, string(result["j/0"].Text), fullText("x", 200))
 	calls, at := env.engines.callsOf("x")
 	assert.Assert(t, len(calls) > 1 && at[0] == "slow" && at[len(at)-1] != "slow", "%v", at)
-	assert.Assert(t, calls[len(calls)-1].After > 0)
+	assert.Assert(t, calls[len(calls)-1].LastEvent > 0)
 }
 
 func TestItemsMoveFromDrainingEngine(t *testing.T) {
@@ -257,7 +257,7 @@
 	assert.Equal(t, string(results["j/0"].Text), fullText("x", 100))
 	calls, at := env.engines.callsOf("x")
 	assert.DeepEqual(t, at, []string{"a", "b"})
-	assert.Assert(t, calls[1].After > 0)
+	assert.Assert(t, calls[1].LastEvent > 0)
 }
 
 // The result recorded by an earlier leader ends an item that is still running here. Its partial output must not
--- a/internal/batchrun/scope.go
+++ b/internal/batchrun/scope.go
@@ -28,14 +28,14 @@
 		remaining: len(job.Items) - len(job.Results), seenAt: time.Now(),
 	}
 	for i := range job.Items {
-		other.recorded[i] = job.Listed(i)
+		other.recorded[i] = job.HasResult(i)
 		other.tokens += job.Items[i].Tokens
 	}
 	return other
 }
 
 // owns reports whether this runner runs the job in the current configuration.
-func (r *Runner) owns(job *batch.JobRecord) bool { return r.options.HomesOf(job) == r.options.Within }
+func (r *Runner) owns(job *batch.JobRecord) bool { return r.options.HomesOf(job) == r.options.Homes }
 
 // routePending reports whether the job's route may appear with a newer configuration: the node that accepted the
 // job had a newer one.
@@ -47,7 +47,7 @@
 // mayRun reports whether an item of the job may be sent to the engine. It is the final check of homes before the
 // send.
 func (r *Runner) mayRun(job *openJob, engine fleet.Engine) bool {
-	return r.owns(&job.record) && r.options.Within.Allows(engine.Region)
+	return r.owns(&job.record) && r.options.Homes.Allows(engine.Region)
 }
 
 // otherItemRecorded records that an item of another runner's job has a result. Must be called with mu held.
@@ -106,13 +106,13 @@
 	}
 	r.removeJob(job)
 	r.options.Logger.Info().Str("job", job.record.ID).Stringer("homes", r.options.HomesOf(&job.record)).
-		Stringer("runner_homes", r.options.Within).Int("unfinished", running).Msg("job handed over to another runner")
+		Stringer("runner_homes", r.options.Homes).Int("unfinished", running).Msg("job handed over to another runner")
 }
 
 // expireOverdueOthers expires items that their own runner has not ended in time, for example because no node is in
 // its home regions or the route is gone. Only the unbound runner does so; it needs none of the payloads.
 func (r *Runner) expireOverdueOthers(now time.Time) {
-	if r.options.Within.Bound() {
+	if r.options.Homes.IsRestricted() {
 		return
 	}
 	r.mu.Lock()
@@ -138,7 +138,7 @@
 		Int("items", job.remaining).Msg("expired overdue items of another runner")
 	for item, recorded := range job.recorded {
 		if !recorded {
-			r.recorder.add(batchjobs.FinishedItem{JobID: job.record.ID, Item: item, Outcome: batch.Expired})
+			r.recorder.add(batchjobs.ItemResult{JobID: job.record.ID, Item: item, Outcome: batch.Expired})
 		}
 	}
 	delete(r.otherJobs, job.record.ID)
--- a/internal/batchrun/scope_test.go
+++ b/internal/batchrun/scope_test.go
@@ -125,12 +125,12 @@
 	record.Items = []batch.ItemRecord{{ID: "a", Group: "g", Tokens: 30}, {ID: "b", Group: "g", Tokens: 12}}
 	env.jobs.apply(batch.Record{Job: &record})
 	testwait.Until(t, "the job is known", func() bool { return r.Demands()["m"].Tokens > 0 })
-	assert.Equal(t, r.Demands()["m"], Demand{Tokens: 42, MinVersion: 7, Items: 2})
-	assert.Equal(t, r.Items()["s"], 2)
+	assert.Equal(t, r.Demands()["m"], Demand{Tokens: 42, MinVersion: 7, Unfinished: 2})
+	assert.Equal(t, r.UnfinishedByService()["s"], 2)
 	env.jobs.apply(batch.Record{Results: []batch.ResultRecord{{Job: "bound", Item: 1, Outcome: batch.Completed}}})
-	assert.Equal(t, r.Items()["s"], 1)
+	assert.Equal(t, r.UnfinishedByService()["s"], 1)
 	env.jobs.apply(batch.Record{End: "bound"})
-	assert.Equal(t, r.Items()["s"], 0)
+	assert.Equal(t, r.UnfinishedByService()["s"], 0)
 	assert.Equal(t, len(r.Demands()), 0)
 }
 
@@ -162,7 +162,7 @@
 		calls, at := env.engines.callsOf(item)
 		assert.Equal(t, len(calls), 2)
 		assert.Assert(t, strings.HasPrefix(at[0], "north") && strings.HasPrefix(at[1], "south"), "%v", at)
-		assert.Assert(t, calls[1].Started && calls[1].After > 0, "restarted from the beginning")
+		assert.Assert(t, calls[1].Continues && calls[1].LastEvent > 0, "restarted from the beginning")
 	}
 }
 
--- a/internal/batchrun/scoring.go
+++ b/internal/batchrun/scoring.go
@@ -104,7 +104,7 @@
 		return
 	}
 	key := batchplan.Key{Job: job.record.ID, Item: index}
-	item.Whole()
+	item.StartScoring()
 	r.plan.Remove(key)
 	r.scoring.items[key] = &scoringItem{
 		key: key, tenant: job.record.Tenant, call: *call,
@@ -122,7 +122,7 @@
 	}
 	full := make(map[string]bool)
 	for _, item := range r.scoring.due(time.Now()) {
-		service, places := r.options.Scorer.Places(item.call)
+		service, places := r.options.Scorer.Capacity(item.call)
 		if full[service] {
 			continue
 		}
@@ -150,7 +150,7 @@
 }
 
 // scored handles the end of a scoring call: it completes the item, expires it or schedules a retry.
-func (r *Runner) scored(item *scoringItem, scoring Scoring, took time.Duration, canceled bool) {
+func (r *Runner) scored(item *scoringItem, scoring ScoringResult, took time.Duration, canceled bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	window := r.scoring.window(item.service)
@@ -160,15 +160,15 @@
 		return
 	}
 	r.options.Logger.Info().Str("job", item.key.Job).Str("item", job.record.Items[item.key.Item].ID).
-		Str("call", item.call.ID).Str("score", scoring.Score).Int("tries", item.tries).Bool("refused", scoring.Refused).
-		Int("failures", scoring.Failures).Str("detail", scoring.Detail).Int("under_way", window.UnderWay()).
+		Str("call", item.call.ID).Str("score", scoring.Score).Int("tries", item.tries).Bool("refused", scoring.NoCapacity).
+		Int("failures", scoring.Failures).Str("detail", scoring.Detail).Int("under_way", window.InFlight()).
 		Dur("waited_ms", time.Since(item.since)-took).Dur("took_ms", took).Msg("scoring call ended")
 	item.cancel = nil
 	switch {
 	case scoring.Score != "":
 		delete(r.scoring.items, item.key)
 		r.complete(job, item.key.Item, scoring.Score, "scored")
-	case scoring.Failures > 0 && job.items[item.key.Item].ScoreFailed(scoring.Failures, scoring.MaxAttempts):
+	case scoring.Failures > 0 && job.items[item.key.Item].RecordScoringFailures(scoring.Failures, scoring.MaxAttempts):
 		delete(r.scoring.items, item.key)
 		r.expire(job, item.key.Item, "scoring attempts used up")
 	default:
@@ -178,11 +178,11 @@
 }
 
 // updateWindow records the result of a call in the service's window.
-func updateWindow(window *admission.Window, scoring Scoring, canceled bool) {
+func updateWindow(window *admission.Window, scoring ScoringResult, canceled bool) {
 	switch {
 	case scoring.Score != "":
 		window.Answered()
-	case scoring.Refused && !canceled:
+	case scoring.NoCapacity && !canceled:
 		window.Refused()
 	default:
 		window.Failed()
--- a/internal/batchrun/scoring_test.go
+++ b/internal/batchrun/scoring_test.go
@@ -35,15 +35,15 @@
 func TestOnlyFailuresOfTheServiceUseUpAttempts(t *testing.T) {
 	env := newScoringEnv(t, "x", "y")
 	tries := map[string]int{}
-	env.scorer.respond = func(call batch.ScoringCall) Scoring {
+	env.scorer.respond = func(call batch.ScoringCall) ScoringResult {
 		tries[call.ID]++
 		switch {
 		case call.ID == "score of y" && tries[call.ID] <= 3:
-			return Scoring{Refused: true, MaxAttempts: 2}
+			return ScoringResult{NoCapacity: true, MaxAttempts: 2}
 		case call.ID == "score of y":
-			return Scoring{Score: "s"}
+			return ScoringResult{Score: "s"}
 		default:
-			return Scoring{Failures: 1, MaxAttempts: 2}
+			return ScoringResult{Failures: 1, MaxAttempts: 2}
 		}
 	}
 	env.startRunner()
@@ -62,7 +62,7 @@
 		items = append(items, fmt.Sprint("x", i))
 	}
 	env := newScoringEnv(t, items...)
-	env.scorer.places = admission.Places{Slots: 6}
+	env.scorer.places = admission.Capacity{Slots: 6}
 	env.scorer.hold = make(chan struct{})
 	env.startRunner()
 	env.submit("j", 1, items...)
--- a/internal/batchrun/views.go
+++ b/internal/batchrun/views.go
@@ -14,16 +14,16 @@
 	for service, required := range r.required() {
 		for _, listed := range r.options.Fleet.List(service, now) {
 			engine := listed.Engine
-			if !r.options.Within.Allows(engine.Region) || !required.satisfiedBy(engine.Versions) {
+			if !r.options.Homes.Allows(engine.Region) || !required.satisfiedBy(engine.Versions) {
 				continue
 			}
 			id := engine.Incarnation()
 			cold, starts := r.coldStartLimit(id, now)
 			views = append(views, batchplan.Engine{
-				Cold: cold, Starts: starts,
+				Cold: cold, MaxStarts: starts,
 				ID: id, Service: engine.Service, Slots: engine.Slots, Versions: engine.Versions,
 				Tokens: required.engineTokens, Loading: loading[id],
-				Usable: listed.TakesWork && !listed.Suspected && !now.Before(r.pausedUntil[id]),
+				Usable: listed.AcceptsWork && !listed.Suspected && !now.Before(r.pausedUntil[id]),
 			})
 		}
 	}
--- a/internal/bench/command/load.go
+++ b/internal/bench/command/load.go
@@ -37,16 +37,16 @@
 		return errors.Errorf("at most %d arrivals a second and %d seconds", maxRate, maxSeconds)
 	}
 	load := live.Load{
-		Addresses:   arguments.Addresses,
-		Service:     arguments.Service,
-		Rate:        arguments.Rate,
-		Duration:    time.Duration(arguments.Seconds * float64(time.Second)),
-		Seed:        arguments.Seed,
-		MaxTokens:   arguments.MaxTokens,
-		Groups:      arguments.Groups,
-		PrefixBytes: arguments.Prefix,
-		StreamShare: arguments.Streamed,
-		Keyed:       arguments.Keyed,
+		Addresses:           arguments.Addresses,
+		Service:             arguments.Service,
+		Rate:                arguments.Rate,
+		Duration:            time.Duration(arguments.Seconds * float64(time.Second)),
+		Seed:                arguments.Seed,
+		MaxTokens:           arguments.MaxTokens,
+		PrefixGroups:        arguments.Groups,
+		PrefixBytes:         arguments.Prefix,
+		StreamShare:         arguments.Streamed,
+		WithIdempotencyKeys: arguments.Keyed,
 	}
 	client, recorder := live.NewClient(), live.NewRecorder()
 	defer client.Close()
@@ -57,8 +57,8 @@
 	if err := printLoad(output, summary, arguments.JSON); err != nil {
 		return err
 	}
-	if summary.Broken > 0 {
-		return errors.Errorf("%d responses violated an invariant", summary.Broken)
+	if summary.Invalid > 0 {
+		return errors.Errorf("%d responses violated an invariant", summary.Invalid)
 	}
 	return nil
 }
@@ -70,7 +70,7 @@
 	} else {
 		_, err = fmt.Fprintf(output, "requests %d, complete %d, refused %d, failed %d, invalid %d\ncodes %v\n"+
 			"time to first token: p50 %.1f ms, p99 %.1f ms\nlatency: p50 %.1f ms, p99 %.1f ms\n",
-			summary.Requests, summary.OK, summary.Refused, summary.Failed, summary.Broken, summary.Codes,
+			summary.Requests, summary.OK, summary.Refused, summary.Failed, summary.Invalid, summary.Codes,
 			summary.TimeToFirstToken.P50, summary.TimeToFirstToken.P99, summary.Latency.P50, summary.Latency.P99)
 	}
 	if err != nil {
--- a/internal/bench/command/run.go
+++ b/internal/bench/command/run.go
@@ -82,7 +82,7 @@
 		return errors.Wrap(err, "create directory for the daemon binary")
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
-	binaries, err := topology.Find(ctx, directory)
+	binaries, err := topology.FindBinaries(ctx, directory)
 	if err != nil {
 		return err
 	}
--- a/internal/bench/demo/config.go
+++ b/internal/bench/demo/config.go
@@ -69,11 +69,11 @@
 	return []live.Load{
 		{
 			Addresses: addresses, Service: lookupService, Rate: 20, Duration: duration,
-			Seed: 1, MaxTokens: 64, Groups: 4, PrefixBytes: 512, StreamShare: 0.5,
+			Seed: 1, MaxTokens: 64, PrefixGroups: 4, PrefixBytes: 512, StreamShare: 0.5,
 		},
 		{
 			Addresses: addresses, Service: permitService, Rate: 5, Duration: duration,
-			Seed: 2, MaxTokens: 32, StreamShare: 0.5, Keyed: true,
+			Seed: 2, MaxTokens: 32, StreamShare: 0.5, WithIdempotencyKeys: true,
 		},
 	}
 }
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -106,7 +106,7 @@
 }
 
 func start(ctx context.Context, directory string, progress *progress) (*topology.Deployment, error) {
-	binaries, err := topology.Find(ctx, directory)
+	binaries, err := topology.FindBinaries(ctx, directory)
 	if err != nil {
 		return nil, err
 	}
@@ -141,7 +141,7 @@
 				if outcome.OK() {
 					return nil
 				}
-				return errors.Errorf("status %d, code %q, %s %q", outcome.Status, outcome.Code, outcome.TransportError, outcome.Faults)
+				return errors.Errorf("status %d, code %q, %s %q", outcome.Status, outcome.Code, outcome.TransportError, outcome.Violations)
 			})
 			if err != nil {
 				return err
@@ -213,13 +213,13 @@
 	return &Summary{
 		LiveRequests:        calls.Requests,
 		LiveOK:              calls.OK,
-		LiveBroken:          calls.Broken,
+		LiveBroken:          calls.Invalid,
 		SamplesWanted:       report.SamplesWanted,
 		SamplesAcknowledged: report.SamplesAcknowledged,
 		Duplicates:          report.Duplicates,
 		Lost:                report.Lost,
 		Stale:               report.Stale,
-		UnnamedVersions:     report.UnnamedVersions,
+		UnnamedVersions:     report.InvalidVersions,
 		ExecutedTwice:       executedTwice,
 		LatestVersion:       report.Version,
 		Latency:             calls.Latency,
--- a/internal/bench/experiment/measure.go
+++ b/internal/bench/experiment/measure.go
@@ -46,7 +46,7 @@
 		if figures.SharesPool {
 			result.LiveP99Ratio = max(result.LiveP99Ratio, figures.P99Ratio)
 		}
-		result.Broken += withoutTrainers.Broken + withTrainers.Broken
+		result.Broken += withoutTrainers.Invalid + withTrainers.Invalid
 		result.LiveFailed += withoutTrainers.Requests - withoutTrainers.OK + withTrainers.Requests - withTrainers.OK
 		result.Live = append(result.Live, figures)
 	}
@@ -84,7 +84,7 @@
 
 func (r *run) addViolations(result *Result, report trainer.Report) {
 	result.Stale += report.Stale
-	result.Broken += report.Duplicates + report.Lost + report.UnnamedVersions
+	result.Broken += report.Duplicates + report.Lost + report.InvalidVersions
 	result.IdleSeconds += report.IdleSeconds
 }
 
--- a/internal/bench/live/call.go
+++ b/internal/bench/live/call.go
@@ -52,18 +52,18 @@
 	NotConnected bool `json:"not_connected,omitempty"`
 	// TransportError describes a broken connection or malformed response.
 	TransportError string `json:"transport_error,omitempty"`
-	// Faults lists every rule that a completed response violates (see Check).
-	Faults []string `json:"faults,omitempty"`
+	// Violations lists every rule that a completed response violates (see Check).
+	Violations []string `json:"faults,omitempty"`
 }
 
 // OK reports whether a complete and valid completion was received.
 func (o *Outcome) OK() bool {
-	return o.Done && o.Code == "" && o.TransportError == "" && len(o.Faults) == 0
+	return o.Done && o.Code == "" && o.TransportError == "" && len(o.Violations) == 0
 }
 
 // Refused reports whether the service responded that the request was not executed.
 func (o *Outcome) Refused() bool { return o.Code != "" && o.Executed == "no" }
 
-// Broken reports whether the response violates an invariant: a completion with
+// Invalid reports whether the response violates an invariant: a completion with
 // faults, or an error whose header and body disagree.
-func (o *Outcome) Broken() bool { return len(o.Faults) > 0 }
+func (o *Outcome) Invalid() bool { return len(o.Violations) > 0 }
--- a/internal/bench/live/client.go
+++ b/internal/bench/live/client.go
@@ -61,7 +61,7 @@
 	outcome.Latency = time.Since(started)
 	outcome.Ended = time.Now().UnixNano()
 	if outcome.Done && outcome.Code == "" {
-		outcome.Faults = append(outcome.Faults, Check(&outcome)...)
+		outcome.Violations = append(outcome.Violations, Check(&outcome)...)
 	}
 	return outcome
 }
@@ -124,7 +124,7 @@
 	setError(document.Error, outcome)
 	if executed := header.Get(api.HeaderExecuted); executed != outcome.Executed {
 		fault := "error header and body disagree on whether the request was executed"
-		outcome.Faults = append(outcome.Faults, fault)
+		outcome.Violations = append(outcome.Violations, fault)
 	}
 	return nil
 }
--- a/internal/bench/live/live_test.go
+++ b/internal/bench/live/live_test.go
@@ -60,7 +60,7 @@
 		"no usage":        {ID: "r1", Choices: newCompletion("", 0, nil).Choices},
 	} {
 		outcome := sendPlain(t, bad)
-		assert.Assert(t, outcome.Broken() && !outcome.OK(), "%s: %+v", name, outcome)
+		assert.Assert(t, outcome.Invalid() && !outcome.OK(), "%s: %+v", name, outcome)
 	}
 }
 
@@ -75,7 +75,7 @@
 	cut := sendTo(t, Call{Service: "s", Prompt: "a [tokens=4]", MaxTokens: 9}, func(w http.ResponseWriter, _ *http.Request) {
 		httpapi.WriteJSON(w, http.StatusOK, three)
 	})
-	assert.Assert(t, cut.Broken())
+	assert.Assert(t, cut.Invalid())
 }
 
 // streamHandler responds with an event stream: strings are written verbatim, other bodies as JSON events.
@@ -109,11 +109,11 @@
 	assert.Assert(t, !cut.Done && cut.TransportError != "")
 
 	failed := sendTo(t, call, streamHandler(partialCompletion("0:3 "), api.ErrorBody{Error: api.ErrorDetail{Code: "engine_failed", Executed: "unknown"}}))
-	assert.Assert(t, failed.Done && !failed.OK() && !failed.Broken())
+	assert.Assert(t, failed.Done && !failed.OK() && !failed.Invalid())
 	assert.Equal(t, failed.Code, "engine_failed")
 
 	doubled := sendTo(t, call, streamHandler(partialCompletion("0:3 1:3 "), partialCompletion("1:3 "), last, "data: [DONE]\n\n"))
-	assert.Assert(t, doubled.Broken())
+	assert.Assert(t, doubled.Invalid())
 }
 
 func TestSendChecksExecutedHeaderAgainstErrorBody(t *testing.T) {
@@ -122,13 +122,13 @@
 	})
 	assert.Equal(t, refused.Executed, "no")
 	assert.Equal(t, refused.Status, http.StatusTooManyRequests)
-	assert.Assert(t, refused.Done && !refused.Broken())
+	assert.Assert(t, refused.Done && !refused.Invalid())
 
 	disagreeing := sendTo(t, Call{Service: "s"}, func(w http.ResponseWriter, _ *http.Request) {
 		detail := httpapi.ErrorDetail(errkind.New(errkind.QueueFull, "full"))
 		httpapi.WriteJSON(w, http.StatusTooManyRequests, api.ErrorBody{Error: detail})
 	})
-	assert.Assert(t, disagreeing.Broken())
+	assert.Assert(t, disagreeing.Invalid())
 }
 
 func TestLoadRunSendsUniquePrompts(t *testing.T) {
@@ -145,7 +145,7 @@
 	defer client.Close()
 	load := Load{
 		Addresses: []string{strings.TrimPrefix(server.URL, "http://")},
-		Service:   "desk", Rate: 1e6, Count: 20, Seed: 7, Groups: 2, PrefixBytes: 128, Keyed: true,
+		Service:   "desk", Rate: 1e6, Count: 20, Seed: 7, PrefixGroups: 2, PrefixBytes: 128, WithIdempotencyKeys: true,
 	}
 	assert.NilError(t, load.Run(t.Context(), client, recorder))
 	close(prompts)
@@ -160,7 +160,7 @@
 }
 
 func TestLoadCallsAreDeterministicForSeed(t *testing.T) {
-	load := Load{Addresses: []string{"a", "b"}, Service: "s", Seed: 3, Groups: 4}
+	load := Load{Addresses: []string{"a", "b"}, Service: "s", Seed: 3, PrefixGroups: 4}
 	first, second := load, load
 	for number := range 10 {
 		assert.Equal(t, first.call(number, newRandom(3)), second.call(number, newRandom(3)))
--- a/internal/bench/live/load.go
+++ b/internal/bench/live/load.go
@@ -29,14 +29,14 @@
 	MaxTokens   int
 	Tokens      int
 	TokenSpread int
-	// Groups is the number of distinct prompt prefixes shared between calls, each
+	// PrefixGroups is the number of distinct prompt prefixes shared between calls, each
 	// of about PrefixBytes bytes.
-	Groups      int
-	PrefixBytes int
+	PrefixGroups int
+	PrefixBytes  int
 	// StreamShare is the fraction (0..1) of calls that request server-sent events.
 	StreamShare float64
-	// Keyed gives each call a unique idempotency key.
-	Keyed bool
+	// WithIdempotencyKeys gives each call a unique idempotency key.
+	WithIdempotencyKeys bool
 	// CallTimeout bounds one call; zero means one minute.
 	CallTimeout time.Duration
 }
@@ -133,7 +133,7 @@
 		Seed:      random.Int64(),
 		Stream:    random.Float64() < l.StreamShare,
 	}
-	if l.Keyed {
+	if l.WithIdempotencyKeys {
 		call.IdempotencyKey = fmt.Sprintf("%s-%d-%d", l.Service, l.Seed, number)
 	}
 	return call
@@ -143,8 +143,8 @@
 
 func (l *Load) prompt(number int, random *rand.Rand) string {
 	var prompt strings.Builder
-	if l.Groups > 0 {
-		fmt.Fprintf(&prompt, "group %d of %s: ", random.IntN(l.Groups), l.Service)
+	if l.PrefixGroups > 0 {
+		fmt.Fprintf(&prompt, "group %d of %s: ", random.IntN(l.PrefixGroups), l.Service)
 		words := max(l.PrefixBytes-prompt.Len(), 0) / len(prefixWord)
 		prompt.WriteString(strings.Repeat(prefixWord, words))
 	}
--- a/internal/bench/live/recorder.go
+++ b/internal/bench/live/recorder.go
@@ -12,8 +12,8 @@
 	Refused int `json:"refused"`
 	// Failed counts all other calls without a complete and valid response.
 	Failed int `json:"failed"`
-	// Broken counts responses that violate an invariant (see Outcome.Broken).
-	Broken           int            `json:"broken"`
+	// Invalid counts responses that violate an invariant (see Outcome.Invalid).
+	Invalid          int            `json:"broken"`
 	Codes            map[string]int `json:"codes"`
 	CachedTokens     int            `json:"cached_tokens"`
 	PromptTokens     int            `json:"prompt_tokens"`
@@ -85,8 +85,8 @@
 	case outcome.TransportError != "":
 		s.Codes[codeTransport]++
 	}
-	if outcome.Broken() {
-		s.Broken++
+	if outcome.Invalid() {
+		s.Invalid++
 	}
 	if outcome.Usage != nil {
 		s.CachedTokens += outcome.Usage.CachedTokens
--- a/internal/bench/process/process.go
+++ b/internal/bench/process/process.go
@@ -145,11 +145,11 @@
 	return nil
 }
 
-// Freeze suspends the process (SIGSTOP); its sockets stay open.
-func (p *Process) Freeze() error { return p.Signal(syscall.SIGSTOP) }
+// Suspend suspends the process (SIGSTOP); its sockets stay open.
+func (p *Process) Suspend() error { return p.Signal(syscall.SIGSTOP) }
 
-// Thaw resumes a suspended process (SIGCONT).
-func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
+// Resume resumes a suspended process (SIGCONT).
+func (p *Process) Resume() error { return p.Signal(syscall.SIGCONT) }
 
 // Wait waits until the process exits and returns the exit code.
 func (p *Process) Wait(ctx context.Context) (int, error) {
--- a/internal/bench/process/process_test.go
+++ b/internal/bench/process/process_test.go
@@ -78,8 +78,8 @@
 	child := startScript(t, `while :; do echo tick; sleep 0.01; done`)
 	_, err := child.WaitLine(timeoutContext(t), equals("tick"))
 	assert.NilError(t, err)
-	assert.NilError(t, child.Freeze())
-	assert.NilError(t, child.Thaw())
+	assert.NilError(t, child.Suspend())
+	assert.NilError(t, child.Resume())
 	before := len(child.Logs())
 	ctx := timeoutContext(t)
 	for len(child.Logs()) <= before {
--- a/internal/bench/soak/check.go
+++ b/internal/bench/soak/check.go
@@ -141,7 +141,7 @@
 	known := expectedByID(h)
 	forEachRun(h, func(engine *EngineRecord, run standin.Run) {
 		want := known[run.ID]
-		if call := want.call; call != nil && call.Intact && call.Kind != standin.RouteSafe && standin.Refused(call.Answer.Status) {
+		if call := want.call; call != nil && call.Intact && call.Kind != standin.RouteSafe && standin.GuaranteesNotExecuted(call.Answer.Status) {
 			found = append(found, fmt.Sprintf("engine %s ran %s, which was rejected with status %d", engine.ID, run.ID, call.Answer.Status))
 		}
 		if want.job != nil && want.job.AllRejected {
--- a/internal/bench/soak/check_placement_test.go
+++ b/internal/bench/soak/check_placement_test.go
@@ -46,7 +46,7 @@
 	}
 	h.Engines = append(h.Engines, EngineRecord{
 		ID: "e3", Service: standin.ServiceDrafts, Restarted: true, Version: 1, StartedAt: at(40),
-		Orders: []standin.OrderSeen{
+		Orders: []standin.ReceivedOrder{
 			{Holder: "node-0-a", Fence: 9, Version: 5, At: at(41), Expected: 3, Taken: 0, Status: 409},
 			{Holder: "node-0-a", Fence: 9, Version: 5, At: at(46), Expected: 0, Taken: 0, Status: statusAccepted},
 		},
--- a/internal/bench/soak/check_test.go
+++ b/internal/bench/soak/check_test.go
@@ -31,8 +31,8 @@
 	return text
 }
 
-func streamOf(id string) standin.LiveAnswer {
-	answer := standin.LiveAnswer{Status: statusOK, ID: id, Stamped: true}
+func streamOf(id string) standin.LiveResponse {
+	answer := standin.LiveResponse{Status: statusOK, ID: id, Stamped: true}
 	for number := 1; number <= eventsOf(id); number++ {
 		answer.Events = append(answer.Events, eventData(id, number, 3))
 		answer.Numbers = append(answer.Numbers, int64(number))
@@ -40,8 +40,8 @@
 	return answer
 }
 
-func plainOf(id string) standin.LiveAnswer {
-	return standin.LiveAnswer{Status: statusOK, ID: id, Stamped: true, Body: standin.Answer(id)}
+func plainOf(id string) standin.LiveResponse {
+	return standin.LiveResponse{Status: statusOK, ID: id, Stamped: true, Body: standin.Answer(id)}
 }
 
 func runOf(id, path, body string, seconds float64) standin.Run {
@@ -90,7 +90,7 @@
 			{ID: "safe", Path: "/lookup/safe", Body: "s", Kind: standin.RouteSafe, SentAt: at(1), Answer: plainOf("safe"), Intact: true},
 			{ID: "unsafe", Path: "/permit/unsafe", Body: "u", Kind: standin.RouteUnsafe, SentAt: at(1), Answer: plainOf("unsafe"), Intact: true},
 			{ID: "stream", Path: "/stream/stream", Body: "t", Kind: standin.RouteStream, SentAt: at(1), Answer: streamOf("stream"), Intact: true},
-			{ID: "refused-call", Path: "/permit/r", Kind: standin.RouteUnsafe, SentAt: at(1), Answer: standin.LiveAnswer{Status: 503}, Intact: true},
+			{ID: "refused-call", Path: "/permit/r", Kind: standin.RouteUnsafe, SentAt: at(1), Answer: standin.LiveResponse{Status: 503}, Intact: true},
 		},
 		Jobs:    []*JobRecord{job, refused, open},
 		Configs: []ConfigRecord{{Version: 7, AckedAt: at(10)}},
@@ -120,7 +120,7 @@
 					runOf("score-1", standin.ScoringPath("score-1"), "score item-1", 3),
 					runOf(failPrefix+"3", standin.ItemPath(failPrefix+"3"), "b3", 2),
 				},
-				Orders: []standin.OrderSeen{
+				Orders: []standin.ReceivedOrder{
 					{Holder: "node-0-a", Fence: 1, Version: 3, At: at(1), Status: 202},
 					{Holder: "node-1-b", Fence: 5, Version: 4, At: at(5), Status: 202},
 					{Holder: "node-0-a", Fence: 1, Version: 4, At: at(6), Status: statusFenced},
@@ -145,13 +145,13 @@
 	h.Engines[engine].Runs = append(h.Engines[engine].Runs, run)
 }
 
-func order(holder string, fence int64, seconds float64) standin.OrderSeen {
-	return standin.OrderSeen{Holder: holder, Fence: fence, At: at(seconds), Status: 202}
+func order(holder string, fence int64, seconds float64) standin.ReceivedOrder {
+	return standin.ReceivedOrder{Holder: holder, Fence: fence, At: at(seconds), Status: 202}
 }
 
 // unfenced replaces the orders of the first engine and the usage reports, and makes the engines ignore
 // fencing tokens.
-func unfenced(h *History, orders ...standin.OrderSeen) {
+func unfenced(h *History, orders ...standin.ReceivedOrder) {
 	h.EnginesFence, h.Engines[0].Orders, h.Usage = false, orders, nil
 }
 
@@ -261,7 +261,7 @@
 		unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-2-c", 3, 52), order("node-0-a", 4, 52.5))
 	}},
 	{"undisturbed nodes alternate", "ONE", func(h *History) {
-		h.Engines[0].Orders = []standin.OrderSeen{order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52)}
+		h.Engines[0].Orders = []standin.ReceivedOrder{order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52)}
 	}},
 	{"nodes alternate after a freeze", "ONE", func(h *History) {
 		unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52.5))
@@ -287,7 +287,7 @@
 		h.Usage[0].At = at(4)
 	}},
 	{"fenced holder keeps sending orders", "ONE", func(h *History) {
-		h.Engines[0].Orders = append(h.Engines[0].Orders, standin.OrderSeen{Holder: "node-0-a", Fence: 1, At: at(12), Status: statusFenced})
+		h.Engines[0].Orders = append(h.Engines[0].Orders, standin.ReceivedOrder{Holder: "node-0-a", Fence: 1, At: at(12), Status: statusFenced})
 	}},
 }
 
@@ -338,7 +338,7 @@
 
 // Guards against false positives of the lease checks.
 func TestCheckLeaseAllowedOrders(t *testing.T) {
-	turns := []standin.OrderSeen{order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52)}
+	turns := []standin.ReceivedOrder{order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52)}
 	for _, allowed := range []struct {
 		name   string
 		change func(h *History)
@@ -354,7 +354,7 @@
 		}},
 		{"the engines differ", func(h *History) {
 			unfenced(h, order("node-0-a", 1, 50), order("node-0-a", 3, 52))
-			h.Engines[1].Orders = []standin.OrderSeen{order("node-1-b", 2, 51)}
+			h.Engines[1].Orders = []standin.ReceivedOrder{order("node-1-b", 2, 51)}
 		}},
 		{"an order of a node that just resumed", func(h *History) {
 			unfenced(h, order("node-0-a", 5, 50), order("node-1-b", 4, 51), order("node-0-a", 5, 52))
@@ -369,7 +369,7 @@
 			h.Disturbances = append(h.Disturbances, &Disturbance{Node: 0, From: at(49), To: at(49.5)})
 		}},
 		{"a lower token where engines check", func(h *History) {
-			h.Engines[0].Orders = []standin.OrderSeen{order("node-0-a", 5, 50), order("node-1-b", 4, 54)}
+			h.Engines[0].Orders = []standin.ReceivedOrder{order("node-0-a", 5, 50), order("node-1-b", 4, 54)}
 		}},
 	} {
 		t.Run(allowed.name, func(t *testing.T) {
@@ -463,7 +463,7 @@
 			fenced++
 		}
 		drawn[schedule]++
-		enginesFence, schedule = (&Arguments{EnginesFence: No, Schedule: GeneralFaults}).modes(seed)
+		enginesFence, schedule = (&Arguments{EnginesFence: EnginesFenceNo, Schedule: GeneralFaults}).modes(seed)
 		assert.Assert(t, !enginesFence && schedule == GeneralFaults)
 	}
 	assert.Assert(t, fenced > seeds*2/5 && fenced < seeds*3/5, "%d", fenced)
--- a/internal/bench/soak/deployment.go
+++ b/internal/bench/soak/deployment.go
@@ -60,7 +60,7 @@
 // deploy starts the simulated services and the nodes. It returns the deployment, if there is one to close,
 // also with an error.
 func deploy(ctx context.Context, plan plan, directory string, history *History) (*deployment, error) {
-	binaries, err := topology.Find(ctx, directory)
+	binaries, err := topology.FindBinaries(ctx, directory)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/bench/soak/drive.go
+++ b/internal/bench/soak/drive.go
@@ -250,7 +250,7 @@
 		case err == nil && status == http.StatusAccepted:
 			v.history.update(func() { seen.Accepted = true })
 			return true
-		case err == nil && standin.Refused(status):
+		case err == nil && standin.GuaranteesNotExecuted(status):
 			refusals++
 		}
 		retry.Sleep(ctx, retryGap)
--- a/internal/bench/soak/engines.go
+++ b/internal/bench/soak/engines.go
@@ -149,9 +149,9 @@
 	}
 	p.lastBorn = max(p.lastBorn+1, time.Now().UnixMilli())
 	options := standin.EngineOptions{
-		ID: id, Service: p.service, Zone: zoneOf(p.number), Born: p.lastBorn,
+		ID: id, Service: p.service, Zone: zoneOf(p.number), StartMillis: p.lastBorn,
 		Slots: lookupSlots, Events: eventsOf, EventTime: eventTime, Data: eventData, LoadTime: loadTime, CheckFences: p.checkFences,
-		EndsUnder: func(run standin.Run) bool { return crashesEngine(run.Body) }, End: p.onCrash,
+		CrashesOn: func(run standin.Run) bool { return crashesEngine(run.Body) }, Crash: p.onCrash,
 	}
 	if p.service == standin.ServiceDrafts {
 		options.Versions = map[string]int64{standin.ModelDrafts: version}
@@ -182,7 +182,7 @@
 	if !running.endedAt.IsZero() || running.draining || p.entryInvalid {
 		return
 	}
-	running.engine.TurnCold(duration)
+	running.engine.SetCold(duration)
 	p.store.ListEngine(running.engine, p.senderProxy.address, false)
 	now := time.Now()
 	running.cold = append(running.cold, ColdPeriod{From: now, To: now.Add(duration), Announced: true})
@@ -192,16 +192,16 @@
 func (p *engineSlot) faultFor(id string) standin.EngineFault {
 	switch {
 	case failsAlways(id):
-		return standin.Fails
+		return standin.RespondsError
 	case isImpossible(id):
-		return standin.Impossible
+		return standin.RespondsUnprocessable
 	}
 	p.answerMu.Lock()
 	defer p.answerMu.Unlock()
-	if p.answerFault != standin.Works && rand.Float64() < answerFaultShare {
+	if p.answerFault != standin.NoFault && rand.Float64() < answerFaultShare {
 		return p.answerFault
 	}
-	return standin.Works
+	return standin.NoFault
 }
 
 // setAnswerFault sets the fault that affects a share of the answers; Works for none.
@@ -279,7 +279,7 @@
 		all = append(all, EngineRecord{
 			ID: engine.ID(), Service: engine.Service(), Zone: zoneOf(p.number), Region: regionOf(p.number),
 			Restarted: each.restarted, Version: each.version, StartedAt: each.startedAt, EndedAt: each.endedAt,
-			Runs: engine.Runs(), Orders: engine.Orders(), Arrivals: engine.ArrivalsSeen(), Cold: each.cold, EntryInvalid: each.entryInvalid,
+			Runs: engine.Runs(), Orders: engine.Orders(), Arrivals: engine.Arrivals(), Cold: each.cold, EntryInvalid: each.entryInvalid,
 		})
 	}
 	return all
--- a/internal/bench/soak/history.go
+++ b/internal/bench/soak/history.go
@@ -20,7 +20,7 @@
 	Tenant string
 	SentAt time.Time
 	// Answer is the response; Intact is false if the connection broke.
-	Answer standin.LiveAnswer
+	Answer standin.LiveResponse
 	Intact bool
 }
 
@@ -117,7 +117,7 @@
 	// EndedAt is zero if it ran until the end of the soak.
 	EndedAt  time.Time
 	Runs     []standin.Run
-	Orders   []standin.OrderSeen
+	Orders   []standin.ReceivedOrder
 	Arrivals []standin.Arrival
 	Cold     []ColdPeriod
 	// EntryInvalid lists the periods in which an invalid entry replaced its own.
--- a/internal/bench/soak/inject.go
+++ b/internal/bench/soak/inject.go
@@ -17,7 +17,7 @@
 
 // wrongAnswers are the engine faults of EngineAnswersWrongly, selected by the fault's target.
 var wrongAnswers = []standin.EngineFault{
-	standin.Full, standin.Fails, standin.CutOff, standin.AnswerLost, standin.Surplus, standin.Foreign,
+	standin.RefusesFull, standin.RespondsError, standin.TruncatesResponse, standin.DropsResponse, standin.DuplicatesResponse, standin.RespondsWrongID,
 }
 
 // inject begins each fault at its time. It returns once all have begun or ctx ends; d.wait covers their
@@ -81,13 +81,13 @@
 	case EngineLeaves:
 		d.replace(slot, func() { slot.drain(ctx) })
 	case EngineAnswersWrongly, EngineSilent:
-		wrong := standin.Silent
+		wrong := standin.NeverResponds
 		if fault.Kind == EngineAnswersWrongly {
 			wrong = wrongAnswers[fault.Target%len(wrongAnswers)]
 		}
 		slot.setAnswerFault(wrong)
 		retry.Sleep(ctx, fault.Duration)
-		slot.setAnswerFault(standin.Works)
+		slot.setAnswerFault(standin.NoFault)
 	}
 }
 
--- a/internal/bench/soak/modes.go
+++ b/internal/bench/soak/modes.go
@@ -12,9 +12,9 @@
 const (
 	// Drawn: derived from the seed.
 	Drawn = "drawn"
-	// Yes and No: whether engines check fencing tokens.
-	Yes = "yes"
-	No  = "no"
+	// EnginesFenceYes and No: whether engines check fencing tokens.
+	EnginesFenceYes = "yes"
+	EnginesFenceNo  = "no"
 	// GeneralFaults affect all parts of a deployment; LeaderFaults are series of faults of the leader.
 	GeneralFaults = "general"
 	LeaderFaults  = "leader"
@@ -49,8 +49,8 @@
 	if random.IntN(placementOneIn) == 0 {
 		schedule = PlacementFaults
 	}
-	if a.EnginesFence == Yes || a.EnginesFence == No {
-		enginesFence = a.EnginesFence == Yes
+	if a.EnginesFence == EnginesFenceYes || a.EnginesFence == EnginesFenceNo {
+		enginesFence = a.EnginesFence == EnginesFenceYes
 	}
 	if slices.Contains(schedules, a.Schedule) {
 		schedule = a.Schedule
--- a/internal/bench/soak/placement.go
+++ b/internal/bench/soak/placement.go
@@ -55,7 +55,7 @@
 // enables slow start.
 func addPinnedRequests(configuration *standin.Configuration, homes Homes) {
 	configuration.Routes = append(configuration.Routes, standin.Route{
-		Name: "homed", Prefix: prefixPinned, Kind: standin.RouteSafe, Service: standin.ServiceLookup, Homes: homes.Route,
+		Name: "homed", Prefix: prefixPinned, Kind: standin.RouteSafe, Service: standin.ServiceLookup, HomeRegions: homes.Route,
 	})
 	configuration.Tenants = append(configuration.Tenants, standin.Tenant{Name: tenantPinned, Keys: []string{keyPinned}, Homes: homes.Tenant})
 	for i := range configuration.Tenants {
--- a/internal/bench/soak/seeds.go
+++ b/internal/bench/soak/seeds.go
@@ -44,8 +44,8 @@
 	case k.Found == "" || k.Rule == "" || k.Cause == "" || k.Mended == "":
 		return errors.Errorf("seed %d: found, rule, cause and mended must be set", k.Number)
 	}
-	if k.EnginesFence != Yes && k.EnginesFence != No {
-		return errors.Errorf("seed %d: engines_fence is %q, expected %s or %s", k.Number, k.EnginesFence, Yes, No)
+	if k.EnginesFence != EnginesFenceYes && k.EnginesFence != EnginesFenceNo {
+		return errors.Errorf("seed %d: engines_fence is %q, expected %s or %s", k.Number, k.EnginesFence, EnginesFenceYes, EnginesFenceNo)
 	}
 	if !slices.Contains(schedules, k.Schedule) {
 		return errors.Errorf("seed %d: schedule is %q, expected one of %q", k.Number, k.Schedule, schedules)
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -101,7 +101,7 @@
 	case a.Slack < minSlack || a.Slack > maxSlack:
 		return errors.Errorf("--slack is %g, expected %d..%d", a.Slack, minSlack, maxSlack)
 	}
-	if err := checkMode("--engines-fence", a.EnginesFence, Yes, No); err != nil {
+	if err := checkMode("--engines-fence", a.EnginesFence, EnginesFenceYes, EnginesFenceNo); err != nil {
 		return err
 	}
 	for _, family := range a.LeaveOut {
--- a/internal/bench/soak/store.go
+++ b/internal/bench/soak/store.go
@@ -67,9 +67,9 @@
 	case !call.Append:
 		return memlog.None
 	case s.active[StoreLosesAnswers] > 0 && rand.Float64() < callFaultShare:
-		return memlog.LostAnswer
+		return memlog.LostResponse
 	case s.active[StoreLate] > 0 && rand.Float64() < callFaultShare:
-		return memlog.LateEffect
+		return memlog.DelayedEffect
 	}
 	return memlog.None
 }
@@ -103,6 +103,6 @@
 // releaseLateWrites applies late writes periodically until ctx ends.
 func (s *storeFaults) releaseLateWrites(ctx context.Context) {
 	for retry.Sleep(ctx, lateReleaseInterval) {
-		s.store.Log.Release()
+		s.store.Log.ReleaseDelayed()
 	}
 }
--- a/internal/bench/standins/standins.go
+++ b/internal/bench/standins/standins.go
@@ -129,7 +129,7 @@
 	if err := json.NewEncoder(output).Encode(report); err != nil {
 		return errors.Wrap(err, "print report")
 	}
-	if report.Broken() {
+	if report.ViolatesGuarantees() {
 		return errors.New("the trainer observed a violated invariant")
 	}
 	return nil
--- a/internal/bench/topology/binaries.go
+++ b/internal/bench/topology/binaries.go
@@ -15,9 +15,9 @@
 	benchPackage  = "github.com/corkpulley/corkpulley/cmd/corkbench"
 )
 
-// Build compiles both binaries into a directory. The working directory must be
+// BuildBinaries compiles both binaries into a directory. The working directory must be
 // inside the module.
-func Build(ctx context.Context, directory string) (Binaries, error) {
+func BuildBinaries(ctx context.Context, directory string) (Binaries, error) {
 	binaries := Binaries{
 		Daemon: filepath.Join(directory, "corkpulleyd"),
 		Bench:  filepath.Join(directory, "corkbench"),
@@ -31,9 +31,9 @@
 	return binaries, nil
 }
 
-// Find returns the running corkbench binary and the corkpulleyd next to it. If
+// FindBinaries returns the running corkbench binary and the corkpulleyd next to it. If
 // there is none, it compiles corkpulleyd into the directory.
-func Find(ctx context.Context, directory string) (Binaries, error) {
+func FindBinaries(ctx context.Context, directory string) (Binaries, error) {
 	own, err := os.Executable()
 	if err != nil {
 		return Binaries{}, errors.Wrap(err, "find corkbench executable")
--- a/internal/bench/topology/control.go
+++ b/internal/bench/topology/control.go
@@ -34,8 +34,8 @@
 	return e.deployment.call(ctx, http.MethodPost, e.Address, controlPath, control, nil)
 }
 
-// Machine returns the engine's machine list entry for the given state.
-func (e *Engine) Machine(state machines.State) machines.Machine {
+// MachineEntry returns the engine's machine list entry for the given state.
+func (e *Engine) MachineEntry(state machines.State) machines.Machine {
 	address := e.Address
 	if e.Link != nil {
 		address = e.Link.Address()
@@ -50,8 +50,8 @@
 	}
 }
 
-// ListMachine writes one entry of the machine list, as a platform operator
+// PutMachine writes one entry of the machine list, as a platform operator
 // would. The machine's next heartbeat may overwrite it.
-func (d *Deployment) ListMachine(ctx context.Context, machine machines.Machine) error {
+func (d *Deployment) PutMachine(ctx context.Context, machine machines.Machine) error {
 	return d.call(ctx, http.MethodPut, d.Platform.Machines, "/v1/machines/"+machine.ID, machine, nil)
 }
--- a/internal/bench/topology/machine.go
+++ b/internal/bench/topology/machine.go
@@ -72,11 +72,11 @@
 // Kill kills the process group (SIGKILL) and waits for the process to exit.
 func (m *machine) Kill() { m.Process().Kill() }
 
-// Freeze suspends the process (SIGSTOP) until Thaw; its sockets stay open.
-func (m *machine) Freeze() error { return m.Process().Freeze() }
+// Suspend suspends the process (SIGSTOP) until Thaw; its sockets stay open.
+func (m *machine) Suspend() error { return m.Process().Suspend() }
 
-// Thaw resumes a suspended process (SIGCONT).
-func (m *machine) Thaw() error { return m.Process().Thaw() }
+// Resume resumes a suspended process (SIGCONT).
+func (m *machine) Resume() error { return m.Process().Resume() }
 
 // Signal sends a signal to the process, not to its group.
 func (m *machine) Signal(signal syscall.Signal) error { return m.Process().Signal(signal) }
--- a/internal/bench/topology/topology_test.go
+++ b/internal/bench/topology/topology_test.go
@@ -80,7 +80,7 @@
 	}))
 	listed, err := list.List(timeoutContext(t))
 	assert.NilError(t, err)
-	assert.Equal(t, listed.Machines[0], first.Machine(machines.StateLive))
+	assert.Equal(t, listed.Machines[0], first.MachineEntry(machines.StateLive))
 	assert.Equal(t, listed.Machines[0].Address, first.Link.Address())
 
 	store := weightstore.NewHTTP("http://"+deployment.Platform.WeightStore, deployment.http)
--- a/internal/bench/workload/deploy.go
+++ b/internal/bench/workload/deploy.go
@@ -89,15 +89,15 @@
 	loads := make([]live.Load, 0, len(w.Live))
 	for index, service := range w.Live {
 		loads = append(loads, live.Load{
-			Addresses:   addresses,
-			Service:     service.Service,
-			Rate:        service.Rate,
-			Seed:        seed*uint64(len(w.Live)) + uint64(index),
-			MaxTokens:   service.MaxTokens,
-			Groups:      service.Groups,
-			PrefixBytes: service.PrefixBytes,
-			StreamShare: 1,
-			Keyed:       service.Keyed,
+			Addresses:           addresses,
+			Service:             service.Service,
+			Rate:                service.Rate,
+			Seed:                seed*uint64(len(w.Live)) + uint64(index),
+			MaxTokens:           service.MaxTokens,
+			PrefixGroups:        service.Groups,
+			PrefixBytes:         service.PrefixBytes,
+			StreamShare:         1,
+			WithIdempotencyKeys: service.Keyed,
 		})
 	}
 	return loads
--- a/internal/callerwrite/callerwrite.go
+++ b/internal/callerwrite/callerwrite.go
@@ -19,9 +19,9 @@
 const (
 	// chunkBytes is the size of one write. The stall timeout starts anew for each.
 	chunkBytes = 32 << 10
-	// MaxHeld bounds the bytes buffered for one caller: about a minute of an event stream, or most responses in
+	// MaxBufferedBytes bounds the bytes buffered for one caller: about a minute of an event stream, or most responses in
 	// full.
-	MaxHeld = 1 << 20
+	MaxBufferedBytes = 1 << 20
 )
 
 // Limits bound the memory and the time spent on slow callers. The zero value enforces only MaxHeld.
--- a/internal/callerwrite/callerwrite_test.go
+++ b/internal/callerwrite/callerwrite_test.go
@@ -67,7 +67,7 @@
 		for rest := content; len(rest) > 0; {
 			chunk := rest[:min(1000, len(rest))]
 			if err := spool.Write(chunk); errors.Is(err, ErrFull) {
-				spool.Await(r.Context())
+				spool.AwaitProgress(r.Context())
 				continue
 			}
 			rest = rest[len(chunk):]
@@ -106,12 +106,12 @@
 				told = true
 				full <- taken
 			}
-			spool.Await(r.Context())
+			spool.AwaitProgress(r.Context())
 		}
 		ended <- spool.Close()
 	})
 	call(t, address)
-	assert.Assert(t, <-full >= MaxHeld-8<<10)
+	assert.Assert(t, <-full >= MaxBufferedBytes-8<<10)
 	assert.Assert(t, <-ended != nil)
 	testwait.Until(t, "all bytes are released", func() bool { return budget.Held(bytebudget.Answers) == 0 })
 }
--- a/internal/callerwrite/spool.go
+++ b/internal/callerwrite/spool.go
@@ -46,7 +46,7 @@
 	if s.err != nil {
 		return s.err
 	}
-	if s.held > 0 && (s.held+len(content) > MaxHeld || s.limits.Budget.IsShort()) {
+	if s.held > 0 && (s.held+len(content) > MaxBufferedBytes || s.limits.Budget.IsShort()) {
 		return ErrFull
 	}
 	s.queue = append(s.queue, append([]byte(nil), content...))
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// Await waits until the caller has read something, a write to it has failed, or ctx ends. It does not wait if
+// AwaitProgress waits until the caller has read something, a write to it has failed, or ctx ends. It does not wait if
 // nothing is buffered.
-func (s *Spool) Await(ctx context.Context) {
+func (s *Spool) AwaitProgress(ctx context.Context) {
 	s.mu.Lock()
 	held, changed, failed := s.held, s.changed, s.err != nil
 	s.mu.Unlock()
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -204,12 +204,12 @@
 // process.
 func (c *Cluster) Superseded() <-chan struct{} { return c.superseded }
 
-// Young reports whether this process started recently enough to supersede another process with the same ID.
+// StartedRecently reports whether this process started recently enough to supersede another process with the same ID.
 // Later it is superseded instead.
-func (c *Cluster) Young() bool {
+func (c *Cluster) StartedRecently() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.node.Young()
+	return c.node.CanTakeOver()
 }
 
 // bumpSelfVersion gives the own record a version above all earlier ones, including those of a previous
--- a/internal/coldpermits/asker.go
+++ b/internal/coldpermits/asker.go
@@ -17,7 +17,7 @@
 
 const (
 	// requestTimeout bounds a permit request. A later response would leave no time to use the permit.
-	requestTimeout = slowstart.PermitLife - 50*time.Millisecond
+	requestTimeout = slowstart.PermitTTL - 50*time.Millisecond
 	// maxConcurrentRequests bounds the concurrent permit requests of this node.
 	maxConcurrentRequests = 16
 	// unansweredBackoff is the backoff of a service's requests after one without a response.
@@ -33,8 +33,8 @@
 
 // Options configures the permit requests of a node.
 type Options struct {
-	// Decider grants the permits while this node leads.
-	Decider *Decider
+	// Granter grants the permits while this node leads.
+	Granter *Granter
 	// Cold returns the coldness of an engine, and false if it is not cold.
 	Cold func(engine fleet.Engine) (fleet.Coldness, bool)
 	// Leader returns the peer address of the leader; empty if unknown.
@@ -45,8 +45,8 @@
 	Observe func(outcome Outcome)
 }
 
-// Asker requests permits for this node's live requests and items. It is safe for concurrent use.
-type Asker struct {
+// Client requests permits for this node's live requests and items. It is safe for concurrent use.
+type Client struct {
 	options Options
 	now     func() time.Time
 	// slots is a semaphore of maxConcurrentRequests.
@@ -57,25 +57,25 @@
 	backoffUntil map[string]time.Time
 }
 
-func NewAsker(options Options) *Asker {
-	return &Asker{
+func NewClient(options Options) *Client {
+	return &Client{
 		options: options, now: boottime.Now, slots: make(chan struct{}, maxConcurrentRequests),
 		backoffUntil: make(map[string]time.Time),
 	}
 }
 
 // Ask requests a permit for one of a service's engines, which are listed in order of preference.
-func (a *Asker) Ask(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
+func (a *Client) Ask(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
 	permit, denial := a.request(ctx, service, engines)
 	a.options.Observe(denial.Outcome)
 	return permit, denial
 }
 
-func (a *Asker) request(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
+func (a *Client) request(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
 	if denial, backingOff := a.isBackingOff(service); backingOff {
 		return Permit{}, denial
 	}
-	if a.options.Decider.Leads() {
+	if a.options.Granter.Leads() {
 		permit, denial := a.admitLocally(engines)
 		return permit, a.backOffUnlessGranted(ctx, service, denial)
 	}
@@ -83,21 +83,21 @@
 	case a.slots <- struct{}{}:
 		defer func() { <-a.slots }()
 	default:
-		return Permit{}, Denial{Outcome: Withheld, Wait: unansweredBackoff}
+		return Permit{}, Denial{Outcome: Suppressed, Wait: unansweredBackoff}
 	}
 	permit, denial := a.requestFromLeader(ctx, service, engines)
 	return permit, a.backOffUnlessGranted(ctx, service, denial)
 }
 
 // admitLocally requests a permit from this node itself while it leads.
-func (a *Asker) admitLocally(engines []fleet.Engine) (Permit, Denial) {
-	denial := Denial{Outcome: Paced}
+func (a *Client) admitLocally(engines []fleet.Engine) (Permit, Denial) {
+	denial := Denial{Outcome: RateLimited}
 	for _, each := range engines {
 		cold, isCold := a.options.Cold(each)
 		if !isCold {
 			continue
 		}
-		permit, wait, outcome := a.options.Decider.Admit(Requests, each.Incarnation(), cold)
+		permit, wait, outcome := a.options.Granter.Admit(Requests, each.Incarnation(), cold)
 		if outcome == Granted {
 			return permit, Denial{Outcome: Granted}
 		}
@@ -111,20 +111,20 @@
 // requestFromLeader requests a permit from the leader, without retries. The permit's lifetime starts before the
 // request is sent, since the permit may be granted at any time after that. A permit whose response is lost stays
 // unused.
-func (a *Asker) requestFromLeader(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
+func (a *Client) requestFromLeader(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
 	leader := a.options.Leader()
 	if leader == "" {
 		return Permit{}, Denial{Outcome: Unanswered, Wait: notLeadingBackoff}
 	}
 	request := permitRequest{Service: service}
 	for _, each := range engines[:min(len(engines), MaxEngines)] {
-		request.Engines = append(request.Engines, engine{ID: each.ID, Born: each.Born})
+		request.Engines = append(request.Engines, engine{ID: each.ID, StartMillis: each.StartMillis})
 	}
 	began := a.now()
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var response permitResponse
-	err := msgpackhttp.Ask(ctx, a.options.Client, "http://"+leader+Path, &request, &response, maxResponseBytes)
+	err := msgpackhttp.Call(ctx, a.options.Client, "http://"+leader+Path, &request, &response, maxResponseBytes)
 	if err != nil {
 		a.options.Logger.Info().Err(err).Str("leader", leader).Str("service", service).Int("engines", len(engines)).
 			Dur("took_ms", a.now().Sub(began)).Msg("no response to the permit request for a cold engine")
@@ -133,11 +133,11 @@
 	if response.Outcome != Granted {
 		return Permit{}, Denial{Outcome: response.Outcome, Wait: max(response.Wait, time.Millisecond)}
 	}
-	return Permit{Engine: response.Engine.incarnation(), until: began.Add(slowstart.PermitLife), now: a.now}, Denial{Outcome: Granted}
+	return Permit{Engine: response.Engine.incarnation(), until: began.Add(slowstart.PermitTTL), now: a.now}, Denial{Outcome: Granted}
 }
 
 // isBackingOff reports whether requests for a service are suspended, and returns the denial in that case.
-func (a *Asker) isBackingOff(service string) (Denial, bool) {
+func (a *Client) isBackingOff(service string) (Denial, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	until, found := a.backoffUntil[service]
@@ -149,12 +149,12 @@
 		delete(a.backoffUntil, service)
 		return Denial{}, false
 	}
-	return Denial{Outcome: Withheld, Wait: left}, true
+	return Denial{Outcome: Suppressed, Wait: left}, true
 }
 
 // backOffUnlessGranted suspends requests for a service for the wait of a denial, extended by a random jitter of up
 // to a half. Without jitter all nodes would retry at the same time, and the leader would always be first.
-func (a *Asker) backOffUnlessGranted(ctx context.Context, service string, denial Denial) Denial {
+func (a *Client) backOffUnlessGranted(ctx context.Context, service string, denial Denial) Denial {
 	if denial.Outcome == Granted || ctx.Err() != nil {
 		return denial
 	}
--- a/internal/coldpermits/coldpermits_test.go
+++ b/internal/coldpermits/coldpermits_test.go
@@ -79,12 +79,12 @@
 type cluster struct {
 	t       *testing.T
 	clock   *manualClock
-	decider *Decider
+	decider *Granter
 	server  *httptest.Server
 }
 
-func newDecider(clock *manualClock) *Decider {
-	decider := NewDecider(func(Sender, Outcome) {})
+func newDecider(clock *manualClock) *Granter {
+	decider := NewGranter(func(Sender, Outcome) {})
 	decider.now = clock.read
 	return decider
 }
@@ -107,10 +107,10 @@
 }
 
 // asker returns another node that requests permits, and its transport.
-func (c *cluster) asker() (*Asker, *fakeTransport) {
+func (c *cluster) asker() (*Client, *fakeTransport) {
 	transport := &fakeTransport{}
-	asker := NewAsker(Options{
-		Decider: newDecider(c.clock), Leader: func() string { return strings.TrimPrefix(c.server.URL, "http://") },
+	asker := NewClient(Options{
+		Granter: newDecider(c.clock), Leader: func() string { return strings.TrimPrefix(c.server.URL, "http://") },
 		Client: &http.Client{Transport: transport}, Logger: zerolog.Nop(), Observe: func(Outcome) {},
 		Cold: func(fleet.Engine) (fleet.Coldness, bool) { return fleet.Coldness{RatePerSecond: ratePerSecond}, true },
 	})
@@ -118,14 +118,14 @@
 	return asker, transport
 }
 
-func cold(id string) fleet.Engine { return fleet.Engine{ID: id, Born: 7, Service: "s"} }
+func cold(id string) fleet.Engine { return fleet.Engine{ID: id, StartMillis: 7, Service: "s"} }
 
-func ask(asker *Asker, engines ...fleet.Engine) (Permit, Denial) {
+func ask(asker *Client, engines ...fleet.Engine) (Permit, Denial) {
 	return asker.Ask(context.Background(), "s", engines)
 }
 
 // sendPermitted requests permits for a period and returns the times at which requests were permitted.
-func (c *cluster) sendPermitted(askers []*Asker, period time.Duration) []time.Time {
+func (c *cluster) sendPermitted(askers []*Client, period time.Duration) []time.Time {
 	var sent []time.Time
 	for until := c.clock.read().Add(period); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
 		for _, asker := range askers {
@@ -154,13 +154,13 @@
 func TestAllNodesTogetherStayWithinRate(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
-	var askers []*Asker
+	var askers []*Client
 	for range 5 {
 		asker, _ := c.asker()
 		askers = append(askers, asker)
 	}
 	own, _ := c.asker()
-	own.options.Decider = c.decider
+	own.options.Granter = c.decider
 	sent := c.sendPermitted(append(askers, own), 4*time.Second)
 	assert.Assert(t, maxPerSecond(sent) <= 8+slowstart.Burst, "%d", maxPerSecond(sent))
 	assert.Assert(t, len(sent) >= 4*7, "%d requests in four seconds, below the rate", len(sent))
@@ -174,12 +174,12 @@
 	for range 2 * slowstart.Burst {
 		permit, denial := ask(asker, cold("a"), cold("b"))
 		assert.Equal(t, denial.Outcome, Granted)
-		assert.Equal(t, permit.Engine.Born, int64(7))
+		assert.Equal(t, permit.Engine.StartMillis, int64(7))
 		got[permit.Engine.Engine]++
 	}
 	assert.DeepEqual(t, got, map[string]int{"a": slowstart.Burst, "b": slowstart.Burst})
 	_, denial := ask(asker, cold("a"), cold("b"))
-	assert.Equal(t, denial.Outcome, Paced)
+	assert.Equal(t, denial.Outcome, RateLimited)
 	assert.Assert(t, denial.Wait > 0 && denial.Wait <= time.Second/7*3/2, "%s", denial.Wait)
 }
 
@@ -193,7 +193,7 @@
 	}
 	asked := transport.count()
 	_, first := ask(asker, cold("e"))
-	assert.Equal(t, first.Outcome, Withheld)
+	assert.Equal(t, first.Outcome, Suppressed)
 	assert.Equal(t, transport.count(), asked)
 	c.clock.advance(first.Wait)
 	_, denial := ask(asker, cold("e"))
@@ -207,11 +207,11 @@
 	cut, transport := c.asker()
 	other, _ := c.asker()
 	transport.set(func(f *fakeTransport) { f.refuse = true })
-	assert.Equal(t, len(c.sendPermitted([]*Asker{cut}, 2*time.Second)), 0)
+	assert.Equal(t, len(c.sendPermitted([]*Client{cut}, 2*time.Second)), 0)
 	_, denial := ask(cut, cold("e"))
-	assert.Assert(t, denial.Outcome == Unanswered || denial.Outcome == Withheld)
+	assert.Assert(t, denial.Outcome == Unanswered || denial.Outcome == Suppressed)
 	assert.Assert(t, denial.Wait > 0)
-	assert.Assert(t, len(c.sendPermitted([]*Asker{cut, other}, 2*time.Second)) >= 2*7)
+	assert.Assert(t, len(c.sendPermitted([]*Client{cut, other}, 2*time.Second)) >= 2*7)
 }
 
 // Guards against a lost or late response that lets an engine get more requests than its rate.
@@ -232,7 +232,7 @@
 	testwait.Until(t, "the request is admitted", func() bool {
 		return c.decider.Room(cold("e").Incarnation(), fleet.Coldness{RatePerSecond: ratePerSecond}) < slowstart.Burst
 	})
-	c.clock.advance(slowstart.PermitLife)
+	c.clock.advance(slowstart.PermitTTL)
 	close(hold)
 	// The permit in the late response has expired, since its lifetime starts with the request.
 	denial := <-done
@@ -247,7 +247,7 @@
 	permit, denial := ask(asker, cold("e"))
 	assert.Equal(t, denial.Outcome, Granted)
 	assert.Assert(t, permit.Open())
-	c.clock.advance(slowstart.PermitLife)
+	c.clock.advance(slowstart.PermitTTL)
 	assert.Assert(t, !permit.Open())
 }
 
@@ -275,7 +275,7 @@
 func TestRateHoldsAcrossLeaderFailure(t *testing.T) {
 	c := newCluster(t)
 	c.lead()
-	var askers []*Asker
+	var askers []*Client
 	for range 3 {
 		asker, _ := c.asker()
 		askers = append(askers, asker)
@@ -302,7 +302,7 @@
 	assert.Assert(t, len(outstanding) > 0, "no permit is outstanding")
 	defer c.decider.Lead(func() bool { return true })()
 	for range outstanding {
-		sent = append(sent, c.clock.read().Add(slowstart.PermitLife))
+		sent = append(sent, c.clock.read().Add(slowstart.PermitTTL))
 	}
 	takeover := len(sent)
 	next := c.sendPermitted(askers, 4*time.Second)
@@ -336,7 +336,7 @@
 	}
 	testwait.Until(t, "all slots are in use", func() bool { return transport.count() == maxConcurrentRequests })
 	_, denial := ask(asker, cold("e"))
-	assert.Equal(t, denial.Outcome, Withheld)
+	assert.Equal(t, denial.Outcome, Suppressed)
 	assert.Equal(t, transport.count(), maxConcurrentRequests)
 	close(hold)
 	waiting.Wait()
--- a/internal/coldpermits/decider.go
+++ b/internal/coldpermits/decider.go
@@ -47,8 +47,8 @@
 	return p.now().Before(p.until) && (p.valid == nil || p.valid())
 }
 
-// Decider grants permits while its node leads. It is safe for concurrent use.
-type Decider struct {
+// Granter grants permits while its node leads. It is safe for concurrent use.
+type Granter struct {
 	now func() time.Time
 	// observe is called after each decision.
 	observe func(sender Sender, outcome Outcome)
@@ -64,13 +64,13 @@
 	valid func() bool
 }
 
-// NewDecider starts without a leadership term. observe is called after each decision.
-func NewDecider(observe func(sender Sender, outcome Outcome)) *Decider {
-	return &Decider{now: boottime.Now, observe: observe}
+// NewGranter starts without a leadership term. observe is called after each decision.
+func NewGranter(observe func(sender Sender, outcome Outcome)) *Granter {
+	return &Granter{now: boottime.Now, observe: observe}
 }
 
 // Lead begins a term, which lasts as long as valid returns true, and returns a function that ends it.
-func (d *Decider) Lead(valid func() bool) (end func()) {
+func (d *Granter) Lead(valid func() bool) (end func()) {
 	began := &term{pacer: slowstart.New(d.now()), valid: valid}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,7 +85,7 @@
 }
 
 // currentTerm returns the current term, and false if this node does not lead.
-func (d *Decider) currentTerm() (*term, bool) {
+func (d *Granter) currentTerm() (*term, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.current == nil || !d.current.valid() {
@@ -95,14 +95,14 @@
 }
 
 // Leads reports whether this node leads and thus grants permits.
-func (d *Decider) Leads() bool {
+func (d *Granter) Leads() bool {
 	_, leads := d.currentTerm()
 	return leads
 }
 
 // Admit grants a permit for one request to a cold engine. If it does not, wait is the time after which a retry may
 // succeed.
-func (d *Decider) Admit(sender Sender, to incarnation.ID, cold fleet.Coldness) (permit Permit, wait time.Duration, outcome Outcome) {
+func (d *Granter) Admit(sender Sender, to incarnation.ID, cold fleet.Coldness) (permit Permit, wait time.Duration, outcome Outcome) {
 	defer func() { d.observe(sender, outcome) }()
 	current, leads := d.currentTerm()
 	if !leads {
@@ -110,13 +110,13 @@
 	}
 	now := d.now()
 	if wait := current.pacer.Admit(to, cold.RatePerSecond, now); wait > 0 {
-		return Permit{}, wait, Paced
+		return Permit{}, wait, RateLimited
 	}
-	return Permit{Engine: to, until: now.Add(slowstart.PermitLife), valid: current.valid, now: d.now}, 0, Granted
+	return Permit{Engine: to, until: now.Add(slowstart.PermitTTL), valid: current.valid, now: d.now}, 0, Granted
 }
 
 // Room returns the number of requests to a cold engine that would be admitted now.
-func (d *Decider) Room(to incarnation.ID, cold fleet.Coldness) int {
+func (d *Granter) Room(to incarnation.ID, cold fleet.Coldness) int {
 	current, leads := d.currentTerm()
 	if !leads {
 		return 0
@@ -125,17 +125,17 @@
 }
 
 // Want does nothing, since the leader needs no permits from other nodes.
-func (d *Decider) Want(incarnation.ID) {}
+func (d *Granter) Want(incarnation.ID) {}
 
 // Note counts a request to an engine that is not known to be cold; see slowstart.Pacer.
-func (d *Decider) Note(to incarnation.ID, ratePerSecond float64) {
+func (d *Granter) Note(to incarnation.ID, ratePerSecond float64) {
 	if current, leads := d.currentTerm(); leads {
 		current.pacer.Note(to, ratePerSecond, d.now())
 	}
 }
 
 // Forget drops the expired state of the current term.
-func (d *Decider) Forget() {
+func (d *Granter) Forget() {
 	if current, leads := d.currentTerm(); leads {
 		current.pacer.Forget(d.now())
 	}
--- a/internal/coldpermits/message.go
+++ b/internal/coldpermits/message.go
@@ -19,21 +19,21 @@
 const (
 	// Granted: the permit was granted.
 	Granted Outcome = iota
-	// Paced: the engines have reached their rate limit.
-	Paced
+	// RateLimited: the engines have reached their rate limit.
+	RateLimited
 	// NotLeading: the receiving node does not lead.
 	NotLeading
 	// Unknown: the receiving node's configuration has no slow start for the service.
 	Unknown
 	// Unanswered: no leader is known, or it did not respond in time.
 	Unanswered
-	// Withheld: the request was not sent, because of the backoff after a denial or too many concurrent requests.
-	Withheld
+	// Suppressed: the request was not sent, because of the backoff after a denial or too many concurrent requests.
+	Suppressed
 )
 
 var outcomeNames = [...]string{
-	Granted: "granted", Paced: "paced", NotLeading: "not_leading", Unknown: "unknown_service",
-	Unanswered: "unanswered", Withheld: "withheld",
+	Granted: "granted", RateLimited: "paced", NotLeading: "not_leading", Unknown: "unknown_service",
+	Unanswered: "unanswered", Suppressed: "withheld",
 }
 
 // String returns the outcome's name in logs and metrics.
@@ -64,11 +64,13 @@
 
 // engine is an incarnation of an engine.
 type engine struct {
-	ID   string `msgpack:"i"`
-	Born int64  `msgpack:"b,omitempty"`
+	ID          string `msgpack:"i"`
+	StartMillis int64  `msgpack:"b,omitempty"`
 }
 
-func (e engine) incarnation() incarnation.ID { return incarnation.ID{Engine: e.ID, Born: e.Born} }
+func (e engine) incarnation() incarnation.ID {
+	return incarnation.ID{Engine: e.ID, StartMillis: e.StartMillis}
+}
 
 // permitResponse contains the engine of a granted permit, or the wait before a retry.
 type permitResponse struct {
@@ -78,7 +80,7 @@
 }
 
 // Handler serves permit requests of other nodes. The rates are those of this node's configuration.
-func (d *Decider) Handler(slowStart func(service string) (routes.SlowStart, bool)) http.Handler {
+func (d *Granter) Handler(slowStart func(service string) (routes.SlowStart, bool)) http.Handler {
 	return msgpackhttp.Handle(maxRequestBytes, func(_ context.Context, request permitRequest) permitResponse {
 		limits, bounded := slowStart(request.Service)
 		if !bounded {
--- a/internal/coldpermits/stock.go
+++ b/internal/coldpermits/stock.go
@@ -9,8 +9,8 @@
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
 )
 
-// StockOptions configures the prefetching of permits.
-type StockOptions struct {
+// PoolOptions configures the prefetching of permits.
+type PoolOptions struct {
 	// Ask requests a permit from the leader.
 	Ask func(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial)
 	// Find returns a listed engine, and false if it is not listed.
@@ -19,12 +19,12 @@
 	Granted func()
 }
 
-// Stock prefetches permits for the items of a runner on a node that does not lead. A runner schedules many items in
+// Pool prefetches permits for the items of a runner on a node that does not lead. A runner schedules many items in
 // one pass and must not block, so permits are requested in the background for its next pass. It is safe for
 // concurrent use.
-type Stock struct {
+type Pool struct {
 	ctx     context.Context
-	options StockOptions
+	options PoolOptions
 
 	mu sync.Mutex
 	// wanted holds the engines for which fill has to request permits.
@@ -35,15 +35,15 @@
 	unused map[incarnation.ID][]Permit
 }
 
-// NewStock requests permits, on calls of Want, until ctx ends.
-func NewStock(ctx context.Context, options StockOptions) *Stock {
-	return &Stock{
+// NewPool requests permits, on calls of Want, until ctx ends.
+func NewPool(ctx context.Context, options PoolOptions) *Pool {
+	return &Pool{
 		ctx: ctx, options: options, wanted: make(map[incarnation.ID]bool), unused: make(map[incarnation.ID][]Permit),
 	}
 }
 
 // Room returns the number of items that may start on a cold engine now.
-func (s *Stock) Room(to incarnation.ID, _ fleet.Coldness) int {
+func (s *Pool) Room(to incarnation.ID, _ fleet.Coldness) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropExpired(to)
@@ -52,7 +52,7 @@
 
 // Want requests a permit for a cold engine in the background. A granted permit counts toward the engine's rate even
 // if it is not used, so Want must be called only while items wait that the engine can run.
-func (s *Stock) Want(to incarnation.ID) {
+func (s *Pool) Want(to incarnation.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wanted[to] = true
@@ -63,23 +63,23 @@
 }
 
 // Admit uses a permit for one item.
-func (s *Stock) Admit(_ Sender, to incarnation.ID, _ fleet.Coldness) (Permit, time.Duration, Outcome) {
+func (s *Pool) Admit(_ Sender, to incarnation.ID, _ fleet.Coldness) (Permit, time.Duration, Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropExpired(to)
 	permits := s.unused[to]
 	if len(permits) == 0 {
-		return Permit{}, 0, Paced
+		return Permit{}, 0, RateLimited
 	}
 	s.unused[to] = permits[1:]
 	return permits[0], 0, Granted
 }
 
 // Note does nothing, since only the leader counts requests to engines that are not known to be cold.
-func (s *Stock) Note(incarnation.ID, float64) {}
+func (s *Pool) Note(incarnation.ID, float64) {}
 
 // dropExpired drops the expired permits of an engine. Must be called with mu held.
-func (s *Stock) dropExpired(to incarnation.ID) {
+func (s *Pool) dropExpired(to incarnation.ID) {
 	var unused []Permit
 	for _, permit := range s.unused[to] {
 		if permit.Open() {
@@ -94,7 +94,7 @@
 }
 
 // fill requests permits until no engine is wanted.
-func (s *Stock) fill() {
+func (s *Pool) fill() {
 	for {
 		services := s.takeWanted()
 		if len(services) == 0 {
@@ -107,7 +107,7 @@
 }
 
 // takeWanted returns the wanted engines by service and clears them. It resets filling if it returns none.
-func (s *Stock) takeWanted() map[string][]fleet.Engine {
+func (s *Pool) takeWanted() map[string][]fleet.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	services := make(map[string][]fleet.Engine)
@@ -126,7 +126,7 @@
 
 // fillService requests permits one after the other until one is denied, at most one per engine: more would expire
 // before the runner's next pass.
-func (s *Stock) fillService(service string, engines []fleet.Engine) {
+func (s *Pool) fillService(service string, engines []fleet.Engine) {
 	for len(engines) > 0 {
 		permit, denial := s.options.Ask(s.ctx, service, engines)
 		if denial.Outcome != Granted {
--- a/internal/coldpermits/stock_test.go
+++ b/internal/coldpermits/stock_test.go
@@ -26,20 +26,20 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.deny {
-		return Permit{}, Denial{Outcome: Paced}
+		return Permit{}, Denial{Outcome: RateLimited}
 	}
 	id := engines[0].Incarnation()
 	g.granted[id]++
 	return Permit{Engine: id, until: boottime.Now().Add(g.life), now: boottime.Now}, Denial{Outcome: Granted}
 }
 
-func newTestStock(t *testing.T, leader *fakeLeader, engines ...fleet.Engine) *Stock {
+func newTestStock(t *testing.T, leader *fakeLeader, engines ...fleet.Engine) *Pool {
 	t.Helper()
 	known := fleet.New()
 	for _, engine := range engines {
 		known.Put(engine)
 	}
-	return NewStock(t.Context(), StockOptions{Ask: leader.ask, Find: known.Find, Granted: func() {}})
+	return NewPool(t.Context(), PoolOptions{Ask: leader.ask, Find: known.Find, Granted: func() {}})
 }
 
 var (
@@ -52,7 +52,7 @@
 	stock := newTestStock(t, leader, coldOne, coldTwo)
 	a, b := coldOne.Incarnation(), coldTwo.Incarnation()
 	_, _, outcome := stock.Admit(Items, a, fleet.Coldness{})
-	assert.Equal(t, outcome, Paced)
+	assert.Equal(t, outcome, RateLimited)
 	assert.Equal(t, stock.Room(a, fleet.Coldness{}), 0)
 	leader.mu.Lock()
 	assert.Equal(t, len(leader.granted), 0, "Admit and Room request no permits")
@@ -73,7 +73,7 @@
 			assert.Assert(t, permit.Open())
 		}
 		_, _, outcome := stock.Admit(Items, id, fleet.Coldness{})
-		assert.Equal(t, outcome, Paced, "a permit admits one item only")
+		assert.Equal(t, outcome, RateLimited, "a permit admits one item only")
 	}
 }
 
@@ -90,5 +90,5 @@
 	})
 	assert.Equal(t, stock.Room(id, fleet.Coldness{}), 0)
 	_, _, outcome := stock.Admit(Items, id, fleet.Coldness{})
-	assert.Equal(t, outcome, Paced)
+	assert.Equal(t, outcome, RateLimited)
 }
--- a/internal/common/answered/answered.go
+++ b/internal/common/answered/answered.go
@@ -5,9 +5,9 @@
 
 import "time"
 
-// At returns the earliest time at which a long poll without records can have been answered: the end of its
+// AsOf returns the earliest time at which a long poll without records can have been answered: the end of its
 // wait, or now if that is earlier. All times must be from the same clock.
-func At(sent time.Time, wait time.Duration, now time.Time) time.Time {
+func AsOf(sent time.Time, wait time.Duration, now time.Time) time.Time {
 	if waitEnd := sent.Add(wait); waitEnd.Before(now) {
 		return waitEnd
 	}
--- a/internal/common/connlost/connlost.go
+++ b/internal/common/connlost/connlost.go
@@ -12,8 +12,8 @@
 // causes are the errors of a connection that the peer closed or reset before the response was complete.
 var causes = []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE}
 
-// Is reports whether err was caused by the peer closing the connection.
-func Is(err error) bool {
+// ClosedByPeer reports whether err was caused by the peer closing the connection.
+func ClosedByPeer(err error) bool {
 	for _, cause := range causes {
 		if errors.Is(err, cause) {
 			return true
--- a/internal/common/connlost/connlost_test.go
+++ b/internal/common/connlost/connlost_test.go
@@ -19,12 +19,12 @@
 		&net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)},
 		&net.OpError{Op: "write", Err: os.NewSyscallError("write", syscall.EPIPE)},
 	} {
-		assert.Assert(t, Is(lost), "%v", lost)
+		assert.Assert(t, ClosedByPeer(lost), "%v", lost)
 	}
 	for _, other := range []error{
 		nil, context.Canceled, context.DeadlineExceeded, os.ErrDeadlineExceeded, syscall.ETIMEDOUT,
 		syscall.ECONNREFUSED, http.ErrAbortHandler,
 	} {
-		assert.Assert(t, !Is(other), "%v", other)
+		assert.Assert(t, !ClosedByPeer(other), "%v", other)
 	}
 }
--- a/internal/common/msgpackhttp/msgpackhttp.go
+++ b/internal/common/msgpackhttp/msgpackhttp.go
@@ -15,17 +15,17 @@
 	"github.com/corkpulley/corkpulley/internal/core/msgpackguard"
 )
 
-// Ask sends a request to a URL and decodes the response, of at most maxBytes, into response. It does not
+// Call sends a request to a URL and decodes the response, of at most maxBytes, into response. It does not
 // retry; after an error the request may have taken effect.
-func Ask(ctx context.Context, client *http.Client, url string, request, response any, maxBytes int64) error {
+func Call(ctx context.Context, client *http.Client, url string, request, response any, maxBytes int64) error {
 	return call(ctx, client, url, nil, request, response, maxBytes)
 }
 
-// AskOnceHeard is like Ask with "Expect: 100-continue": the body is sent only when the peer requests it, at
+// CallExpectContinue is like Ask with "Expect: 100-continue": the body is sent only when the peer requests it, at
 // the cost of a round trip. A peer that resumes after a suspension thus receives no request whose sender has
 // already given up. The client's transport needs an ExpectContinueTimeout longer than that of ctx, since it
 // sends the body unrequested afterwards.
-func AskOnceHeard(ctx context.Context, client *http.Client, url string, request, response any, maxBytes int64) error {
+func CallExpectContinue(ctx context.Context, client *http.Client, url string, request, response any, maxBytes int64) error {
 	return call(ctx, client, url, http.Header{"Expect": {"100-continue"}}, request, response, maxBytes)
 }
 
--- a/internal/common/msgpackhttp/msgpackhttp_test.go
+++ b/internal/common/msgpackhttp/msgpackhttp_test.go
@@ -27,7 +27,7 @@
 	server := httptest.NewServer(Handle(64, echo))
 	defer server.Close()
 	var got testResponse
-	assert.NilError(t, Ask(t.Context(), http.DefaultClient, server.URL, &testRequest{Text: "a"}, &got, 64))
+	assert.NilError(t, Call(t.Context(), http.DefaultClient, server.URL, &testRequest{Text: "a"}, &got, 64))
 	assert.Equal(t, got.Text, "re: a")
 }
 
@@ -36,8 +36,8 @@
 	defer server.Close()
 	var got testResponse
 	long := &testRequest{Text: strings.Repeat("a", 100)}
-	assert.ErrorContains(t, Ask(t.Context(), http.DefaultClient, server.URL, long, &got, 64), "status 400")
-	assert.ErrorContains(t, Ask(t.Context(), http.DefaultClient, server.URL, &testRequest{Text: "abcdef"}, &got, 4), "message")
+	assert.ErrorContains(t, Call(t.Context(), http.DefaultClient, server.URL, long, &got, 64), "status 400")
+	assert.ErrorContains(t, Call(t.Context(), http.DefaultClient, server.URL, &testRequest{Text: "abcdef"}, &got, 4), "message")
 	response, err := http.Post(server.URL, "", strings.NewReader("\xdd\xff\xff\xff\xff"))
 	assert.NilError(t, err)
 	assert.Equal(t, response.StatusCode, http.StatusBadRequest)
@@ -50,9 +50,9 @@
 	}))
 	defer server.Close()
 	var got testResponse
-	assert.ErrorContains(t, Ask(t.Context(), http.DefaultClient, server.URL, &testRequest{}, &got, 64), "message")
+	assert.ErrorContains(t, Call(t.Context(), http.DefaultClient, server.URL, &testRequest{}, &got, 64), "message")
 	server.Close()
-	assert.ErrorContains(t, Ask(t.Context(), http.DefaultClient, server.URL, &testRequest{}, &got, 64), "ask")
+	assert.ErrorContains(t, Call(t.Context(), http.DefaultClient, server.URL, &testRequest{}, &got, 64), "ask")
 }
 
 // Guards against late execution: a peer that serves the request after its sender has given up must not
@@ -75,11 +75,11 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	var got testResponse
-	assert.ErrorIs(t, AskOnceHeard(ctx, client, server.URL, &testRequest{Text: "a"}, &got, 64), context.DeadlineExceeded)
+	assert.ErrorIs(t, CallExpectContinue(ctx, client, server.URL, &testRequest{Text: "a"}, &got, 64), context.DeadlineExceeded)
 	close(proceed)
 	<-served
 	assert.Equal(t, calls, 0)
 	go func() { <-served }()
-	assert.NilError(t, AskOnceHeard(t.Context(), client, server.URL, &testRequest{Text: "a"}, &got, 64))
+	assert.NilError(t, CallExpectContinue(t.Context(), client, server.URL, &testRequest{Text: "a"}, &got, 64))
 	assert.Equal(t, got.Text, "re: a")
 }
--- a/internal/common/pauses/pauses.go
+++ b/internal/common/pauses/pauses.go
@@ -10,17 +10,17 @@
 // pruneThreshold is the number of peers from which expired pauses are removed.
 const pruneThreshold = 64
 
-// Pauses holds the end of the pause of each peer. It is safe for concurrent use.
-type Pauses struct {
+// Set holds the end of the pause of each peer. It is safe for concurrent use.
+type Set struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
 // New returns an empty set of pauses.
-func New() *Pauses { return &Pauses{until: make(map[string]time.Time)} }
+func New() *Set { return &Set{until: make(map[string]time.Time)} }
 
-// Begin pauses a peer for the period.
-func (p *Pauses) Begin(peer string, period time.Duration) {
+// Start pauses a peer for the period.
+func (p *Set) Start(peer string, period time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -31,7 +31,7 @@
 }
 
 // Active reports whether a peer is paused.
-func (p *Pauses) Active(peer string) bool {
+func (p *Set) Active(peer string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Now().Before(p.until[peer])
--- a/internal/common/pauses/pauses_test.go
+++ b/internal/common/pauses/pauses_test.go
@@ -10,18 +10,18 @@
 
 func TestPauseAppliesToOnePeerUntilItExpires(t *testing.T) {
 	pauses := New()
-	pauses.Begin("a", time.Hour)
+	pauses.Start("a", time.Hour)
 	assert.Assert(t, pauses.Active("a"))
 	assert.Assert(t, !pauses.Active("b"))
-	pauses.Begin("a", 0)
+	pauses.Start("a", 0)
 	assert.Assert(t, !pauses.Active("a"))
 }
 
 func TestExpiredPausesAreRemoved(t *testing.T) {
 	pauses := New()
-	pauses.Begin("kept", time.Hour)
+	pauses.Start("kept", time.Hour)
 	for number := range 10 * pruneThreshold {
-		pauses.Begin(fmt.Sprint("n", number), 0)
+		pauses.Start(fmt.Sprint("n", number), 0)
 	}
 	assert.Assert(t, pauses.Active("kept"))
 	assert.Assert(t, len(pauses.until) <= pruneThreshold)
--- a/internal/common/standstill/standstill.go
+++ b/internal/common/standstill/standstill.go
@@ -27,8 +27,8 @@
 	boot func() time.Time
 }
 
-// Watch detects suspensions. It is safe for concurrent use.
-type Watch struct {
+// Detector detects suspensions. It is safe for concurrent use.
+type Detector struct {
 	clocks clocks
 	// lastTickWall is the time of the last tick, read from clocks.wall.
 	lastTickWall atomic.Pointer[time.Time]
@@ -39,10 +39,10 @@
 }
 
 // New returns a Watch. Run must be running for the detection to work.
-func New() *Watch { return newWatch(clocks{wall: time.Now, boot: boottime.Now}) }
+func New() *Detector { return newWatch(clocks{wall: time.Now, boot: boottime.Now}) }
 
-func newWatch(clocks clocks) *Watch {
-	w := &Watch{clocks: clocks, lastTickBoot: clocks.boot()}
+func newWatch(clocks clocks) *Detector {
+	w := &Detector{clocks: clocks, lastTickBoot: clocks.boot()}
 	now := clocks.wall()
 	w.lastTickWall.Store(&now)
 	w.resumedAt.Store(&time.Time{})
@@ -50,16 +50,16 @@
 }
 
 // Run ticks until ctx ends.
-func (w *Watch) Run(ctx context.Context) error {
+func (w *Detector) Run(ctx context.Context) error {
 	for retry.Sleep(ctx, tickInterval) {
 		w.tick(w.clocks.wall())
 	}
 	return nil
 }
 
-// WokeAt returns the time, by package boottime, at which the last suspension ended; zero if there was none.
+// ResumedAt returns the time, by package boottime, at which the last suspension ended; zero if there was none.
 // The first call after a suspension detects it, even before the ticker runs.
-func (w *Watch) WokeAt() time.Time {
+func (w *Detector) ResumedAt() time.Time {
 	now := w.clocks.wall()
 	if lastTick := *w.lastTickWall.Load(); isLate(lastTick, now) {
 		w.tick(now)
@@ -74,7 +74,7 @@
 }
 
 // tick records that the process is running, and detects a suspension since the last tick.
-func (w *Watch) tick(now time.Time) {
+func (w *Detector) tick(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	boot := w.clocks.boot()
--- a/internal/common/standstill/standstill_test.go
+++ b/internal/common/standstill/standstill_test.go
@@ -10,7 +10,7 @@
 // testClocks provides settable clocks for a Watch.
 type testClocks struct{ wall, boot time.Time }
 
-func (c *testClocks) watch() *Watch {
+func (c *testClocks) watch() *Detector {
 	return newWatch(clocks{wall: func() time.Time { return c.wall }, boot: func() time.Time { return c.boot }})
 }
 
@@ -22,19 +22,19 @@
 	c := &testClocks{wall: time.Unix(1000, 0), boot: time.Unix(50, 0)}
 	watch := c.watch()
 	c.advance(minSuspension-1, minSuspension-1)
-	assert.Assert(t, watch.WokeAt().IsZero(), "a short delay was detected as a suspension")
+	assert.Assert(t, watch.ResumedAt().IsZero(), "a short delay was detected as a suspension")
 	c.advance(minSuspension, minSuspension)
 	resumedAt := c.boot
-	assert.Equal(t, watch.WokeAt(), resumedAt)
+	assert.Equal(t, watch.ResumedAt(), resumedAt)
 	c.advance(tickInterval, tickInterval)
-	assert.Equal(t, watch.WokeAt(), resumedAt)
+	assert.Equal(t, watch.ResumedAt(), resumedAt)
 }
 
 func TestWallClockJumpIsNotASuspension(t *testing.T) {
 	c := &testClocks{wall: time.Unix(1000, 0), boot: time.Unix(50, 0)}
 	watch := c.watch()
 	c.advance(time.Hour, tickInterval)
-	assert.Assert(t, watch.WokeAt().IsZero())
+	assert.Assert(t, watch.ResumedAt().IsZero())
 }
 
 // Guards against false detections on a busy machine, where the ticker may be seconds late while callers run.
@@ -43,8 +43,8 @@
 	watch := c.watch()
 	for range 20 {
 		c.advance(minSuspension/2, minSuspension/2)
-		assert.Assert(t, watch.WokeAt().IsZero(), "a late ticker was detected as a suspension")
+		assert.Assert(t, watch.ResumedAt().IsZero(), "a late ticker was detected as a suspension")
 	}
 	c.advance(minSuspension, minSuspension)
-	assert.Equal(t, watch.WokeAt(), c.boot)
+	assert.Equal(t, watch.ResumedAt(), c.boot)
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -280,6 +280,6 @@
 	assert.NilError(t, err)
 	assert.Equal(t, report.SamplesAcknowledged, 48)
 	assert.Equal(t, report.SamplesWanted, 48)
-	assert.Assert(t, !report.Broken(), "%+v", report)
+	assert.Assert(t, !report.ViolatesGuarantees(), "%+v", report)
 	assert.Equal(t, report.StepsTrained, 4)
 }
--- a/internal/coordinator/fetch.go
+++ b/internal/coordinator/fetch.go
@@ -95,7 +95,7 @@
 
 // deliverable returns the samples for the next delivery.
 func (t *tenure) deliverable(
-	request api.FetchRequest, terms ledger.Terms, held map[ledger.SampleKey]bool,
+	request api.FetchRequest, terms ledger.FreshnessTerms, held map[ledger.SampleKey]bool,
 ) []ledger.SampleKey {
 	limit := request.Max
 	if limit <= 0 {
--- a/internal/coordinator/follower.go
+++ b/internal/coordinator/follower.go
@@ -33,7 +33,7 @@
 	// mutex of the current tenure.
 	lengths *lengths.Estimator
 	// claimBackoff delays claims after the ledger was lost to another node.
-	claimBackoff weights.Contest
+	claimBackoff weights.ClaimBackoff
 	// tenure is set while this node believes that it owns the ledger.
 	tenure atomic.Pointer[tenure]
 }
@@ -69,7 +69,7 @@
 			if f.coordinator.draining.Load() {
 				return // a release that was not read back is not retried
 			}
-			f.claimBackoff.Lost(time.Now())
+			f.claimBackoff.RecordLoss(time.Now())
 		case !f.shouldOwn():
 			return
 		case f.ownerGone(fence) && (!fence.Owned() || f.claimBackoff.MayClaim(time.Now())):
--- a/internal/coordinator/minversion.go
+++ b/internal/coordinator/minversion.go
@@ -41,7 +41,7 @@
 // minVersion returns the lowest weight version to start a slot with, such that the
 // sample is still within the staleness bound after versionsUntil further versions.
 // It never exceeds the trainer's version, the newest one known to exist.
-func minVersion(row policy.Row, terms ledger.Terms, versionsUntil uint64) uint64 {
+func minVersion(row policy.Row, terms ledger.FreshnessTerms, versionsUntil uint64) uint64 {
 	taken := terms.TrainerVersion
 	if row.Version == policy.VersionLatest {
 		taken += versionsUntil
--- a/internal/coordinator/outcome_test.go
+++ b/internal/coordinator/outcome_test.go
@@ -19,7 +19,7 @@
 func requireRepeatable(t *testing.T, err error) {
 	t.Helper()
 	assert.Assert(t, err != nil)
-	answer := errkind.KindOf(err).Answer()
+	answer := errkind.KindOf(err).Response()
 	assert.Assert(t, answer.Retryable, "%v", err)
 	assert.Equal(t, answer.Execution, errkind.Unknown, "%v", err)
 }
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -42,7 +42,7 @@
 
 // discardStale records a discard of samples beyond the staleness bound; at most
 // one such record is pending at a time.
-func (t *tenure) discardStale(terms ledger.Terms) {
+func (t *tenure) discardStale(terms ledger.FreshnessTerms) {
 	var stale []ledger.StoredSample
 	t.stream.View(func() { stale = t.ledger.Stale(terms, discardBatch) })
 	t.mutex.Lock()
@@ -58,7 +58,7 @@
 	t.slots.Go(func() { t.discard(keys, terms) })
 }
 
-func (t *tenure) discard(keys []ledger.SampleKey, terms ledger.Terms) {
+func (t *tenure) discard(keys []ledger.SampleKey, terms ledger.FreshnessTerms) {
 	body := ledger.SamplesDiscarded{Samples: keys, Reason: ledger.DiscardStale, Terms: terms}
 	_, accepted, err := t.propose(t.ctx, ledger.KindSamplesDiscarded, body)
 	if accepted {
@@ -75,7 +75,7 @@
 }
 
 // cancelStale cancels runs whose oldest token is beyond the staleness bound.
-func (t *tenure) cancelStale(terms ledger.Terms) {
+func (t *tenure) cancelStale(terms ledger.FreshnessTerms) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, run := range t.running {
@@ -88,7 +88,7 @@
 // A later step starts only when all slots of the earlier steps are on engines:
 // dispatchers order a trainer's queue by expected length, so long slots of a
 // later step would overtake short ones of an earlier step.
-func (t *tenure) startSlots(row policy.Row, terms ledger.Terms) {
+func (t *tenure) startSlots(row policy.Row, terms ledger.FreshnessTerms) {
 	free := t.freeWindow(row)
 	if free <= 0 {
 		return
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -167,13 +167,13 @@
 
 // tableOutdated reports whether the ledger has records evaluated under a later
 // table revision than that of the terms.
-func (t *tenure) tableOutdated(terms ledger.Terms) bool {
+func (t *tenure) tableOutdated(terms ledger.FreshnessTerms) bool {
 	var revision int64
 	t.stream.View(func() { revision = t.ledger.TableRevision() })
 	return revision > terms.TableRevision
 }
 
-func errTableOutdated(terms ledger.Terms) error {
+func errTableOutdated(terms ledger.FreshnessTerms) error {
 	return errkind.New(errkind.NotCurrent, "table revision %d is older than that of the ledger", terms.TableRevision)
 }
 
--- a/internal/coordinator/slotrun.go
+++ b/internal/coordinator/slotrun.go
@@ -112,7 +112,7 @@
 }
 
 // cancelStale cancels the current attempt if its answer is beyond the staleness bound.
-func (r *slotRun) cancelStale(terms ledger.Terms) {
+func (r *slotRun) cancelStale(terms ledger.FreshnessTerms) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.cancel != nil && r.oldestVersion != 0 && !ledger.Fresh(r.oldestVersion, terms.TrainerVersion, terms.Bound) {
--- a/internal/coordinator/tenure.go
+++ b/internal/coordinator/tenure.go
@@ -186,18 +186,18 @@
 
 // terms returns the trainer's current row and the terms for records proposed now.
 // It fails if the table may be outdated or has no such trainer.
-func (t *tenure) terms() (policy.Row, ledger.Terms, error) {
+func (t *tenure) terms() (policy.Row, ledger.FreshnessTerms, error) {
 	if err := t.options.Tables.Current(); err != nil {
-		return policy.Row{}, ledger.Terms{}, err
+		return policy.Row{}, ledger.FreshnessTerms{}, err
 	}
 	table := t.options.Tables.Table()
 	row, err := trainerRow(table, t.trainer)
 	if err != nil {
-		return policy.Row{}, ledger.Terms{}, err
+		return policy.Row{}, ledger.FreshnessTerms{}, err
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	terms := ledger.Terms{
+	terms := ledger.FreshnessTerms{
 		TrainerVersion: t.trainerVersion,
 		Bound:          max(row.Staleness, 0),
 		TableRevision:  table.Revision,
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -11,8 +11,8 @@
 	decreaseFactor = 0.5
 )
 
-// Places is the known capacity of a service.
-type Places struct {
+// Capacity is the known capacity of a service.
+type Capacity struct {
 	// Slots is the number of requests that its engines can run concurrently.
 	Slots int
 	// Busy is the number of requests at its engines, including waiting ones.
@@ -30,7 +30,7 @@
 
 // Admits reports whether another call may start. A single call always may, so that a service of unknown or
 // no free capacity is still probed.
-func (w *Window) Admits(places Places) bool {
+func (w *Window) Admits(places Capacity) bool {
 	if w.inFlight == 0 {
 		return true
 	}
@@ -41,8 +41,8 @@
 // Began records the start of a call.
 func (w *Window) Began() { w.inFlight++ }
 
-// UnderWay returns the number of calls in flight.
-func (w *Window) UnderWay() int { return w.inFlight }
+// InFlight returns the number of calls in flight.
+func (w *Window) InFlight() int { return w.inFlight }
 
 // Answered records a call with a complete answer.
 func (w *Window) Answered() {
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -7,9 +7,9 @@
 )
 
 // fill starts calls until the window admits no more and returns their number.
-func fill(w *Window, places Places) int {
+func fill(w *Window, places Capacity) int {
 	began := 0
-	for w.Admits(Places{Slots: places.Slots, Busy: places.Busy + began}) && began < 100 {
+	for w.Admits(Capacity{Slots: places.Slots, Busy: places.Busy + began}) && began < 100 {
 		w.Began()
 		began++
 	}
@@ -22,7 +22,7 @@
 		w.Began()
 		w.Answered()
 	}
-	assert.Equal(t, fill(w, Places{Slots: 24}), 12)
+	assert.Equal(t, fill(w, Capacity{Slots: 24}), 12)
 }
 
 func TestAdmitsCountsBusySlots(t *testing.T) {
@@ -31,30 +31,30 @@
 		w.Began()
 		w.Answered()
 	}
-	assert.Equal(t, fill(w, Places{Slots: 24, Busy: 9}), 3)
+	assert.Equal(t, fill(w, Capacity{Slots: 24, Busy: 9}), 3)
 }
 
 func TestAdmitsOneCallWithoutKnownSlots(t *testing.T) {
-	assert.Equal(t, fill(NewWindow(), Places{}), 1)
+	assert.Equal(t, fill(NewWindow(), Capacity{}), 1)
 }
 
 func TestRefusalsLowerAndAnswersRaiseTheLimit(t *testing.T) {
 	w := NewWindow()
-	assert.Equal(t, fill(w, Places{Slots: 100}), initialLimit)
+	assert.Equal(t, fill(w, Capacity{Slots: 100}), initialLimit)
 	for range initialLimit {
 		w.Refused()
 	}
-	assert.Equal(t, fill(w, Places{Slots: 100}), 1)
+	assert.Equal(t, fill(w, Capacity{Slots: 100}), 1)
 	w.Answered()
-	assert.Equal(t, fill(w, Places{Slots: 100}), 2)
+	assert.Equal(t, fill(w, Capacity{Slots: 100}), 2)
 }
 
 func TestFailedLeavesTheLimitUnchanged(t *testing.T) {
 	w := NewWindow()
-	before := fill(w, Places{Slots: 100})
+	before := fill(w, Capacity{Slots: 100})
 	for range before {
 		w.Failed()
 	}
-	assert.Equal(t, w.UnderWay(), 0)
-	assert.Equal(t, fill(w, Places{Slots: 100}), before)
+	assert.Equal(t, w.InFlight(), 0)
+	assert.Equal(t, fill(w, Capacity{Slots: 100}), before)
 }
--- a/internal/core/answer/answer.go
+++ b/internal/core/answer/answer.go
@@ -17,8 +17,8 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// ErrUnnamedVersion is returned for tokens without a weight version.
-var ErrUnnamedVersion = errors.New("answer: tokens without a weight version")
+// ErrMissingVersion is returned for tokens without a weight version.
+var ErrMissingVersion = errors.New("answer: tokens without a weight version")
 
 // ErrNegativeIndex is returned for a message with a negative token index.
 var ErrNegativeIndex = errors.New("answer: negative token index")
@@ -90,7 +90,7 @@
 		return Run{}, &ShortError{Have: a.next, Finished: end}
 	}
 	if end > a.next && progress.Version == 0 {
-		return Run{}, ErrUnnamedVersion
+		return Run{}, ErrMissingVersion
 	}
 	run := a.advance(progress, end)
 	a.recordEnd(progress)
--- a/internal/core/answer/answer_test.go
+++ b/internal/core/answer/answer_test.go
@@ -49,7 +49,7 @@
 	assert.Equal(t, *gap, GapError{Want: 0, Got: 1})
 
 	_, err = assembler.Accept(&message.Progress{Attempt: 2, Tokens: []string{"a"}})
-	assert.ErrorIs(t, err, ErrUnnamedVersion)
+	assert.ErrorIs(t, err, ErrMissingVersion)
 
 	accept(t, &assembler, message.Progress{Attempt: 2, Tokens: []string{"a", "b"}, Version: 1})
 	_, err = assembler.Accept(&message.Progress{Attempt: 2, FirstToken: 1, Finished: true})
--- a/internal/core/batch/groups_test.go
+++ b/internal/core/batch/groups_test.go
@@ -99,12 +99,12 @@
 		"unknown preceding step":        {stepOf(7, "a"), false, 0},
 		"first step":                    {stepOf(0, "a"), true, 0},
 	} {
-		check.job.CountReturned(p.Earlier(&check.job))
+		check.job.CountReturned(p.EarlierJobs(&check.job))
 		assert.Equal(t, check.job.ReturnedKnown, check.known, name)
 		assert.Equal(t, check.job.Returned, check.count, name)
 	}
 	other := stepOf(6, "a")
 	other.Model = "another"
-	other.CountReturned(p.Earlier(&other))
+	other.CountReturned(p.EarlierJobs(&other))
 	assert.Assert(t, !other.ReturnedKnown, "steps of another model")
 }
--- a/internal/core/batch/partition.go
+++ b/internal/core/batch/partition.go
@@ -45,8 +45,8 @@
 	// Parts refer to the text of the parts, in order. Events are separated by line feeds, also across parts.
 	Parts     []Span
 	TextBytes int
-	// Whole is true if the output is complete.
-	Whole bool
+	// Complete is true if the output is complete.
+	Complete bool
 }
 
 // Progress returns the saved partial output of an item, and whether there is any.
@@ -55,8 +55,8 @@
 	return progress, found
 }
 
-// Listed reports whether the item has a result.
-func (j *Job) Listed(item int) bool { return j.hasResult[item] }
+// HasResult reports whether the item has a result.
+func (j *Job) HasResult(item int) bool { return j.hasResult[item] }
 
 // ItemIndex returns the index of the item with the given ID, and whether it exists.
 func (j *Job) ItemIndex(id string) (int, bool) {
@@ -85,7 +85,7 @@
 // Observer is notified of changes in record order. Its methods must not block.
 type Observer interface {
 	JobAdded(job *Job)
-	ItemListed(job *Job, item int)
+	ResultAdded(job *Job, item int)
 	JobEnded(job *Job)
 }
 
@@ -103,9 +103,9 @@
 // Job returns the job with the given ID, or nil.
 func (p *Partition) Job(id string) *Job { return p.jobs[id] }
 
-// Earlier returns the known jobs of the same model and host in the comparedSteps before
+// EarlierJobs returns the known jobs of the same model and host in the comparedSteps before
 // the job's step.
-func (p *Partition) Earlier(than *JobRecord) []EarlierJob {
+func (p *Partition) EarlierJobs(than *JobRecord) []EarlierJob {
 	var earlier []EarlierJob
 	for _, job := range p.jobs {
 		same := job.Model == than.Model && job.Host == than.Host
@@ -189,7 +189,7 @@
 		return
 	}
 	// Clipped, so that append copies the slices, which copies of the job share.
-	saved.Chain, saved.To, saved.Whole = record.Chain, record.To, record.Whole
+	saved.Chain, saved.To, saved.Complete = record.Chain, record.To, record.Complete
 	if record.To > record.From {
 		saved.Parts = append(slices.Clip(saved.Parts), record.Text)
 		saved.TextBytes += record.TextBytes
@@ -252,7 +252,7 @@
 	})
 	job.groups.addResult(job.Items[record.Item].Group, len(job.Results))
 	for _, observer := range p.observers {
-		observer.ItemListed(job, record.Item)
+		observer.ResultAdded(job, record.Item)
 	}
 }
 
--- a/internal/core/batch/partition_test.go
+++ b/internal/core/batch/partition_test.go
@@ -83,11 +83,11 @@
 	p.Apply(jobRecord("j", 1), at)
 	p.Apply(progressOf("a", "", 0, 3), at)
 	end := progressOf("a", "", 3, 3)
-	end.Progress[0].Whole = true
+	end.Progress[0].Complete = true
 	end.Progress[0].Text = Span{}
 	p.Apply(end, at)
 	saved, _ := p.Job("j").Progress(0)
-	assert.Assert(t, saved.Whole)
+	assert.Assert(t, saved.Complete)
 	assert.DeepEqual(t, saved.Parts, []Span{{First: 3, Count: 1}})
 }
 
@@ -123,9 +123,9 @@
 // recorder is an Observer that records its notifications.
 type recorder struct{ added, listed, ended []string }
 
-func (r *recorder) JobAdded(job *Job)          { r.added = append(r.added, job.ID) }
-func (r *recorder) ItemListed(job *Job, _ int) { r.listed = append(r.listed, job.ID) }
-func (r *recorder) JobEnded(job *Job)          { r.ended = append(r.ended, job.ID) }
+func (r *recorder) JobAdded(job *Job)           { r.added = append(r.added, job.ID) }
+func (r *recorder) ResultAdded(job *Job, _ int) { r.listed = append(r.listed, job.ID) }
+func (r *recorder) JobEnded(job *Job)           { r.ended = append(r.ended, job.ID) }
 
 func TestObserverIsNotifiedOfOpenJobsAndChanges(t *testing.T) {
 	p := NewPartition()
--- a/internal/core/batch/record.go
+++ b/internal/core/batch/record.go
@@ -113,8 +113,8 @@
 	Versions  []int64 `msgpack:"v"`
 	Text      Span    `msgpack:"d"`
 	TextBytes int     `msgpack:"b"`
-	// Whole is true if the output ends with this part, which may then have no events.
-	Whole bool `msgpack:"w,omitempty"`
+	// Complete is true if the output ends with this part, which may then have no events.
+	Complete bool `msgpack:"w,omitempty"`
 }
 
 // Record is one record of the index topic. Exactly one of its fields is set.
@@ -149,9 +149,9 @@
 	return r.Job == nil && len(r.Results) == 0 && len(r.Progress) == 0 && r.End == ""
 }
 
-// KindOf returns the comma-separated field names of an encoded record, which identify its kind; empty if it
+// FieldNames returns the comma-separated field names of an encoded record, which identify its kind; empty if it
 // cannot be decoded.
-func KindOf(raw []byte) string {
+func FieldNames(raw []byte) string {
 	var fields map[string]msgpack.RawMessage
 	if err := msgpack.Unmarshal(raw, &fields); err != nil {
 		return ""
--- a/internal/core/batchitem/batchitem_test.go
+++ b/internal/core/batchitem/batchitem_test.go
@@ -26,49 +26,49 @@
 func TestOutputIsResetByEventBeyondLimits(t *testing.T) {
 	var old, second Output
 	old.Add(event(1, 3), Limits{MinVersion: 3})
-	assert.Equal(t, old.Add(event(2, 2), Limits{MinVersion: 3}), TooOld)
+	assert.Equal(t, old.Add(event(2, 2), Limits{MinVersion: 3}), VersionTooOld)
 	assert.Assert(t, old.Empty() && old.Last() == 0)
 	second.Add(event(1, 3), Limits{Single: true})
-	assert.Equal(t, second.Add(event(2, 4), Limits{Single: true}), SecondVersion)
+	assert.Equal(t, second.Add(event(2, 4), Limits{Single: true}), MixedVersions)
 	assert.Assert(t, second.Empty())
 }
 
 func TestFits(t *testing.T) {
-	o := Restore(Kept{Versions: []int64{3, 4}, Last: 2, Text: []byte("e1\ne2")})
-	assert.Assert(t, o.Fits(Limits{MinVersion: 3}))
-	assert.Assert(t, !o.Fits(Limits{MinVersion: 4}))
-	assert.Assert(t, !o.Fits(Limits{Single: true}))
+	o := Restore(SavedOutput{Versions: []int64{3, 4}, Last: 2, Text: []byte("e1\ne2")})
+	assert.Assert(t, o.Satisfies(Limits{MinVersion: 3}))
+	assert.Assert(t, !o.Satisfies(Limits{MinVersion: 4}))
+	assert.Assert(t, !o.Satisfies(Limits{Single: true}))
 }
 
 func TestStagesNeverGoBack(t *testing.T) {
 	var item Item
 	assert.Equal(t, item.Stage(), Open)
 	item.Output.Add(event(1, 1), Limits{})
-	item.Whole()
+	item.StartScoring()
 	assert.Equal(t, item.Stage(), Scoring)
-	assert.Assert(t, item.Output.IsWhole() && !item.Completed())
+	assert.Assert(t, item.Output.IsComplete() && !item.Completed())
 	assert.Equal(t, string(item.Complete()), "e1")
 	assert.Assert(t, item.Ended() && item.Completed())
-	item.Whole()
+	item.StartScoring()
 	assert.Equal(t, item.Stage(), Ended)
 }
 
 func TestListedItemIsCompletedButDroppedOneIsNot(t *testing.T) {
 	var dropped, listed Item
 	dropped.Drop()
-	listed.Listed()
+	listed.MarkCompleted()
 	assert.Assert(t, dropped.Ended() && !dropped.Completed())
 	assert.Assert(t, listed.Ended() && listed.Completed())
-	assert.Assert(t, !listed.Output.IsWhole(), "output of another node's result is unknown")
+	assert.Assert(t, !listed.Output.IsComplete(), "output of another node's result is unknown")
 }
 
 func TestAttemptsAreLimitedPerKindOfFailure(t *testing.T) {
 	var item Item
-	assert.Assert(t, !item.RunFailed(2))
-	assert.Assert(t, item.RunFailed(2))
-	assert.Assert(t, !item.ScoreFailed(1, 2), "failed runs must not count as failed scoring calls")
-	assert.Assert(t, !item.ScoreFailed(0, 2))
-	assert.Assert(t, item.ScoreFailed(1, 2))
+	assert.Assert(t, !item.RecordRunFailure(2))
+	assert.Assert(t, item.RecordRunFailure(2))
+	assert.Assert(t, !item.RecordScoringFailures(1, 2), "failed runs must not count as failed scoring calls")
+	assert.Assert(t, !item.RecordScoringFailures(0, 2))
+	assert.Assert(t, item.RecordScoringFailures(1, 2))
 }
 
 // Guards against saved parts that overlap or leave gaps, if some writes to the log fail.
@@ -85,26 +85,26 @@
 				assert.Equal(t, o.Add(event(number, 1), Limits{}), Accepted)
 				continue
 			}
-			if !o.Unkept() {
+			if !o.HasUnsaved() {
 				continue
 			}
 			part := o.NextPart(newChain)
 			if rapid.Bool().Draw(t, "taken") {
 				assert.Equal(t, part.From, last)
-				texts, last, complete = append(texts, string(part.Text)), part.To, part.Whole
-				o.MarkKept(part)
+				texts, last, complete = append(texts, string(part.Text)), part.To, part.Complete
+				o.MarkSaved(part)
 			}
 		}
 		o.complete = true
-		if o.Unkept() {
+		if o.HasUnsaved() {
 			part := o.NextPart(newChain)
 			if part.To > part.From {
 				texts = append(texts, string(part.Text))
 			}
-			last, complete = part.To, part.Whole
-			o.MarkKept(part)
+			last, complete = part.To, part.Complete
+			o.MarkSaved(part)
 		}
-		assert.Assert(t, complete && !o.Unkept())
+		assert.Assert(t, complete && !o.HasUnsaved())
 		assert.Equal(t, last, number)
 		assert.Equal(t, strings.Join(texts, "\n"), string(o.Text()))
 	})
@@ -117,8 +117,8 @@
 	part := o.NextPart(func() string { return "a" })
 	o.Add(event(2, 0), Limits{MinVersion: 1})
 	o.Add(event(1, 1), Limits{})
-	o.MarkKept(part)
-	assert.Assert(t, o.Unkept())
+	o.MarkSaved(part)
+	assert.Assert(t, o.HasUnsaved())
 	next := o.NextPart(func() string { return "b" })
 	assert.Equal(t, next.From, int64(0))
 	assert.Equal(t, string(next.Text), "e1")
--- a/internal/core/batchitem/item.go
+++ b/internal/core/batchitem/item.go
@@ -42,8 +42,8 @@
 // recorded in the log by another node, in which case Output is not complete.
 func (i *Item) Completed() bool { return i.completed }
 
-// Whole marks the output as complete and moves an open item to Scoring.
-func (i *Item) Whole() {
+// StartScoring marks the output as complete and moves an open item to Scoring.
+func (i *Item) StartScoring() {
 	if i.stage != Open {
 		return
 	}
@@ -60,19 +60,19 @@
 // Drop ends the item without a result from this node.
 func (i *Item) Drop() { i.stage = Ended }
 
-// Listed ends the item because the log has a result for it.
-func (i *Item) Listed() { i.completed, i.stage = true, Ended }
+// MarkCompleted ends the item because the log has a result for it.
+func (i *Item) MarkCompleted() { i.completed, i.stage = true, Ended }
 
-// RunFailed counts a run that failed because of the engine, and reports whether the item has no
+// RecordRunFailure counts a run that failed because of the engine, and reports whether the item has no
 // attempts left.
-func (i *Item) RunFailed(maxAttempts int) bool {
+func (i *Item) RecordRunFailure(maxAttempts int) bool {
 	i.runFailures++
 	return i.runFailures >= max(1, maxAttempts)
 }
 
-// ScoreFailed counts scoring calls that failed because of the scoring service, and reports whether
+// RecordScoringFailures counts scoring calls that failed because of the scoring service, and reports whether
 // the item has no attempts left.
-func (i *Item) ScoreFailed(failures, maxAttempts int) bool {
+func (i *Item) RecordScoringFailures(failures, maxAttempts int) bool {
 	i.scoreFailures += failures
 	return i.scoreFailures >= max(1, maxAttempts)
 }
--- a/internal/core/batchitem/output.go
+++ b/internal/core/batchitem/output.go
@@ -31,11 +31,11 @@
 	Accepted Verdict = iota
 	// OutOfOrder: the event is a duplicate, or events before it are missing; the output is unchanged.
 	OutOfOrder
-	// TooOld: the event is from a version below Limits.MinVersion; the output was reset.
-	TooOld
-	// SecondVersion: the event is from another version than its predecessors, although
+	// VersionTooOld: the event is from a version below Limits.MinVersion; the output was reset.
+	VersionTooOld
+	// MixedVersions: the event is from another version than its predecessors, although
 	// Limits.Single is set; the output was reset.
-	SecondVersion
+	MixedVersions
 )
 
 // Output is the output of an item so far, together with the position up to which the log has it.
@@ -59,20 +59,20 @@
 	savedComplete bool
 }
 
-// Kept is an output as saved in the log by a previous leader.
-type Kept struct {
+// SavedOutput is an output as saved in the log by a previous leader.
+type SavedOutput struct {
 	Chain    string
 	Last     int64
 	Versions []int64
 	Text     []byte
-	Whole    bool
+	Complete bool
 }
 
 // Restore returns the output that a previous leader saved.
-func Restore(saved Kept) Output {
+func Restore(saved SavedOutput) Output {
 	return Output{
-		chunks: [][]byte{saved.Text}, last: saved.Last, versions: slices.Clone(saved.Versions), complete: saved.Whole,
-		continues: saved.Chain, savedTo: saved.Last, savedChunks: 1, savedComplete: saved.Whole,
+		chunks: [][]byte{saved.Text}, last: saved.Last, versions: slices.Clone(saved.Versions), complete: saved.Complete,
+		continues: saved.Chain, savedTo: saved.Last, savedChunks: 1, savedComplete: saved.Complete,
 	}
 }
 
@@ -83,10 +83,10 @@
 		return OutOfOrder
 	case event.Version < limits.MinVersion:
 		*o = Output{}
-		return TooOld
+		return VersionTooOld
 	case limits.Single && len(o.versions) > 0 && event.Version != o.versions[0]:
 		*o = Output{}
-		return SecondVersion
+		return MixedVersions
 	}
 	o.chunks = append(o.chunks, event.Data)
 	o.last = event.Number
@@ -102,8 +102,8 @@
 // Empty reports whether there are no events.
 func (o *Output) Empty() bool { return len(o.chunks) == 0 }
 
-// IsWhole reports whether the output is complete.
-func (o *Output) IsWhole() bool { return o.complete }
+// IsComplete reports whether the output is complete.
+func (o *Output) IsComplete() bool { return o.complete }
 
 // Versions returns the weight versions of the events, in order of first use.
 func (o *Output) Versions() []int64 { return o.versions }
@@ -119,8 +119,8 @@
 	return text
 }
 
-// Fits reports whether the versions of all events are within the limits.
-func (o *Output) Fits(limits Limits) bool {
+// Satisfies reports whether the versions of all events are within the limits.
+func (o *Output) Satisfies(limits Limits) bool {
 	for _, version := range o.versions {
 		if version < limits.MinVersion {
 			return false
@@ -143,14 +143,14 @@
 	To       int64
 	Versions []int64
 	Text     []byte
-	// Whole is true if the output ends with this part.
-	Whole bool
+	// Complete is true if the output ends with this part.
+	Complete bool
 	// chunks is the number of the output's chunks up to the end of the part.
 	chunks int
 }
 
-// Unkept reports whether part of the output, or its completion, is not in the log yet.
-func (o *Output) Unkept() bool { return o.last != o.savedTo || o.complete && !o.savedComplete }
+// HasUnsaved reports whether part of the output, or its completion, is not in the log yet.
+func (o *Output) HasUnsaved() bool { return o.last != o.savedTo || o.complete && !o.savedComplete }
 
 // NextPart returns the part that is not in the log yet; newChain generates the chain's ID before the first part.
 func (o *Output) NextPart(newChain func() string) Part {
@@ -159,16 +159,16 @@
 	}
 	return Part{
 		Chain: o.chain, Continues: o.continues, From: o.savedTo, To: o.last,
-		Versions: slices.Clone(o.versions), Whole: o.complete,
+		Versions: slices.Clone(o.versions), Complete: o.complete,
 		Text: bytes.Join(o.chunks[o.savedChunks:], []byte{'\n'}), chunks: len(o.chunks),
 	}
 }
 
-// MarkKept records that a part is in the log, unless the output was reset since NextPart.
-func (o *Output) MarkKept(part Part) {
+// MarkSaved records that a part is in the log, unless the output was reset since NextPart.
+func (o *Output) MarkSaved(part Part) {
 	if o.chain != part.Chain {
 		return
 	}
-	o.savedTo, o.savedChunks, o.savedComplete = part.To, part.chunks, part.Whole
+	o.savedTo, o.savedChunks, o.savedComplete = part.To, part.chunks, part.Complete
 	o.continues = ""
 }
--- a/internal/core/batchplan/pass.go
+++ b/internal/core/batchplan/pass.go
@@ -103,7 +103,7 @@
 		p.byID[engines[i].ID] = i
 		p.starts[i] = unbounded
 		if engines[i].Cold {
-			p.starts[i] = engines[i].Starts
+			p.starts[i] = engines[i].MaxStarts
 		}
 	}
 	return p
--- a/internal/core/batchplan/plan.go
+++ b/internal/core/batchplan/plan.go
@@ -57,8 +57,8 @@
 	// Usable is false for engines that leave or have recently failed.
 	Usable bool
 	// Cold is true for an engine that started recently and may be assigned at most Starts items now.
-	Cold   bool
-	Starts int
+	Cold      bool
+	MaxStarts int
 }
 
 // Assignment is an item that starts at an engine.
@@ -186,9 +186,9 @@
 // Running returns the number of items that the engine runs.
 func (p *Plan) Running(engine incarnation.ID) int { return p.runningCount[engine] }
 
-// Crowded reports whether the items that an engine runs are together expected to exceed its memory, in tokens,
+// MemoryOvercommitted reports whether the items that an engine runs are together expected to exceed its memory, in tokens,
 // although the given one alone fits. The memory of items is estimated from their expected output lengths.
-func (p *Plan) Crowded(key Key, engine incarnation.ID, memory int) bool {
+func (p *Plan) MemoryOvercommitted(key Key, engine incarnation.ID, memory int) bool {
 	placed, found := p.running[key]
 	return found && memory > 0 && placed.reservedTokens <= memory && p.reservedTokens[engine] > memory
 }
--- a/internal/core/batchplan/plan_test.go
+++ b/internal/core/batchplan/plan_test.go
@@ -329,11 +329,11 @@
 func TestRestartedEngineStartsWithoutState(t *testing.T) {
 	plan := New()
 	first := Engine{
-		ID: incarnation.ID{Engine: "e", Born: 1000}, Service: "s", Slots: 1,
+		ID: incarnation.ID{Engine: "e", StartMillis: 1000}, Service: "s", Slots: 1,
 		Versions: map[string]int64{"m": 1}, Usable: true,
 	}
 	second := first
-	second.ID.Born = 2000
+	second.ID.StartMillis = 2000
 	item := func(index int, suspect bool) Item {
 		return Item{Key: Key{Job: "j", Item: index}, Service: "s", Model: "m", Suspect: suspect}
 	}
--- a/internal/core/batchplan/slowstart_test.go
+++ b/internal/core/batchplan/slowstart_test.go
@@ -14,7 +14,7 @@
 
 func coldEngine(id string, slots, starts int) Engine {
 	cold := engine(id, slots, 3)
-	cold.Cold, cold.Starts = true, starts
+	cold.Cold, cold.MaxStarts = true, starts
 	return cold
 }
 
@@ -87,7 +87,7 @@
 	}
 	engines := append([]Engine(nil), z.warm...)
 	for _, each := range z.cold {
-		each.Starts = z.pacer.Room(each.ID, coldRate, at)
+		each.MaxStarts = z.pacer.Room(each.ID, coldRate, at)
 		engines = append(engines, each)
 	}
 	assigned := z.plan.Assign(at, engines)
@@ -147,7 +147,7 @@
 		for i := range rapid.IntRange(1, 6).Draw(t, "engines") {
 			slots, starts := rapid.IntRange(0, 9).Draw(t, "slots"), rapid.IntRange(0, 9).Draw(t, "starts")
 			each := engine(fmt.Sprint("e", i), slots, 3)
-			each.Cold, each.Starts = rapid.Bool().Draw(t, "cold"), starts
+			each.Cold, each.MaxStarts = rapid.Bool().Draw(t, "cold"), starts
 			engines = append(engines, each)
 		}
 		for i := range rapid.IntRange(0, 60).Draw(t, "items") {
@@ -159,7 +159,7 @@
 		for _, each := range engines {
 			most := each.Slots
 			if each.Cold {
-				most = min(most, each.Starts)
+				most = min(most, each.MaxStarts)
 			}
 			if got[each.ID.Engine] > most {
 				t.Fatalf("%d items assigned to %+v", got[each.ID.Engine], each)
--- a/internal/core/clusterversion/clusterversion_test.go
+++ b/internal/core/clusterversion/clusterversion_test.go
@@ -21,7 +21,7 @@
 }
 
 func isDue(s *State) bool {
-	_, due := s.Raise()
+	_, due := s.PendingRaise()
 	return due
 }
 
@@ -31,7 +31,7 @@
 	assert.NilError(t, s.Learn(Unversioned))
 	mixed := View{Lowest: Homes, Highest: Announced, Current: true}
 	now := observeFor(s, mixed, start, 2*agreementPeriod)
-	raised, due := s.Raise()
+	raised, due := s.PendingRaise()
 	assert.Assert(t, due)
 	assert.Equal(t, raised, Homes, "above the version of a live node")
 	assert.NilError(t, s.Learn(raised))
@@ -44,7 +44,7 @@
 	now = observeFor(s, uniform, now, agreementPeriod)
 	assert.Assert(t, !isDue(s), "an older node was seen meanwhile")
 	observeFor(s, uniform, now, 2*time.Second)
-	raised, due = s.Raise()
+	raised, due = s.PendingRaise()
 	assert.Assert(t, due)
 	assert.Equal(t, raised, Announced)
 }
@@ -147,7 +147,7 @@
 			view.Lowest = Version(rapid.SampledFrom([]uint32{0, 1, 1, 2, 2, 2, 2, 2, 2, 2}).Draw(t, "lowest"))
 			s.Observe(view, now)
 			lowestHeard[now] = view.Lowest
-			if raised, due := s.Raise(); due {
+			if raised, due := s.PendingRaise(); due {
 				for at, lowest := range lowestHeard {
 					if now.Sub(at) < agreementPeriod && lowest < raised {
 						t.Fatalf("raised to %d, %s after a node of version %d was seen", raised, now.Sub(at), lowest)
--- a/internal/core/clusterversion/state.go
+++ b/internal/core/clusterversion/state.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// Raise returns the version to which the leader must raise the cluster now; false if none.
-func (s *State) Raise() (Version, bool) {
+// PendingRaise returns the version to which the leader must raise the cluster now; false if none.
+func (s *State) PendingRaise() (Version, bool) {
 	return s.agreed, s.known && s.hasAgreement()
 }
 
--- a/internal/core/errkind/errkind.go
+++ b/internal/core/errkind/errkind.go
@@ -77,8 +77,8 @@
 	Unknown     Execution = "unknown"
 )
 
-// Answer describes the response to a caller for one Kind.
-type Answer struct {
+// Response describes the response to a caller for one Kind.
+type Response struct {
 	// Code is the stable machine-readable name of the kind.
 	Code string
 	// Status is the HTTP status code.
@@ -93,7 +93,7 @@
 // statusClientClosedRequest is the de facto status for a caller that disconnected.
 const statusClientClosedRequest = 499
 
-var answers = [kindCount]Answer{
+var answers = [kindCount]Response{
 	Internal:              {"internal", http.StatusInternalServerError, Unknown, false, 0},
 	InvalidRequest:        {"invalid_request", http.StatusBadRequest, NotExecuted, false, 0},
 	UnsupportedMediaType:  {"unsupported_media_type", http.StatusUnsupportedMediaType, NotExecuted, false, 0},
@@ -144,8 +144,8 @@
 	return kinds
 }
 
-// Answer returns the answer for the kind; undefined kinds are treated as Internal.
-func (k Kind) Answer() Answer {
+// Response returns the answer for the kind; undefined kinds are treated as Internal.
+func (k Kind) Response() Response {
 	if k >= kindCount {
 		return answers[Internal]
 	}
@@ -153,7 +153,7 @@
 }
 
 // String returns the stable code of the kind.
-func (k Kind) String() string { return k.Answer().Code }
+func (k Kind) String() string { return k.Response().Code }
 
 // Error is an error with a kind. It is encoded for other processes without loss.
 type Error struct {
@@ -171,7 +171,7 @@
 	if e.RetryAfter != 0 {
 		return e.RetryAfter
 	}
-	return e.Kind.Answer().RetryAfter
+	return e.Kind.Response().RetryAfter
 }
 
 // New returns an Error of the kind with a formatted message.
--- a/internal/core/errkind/errkind_test.go
+++ b/internal/core/errkind/errkind_test.go
@@ -11,7 +11,7 @@
 func TestKindsHaveDistinctCodes(t *testing.T) {
 	codes := map[string]Kind{}
 	for _, kind := range All() {
-		answer := kind.Answer()
+		answer := kind.Response()
 		assert.Assert(t, answer.Code != "", "kind %d has no code", kind)
 		assert.Assert(t, answer.Status >= 400, "%s: status %d", answer.Code, answer.Status)
 		other, taken := codes[answer.Code]
@@ -38,5 +38,5 @@
 }
 
 func TestUnlistedKindIsInternal(t *testing.T) {
-	assert.Equal(t, Kind(200).Answer(), Internal.Answer())
+	assert.Equal(t, Kind(200).Response(), Internal.Response())
 }
--- a/internal/core/errkind/golden_test.go
+++ b/internal/core/errkind/golden_test.go
@@ -10,7 +10,7 @@
 func TestKindNumbersMatchGoldenFiles(t *testing.T) {
 	kinds := make(map[string]int64)
 	for _, kind := range All() {
-		kinds[kind.Answer().Code] = int64(kind)
+		kinds[kind.Response().Code] = int64(kind)
 	}
 	goldenrecord.CheckNumbers(t, "kinds", kinds)
 }
--- a/internal/core/fleet/choose.go
+++ b/internal/core/fleet/choose.go
@@ -21,8 +21,8 @@
 	Regions homes.Set
 	// Tried holds the IDs of engines that this request was already sent to.
 	Tried []string
-	// WithoutCold excludes cold engines.
-	WithoutCold bool
+	// ExcludeCold excludes cold engines.
+	ExcludeCold bool
 	Now         time.Time
 }
 
@@ -80,7 +80,7 @@
 	var candidates []*member
 	for _, id := range f.byService[query.Service] {
 		candidate := f.members[id]
-		if !f.takesWork(candidate.engine) || !query.Regions.Allows(candidate.engine.Region) || contains(query.Tried, id) {
+		if !f.acceptsWork(candidate.engine) || !query.Regions.Allows(candidate.engine.Region) || contains(query.Tried, id) {
 			continue
 		}
 		if !includeSuspected && query.Now.Before(candidate.suspectUntil) {
@@ -89,7 +89,7 @@
 		if query.Model != "" && candidate.engine.Versions[query.Model] < query.MinVersion {
 			continue
 		}
-		if query.WithoutCold && f.isCold(candidate, query.Now) {
+		if query.ExcludeCold && f.isCold(candidate, query.Now) {
 			continue
 		}
 		candidates = append(candidates, candidate)
--- a/internal/core/fleet/choosecold.go
+++ b/internal/core/fleet/choosecold.go
@@ -80,7 +80,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known, found := f.lookUp(engine.Incarnation())
-	if !found || !f.takesWork(known.engine) {
+	if !found || !f.acceptsWork(known.engine) {
 		return Choice{}, false
 	}
 	choice := f.pick([]*member{known}, query)
--- a/internal/core/fleet/cold.go
+++ b/internal/core/fleet/cold.go
@@ -113,16 +113,16 @@
 	return slowStart, bounded
 }
 
-// MarkDoubtful records that an engine may be cold although its entry does not say so. It may be called
+// MarkPossiblyCold records that an engine may be cold although its entry does not say so. It may be called
 // before Put, so that no request finds the engine unmarked.
-func (f *Fleet) MarkDoubtful(of incarnation.ID, reason ColdReason, at time.Time) {
+func (f *Fleet) MarkPossiblyCold(of incarnation.ID, reason ColdReason, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cold.add(of, coldMark{reason: reason, at: at})
 }
 
-// MarkZoneDoubtful records that all engines of a zone may be cold.
-func (f *Fleet) MarkZoneDoubtful(zone string, reason ColdReason, at time.Time) {
+// MarkZonePossiblyCold records that all engines of a zone may be cold.
+func (f *Fleet) MarkZonePossiblyCold(zone string, reason ColdReason, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, each := range f.members {
@@ -132,8 +132,8 @@
 	}
 }
 
-// Heard records that an engine is working on a request or has answered one.
-func (f *Fleet) Heard(of incarnation.ID, at time.Time) {
+// RecordResponse records that an engine is working on a request or has answered one.
+func (f *Fleet) RecordResponse(of incarnation.ID, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.recordResponse(of, at)
@@ -143,9 +143,9 @@
 // and the delay with which events sent before that are still read.
 const sameIncarnationMargin = 300 * time.Millisecond
 
-// Continues records that a stream opened at began delivered events made after eventsFrom. An engine loses all
+// RecordStreamProgress records that a stream opened at began delivered events made after eventsFrom. An engine loses all
 // streams when it ends, so an engine whose stream outlasts an Unreached has not restarted.
-func (f *Fleet) Continues(of incarnation.ID, began, eventsFrom time.Time) {
+func (f *Fleet) RecordStreamProgress(of incarnation.ID, began, eventsFrom time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known, found := f.cold.marks[of]
--- a/internal/core/fleet/cold_test.go
+++ b/internal/core/fleet/cold_test.go
@@ -40,7 +40,7 @@
 
 func TestMarkedEngineIsColdForSlowStartPeriod(t *testing.T) {
 	f := slowStartFleet()
-	f.MarkDoubtful(incarnationOf("a"), FirstSeen, now)
+	f.MarkPossiblyCold(incarnationOf("a"), FirstSeen, now)
 	f.Put(testEngine("a", "z"))
 	assert.Equal(t, coldReason(f, "a", now.Add(slowStart.Period-1)), "first_seen")
 	assert.Equal(t, coldReason(f, "a", now.Add(slowStart.Period)), "")
@@ -48,7 +48,7 @@
 
 func TestZoneMarkAppliesOnlyToEnginesOfZone(t *testing.T) {
 	f := slowStartFleet(testEngine("a", "z1"), testEngine("b", "z2"))
-	f.MarkZoneDoubtful("z2", ZoneReturned, now)
+	f.MarkZonePossiblyCold("z2", ZoneReturned, now)
 	assert.Equal(t, coldReason(f, "a", now), "")
 	assert.Equal(t, coldReason(f, "b", now), "zone_returned")
 }
@@ -56,12 +56,12 @@
 // The engine may have restarted at any time before its first response.
 func TestUnreachedEngineIsColdForSlowStartPeriodAfterFirstResponse(t *testing.T) {
 	f := slowStartFleet(testEngine("a", "z"))
-	f.Began(incarnationOf("a"))
-	f.Ended(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
+	f.RequestStarted(incarnationOf("a"))
+	f.RequestEnded(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
 	later := now.Add(time.Minute)
 	assert.Equal(t, coldReason(f, "a", later), "unreached")
-	f.Heard(incarnationOf("a"), later)
-	f.Heard(incarnationOf("a"), later.Add(time.Second))
+	f.RecordResponse(incarnationOf("a"), later)
+	f.RecordResponse(incarnationOf("a"), later.Add(time.Second))
 	assert.Equal(t, coldReason(f, "a", later.Add(slowStart.Period-1)), "unreached")
 	assert.Equal(t, coldReason(f, "a", later.Add(slowStart.Period)), "")
 }
@@ -69,34 +69,34 @@
 // A stream opened after the loss, or events read late, do not rule out a restart.
 func TestContinuesClearsUnreachedOnlyForStreamsSpanningTheLoss(t *testing.T) {
 	f := slowStartFleet(testEngine("a", "z"))
-	f.Began(incarnationOf("a"))
-	f.Ended(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
+	f.RequestStarted(incarnationOf("a"))
+	f.RequestEnded(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
 	before, after := now.Add(-time.Second), now.Add(time.Second)
-	f.Continues(incarnationOf("a"), now, after)
-	f.Continues(incarnationOf("a"), before, now)
+	f.RecordStreamProgress(incarnationOf("a"), now, after)
+	f.RecordStreamProgress(incarnationOf("a"), before, now)
 	assert.Equal(t, coldReason(f, "a", after), "unreached")
-	f.Continues(incarnationOf("a"), before, after)
+	f.RecordStreamProgress(incarnationOf("a"), before, after)
 	assert.Equal(t, coldReason(f, "a", after), "")
-	f.MarkDoubtful(incarnationOf("a"), ZoneReturned, now)
-	f.Continues(incarnationOf("a"), before, after)
+	f.MarkPossiblyCold(incarnationOf("a"), ZoneReturned, now)
+	f.RecordStreamProgress(incarnationOf("a"), before, after)
 	assert.Equal(t, coldReason(f, "a", after), "zone_returned", "the mark does not depend on a restart")
 }
 
 func TestRefusedItemIsClearedByResponse(t *testing.T) {
 	f := slowStartFleet(testEngine("a", "z"))
-	f.Began(incarnationOf("a"))
-	f.Ended(incarnationOf("a"), Outcome{At: now, RefusedItem: true})
+	f.RequestStarted(incarnationOf("a"))
+	f.RequestEnded(incarnationOf("a"), Outcome{At: now, RefusedItem: true})
 	assert.Equal(t, coldReason(f, "a", now), "refused_item")
-	f.Heard(incarnationOf("a"), now.Add(time.Millisecond))
+	f.RecordResponse(incarnationOf("a"), now.Add(time.Millisecond))
 	assert.Equal(t, coldReason(f, "a", now.Add(time.Millisecond)), "")
 }
 
 func TestRefusedItemDoesNotReplaceOtherMark(t *testing.T) {
 	f := slowStartFleet(testEngine("a", "z"))
-	f.MarkDoubtful(incarnationOf("a"), FirstSeen, now)
-	f.Began(incarnationOf("a"))
-	f.Ended(incarnationOf("a"), Outcome{At: now, RefusedItem: true})
-	f.Heard(incarnationOf("a"), now)
+	f.MarkPossiblyCold(incarnationOf("a"), FirstSeen, now)
+	f.RequestStarted(incarnationOf("a"))
+	f.RequestEnded(incarnationOf("a"), Outcome{At: now, RefusedItem: true})
+	f.RecordResponse(incarnationOf("a"), now)
 	assert.Equal(t, coldReason(f, "a", now), "first_seen")
 }
 
@@ -106,23 +106,23 @@
 		choice, _ := f.Choose(Query{Service: "s", Now: now})
 		assert.Equal(t, choice.Engine.ID, "a")
 		assert.Assert(t, !choice.Cold)
-		f.Began(incarnationOf("a"))
+		f.RequestStarted(incarnationOf("a"))
 	}
 	choice, _ := f.Choose(Query{Service: "s", Now: now})
 	assert.Equal(t, choice.Engine.ID, "b")
 	assert.Assert(t, choice.Cold)
-	choice, _ = f.Choose(Query{Service: "s", Now: now, WithoutCold: true})
+	choice, _ = f.Choose(Query{Service: "s", Now: now, ExcludeCold: true})
 	assert.Equal(t, choice.Engine.ID, "a", "cold engines are excluded")
-	_, found := f.Choose(Query{Service: "s", Now: now, WithoutCold: true, Tried: []string{"a"}})
+	_, found := f.Choose(Query{Service: "s", Now: now, ExcludeCold: true, Tried: []string{"a"}})
 	assert.Assert(t, !found)
 }
 
 // Guards against an engine that stays cold because it is never tried while others have free slots.
 func TestChooseProbesUnreachedEngineAfterSlowStartPeriod(t *testing.T) {
 	f := slowStartFleet(testEngine("a", "z"), testEngine("b", "z"))
-	f.Began(incarnationOf("a"))
-	f.Began(incarnationOf("b"))
-	f.Ended(incarnationOf("b"), Outcome{At: now, Failed: true, Unreached: true})
+	f.RequestStarted(incarnationOf("a"))
+	f.RequestStarted(incarnationOf("b"))
+	f.RequestEnded(incarnationOf("b"), Outcome{At: now, Failed: true, Unreached: true})
 	choose := func(at time.Time) Choice {
 		choice, _ := f.Choose(Query{Service: "s", Now: at})
 		return choice
@@ -131,14 +131,14 @@
 	due := choose(now.Add(slowStart.Period))
 	assert.Equal(t, due.Engine.ID, "b")
 	assert.Assert(t, due.Cold)
-	f.Heard(incarnationOf("b"), now.Add(slowStart.Period))
+	f.RecordResponse(incarnationOf("b"), now.Add(slowStart.Period))
 	assert.Equal(t, choose(now.Add(slowStart.Period)).Engine.ID, "a")
 	assert.Assert(t, !choose(now.Add(2*slowStart.Period)).Cold)
 }
 
 func TestColdCandidatesAreSortedByExpectedTime(t *testing.T) {
 	f := slowStartFleet(coldEngine("a"), coldEngine("b"), coldEngine("c"), testEngine("d", "z"))
-	f.Began(incarnationOf("a"))
+	f.RequestStarted(incarnationOf("a"))
 	query := Query{Service: "s", Now: now, Tried: []string{"c"}}
 	engines := f.ColdCandidates(query, 5)
 	assert.Equal(t, len(engines), 2)
@@ -154,7 +154,7 @@
 
 func TestColdMarksOfUnlistedEnginesArePruned(t *testing.T) {
 	f := slowStartFleet(testEngine("a", "z"))
-	f.MarkDoubtful(incarnationOf("a"), ZoneReturned, now)
+	f.MarkPossiblyCold(incarnationOf("a"), ZoneReturned, now)
 	assert.Equal(t, len(f.ColdEngines(now)), 1)
 	f.Remove("a")
 	assert.Equal(t, len(f.ColdEngines(now.Add(unlistedMarkTTL))), 0)
@@ -179,23 +179,23 @@
 func TestZoneReturnedMarkSurvivesClearedUnreached(t *testing.T) {
 	f := slowStartFleet(testEngine("a", "z"))
 	began, lost := now.Add(time.Millisecond), now.Add(time.Second)
-	f.MarkDoubtful(incarnationOf("a"), ZoneReturned, now)
-	f.Began(incarnationOf("a"))
-	f.Ended(incarnationOf("a"), Outcome{At: lost, Failed: true, Unreached: true})
+	f.MarkPossiblyCold(incarnationOf("a"), ZoneReturned, now)
+	f.RequestStarted(incarnationOf("a"))
+	f.RequestEnded(incarnationOf("a"), Outcome{At: lost, Failed: true, Unreached: true})
 	assert.Equal(t, coldReason(f, "a", lost), "unreached")
-	f.Continues(incarnationOf("a"), began, lost.Add(time.Second))
+	f.RecordStreamProgress(incarnationOf("a"), began, lost.Add(time.Second))
 	assert.Equal(t, coldReason(f, "a", now.Add(slowStart.Period-1)), "zone_returned")
 	assert.Equal(t, coldReason(f, "a", now.Add(slowStart.Period)), "")
 }
 
 func TestUnreachedMarkSurvivesLaterMarks(t *testing.T) {
 	for _, mark := range []func(*Fleet){
-		func(f *Fleet) { f.MarkZoneDoubtful("z", ZoneReturned, now.Add(time.Second)) },
-		func(f *Fleet) { f.MarkDoubtful(incarnationOf("a"), FirstSeen, now.Add(time.Second)) },
+		func(f *Fleet) { f.MarkZonePossiblyCold("z", ZoneReturned, now.Add(time.Second)) },
+		func(f *Fleet) { f.MarkPossiblyCold(incarnationOf("a"), FirstSeen, now.Add(time.Second)) },
 	} {
 		f := slowStartFleet(testEngine("a", "z"))
-		f.Began(incarnationOf("a"))
-		f.Ended(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
+		f.RequestStarted(incarnationOf("a"))
+		f.RequestEnded(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
 		mark(f)
 		assert.Equal(t, coldReason(f, "a", now.Add(time.Minute)), "unreached")
 	}
@@ -203,11 +203,11 @@
 
 func TestEngineIsColdUntilLastOfTwoMarksEnds(t *testing.T) {
 	f := slowStartFleet(testEngine("a", "z"))
-	f.Began(incarnationOf("a"))
-	f.Ended(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
-	f.Heard(incarnationOf("a"), now)
+	f.RequestStarted(incarnationOf("a"))
+	f.RequestEnded(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
+	f.RecordResponse(incarnationOf("a"), now)
 	returned := now.Add(time.Second)
-	f.MarkZoneDoubtful("z", ZoneReturned, returned)
+	f.MarkZonePossiblyCold("z", ZoneReturned, returned)
 	assert.Equal(t, coldReason(f, "a", now.Add(slowStart.Period)), "zone_returned")
 	assert.Equal(t, coldReason(f, "a", returned.Add(slowStart.Period)), "")
 }
--- a/internal/core/fleet/distance_test.go
+++ b/internal/core/fleet/distance_test.go
@@ -20,15 +20,15 @@
 func recordAnswers(f *Fleet, took time.Duration) {
 	for range 50 {
 		for _, id := range []string{"near", "regional", "far"} {
-			f.Began(incarnationOf(id))
-			f.Ended(incarnationOf(id), Outcome{At: now, Latency: took})
+			f.RequestStarted(incarnationOf(id))
+			f.RequestEnded(incarnationOf(id), Outcome{At: now, Latency: took})
 		}
 	}
 }
 
 func addRequests(f *Fleet, id string, requests int) {
 	for range requests {
-		f.Began(incarnationOf(id))
+		f.RequestStarted(incarnationOf(id))
 	}
 }
 
--- a/internal/core/fleet/evacuation.go
+++ b/internal/core/fleet/evacuation.go
@@ -56,8 +56,8 @@
 	return f.setZone(zone, zoneState{evacuated: true, since: now, offset: offset})
 }
 
-// TakeBack ends the evacuation of a zone. It reports whether the zone was evacuated.
-func (f *Fleet) TakeBack(zone string, now time.Time, offset int64) bool {
+// EndEvacuation ends the evacuation of a zone. It reports whether the zone was evacuated.
+func (f *Fleet) EndEvacuation(zone string, now time.Time, offset int64) bool {
 	return f.setZone(zone, zoneState{since: now, offset: offset})
 }
 
@@ -121,8 +121,8 @@
 	}
 }
 
-// Evacuated returns the number of a service's engines that are held by an evacuation.
-func (f *Fleet) Evacuated(service string) int {
+// CountEvacuated returns the number of a service's engines that are held by an evacuation.
+func (f *Fleet) CountEvacuated(service string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
--- a/internal/core/fleet/evacuation_test.go
+++ b/internal/core/fleet/evacuation_test.go
@@ -17,13 +17,13 @@
 	assert.Equal(t, chooseID(f, Query{Zone: "z1"}), "b")
 	assert.Equal(t, chooseID(f, Query{Tried: []string{"b"}}), "")
 	assert.Equal(t, f.Hold(incarnationOf("a")), HeldEvacuated)
-	assert.Equal(t, f.Evacuated("s"), 1)
-	slots, _ := f.Places("s", now)
+	assert.Equal(t, f.CountEvacuated("s"), 1)
+	slots, _ := f.Capacity("s", now)
 	assert.Equal(t, slots, 4)
 	// An engine that is listed later is evacuated as well.
 	f.Put(testEngine("c", "z1"))
-	assert.Assert(t, !f.TakesWork(testEngine("c", "z1")))
-	assert.Assert(t, f.TakeBack("z1", now.Add(time.Second), 8))
+	assert.Assert(t, !f.AcceptsWork(testEngine("c", "z1")))
+	assert.Assert(t, f.EndEvacuation("z1", now.Add(time.Second), 8))
 	assert.Equal(t, f.Hold(incarnationOf("a")), NotHeld)
 }
 
@@ -32,7 +32,7 @@
 	f.Evacuate("z1", now, 7)
 	f.Evacuate("z2", now, 8)
 	assert.DeepEqual(t, f.EvacuatedZones(), []string{"z1", "z2"})
-	f.TakeBack("z1", now, 9)
+	f.EndEvacuation("z1", now, 9)
 	assert.Equal(t, chooseID(f, Query{}), "a")
 	assert.Assert(t, f.IsEvacuated("z2"))
 }
@@ -40,7 +40,7 @@
 // A repeated record must not reset Since, and a zone that was never evacuated must not be reported as returned.
 func TestRepeatedEvacuationRecordKeepsSince(t *testing.T) {
 	f := fleetOf(testEngine("a", "z1"))
-	assert.Assert(t, !f.TakeBack("z1", now, 1))
+	assert.Assert(t, !f.EndEvacuation("z1", now, 1))
 	f.Evacuate("z1", now, 2)
 	assert.Assert(t, !f.Evacuate("z1", now.Add(time.Minute), 3))
 	assert.Equal(t, f.Zones()[0].Since, now)
@@ -49,7 +49,7 @@
 
 func TestHoldOfDrainingAndUnlistedIncarnations(t *testing.T) {
 	f := fleetOf(testEngine("a", "z1"))
-	assert.Equal(t, f.Hold(incarnation.ID{Engine: "a", Born: 5}), HeldGone)
+	assert.Equal(t, f.Hold(incarnation.ID{Engine: "a", StartMillis: 5}), HeldGone)
 	draining := testEngine("a", "z1")
 	draining.Draining = true
 	f.Put(draining)
@@ -60,7 +60,7 @@
 
 func TestZonesCountsEnginesAndRequests(t *testing.T) {
 	f := fleetOf(testEngine("a", "z1"), testEngine("b", "z2"), testEngine("c", "z2"))
-	f.Began(incarnationOf("c"))
+	f.RequestStarted(incarnationOf("c"))
 	f.Evacuate("unknown", now, 4)
 	zones := f.Zones()
 	assert.Equal(t, len(zones), 3)
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -14,9 +14,9 @@
 type Engine struct {
 	// ID identifies the engine in the list. A restarted engine may keep its ID.
 	ID string
-	// Born is the engine's start time in milliseconds since 1970 by its own clock; zero if not reported.
-	Born    int64
-	Service string
+	// StartMillis is the engine's start time in milliseconds since 1970 by its own clock; zero if not reported.
+	StartMillis int64
+	Service     string
 	// Address is ip:port.
 	Address string
 	Zone    string
@@ -33,7 +33,9 @@
 }
 
 // Incarnation returns the engine's incarnation ID.
-func (e Engine) Incarnation() incarnation.ID { return incarnation.ID{Engine: e.ID, Born: e.Born} }
+func (e Engine) Incarnation() incarnation.ID {
+	return incarnation.ID{Engine: e.ID, StartMillis: e.StartMillis}
+}
 
 // Load is the load that an engine reported with an answer.
 type Load struct {
@@ -90,9 +92,9 @@
 	}
 }
 
-// Observe records that an engine has at least the given version of a model. Versions of an incarnation never
+// ObserveVersion records that an engine has at least the given version of a model. Versions of an incarnation never
 // decrease.
-func (f *Fleet) Observe(of incarnation.ID, model string, version int64) {
+func (f *Fleet) ObserveVersion(of incarnation.ID, model string, version int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known, found := f.lookUp(of)
@@ -118,22 +120,22 @@
 // lookUp returns the member if it is still of the given incarnation. Must be called with mu held.
 func (f *Fleet) lookUp(of incarnation.ID) (*member, bool) {
 	known, found := f.members[of.Engine]
-	if !found || known.engine.Born != of.Born {
+	if !found || known.engine.StartMillis != of.StartMillis {
 		return nil, false
 	}
 	return known, true
 }
 
-// TakesWork reports whether an engine may be sent new requests: it is not draining and its zone is not
+// AcceptsWork reports whether an engine may be sent new requests: it is not draining and its zone is not
 // evacuated. Recent failures do not matter.
-func (f *Fleet) TakesWork(engine Engine) bool {
+func (f *Fleet) AcceptsWork(engine Engine) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.takesWork(engine)
+	return f.acceptsWork(engine)
 }
 
-// takesWork reports whether an engine may be sent new requests. Must be called with mu held.
-func (f *Fleet) takesWork(engine Engine) bool { return f.hold(engine) == NotHeld }
+// acceptsWork reports whether an engine may be sent new requests. Must be called with mu held.
+func (f *Fleet) acceptsWork(engine Engine) bool { return f.hold(engine) == NotHeld }
 
 // Get returns the current incarnation of an engine.
 func (f *Fleet) Get(id string) (Engine, bool) {
@@ -171,8 +173,8 @@
 // Listed is an engine of a service with its state at a given time.
 type Listed struct {
 	Engine Engine
-	// TakesWork is false if the engine is draining or its zone is evacuated.
-	TakesWork bool
+	// AcceptsWork is false if the engine is draining or its zone is evacuated.
+	AcceptsWork bool
 	// Suspected: it is avoided because of recent failures.
 	Suspected bool
 }
@@ -187,15 +189,15 @@
 	for _, id := range ids {
 		known := f.members[id]
 		listed = append(listed, Listed{
-			Engine: known.engine, TakesWork: f.takesWork(known.engine), Suspected: now.Before(known.suspectUntil),
+			Engine: known.engine, AcceptsWork: f.acceptsWork(known.engine), Suspected: now.Before(known.suspectUntil),
 		})
 	}
 	return listed
 }
 
-// Serves reports whether a service has an engine in one of the regions that is not draining, regardless of
+// HasEngines reports whether a service has an engine in one of the regions that is not draining, regardless of
 // evacuations.
-func (f *Fleet) Serves(service string, regions homes.Set) bool {
+func (f *Fleet) HasEngines(service string, regions homes.Set) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range f.byService[service] {
@@ -206,14 +208,14 @@
 	return false
 }
 
-// Places returns the total slots of a service's engines, and the number of requests known to be at them.
+// Capacity returns the total slots of a service's engines, and the number of requests known to be at them.
 // Engines that take no work or failed recently are excluded.
-func (f *Fleet) Places(service string, now time.Time) (slots, occupied int) {
+func (f *Fleet) Capacity(service string, now time.Time) (slots, occupied int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range f.byService[service] {
 		each := f.members[id]
-		if !f.takesWork(each.engine) || now.Before(each.suspectUntil) {
+		if !f.acceptsWork(each.engine) || now.Before(each.suspectUntil) {
 			continue
 		}
 		slots += each.engine.Slots
@@ -222,8 +224,8 @@
 	return slots, occupied
 }
 
-// Began records that a request was sent to the engine.
-func (f *Fleet) Began(of incarnation.ID) {
+// RequestStarted records that a request was sent to the engine.
+func (f *Fleet) RequestStarted(of incarnation.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if known, found := f.lookUp(of); found {
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -42,29 +42,29 @@
 func TestChoosePrefersOwnZoneUnlessBusier(t *testing.T) {
 	f := fleetOf(testEngine("a", "z1"), testEngine("b", "z2"))
 	assert.Equal(t, chooseID(f, Query{Zone: "z2"}), "b")
-	f.Began(incarnationOf("b"))
-	f.Began(incarnationOf("b"))
+	f.RequestStarted(incarnationOf("b"))
+	f.RequestStarted(incarnationOf("b"))
 	assert.Equal(t, chooseID(f, Query{Zone: "z2"}), "a")
 }
 
 func TestChooseUsesReportedLoad(t *testing.T) {
 	f := fleetOf(testEngine("a", "z"), testEngine("b", "z"))
-	f.Began(incarnationOf("a"))
-	f.Ended(incarnationOf("a"), Outcome{At: now, Load: &Load{Running: 4, Waiting: 2}, Latency: time.Millisecond})
+	f.RequestStarted(incarnationOf("a"))
+	f.RequestEnded(incarnationOf("a"), Outcome{At: now, Load: &Load{Running: 4, Waiting: 2}, Latency: time.Millisecond})
 	assert.Equal(t, chooseID(f, Query{Zone: "z"}), "b")
 }
 
 func TestFailedEngineIsAvoidedTemporarilyUnlessItIsTheOnlyOne(t *testing.T) {
 	f := fleetOf(testEngine("a", "z"), testEngine("b", "z"))
-	f.Began(incarnationOf("a"))
-	f.Ended(incarnationOf("a"), Outcome{At: now, Failed: true})
+	f.RequestStarted(incarnationOf("a"))
+	f.RequestEnded(incarnationOf("a"), Outcome{At: now, Failed: true})
 	assert.Assert(t, f.Suspected(incarnationOf("a"), now))
 	assert.Equal(t, chooseID(f, Query{}), "b")
 	assert.Equal(t, chooseID(f, Query{Tried: []string{"b"}}), "a")
 	assert.Assert(t, !f.Suspected(incarnationOf("a"), now.Add(firstSuspicion)))
 	for range 10 {
-		f.Began(incarnationOf("a"))
-		f.Ended(incarnationOf("a"), Outcome{At: now, Failed: true})
+		f.RequestStarted(incarnationOf("a"))
+		f.RequestEnded(incarnationOf("a"), Outcome{At: now, Failed: true})
 	}
 	assert.Assert(t, f.Suspected(incarnationOf("a"), now.Add(maxSuspicion-1)))
 	assert.Assert(t, !f.Suspected(incarnationOf("a"), now.Add(maxSuspicion)))
@@ -73,11 +73,11 @@
 func TestChooseFiltersOldVersionsAndObservedVersionsOnlyIncrease(t *testing.T) {
 	f := fleetOf(testEngine("a", "z"))
 	assert.Equal(t, chooseID(f, Query{Model: "m", MinVersion: 2}), "")
-	f.Observe(incarnationOf("a"), "m", 2)
+	f.ObserveVersion(incarnationOf("a"), "m", 2)
 	before, _ := f.Get("a")
 	f.Put(testEngine("a", "z")) // a delayed entry reports version 1
 	assert.Equal(t, chooseID(f, Query{Model: "m", MinVersion: 2}), "a")
-	f.Observe(incarnationOf("a"), "m", 5)
+	f.ObserveVersion(incarnationOf("a"), "m", 5)
 	assert.Equal(t, before.Versions["m"], int64(2), "a returned map must not change")
 }
 
--- a/internal/core/fleet/homes_test.go
+++ b/internal/core/fleet/homes_test.go
@@ -15,9 +15,9 @@
 	known.Put(Engine{ID: "s", Service: "live", Zone: "s1", Region: "south", Slots: 8})
 	known.Put(Engine{ID: "n", Service: "live", Zone: "n1", Region: "north", Slots: 1})
 	engine, _ := known.Get("n")
-	known.Began(engine.Incarnation())
-	known.Ended(engine.Incarnation(), Outcome{At: now, Failed: true})
-	known.Began(engine.Incarnation())
+	known.RequestStarted(engine.Incarnation())
+	known.RequestEnded(engine.Incarnation(), Outcome{At: now, Failed: true})
+	known.RequestStarted(engine.Incarnation())
 	return known
 }
 
@@ -53,11 +53,11 @@
 	now := time.Now()
 	known := twoRegions(now)
 	north := homes.Of([]string{"north"})
-	assert.Assert(t, known.Serves("live", north), "a full or suspected engine counts")
+	assert.Assert(t, known.HasEngines("live", north), "a full or suspected engine counts")
 	known.Evacuate("n1", now, 1)
-	assert.Assert(t, known.Serves("live", north), "an evacuation is temporary")
+	assert.Assert(t, known.HasEngines("live", north), "an evacuation is temporary")
 	known.Put(Engine{ID: "n", Service: "live", Zone: "n1", Region: "north", Slots: 1, Draining: true})
-	assert.Assert(t, !known.Serves("live", north))
-	assert.Assert(t, known.Serves("live", homes.Set{}))
-	assert.Assert(t, !known.Serves("batch", homes.Set{}))
+	assert.Assert(t, !known.HasEngines("live", north))
+	assert.Assert(t, known.HasEngines("live", homes.Set{}))
+	assert.Assert(t, !known.HasEngines("batch", homes.Set{}))
 }
--- a/internal/core/fleet/list.go
+++ b/internal/core/fleet/list.go
@@ -43,10 +43,10 @@
 	case !found:
 		f.addIncarnation(&member{engine: engine})
 		return Added
-	case known.engine.Born == engine.Born:
+	case known.engine.StartMillis == engine.StartMillis:
 		f.renew(known, engine)
 		return Renewed
-	case engine.Born < known.engine.Born:
+	case engine.StartMillis < known.engine.StartMillis:
 		known.deferEntry(engine)
 		return Deferred
 	default:
@@ -119,7 +119,7 @@
 
 // deferEntry keeps an entry of an earlier incarnation; its period starts with the first such entry.
 func (m *member) deferEntry(engine Engine) {
-	if m.deferred != nil && m.deferred.Born == engine.Born {
+	if m.deferred != nil && m.deferred.StartMillis == engine.StartMillis {
 		engine.ReadAt = m.deferred.ReadAt
 	}
 	m.deferred = &engine
@@ -195,7 +195,7 @@
 	switch {
 	case !found:
 		return Listing{}
-	case known.engine.Born == of.Born:
+	case known.engine.StartMillis == of.StartMillis:
 		return Listing{Listed: true, Replaced: f.addressReused(of, known.claimed), Draining: known.engine.Draining}
 	case known.predecessor.ID == "":
 		// The earlier entry was removed before this one was added, so the fate of its engine is unknown.
@@ -218,10 +218,10 @@
 	return false
 }
 
-// Followed reports whether another incarnation has replaced this one.
-func (f *Fleet) Followed(of incarnation.ID) bool {
+// IsReplaced reports whether another incarnation has replaced this one.
+func (f *Fleet) IsReplaced(of incarnation.ID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known, found := f.members[of.Engine]
-	return found && known.engine.Born != of.Born
+	return found && known.engine.StartMillis != of.StartMillis
 }
