--- a/internal/core/fleet/list_test.go
+++ b/internal/core/fleet/list_test.go
@@ -13,7 +13,7 @@
 // startedAt returns an entry of an engine with the given start time.
 func startedAt(id string, born int64) Engine {
 	engine := testEngine(id, "z")
-	engine.Born, engine.ReadAt = born, now
+	engine.StartMillis, engine.ReadAt = born, now
 	return engine
 }
 
@@ -22,12 +22,12 @@
 	first, second := startedAt("a", 1000), startedAt("a", 2000)
 	first.ColdUntil = now.Add(time.Minute)
 	f := fleetOf(first)
-	f.Observe(first.Incarnation(), "m", 7)
-	f.Began(first.Incarnation())
-	f.Began(first.Incarnation())
-	f.Ended(first.Incarnation(), Outcome{At: now, Load: &Load{Running: 3}, Latency: time.Second})
-	f.Ended(first.Incarnation(), Outcome{At: now, Failed: true})
-	f.Began(first.Incarnation())
+	f.ObserveVersion(first.Incarnation(), "m", 7)
+	f.RequestStarted(first.Incarnation())
+	f.RequestStarted(first.Incarnation())
+	f.RequestEnded(first.Incarnation(), Outcome{At: now, Load: &Load{Running: 3}, Latency: time.Second})
+	f.RequestEnded(first.Incarnation(), Outcome{At: now, Failed: true})
+	f.RequestStarted(first.Incarnation())
 
 	assert.Equal(t, f.Put(second), Replaced)
 	engine, _ := f.Get("a")
@@ -39,7 +39,7 @@
 	assert.Equal(t, choice.LoadAge, time.Duration(-1))
 	assert.Equal(t, choice.Expected, f.answerTimes["s"]/4+topology.SameZone.RoundTrip(),
 		"one of four slots at the service's mean response time, without a latency of the engine")
-	slots, busy := f.Places("s", now)
+	slots, busy := f.Capacity("s", now)
 	assert.Equal(t, slots, 4)
 	assert.Equal(t, busy, 0)
 }
@@ -48,15 +48,15 @@
 func TestOutcomeOfReplacedIncarnationIsIgnored(t *testing.T) {
 	first, second := startedAt("a", 1000), startedAt("a", 2000)
 	f := fleetOf(first)
-	f.Began(first.Incarnation())
+	f.RequestStarted(first.Incarnation())
 	f.Put(second)
-	f.Began(second.Incarnation())
-	f.Observe(first.Incarnation(), "m", 7)
-	f.Ended(first.Incarnation(), Outcome{At: now, Failed: true, Load: &Load{Running: 4}})
+	f.RequestStarted(second.Incarnation())
+	f.ObserveVersion(first.Incarnation(), "m", 7)
+	f.RequestEnded(first.Incarnation(), Outcome{At: now, Failed: true, Load: &Load{Running: 4}})
 	engine, _ := f.Get("a")
 	assert.Equal(t, engine.Versions["m"], int64(1))
 	assert.Assert(t, !f.Suspected(second.Incarnation(), now))
-	_, busy := f.Places("s", now)
+	_, busy := f.Capacity("s", now)
 	assert.Equal(t, busy, 1)
 }
 
@@ -65,7 +65,7 @@
 	first, second := startedAt("a", 1000), startedAt("a", 2000)
 	f := fleetOf(first)
 	f.Put(second)
-	f.Observe(second.Incarnation(), "m", 2)
+	f.ObserveVersion(second.Incarnation(), "m", 2)
 	first.Draining, first.Address = true, "elsewhere"
 	assert.Equal(t, f.Put(first), Deferred)
 	assert.Equal(t, len(f.ApplyDeferred(now.Add(deferPeriod-1), now)), 0)
@@ -73,7 +73,7 @@
 	assert.Equal(t, len(f.ApplyDeferred(now.Add(time.Hour), now)), 0)
 	engine, _ := f.Find(second.Incarnation())
 	assert.Equal(t, engine.Versions["m"], int64(2))
-	assert.Assert(t, f.TakesWork(engine))
+	assert.Assert(t, f.AcceptsWork(engine))
 	assert.Equal(t, engine.Address, "")
 }
 
@@ -87,7 +87,7 @@
 	assert.Equal(t, len(taken), 1)
 	assert.Equal(t, taken[0].Engine.Incarnation(), after.Incarnation())
 	assert.Equal(t, taken[0].Ended.Incarnation(), before.Incarnation())
-	assert.Assert(t, f.Followed(before.Incarnation()))
+	assert.Assert(t, f.IsReplaced(before.Incarnation()))
 	assert.Equal(t, f.Put(after), Renewed)
 
 	f = fleetOf(before)
@@ -107,7 +107,7 @@
 // All entries without a start time count as one incarnation.
 func TestIncarnationWithoutStartTime(t *testing.T) {
 	f := fleetOf(startedAt("a", 0))
-	f.Observe(incarnationOf("a"), "m", 2)
+	f.ObserveVersion(incarnationOf("a"), "m", 2)
 	assert.Equal(t, f.Put(startedAt("a", 0)), Renewed)
 	engine, _ := f.Get("a")
 	assert.Equal(t, engine.Versions["m"], int64(2))
@@ -121,13 +121,13 @@
 	assert.Equal(t, f.Starts(), int64(2))
 	f.Put(startedAt("a", 2000))
 	assert.Equal(t, f.Starts(), int64(3))
-	assert.Assert(t, f.Followed(incarnation.ID{Engine: "a", Born: 1000}))
-	assert.Assert(t, !f.Followed(incarnation.ID{Engine: "a", Born: 2000}))
+	assert.Assert(t, f.IsReplaced(incarnation.ID{Engine: "a", StartMillis: 1000}))
+	assert.Assert(t, !f.IsReplaced(incarnation.ID{Engine: "a", StartMillis: 2000}))
 	f.Remove("a")
-	assert.Assert(t, !f.Followed(incarnation.ID{Engine: "a", Born: 1000}), "a removed entry is not an end")
+	assert.Assert(t, !f.IsReplaced(incarnation.ID{Engine: "a", StartMillis: 1000}), "a removed entry is not an end")
 	f.Put(startedAt("a", 3000))
 	assert.Equal(t, f.Starts(), int64(4))
-	assert.Assert(t, f.Followed(incarnation.ID{Engine: "a", Born: 1000}))
+	assert.Assert(t, f.IsReplaced(incarnation.ID{Engine: "a", StartMillis: 1000}))
 }
 
 func TestListingOfReplacedAndRemovedIncarnations(t *testing.T) {
@@ -189,11 +189,11 @@
 func TestInFlightCountIsNeverNegative(t *testing.T) {
 	engine := startedAt("a", 1000)
 	f := fleetOf(engine)
-	f.Began(engine.Incarnation())
+	f.RequestStarted(engine.Incarnation())
 	f.Remove("a")
 	f.Put(engine)
-	f.Ended(engine.Incarnation(), Outcome{At: now})
-	_, busy := f.Places("s", now)
+	f.RequestEnded(engine.Incarnation(), Outcome{At: now})
+	_, busy := f.Capacity("s", now)
 	assert.Equal(t, busy, 0)
 }
 
--- a/internal/core/fleet/outcome.go
+++ b/internal/core/fleet/outcome.go
@@ -13,8 +13,8 @@
 	Failed bool
 	// ConnectionLost: the engine closed the connection before its answer was complete.
 	ConnectionLost bool
-	// Gone: a different engine answers at the address.
-	Gone bool
+	// AddressReused: a different engine answers at the address.
+	AddressReused bool
 	// Unreached: a connection was refused, lost or timed out, so that the engine may have restarted.
 	Unreached bool
 	// RefusedItem: the engine rejected a batch item although it appeared to have a free slot.
@@ -34,8 +34,8 @@
 	latencyWeight = 0.2
 )
 
-// Ended records the result of a request to the engine.
-func (f *Fleet) Ended(of incarnation.ID, outcome Outcome) {
+// RequestEnded records the result of a request to the engine.
+func (f *Fleet) RequestEnded(of incarnation.ID, outcome Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known, found := f.lookUp(of)
@@ -49,7 +49,7 @@
 		known.load, known.loadAt = *outcome.Load, outcome.At
 	}
 	switch {
-	case outcome.Gone:
+	case outcome.AddressReused:
 		known.suspect(outcome.At, maxSuspicion)
 	case outcome.Failed:
 		known.failures++
--- a/internal/core/homes/homes.go
+++ b/internal/core/homes/homes.go
@@ -50,11 +50,11 @@
 	return restrictedTo(slices.DeleteFunc(s.Regions(), func(region string) bool { return !other.Allows(region) }))
 }
 
-// Bound reports whether the set is restricted to some regions.
-func (s Set) Bound() bool { return s.restricted }
+// IsRestricted reports whether the set is restricted to some regions.
+func (s Set) IsRestricted() bool { return s.restricted }
 
-// Nowhere reports whether the set is empty.
-func (s Set) Nowhere() bool { return s.restricted && s.names == "" }
+// IsEmpty reports whether the set is empty.
+func (s Set) IsEmpty() bool { return s.restricted && s.names == "" }
 
 // Allows reports whether a region is in the set. The empty region, which is that of machines in unknown places, is in
 // no restricted set.
--- a/internal/core/homes/homes_test.go
+++ b/internal/core/homes/homes_test.go
@@ -36,10 +36,10 @@
 	assert.Equal(t, north.Intersect(Set{}), north)
 	assert.Equal(t, both.Intersect(north), north)
 	empty := north.Intersect(south)
-	assert.Assert(t, empty.Nowhere() && empty.Bound())
+	assert.Assert(t, empty.IsEmpty() && empty.IsRestricted())
 	assert.Assert(t, !empty.Allows("north") && !empty.Allows("south") && !empty.Allows(""))
 	assert.Equal(t, empty.Intersect(Set{}), empty, "an empty set stays empty")
-	assert.Assert(t, !Set{}.Nowhere() && !north.Nowhere())
+	assert.Assert(t, !Set{}.IsEmpty() && !north.IsEmpty())
 }
 
 func TestEqualSets(t *testing.T) {
--- a/internal/core/idempotency/reducer.go
+++ b/internal/core/idempotency/reducer.go
@@ -13,7 +13,7 @@
 	// RetentionRecords is the retention in offsets. It must be at least logrecord.ForgetAfter, so
 	// that a late duplicate of an intent is Expired before its key can expire. It also prevents a
 	// node with a wrong clock from expiring keys at once.
-	RetentionRecords = logrecord.ForgetAfter
+	RetentionRecords = logrecord.WriterRetentionOffsets
 	// maxClockStepMS bounds how far a single record advances the stream clock.
 	maxClockStepMS = 5 * 60 * 1000
 	// MaxKeys bounds the number of keys; further intents are Invalid.
--- a/internal/core/incarnation/incarnation.go
+++ b/internal/core/incarnation/incarnation.go
@@ -9,8 +9,8 @@
 type ID struct {
 	// Engine is the engine's ID in the engine list.
 	Engine string
-	// Born is the engine's start time in milliseconds since 1970 by its own clock; zero if not reported.
-	Born int64
+	// StartMillis is the engine's start time in milliseconds since 1970 by its own clock; zero if not reported.
+	StartMillis int64
 }
 
 // IsZero reports whether the ID is empty.
@@ -19,10 +19,10 @@
 // String returns the form used in logs and records: "engine@born", or the engine's ID alone if its start time
 // is not known.
 func (i ID) String() string {
-	if i.Born == 0 {
+	if i.StartMillis == 0 {
 		return i.Engine
 	}
-	return i.Engine + "@" + strconv.FormatInt(i.Born, 10)
+	return i.Engine + "@" + strconv.FormatInt(i.StartMillis, 10)
 }
 
 // Contradicts reports whether two IDs cannot be of the same incarnation. Without a start time, an ID contradicts
@@ -31,5 +31,5 @@
 	if i.Engine != other.Engine {
 		return true
 	}
-	return i.Born != 0 && other.Born != 0 && i.Born != other.Born
+	return i.StartMillis != 0 && other.StartMillis != 0 && i.StartMillis != other.StartMillis
 }
--- a/internal/core/lease/history.go
+++ b/internal/core/lease/history.go
@@ -59,7 +59,7 @@
 	// minPruneThreshold is the number of engines up to which expired orders are not removed.
 	minPruneThreshold = 1024
 	// orderTTL is how long an order is kept. It must exceed every quiet period.
-	orderTTL = MaxQuiet + time.Minute
+	orderTTL = MaxBetweenMachines + time.Minute
 )
 
 func (h *history) recordRead(at time.Time) { h.readAt = at }
@@ -152,10 +152,10 @@
 	return byClock
 }
 
-func (h *history) quietUntil(epoch int64, own machine, engine string, quiet Quiet) time.Time {
+func (h *history) quietUntil(epoch int64, own machine, engine string, quiet QuietPeriod) time.Time {
 	var until time.Time
 	if !h.completeSince.at.IsZero() {
-		until = h.endOfPeriod(h.completeSince, quiet.Between+quiet.Arrival)
+		until = h.endOfPeriod(h.completeSince, quiet.BetweenMachines+quiet.MaxTransit)
 	}
 	for _, each := range h.orders[engine] {
 		period, needed := quiet.periodAfter(each, epoch, own)
@@ -170,15 +170,15 @@
 }
 
 // periodAfter returns the quiet period after a possible order; false if none is needed.
-func (q Quiet) periodAfter(last order, epoch int64, own machine) (time.Duration, bool) {
+func (q QuietPeriod) periodAfter(last order, epoch int64, own machine) (time.Duration, bool) {
 	switch {
 	case last.epoch == epoch:
 		return 0, false
 	case q.EnginesFence && (last.released || last.machine.isSame(own)):
 		return 0, false
 	case last.machine.isSame(own):
-		return q.Arrival, true
+		return q.MaxTransit, true
 	default:
-		return q.Between + q.Arrival, true
+		return q.BetweenMachines + q.MaxTransit, true
 	}
 }
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -57,9 +57,9 @@
 	Address string `msgpack:"a,omitempty"`
 	// Epoch is the holder's epoch; in a claim, the epoch that it succeeds.
 	Epoch int64 `msgpack:"e"`
-	// Begins is the epoch that a claim starts: its own offset plus one. It is zero in claims of
+	// NewEpoch is the epoch that a claim starts: its own offset plus one. It is zero in claims of
 	// older versions, which take effect if Epoch is the current one.
-	Begins int64 `msgpack:"b,omitempty"`
+	NewEpoch int64 `msgpack:"b,omitempty"`
 	// Sequence numbers the records of one holder.
 	Sequence int64 `msgpack:"s,omitempty"`
 	// Held is the time from the holder's read of its own claim until it sent this record, by its
@@ -97,7 +97,7 @@
 // NewClaim returns a claim that succeeds the current epoch. It must be appended on the condition that
 // the log ends at Next.
 func (s *State) NewClaim(node, holder, address string) Record {
-	return Record{Kind: Claim, Node: node, Holder: holder, Address: address, Epoch: s.Epoch, Begins: s.Next + 1}
+	return Record{Kind: Claim, Node: node, Holder: holder, Address: address, Epoch: s.Epoch, NewEpoch: s.Next + 1}
 }
 
 // Apply applies the record at offset Next, read at the given time, and reports whether the epoch
@@ -154,10 +154,10 @@
 
 // wins reports whether a claim takes effect at the offset.
 func (s *State) wins(claim Record, offset int64) bool {
-	if claim.Begins == 0 {
+	if claim.NewEpoch == 0 {
 		return claim.Epoch == s.Epoch
 	}
-	return claim.Begins == offset+1
+	return claim.NewEpoch == offset+1
 }
 
 func (s *State) startEpoch(epoch int64, record Record, at time.Time) {
@@ -171,9 +171,9 @@
 	return epoch > 0 && s.Epoch == epoch && s.Holder == holder && !s.Released && !s.missed
 }
 
-// IsBehind reports whether the record, the next to apply, belongs to an epoch that has ended: its writer
+// IsStale reports whether the record, the next to apply, belongs to an epoch that has ended: its writer
 // had not read a later claim.
-func (s *State) IsBehind(record Record) bool {
+func (s *State) IsStale(record Record) bool {
 	return (record.Kind == Renew || record.Kind == Order) && record.Epoch < s.Epoch
 }
 
@@ -214,15 +214,15 @@
 	return s.Holder != holder && s.machine().isSame(machine{node: node, address: address})
 }
 
-// MaxQuiet is the upper bound of Quiet.Between.
-const MaxQuiet = 10 * time.Minute
+// MaxBetweenMachines is the upper bound of Quiet.Between.
+const MaxBetweenMachines = 10 * time.Minute
 
-// Quiet defines the quiet period: the minimum time between orders of two holders.
-type Quiet struct {
-	// Between is the minimum time between orders of two machines.
-	Between time.Duration
-	// Arrival is the maximum time from an Order record until the order arrives at the engine.
-	Arrival time.Duration
+// QuietPeriod defines the quiet period: the minimum time between orders of two holders.
+type QuietPeriod struct {
+	// BetweenMachines is the minimum time between orders of two machines.
+	BetweenMachines time.Duration
+	// MaxTransit is the maximum time from an Order record until the order arrives at the engine.
+	MaxTransit time.Duration
 	// EnginesFence is true if engines reject fencing tokens lower than the highest one seen.
 	EnginesFence bool
 }
@@ -232,6 +232,6 @@
 // of the same machine in an earlier epoch. It returns the zero time if no quiet period is needed. None
 // follows the orders of a holder that released the lease, which it does only when its process ends, if
 // engines also reject its fencing token.
-func (s *State) QuietUntil(engine string, quiet Quiet) time.Time {
+func (s *State) QuietUntil(engine string, quiet QuietPeriod) time.Time {
 	return s.history.quietUntil(s.Epoch, s.machine(), engine, quiet)
 }
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -78,7 +78,7 @@
 const quiet = 300 * time.Millisecond
 
 func quietUntil(state *State, engine string, enginesFence bool) time.Time {
-	return state.QuietUntil(engine, Quiet{Between: quiet, EnginesFence: enginesFence})
+	return state.QuietUntil(engine, QuietPeriod{BetweenMachines: quiet, EnginesFence: enginesFence})
 }
 
 func orderOf(node string, epoch int64, held time.Duration, engines ...string) Record {
@@ -313,7 +313,7 @@
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(orderOf("a", 1, 0, "e1"), start)
 	state.Apply(claim("a", "a2", 1), start)
-	period := Quiet{Between: quiet, Arrival: arrival}
+	period := QuietPeriod{BetweenMachines: quiet, MaxTransit: arrival}
 	assert.Equal(t, state.QuietUntil("e1", period), start.Add(arrival))
 	period.EnginesFence = true
 	assert.Assert(t, state.QuietUntil("e1", period).IsZero())
@@ -328,7 +328,7 @@
 	assert.Assert(t, state.Apply(won, start))
 	assert.Assert(t, !state.Apply(lost, start))
 	assert.Equal(t, state.Holder, "c1")
-	assert.Equal(t, state.Epoch, won.Begins)
+	assert.Equal(t, state.Epoch, won.NewEpoch)
 }
 
 // Guards against a claim of a lease that another node may have claimed in the gap.
@@ -345,7 +345,7 @@
 // Guards against a skipped quiet period: the replaced machine has the same name and may still run at another
 // address.
 func TestQuietUntilAfterMachineReplacement(t *testing.T) {
-	period := Quiet{Between: quiet, Arrival: quiet / 3}
+	period := QuietPeriod{BetweenMachines: quiet, MaxTransit: quiet / 3}
 	var s State
 	at := start
 	s.Apply(s.NewClaim("a", "a1", "10.0.0.1:7000"), at)
@@ -353,7 +353,7 @@
 	at = at.Add(quiet / 10)
 	s.Apply(s.NewClaim("a", "a2", "10.0.0.2:7000"), at)
 	left := s.QuietUntil("e", period).Sub(at)
-	assert.Assert(t, left > period.Between, "another machine of the same name may send orders after %s", left)
+	assert.Assert(t, left > period.BetweenMachines, "another machine of the same name may send orders after %s", left)
 }
 
 // Runs several nodes with conditional appends on one log, some of which miss records. All that have since read
--- a/internal/core/lease/term.go
+++ b/internal/core/lease/term.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// InFlight bounds the transit time of an order. Sockets drop bytes that are unacknowledged for this
+// MaxTransitTime bounds the transit time of an order. Sockets drop bytes that are unacknowledged for this
 // time, senders reset connections that a middlebox delays, and the next holder waits this long.
-const InFlight = 500 * time.Millisecond
+const MaxTransitTime = 500 * time.Millisecond
 
 // Permit allows one order to be sent within a short time window.
 type Permit interface {
 	// Open reports whether the order may still be sent. Check it right before writing the bytes: dialing,
 	// scheduling or a pause of the machine may have taken time since the permit was granted.
 	Open() bool
-	// Bound returns a context that ends when the order may no longer arrive. The sender must then discard
+	// WithDeadline returns a context that ends when the order may no longer arrive. The sender must then discard
 	// the bytes in transit, since the next holder waits no longer.
-	Bound(ctx context.Context) (context.Context, context.CancelFunc)
+	WithDeadline(ctx context.Context) (context.Context, context.CancelFunc)
 }
 
 // Term is one term of leadership.
--- a/internal/core/ledger/apply.go
+++ b/internal/core/ledger/apply.go
@@ -130,18 +130,18 @@
 
 // acceptsTerms rejects terms from a table revision older than one already used, so
 // that a lagging node can't relax a tightened bound.
-func (l *Ledger) acceptsTerms(terms Terms) bool {
+func (l *Ledger) acceptsTerms(terms FreshnessTerms) bool {
 	return terms.Bound >= 0 && terms.TableRevision >= l.tableRevision
 }
 
 // recordTerms stores the terms of a record that had an effect. It returns true.
-func (l *Ledger) recordTerms(terms Terms) bool {
+func (l *Ledger) recordTerms(terms FreshnessTerms) bool {
 	l.tableRevision = terms.TableRevision
 	l.trainerVersion = terms.TrainerVersion
 	return true
 }
 
-func (t Terms) fresh(slot *Slot) bool {
+func (t FreshnessTerms) fresh(slot *Slot) bool {
 	return Fresh(slot.Oldest, t.TrainerVersion, t.Bound)
 }
 
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -58,7 +58,7 @@
 	assert.Assert(t, o.submit("s", 2))
 	assert.Assert(t, o.fill(sample, 4))
 	assert.Assert(t, !o.fill(sample, 5), "only the first fill is accepted")
-	terms := Terms{TrainerVersion: 5, Bound: 1}
+	terms := FreshnessTerms{TrainerVersion: 5, Bound: 1}
 	first, ok := o.append(KindDelivered, Delivered{Samples: []SampleKey{sample}, Terms: terms})
 	assert.Assert(t, ok)
 	assert.Equal(t, len(o.ledger.Deliverable("", terms, map[SampleKey]bool{sample: true}, 9)), 0, "already held by the trainer")
@@ -82,9 +82,9 @@
 	sample := key("s", 0, 1)
 	o.submit("s", 1)
 	o.fill(sample, 4)
-	token, _ := o.append(KindDelivered, Delivered{Samples: []SampleKey{sample}, Terms: Terms{TrainerVersion: 5, Bound: 1}})
+	token, _ := o.append(KindDelivered, Delivered{Samples: []SampleKey{sample}, Terms: FreshnessTerms{TrainerVersion: 5, Bound: 1}})
 	o.append(KindAcknowledged, Acknowledged{
-		Token: token, Samples: []SampleKey{sample}, Terms: Terms{TrainerVersion: 6, Bound: 1},
+		Token: token, Samples: []SampleKey{sample}, Terms: FreshnessTerms{TrainerVersion: 6, Bound: 1},
 	})
 	accepted, _ := o.ledger.AcknowledgedUnder(token, []SampleKey{sample})
 	assert.Equal(t, len(accepted), 0)
@@ -100,15 +100,15 @@
 	sample := key("s", 0, 1)
 	o.submit("s", 1)
 	o.fill(sample, 4)
-	discard := SamplesDiscarded{Samples: []SampleKey{sample}, Reason: DiscardStale, Terms: Terms{TrainerVersion: 5, Bound: 1}}
+	discard := SamplesDiscarded{Samples: []SampleKey{sample}, Reason: DiscardStale, Terms: FreshnessTerms{TrainerVersion: 5, Bound: 1}}
 	_, ok := o.append(KindSamplesDiscarded, discard)
 	assert.Assert(t, !ok, "still fresh")
-	discard.Terms = Terms{TrainerVersion: 5, Bound: 0, TableRevision: 7}
+	discard.Terms = FreshnessTerms{TrainerVersion: 5, Bound: 0, TableRevision: 7}
 	_, ok = o.append(KindSamplesDiscarded, discard)
 	assert.Assert(t, ok)
 	o.fill(key("s", 0, 2), 4)
 	_, ok = o.append(KindDelivered, Delivered{
-		Samples: []SampleKey{key("s", 0, 2)}, Terms: Terms{TrainerVersion: 5, Bound: 1, TableRevision: 6},
+		Samples: []SampleKey{key("s", 0, 2)}, Terms: FreshnessTerms{TrainerVersion: 5, Bound: 1, TableRevision: 6},
 	})
 	assert.Assert(t, !ok, "terms of an older table revision than earlier terms")
 }
--- a/internal/core/ledger/property_test.go
+++ b/internal/core/ledger/property_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-func (h *history) checkTerms(terms Terms) {
+func (h *history) checkTerms(terms FreshnessTerms) {
 	assert.Assert(h.t, terms.TableRevision >= h.revision, "terms of an older table revision")
 	h.revision = h.ledger.TableRevision()
 }
@@ -156,7 +156,7 @@
 	}
 }
 
-func (h *history) isFresh(key SampleKey, terms Terms) bool {
+func (h *history) isFresh(key SampleKey, terms FreshnessTerms) bool {
 	return int64(terms.TrainerVersion)-int64(h.oldest[key]) <= int64(terms.Bound)
 }
 
@@ -229,8 +229,8 @@
 	return key
 }
 
-func (h *history) drawTerms() Terms {
-	return Terms{
+func (h *history) drawTerms() FreshnessTerms {
+	return FreshnessTerms{
 		TrainerVersion: versions.Draw(h.t, "trainer version"),
 		Bound:          rapid.IntRange(0, 2).Draw(h.t, "bound"),
 		TableRevision:  h.ledger.tableRevision + rapid.Int64Range(-1, 1).Draw(h.t, "revision"),
--- a/internal/core/ledger/query.go
+++ b/internal/core/ledger/query.go
@@ -186,7 +186,7 @@
 
 // Deliverable returns up to limit samples of a step (empty for any step) that may be
 // delivered under the terms, without delivered samples that the trainer still holds.
-func (l *Ledger) Deliverable(step string, terms Terms, holding map[SampleKey]bool, limit int) []StoredSample {
+func (l *Ledger) Deliverable(step string, terms FreshnessTerms, holding map[SampleKey]bool, limit int) []StoredSample {
 	return l.filledSamples(step, limit, func(slot *Slot, key SampleKey) bool {
 		held := slot.Token != 0 && holding[key]
 		return !held && terms.fresh(slot)
@@ -194,7 +194,7 @@
 }
 
 // Stale returns up to limit samples that are stale under the terms.
-func (l *Ledger) Stale(terms Terms, limit int) []StoredSample {
+func (l *Ledger) Stale(terms FreshnessTerms, limit int) []StoredSample {
 	return l.filledSamples("", limit, func(slot *Slot, _ SampleKey) bool { return !terms.fresh(slot) })
 }
 
--- a/internal/core/ledger/record.go
+++ b/internal/core/ledger/record.go
@@ -54,8 +54,8 @@
 	Text         string            `msgpack:"t"`
 }
 
-// Terms are the inputs of the freshness check of a record's samples.
-type Terms struct {
+// FreshnessTerms are the inputs of the freshness check of a record's samples.
+type FreshnessTerms struct {
 	// TrainerVersion is the weight version reported by the trainer.
 	TrainerVersion uint64 `msgpack:"v"`
 	// Bound is the staleness bound of the trainer's row, in versions.
@@ -73,22 +73,22 @@
 
 // SamplesDiscarded is the body of KindSamplesDiscarded.
 type SamplesDiscarded struct {
-	Samples []SampleKey   `msgpack:"k"`
-	Reason  DiscardReason `msgpack:"rs"`
-	Terms   Terms         `msgpack:"t"`
+	Samples []SampleKey    `msgpack:"k"`
+	Reason  DiscardReason  `msgpack:"rs"`
+	Terms   FreshnessTerms `msgpack:"t"`
 }
 
 // Delivered is the body of KindDelivered. TokenOf gives its token.
 type Delivered struct {
-	Samples []SampleKey `msgpack:"k"`
-	Terms   Terms       `msgpack:"t"`
+	Samples []SampleKey    `msgpack:"k"`
+	Terms   FreshnessTerms `msgpack:"t"`
 }
 
 // Acknowledged is the body of KindAcknowledged.
 type Acknowledged struct {
-	Token   int64       `msgpack:"o"`
-	Samples []SampleKey `msgpack:"k"`
-	Terms   Terms       `msgpack:"t"`
+	Token   int64          `msgpack:"o"`
+	Samples []SampleKey    `msgpack:"k"`
+	Terms   FreshnessTerms `msgpack:"t"`
 }
 
 // StepAbandoned is the body of KindStepAbandoned: the trainer needs no more samples
--- a/internal/core/logrecord/logrecord_test.go
+++ b/internal/core/logrecord/logrecord_test.go
@@ -80,7 +80,7 @@
 		var sent []Record
 		offset := int64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "records") {
-			offset += rapid.SampledFrom([]int64{1, 2, sweepInterval, ForgetAfter / 2, ForgetAfter + 1}).Draw(t, "gap")
+			offset += rapid.SampledFrom([]int64{1, 2, sweepInterval, WriterRetentionOffsets / 2, WriterRetentionOffsets + 1}).Draw(t, "gap")
 			var record Record
 			if len(sent) > 0 && rapid.Bool().Draw(t, "copy") {
 				record = rapid.SampledFrom(sent).Draw(t, "sent")
@@ -117,12 +117,12 @@
 
 func TestSequencesAreBounded(t *testing.T) {
 	var sequences Sequences
-	for offset := range int64(4 * ForgetAfter) {
+	for offset := range int64(4 * WriterRetentionOffsets) {
 		writer := strconv.FormatInt(offset, 10)
 		sequences.Admit(offset, Record{Writer: writer, Sequence: 1, Base: offset, Kind: "test"})
 	}
-	assert.Assert(t, len(sequences.writers) <= ForgetAfter+2*sweepInterval)
-	assert.Equal(t, sequences.Admit(4*ForgetAfter, Record{Writer: "old", Sequence: 1, Kind: "test"}), Expired)
+	assert.Assert(t, len(sequences.writers) <= WriterRetentionOffsets+2*sweepInterval)
+	assert.Equal(t, sequences.Admit(4*WriterRetentionOffsets, Record{Writer: "old", Sequence: 1, Kind: "test"}), Expired)
 }
 
 func claimRecord(t *testing.T, writer string, sequence uint64, previous int64) Record {
--- a/internal/core/logrecord/sequences.go
+++ b/internal/core/logrecord/sequences.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// ForgetAfter is the number of offsets after which a writer without further records is removed.
-	ForgetAfter = 1 << 16
+	// WriterRetentionOffsets is the number of offsets after which a writer without further records is removed.
+	WriterRetentionOffsets = 1 << 16
 	// sweepInterval is the number of offsets between removals of inactive writers.
 	sweepInterval = 1 << 10
 )
@@ -40,7 +40,7 @@
 		s.writers = make(map[string]writerState)
 	}
 	s.advance(offset)
-	if offset-record.Base > ForgetAfter {
+	if offset-record.Base > WriterRetentionOffsets {
 		return Expired
 	}
 	last, known := s.writers[record.Writer]
@@ -68,7 +68,7 @@
 }
 
 func isInactive(last writerState, offset int64) bool {
-	return offset-last.offset > ForgetAfter
+	return offset-last.offset > WriterRetentionOffsets
 }
 
 // sequencesSnapshot is the encoded form of Sequences. Writers are sorted, so that equal states have equal encodings.
--- a/internal/core/membership/apply.go
+++ b/internal/core/membership/apply.go
@@ -77,7 +77,7 @@
 	if !update.supersedes(n.self) {
 		return
 	}
-	if !n.Young() {
+	if !n.CanTakeOver() {
 		n.superseded = true
 		n.ready.Changes = append(n.ready.Changes, n.self)
 		return
--- a/internal/core/membership/node.go
+++ b/internal/core/membership/node.go
@@ -55,9 +55,9 @@
 // Self returns the update that this node sends about itself.
 func (n *Node) Self() Update { return n.self }
 
-// Young reports whether this node may still take over its ID from another process instead of being superseded by
+// CanTakeOver reports whether this node may still take over its ID from another process instead of being superseded by
 // it.
-func (n *Node) Young() bool { return n.ticks < n.config.TakeoverTicks }
+func (n *Node) CanTakeOver() bool { return n.ticks < n.config.TakeoverTicks }
 
 // Superseded reports whether another process has taken over this node's ID.
 func (n *Node) Superseded() bool { return n.superseded }
--- a/internal/core/pacing/pacing.go
+++ b/internal/core/pacing/pacing.go
@@ -26,9 +26,9 @@
 	Nodes func() int
 }
 
-// Spread returns the shortest period, at most limit, in which every node can read the given number of bytes
+// MinPeriod returns the shortest period, at most limit, in which every node can read the given number of bytes
 // within the paced share; zero if bytes are unlimited or Nodes is nil.
-func (b Budget) Spread(bytes int, limit time.Duration) time.Duration {
+func (b Budget) MinPeriod(bytes int, limit time.Duration) time.Duration {
 	if b.BytesPerSecond <= 0 || b.Nodes == nil {
 		return 0
 	}
@@ -36,9 +36,9 @@
 	return min(time.Duration(seconds*float64(time.Second)), limit)
 }
 
-// Stretch returns the base period, multiplied by the ratio of the reads of all nodes to the paced share where that
+// ScalePeriod returns the base period, multiplied by the ratio of the reads of all nodes to the paced share where that
 // exceeds one, up to limit; the base if reads are unlimited or Nodes is nil.
-func (b Budget) Stretch(base, limit time.Duration) time.Duration {
+func (b Budget) ScalePeriod(base, limit time.Duration) time.Duration {
 	if b.ReadsPerSecond <= 0 || b.Nodes == nil {
 		return base
 	}
--- a/internal/core/policy/reducer.go
+++ b/internal/core/policy/reducer.go
@@ -23,8 +23,8 @@
 	maxDecisions = 2000
 )
 
-// Accepted is an accepted revision of the table.
-type Accepted struct {
+// AcceptedRevision is an accepted revision of the table.
+type AcceptedRevision struct {
 	Revision   int64       `msgpack:"rev"`
 	Base       int64       `msgpack:"b"`
 	ProposalID string      `msgpack:"id"`
@@ -33,24 +33,24 @@
 	Changes    []RowChange `msgpack:"c"`
 }
 
-// Judgement is the outcome of evaluating a proposal.
-type Judgement uint8
+// Outcome is the outcome of evaluating a proposal.
+type Outcome uint8
 
 // Outcomes of a proposal.
 const (
-	// JudgedAccepted means that the proposal became a revision of the table.
-	JudgedAccepted Judgement = iota + 1
-	// JudgedStale means that its base was not the current revision.
-	JudgedStale
-	// JudgedInvalid means that its changes are inconsistent with the base or
+	// OutcomeAccepted means that the proposal became a revision of the table.
+	OutcomeAccepted Outcome = iota + 1
+	// OutcomeStale means that its base was not the current revision.
+	OutcomeStale
+	// OutcomeInvalid means that its changes are inconsistent with the base or
 	// result in an invalid table.
-	JudgedInvalid
+	OutcomeInvalid
 )
 
 // Decision is the outcome of the first record with a given ProposalID.
 type Decision struct {
-	ProposalID string    `msgpack:"id"`
-	Judgement  Judgement `msgpack:"j"`
+	ProposalID string  `msgpack:"id"`
+	Outcome    Outcome `msgpack:"j"`
 	// Revision is the new revision if accepted, otherwise the revision that was
 	// current when the proposal was evaluated.
 	Revision    int64  `msgpack:"rev"`
@@ -74,8 +74,8 @@
 type Reducer struct {
 	table     *Table
 	sequences logrecord.Sequences
-	history   []Accepted // ascending revisions
-	decisions []Decision // oldest first, one per ProposalID
+	history   []AcceptedRevision // ascending revisions
+	decisions []Decision         // oldest first, one per ProposalID
 }
 
 // emptyTable is the table before the first accepted proposal.
@@ -102,7 +102,7 @@
 		decision = r.evaluate(offset, proposal)
 		r.recordDecision(decision)
 	}
-	if decision.Judgement != JudgedAccepted {
+	if decision.Outcome != OutcomeAccepted {
 		return logrecord.Invalid
 	}
 	return logrecord.Accepted
@@ -128,23 +128,23 @@
 }
 
 // History returns up to limit accepted revisions, newest first.
-func (r *Reducer) History(limit int) []Accepted {
+func (r *Reducer) History(limit int) []AcceptedRevision {
 	limit = max(0, min(limit, len(r.history)))
-	newest := make([]Accepted, 0, limit)
+	newest := make([]AcceptedRevision, 0, limit)
 	for i := range limit {
 		newest = append(newest, r.history[len(r.history)-1-i])
 	}
 	return newest
 }
 
-// Accepted returns an accepted revision; false if it is unknown or was evicted.
-func (r *Reducer) Accepted(revision int64) (Accepted, bool) {
+// AcceptedRevision returns an accepted revision; false if it is unknown or was evicted.
+func (r *Reducer) AcceptedRevision(revision int64) (AcceptedRevision, bool) {
 	for i := len(r.history) - 1; i >= 0; i-- {
 		if r.history[i].Revision == revision {
 			return r.history[i], true
 		}
 	}
-	return Accepted{}, false
+	return AcceptedRevision{}, false
 }
 
 // TableAt reconstructs the table of an earlier revision; false if the retained
@@ -173,22 +173,22 @@
 	decision := Decision{ProposalID: proposal.ProposalID, Revision: current.Revision}
 	fingerprint, err := proposal.Fingerprint()
 	if err != nil {
-		decision.Judgement = JudgedInvalid
+		decision.Outcome = OutcomeInvalid
 		return decision
 	}
 	decision.Fingerprint = fingerprint
 	if proposal.BaseRevision != current.Revision {
-		decision.Judgement = JudgedStale
+		decision.Outcome = OutcomeStale
 		return decision
 	}
 	rows, problems := ApplyAndValidate(current.Rows, proposal.Changes)
 	if len(problems) > 0 {
-		decision.Judgement = JudgedInvalid
+		decision.Outcome = OutcomeInvalid
 		decision.Problems = problems[:min(len(problems), maxDecisionProblems)]
 		return decision
 	}
 	r.accept(offset+1, rows, proposal)
-	decision.Judgement = JudgedAccepted
+	decision.Outcome = OutcomeAccepted
 	decision.Revision = offset + 1
 	return decision
 }
@@ -208,7 +208,7 @@
 }
 
 func (r *Reducer) accept(revision int64, rows []Row, proposal Proposal) {
-	r.history = append(r.history, Accepted{
+	r.history = append(r.history, AcceptedRevision{
 		Revision:   revision,
 		Base:       proposal.BaseRevision,
 		ProposalID: proposal.ProposalID,
@@ -246,7 +246,7 @@
 type reducerSnapshot struct {
 	Table     *Table               `msgpack:"t"`
 	Sequences *logrecord.Sequences `msgpack:"s"`
-	History   []Accepted           `msgpack:"h"`
+	History   []AcceptedRevision   `msgpack:"h"`
 	Decisions []Decision           `msgpack:"d"`
 }
 
--- a/internal/core/policy/reducer_test.go
+++ b/internal/core/policy/reducer_test.go
@@ -149,7 +149,7 @@
 	assert.Equal(t, len(Diff(earlier.Rows, before.Rows)), 0)
 	newest := h.continuous.History(1)[0]
 	assert.Equal(t, newest.Base, before.Revision)
-	accepted, known := h.continuous.Accepted(h.continuous.Table().Revision)
+	accepted, known := h.continuous.AcceptedRevision(h.continuous.Table().Revision)
 	assert.Assert(t, known)
 	assert.DeepEqual(t, accepted, newest)
 }
--- a/internal/core/prefixcache/index.go
+++ b/internal/core/prefixcache/index.go
@@ -54,21 +54,21 @@
 	return &Index{capacity: capacity, engines: make(map[string]*engineIndex)}
 }
 
-// Sent records that a prompt with these prefix hashes was sent to the engine, which will cache them
+// RecordSent records that a prompt with these prefix hashes was sent to the engine, which will cache them
 // once it has processed the prompt.
-func (x *Index) Sent(engineID string, hashes []uint64) {
+func (x *Index) RecordSent(engineID string, hashes []uint64) {
 	x.engine(engineID).add(hashes)
 }
 
-// Stored records a cache event: the engine stored the prefixes. The sequence is the event's number.
-func (x *Index) Stored(engineID string, sequence uint64, hashes []uint64) {
+// RecordStored records a cache event: the engine stored the prefixes. The sequence is the event's number.
+func (x *Index) RecordStored(engineID string, sequence uint64, hashes []uint64) {
 	entry := x.engine(engineID)
 	entry.observeSequence(sequence)
 	entry.add(hashes)
 }
 
-// Evicted records a cache event: the engine evicted the prefixes.
-func (x *Index) Evicted(engineID string, sequence uint64, hashes []uint64) {
+// RecordEvicted records a cache event: the engine evicted the prefixes.
+func (x *Index) RecordEvicted(engineID string, sequence uint64, hashes []uint64) {
 	entry := x.engine(engineID)
 	entry.observeSequence(sequence)
 	for _, hash := range hashes {
--- a/internal/core/replicaset/replicaset.go
+++ b/internal/core/replicaset/replicaset.go
@@ -111,9 +111,9 @@
 	return replicas
 }
 
-// Answers reports whether a node of a small cluster, which has no replicas, serves reads of nodes outside the regions.
-func Answers(members []Member, self Member, within homes.Set) bool {
-	return within.Bound() && within.Allows(self.Region) && len(members) < MinNodes
+// ServesNodesOutside reports whether a node of a small cluster, which has no replicas, serves reads of nodes outside the regions.
+func ServesNodesOutside(members []Member, self Member, within homes.Set) bool {
+	return within.IsRestricted() && within.Allows(self.Region) && len(members) < MinNodes
 }
 
 func (m Member) place() topology.Place { return topology.Place{Zone: m.Zone, Region: m.Region} }
--- a/internal/core/replicaset/replicaset_test.go
+++ b/internal/core/replicaset/replicaset_test.go
@@ -151,8 +151,8 @@
 	within := homes.Of([]string{"r0"})
 	for _, member := range members {
 		sources := Sources(members, member, within)
-		assert.Equal(t, Answers(members, member, within), member.Region == "r0")
-		assert.Assert(t, !Answers(members, member, homes.Set{}))
+		assert.Equal(t, ServesNodesOutside(members, member, within), member.Region == "r0")
+		assert.Assert(t, !ServesNodesOutside(members, member, homes.Set{}))
 		if member.Region == "r0" {
 			assert.Equal(t, len(sources), 0, "nodes inside the regions read the log")
 			continue
@@ -162,7 +162,7 @@
 			assert.Equal(t, source.Region, "r0")
 		}
 	}
-	assert.Assert(t, !Answers(regions(MinNodes), members[0], within), "large clusters have replicas")
+	assert.Assert(t, !ServesNodesOutside(regions(MinNodes), members[0], within), "large clusters have replicas")
 }
 
 // Guards against a replica outside a job's regions that reads it from the log.
--- a/internal/core/routes/homes.go
+++ b/internal/core/routes/homes.go
@@ -41,7 +41,7 @@
 		}
 	}
 	ofRoutes := make(map[homes.Set]bool)
-	for _, route := range t.Batch() {
+	for _, route := range t.BatchRoutes() {
 		ofRoutes[homes.Of(route.Homes)] = true
 	}
 	seen := make(map[homes.Set]bool)
@@ -49,7 +49,7 @@
 	for ofRoute := range ofRoutes {
 		for ofTenant := range ofTenants {
 			set := ofRoute.Intersect(ofTenant)
-			if set.Bound() && !set.Nowhere() && !seen[set] {
+			if set.IsRestricted() && !set.IsEmpty() && !seen[set] {
 				seen[set] = true
 				sets = append(sets, set)
 			}
@@ -58,9 +58,9 @@
 	return sets
 }
 
-// QuestionHomes returns the regions in which other nodes may answer queries about a tenant's jobs on a host. Such a
+// QueryHomes returns the regions in which other nodes may answer queries about a tenant's jobs on a host. Such a
 // query does not identify a route, so the homes of all batch routes of the host apply.
-func (t *Table) QuestionHomes(host, tenant string) homes.Set {
+func (t *Table) QueryHomes(host, tenant string) homes.Set {
 	set, _ := t.tenantHomes(tenant)
 	for _, route := range t.byHost[normalizeHost(host)] {
 		if route.Kind == Batch {
@@ -70,8 +70,8 @@
 	return set
 }
 
-// NamedHomes returns the sorted regions that occur in the homes of any route or tenant.
-func (t *Table) NamedHomes() []string {
+// HomeRegions returns the sorted regions that occur in the homes of any route or tenant.
+func (t *Table) HomeRegions() []string {
 	seen := make(map[string]bool)
 	for _, routes := range t.byHost {
 		for _, route := range routes {
--- a/internal/core/routes/homes_test.go
+++ b/internal/core/routes/homes_test.go
@@ -79,9 +79,9 @@
 
 func TestQueryHomesIntersectAllBatchRoutesOfHost(t *testing.T) {
 	table := tableWithHomes()
-	assert.Equal(t, table.QuestionHomes("a.example", "plain"), northWest)
-	assert.Equal(t, table.QuestionHomes("a.example", "northern"), north)
-	assert.Assert(t, table.QuestionHomes("a.example", "southern").Nowhere())
-	assert.Equal(t, table.QuestionHomes("b.example", "plain"), homes.Set{}, "the host has no batch route")
-	assert.DeepEqual(t, table.NamedHomes(), []string{"east", "north", "south", "west"})
+	assert.Equal(t, table.QueryHomes("a.example", "plain"), northWest)
+	assert.Equal(t, table.QueryHomes("a.example", "northern"), north)
+	assert.Assert(t, table.QueryHomes("a.example", "southern").IsEmpty())
+	assert.Equal(t, table.QueryHomes("b.example", "plain"), homes.Set{}, "the host has no batch route")
+	assert.DeepEqual(t, table.HomeRegions(), []string{"east", "north", "south", "west"})
 }
--- a/internal/core/routes/routes.go
+++ b/internal/core/routes/routes.go
@@ -44,8 +44,8 @@
 	Timeout time.Duration
 	// Objective is the latency objective of a response.
 	Objective time.Duration
-	// ResultsDue is the time from a job's submission until its results are due.
-	ResultsDue time.Duration
+	// ResultsDueAfter is the time from a job's submission until its results are due.
+	ResultsDueAfter time.Duration
 	// Retention is the time after which the items of a job may expire.
 	Retention     time.Duration
 	MaxAttempts   int
@@ -161,8 +161,8 @@
 	return service, found
 }
 
-// Scaled returns the services with autoscaling, in no particular order.
-func (t *Table) Scaled() []Service {
+// AutoscaledServices returns the services with autoscaling, in no particular order.
+func (t *Table) AutoscaledServices() []Service {
 	var scaled []Service
 	for _, service := range t.services {
 		if service.Scaling != nil {
@@ -183,8 +183,8 @@
 	return bounded
 }
 
-// Batch returns the batch routes, in no particular order.
-func (t *Table) Batch() []*Route {
+// BatchRoutes returns the batch routes, in no particular order.
+func (t *Table) BatchRoutes() []*Route {
 	var batch []*Route
 	for _, routes := range t.byHost {
 		for _, route := range routes {
@@ -196,9 +196,9 @@
 	return batch
 }
 
-// BatchOnly returns the sorted names of the services that only batch routes use. Nodes that run no batch items send
+// BatchOnlyServices returns the sorted names of the services that only batch routes use. Nodes that run no batch items send
 // no requests to their engines.
-func (t *Table) BatchOnly() []string {
+func (t *Table) BatchOnlyServices() []string {
 	live, batch := make(map[string]bool), make(map[string]bool)
 	for _, routes := range t.byHost {
 		for _, route := range routes {
--- a/internal/core/routes/tenants_test.go
+++ b/internal/core/routes/tenants_test.go
@@ -41,7 +41,7 @@
 		_, failure := table.SenderOf(table.Match("h", "/own/x"), credentials, true)
 		assert.Assert(t, failure != nil, name)
 		assert.Equal(t, failure.Kind, errkind.Unauthorized, name)
-		assert.Equal(t, failure.Kind.Answer().Execution, errkind.NotExecuted, name)
+		assert.Equal(t, failure.Kind.Response().Execution, errkind.NotExecuted, name)
 		if credentials.Key != "" {
 			assert.Assert(t, !strings.Contains(failure.Error(), credentials.Key), "the error contains the key")
 		}
--- a/internal/core/scheduler/cell.go
+++ b/internal/core/scheduler/cell.go
@@ -147,16 +147,16 @@
 // Finished records that an assigned item ended on its engine; false if it was not
 // running.
 func (c *Cell) Finished(now time.Time, id string) bool {
-	if !c.Returned(id) {
+	if !c.Unassign(id) {
 		return false
 	}
 	c.drain.finished(now)
 	return true
 }
 
-// Returned records that an assigned item was not executed; false if it was not
+// Unassign records that an assigned item was not executed; false if it was not
 // assigned. Unlike Finished, it doesn't count toward the drain rate.
-func (c *Cell) Returned(id string) bool {
+func (c *Cell) Unassign(id string) bool {
 	finished, ok := c.running[id]
 	if !ok {
 		return false
--- a/internal/core/scheduler/dispatch.go
+++ b/internal/core/scheduler/dispatch.go
@@ -156,7 +156,7 @@
 	c.lastPicked = host.id
 	version, _ := host.version(queued.item.Model)
 	if c.config.Prefixes != nil {
-		c.config.Prefixes.Sent(host.id, queued.prefixHashes(version))
+		c.config.Prefixes.RecordSent(host.id, queued.prefixHashes(version))
 	}
 	queued.hashes = nil
 	return Assignment{
--- a/internal/core/scheduler/engine.go
+++ b/internal/core/scheduler/engine.go
@@ -16,8 +16,8 @@
 	Leaving bool
 	// Reachable reports whether the engine's watch stream is connected.
 	Reachable bool
-	// Reported is true if Status is a new report, not the previous one repeated.
-	Reported bool
+	// NewReport is true if Status is a new report, not the previous one repeated.
+	NewReport bool
 }
 
 // engineState is the cell's state of one engine.
@@ -48,7 +48,7 @@
 	s.status = update.Status
 	s.leaving = update.Leaving
 	s.reachable = update.Reachable
-	if update.Reported {
+	if update.NewReport {
 		s.updateForeign()
 	}
 }
--- a/internal/core/scheduler/filter_test.go
+++ b/internal/core/scheduler/filter_test.go
@@ -57,13 +57,13 @@
 func TestUpdateEstimatesForeignRequests(t *testing.T) {
 	candidate := servingEngine("a", 1, 8)
 	for range peakHistory {
-		candidate.update(&EngineUpdate{ID: "a", Status: candidate.status, Reachable: true, Reported: true})
+		candidate.update(&EngineUpdate{ID: "a", Status: candidate.status, Reachable: true, NewReport: true})
 	}
 	candidate.status.Running = 3
-	candidate.update(&EngineUpdate{ID: "a", Status: candidate.status, Reachable: true, Reported: true})
+	candidate.update(&EngineUpdate{ID: "a", Status: candidate.status, Reachable: true, NewReport: true})
 	assert.Equal(t, candidate.free(), 5)
 	candidate.start(&entry{item: Item{ID: "r"}})
 	candidate.status.Running = 1
-	candidate.update(&EngineUpdate{ID: "a", Status: candidate.status, Reachable: true, Reported: true})
+	candidate.update(&EngineUpdate{ID: "a", Status: candidate.status, Reachable: true, NewReport: true})
 	assert.Equal(t, candidate.free(), 7)
 }
--- a/internal/core/scheduler/score_test.go
+++ b/internal/core/scheduler/score_test.go
@@ -15,7 +15,7 @@
 	candidate := servingEngine("a", 3, 2)
 	assert.Equal(t, scorePrefix(queued, candidate, nil), 0.0)
 	assert.Equal(t, scorePrefix(queued, candidate, prefixes), 0.0)
-	prefixes.Sent("a", queued.prefixHashes(3)[:2])
+	prefixes.RecordSent("a", queued.prefixHashes(3)[:2])
 	assert.Equal(t, scorePrefix(queued, candidate, prefixes), 0.5)
 	candidate.status.Models[0].Version = 4
 	assert.Equal(t, scorePrefix(queued, candidate, prefixes), 0.0)
--- a/internal/core/slowstart/pacer.go
+++ b/internal/core/slowstart/pacer.go
@@ -20,14 +20,14 @@
 	Burst = 2
 	// window is how long an admission counts towards the rate, which is per second.
 	window = time.Second
-	// PermitLife is how long after the request for it a permit may be used. Permits of that time may be used
-	// at once, so a second may see the admissions of one second plus PermitLife.
-	PermitLife = 250 * time.Millisecond
+	// PermitTTL is how long after the request for it a permit may be used. Permits of that time may be used
+	// at once, so a second may see the admissions of one second plus PermitTTL.
+	PermitTTL = 250 * time.Millisecond
 	// maxTransit is the assumed maximum time that a sent request takes to arrive.
 	maxTransit = 250 * time.Millisecond
 	// TakeoverPause is how long a new leader admits nothing, since it does not know the admissions of its
 	// predecessor and which permits are still unused.
-	TakeoverPause = window + PermitLife + maxTransit
+	TakeoverPause = window + PermitTTL + maxTransit
 )
 
 // Pacer admits requests to cold engines, evenly spaced: a leaky bucket as a meter (the generic cell rate
--- a/internal/core/slowstart/pacer_test.go
+++ b/internal/core/slowstart/pacer_test.go
@@ -14,7 +14,7 @@
 var (
 	began          = time.Unix(1000, 0)
 	firstAdmission = began.Add(TakeoverPause)
-	cold           = incarnation.ID{Engine: "e1", Born: 7}
+	cold           = incarnation.ID{Engine: "e1", StartMillis: 7}
 )
 
 // maxPerSecond returns the largest number of times within one second.
@@ -87,7 +87,7 @@
 		assert.Equal(t, pacer.Admit(cold, 1, firstAdmission), time.Duration(0))
 	}
 	assert.Equal(t, pacer.Admit(cold, 1, firstAdmission), time.Second)
-	assert.Equal(t, pacer.Room(incarnation.ID{Engine: "e1", Born: 8}, 1, firstAdmission), Burst, "another incarnation")
+	assert.Equal(t, pacer.Room(incarnation.ID{Engine: "e1", StartMillis: 8}, 1, firstAdmission), Burst, "another incarnation")
 }
 
 // The engine reports that it is cold only after eight items were started at once.
@@ -123,7 +123,7 @@
 	var times []time.Time
 	for now := firstAdmission; now.Before(end); now = now.Add(time.Millisecond) {
 		if earlier.Admit(cold, rate, now) == 0 {
-			times = append(times, now.Add(PermitLife))
+			times = append(times, now.Add(PermitTTL))
 		}
 	}
 	next := New(end)
@@ -145,7 +145,7 @@
 			if pacer.Admit(cold, rate, now) > 0 {
 				continue
 			}
-			if wait := together.Sub(now); wait > 0 && wait <= PermitLife {
+			if wait := together.Sub(now); wait > 0 && wait <= PermitTTL {
 				sent = append(sent, together)
 				continue
 			}
--- a/internal/core/weightplan/limiter.go
+++ b/internal/core/weightplan/limiter.go
@@ -50,8 +50,8 @@
 	return min(l.Limit(), max(MinConcurrentLoads, engines/maxLoadingDivisor))
 }
 
-// Ended records a finished load; concurrent is the maximum number of concurrent loads during it, itself included.
-func (l *Limiter) Ended(began, ended time.Time, concurrent int) {
+// RecordLoad records a finished load; concurrent is the maximum number of concurrent loads during it, itself included.
+func (l *Limiter) RecordLoad(began, ended time.Time, concurrent int) {
 	duration := ended.Sub(began)
 	if l.fastest == 0 || duration < l.fastest {
 		l.fastest = duration
--- a/internal/core/weightplan/limiter_test.go
+++ b/internal/core/weightplan/limiter_test.go
@@ -24,7 +24,7 @@
 		began := now.Add(time.Millisecond)
 		now = began.Add(from.duration(concurrent))
 		for range concurrent {
-			limiter.Ended(began, now, concurrent)
+			limiter.RecordLoad(began, now, concurrent)
 		}
 	}
 	return now
@@ -57,8 +57,8 @@
 
 func TestSlowLoadNeverLowersTheLimitBelowTheMinimum(t *testing.T) {
 	limiter := NewLimiter()
-	limiter.Ended(start, start.Add(time.Second), 1)
-	limiter.Ended(start, start.Add(30*time.Second), 2)
+	limiter.RecordLoad(start, start.Add(time.Second), 1)
+	limiter.RecordLoad(start, start.Add(30*time.Second), 2)
 	assert.Equal(t, limiter.Limit(), MinConcurrentLoads)
 }
 
@@ -66,7 +66,7 @@
 func TestFastLoadsBelowTheLimitDoNotRaiseIt(t *testing.T) {
 	limiter := NewLimiter()
 	for range 10 {
-		limiter.Ended(start, start.Add(time.Second), 1)
+		limiter.RecordLoad(start, start.Add(time.Second), 1)
 	}
 	assert.Equal(t, limiter.Limit(), MinConcurrentLoads)
 }
@@ -76,7 +76,7 @@
 	limiter := NewLimiter()
 	now := runRounds(limiter, source{sustained: 100, alone: time.Second}, 3, start)
 	for _, duration := range []time.Duration{1500, 1800, 2500, 3000} {
-		limiter.Ended(now, now.Add(duration*time.Millisecond), 15)
+		limiter.RecordLoad(now, now.Add(duration*time.Millisecond), 15)
 	}
 	assert.Equal(t, limiter.Limit(), 10)
 }
@@ -96,8 +96,8 @@
 	limiter := NewLimiter()
 	assert.Equal(t, limiter.LimitOf(11), MinConcurrentLoads)
 	assert.Equal(t, limiter.LimitOf(122), 15)
-	limiter.Ended(start, start.Add(time.Second), 1)
-	limiter.Ended(start, start.Add(3*time.Second), 15)
+	limiter.RecordLoad(start, start.Add(time.Second), 1)
+	limiter.RecordLoad(start, start.Add(3*time.Second), 15)
 	assert.Equal(t, limiter.LimitOf(122), 5)
 }
 
--- a/internal/core/weightplan/weightplan_test.go
+++ b/internal/core/weightplan/weightplan_test.go
@@ -142,7 +142,7 @@
 	targets := []Target{{Model: "a", Version: 9}, {Model: "b", Version: 9}}
 	start := func(engine string, born, a, b int64) Engine {
 		return Engine{
-			ID: incarnation.ID{Engine: engine, Born: born}, Versions: map[string]int64{"a": a, "b": b}, Usable: true,
+			ID: incarnation.ID{Engine: engine, StartMillis: born}, Versions: map[string]int64{"a": a, "b": b}, Usable: true,
 		}
 	}
 	allocator := NewAllocator()
--- a/internal/core/weights/claim_backoff.go
+++ b/internal/core/weights/claim_backoff.go
@@ -11,17 +11,17 @@
 	lossRetention = 15 * time.Minute
 )
 
-// Contest is the backoff of one node's claims on a stream that it lost to another
+// ClaimBackoff is the backoff of one node's claims on a stream that it lost to another
 // node. It limits ownership flapping during a network partition in which two nodes
 // reach the log but not each other. Ownership is not needed for correctness, so any
 // delay is safe. The zero value is ready to use.
-type Contest struct {
+type ClaimBackoff struct {
 	delay  time.Duration
 	lostAt time.Time
 }
 
-// Lost records that another node claimed the stream.
-func (c *Contest) Lost(now time.Time) {
+// RecordLoss records that another node claimed the stream.
+func (c *ClaimBackoff) RecordLoss(now time.Time) {
 	if now.Sub(c.lostAt) > lossRetention {
 		c.delay = 0
 	}
@@ -30,4 +30,4 @@
 }
 
 // MayClaim reports whether the backoff delay has passed.
-func (c *Contest) MayClaim(now time.Time) bool { return now.Sub(c.lostAt) >= c.delay }
+func (c *ClaimBackoff) MayClaim(now time.Time) bool { return now.Sub(c.lostAt) >= c.delay }
--- a/internal/core/weights/claim_backoff_test.go
+++ b/internal/core/weights/claim_backoff_test.go
@@ -9,14 +9,14 @@
 
 // Guards against ownership flapping between two partitioned nodes.
 func TestContestLimitsAlternatingClaims(t *testing.T) {
-	var nodes [2]Contest
+	var nodes [2]ClaimBackoff
 	owner, claims := 0, 0
 	start := time.Unix(1_000_000, 0)
 	for second := range 3600 {
 		now := start.Add(time.Duration(second) * time.Second)
 		other := 1 - owner
 		if nodes[other].MayClaim(now) {
-			nodes[owner].Lost(now)
+			nodes[owner].RecordLoss(now)
 			owner = other
 			claims++
 		}
@@ -25,14 +25,14 @@
 }
 
 func TestContestResetsAfterLossRetention(t *testing.T) {
-	var contest Contest
+	var contest ClaimBackoff
 	now := time.Unix(1_000_000, 0)
 	assert.Assert(t, contest.MayClaim(now))
 	for range 10 {
-		contest.Lost(now)
+		contest.RecordLoss(now)
 	}
 	assert.Assert(t, !contest.MayClaim(now.Add(maxClaimDelay-time.Second)))
 	now = now.Add(lossRetention + time.Second)
-	contest.Lost(now)
+	contest.RecordLoss(now)
 	assert.Assert(t, contest.MayClaim(now.Add(minClaimDelay)))
 }
--- a/internal/core/weights/store_rate.go
+++ b/internal/core/weights/store_rate.go
@@ -25,13 +25,13 @@
 	started, finished int
 }
 
-// Pace estimates the rate at which the weight store serves loads of a model. The
+// StoreRateEstimator estimates the rate at which the weight store serves loads of a model. The
 // coordinator isn't informed of refused downloads, but they make loads take longer.
 // Load durations are derived from counts alone: loads finish roughly in the order
 // in which they started, so the n-th finish is matched with the n-th start.
 //
 // The zero value is ready to use. It is not safe for concurrent use.
-type Pace struct {
+type StoreRateEstimator struct {
 	version uint64
 	samples []progressSample
 	// minDuration is the shortest load duration observed; zero if unknown.
@@ -43,7 +43,7 @@
 
 // Observe records the number of running loads and of engines that have reached
 // the version. Calls must have non-decreasing times.
-func (p *Pace) Observe(now time.Time, version uint64, running, reached int) {
+func (p *StoreRateEstimator) Observe(now time.Time, version uint64, running, reached int) {
 	if version != p.version {
 		p.version = version
 		p.samples = nil
@@ -62,7 +62,7 @@
 }
 
 // updateEstimate updates the estimates if loads finished since the previous sample.
-func (p *Pace) updateEstimate() {
+func (p *StoreRateEstimator) updateEstimate() {
 	last := len(p.samples) - 1
 	if last < 1 || p.samples[last].finished == p.samples[last-1].finished {
 		return
@@ -83,7 +83,7 @@
 
 // lastLoadDuration returns the duration of the load that finished last; false if it is
 // unknown. For a load already running at the oldest sample, it is the time since then.
-func (p *Pace) lastLoadDuration() (time.Duration, bool) {
+func (p *StoreRateEstimator) lastLoadDuration() (time.Duration, bool) {
 	last := p.samples[len(p.samples)-1]
 	if last.finished <= p.samples[0].started {
 		return last.at.Sub(p.samples[0].at),
@@ -98,7 +98,7 @@
 }
 
 // completionRate returns the loads finished per second over the last minDuration.
-func (p *Pace) completionRate() float64 {
+func (p *StoreRateEstimator) completionRate() float64 {
 	last := p.samples[len(p.samples)-1]
 	from := p.samples[0]
 	for _, earlier := range p.samples {
@@ -115,7 +115,7 @@
 
 // Limits returns the limits for the next wave, given the configured bound on
 // concurrent loads and the number of engines.
-func (p *Pace) Limits(maxConcurrent, engines int) Limits {
+func (p *StoreRateEstimator) Limits(maxConcurrent, engines int) Limits {
 	limits := Limits{MaxConcurrent: maxConcurrent}
 	if p.minDuration == 0 {
 		limits.MaxConcurrent = min(maxConcurrent, max(1, (engines+initialLoadDivisor-1)/initialLoadDivisor))
--- a/internal/core/weights/store_rate_test.go
+++ b/internal/core/weights/store_rate_test.go
@@ -10,7 +10,7 @@
 // simulateRollout loads the engines from a store that serves storeRate loads per
 // second (0: unlimited), observed once per second. It returns the rollout's duration
 // in seconds and the peak number of concurrent loads.
-func simulateRollout(p *Pace, version uint64, engines, maxConcurrent, storeRate, loadSeconds int) (seconds, peak int) {
+func simulateRollout(p *StoreRateEstimator, version uint64, engines, maxConcurrent, storeRate, loadSeconds int) (seconds, peak int) {
 	start := time.Unix(1_000_000*int64(version), 0)
 	var ends []int // second at which each running load ends
 	waiting, reached := 0, 0
@@ -41,7 +41,7 @@
 }
 
 func TestPaceUsesFastStoreFully(t *testing.T) {
-	var pace Pace
+	var pace StoreRateEstimator
 	first, peak := simulateRollout(&pace, 2, 6100, 10_000, 0, 5)
 	assert.Assert(t, peak >= 6100/initialLoadDivisor && first <= 16, "%d s, peak %d", first, peak)
 	again, _ := simulateRollout(&pace, 3, 6100, 3050, 0, 5)
@@ -49,7 +49,7 @@
 }
 
 func TestPaceEstimatesStoreRate(t *testing.T) {
-	var pace Pace
+	var pace StoreRateEstimator
 	_, _ = simulateRollout(&pace, 2, 1000, 10_000, 20, 5)
 	learnt := pace.Limits(10_000, 1000).concurrency()
 	// 20 loads per second of 5 s each saturate the store at 100 concurrent loads.
@@ -59,7 +59,7 @@
 }
 
 func TestPaceDetectsFasterStore(t *testing.T) {
-	var pace Pace
+	var pace StoreRateEstimator
 	_, _ = simulateRollout(&pace, 2, 1000, 10_000, 20, 5)
 	slow, _ := simulateRollout(&pace, 3, 1000, 10_000, 0, 5)
 	fast, _ := simulateRollout(&pace, 4, 1000, 10_000, 0, 5)
@@ -67,7 +67,7 @@
 }
 
 func TestPaceKeepsConfiguredBound(t *testing.T) {
-	var pace Pace
+	var pace StoreRateEstimator
 	_, peak := simulateRollout(&pace, 2, 500, 8, 0, 5)
 	assert.Equal(t, peak, 8)
 	_, peak = simulateRollout(&pace, 3, 1, 8, 0, 5)
--- a/internal/crashes/golden_test.go
+++ b/internal/crashes/golden_test.go
@@ -27,7 +27,7 @@
 	encoded, err := encode(record)
 	assert.NilError(t, err)
 	encoded.Offset = record.Offset
-	if commit := goldenrecord.Writing(); commit != "" {
+	if commit := goldenrecord.WritingCommit(); commit != "" {
 		goldenrecord.Write(t, commit, "keyed", &encoded)
 		return
 	}
--- a/internal/crashes/guard.go
+++ b/internal/crashes/guard.go
@@ -18,7 +18,7 @@
 // Guard quarantines requests during which engines crashed. Nodes write the crashes that they observe to the log, which
 // all nodes follow; while the log is unavailable, they send them to each other. It is safe for concurrent use.
 type Guard struct {
-	watch   *Watch
+	watch   *Detector
 	writer  *writer
 	observe func(requests int)
 	logger  zerolog.Logger
@@ -40,7 +40,7 @@
 
 // GuardOptions configure a guard.
 type GuardOptions struct {
-	Watch *Watch
+	Watch *Detector
 	Log   Log
 	// Topic is the compacted topic of the records.
 	Topic string
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// Take applies a record of the log; see follow.Handler.
-func (g *Guard) Take(from eventlog.KeyedRecord) {
+// HandleRecord applies a record of the log; see follow.Handler.
+func (g *Guard) HandleRecord(from eventlog.KeyedRecord) {
 	record, err := decode(from)
 	if err != nil {
 		g.logger.Error().Err(err).Str("key", from.Key).Int64("offset", from.Offset).
@@ -126,7 +126,7 @@
 }
 
 // ConnectionLost reports whether the engine crashed during the request, and records the crash.
-func (g *Guard) ConnectionLost(ctx context.Context, loss Loss) bool {
+func (g *Guard) ConnectionLost(ctx context.Context, loss LostConnection) bool {
 	if !g.watch.ConnectionLost(ctx, loss) {
 		return false
 	}
@@ -209,7 +209,7 @@
 	}
 	failure := errkind.New(errkind.Quarantined, "%d engines ended under this request, fingerprint %s",
 		standing.Crashes, fingerprint())
-	failure.RetryAfter = max(standing.HeldUntil.Sub(now), failure.Kind.Answer().RetryAfter)
+	failure.RetryAfter = max(standing.HeldUntil.Sub(now), failure.Kind.Response().RetryAfter)
 	return failure
 }
 
--- a/internal/crashes/guard_test.go
+++ b/internal/crashes/guard_test.go
@@ -62,7 +62,7 @@
 		},
 	})
 	c.guards = append(c.guards, guard)
-	return guard, follow.New(c.log, topic, guard.Take, pacing.Budget{}, zerolog.Nop())
+	return guard, follow.New(c.log, topic, guard.HandleRecord, pacing.Budget{}, zerolog.Nop())
 }
 
 // settle waits for 3 s and until all goroutines are idle.
@@ -76,7 +76,7 @@
 // observeCrash makes a node observe the crash of an engine during the request.
 func (c *cluster) observeCrash(node int, engine string) {
 	c.t.Helper()
-	crashed := c.guards[node].ConnectionLost(c.t.Context(), Loss{
+	crashed := c.guards[node].ConnectionLost(c.t.Context(), LostConnection{
 		Engine: fleet.Engine{ID: engine, Service: "s", Address: engine + ":1"}, Fingerprint: crashingFingerprint,
 	})
 	assert.Assert(c.t, crashed)
@@ -171,7 +171,7 @@
 
 // TestWritesWithUnknownOutcomeCountOnce: writes take effect, at once or late, but report an unknown outcome.
 func TestWritesWithUnknownOutcomeCountOnce(t *testing.T) {
-	for name, fault := range map[string]memlog.Fault{"lost": memlog.LostAnswer, "late": memlog.LateEffect} {
+	for name, fault := range map[string]memlog.Fault{"lost": memlog.LostResponse, "late": memlog.DelayedEffect} {
 		t.Run(name, func(t *testing.T) {
 			runCluster(t, 2, func(c *cluster) {
 				c.log.SetFault(func(call memlog.Call) memlog.Fault {
@@ -184,7 +184,7 @@
 				c.observeCrash(0, "b")
 				c.settle()
 				c.log.SetFault(nil)
-				c.log.Release()
+				c.log.ReleaseDelayed()
 				c.settle()
 				c.assertQuarantined(true)
 				standing := c.guards[1].Standing(fingerprint)
@@ -242,7 +242,7 @@
 // TestNoTrialDuringLogOutage: without the log, a node cannot know whether another one claimed the trial.
 func TestNoTrialDuringLogOutage(t *testing.T) {
 	for name, fault := range map[string]memlog.Fault{
-		"refused": memlog.Refused, "lost": memlog.LostAnswer, "late": memlog.LateEffect,
+		"refused": memlog.Refused, "lost": memlog.LostResponse, "late": memlog.DelayedEffect,
 	} {
 		t.Run(name, func(t *testing.T) {
 			runCluster(t, 2, func(c *cluster) {
@@ -253,7 +253,7 @@
 				c.log.SetFault(func(memlog.Call) memlog.Fault { return fault })
 				c.assertQuarantined(true)
 				c.log.SetFault(nil)
-				c.log.Release()
+				c.log.ReleaseDelayed()
 				c.settle()
 			})
 		})
--- a/internal/crashes/incarnation_test.go
+++ b/internal/crashes/incarnation_test.go
@@ -21,7 +21,7 @@
 // observeCrashOf makes a node observe the crash of an incarnation during the request.
 func (c *cluster) observeCrashOf(node int, engine fleet.Engine) {
 	c.t.Helper()
-	assert.Assert(c.t, c.guards[node].ConnectionLost(c.t.Context(), Loss{Engine: engine, Fingerprint: crashingFingerprint}))
+	assert.Assert(c.t, c.guards[node].ConnectionLost(c.t.Context(), LostConnection{Engine: engine, Fingerprint: crashingFingerprint}))
 }
 
 // TestCrashesOfTwoIncarnationsCountTwice: a service may have a single engine, which restarts under the same ID.
--- a/internal/crashes/laterecord_test.go
+++ b/internal/crashes/laterecord_test.go
@@ -12,7 +12,7 @@
 	runCluster(t, 2, func(c *cluster) {
 		c.log.SetFault(func(call memlog.Call) memlog.Fault {
 			if call.Append {
-				return memlog.LateEffect
+				return memlog.DelayedEffect
 			}
 			return memlog.None
 		})
@@ -25,7 +25,7 @@
 		c.guards[0].Answered(fingerprint)
 		c.settle()
 		c.assertQuarantined(false)
-		c.log.Release()
+		c.log.ReleaseDelayed()
 		c.settle()
 		c.assertQuarantined(false)
 	})
--- a/internal/crashes/peers.go
+++ b/internal/crashes/peers.go
@@ -46,8 +46,8 @@
 	return &Peers{addresses: addresses, client: client, logger: logger}
 }
 
-// Tell sends records to all other nodes. A node that is not reached reads them from the log later.
-func (p *Peers) Tell(ctx context.Context, records []eventlog.KeyedRecord) {
+// Send sends records to all other nodes. A node that is not reached reads them from the log later.
+func (p *Peers) Send(ctx context.Context, records []eventlog.KeyedRecord) {
 	addresses := p.addresses()
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentSends)
@@ -57,7 +57,7 @@
 		group.Go(func() error {
 			sending, cancel := context.WithTimeout(ctx, sendTimeout)
 			defer cancel()
-			err := msgpackhttp.Ask(sending, p.client, "http://"+address+Path, &message{Records: records}, &emptyAnswer{}, maxAnswerBytes)
+			err := msgpackhttp.Call(sending, p.client, "http://"+address+Path, &message{Records: records}, &emptyAnswer{}, maxAnswerBytes)
 			if err == nil {
 				mu.Lock()
 				reached++
--- a/internal/crashes/watch.go
+++ b/internal/crashes/watch.go
@@ -40,8 +40,8 @@
 // sent to another engine, and the address of an engine that has ended refuses connections immediately.
 const probeTimeout = 100 * time.Millisecond
 
-// Loss is a connection that the engine closed during a request.
-type Loss struct {
+// LostConnection is a connection that the engine closed during a request.
+type LostConnection struct {
 	Engine fleet.Engine
 	// RequestID is the ID of the live request or of the batch item.
 	RequestID   string
@@ -59,17 +59,17 @@
 	Observe func(service, liveness string)
 }
 
-// Watch probes engines whose connections were lost. It is safe for concurrent use.
-type Watch struct {
+// Detector probes engines whose connections were lost. It is safe for concurrent use.
+type Detector struct {
 	options Options
 	// probes deduplicates concurrent probes of an engine, since a crash closes all its connections.
 	probes singleflight.Group
 }
 
-func NewWatch(options Options) *Watch { return &Watch{options: options} }
+func NewDetector(options Options) *Detector { return &Detector{options: options} }
 
 // ConnectionLost probes the engine and reports whether it crashed during the request.
-func (w *Watch) ConnectionLost(ctx context.Context, loss Loss) bool {
+func (w *Detector) ConnectionLost(ctx context.Context, loss LostConnection) bool {
 	began := time.Now()
 	liveness, listed := w.probe(ctx, loss.Engine)
 	crashed := listed && liveness == Ended
@@ -83,7 +83,7 @@
 
 // probe returns the liveness of an engine. listed is false if the engine was draining or is no longer listed: its end
 // was planned.
-func (w *Watch) probe(ctx context.Context, engine fleet.Engine) (liveness Liveness, listed bool) {
+func (w *Detector) probe(ctx context.Context, engine fleet.Engine) (liveness Liveness, listed bool) {
 	listing := w.options.Fleet.Listing(engine)
 	switch {
 	case listing.Draining, !listing.Listed && !listing.Replaced:
--- a/internal/crashes/watch_test.go
+++ b/internal/crashes/watch_test.go
@@ -37,28 +37,28 @@
 	return fleet.Engine{ID: id, Service: "s", Address: address, Slots: 4}
 }
 
-func newTestWatch(prober Prober, engines ...fleet.Engine) *Watch {
+func newTestWatch(prober Prober, engines ...fleet.Engine) *Detector {
 	known := fleet.New()
 	for _, engine := range engines {
 		known.Put(engine)
 	}
-	return NewWatch(Options{Prober: prober, Fleet: known, Logger: zerolog.Nop(), Observe: func(string, string) {}})
+	return NewDetector(Options{Prober: prober, Fleet: known, Logger: zerolog.Nop(), Observe: func(string, string) {}})
 }
 
 func TestOnlyRefusedConnectionsCountAsCrash(t *testing.T) {
 	engine := engineAt("e", "a:1")
 	for answer, crashed := range map[Liveness]bool{Ended: true, Listening: false, Unknown: false} {
 		watch := newTestWatch(&fakeProber{answer: answer}, engine)
-		assert.Equal(t, watch.ConnectionLost(t.Context(), Loss{Engine: engine}), crashed, answer.String())
+		assert.Equal(t, watch.ConnectionLost(t.Context(), LostConnection{Engine: engine}), crashed, answer.String())
 	}
 }
 
 func TestDrainingEngineHasNotCrashed(t *testing.T) {
 	leaving := engineAt("e", "a:1")
 	leaving.Draining = true
-	assert.Assert(t, !newTestWatch(&fakeProber{answer: Ended}, leaving).ConnectionLost(t.Context(), Loss{Engine: leaving}))
+	assert.Assert(t, !newTestWatch(&fakeProber{answer: Ended}, leaving).ConnectionLost(t.Context(), LostConnection{Engine: leaving}))
 	// The engine is no longer listed.
-	assert.Assert(t, !newTestWatch(&fakeProber{answer: Ended}).ConnectionLost(t.Context(), Loss{Engine: leaving}))
+	assert.Assert(t, !newTestWatch(&fakeProber{answer: Ended}).ConnectionLost(t.Context(), LostConnection{Engine: leaving}))
 }
 
 // TestReplacedEngineHasCrashed: a node that was suspended notices the lost connection when another engine has the
@@ -66,7 +66,7 @@
 func TestReplacedEngineHasCrashed(t *testing.T) {
 	engine := engineAt("e", "a:1")
 	watch := newTestWatch(&fakeProber{answer: Listening}, engine, engineAt("next", "a:1"))
-	assert.Assert(t, watch.ConnectionLost(t.Context(), Loss{Engine: engine}))
+	assert.Assert(t, watch.ConnectionLost(t.Context(), LostConnection{Engine: engine}))
 }
 
 // TestConcurrentLossesShareOneProbe: a crash closes all connections of an engine at the same time.
@@ -79,7 +79,7 @@
 		var crashed atomic.Int64
 		for range 16 {
 			group.Go(func() {
-				if watch.ConnectionLost(t.Context(), Loss{Engine: engine}) {
+				if watch.ConnectionLost(t.Context(), LostConnection{Engine: engine}) {
 					crashed.Add(1)
 				}
 			})
@@ -95,7 +95,7 @@
 // incarnationOf returns an engine with the given start time.
 func incarnationOf(id, address string, born int64) fleet.Engine {
 	engine := engineAt(id, address)
-	engine.Born = born
+	engine.StartMillis = born
 	return engine
 }
 
@@ -104,9 +104,9 @@
 	first, second := incarnationOf("e", "a:1", 1000), incarnationOf("e", "a:1", 2000)
 	prober := &fakeProber{answer: Listening}
 	watch := newTestWatch(prober, first, second)
-	assert.Assert(t, watch.ConnectionLost(t.Context(), Loss{Engine: first}))
+	assert.Assert(t, watch.ConnectionLost(t.Context(), LostConnection{Engine: first}))
 	assert.Equal(t, prober.probes.Load(), int64(0), "another incarnation listens there")
-	assert.Assert(t, !watch.ConnectionLost(t.Context(), Loss{Engine: second}))
+	assert.Assert(t, !watch.ConnectionLost(t.Context(), LostConnection{Engine: second}))
 }
 
 // TestDrainedAndRestartedEngineHasNotCrashed: the end of a draining engine is planned.
@@ -115,7 +115,7 @@
 	leaving := first
 	leaving.Draining = true
 	watch := newTestWatch(&fakeProber{answer: Ended}, first, leaving, incarnationOf("e", "a:1", 2000))
-	assert.Assert(t, !watch.ConnectionLost(t.Context(), Loss{Engine: first}))
+	assert.Assert(t, !watch.ConnectionLost(t.Context(), LostConnection{Engine: first}))
 }
 
 // TestEngineWithReassignedAddressHasCrashed: an engine of another service is listed at the address.
@@ -123,7 +123,7 @@
 	first, next := incarnationOf("e", "a:1", 1000), incarnationOf("f", "a:1", 2000)
 	next.Service = "other"
 	watch := newTestWatch(&fakeProber{answer: Listening}, first, next)
-	assert.Assert(t, watch.ConnectionLost(t.Context(), Loss{Engine: first}))
+	assert.Assert(t, watch.ConnectionLost(t.Context(), LostConnection{Engine: first}))
 }
 
 // TestIncarnationsAreProbedSeparately: the probe of an incarnation must not share the result of a hanging probe of the
@@ -134,12 +134,12 @@
 		known := fleet.New()
 		known.Put(first)
 		prober := &fakeProber{answer: Ended, hold: make(chan struct{})}
-		watch := NewWatch(Options{Prober: prober, Fleet: known, Logger: zerolog.Nop(), Observe: func(string, string) {}})
+		watch := NewDetector(Options{Prober: prober, Fleet: known, Logger: zerolog.Nop(), Observe: func(string, string) {}})
 		var group sync.WaitGroup
-		group.Go(func() { watch.ConnectionLost(t.Context(), Loss{Engine: first}) })
+		group.Go(func() { watch.ConnectionLost(t.Context(), LostConnection{Engine: first}) })
 		synctest.Wait()
 		known.Put(second)
-		group.Go(func() { watch.ConnectionLost(t.Context(), Loss{Engine: second}) })
+		group.Go(func() { watch.ConnectionLost(t.Context(), LostConnection{Engine: second}) })
 		synctest.Wait()
 		assert.Equal(t, prober.probes.Load(), int64(2))
 		close(prober.hold)
@@ -154,9 +154,9 @@
 	engine.Zone = "za"
 	prober := &fakeProber{answer: Listening}
 	watch := newTestWatch(prober, engine)
-	watch.ConnectionLost(t.Context(), Loss{Engine: engine})
+	watch.ConnectionLost(t.Context(), LostConnection{Engine: engine})
 	assert.Assert(t, prober.mayAsk.Load())
 	watch.options.Fleet.Evacuate("za", time.Now(), 1)
-	watch.ConnectionLost(t.Context(), Loss{Engine: engine})
+	watch.ConnectionLost(t.Context(), LostConnection{Engine: engine})
 	assert.Assert(t, !prober.mayAsk.Load())
 }
--- a/internal/dispatcher/cell.go
+++ b/internal/dispatcher/cell.go
@@ -139,7 +139,7 @@
 		return
 	}
 	// The task was abandoned but not yet withdrawn from the queue.
-	c.scheduler.Returned(id)
+	c.scheduler.Unassign(id)
 }
 
 // tick expires queued tasks past their deadline, dispatches, cancels attempts on unreachable engines
@@ -161,7 +161,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.scheduler.Remove(t.id) {
-		c.scheduler.Returned(t.id)
+		c.scheduler.Unassign(t.id)
 	}
 	c.dispatch(time.Now())
 }
@@ -175,7 +175,7 @@
 	if ran {
 		c.scheduler.Finished(now, t.id)
 	} else {
-		c.scheduler.Returned(t.id)
+		c.scheduler.Unassign(t.id)
 	}
 	c.dispatch(now)
 }
--- a/internal/dispatcher/directive.go
+++ b/internal/dispatcher/directive.go
@@ -176,7 +176,7 @@
 		case link.reachable && link.status.State == engine.StateBroken:
 			result.Broken++
 		case link.reachable && link.version(wanted.Model) >= wanted.Version:
-			result.AtLeast++
+			result.AtLeastVersion++
 			if link.version(wanted.Model) == wanted.Version {
 				result.AtVersion++
 			}
--- a/internal/dispatcher/directive_test.go
+++ b/internal/dispatcher/directive_test.go
@@ -92,12 +92,12 @@
 		return nil
 	}
 	assert.Equal(t, h.direct(7).Engines, 3)
-	h.eventually(func() bool { return h.direct(7).AtLeast == 3 })
+	h.eventually(func() bool { return h.direct(7).AtLeastVersion == 3 })
 	assert.Equal(t, h.direct(7).AtVersion, 3)
 	h.change("a", func(status *engine.Status) { status.Models[0].Version = 3 })
 	h.eventually(func() bool {
 		result := h.direct(6) // of an old epoch, so it orders nothing
-		return result.AtLeast == 3 && result.AtVersion == 2
+		return result.AtLeastVersion == 3 && result.AtVersion == 2
 	})
 	assert.Equal(t, h.direct(6).StaleEpoch, int64(7))
 }
--- a/internal/dispatcher/link.go
+++ b/internal/dispatcher/link.go
@@ -136,9 +136,9 @@
 			c.observeStatus(link, *event.Status)
 		}
 	case engine.EventStored:
-		c.prefixes.Stored(link.id, event.Sequence, event.Prefixes)
+		c.prefixes.RecordStored(link.id, event.Sequence, event.Prefixes)
 	case engine.EventEvicted:
-		c.prefixes.Evicted(link.id, event.Sequence, event.Prefixes)
+		c.prefixes.RecordEvicted(link.id, event.Sequence, event.Prefixes)
 	}
 }
 
@@ -166,6 +166,6 @@
 		Status:    link.status,
 		Leaving:   link.leaving,
 		Reachable: link.reachable,
-		Reported:  reported,
+		NewReport: reported,
 	})
 }
--- a/internal/dispatcher/task.go
+++ b/internal/dispatcher/task.go
@@ -107,7 +107,7 @@
 // fail ends the task with an error. An error that reports the request as not executed is replaced if
 // an engine may have run it.
 func (t *task) fail(err *errkind.Error) {
-	if t.mayHaveRun && err.Kind.Answer().Execution == errkind.NotExecuted {
+	if t.mayHaveRun && err.Kind.Response().Execution == errkind.NotExecuted {
 		kind := errkind.EngineFailed
 		if !t.submit.Repeatable {
 			kind = errkind.OutcomeUnknown
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -139,7 +139,7 @@
 	}
 	var answered []string
 	for _, kind := range errkind.All() {
-		answer := kind.Answer()
+		answer := kind.Response()
 		answered = append(answered, fmt.Sprintf("%s %d %s", answer.Code, answer.Status, answer.Execution))
 	}
 	slices.Sort(documented)
--- a/internal/duties/arrival_test.go
+++ b/internal/duties/arrival_test.go
@@ -30,10 +30,10 @@
 func (p *latePlatform) ReportUsage(
 	_ context.Context, holder Holder, _ usage.Window, _ usage.Counts,
 ) (Answer, error) {
-	for holder.MayLeave() {
+	for holder.MaySend() {
 		time.Sleep(time.Millisecond)
 	}
-	p.arrived = time.Now().Add(lease.InFlight)
+	p.arrived = time.Now().Add(lease.MaxTransitTime)
 	return Unanswered, context.DeadlineExceeded
 }
 
--- a/internal/duties/counter.go
+++ b/internal/duties/counter.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Began counts a request of a tenant that an engine began to run at the given time.
-func (c *Counter) Began(tenant string, at time.Time) {
+// CountRequest counts a request of a tenant that an engine began to run at the given time.
+func (c *Counter) CountRequest(tenant string, at time.Time) {
 	if c.span <= 0 || tenant == "" {
 		return
 	}
@@ -95,7 +95,7 @@
 			continue
 		case <-c.added:
 		}
-		retry.Sleep(ctx, c.budget.Stretch(countDelay, maxCountDelay))
+		retry.Sleep(ctx, c.budget.ScalePeriod(countDelay, maxCountDelay))
 		for err := c.write(ctx); err != nil && ctx.Err() == nil; err = c.write(ctx) {
 			c.logger.Warn().Err(err).Int("windows", c.unwrittenWindows()).Msg("counts of use not written")
 			retry.Sleep(ctx, delays.NextBackOff())
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -16,9 +16,9 @@
 	Node string
 	// Fence is the fencing token. It increases with each term.
 	Fence int64
-	// MayLeave reports whether the call may still be sent. It is called right before the first byte is written, from
+	// MaySend reports whether the call may still be sent. It is called right before the first byte is written, from
 	// any goroutine; nil means always.
-	MayLeave func() bool
+	MaySend func() bool
 }
 
 // Answer is the platform's answer to a call.
@@ -81,8 +81,8 @@
 		return NotDone, ctx.Err()
 	}
 	holder := c.holder
-	holder.MayLeave = permit.Open
-	calling, cancel := permit.Bound(ctx)
+	holder.MaySend = permit.Open
+	calling, cancel := permit.WithDeadline(ctx)
 	defer cancel()
 	return call(calling, holder)
 }
--- a/internal/duties/reporter.go
+++ b/internal/duties/reporter.go
@@ -40,9 +40,9 @@
 	Term     lease.Term
 	Holder   Holder
 	// Span is the length of a window. Late is how long after the end of a window its report is due.
-	Span   time.Duration
-	Late   time.Duration
-	Logger zerolog.Logger
+	Span        time.Duration
+	ReportDelay time.Duration
+	Logger      zerolog.Logger
 }
 
 // Reporter reports the usage of all tenants during one term of leadership.
@@ -90,7 +90,7 @@
 		return r.send(ctx, newest)
 	}
 	next := r.ledger.Next(began)
-	ready := next.End(r.options.Span).Add(time.Duration(countWaitFraction * float64(r.options.Late)))
+	ready := next.End(r.options.Span).Add(time.Duration(countWaitFraction * float64(r.options.ReportDelay)))
 	if now := time.Now(); now.Before(ready) || now.Sub(r.failedAt) < logRecoveryDelay || !r.options.Term.Valid() {
 		return nil
 	}
@@ -128,7 +128,7 @@
 		// No permit.
 		return nil
 	}
-	late := time.Since(report.Window.End(r.options.Span)) - r.options.Late
+	late := time.Since(report.Window.End(r.options.Span)) - r.options.ReportDelay
 	r.options.Logger.Info().Err(err).Int64("window", int64(report.Window)).Int64("requests", report.Counts.Sum()).
 		Int("tenants", len(report.Counts)).Stringer("answer", answer).Bool("in_time", late <= 0).
 		Int64("fence", r.caller.holder.Fence).Msg("use reported")
@@ -184,7 +184,7 @@
 ) error {
 	for {
 		batch, err := log.Read(ctx, partition, *next, maxReadBytes, 0)
-		var gone *eventlog.GoneError
+		var gone *eventlog.TrimmedError
 		if errors.As(err, &gone) {
 			lost(gone.First)
 			continue
--- a/internal/duties/reporter_test.go
+++ b/internal/duties/reporter_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	reporter := NewReporter(ReporterOptions{
 		Log: log, Platform: platform, Term: term, Holder: Holder{Node: "n", Fence: fence},
-		Span: span, Late: due, Logger: zerolog.Nop(),
+		Span: span, ReportDelay: due, Logger: zerolog.Nop(),
 	})
 	return start(t, reporter.Run)
 }
@@ -73,11 +73,11 @@
 	now := time.Now()
 	startReporter(t, log, platform, term, 1)
 	for range 3 {
-		one.Began("a", now)
+		one.CountRequest("a", now)
 	}
-	two.Began("a", now)
-	two.Began("b", now)
-	two.Began("", now)
+	two.CountRequest("a", now)
+	two.CountRequest("b", now)
+	two.CountRequest("", now)
 	assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)), usage.Counts{"a": 4, "b": 1})
 	// A window without requests is reported as well.
 	assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)+1), usage.Counts{})
@@ -90,7 +90,7 @@
 	log, platform := memlog.New(), newFakePlatform()
 	counter, stop := startCounter(t, log, "one")
 	now := time.Now()
-	counter.Began("a", now)
+	counter.CountRequest("a", now)
 	stop()
 	startReporter(t, log, platform, &leaseterm.Term{}, 1)
 	assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)), usage.Counts{"a": 1})
@@ -114,7 +114,7 @@
 			defer close(ended)
 			_ = counter.Run(ctx)
 		}()
-		counter.Began("a", time.Now())
+		counter.CountRequest("a", time.Now())
 		time.Sleep(10 * time.Second)
 		stopped := time.Now()
 		cancel()
@@ -128,8 +128,8 @@
 func TestCountsSurviveAppendFaults(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]memlog.Fault{
-		"lost answers": memlog.LostAnswer, "refused": memlog.Refused, "lost calls": memlog.LostCall,
-		"late effects": memlog.LateEffect,
+		"lost answers": memlog.LostResponse, "refused": memlog.Refused, "lost calls": memlog.LostCall,
+		"late effects": memlog.DelayedEffect,
 	} {
 		t.Run(name, func(t *testing.T) {
 			log, platform := memlog.New(), newFakePlatform()
@@ -142,13 +142,13 @@
 			counter, _ := startCounter(t, log, "one")
 			// The report of this window is decided after the faults have ended.
 			now := time.Now().Add(due)
-			counter.Began("a", now)
+			counter.CountRequest("a", now)
 			startReporter(t, log, platform, &leaseterm.Term{}, 1)
 			time.Sleep(2 * countDelay)
-			counter.Began("a", now)
+			counter.CountRequest("a", now)
 			time.Sleep(2 * countDelay)
 			log.SetFault(nil)
-			log.Release()
+			log.ReleaseDelayed()
 			assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)), usage.Counts{"a": 2})
 			assert.Equal(t, platform.changed, 0)
 		})
@@ -164,13 +164,13 @@
 	counter, _ := startCounter(t, log, "one")
 	now := time.Now()
 	window := usage.WindowOf(now, span)
-	counter.Began("a", now)
+	counter.CountRequest("a", now)
 	first := &leaseterm.Term{}
 	stop := startReporter(t, log, platform, first, 1)
 	awaitReport(t, platform, window)
-	first.SetOver(true)
+	first.SetEnded(true)
 	stop()
-	counter.Began("a", now)
+	counter.CountRequest("a", now)
 	time.Sleep(2 * countDelay)
 	platform.mu.Lock()
 	platform.answer = nil
@@ -194,7 +194,7 @@
 	start(t, func(ctx context.Context) {
 		defer close(stopped)
 		for ctx.Err() == nil {
-			counter.Began("a", time.Now().Add(-due))
+			counter.CountRequest("a", time.Now().Add(-due))
 			time.Sleep(time.Millisecond)
 		}
 	})
@@ -218,7 +218,7 @@
 		return platform.calls == 1
 	})
 	time.Sleep(4 * span)
-	term.SetOver(true)
+	term.SetEnded(true)
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
 	assert.Equal(t, platform.calls, 1)
@@ -244,7 +244,7 @@
 	t.Parallel()
 	log, platform := memlog.New(), newFakePlatform()
 	quietUntil := time.Now().Add(3 * due)
-	term := &leaseterm.Term{Quiet: func(string) time.Time { return quietUntil }}
+	term := &leaseterm.Term{QuietUntilFunc: func(string) time.Time { return quietUntil }}
 	now := time.Now()
 	startReporter(t, log, platform, term, 2)
 	awaitReport(t, platform, usage.WindowOf(now, span))
@@ -256,7 +256,7 @@
 	t.Parallel()
 	log := memlog.New()
 	counter := NewCounter(log, "one", 0, pacing.Budget{}, zerolog.Nop())
-	counter.Began("a", time.Now())
+	counter.CountRequest("a", time.Now())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	assert.NilError(t, counter.Run(ctx))
--- a/internal/duties/scaler_test.go
+++ b/internal/duties/scaler_test.go
@@ -97,7 +97,7 @@
 func TestScalerSendsNoOrderAfterTerm(t *testing.T) {
 	t.Parallel()
 	platform, term := newFakePlatform(), &leaseterm.Term{}
-	term.SetOver(true)
+	term.SetEnded(true)
 	startScaler(t, platform, term, func() []ScaledService { return []ScaledService{service(30, nil)} })
 	time.Sleep(plannerTime)
 	assert.Equal(t, len(platform.ordered()), 0)
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -78,13 +78,13 @@
 // Error implements the error interface.
 func (e *ConflictError) Error() string { return fmt.Sprintf("partition ends at %d", e.End) }
 
-// GoneError is returned by a read of records that are no longer retained.
-type GoneError struct {
+// TrimmedError is returned by a read of records that are no longer retained.
+type TrimmedError struct {
 	// First is the first retained offset.
 	First int64
 }
 
 // Error implements the error interface.
-func (e *GoneError) Error() string {
+func (e *TrimmedError) Error() string {
 	return fmt.Sprintf("records before offset %d are no longer retained", e.First)
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -179,7 +179,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		var gone *eventlog.GoneError
+		var gone *eventlog.TrimmedError
 		if errors.As(err, &gone) {
 			f.logger.Info().Int64("offset", f.next).Int64("first_kept", gone.First).
 				Msg("topic history lost, reading in full")
@@ -196,7 +196,7 @@
 // retryDelay returns the delay before a failed read is retried. Initial full reads get a random part, because all
 // starting nodes make them.
 func (f *Follower) retryDelay(delays *retry.Delays) time.Duration {
-	delay := f.budget.Stretch(delays.NextBackOff(), maxReadRetry)
+	delay := f.budget.ScalePeriod(delays.NextBackOff(), maxReadRetry)
 	if f.IsLoaded() {
 		return delay
 	}
@@ -210,14 +210,14 @@
 	if f.Age() >= StaleAge {
 		return 0
 	}
-	return f.budget.Stretch(readGap, maxReadGap)
+	return f.budget.ScalePeriod(readGap, maxReadGap)
 }
 
 func (f *Follower) step(ctx context.Context) error {
 	if err := f.refreshIfDue(ctx); err != nil {
 		return err
 	}
-	wait := f.budget.Stretch(pollWait, maxPollWait)
+	wait := f.budget.ScalePeriod(pollWait, maxPollWait)
 	if f.Age() >= StaleAge {
 		wait = 0
 	}
@@ -232,10 +232,10 @@
 	f.next = batch.Next
 	upToDateAt := sent
 	if len(batch.Records) == 0 {
-		upToDateAt = answered.At(sent, wait, f.now())
+		upToDateAt = answered.AsOf(sent, wait, f.now())
 	}
 	f.replica.advance(f.next, upToDateAt)
-	f.fullReads.recordSuccess(time.Now(), rand.N(f.budget.Stretch(refreshDelay, maxRefreshDelay)))
+	f.fullReads.recordSuccess(time.Now(), rand.N(f.budget.ScalePeriod(refreshDelay, maxRefreshDelay)))
 	return nil
 }
 
@@ -260,8 +260,8 @@
 // untilRefresh returns the time until the next full read, which is long enough for the log to serve all nodes.
 func (f *Follower) untilRefresh() time.Duration {
 	size := 1 + len(f.offsets)/refreshRecords
-	period := f.budget.Stretch(time.Duration(size)*refreshPeriod, maxRefreshPeriod)
-	period = max(period, f.budget.Spread(f.fullBytes, maxRefreshPeriod))
+	period := f.budget.ScalePeriod(time.Duration(size)*refreshPeriod, maxRefreshPeriod)
+	period = max(period, f.budget.MinPeriod(f.fullBytes, maxRefreshPeriod))
 	return period - time.Duration(rand.Float64()*refreshJitter*float64(period))
 }
 
--- a/internal/follow/replica.go
+++ b/internal/follow/replica.go
@@ -179,7 +179,7 @@
 // readFrom returns the records at offsets from on. Must be called with mu held.
 func (r *Replica) readFrom(from int64, excluded []string) (eventlog.KeyedBatch, error) {
 	if from < r.droppedBefore {
-		return eventlog.KeyedBatch{}, &eventlog.GoneError{First: r.droppedBefore}
+		return eventlog.KeyedBatch{}, &eventlog.TrimmedError{First: r.droppedBefore}
 	}
 	// A reader that comes from a more recent replica keeps its offset.
 	batch := eventlog.KeyedBatch{Next: max(from, r.next)}
--- a/internal/follow/replica_test.go
+++ b/internal/follow/replica_test.go
@@ -82,7 +82,7 @@
 		offset++
 	}
 	replica.advance(offset, boottime.Now())
-	var gone *eventlog.GoneError
+	var gone *eventlog.TrimmedError
 	_, _, err := replica.Read(t.Context(), 5, 0, nil)
 	assert.Assert(t, errors.As(err, &gone), "%v", err)
 	_, _, err = replica.Read(t.Context(), offset, 0, nil)
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -30,7 +30,7 @@
 		}
 		parsed, err := gateway.parse(httptest.NewRecorder(), request, "request-1")
 		if err != nil {
-			assert.Equal(t, errkind.KindOf(err).Answer().Execution, errkind.NotExecuted, "%v", err)
+			assert.Equal(t, errkind.KindOf(err).Response().Execution, errkind.NotExecuted, "%v", err)
 			return
 		}
 		assert.Equal(t, parsed.request.Row.Kind, policy.KindLive)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -132,7 +132,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			response := f.post(t, test.body, test.headers...)
-			assert.Equal(t, response.StatusCode, test.kind.Answer().Status)
+			assert.Equal(t, response.StatusCode, test.kind.Response().Status)
 			detail := decode[api.ErrorBody](t, response.Body).Error
 			assert.Equal(t, detail.Code, test.kind.String())
 			assert.Equal(t, detail.Executed, "no")
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -67,7 +67,7 @@
 		event.Dur("first_token_ms", record.firstToken.Sub(record.started))
 	}
 	if record.err != nil {
-		event.Str("executed", string(errkind.KindOf(record.err).Answer().Execution)).
+		event.Str("executed", string(errkind.KindOf(record.err).Response().Execution)).
 			Str("error", errkind.From(record.err).Message)
 	}
 	event.Msg("request")
--- a/internal/goldenrecord/goldenrecord.go
+++ b/internal/goldenrecord/goldenrecord.go
@@ -41,7 +41,7 @@
 // Check compares the records of this build with the golden files, or writes golden files if Writing.
 func Check(t *testing.T, samples ...Sample) {
 	t.Helper()
-	if commit := Writing(); commit != "" {
+	if commit := WritingCommit(); commit != "" {
 		for _, sample := range samples {
 			Fill(sample.Value)
 			Write(t, commit, sample.Name, sample.Value)
@@ -59,7 +59,7 @@
 // Writing.
 func CheckNumbers(t *testing.T, name string, numbers map[string]int64) {
 	t.Helper()
-	if commit := Writing(); commit != "" {
+	if commit := WritingCommit(); commit != "" {
 		Write(t, commit, name, numbers)
 		return
 	}
@@ -95,8 +95,8 @@
 	assert.NilError(t, os.WriteFile(goldenPath(commit, name), raw, fileMode))
 }
 
-// Writing returns the commit for which this run writes golden files, or "" if it reads them.
-func Writing() string { return os.Getenv(commitVariable) }
+// WritingCommit returns the commit for which this run writes golden files, or "" if it reads them.
+func WritingCommit() string { return os.Getenv(commitVariable) }
 
 // Read returns a golden file.
 func Read(t *testing.T, commit, name string) []byte {
--- a/internal/hosted/callers.go
+++ b/internal/hosted/callers.go
@@ -27,7 +27,7 @@
 	maxResultsWait = 5 * time.Second
 )
 
-var _ Callers = (*node)(nil)
+var _ CallerService = (*node)(nil)
 
 // Relay implements Callers.
 func (n *node) Relay(w http.ResponseWriter, ctx context.Context, request *ingress.Request) *errkind.Error {
@@ -40,8 +40,8 @@
 	return n.relay.Serve(w, ctx, request)
 }
 
-// TakesBatch implements Callers.
-func (n *node) TakesBatch(host, path string) bool {
+// IsBatchRoute implements Callers.
+func (n *node) IsBatchRoute(host, path string) bool {
 	table := n.state.table()
 	if table == nil {
 		return false
@@ -50,8 +50,8 @@
 	return route != nil && route.Kind == routes.Batch
 }
 
-// Accept implements Callers.
-func (n *node) Accept(ctx context.Context, credentials routes.Credentials, submission batchjobs.Submission) error {
+// SubmitJob implements Callers.
+func (n *node) SubmitJob(ctx context.Context, credentials routes.Credentials, submission batchjobs.Submission) error {
 	began := time.Now()
 	sender, config, failure := n.submitter(credentials, submission.Job)
 	if failure != nil {
@@ -105,7 +105,7 @@
 	}
 	queries := make([]jobQuery, len(tenants))
 	for i, tenant := range tenants {
-		queries[i] = jobQuery{batch.QualifiedID(tenant, job.ID), table.QuestionHomes(job.Host, tenant)}
+		queries[i] = jobQuery{batch.QualifiedID(tenant, job.ID), table.QueryHomes(job.Host, tenant)}
 	}
 	return queries, nil
 }
@@ -174,8 +174,8 @@
 	return err
 }
 
-// Stopping implements Callers.
-func (n *node) Stopping() bool { return n.state.isStopping() }
+// IsStopping implements Callers.
+func (n *node) IsStopping() bool { return n.state.isStopping() }
 
 // MaxBodyBytes implements Callers.
 func (n *node) MaxBodyBytes() int64 {
@@ -204,11 +204,11 @@
 	return table.Limits.IdleTimeout
 }
 
-// Refused implements Callers.
-func (n *node) Refused(id string, failure *errkind.Error) {
+// RecordRefusal implements Callers.
+func (n *node) RecordRefusal(id string, failure *errkind.Error) {
 	n.metrics.refused.WithLabelValues(failure.Kind.String()).Inc()
 	n.logger.Warn().Str("id", id).Str("kind", failure.Kind.String()).Str("error", failure.Message).
-		Int("status", failure.Kind.Answer().Status).Msg("request refused")
+		Int("status", failure.Kind.Response().Status).Msg("request refused")
 }
 
 // ready returns nil if this node accepts new work, otherwise an *errkind.Error with the reason.
--- a/internal/hosted/clusterversion.go
+++ b/internal/hosted/clusterversion.go
@@ -138,9 +138,9 @@
 			Msg("versions of live nodes changed")
 	}
 	if !c.state.Known() {
-		return true, c.options.Budget.Stretch(versionRetry, maxVersionRetry)
+		return true, c.options.Budget.ScalePeriod(versionRetry, maxVersionRetry)
 	}
-	return c.state.NeedsRead(view), c.options.Budget.Stretch(versionReadPeriod, maxVersionReadPeriod)
+	return c.state.NeedsRead(view), c.options.Budget.ScalePeriod(versionReadPeriod, maxVersionReadPeriod)
 }
 
 // stopIfTooOld requests a stop of the node if err says that its build is too old, and reports whether it did.
@@ -204,7 +204,7 @@
 // whether it attempted to.
 func (c *clusterVersion) raiseIfDue(ctx context.Context) bool {
 	c.mu.Lock()
-	version, due := c.state.Raise()
+	version, due := c.state.PendingRaise()
 	c.mu.Unlock()
 	if !due || !c.options.Leads() {
 		return false
--- a/internal/hosted/clusterversion_test.go
+++ b/internal/hosted/clusterversion_test.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	n := &versionedNode{}
 	logger := zerolog.Nop()
-	self := logrelay.Self{Node: id, Region: "north", Version: build}
+	self := logrelay.NodeInfo{Node: id, Region: "north", Version: build}
 	if build < clusterversion.Announced {
 		self.Version = clusterversion.Unversioned
 	}
--- a/internal/hosted/coverage.go
+++ b/internal/hosted/coverage.go
@@ -85,13 +85,13 @@
 	if table == nil || n.needsFullList() {
 		return nil
 	}
-	return table.BatchOnly()
+	return table.BatchOnlyServices()
 }
 
 // needsFullList reports whether this node follows the full engine list: every node of a small cluster, and in a
 // large one the replicas and the nodes that run batch items or may soon have to.
 func (n *node) needsFullList() bool {
-	return len(n.directory.Sources()) == 0 || n.runsItems() || n.elector.Unheld(unclaimedLeasePeriod)
+	return len(n.directory.Sources()) == 0 || n.runsItems() || n.elector.UnheldFor(unclaimedLeasePeriod)
 }
 
 // runsItems reports whether this node runs items of batch jobs.
--- a/internal/hosted/coverage_test.go
+++ b/internal/hosted/coverage_test.go
@@ -32,8 +32,8 @@
 }
 
 func TestBatchOnlyServices(t *testing.T) {
-	assert.DeepEqual(t, batchAndLive(1, "desk").BatchOnly(), []string{"models"})
-	assert.Equal(t, len(batchAndLive(1, "desk", "models").BatchOnly()), 0)
+	assert.DeepEqual(t, batchAndLive(1, "desk").BatchOnlyServices(), []string{"models"})
+	assert.Equal(t, len(batchAndLive(1, "desk", "models").BatchOnlyServices()), 0)
 }
 
 // Excluded engines must not be kept even though the log itself delivers their records, and must return once they
--- a/internal/hosted/duties.go
+++ b/internal/hosted/duties.go
@@ -14,7 +14,7 @@
 
 // usageWindow is the reporting interval of usage; zero if usage is not reported.
 func usageWindow(hosted settings.Hosted) time.Duration {
-	if !hosted.Duty(settings.DutyUsage) {
+	if !hosted.HasDuty(settings.DutyUsage) {
 		return 0
 	}
 	return time.Duration(hosted.UsageWindow)
@@ -24,14 +24,14 @@
 func (n *node) startDuties(ctx context.Context, roles *sync.WaitGroup, term leadership.Term, runner *batchrun.Runner) {
 	hosted := n.config.Hosted
 	holder := duties.Holder{Node: n.config.Node.ID, Fence: term.Epoch}
-	if hosted.Duty(settings.DutyUsage) {
+	if hosted.HasDuty(settings.DutyUsage) {
 		reporter := duties.NewReporter(duties.ReporterOptions{
 			Log: n.log, Platform: n.platform.Duties(), Term: term, Holder: holder,
-			Span: time.Duration(hosted.UsageWindow), Late: time.Duration(hosted.UsageDue), Logger: n.logger,
+			Span: time.Duration(hosted.UsageWindow), ReportDelay: time.Duration(hosted.UsageDue), Logger: n.logger,
 		})
 		roles.Go(func() { reporter.Run(ctx) })
 	}
-	if hosted.Duty(settings.DutyScaler) {
+	if hosted.HasDuty(settings.DutyScaler) {
 		scaler := duties.NewScaler(duties.ScalerOptions{
 			Platform: n.platform.Duties(), Term: term, Holder: holder, Logger: n.logger,
 			Services: func() []duties.ScaledService { return n.scaledServices(runner) },
@@ -46,13 +46,13 @@
 	if table == nil {
 		return nil
 	}
-	items := runner.Items()
+	items := runner.UnfinishedByService()
 	evacuated := make(map[string]bool)
 	for _, zone := range n.fleet.EvacuatedZones() {
 		evacuated[zone] = true
 	}
 	var scaled []duties.ScaledService
-	for _, service := range table.Scaled() {
+	for _, service := range table.AutoscaledServices() {
 		engines := make(map[string]int)
 		slots := 1
 		for _, engine := range n.fleet.Engines(service.Name) {
--- a/internal/hosted/election.go
+++ b/internal/hosted/election.go
@@ -15,7 +15,7 @@
 		TTL: time.Duration(n.config.Hosted.Lease), ClaimDelay: claimDelay(n.config.Node.Processors),
 		Quiet: time.Duration(n.config.Hosted.OrderQuiet), EnginesFence: n.config.Hosted.EnginesFence,
 		Eligible: n.mayLead,
-		Budget:   n.directory.Budget(), Behind: n.metrics.staleLeaseRecord, Logger: n.logger,
+		Budget:   n.directory.Budget(), OnSuperseded: n.metrics.staleLeaseRecord, Logger: n.logger,
 	}
 }
 
--- a/internal/hosted/enginelist_test.go
+++ b/internal/hosted/enginelist_test.go
@@ -92,7 +92,7 @@
 // Guards against a removal that cannot be matched with the log lines of the engine's requests.
 func TestRemovedEngineIsLoggedWithIncarnation(t *testing.T) {
 	n, logs := newEngineListNode()
-	n.fleet.Put(fleet.Engine{ID: "a", Born: 1000, Service: "s"})
+	n.fleet.Put(fleet.Engine{ID: "a", StartMillis: 1000, Service: "s"})
 	n.applyEntry("a", "")
 	assert.Assert(t, strings.Contains(logs.String(), `"engine":"a@1000"`), "%s", logs)
 }
--- a/internal/hosted/entry.go
+++ b/internal/hosted/entry.go
@@ -7,8 +7,8 @@
 const (
 	// Unreadable: the entry is not a complete JSON object in UTF-8.
 	Unreadable EntryFault = iota
-	// Repeated: a field occurs twice, which makes its value ambiguous.
-	Repeated
+	// DuplicateField: a field occurs twice, which makes its value ambiguous.
+	DuplicateField
 	// BadName: the key is not a valid engine name.
 	BadName
 	// Missing: a required field is absent.
@@ -26,7 +26,7 @@
 )
 
 var entryFaultNames = [...]string{
-	Unreadable: "unreadable", Repeated: "repeated", BadName: "bad_name", Missing: "missing", WrongType: "wrong_type",
+	Unreadable: "unreadable", DuplicateField: "repeated", BadName: "bad_name", Missing: "missing", WrongType: "wrong_type",
 	OutOfRange: "out_of_range", BadAddress: "bad_address", UnknownState: "unknown_state", UnknownService: "unknown_service",
 }
 
--- a/internal/hosted/evacuation.go
+++ b/internal/hosted/evacuation.go
@@ -9,12 +9,12 @@
 // applyEvacuation applies an operator's record that starts or ends the evacuation of a zone.
 func (n *node) applyEvacuation(evacuation Evacuation, offset int64) {
 	now := time.Now()
-	change := n.fleet.TakeBack
+	change := n.fleet.EndEvacuation
 	if evacuation.InForce {
 		change = n.fleet.Evacuate
 	} else if n.fleet.IsEvacuated(evacuation.Zone) {
 		// The engines may have become cold during the evacuation. Mark them before any can be chosen as warm.
-		n.fleet.MarkZoneDoubtful(evacuation.Zone, fleet.ZoneReturned, now)
+		n.fleet.MarkZonePossiblyCold(evacuation.Zone, fleet.ZoneReturned, now)
 	}
 	if !change(evacuation.Zone, now, offset) {
 		return
--- a/internal/hosted/heldbytes.go
+++ b/internal/hosted/heldbytes.go
@@ -57,8 +57,8 @@
 	return failure
 }
 
-// HoldResult implements Callers.
-func (n *node) HoldResult(bytes int) (release func(), err error) {
+// ReserveResult implements Callers.
+func (n *node) ReserveResult(bytes int) (release func(), err error) {
 	held := int64(bytes)
 	if !n.bytes.Reserve(bytebudget.Results, held) {
 		return nil, n.refuseForMemory(bytebudget.Results, held)
@@ -66,11 +66,11 @@
 	return func() { n.bytes.Release(bytebudget.Results, held) }, nil
 }
 
-// HoldBody implements Callers.
-func (n *node) HoldBody() *HeldBody { return &HeldBody{node: n} }
+// ReserveBody implements Callers.
+func (n *node) ReserveBody() *BodyReservation { return &BodyReservation{node: n} }
 
-// HeldBody is the memory reserved for one request body. It is not safe for concurrent use.
-type HeldBody struct {
+// BodyReservation is the memory reserved for one request body. It is not safe for concurrent use.
+type BodyReservation struct {
 	node     *node
 	held     int64
 	read     int64
@@ -78,7 +78,7 @@
 }
 
 // Grow reserves more bytes. It returns an *errkind.Error if the budget is exhausted.
-func (h *HeldBody) Grow(bytes int64) error {
+func (h *BodyReservation) Grow(bytes int64) error {
 	if !h.node.bytes.Reserve(bytebudget.Bodies, bytes) {
 		return h.node.refuseForMemory(bytebudget.Bodies, bytes)
 	}
@@ -87,7 +87,7 @@
 }
 
 // Release returns the reserved memory to the budget. Further calls have no effect.
-func (h *HeldBody) Release() {
+func (h *BodyReservation) Release() {
 	if !h.released {
 		h.released = true
 		h.node.bytes.Release(bytebudget.Bodies, h.held)
@@ -95,11 +95,13 @@
 }
 
 // Reader returns a reader of the body that reserves memory for bytes read beyond the reservation.
-func (h *HeldBody) Reader(body io.Reader) io.Reader { return &reservingReader{body: body, held: h} }
+func (h *BodyReservation) Reader(body io.Reader) io.Reader {
+	return &reservingReader{body: body, held: h}
+}
 
 type reservingReader struct {
 	body io.Reader
-	held *HeldBody
+	held *BodyReservation
 }
 
 // Read implements io.Reader.
--- a/internal/hosted/homes.go
+++ b/internal/hosted/homes.go
@@ -49,7 +49,7 @@
 		return n.jobs.Accept(ctx, submission)
 	}
 	// An earlier attempt may have stored the job, which then runs: a refusal would be wrong.
-	known, err := n.jobs.Knows(ctx, submission.Job.ID)
+	known, err := n.jobs.Exists(ctx, submission.Job.ID)
 	switch {
 	case known:
 		return nil
@@ -65,7 +65,7 @@
 	if !n.hasNodeIn(ctx, within) {
 		return errkind.New(errkind.OutsideHomes, "no node is in %s", within)
 	}
-	if within.Bound() && !n.nodesSupportHomes(ctx) {
+	if within.IsRestricted() && !n.nodesSupportHomes(ctx) {
 		return errkind.New(errkind.UpgradeInProgress, "a node may be live whose build does not know home regions")
 	}
 	return nil
@@ -74,7 +74,7 @@
 // nodesSupportHomes reports whether all nodes support home regions. One that does not would run region-bound jobs
 // anywhere.
 func (n *node) nodesSupportHomes(ctx context.Context) bool {
-	awaitWithTimeout(ctx, n.directory.Known(), directoryWait)
+	awaitWithTimeout(ctx, n.directory.Loaded(), directoryWait)
 	return n.clusterVersion.Serves(clusterversion.Homes)
 }
 
@@ -83,10 +83,10 @@
 	if n.directory.HasNodeIn(within) {
 		return true
 	}
-	if within.Nowhere() {
+	if within.IsEmpty() {
 		return false
 	}
-	awaitWithTimeout(ctx, n.directory.Known(), directoryWait)
+	awaitWithTimeout(ctx, n.directory.Loaded(), directoryWait)
 	return n.directory.HasNodeIn(within)
 }
 
@@ -106,7 +106,7 @@
 
 // warnUnknownHomes logs home regions that contain no zone, where nothing can be served.
 func (n *node) warnUnknownHomes(table *routes.Table) {
-	for _, region := range table.NamedHomes() {
+	for _, region := range table.HomeRegions() {
 		if !n.topology.HasRegion(region) {
 			n.logger.Warn().Str("region", region).Int64("config", table.Version).Msg("home region without a zone")
 		}
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -55,7 +55,7 @@
 	gate *sendgate.Gate
 	// placement tracks whether the evacuations and the engine list are known.
 	placement  *placementKnowledge
-	standstill *standstill.Watch
+	standstill *standstill.Detector
 	// bytes bounds the bytes buffered for callers and engines; callerLimits bounds those for one slow caller.
 	bytes        *bytebudget.Budget
 	callerLimits callerwrite.Limits
@@ -80,8 +80,8 @@
 	elector       *leadership.Elector
 	// coldDecider admits requests to cold engines while this node leads; coldPermits requests permits from the
 	// leader.
-	coldDecider *coldpermits.Decider
-	coldPermits *coldpermits.Asker
+	coldDecider *coldpermits.Granter
+	coldPermits *coldpermits.Client
 	// regionRunners elects the runners of region-bound batch jobs.
 	regionRunners *regionRunners
 	topology      *topology.Map
@@ -145,7 +145,7 @@
 	}
 	n.logCalls = newLogCalls(metrics, logger)
 	direct := n.logCalls.countCalls(platform.Log(), false)
-	n.directory = logrelay.NewDirectory(direct, logrelay.Self{
+	n.directory = logrelay.NewDirectory(direct, logrelay.NodeInfo{
 		Node: config.Node.ID, Address: config.Listen.Peers, Zone: config.Node.Zone, Region: config.Node.Region,
 		Processors: config.Node.Processors, Version: clusterversion.Build,
 	}, logLimits(config.Hosted), logger)
@@ -153,7 +153,7 @@
 	n.directory.SetLog(log)
 	replicas := logrelay.NewReplicaReader(log, logrelay.ReplicaOptions{
 		Sources: n.directory.Sources, AwaitSources: n.directory.AwaitSettled,
-		LeftOut: n.excludedClasses, Client: n.countCalls(logrelay.NewClient(), replicaTraffic),
+		ExcludedClasses: n.excludedClasses, Client: n.countCalls(logrelay.NewClient(), replicaTraffic),
 	})
 	n.control = follow.New(replicas, platform.ControlTopic(), n.applyControlRecord, n.directory.Budget(), logger)
 	n.engines = follow.New(replicas, platform.EngineTopic(), n.applyEngineRecord, n.directory.Budget(), logger)
@@ -163,23 +163,23 @@
 	n.jobs = batchjobs.New(log, batchjobs.Options{
 		Partitions:  config.Hosted.Partitions,
 		RecordBytes: config.Hosted.RecordBytes, CallBytes: config.Hosted.CallBytes,
-		KeepJobs: time.Duration(config.Hosted.KeepJobs), Budget: n.directory.Budget(), Hold: n.HoldResult, Logger: logger,
+		JobRetention: time.Duration(config.Hosted.KeepJobs), Budget: n.directory.Budget(), ReserveMemory: n.ReserveResult, Logger: logger,
 	})
 	n.jobRelay = jobrelay.NewRelay(
-		n.jobs, n.directory.SourcesWithin, n.directory.Known(), n.countCalls(logrelay.NewClient(), jobTraffic), logger,
+		n.jobs, n.directory.SourcesWithin, n.directory.Loaded(), n.countCalls(logrelay.NewClient(), jobTraffic), logger,
 	)
 	n.log = log
 	n.counter = duties.NewCounter(log, n.holder, usageWindow(config.Hosted), n.directory.Budget(), logger)
 	n.crashGuard = n.newCrashGuard(log)
-	n.crashFollower = follow.New(replicas, platform.CrashTopic(), n.crashGuard.Take, n.directory.Budget(), logger)
+	n.crashFollower = follow.New(replicas, platform.CrashTopic(), n.crashGuard.HandleRecord, n.directory.Budget(), logger)
 	n.coldDecider, n.coldPermits = n.newColdPermits()
 	n.relay = ingress.New(ingress.Options{
 		Engines: n.engineCalls, Fleet: n.fleet, Guard: n.crashGuard, Gate: n.gate, ColdPermits: n.coldPermits,
-		Callers: n.callerLimits, LoadUnreadable: n.reportUnreadableLoad,
+		Callers: n.callerLimits, OnInvalidLoad: n.reportUnreadableLoad,
 		Table: n.state.table, Current: n.isCurrent,
 		Zone: config.Node.Zone, Region: config.Node.Region, Seed: seedOf(n.holder), Logger: logger,
 		Observe: n.metrics.requestEnded,
-		Began:   n.counter.Began,
+		OnStart: n.counter.CountRequest,
 	})
 	n.elector = leadership.New(log, n.leaseOptions(), n.lead)
 	n.regionRunners = newRegionRunners(n)
@@ -200,8 +200,8 @@
 // peersHandler serves requests of other nodes.
 func (n *node) peersHandler(direct eventlog.Log, log *logrelay.Fallback) http.Handler {
 	router := mux.NewRouter()
-	router.Handle(logrelay.Path, logrelay.NewHandler(direct, log.Direct, n))
-	router.Handle(jobrelay.Path, jobrelay.NewHandler(n.jobs, n.directory.AnswersWithin)).Methods(http.MethodPost)
+	router.Handle(logrelay.Path, logrelay.NewHandler(direct, log.IsDirect, n))
+	router.Handle(jobrelay.Path, jobrelay.NewHandler(n.jobs, n.directory.ServesReadsWithin)).Methods(http.MethodPost)
 	router.Handle(crashes.Path, n.crashGuard.Handler()).Methods(http.MethodPost)
 	router.Handle(coldpermits.Path, n.coldDecider.Handler(n.fleet.SlowStart)).Methods(http.MethodPost)
 	return router
--- a/internal/hosted/lead.go
+++ b/internal/hosted/lead.go
@@ -19,10 +19,10 @@
 	var runner *batchrun.Runner
 	orders := weightorders.New(weightorders.Options{
 		Engines: n.platform.Engines(), Fleet: n.fleet, Gate: n.gate, Targets: n.weightTargets,
-		Running: func() map[incarnation.ID]int { return runner.AllRunning() },
-		Demands: func() map[string]batchrun.Demand { return runner.Demands() },
-		Loaded:  func() { runner.Wake() },
-		Term:    term, Holder: n.holder, Fence: term.Epoch, Logger: n.logger,
+		Running:   func() map[incarnation.ID]int { return runner.RunningByEngine() },
+		Demands:   func() map[string]batchrun.Demand { return runner.Demands() },
+		OnLoadEnd: func() { runner.Wake() },
+		Term:      term, Holder: n.holder, Fence: term.Epoch, Logger: n.logger,
 	})
 	defer n.coldDecider.Lead(term.Valid)()
 	runner = batchrun.New(batchrun.Options{
@@ -68,7 +68,7 @@
 	namedVersions := n.state.namedVersions()
 	byService := make(map[string]*weightorders.Target)
 	var targets []weightorders.Target
-	for _, route := range table.Batch() {
+	for _, route := range table.BatchRoutes() {
 		for _, part := range route.Parts {
 			service, found := table.Service(part.Service)
 			if !found {
--- a/internal/hosted/metrics.go
+++ b/internal/hosted/metrics.go
@@ -144,12 +144,12 @@
 }
 
 // scored records one attempt of a scoring call.
-func (m *metrics) scored(scoring batchrun.Scoring, took time.Duration) {
+func (m *metrics) scored(scoring batchrun.ScoringResult, took time.Duration) {
 	outcome := "failed"
 	switch {
 	case scoring.Score != "":
 		outcome = "scored"
-	case scoring.Refused:
+	case scoring.NoCapacity:
 		outcome = "refused"
 	}
 	m.scoring.WithLabelValues(outcome).Observe(took.Seconds())
--- a/internal/hosted/placement.go
+++ b/internal/hosted/placement.go
@@ -34,10 +34,10 @@
 }
 
 func newPlacementKnowledge(
-	watch *standstill.Watch, evacuations, engines *follow.Follower, logger zerolog.Logger,
+	watch *standstill.Detector, evacuations, engines *follow.Follower, logger zerolog.Logger,
 ) *placementKnowledge {
 	return &placementKnowledge{
-		resumedAt: watch.WokeAt, now: boottime.Now, logger: logger,
+		resumedAt: watch.ResumedAt, now: boottime.Now, logger: logger,
 		age: func() time.Duration { return max(evacuations.Age(), engines.Age()) },
 	}
 }
--- a/internal/hosted/placement_test.go
+++ b/internal/hosted/placement_test.go
@@ -35,7 +35,7 @@
 
 func (logPlatform) VersionTopic() string { return "version" }
 
-func (logPlatform) CallersHandler(Callers) http.Handler { return http.NotFoundHandler() }
+func (logPlatform) CallersHandler(CallerService) http.Handler { return http.NotFoundHandler() }
 
 func (logPlatform) OperatorsHandler(func() error, http.Handler) http.Handler {
 	return http.NotFoundHandler()
--- a/internal/hosted/platform.go
+++ b/internal/hosted/platform.go
@@ -51,30 +51,30 @@
 	ID string
 }
 
-// Callers handles the requests of callers. Its methods are safe for concurrent use.
-type Callers interface {
+// CallerService handles the requests of callers. Its methods are safe for concurrent use.
+type CallerService interface {
 	// Relay answers a live request; see ingress.Relay.
 	Relay(w http.ResponseWriter, ctx context.Context, request *ingress.Request) *errkind.Error
-	// TakesBatch reports whether the host and path belong to a batch route.
-	TakesBatch(host, path string) bool
-	// Accept durably accepts a submitted job.
-	Accept(ctx context.Context, credentials routes.Credentials, submission batchjobs.Submission) error
+	// IsBatchRoute reports whether the host and path belong to a batch route.
+	IsBatchRoute(host, path string) bool
+	// SubmitJob durably accepts a submitted job.
+	SubmitJob(ctx context.Context, credentials routes.Credentials, submission batchjobs.Submission) error
 	Results(ctx context.Context, job JobName, from int, wait time.Duration) (batchjobs.Results, error)
 	Body(ctx context.Context, job JobName, itemID string) ([]byte, error)
 	End(ctx context.Context, job JobName) error
-	// Stopping reports whether the node is performing a planned stop.
-	Stopping() bool
+	// IsStopping reports whether the node is performing a planned stop.
+	IsStopping() bool
 	// MaxBodyBytes and MaxHeaderBytes bound the size of a request.
 	MaxBodyBytes() int64
 	MaxHeaderBytes() int
-	// HoldBody reserves memory for a request body while it is received, HoldResult for a response about a batch job
+	// ReserveBody reserves memory for a request body while it is received, HoldResult for a response about a batch job
 	// until its caller has read it. Without free memory the error has a retry delay.
-	HoldBody() *HeldBody
-	HoldResult(bytes int) (release func(), err error)
+	ReserveBody() *BodyReservation
+	ReserveResult(bytes int) (release func(), err error)
 	// CallerLimits returns the limits for callers that read slowly.
 	CallerLimits() callerwrite.Limits
-	// Refused records an error response.
-	Refused(id string, failure *errkind.Error)
+	// RecordRefusal records an error response.
+	RecordRefusal(id string, failure *errkind.Error)
 }
 
 // Platform is the interface to the platform that hosts a node: names, formats and calls.
@@ -96,7 +96,7 @@
 	// DecodeEngine decodes an entry of the engine list. Its error is an *EntryError.
 	DecodeEngine(record eventlog.KeyedRecord) (fleet.Engine, error)
 	// CallersHandler serves live callers and trainers.
-	CallersHandler(node Callers) http.Handler
+	CallersHandler(node CallerService) http.Handler
 	// OperatorsHandler serves readiness checks and metrics.
 	OperatorsHandler(ready func() error, metrics http.Handler) http.Handler
 }
--- a/internal/hosted/regionrunners.go
+++ b/internal/hosted/regionrunners.go
@@ -146,7 +146,7 @@
 		return false
 	}
 	if h.yielding {
-		elector.Hesitate()
+		elector.DeferClaims()
 	}
 	h.electors[set] = elector
 	return true
@@ -161,13 +161,13 @@
 	}
 }
 
-// Hesitate makes all electors delay their claims of free leases, since the node is about to stop.
-func (h *regionRunners) Hesitate() {
+// DeferClaims makes all electors delay their claims of free leases, since the node is about to stop.
+func (h *regionRunners) DeferClaims() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.yielding = true
 	for _, elector := range h.electors {
-		elector.Hesitate()
+		elector.DeferClaims()
 	}
 }
 
@@ -192,13 +192,13 @@
 	n.itemRunners.Add(1)
 	defer n.itemRunners.Add(-1)
 	var runner *batchrun.Runner
-	permits := coldpermits.NewStock(ctx, coldpermits.StockOptions{
+	permits := coldpermits.NewPool(ctx, coldpermits.PoolOptions{
 		Ask: n.coldPermits.Ask, Find: n.fleet.Find, Granted: func() { runner.Wake() },
 	})
 	runner = batchrun.New(batchrun.Options{
 		Jobs: n.jobs, Engines: n.engineCalls, Fleet: n.fleet, Scorer: n, Guard: n.crashGuard, Gate: n.gate,
 		ColdStarts: permits, RouteOf: n.batchRoute,
-		Within: set, HomesOf: n.jobHomes, Config: n.configVersion,
+		Homes: set, HomesOf: n.jobHomes, Config: n.configVersion,
 		// The leader manages weight versions; an engine that is loading one refuses items.
 		Loading: func(incarnation.ID) string { return "" }, AllLoading: func() map[incarnation.ID]string { return nil },
 		Term:   fmt.Sprintf("%s.%d", set.ID(), term.Epoch),
--- a/internal/hosted/regionrunners_test.go
+++ b/internal/hosted/regionrunners_test.go
@@ -64,7 +64,7 @@
 	}
 	n.config.Node.ID, n.config.Node.Region = "a", "north"
 	n.config.Hosted.Lease = settings.Duration(600 * time.Millisecond)
-	n.directory = logrelay.NewDirectory(n.log, logrelay.Self{Node: "a", Region: "north"}, pacing.Limits{}, n.logger)
+	n.directory = logrelay.NewDirectory(n.log, logrelay.NodeInfo{Node: "a", Region: "north"}, pacing.Limits{}, n.logger)
 	n.coverage.recordRead(nil)
 	ran := &roleRecorder{}
 	runners := newRegionRunners(n)
--- a/internal/hosted/scorer.go
+++ b/internal/hosted/scorer.go
@@ -19,17 +19,17 @@
 var _ batchrun.Scorer = (*node)(nil)
 
 // Score implements batchrun.Scorer. A scoring call is relayed like a live request.
-func (n *node) Score(ctx context.Context, tenant string, call batch.ScoringCall) batchrun.Scoring {
+func (n *node) Score(ctx context.Context, tenant string, call batch.ScoringCall) batchrun.ScoringResult {
 	began := time.Now()
 	sender := routes.Sender{Tenant: tenant, Checked: tenant != ""}
 	reply, failure := n.relay.Call(ctx, &ingress.Request{
 		ID: call.ID, Method: http.MethodPost, Target: call.Path, Path: call.Path, Host: call.Host,
 		Header: http.Header{}, Body: call.Body, Sender: &sender, Budget: scoringTimeout, Received: began,
 	})
-	scoring := batchrun.Scoring{Failures: reply.ServerErrors, MaxAttempts: reply.MaxAttempts}
+	scoring := batchrun.ScoringResult{Failures: reply.ServerErrors, MaxAttempts: reply.MaxAttempts}
 	switch {
 	case failure != nil:
-		scoring.Refused = failure.Kind == errkind.NoCapacity
+		scoring.NoCapacity = failure.Kind == errkind.NoCapacity
 		scoring.Detail = failure.Message
 	case reply.Status/100 != 2:
 		scoring.Detail = http.StatusText(reply.Status)
@@ -40,19 +40,19 @@
 	return scoring
 }
 
-// Places implements batchrun.Scorer.
-func (n *node) Places(call batch.ScoringCall) (string, admission.Places) {
+// Capacity implements batchrun.Scorer.
+func (n *node) Capacity(call batch.ScoringCall) (string, admission.Capacity) {
 	table := n.state.table()
 	if table == nil {
-		return "", admission.Places{}
+		return "", admission.Capacity{}
 	}
 	route := table.Match(call.Host, call.Path)
 	if route == nil || len(route.Parts) == 0 {
-		return "", admission.Places{}
+		return "", admission.Capacity{}
 	}
-	var places admission.Places
+	var places admission.Capacity
 	for _, part := range route.Parts {
-		slots, busy := n.fleet.Places(part.Service, time.Now())
+		slots, busy := n.fleet.Capacity(part.Service, time.Now())
 		places.Slots += slots
 		places.Busy += busy
 	}
--- a/internal/hosted/slowstart.go
+++ b/internal/hosted/slowstart.go
@@ -17,10 +17,10 @@
 
 // newColdPermits returns the decider that admits requests to cold engines, and the asker that requests permits from
 // the leader.
-func (n *node) newColdPermits() (*coldpermits.Decider, *coldpermits.Asker) {
-	decider := coldpermits.NewDecider(n.metrics.coldAdmission)
-	return decider, coldpermits.NewAsker(coldpermits.Options{
-		Decider: decider, Leader: n.leaderAddress, Client: logrelay.NewClient(), Logger: n.logger,
+func (n *node) newColdPermits() (*coldpermits.Granter, *coldpermits.Client) {
+	decider := coldpermits.NewGranter(n.metrics.coldAdmission)
+	return decider, coldpermits.NewClient(coldpermits.Options{
+		Granter: decider, Leader: n.leaderAddress, Client: logrelay.NewClient(), Logger: n.logger,
 		Observe: n.metrics.coldPermitAsked,
 		Cold: func(engine fleet.Engine) (fleet.Coldness, bool) {
 			return n.fleet.Cold(engine.Incarnation(), time.Now())
@@ -45,7 +45,7 @@
 // list, or of a service excluded until now, are as warm as their entries say.
 func (n *node) markNewEngineCold(engine fleet.Engine, known bool) {
 	if !known && n.engines.IsLoaded() && !n.coverage.wasExcluded(engine.Service) {
-		n.fleet.MarkDoubtful(engine.Incarnation(), fleet.FirstSeen, time.Now())
+		n.fleet.MarkPossiblyCold(engine.Incarnation(), fleet.FirstSeen, time.Now())
 	}
 }
 
--- a/internal/hosted/stop.go
+++ b/internal/hosted/stop.go
@@ -29,8 +29,8 @@
 	grace := n.state.gracePeriod()
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-exitReserve))
 	defer cancel()
-	n.elector.Hesitate()
-	n.regionRunners.Hesitate()
+	n.elector.DeferClaims()
+	n.regionRunners.DeferClaims()
 	timer := time.NewTimer(time.Until(began.Add(min(deregistrationTime, grace/2))))
 	defer timer.Stop()
 	select {
--- a/internal/hosted/zonesapi.go
+++ b/internal/hosted/zonesapi.go
@@ -35,7 +35,7 @@
 
 func (n *node) zones() api.Zones {
 	zones := api.Zones{
-		Node: n.config.Node.ID, AgeMs: n.control.Age().Milliseconds(), LeftOut: n.coverage.excludedServices(),
+		Node: n.config.Node.ID, AgeMS: n.control.Age().Milliseconds(), ExcludedServices: n.coverage.excludedServices(),
 		Zones: []api.ZoneStatus{},
 	}
 	runner := n.runner.Load()
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -22,7 +22,7 @@
 // ErrorDetail returns the wire form of an error.
 func ErrorDetail(err error) api.ErrorDetail {
 	known := errkind.From(err)
-	answer := known.Kind.Answer()
+	answer := known.Kind.Response()
 	return api.ErrorDetail{
 		Code:         answer.Code,
 		Message:      known.Message,
@@ -45,5 +45,5 @@
 		seconds := math.Ceil(float64(detail.RetryAfterMS) / 1000)
 		w.Header().Set("Retry-After", strconv.Itoa(int(seconds)))
 	}
-	WriteJSON(w, kind.Answer().Status, api.ErrorBody{Error: detail})
+	WriteJSON(w, kind.Response().Status, api.ErrorBody{Error: detail})
 }
--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -67,7 +67,7 @@
 		x.complete = true
 		return answered
 	case err != nil:
-		outcome.Failed, outcome.ConnectionLost = true, connlost.Is(err)
+		outcome.Failed, outcome.ConnectionLost = true, connlost.ClosedByPeer(err)
 		return x.retryVerdict()
 	}
 	x.writeHeader(answer, answer.Header.Get("Content-Length"))
@@ -87,7 +87,7 @@
 	case writeErr != nil:
 		return giveUp
 	case readErr != nil:
-		outcome.Failed, outcome.ConnectionLost = engineFailed, engineFailed && connlost.Is(readErr)
+		outcome.Failed, outcome.ConnectionLost = engineFailed, engineFailed && connlost.ClosedByPeer(readErr)
 		return giveUp
 	default:
 		x.complete = true
@@ -105,7 +105,7 @@
 			writeErr = spool.Write(buffer[:count])
 			began := x.relay.now()
 			for errors.Is(writeErr, callerwrite.ErrFull) && x.ctx.Err() == nil {
-				spool.Await(x.ctx)
+				spool.AwaitProgress(x.ctx)
 				writeErr = spool.Write(buffer[:count])
 			}
 			waited += x.relay.now().Sub(began)
@@ -162,7 +162,7 @@
 			return answered
 		}
 		if err != nil || event.HasID && x.lastEventID != 0 && event.ID != x.lastEventID+1 {
-			outcome.Failed, outcome.ConnectionLost = true, connlost.Is(err)
+			outcome.Failed, outcome.ConnectionLost = true, connlost.ClosedByPeer(err)
 			return x.streamInterrupted()
 		}
 		err = spool.Write(event.Raw)
--- a/internal/ingress/call_test.go
+++ b/internal/ingress/call_test.go
@@ -24,7 +24,7 @@
 
 func (noCrashes) Admit(context.Context, func() quarantine.Fingerprint) *errkind.Error { return nil }
 
-func (noCrashes) ConnectionLost(context.Context, crashes.Loss) bool { return false }
+func (noCrashes) ConnectionLost(context.Context, crashes.LostConnection) bool { return false }
 
 func (noCrashes) Standing(func() quarantine.Fingerprint) quarantine.Standing {
 	return quarantine.Standing{}
@@ -61,8 +61,8 @@
 	}}})
 	return New(Options{
 		Engines: engines, Fleet: known, Guard: guard, Table: func() *routes.Table { return table }, Current: func() bool { return true },
-		Began:  func(string, time.Time) {},
-		Logger: zerolog.Nop(), Observe: func(string, string, time.Duration) {},
+		OnStart: func(string, time.Time) {},
+		Logger:  zerolog.Nop(), Observe: func(string, string, time.Duration) {},
 	})
 }
 
@@ -120,7 +120,7 @@
 
 func (g *countingGuard) Answered(func() quarantine.Fingerprint) { g.answered++ }
 
-func (g *countingGuard) ConnectionLost(context.Context, crashes.Loss) bool {
+func (g *countingGuard) ConnectionLost(context.Context, crashes.LostConnection) bool {
 	g.crashes++
 	return true
 }
@@ -142,7 +142,7 @@
 	guard := &refusingGuard{}
 	_, failure := callPath(newRelay(scriptedEngines{"a": {}}, guard, 2), "/x/1")
 	assert.Equal(t, failure.Kind, errkind.Quarantined)
-	assert.Equal(t, failure.Kind.Answer().Execution, errkind.NotExecuted)
+	assert.Equal(t, failure.Kind.Response().Execution, errkind.NotExecuted)
 	assert.Equal(t, guard.crashes, 0)
 }
 
--- a/internal/ingress/cold.go
+++ b/internal/ingress/cold.go
@@ -37,9 +37,9 @@
 			}
 		}
 		// The permitted engine was removed meanwhile; the next permit request names the others.
-		denial = coldpermits.Denial{Outcome: coldpermits.Paced, Wait: minPermitWait}
+		denial = coldpermits.Denial{Outcome: coldpermits.RateLimited, Wait: minPermitWait}
 	}
-	query.WithoutCold, query.Now = true, time.Now()
+	query.ExcludeCold, query.Now = true, time.Now()
 	choice, found = engines.Choose(query)
 	if !found {
 		x.recordDenial(denial, len(candidates))
--- a/internal/ingress/cold_test.go
+++ b/internal/ingress/cold_test.go
@@ -30,7 +30,7 @@
 	s.asked = append(s.asked, engines)
 	if s.denials > 0 {
 		s.denials--
-		return coldpermits.Permit{}, coldpermits.Denial{Outcome: coldpermits.Paced, Wait: s.wait}
+		return coldpermits.Permit{}, coldpermits.Denial{Outcome: coldpermits.RateLimited, Wait: s.wait}
 	}
 	return coldpermits.Permit{Engine: incarnation.ID{Engine: s.grant}}, coldpermits.Denial{}
 }
@@ -41,7 +41,7 @@
 	known := relay.options.Fleet
 	known.SetSlowStarts(map[string]routes.SlowStart{"s": {Period: time.Hour, RatePerSecond: 5}})
 	for _, id := range cold {
-		known.MarkDoubtful(incarnation.ID{Engine: id}, fleet.FirstSeen, time.Now())
+		known.MarkPossiblyCold(incarnation.ID{Engine: id}, fleet.FirstSeen, time.Now())
 	}
 	return relay
 }
@@ -70,7 +70,7 @@
 func TestDeniedRequestGoesToFullWarmEngine(t *testing.T) {
 	permits := &scriptedPermits{denials: 1}
 	relay := withColdEngines(newRelay(scriptedEngines{"cold": successAnswer, "warm": successAnswer}, noCrashes{}, 2), permits, "cold")
-	relay.options.Fleet.Began(incarnation.ID{Engine: "warm"})
+	relay.options.Fleet.RequestStarted(incarnation.ID{Engine: "warm"})
 	reply, failure := callPath(relay, "/x/1")
 	assert.Assert(t, failure == nil)
 	assert.Equal(t, reply.Status, http.StatusOK)
@@ -87,7 +87,7 @@
 	engines.dial = func(engine fleet.Engine) {
 		if turnedCold == "" {
 			turnedCold = engine.ID
-			known.MarkDoubtful(engine.Incarnation(), fleet.Unreached, time.Now())
+			known.MarkPossiblyCold(engine.Incarnation(), fleet.Unreached, time.Now())
 		}
 	}
 	reply, failure := callPath(relay, "/x/1")
--- a/internal/ingress/evacuation_test.go
+++ b/internal/ingress/evacuation_test.go
@@ -24,7 +24,7 @@
 
 func (e *slowDialEngines) Send(ctx context.Context, engine fleet.Engine, call Call) (*Answer, error) {
 	e.dial(engine)
-	if !call.MayLeave() {
+	if !call.MaySend() {
 		return nil, &SendError{HeldBack: true, Cause: errors.New("not permitted")}
 	}
 	e.sent = append(e.sent, engine.ID)
@@ -60,7 +60,7 @@
 	assert.Assert(t, engines.sent[0] != evacuated)
 	assert.Equal(t, reply.Stamp, engines.sent[0])
 	assert.Assert(t, !known.Suspected(incarnation.ID{Engine: evacuated}, time.Now()))
-	known.TakeBack(evacuated, time.Now(), 2)
+	known.EndEvacuation(evacuated, time.Now(), 2)
 	zones := known.Zones()
 	assert.Equal(t, zones[0].InFlight+zones[1].InFlight, 0)
 }
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -134,10 +134,10 @@
 	if x.executions > 0 {
 		return errkind.New(errkind.EngineFailed, "%d engines were asked and none answered in time", x.executions)
 	}
-	if regions := x.homes(); !x.relay.options.Fleet.Serves(x.service, regions) && regions.Bound() {
+	if regions := x.homes(); !x.relay.options.Fleet.HasEngines(x.service, regions) && regions.IsRestricted() {
 		return errkind.New(errkind.OutsideHomes, "no engine of %s is in %s", x.service, regions)
 	}
-	if evacuated := x.relay.options.Fleet.Evacuated(x.service); evacuated > 0 && len(x.tried) == 0 {
+	if evacuated := x.relay.options.Fleet.CountEvacuated(x.service); evacuated > 0 && len(x.tried) == 0 {
 		failure := errkind.New(errkind.NoCapacity, "no engine of %s takes requests, %d are in evacuated zones", x.service, evacuated)
 		failure.RetryAfter = evacuatedRetryAfter
 		return failure
@@ -183,7 +183,7 @@
 		Str("service", x.service).Str("tenant", x.sender.Tenant).Int64("config", x.table.Version).
 		Int("tried", len(x.tried)).Int("ran", x.executions).Int("status", x.status).
 		Bool("caller_left", x.callerCtx.Err() != nil).Dur("took_ms", took)
-	if x.sender.Homes.Bound() {
+	if x.sender.Homes.IsRestricted() {
 		line = line.Stringer("homes", x.sender.Homes)
 	}
 	kind := "ok"
--- a/internal/ingress/homes_test.go
+++ b/internal/ingress/homes_test.go
@@ -79,7 +79,7 @@
 	}
 	d.Relay = New(Options{
 		Engines: d, Fleet: d.fleet, Guard: noCrashes{}, Table: d.current, Current: func() bool { return true },
-		Zone: "south1", Region: "south", Began: func(string, time.Time) {},
+		Zone: "south1", Region: "south", OnStart: func(string, time.Time) {},
 		Logger: zerolog.Nop(), Observe: func(string, string, time.Duration) {},
 	})
 	return d
@@ -115,7 +115,7 @@
 		d := newHomedDeployment(named.ofRoute, named.ofTenant)
 		_, failure := d.request()
 		assert.Equal(t, failure.Kind, errkind.OutsideHomes, name)
-		assert.Equal(t, failure.Kind.Answer().Execution, errkind.NotExecuted)
+		assert.Equal(t, failure.Kind.Response().Execution, errkind.NotExecuted)
 		assert.Assert(t, failure.Delay() > 0)
 		assert.Equal(t, len(d.sentTo), 0, name)
 	}
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -63,9 +63,9 @@
 	// After and HasAfter are where a stream is resumed; see Request.
 	After    int64
 	HasAfter bool
-	// MayLeave reports whether the request may still be sent. It is called right before the first byte is written,
+	// MaySend reports whether the request may still be sent. It is called right before the first byte is written,
 	// from any goroutine; nil means always.
-	MayLeave func() bool
+	MaySend func() bool
 }
 
 // Answer is an engine's answer. Its body has not been read yet.
@@ -79,8 +79,8 @@
 	WrongEngine bool
 	// Load is the load that the engine reported; nil if none.
 	Load *fleet.Load
-	// LoadFault is why the reported load cannot be decoded; nil if it can, or if there is none.
-	LoadFault error
+	// LoadError is why the reported load cannot be decoded; nil if it can, or if there is none.
+	LoadError error
 	// Stamp is the engine's signature of the answer; empty if there is none.
 	Stamp string
 }
@@ -109,7 +109,7 @@
 	// Admit returns nil if the request may be sent to an engine, and the reason otherwise.
 	Admit(ctx context.Context, fingerprint func() quarantine.Fingerprint) *errkind.Error
 	// ConnectionLost reports whether the engine crashed during the request.
-	ConnectionLost(ctx context.Context, loss crashes.Loss) bool
+	ConnectionLost(ctx context.Context, loss crashes.LostConnection) bool
 	// Standing returns the quarantine state of a request.
 	Standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing
 	// Answered notes that an engine completed the request successfully.
@@ -142,11 +142,11 @@
 	// Callers bounds the memory for answers to slow callers.
 	Callers callerwrite.Limits
 	Logger  zerolog.Logger
-	// Began is called once for each caller's request that an engine may have started, with the time at which it was
+	// OnStart is called once for each caller's request that an engine may have started, with the time at which it was
 	// sent.
-	Began func(tenant string, at time.Time)
-	// LoadUnreadable, if set, is called for each answer whose load cannot be decoded.
-	LoadUnreadable func(engine fleet.Engine, fault error)
+	OnStart func(tenant string, at time.Time)
+	// OnInvalidLoad, if set, is called for each answer whose load cannot be decoded.
+	OnInvalidLoad func(engine fleet.Engine, fault error)
 	// Observe is called at the end of each request.
 	Observe func(route string, kind string, took time.Duration)
 }
--- a/internal/ingress/relay_bench_test.go
+++ b/internal/ingress/relay_bench_test.go
@@ -38,8 +38,8 @@
 	relay := New(Options{
 		Engines: &instantEngines{answer: strings.Repeat("x", 800)}, Fleet: engines, Guard: noCrashes{}, Zone: "z",
 		Table: func() *routes.Table { return table }, Current: func() bool { return true },
-		Began:  func(string, time.Time) {},
-		Logger: zerolog.New(io.Discard), Observe: func(string, string, time.Duration) {},
+		OnStart: func(string, time.Time) {},
+		Logger:  zerolog.New(io.Discard), Observe: func(string, string, time.Duration) {},
 	})
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/ingress/slowcaller_test.go
+++ b/internal/ingress/slowcaller_test.go
@@ -22,7 +22,7 @@
 type truncatingEngine struct{}
 
 func (truncatingEngine) Send(context.Context, fleet.Engine, Call) (*Answer, error) {
-	part := bytes.NewReader(make([]byte, 2*callerwrite.MaxHeld))
+	part := bytes.NewReader(make([]byte, 2*callerwrite.MaxBufferedBytes))
 	return &Answer{
 		Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(io.MultiReader(part, failingReader{})),
 	}, nil
@@ -71,7 +71,7 @@
 	}()
 	if pause {
 		testwait.Until(t, "an engine that waits for the caller", func() bool {
-			return budget.Held(bytebudget.Answers) > callerwrite.MaxHeld-copyBufferBytes
+			return budget.Held(bytebudget.Answers) > callerwrite.MaxBufferedBytes-copyBufferBytes
 		})
 		passed.Add(int64(callerStallThreshold))
 		close(caller.resume)
--- a/internal/ingress/try.go
+++ b/internal/ingress/try.go
@@ -25,11 +25,11 @@
 	}
 	ctx, cancel := x.withTryTimeout(remaining)
 	defer cancel()
-	x.relay.options.Fleet.Began(engine.Incarnation())
-	look := x.relay.options.Gate.Look(engine.Incarnation(), mayLeave)
+	x.relay.options.Fleet.RequestStarted(engine.Incarnation())
+	look := x.relay.options.Gate.Check(engine.Incarnation(), mayLeave)
 	answer, err := x.relay.options.Engines.Send(ctx, engine, Call{
 		Request: x.request, Sender: x.sender, Remaining: remaining,
-		After: x.lastEventID, HasAfter: x.streaming && x.lastEventID > 0, MayLeave: look.MayLeave,
+		After: x.lastEventID, HasAfter: x.streaming && x.lastEventID > 0, MaySend: look.MaySend,
 	})
 	outcome := fleet.Outcome{}
 	x.reportStart(answer, err, began)
@@ -51,7 +51,7 @@
 		// The try was ended by the deadline or the caller, which does not show whether the engine is reachable.
 		outcome.Unreached = false
 	}
-	x.relay.options.Fleet.Ended(engine.Incarnation(), outcome)
+	x.relay.options.Fleet.RequestEnded(engine.Incarnation(), outcome)
 	if outcome.ConnectionLost && x.quarantined(engine) {
 		result = giveUp
 	}
@@ -64,8 +64,8 @@
 
 // reportLoadFault reports an answer whose load information cannot be decoded.
 func (x *exchange) reportLoadFault(engine fleet.Engine, answer *Answer) {
-	if tell := x.relay.options.LoadUnreadable; tell != nil && answer.LoadFault != nil {
-		tell(engine, answer.LoadFault)
+	if tell := x.relay.options.OnInvalidLoad; tell != nil && answer.LoadError != nil {
+		tell(engine, answer.LoadError)
 	}
 }
 
@@ -73,7 +73,7 @@
 // quarantined now.
 func (x *exchange) quarantined(engine fleet.Engine) bool {
 	guard := x.relay.options.Guard
-	crashed := guard.ConnectionLost(x.ctx, crashes.Loss{
+	crashed := guard.ConnectionLost(x.ctx, crashes.LostConnection{
 		Engine: engine, RequestID: x.request.ID, Fingerprint: x.fingerprintOf(),
 	})
 	return crashed && guard.Standing(x.fingerprintOf).Crashes >= quarantine.RequestLimit
@@ -88,7 +88,7 @@
 		return
 	}
 	x.startReported = true
-	x.relay.options.Began(x.sender.Tenant, sent)
+	x.relay.options.OnStart(x.sender.Tenant, sent)
 }
 
 // withTryTimeout bounds a try if another one may follow it.
@@ -127,7 +127,7 @@
 	defer answer.Body.Close()
 	outcome.Load = answer.Load
 	if answer.WrongEngine || answer.NotExecuted {
-		outcome.Gone = answer.WrongEngine
+		outcome.AddressReused = answer.WrongEngine
 		return tryNext
 	}
 	x.executions++
--- a/internal/jobrelay/relay.go
+++ b/internal/jobrelay/relay.go
@@ -39,7 +39,7 @@
 	directoryRead    <-chan struct{}
 	client           *http.Client
 	logger           zerolog.Logger
-	paused           *pauses.Pauses
+	paused           *pauses.Set
 }
 
 var _ Jobs = (*Relay)(nil)
@@ -141,10 +141,10 @@
 			return response{}, errkind.New(errkind.Canceled, "request canceled by the caller")
 		case err != nil:
 			r.logger.Warn().Err(err).Str("replica", address).Str("job", query.Job).Msg("replica did not answer")
-			r.paused.Begin(address, unresponsivePause)
+			r.paused.Start(address, unresponsivePause)
 			unanswered = true
 		case answer.NotReplica:
-			r.paused.Begin(address, notReplicaPause)
+			r.paused.Start(address, notReplicaPause)
 		case errkind.Is(answer.err(), errkind.HistoryLost):
 			historyLost = answer.err()
 		default:
@@ -166,6 +166,6 @@
 	ctx, cancel := context.WithTimeout(ctx, query.Wait+answerTimeout)
 	defer cancel()
 	var answer response
-	err := msgpackhttp.Ask(ctx, r.client, "http://"+address+Path, &query, &answer, maxResponseBytes)
+	err := msgpackhttp.Call(ctx, r.client, "http://"+address+Path, &query, &answer, maxResponseBytes)
 	return answer, err
 }
--- a/internal/keyed/execution.go
+++ b/internal/keyed/execution.go
@@ -63,7 +63,7 @@
 func (e *execution) failedWithoutRun() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.finished && e.err != nil && errkind.KindOf(e.err).Answer().Execution == errkind.NotExecuted
+	return e.finished && e.err != nil && errkind.KindOf(e.err).Response().Execution == errkind.NotExecuted
 }
 
 // streamTo passes all pieces to onPiece in order and returns the result. The execution continues when the caller
--- a/internal/keyed/shard.go
+++ b/internal/keyed/shard.go
@@ -78,9 +78,9 @@
 	}
 	s.reducer = idempotency.NewReducer()
 	s.stream = s.executor.options.Manager.Open(streamName(s.index), s.reducer, logstream.StreamOptions{
-		SnapshotEvery:    s.executor.options.SnapshotEvery,
-		SnapshotAtLatest: snapshotLatestFactor * s.executor.options.SnapshotEvery,
-		SnapshotFormat:   idempotency.SnapshotFormat,
+		SnapshotEvery:       s.executor.options.SnapshotEvery,
+		MaxSnapshotInterval: snapshotLatestFactor * s.executor.options.SnapshotEvery,
+		SnapshotFormat:      idempotency.SnapshotFormat,
 	})
 }
 
@@ -184,7 +184,7 @@
 	ctx, cancel := s.logContext()
 	defer cancel()
 	proposal := logstream.Proposal{Kind: idempotency.KindIntent, Body: intent}
-	outcome, err := s.stream.ProposeWithLate(ctx, proposal, func(late logstream.Outcome) {
+	outcome, err := s.stream.ProposeWithCallback(ctx, proposal, func(late logstream.Outcome) {
 		s.releaseLateIntent(key, late)
 	})
 	if errors.Is(err, logstream.ErrNotProposed) {
@@ -220,7 +220,7 @@
 	defer cancel()
 	body := idempotency.Release{Key: key, IntentOffset: intentOffset, UnixMS: time.Now().UnixMilli()}
 	proposal := logstream.Proposal{Kind: idempotency.KindRelease, Body: body}
-	_, err := s.stream.ProposeWithLate(ctx, proposal, func(logstream.Outcome) { s.removeExecution(key) })
+	_, err := s.stream.ProposeWithCallback(ctx, proposal, func(logstream.Outcome) { s.removeExecution(key) })
 	if err == nil || errors.Is(err, logstream.ErrNotProposed) {
 		s.removeExecution(key)
 	}
@@ -248,7 +248,7 @@
 		return
 	}
 	known := errkind.From(err)
-	notRun := known.Kind.Answer().Execution == errkind.NotExecuted
+	notRun := known.Kind.Response().Execution == errkind.NotExecuted
 	if notRun && len(execution.receivedPieces()) == 0 {
 		s.release(key, intentOffset)
 		execution.finish(router.Result{}, known)
--- a/internal/leadership/arrival_test.go
+++ b/internal/leadership/arrival_test.go
@@ -15,7 +15,7 @@
 func latestArrival(given lease.Permit) time.Time {
 	last := given.(*permit)
 	left := last.until.Sub(last.term.elector.now())
-	return time.Now().Add(left + lease.InFlight)
+	return time.Now().Add(left + lease.MaxTransitTime)
 }
 
 // TestQuietTimeCoversLatestArrival: an order is sent once its record is acknowledged, possibly long after others have
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -52,7 +52,7 @@
 	// and scheduling delays.
 	sendWindow = 500 * time.Millisecond
 	// arrivalTime is how long after its record was composed an order may still arrive.
-	arrivalTime = sendWindow + lease.InFlight
+	arrivalTime = sendWindow + lease.MaxTransitTime
 	// claimJitter spreads the claims of nodes that find the lease free at the same time.
 	claimJitter = 60 * time.Millisecond
 	// observerReadInterval is the pause between two reads of a node that is not eligible. Such a node needs to know
@@ -86,9 +86,9 @@
 	Eligible func() bool
 	// Budget bounds the log reads of all nodes together.
 	Budget pacing.Budget
-	// Behind, if set, is called for each record that a holder wrote after a newer claim took effect.
-	Behind func(kind lease.RecordKind)
-	Logger zerolog.Logger
+	// OnSuperseded, if set, is called for each record that a holder wrote after a newer claim took effect.
+	OnSuperseded func(kind lease.RecordKind)
+	Logger       zerolog.Logger
 }
 
 // Elector takes part in the election and runs the role while this node leads.
@@ -201,9 +201,9 @@
 	return Holder{Node: e.state.Node, Address: e.state.Address}
 }
 
-// Hesitate defers claims from now on, since this node is about to stop. A lease that it holds is kept until Stop, since
+// DeferClaims defers claims from now on, since this node is about to stop. A lease that it holds is kept until Stop, since
 // all other nodes may be stopping too.
-func (e *Elector) Hesitate() {
+func (e *Elector) DeferClaims() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.deferClaims = true
@@ -250,9 +250,9 @@
 
 func (e *Elector) isEligible() bool { return e.options.Eligible == nil || e.options.Eligible() }
 
-// Unheld reports whether no node has renewed the lease for its TTL plus the given period, while this node was in
+// UnheldFor reports whether no node has renewed the lease for its TTL plus the given period, while this node was in
 // contact with the log.
-func (e *Elector) Unheld(period time.Duration) bool {
+func (e *Elector) UnheldFor(period time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.contactSince.IsZero() {
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -183,7 +183,7 @@
 	epoch := first.lastTerm().Epoch
 	log.SetFault(func(call memlog.Call) memlog.Fault {
 		if call.Append {
-			return memlog.LostAnswer
+			return memlog.LostResponse
 		}
 		return memlog.None
 	})
--- a/internal/leadership/permit.go
+++ b/internal/leadership/permit.go
@@ -29,7 +29,7 @@
 // QuietUntil implements lease.Term.
 func (t Term) QuietUntil(subject string) time.Time {
 	e := t.elector
-	quiet := lease.Quiet{Between: e.options.Quiet, Arrival: arrivalTime, EnginesFence: e.options.EnginesFence}
+	quiet := lease.QuietPeriod{BetweenMachines: e.options.Quiet, MaxTransit: arrivalTime, EnginesFence: e.options.EnginesFence}
 	e.mu.Lock()
 	until := e.state.QuietUntil(subject, quiet)
 	e.mu.Unlock()
@@ -76,9 +76,9 @@
 	return p.term.Valid() && p.term.elector.now().Before(p.until)
 }
 
-// Bound implements lease.Permit.
-func (p *permit) Bound(ctx context.Context) (context.Context, context.CancelFunc) {
-	left := p.until.Add(lease.InFlight).Sub(p.term.elector.now())
+// WithDeadline implements lease.Permit.
+func (p *permit) WithDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
+	left := p.until.Add(lease.MaxTransitTime).Sub(p.term.elector.now())
 	return context.WithTimeout(ctx, left)
 }
 
--- a/internal/leadership/permit_test.go
+++ b/internal/leadership/permit_test.go
@@ -24,14 +24,14 @@
 	asked := time.Now()
 	given := first.permit(t, "engine")
 	assert.Assert(t, given.Open())
-	bound, cancel := given.Bound(t.Context())
+	bound, cancel := given.WithDeadline(t.Context())
 	defer cancel()
 	deadline, _ := bound.Deadline()
 	assert.Assert(t, deadline.Sub(asked) >= sendWindow)
 	testwait.Until(t, "the permit has ended", func() bool { return !given.Open() })
 	assert.Assert(t, time.Since(asked) >= sendWindow-time.Millisecond)
 	assert.Assert(t, first.elector.Valid(first.lastTerm().Epoch), "the lease must outlast the permit")
-	assert.Assert(t, deadline.Before(time.Now().Add(lease.InFlight+time.Millisecond)))
+	assert.Assert(t, deadline.Before(time.Now().Add(lease.MaxTransitTime+time.Millisecond)))
 }
 
 // TestPermitExpiresDuringSuspension: Go's monotonic clock stops during suspension.
--- a/internal/leadership/tail.go
+++ b/internal/leadership/tail.go
@@ -16,9 +16,9 @@
 // tail reads the lease's records until ctx ends.
 func (e *Elector) tail(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := e.read(ctx, e.options.Budget.Stretch(pollWait, maxPollWait)); err != nil {
+		if err := e.read(ctx, e.options.Budget.ScalePeriod(pollWait, maxPollWait)); err != nil {
 			e.lostContact(err)
-			retry.Sleep(ctx, e.options.Budget.Stretch(retryDelay, maxRetryDelay))
+			retry.Sleep(ctx, e.options.Budget.ScalePeriod(retryDelay, maxRetryDelay))
 			continue
 		}
 		retry.Sleep(ctx, e.readDelay())
@@ -28,7 +28,7 @@
 // read reads and applies the records from the next offset on, with a long poll. It may be called concurrently.
 func (e *Elector) read(ctx context.Context, wait time.Duration) error {
 	batch, err := e.log.Read(ctx, e.partition, e.next(), maxReadBytes, wait)
-	var gone *eventlog.GoneError
+	var gone *eventlog.TrimmedError
 	if errors.As(err, &gone) {
 		e.skipTo(gone.First)
 		return nil
@@ -58,7 +58,7 @@
 	if !e.isEligible() {
 		return observerReadInterval
 	}
-	return e.options.Budget.Stretch(readInterval, maxReadInterval)
+	return e.options.Budget.ScalePeriod(readInterval, maxReadInterval)
 }
 
 // apply applies the records of a batch, except those that a concurrent read has already applied.
@@ -73,7 +73,7 @@
 			continue
 		}
 		e.logUnknown(record.Kind)
-		if e.state.IsBehind(record) {
+		if e.state.IsStale(record) {
 			e.reportSuperseded(record)
 		}
 		if e.state.Apply(record, now) {
@@ -108,8 +108,8 @@
 	e.options.Logger.Warn().Stringer("kind", record.Kind).Str("holder", record.Holder).Int64("epoch", record.Epoch).
 		Int64("newest_epoch", e.state.Epoch).Int64("offset", e.state.Next).Strs("engines", record.Engines).
 		Msg("record of an earlier lease")
-	if e.options.Behind != nil {
-		e.options.Behind(record.Kind)
+	if e.options.OnSuperseded != nil {
+		e.options.OnSuperseded(record.Kind)
 	}
 }
 
--- a/internal/leadership/write.go
+++ b/internal/leadership/write.go
@@ -203,7 +203,7 @@
 // epochOf returns the epoch that a record of this node belongs to; for a claim, the one that it begins.
 func (e *Elector) epochOf(record lease.Record) int64 {
 	if record.Kind == lease.Claim {
-		return record.Begins
+		return record.NewEpoch
 	}
 	return record.Epoch
 }
--- a/internal/logrelay/addressof_test.go
+++ b/internal/logrelay/addressof_test.go
@@ -13,8 +13,8 @@
 
 func TestAddressOfReturnsAddressesOfOtherNodesOnly(t *testing.T) {
 	log := memlog.New()
-	one := NewDirectory(log, Self{Node: "n1", Address: "127.0.0.1:1"}, pacing.Limits{}, zerolog.Nop())
-	two := NewDirectory(log, Self{Node: "n2", Address: "127.0.0.1:2"}, pacing.Limits{}, zerolog.Nop())
+	one := NewDirectory(log, NodeInfo{Node: "n1", Address: "127.0.0.1:1"}, pacing.Limits{}, zerolog.Nop())
+	two := NewDirectory(log, NodeInfo{Node: "n2", Address: "127.0.0.1:2"}, pacing.Limits{}, zerolog.Nop())
 	go func() { _ = one.Run(t.Context()) }()
 	go func() { _ = two.Run(t.Context()) }()
 	testwait.Until(t, "n2 is known", func() bool { return one.AddressOf("n2") == "127.0.0.1:2" })
--- a/internal/logrelay/announce_test.go
+++ b/internal/logrelay/announce_test.go
@@ -23,8 +23,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				log := memlog.New()
 				const readsPerSecond = 2000
-				own := NewDirectory(log, Self{Node: "own", Address: "127.0.0.1:9999", Zone: "z"}, pacing.Limits{ReadsPerSecond: readsPerSecond}, zerolog.Nop())
-				reader := NewDirectory(log, Self{Node: "reader", Address: "127.0.0.1:9998", Zone: "z"}, pacing.Limits{ReadsPerSecond: readsPerSecond}, zerolog.Nop())
+				own := NewDirectory(log, NodeInfo{Node: "own", Address: "127.0.0.1:9999", Zone: "z"}, pacing.Limits{ReadsPerSecond: readsPerSecond}, zerolog.Nop())
+				reader := NewDirectory(log, NodeInfo{Node: "reader", Address: "127.0.0.1:9998", Zone: "z"}, pacing.Limits{ReadsPerSecond: readsPerSecond}, zerolog.Nop())
 				ctx, cancel := context.WithCancel(t.Context())
 				var running sync.WaitGroup
 				running.Go(func() { _ = own.Run(ctx) })
--- a/internal/logrelay/bootstrap.go
+++ b/internal/logrelay/bootstrap.go
@@ -103,7 +103,7 @@
 func (d *Directory) locateEnd(ctx context.Context, partition eventlog.Partition) error {
 	state := &d.bootstrap
 	batch, err := d.log.Read(ctx, partition, 0, endBytes, state.readWait)
-	var gone *eventlog.GoneError
+	var gone *eventlog.TrimmedError
 	if errors.As(err, &gone) {
 		batch, err = d.log.Read(ctx, partition, gone.First, endBytes, state.readWait)
 	}
@@ -124,7 +124,7 @@
 	first = from
 	for next := from; next < to; {
 		batch, err := d.log.Read(ctx, partition, next, backwardReadBytes, d.bootstrap.readWait)
-		var gone *eventlog.GoneError
+		var gone *eventlog.TrimmedError
 		if errors.As(err, &gone) && gone.First > next {
 			next = min(gone.First, to)
 			first, members = next, nil
--- a/internal/logrelay/bootstrap_test.go
+++ b/internal/logrelay/bootstrap_test.go
@@ -37,7 +37,7 @@
 				}
 			}
 		}
-		directory := NewDirectory(log, Self{Node: "own", Address: "10.1.0.1:7000", Zone: "zone-5"}, narrowLimits, zerolog.Nop())
+		directory := NewDirectory(log, NodeInfo{Node: "own", Address: "10.1.0.1:7000", Zone: "zone-5"}, narrowLimits, zerolog.Nop())
 		assert.Assert(t, directory.read(t.Context()))
 		assert.Assert(t, directory.Nodes() >= check.nodes*97/100, "%d of %+v", directory.Nodes(), check)
 	}
--- a/internal/logrelay/client.go
+++ b/internal/logrelay/client.go
@@ -28,9 +28,9 @@
 func (p *relayClient) call(ctx context.Context, call request) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Wait+callTimeout)
 	defer cancel()
-	post := msgpackhttp.Ask
+	post := msgpackhttp.Call
 	if call.isWrite() {
-		post = msgpackhttp.AskOnceHeard
+		post = msgpackhttp.CallExpectContinue
 		call.SenderTimeout = callTimeout
 	}
 	var decoded response
--- a/internal/logrelay/directory.go
+++ b/internal/logrelay/directory.go
@@ -78,8 +78,8 @@
 	lastReadAt time.Time
 }
 
-// Self describes this node.
-type Self struct {
+// NodeInfo describes this node.
+type NodeInfo struct {
 	Node string
 	// Address is where the node listens for other nodes.
 	Address string
@@ -92,7 +92,7 @@
 }
 
 // NewDirectory returns a directory for a node. The limits are what the log serves to all nodes together.
-func NewDirectory(log eventlog.Log, self Self, limits pacing.Limits, logger zerolog.Logger) *Directory {
+func NewDirectory(log eventlog.Log, self NodeInfo, limits pacing.Limits, logger zerolog.Logger) *Directory {
 	own := member{
 		Node: self.Node, Address: self.Address, Zone: self.Zone, Region: self.Region, Processors: self.Processors,
 		Version: self.Version,
@@ -196,7 +196,7 @@
 	var announced time.Time
 	failures := directoryRetries.Delays()
 	for {
-		period := d.Budget().Stretch(announcePeriod, maxAnnouncePeriod)
+		period := d.Budget().ScalePeriod(announcePeriod, maxAnnouncePeriod)
 		isAnnounced := time.Since(announced) < min(period, announcedFor)
 		if !isAnnounced && d.announce(ctx, period) == nil {
 			announced, announcedFor, isAnnounced = time.Now(), period, true
@@ -240,17 +240,17 @@
 func (d *Directory) SourcesWithin(regions homes.Set) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !regions.Bound() {
+	if !regions.IsRestricted() {
 		return d.sources
 	}
 	return d.sourcesAmong(d.candidates(), regions)
 }
 
-// AnswersWithin reports whether this node serves other nodes' reads that are restricted to the regions.
-func (d *Directory) AnswersWithin(regions homes.Set) bool {
+// ServesReadsWithin reports whether this node serves other nodes' reads that are restricted to the regions.
+func (d *Directory) ServesReadsWithin(regions homes.Set) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.isReplica || replicaset.Answers(d.candidates(), d.own.candidate(), regions)
+	return d.isReplica || replicaset.ServesNodesOutside(d.candidates(), d.own.candidate(), regions)
 }
 
 // IsReplica reports whether this node serves followed topics to other nodes.
@@ -307,8 +307,8 @@
 
 func (m member) place() topology.Place { return topology.Place{Zone: m.Zone, Region: m.Region} }
 
-// Known is closed after the first complete read of the directory.
-func (d *Directory) Known() <-chan struct{} { return d.known }
+// Loaded is closed after the first complete read of the directory.
+func (d *Directory) Loaded() <-chan struct{} { return d.known }
 
 // read applies new announcements and reports whether the directory could be read.
 func (d *Directory) read(ctx context.Context) bool {
@@ -316,7 +316,7 @@
 		return d.readRecent(ctx)
 	}
 	batch, err := d.log.Read(ctx, eventlog.Partition{Topic: directoryTopic}, d.next, readLimit, 0)
-	var gone *eventlog.GoneError
+	var gone *eventlog.TrimmedError
 	if errors.As(err, &gone) {
 		d.next = gone.First
 		return false
--- a/internal/logrelay/directoryretry_test.go
+++ b/internal/logrelay/directoryretry_test.go
@@ -25,7 +25,7 @@
 			return memlog.Refused
 		})
 		directory := NewDirectory(
-			log, Self{Node: "own", Address: "127.0.0.1:9999", Zone: "z"}, pacing.Limits{ReadsPerSecond: 16_000}, zerolog.Nop(),
+			log, NodeInfo{Node: "own", Address: "127.0.0.1:9999", Zone: "z"}, pacing.Limits{ReadsPerSecond: 16_000}, zerolog.Nop(),
 		)
 		go func() { _ = directory.Run(t.Context()) }()
 		time.Sleep(10 * time.Second)
--- a/internal/logrelay/fallback.go
+++ b/internal/logrelay/fallback.go
@@ -117,7 +117,7 @@
 		return
 	}
 	var conflicting *eventlog.ConflictError
-	var lost *eventlog.GoneError
+	var lost *eventlog.TrimmedError
 	answered := err == nil || errors.As(err, &conflicting) || errors.As(err, &lost)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -221,8 +221,8 @@
 	f.directUntil = time.Now().Add(outagePause)
 }
 
-// Direct reports whether calls are made directly at present.
-func (f *Fallback) Direct() bool {
+// IsDirect reports whether calls are made directly at present.
+func (f *Fallback) IsDirect() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failures < switchWeight
--- a/internal/logrelay/homes_test.go
+++ b/internal/logrelay/homes_test.go
@@ -59,7 +59,7 @@
 	for range failuresToSwitch {
 		_, _ = fallback.Append(t.Context(), testPartition, nil)
 	}
-	assert.Assert(t, !fallback.Direct())
+	assert.Assert(t, !fallback.IsDirect())
 	return fallback
 }
 
@@ -121,9 +121,9 @@
 
 func TestDirectoryReportsRegionsAndDistances(t *testing.T) {
 	log := memlog.New()
-	own := NewDirectory(log, Self{Node: "n1", Address: "127.0.0.1:1", Zone: "a1", Region: "a"}, pacing.Limits{}, zerolog.Nop())
-	other := NewDirectory(log, Self{Node: "n2", Address: "127.0.0.1:2", Zone: "b1", Region: "b"}, pacing.Limits{}, zerolog.Nop())
-	near := NewDirectory(log, Self{Node: "n3", Address: "127.0.0.1:3", Zone: "a2", Region: "a"}, pacing.Limits{}, zerolog.Nop())
+	own := NewDirectory(log, NodeInfo{Node: "n1", Address: "127.0.0.1:1", Zone: "a1", Region: "a"}, pacing.Limits{}, zerolog.Nop())
+	other := NewDirectory(log, NodeInfo{Node: "n2", Address: "127.0.0.1:2", Zone: "b1", Region: "b"}, pacing.Limits{}, zerolog.Nop())
+	near := NewDirectory(log, NodeInfo{Node: "n3", Address: "127.0.0.1:3", Zone: "a2", Region: "a"}, pacing.Limits{}, zerolog.Nop())
 	for _, directory := range []*Directory{own, other, near} {
 		go func() { _ = directory.Run(t.Context()) }()
 	}
@@ -145,14 +145,14 @@
 	regions := map[string]string{}
 	for number := range 320 {
 		zone := number % 4
-		self := Self{
+		self := NodeInfo{
 			Node: fmt.Sprint("n", number), Address: fmt.Sprint("127.0.0.1:", number),
 			Zone: fmt.Sprint("z", zone), Region: fmt.Sprint("r", zone/2),
 		}
 		regions[self.Address] = self.Region
 		assert.NilError(t, NewDirectory(log, self, pacing.Limits{}, zerolog.Nop()).announce(t.Context(), time.Minute))
 	}
-	reader := NewDirectory(log, Self{Node: "reader", Address: "127.0.0.1:9999", Zone: "z0", Region: "r0"}, pacing.Limits{}, zerolog.Nop())
+	reader := NewDirectory(log, NodeInfo{Node: "reader", Address: "127.0.0.1:9999", Zone: "z0", Region: "r0"}, pacing.Limits{}, zerolog.Nop())
 	assert.Assert(t, reader.read(t.Context()))
 	reader.chooseReplicas()
 	assert.Assert(t, len(reader.Sources()) > 0)
--- a/internal/logrelay/logrelay.go
+++ b/internal/logrelay/logrelay.go
@@ -38,9 +38,9 @@
 	Wait      time.Duration          `msgpack:"w,omitempty"`
 	// SenderTimeout is how long the sender of a write waits for the result; zero if unknown.
 	SenderTimeout time.Duration `msgpack:"p,omitempty"`
-	// LeftOut are the record classes that a reader of a replica does not need. Builds that predate the
+	// ExcludedClasses are the record classes that a reader of a replica does not need. Builds that predate the
 	// field send all records.
-	LeftOut []string `msgpack:"x,omitempty"`
+	ExcludedClasses []string `msgpack:"x,omitempty"`
 }
 
 // isWrite reports whether the call changes the log.
@@ -83,7 +83,7 @@
 // errorResponse encodes an error as a response.
 func errorResponse(err error) response {
 	var conflicting *eventlog.ConflictError
-	var lost *eventlog.GoneError
+	var lost *eventlog.TrimmedError
 	switch {
 	case errors.As(err, &conflicting):
 		return response{Outcome: conflict, Offset: conflicting.End}
@@ -104,7 +104,7 @@
 	case conflict:
 		return &eventlog.ConflictError{End: r.Offset}
 	case gone:
-		return &eventlog.GoneError{First: r.Offset}
+		return &eventlog.TrimmedError{First: r.Offset}
 	case cannotRelay:
 		return errCannotRelay
 	case notDone:
--- a/internal/logrelay/logrelay_test.go
+++ b/internal/logrelay/logrelay_test.go
@@ -76,7 +76,7 @@
 	assert.Equal(t, string(batch.Records[0]), "b")
 	n.log.Trim(testPartition, 1)
 	_, err = n.fallback.Read(t.Context(), testPartition, 0, 1024, 0)
-	var gone *eventlog.GoneError
+	var gone *eventlog.TrimmedError
 	assert.Assert(t, errors.As(err, &gone))
 	assert.Equal(t, gone.First, int64(1))
 }
@@ -97,7 +97,7 @@
 // TestRelayedErrorsKeepTheirMeaning guards against an unknown outcome that is reported as not done, or the reverse.
 func TestRelayedErrorsKeepTheirMeaning(t *testing.T) {
 	n := newRelayFixture(t)
-	n.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.LostAnswer })
+	n.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.LostResponse })
 	_, err := n.fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 	assert.Assert(t, errors.Is(err, eventlog.ErrOutcomeUnknown), "%v", err)
 	n.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
@@ -154,7 +154,7 @@
 	for range failuresToSwitch {
 		_, _ = fallback.Append(t.Context(), testPartition, nil)
 	}
-	assert.Assert(t, !fallback.Direct())
+	assert.Assert(t, !fallback.IsDirect())
 	_, err := fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 	assert.NilError(t, err)
 	assert.Equal(t, log.End(testPartition), int64(1))
@@ -177,7 +177,7 @@
 	log.SetFault(nil)
 	_, err := fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 	assert.NilError(t, err)
-	assert.Assert(t, fallback.Direct())
+	assert.Assert(t, fallback.IsDirect())
 }
 
 // TestSharedOutageLimitsCallsToPeers guards against nodes that flood each other with calls, or keep many
@@ -231,8 +231,8 @@
 
 func TestDirectoryListsOtherNodes(t *testing.T) {
 	log := memlog.New()
-	one := NewDirectory(log, Self{Node: "n1", Address: "127.0.0.1:1"}, pacing.Limits{}, zerolog.Nop())
-	two := NewDirectory(log, Self{Node: "n2", Address: "127.0.0.1:2"}, pacing.Limits{}, zerolog.Nop())
+	one := NewDirectory(log, NodeInfo{Node: "n1", Address: "127.0.0.1:1"}, pacing.Limits{}, zerolog.Nop())
+	two := NewDirectory(log, NodeInfo{Node: "n2", Address: "127.0.0.1:2"}, pacing.Limits{}, zerolog.Nop())
 	go func() { _ = one.Run(t.Context()) }()
 	go func() { _ = two.Run(t.Context()) }()
 	_, err := log.Append(t.Context(), eventlog.Partition{Topic: directoryTopic}, [][]byte{[]byte("no member")})
@@ -249,12 +249,12 @@
 func TestNewNodesAreLoggedInOneLine(t *testing.T) {
 	log := memlog.New()
 	for number := range 300 {
-		self := Self{Node: fmt.Sprint("n", number), Address: fmt.Sprint("127.0.0.1:", number)}
+		self := NodeInfo{Node: fmt.Sprint("n", number), Address: fmt.Sprint("127.0.0.1:", number)}
 		directory := NewDirectory(log, self, pacing.Limits{}, zerolog.Nop())
 		assert.NilError(t, directory.announce(t.Context(), time.Minute))
 	}
 	var lines bytes.Buffer
-	reader := NewDirectory(log, Self{Node: "reader", Address: "127.0.0.1:9999"}, pacing.Limits{}, zerolog.New(&lines))
+	reader := NewDirectory(log, NodeInfo{Node: "reader", Address: "127.0.0.1:9999"}, pacing.Limits{}, zerolog.New(&lines))
 	reader.read(t.Context())
 	assert.Equal(t, reader.Nodes(), 301)
 	assert.Equal(t, strings.Count(lines.String(), "\n"), 1, lines.String())
--- a/internal/logrelay/replicareader.go
+++ b/internal/logrelay/replicareader.go
@@ -51,10 +51,10 @@
 	// AwaitSources blocks until the node knows whether there are replicas, or a time limit expires; nil for no
 	// wait.
 	AwaitSources func(ctx context.Context)
-	// LeftOut returns the record classes of a topic that this node does not need; nil for none. Reads of the log
+	// ExcludedClasses returns the record classes of a topic that this node does not need; nil for none. Reads of the log
 	// itself return all records.
-	LeftOut func(topic string) []string
-	Client  *http.Client
+	ExcludedClasses func(topic string) []string
+	Client          *http.Client
 }
 
 // ReplicaReader reads compacted topics from replicas. It reads from the log itself if the cluster has no replicas,
@@ -62,7 +62,7 @@
 type ReplicaReader struct {
 	eventlog.Log
 	options ReplicaOptions
-	paused  *pauses.Pauses
+	paused  *pauses.Set
 	awaited sync.Once
 
 	mu sync.Mutex
@@ -76,8 +76,8 @@
 
 // NewReplicaReader returns a reader that falls back to log.
 func NewReplicaReader(log eventlog.Log, options ReplicaOptions) *ReplicaReader {
-	if options.LeftOut == nil {
-		options.LeftOut = func(string) []string { return nil }
+	if options.ExcludedClasses == nil {
+		options.ExcludedClasses = func(string) []string { return nil }
 	}
 	return &ReplicaReader{
 		Log: log, options: options, paused: pauses.New(),
@@ -90,7 +90,7 @@
 	if r.options.AwaitSources != nil {
 		r.awaited.Do(func() { r.options.AwaitSources(ctx) })
 	}
-	call := request{Operation: opReplicaNewest, Topic: topic, LeftOut: r.options.LeftOut(topic)}
+	call := request{Operation: opReplicaNewest, Topic: topic, ExcludedClasses: r.options.ExcludedClasses(topic)}
 	answer, answered, _ := r.queryUntil(ctx, call, newestTimeout, r.waitForReplicas(topic, minNewestWait))
 	if !answered {
 		batch, err := r.Log.Newest(ctx, topic)
@@ -106,7 +106,7 @@
 ) (eventlog.KeyedBatch, error) {
 	call := request{
 		Operation: opReplicaRead, Topic: topic, Offset: from, Wait: min(wait, replicaWait),
-		LeftOut: r.options.LeftOut(topic),
+		ExcludedClasses: r.options.ExcludedClasses(topic),
 	}
 	retry.Sleep(ctx, r.untilNextRead(topic))
 	answer, answered, err := r.queryUntil(ctx, call, call.Wait+replicaTimeout, r.waitForReplicas(topic, minTailWait))
@@ -144,7 +144,7 @@
 func (r *ReplicaReader) recordLogRead(topic string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var gone *eventlog.GoneError
+	var gone *eventlog.TrimmedError
 	if err == nil || errors.As(err, &gone) {
 		delete(r.failed, topic)
 		return
@@ -181,15 +181,15 @@
 	defer cancel()
 	replica := &relayClient{client: r.options.Client, address: address}
 	answer, err = replica.call(ctx, call)
-	var gone *eventlog.GoneError
+	var gone *eventlog.TrimmedError
 	switch {
 	case errors.As(err, &gone):
 		return answer, true, err
 	case errors.Is(err, errCannotRelay), err == nil && answer.Age > maxReplicaAge:
-		r.paused.Begin(address, stalePause)
+		r.paused.Start(address, stalePause)
 		return response{}, false, nil
 	case err != nil:
-		r.paused.Begin(address, unresponsivePause)
+		r.paused.Start(address, unresponsivePause)
 		return response{}, false, nil
 	}
 	r.mu.Lock()
--- a/internal/logrelay/replicareader_test.go
+++ b/internal/logrelay/replicareader_test.go
@@ -190,7 +190,7 @@
 	log := memlog.New()
 	var directories []*Directory
 	for number := range replicaset.MinNodes {
-		self := Self{
+		self := NodeInfo{
 			Node: fmt.Sprint("n", number), Address: fmt.Sprint("127.0.0.1:", number+1), Zone: "z", Processors: 0.2,
 		}
 		if number < 20 {
@@ -263,7 +263,7 @@
 	server := httptest.NewServer(NewHandler(log, canRelayAlways, oneReplica{follower}))
 	t.Cleanup(server.Close)
 	reader := newReader(log, strings.TrimPrefix(server.URL, "http://"))
-	reader.options.LeftOut = func(string) []string { return []string{"a"} }
+	reader.options.ExcludedClasses = func(string) []string { return []string{"a"} }
 	batch, err := reader.Newest(t.Context(), followedTopic)
 	assert.NilError(t, err)
 	assert.Equal(t, len(batch.Records), 1)
--- a/internal/logrelay/restart_test.go
+++ b/internal/logrelay/restart_test.go
@@ -62,8 +62,8 @@
 }
 
 // testSelf returns the node of a number, in one of six zones.
-func testSelf(number int) Self {
-	return Self{
+func testSelf(number int) NodeInfo {
+	return NodeInfo{
 		Node: fmt.Sprintf("node-%04d", number), Address: fmt.Sprintf("10.0.%d.%d:7000", number/250, number%250),
 		Zone: fmt.Sprint("zone-", number%6), Region: "region", Processors: 1,
 	}
@@ -222,7 +222,7 @@
 		for range announcements {
 			announceAll(t, log.Log, others)
 		}
-		directory := NewDirectory(log, Self{Node: "own", Address: "10.1.0.1:7000", Zone: "z"}, narrowLimits, zerolog.Nop())
+		directory := NewDirectory(log, NodeInfo{Node: "own", Address: "10.1.0.1:7000", Zone: "z"}, narrowLimits, zerolog.Nop())
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { _ = directory.Run(ctx) })
--- a/internal/logrelay/server.go
+++ b/internal/logrelay/server.go
@@ -78,13 +78,13 @@
 		return response{Outcome: cannotRelay}
 	}
 	if call.Operation == opReplicaNewest {
-		batch, age, known := replica.Newest(call.LeftOut)
+		batch, age, known := replica.Newest(call.ExcludedClasses)
 		if !known {
 			return response{Outcome: cannotRelay}
 		}
 		return response{Outcome: done, Offset: batch.Next, Keyed: batch.Records, Age: age}
 	}
-	batch, age, err := replica.Read(ctx, call.Offset, min(call.Wait, maxWait), call.LeftOut)
+	batch, age, err := replica.Read(ctx, call.Offset, min(call.Wait, maxWait), call.ExcludedClasses)
 	if err != nil {
 		return errorResponse(err)
 	}
--- a/internal/logrelay/settle.go
+++ b/internal/logrelay/settle.go
@@ -21,9 +21,9 @@
 // untilRead returns the time until the next read of the directory, which is short until it has settled.
 func (d *Directory) untilRead() time.Duration {
 	if d.isSettled() {
-		return d.Budget().Stretch(readPeriod, maxReadPeriod)
+		return d.Budget().ScalePeriod(readPeriod, maxReadPeriod)
 	}
-	return d.Budget().Stretch(settlingReadPeriod, maxSettlingReadPeriod)
+	return d.Budget().ScalePeriod(settlingReadPeriod, maxSettlingReadPeriod)
 }
 
 func (d *Directory) isSettled() bool { return isClosed(d.settled) }
--- a/internal/logrelay/settle_test.go
+++ b/internal/logrelay/settle_test.go
@@ -16,7 +16,7 @@
 func announceNodes(t *testing.T, log *memlog.Log, from, to int) {
 	t.Helper()
 	for number := from; number < to; number++ {
-		self := Self{Node: fmt.Sprint("n", number), Address: fmt.Sprint("127.0.0.1:", number+1), Zone: "z"}
+		self := NodeInfo{Node: fmt.Sprint("n", number), Address: fmt.Sprint("127.0.0.1:", number+1), Zone: "z"}
 		assert.NilError(t, NewDirectory(log, self, pacing.Limits{}, zerolog.Nop()).announce(t.Context(), time.Minute))
 	}
 }
@@ -25,7 +25,7 @@
 // whole cluster.
 func TestDirectorySettlesOnceItStopsGrowing(t *testing.T) {
 	log := memlog.New()
-	directory := NewDirectory(log, Self{Node: "own", Address: "127.0.0.1:9999", Zone: "z"}, pacing.Limits{}, zerolog.Nop())
+	directory := NewDirectory(log, NodeInfo{Node: "own", Address: "127.0.0.1:9999", Zone: "z"}, pacing.Limits{}, zerolog.Nop())
 	readOnce := func() bool {
 		assert.Assert(t, directory.read(t.Context()))
 		directory.chooseReplicas()
@@ -47,7 +47,7 @@
 func TestSmallDirectorySettlesWithSecondRead(t *testing.T) {
 	log := memlog.New()
 	announceNodes(t, log, 0, 9)
-	directory := NewDirectory(log, Self{Node: "n0", Address: "127.0.0.1:1", Zone: "z"}, pacing.Limits{}, zerolog.Nop())
+	directory := NewDirectory(log, NodeInfo{Node: "n0", Address: "127.0.0.1:1", Zone: "z"}, pacing.Limits{}, zerolog.Nop())
 	for range 2 {
 		assert.Assert(t, directory.read(t.Context()))
 		directory.chooseReplicas()
--- a/internal/logrelay/stall.go
+++ b/internal/logrelay/stall.go
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	_, err := f.direct.Read(ctx, eventlog.Partition{Topic: directoryTopic}, 0, 1, 0)
-	var lost *eventlog.GoneError
+	var lost *eventlog.TrimmedError
 	if errors.As(err, &lost) {
 		return nil
 	}
--- a/internal/logrelay/stall_test.go
+++ b/internal/logrelay/stall_test.go
@@ -72,7 +72,7 @@
 	_, err := fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 	assert.Assert(t, errors.Is(err, eventlog.ErrOutcomeUnknown), "%v", err)
 	assert.Assert(t, errors.Is(<-hanging, eventlog.ErrOutcomeUnknown))
-	assert.Assert(t, !fallback.Direct())
+	assert.Assert(t, !fallback.IsDirect())
 	_, err = fallback.Append(t.Context(), testPartition, [][]byte{[]byte("b")})
 	assert.NilError(t, err)
 	assert.Equal(t, direct.End(testPartition), int64(1))
@@ -86,7 +86,7 @@
 		_, err := fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, fallback.Direct())
+	assert.Assert(t, fallback.IsDirect())
 	assert.Equal(t, direct.End(testPartition), int64(2))
 }
 
--- a/internal/logrelay/versions_test.go
+++ b/internal/logrelay/versions_test.go
@@ -22,7 +22,7 @@
 func TestVersionsAreCurrentOnlyWhileReadsSucceed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
-		own := NewDirectory(log, Self{Node: "own", Version: clusterversion.Announced}, pacing.Limits{}, zerolog.Nop())
+		own := NewDirectory(log, NodeInfo{Node: "own", Version: clusterversion.Announced}, pacing.Limits{}, zerolog.Nop())
 		assert.Assert(t, !own.Versions().Known)
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
--- a/internal/logstream/logstream.go
+++ b/internal/logstream/logstream.go
@@ -41,9 +41,9 @@
 	// Propose appends the record and waits until it is read back. If ctx ends first it returns ctx's error and
 	// the append continues in the background: the outcome is then unknown to the caller.
 	Propose(ctx context.Context, proposal Proposal) (Outcome, error)
-	// ProposeWithLate is like Propose, but calls onLate with an outcome that is read back after ctx ended.
-	// onLate is called at most once, and not at all if ProposeWithLate returned an outcome.
-	ProposeWithLate(ctx context.Context, proposal Proposal, onLate func(Outcome)) (Outcome, error)
+	// ProposeWithCallback is like Propose, but calls onLate with an outcome that is read back after ctx ended.
+	// onLate is called at most once, and not at all if ProposeWithCallback returned an outcome.
+	ProposeWithCallback(ctx context.Context, proposal Proposal, onLate func(Outcome)) (Outcome, error)
 	// CatchUp waits until all records that were in the stream at the time of the call have been applied.
 	CatchUp(ctx context.Context) error
 	// View calls read with the reducer's lock held; read must not block.
--- a/internal/logstream/logstream_test.go
+++ b/internal/logstream/logstream_test.go
@@ -226,7 +226,7 @@
 	short, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 	defer cancel()
 	late := make(chan Outcome, 2)
-	_, err = stream.ProposeWithLate(short, Proposal{Kind: kindNote, Body: 2}, func(outcome Outcome) { late <- outcome })
+	_, err = stream.ProposeWithCallback(short, Proposal{Kind: kindNote, Body: 2}, func(outcome Outcome) { late <- outcome })
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	fixture.log.SetControl(standin.Control{})
 	select {
@@ -323,12 +323,12 @@
 	old, err := logrecord.Encode(proposed.record)
 	assert.NilError(t, err)
 
-	filler := make([][]byte, logrecord.ForgetAfter+1)
+	filler := make([][]byte, logrecord.WriterRetentionOffsets+1)
 	_, err = fixture.service().Append(ctx, "notes/x", append(filler, old))
 	assert.NilError(t, err)
 	select {
 	case outcome := <-proposed.done:
-		assert.Equal(t, outcome, Outcome{Offset: logrecord.ForgetAfter + 2, Verdict: logrecord.Accepted})
+		assert.Equal(t, outcome, Outcome{Offset: logrecord.WriterRetentionOffsets + 2, Verdict: logrecord.Accepted})
 	case <-ctx.Done():
 		t.Fatal("no verdict")
 	}
--- a/internal/logstream/options.go
+++ b/internal/logstream/options.go
@@ -86,10 +86,10 @@
 	// SnapshotEvery is the number of records after which this process may write a snapshot; 0 disables
 	// snapshots. A failed attempt is repeated after as many records.
 	SnapshotEvery int64
-	// SnapshotAtLatest defers a due snapshot until the records since the previous one take as many bytes as that
+	// MaxSnapshotInterval defers a due snapshot until the records since the previous one take as many bytes as that
 	// snapshot, so that snapshots of a large state do not outweigh its records. A reader replays at most this
 	// many records. 0 disables deferral.
-	SnapshotAtLatest int64
+	MaxSnapshotInterval int64
 	// ShouldSnapshot reports whether this process should write the snapshot that is due. It is called with the
 	// reducer's lock held. If nil, a process writes it if it had a record accepted since the previous one.
 	ShouldSnapshot func() bool
--- a/internal/logstream/propose.go
+++ b/internal/logstream/propose.go
@@ -24,12 +24,12 @@
 
 // Propose implements Stream.
 func (s *TailedStream) Propose(ctx context.Context, wanted Proposal) (Outcome, error) {
-	return s.ProposeWithLate(ctx, wanted, nil)
+	return s.ProposeWithCallback(ctx, wanted, nil)
 }
 
-// ProposeWithLate implements Stream. onLate runs in its own goroutine. If the error wraps ErrNotProposed, the
+// ProposeWithCallback implements Stream. onLate runs in its own goroutine. If the error wraps ErrNotProposed, the
 // proposal has no effect and onLate is not called; nor is it called after the Manager was stopped.
-func (s *TailedStream) ProposeWithLate(
+func (s *TailedStream) ProposeWithCallback(
 	ctx context.Context, wanted Proposal, onLate func(Outcome),
 ) (Outcome, error) {
 	if err := ctx.Err(); err != nil {
--- a/internal/logstream/snapshot.go
+++ b/internal/logstream/snapshot.go
@@ -63,7 +63,7 @@
 	if every <= 0 || records < every {
 		return false
 	}
-	return s.bytesSince >= s.snapshotBytes || records >= s.options.SnapshotAtLatest
+	return s.bytesSince >= s.snapshotBytes || records >= s.options.MaxSnapshotInterval
 }
 
 // queueSnapshot queues a snapshot for appendLoop if one is due. Must be called with mu held.
--- a/internal/logstream/snapshotdue_test.go
+++ b/internal/logstream/snapshotdue_test.go
@@ -25,7 +25,7 @@
 			stream := &TailedStream{
 				manager:    newFixture(t).manager(t, "a"),
 				reducer:    &recordingReducer{Accepted: []string{strings.Repeat("x", test.state)}},
-				options:    StreamOptions{SnapshotEvery: 10, SnapshotAtLatest: test.atLatest},
+				options:    StreamOptions{SnapshotEvery: 10, MaxSnapshotInterval: test.atLatest},
 				writer:     "a",
 				references: 1,
 				wake:       make(chan struct{}, 1),
--- a/internal/logstream/tail.go
+++ b/internal/logstream/tail.go
@@ -77,7 +77,7 @@
 func (s *TailedStream) applyBatch(batch logservice.Batch, sent time.Time) {
 	contact := sent
 	if len(batch.Entries) == 0 {
-		contact = answered.At(sent, s.manager.options.PollWait, time.Now())
+		contact = answered.AsOf(sent, s.manager.options.PollWait, time.Now())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/logusage/logusage.go
+++ b/internal/logusage/logusage.go
@@ -111,7 +111,7 @@
 
 func outcomeOf(ctx context.Context, err error) Outcome {
 	var conflict *eventlog.ConflictError
-	var gone *eventlog.GoneError
+	var gone *eventlog.TrimmedError
 	switch {
 	case err == nil, errors.As(err, &conflict), errors.As(err, &gone):
 		return Answered
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -109,8 +109,8 @@
 
 // DirectiveResult is the response to a Directive: the number of engines in each state.
 type DirectiveResult struct {
-	Engines int `msgpack:"en"`
-	AtLeast int `msgpack:"al"` // engines that report Version or higher
+	Engines        int `msgpack:"en"`
+	AtLeastVersion int `msgpack:"al"` // engines that report Version or higher
 	// AtVersion counts those of AtLeast that report exactly Version.
 	AtVersion int `msgpack:"av"`
 	Loading   int `msgpack:"lo"`
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -130,7 +130,7 @@
 	peer := p.start(t, "a")
 	old := p.start(t, "b", peer.peerAddress())
 	eventually(t, "both are ready", func() bool { return peer.ready() == nil && old.ready() == nil })
-	eventually(t, "the process is no longer young", func() bool { return !old.roles.cluster.Young() })
+	eventually(t, "the process is no longer young", func() bool { return !old.roles.cluster.StartedRecently() })
 	fresh := p.start(t, "b", peer.peerAddress())
 
 	assert.Assert(t, errors.Is(old.awaitEnd(t), errSuperseded))
--- a/internal/operatorapi/operatorapi_test.go
+++ b/internal/operatorapi/operatorapi_test.go
@@ -196,7 +196,7 @@
 		t.Run(test.method+" "+test.target, func(t *testing.T) {
 			var failure api.ErrorBody
 			status := (&fakeSystem{}).do(t, test.method, test.target, test.body, &failure)
-			assert.Equal(t, status, test.kind.Answer().Status)
+			assert.Equal(t, status, test.kind.Response().Status)
 			assert.Equal(t, failure.Error.Code, test.kind.String())
 		})
 	}
--- a/internal/platform/httpjson/httpjson.go
+++ b/internal/platform/httpjson/httpjson.go
@@ -18,12 +18,12 @@
 	Service string
 	// HTTP sends the requests; nil selects http.DefaultClient. Calls are bounded by their context.
 	HTTP *http.Client
-	// MaxAnswerBytes bounds how much of a response body is read.
-	MaxAnswerBytes int64
+	// MaxResponseBytes bounds how much of a response body is read.
+	MaxResponseBytes int64
 }
 
-// Answer is a response whose body has been read.
-type Answer struct {
+// Response is a response whose body has been read.
+type Response struct {
 	// Service is the name of the service that responded.
 	Service string
 	// StatusCode and Status are the HTTP status, as in http.Response.
@@ -47,7 +47,7 @@
 // any status; an error means that there was no complete response.
 func (c *Client) Send(
 	ctx context.Context, method, target string, header http.Header, message any,
-) (*Answer, error) {
+) (*Response, error) {
 	request, err := newRequest(ctx, method, target, header, message)
 	if err != nil {
 		return nil, err
@@ -57,11 +57,11 @@
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, c.MaxAnswerBytes))
+	content, err := io.ReadAll(io.LimitReader(response.Body, c.MaxResponseBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "read response")
 	}
-	return &Answer{
+	return &Response{
 		Service:    c.Service,
 		StatusCode: response.StatusCode,
 		Status:     response.Status,
@@ -100,7 +100,7 @@
 }
 
 // Decode decodes the response's body into result, unless it is nil. A status other than 2xx is an error.
-func (a *Answer) Decode(result any) error {
+func (a *Response) Decode(result any) error {
 	if a.StatusCode/100 != 2 {
 		return errors.Errorf("%s answered %s: %s", a.Service, a.Status, bytes.TrimSpace(a.Content))
 	}
--- a/internal/platform/httpjson/httpjson_test.go
+++ b/internal/platform/httpjson/httpjson_test.go
@@ -27,7 +27,7 @@
 		assert.Check(t, r.Header.Get("Content-Type") == "application/json")
 		_, _ = io.Copy(w, r.Body)
 	})
-	client := httpjson.Client{Service: "echo", MaxAnswerBytes: 1 << 10}
+	client := httpjson.Client{Service: "echo", MaxResponseBytes: 1 << 10}
 	var got note
 	err := client.Call(context.Background(), http.MethodPost, target, note{Text: "x"}, &got)
 	assert.NilError(t, err)
@@ -41,7 +41,7 @@
 	target := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "0123456789", http.StatusServiceUnavailable)
 	})
-	client := httpjson.Client{Service: "echo", MaxAnswerBytes: 4}
+	client := httpjson.Client{Service: "echo", MaxResponseBytes: 4}
 	err := client.Call(context.Background(), http.MethodGet, target, nil, nil)
 	assert.Error(t, err, "echo answered 503 Service Unavailable: 0123")
 	answer, err := client.Send(context.Background(), http.MethodGet, target, nil, nil)
--- a/internal/platform/logservice/http.go
+++ b/internal/platform/logservice/http.go
@@ -76,17 +76,17 @@
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return errors.Wrapf(ErrRefused, "connect: %v", err)
 	}
-	return errors.Wrapf(ErrUnknown, "%v", err)
+	return errors.Wrapf(ErrOutcomeUnknown, "%v", err)
 }
 
 func decodeAppendResponse(response *http.Response) (int64, error) {
 	data, err := readBounded(response.Body, maxAppendResponseBytes)
 	if err != nil {
-		return 0, errors.Wrapf(ErrUnknown, "read response: %v", err)
+		return 0, errors.Wrapf(ErrOutcomeUnknown, "read response: %v", err)
 	}
 	var answer AppendResponse
 	if err := json.Unmarshal(data, &answer); err != nil {
-		return 0, errors.Wrapf(ErrUnknown, "status %d: decode response: %v", response.StatusCode, err)
+		return 0, errors.Wrapf(ErrOutcomeUnknown, "status %d: decode response: %v", response.StatusCode, err)
 	}
 	switch {
 	case response.StatusCode == http.StatusOK && !answer.Refused && answer.Offset >= 0:
@@ -94,7 +94,7 @@
 	case answer.Refused && isRefusalStatus(response.StatusCode):
 		return 0, errors.Wrapf(ErrRefused, "status %d: %s", response.StatusCode, answer.Message)
 	default:
-		return 0, errors.Wrapf(ErrUnknown, "status %d: %s", response.StatusCode, answer.Message)
+		return 0, errors.Wrapf(ErrOutcomeUnknown, "status %d: %s", response.StatusCode, answer.Message)
 	}
 }
 
--- a/internal/platform/logservice/http_test.go
+++ b/internal/platform/logservice/http_test.go
@@ -31,13 +31,13 @@
 		"appended":                  {answer(200, `{"offset":7}`), nil},
 		"refused in 503":            {answer(503, `{"refused":true}`), ErrRefused},
 		"refused in 413":            {answer(413, `{"refused":true}`), ErrRefused},
-		"refused in 500":            {answer(500, `{"refused":true}`), ErrUnknown},
-		"503 without refused field": {answer(503, `{}`), ErrUnknown},
-		"proxy error page":          {answer(502, `<html>`), ErrUnknown},
-		"contradiction":             {answer(200, `{"offset":7,"refused":true}`), ErrUnknown},
-		"redirect":                  {answer(307, `{}`), ErrUnknown},
-		"connection breaks":         {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrUnknown},
-		"response is too large":     {answer(200, string(make([]byte, maxAppendResponseBytes+1))), ErrUnknown},
+		"refused in 500":            {answer(500, `{"refused":true}`), ErrOutcomeUnknown},
+		"503 without refused field": {answer(503, `{}`), ErrOutcomeUnknown},
+		"proxy error page":          {answer(502, `<html>`), ErrOutcomeUnknown},
+		"contradiction":             {answer(200, `{"offset":7,"refused":true}`), ErrOutcomeUnknown},
+		"redirect":                  {answer(307, `{}`), ErrOutcomeUnknown},
+		"connection breaks":         {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrOutcomeUnknown},
+		"response is too large":     {answer(200, string(make([]byte, maxAppendResponseBytes+1))), ErrOutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			offset, err := serve(t, test.handler).Append(t.Context(), "s", [][]byte{{1}})
--- a/internal/platform/logservice/logservice.go
+++ b/internal/platform/logservice/logservice.go
@@ -11,8 +11,8 @@
 // ErrRefused means that the log guarantees that the append has no effect, now or later.
 var ErrRefused = errors.New("log service: append refused")
 
-// ErrUnknown means that the append may or may not take effect, now or later.
-var ErrUnknown = errors.New("log service: append outcome unknown")
+// ErrOutcomeUnknown means that the append may or may not take effect, now or later.
+var ErrOutcomeUnknown = errors.New("log service: append outcome unknown")
 
 // ErrUnavailable means that a read failed; it may be repeated.
 var ErrUnavailable = errors.New("log service: read failed")
--- a/internal/platform/machines/http.go
+++ b/internal/platform/machines/http.go
@@ -38,7 +38,7 @@
 func NewHTTP(baseURL string, client *http.Client) *HTTPSource {
 	return &HTTPSource{
 		baseURL: strings.TrimSuffix(baseURL, "/"),
-		client:  httpjson.Client{Service: "machine list", HTTP: client, MaxAnswerBytes: maxResponseBytes},
+		client:  httpjson.Client{Service: "machine list", HTTP: client, MaxResponseBytes: maxResponseBytes},
 	}
 }
 
--- a/internal/platform/scorer/http.go
+++ b/internal/platform/scorer/http.go
@@ -33,7 +33,7 @@
 func NewHTTP(baseURL string, client *http.Client) Scorer {
 	return &httpScorer{
 		url:    strings.TrimSuffix(baseURL, "/") + scorePath,
-		client: httpjson.Client{Service: "scorer", HTTP: client, MaxAnswerBytes: maxResponseBytes},
+		client: httpjson.Client{Service: "scorer", HTTP: client, MaxResponseBytes: maxResponseBytes},
 	}
 }
 
--- a/internal/platform/weightstore/http.go
+++ b/internal/platform/weightstore/http.go
@@ -26,7 +26,7 @@
 func NewHTTP(baseURL string, client *http.Client) Store {
 	return &HTTPStore{
 		baseURL: strings.TrimSuffix(baseURL, "/"),
-		client:  httpjson.Client{Service: "weight store", HTTP: client, MaxAnswerBytes: maxResponseBytes},
+		client:  httpjson.Client{Service: "weight store", HTTP: client, MaxResponseBytes: maxResponseBytes},
 	}
 }
 
--- a/internal/report/timeline/requests.go
+++ b/internal/report/timeline/requests.go
@@ -32,7 +32,7 @@
 func codesOf(kinds []errkind.Kind) map[string]bool {
 	codes := map[string]bool{}
 	for _, kind := range kinds {
-		codes[kind.Answer().Code] = true
+		codes[kind.Response().Code] = true
 	}
 	return codes
 }
--- a/internal/router/classify.go
+++ b/internal/router/classify.go
@@ -104,7 +104,7 @@
 func isMalformedAnswer(err error) bool {
 	var short *answer.ShortError
 	return errors.As(err, &short) ||
-		errors.Is(err, answer.ErrUnnamedVersion) ||
+		errors.Is(err, answer.ErrMissingVersion) ||
 		errors.Is(err, answer.ErrNegativeIndex)
 }
 
@@ -112,7 +112,7 @@
 // the request was not executed.
 func callerError(err error, mayHaveRun, repeatable bool) *errkind.Error {
 	known := toKindError(err)
-	if !mayHaveRun || known.Kind.Answer().Execution != errkind.NotExecuted {
+	if !mayHaveRun || known.Kind.Response().Execution != errkind.NotExecuted {
 		return known
 	}
 	kind := errkind.OutcomeUnknown
--- a/internal/router/faults_test.go
+++ b/internal/router/faults_test.go
@@ -81,7 +81,7 @@
 				seen.assertComplete(t)
 				return
 			}
-			if errkind.KindOf(seen.err).Answer().Execution == errkind.NotExecuted {
+			if errkind.KindOf(seen.err).Response().Execution == errkind.NotExecuted {
 				assert.Equal(t, starts, 0, "reported as not executed: %v", seen.err)
 			}
 		})
--- a/internal/router/run_test.go
+++ b/internal/router/run_test.go
@@ -229,7 +229,7 @@
 		fake.dispatchers["n0"] = loseAfter(3)
 		fake.dispatchers["n1"] = refuse(errkind.New(errkind.QueueFull, "full"))
 		seen := run(t.Context(), fake, testRequest(true))
-		assert.Equal(t, errkind.KindOf(seen.err).Answer().Execution, errkind.Unknown)
+		assert.Equal(t, errkind.KindOf(seen.err).Response().Execution, errkind.Unknown)
 	})
 }
 
--- a/internal/sendgate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -64,19 +64,19 @@
 	return false
 }
 
-// Look returns the final check of a request to an engine. permit reports whether the request's permit for a cold
+// Check returns the final check of a request to an engine. permit reports whether the request's permit for a cold
 // engine is valid. Without a permit function, the request may be sent only while the engine is not cold.
-func (g *Gate) Look(engine incarnation.ID, permit func() bool) *Look {
+func (g *Gate) Check(engine incarnation.ID, permit func() bool) *Check {
 	if permit == nil {
 		permit = func() bool { return !g.isCold(engine) }
 	}
-	return &Look{gate: g, engine: engine, permit: permit}
+	return &Check{gate: g, engine: engine, permit: permit}
 }
 
-// LookAtOrder returns the final check of an order to load weights. It does not count towards an engine's request rate
+// CheckWeightLoad returns the final check of an order to load weights. It does not count towards an engine's request rate
 // and needs no permit for a cold engine.
-func (g *Gate) LookAtOrder(engine incarnation.ID) *Look {
-	return &Look{gate: g, engine: engine, permit: func() bool { return true }}
+func (g *Gate) CheckWeightLoad(engine incarnation.ID) *Check {
+	return &Check{gate: g, engine: engine, permit: func() bool { return true }}
 }
 
 func (g *Gate) isCold(engine incarnation.ID) bool {
@@ -84,16 +84,16 @@
 	return cold
 }
 
-// Look is the final check of one request. It is safe for concurrent use.
-type Look struct {
+// Check is the final check of one request. It is safe for concurrent use.
+type Check struct {
 	gate   *Gate
 	engine incarnation.ID
 	permit func() bool
 	held   atomic.Uint32
 }
 
-// MayLeave reports whether the request may be sent now. It must be called right before the first byte is written.
-func (l *Look) MayLeave() bool {
+// MaySend reports whether the request may be sent now. It must be called right before the first byte is written.
+func (l *Check) MaySend() bool {
 	reason := l.reason()
 	if reason == fleet.NotHeld {
 		return true
@@ -105,9 +105,9 @@
 }
 
 // Held returns why the request was held back, or fleet.NotHeld.
-func (l *Look) Held() fleet.Hold { return fleet.Hold(l.held.Load()) }
+func (l *Check) Held() fleet.Hold { return fleet.Hold(l.held.Load()) }
 
-func (l *Look) reason() fleet.Hold {
+func (l *Check) reason() fleet.Hold {
 	if !l.gate.Known() {
 		return fleet.HeldUnknown
 	}
--- a/internal/sendgate/sendgate_test.go
+++ b/internal/sendgate/sendgate_test.go
@@ -24,12 +24,12 @@
 	known, engine := engineInZone("za")
 	var reasons []fleet.Hold
 	gate := New(Options{Fleet: known, OnHeldBack: func(reason fleet.Hold) { reasons = append(reasons, reason) }})
-	look := gate.Look(engine.Incarnation(), nil)
-	assert.Assert(t, look.MayLeave())
+	look := gate.Check(engine.Incarnation(), nil)
+	assert.Assert(t, look.MaySend())
 	assert.Equal(t, look.Held(), fleet.NotHeld)
 	known.Evacuate("za", time.Now(), 1)
-	assert.Assert(t, !look.MayLeave())
-	assert.Assert(t, !look.MayLeave())
+	assert.Assert(t, !look.MaySend())
+	assert.Assert(t, !look.MaySend())
 	assert.Equal(t, look.Held(), fleet.HeldEvacuated)
 	assert.DeepEqual(t, reasons, []fleet.Hold{fleet.HeldEvacuated})
 }
@@ -39,13 +39,13 @@
 	known, engine := engineInZone("za")
 	var learned atomic.Bool
 	gate := New(Options{Fleet: known, Known: learned.Load})
-	look := gate.Look(engine.Incarnation(), nil)
-	assert.Assert(t, !look.MayLeave())
+	look := gate.Check(engine.Incarnation(), nil)
+	assert.Assert(t, !look.MaySend())
 	assert.Equal(t, look.Held(), fleet.HeldUnknown)
 	assert.Assert(t, !gate.AwaitKnown(t.Context()))
 	learned.Store(true)
 	assert.Assert(t, gate.AwaitKnown(t.Context()))
-	assert.Assert(t, gate.Look(engine.Incarnation(), nil).MayLeave())
+	assert.Assert(t, gate.Check(engine.Incarnation(), nil).MaySend())
 }
 
 // Guards against a wait that outlasts the caller's context.
@@ -62,12 +62,12 @@
 	known, engine := engineInZone("za")
 	known.SetSlowStarts(map[string]routes.SlowStart{"s": {Period: time.Hour, RatePerSecond: 4}})
 	gate := New(Options{Fleet: known})
-	look, order := gate.Look(engine.Incarnation(), nil), gate.LookAtOrder(engine.Incarnation())
-	assert.Assert(t, look.MayLeave() && order.MayLeave())
-	known.MarkDoubtful(engine.Incarnation(), fleet.Unreached, time.Now())
-	assert.Assert(t, !look.MayLeave())
+	look, order := gate.Check(engine.Incarnation(), nil), gate.CheckWeightLoad(engine.Incarnation())
+	assert.Assert(t, look.MaySend() && order.MaySend())
+	known.MarkPossiblyCold(engine.Incarnation(), fleet.Unreached, time.Now())
+	assert.Assert(t, !look.MaySend())
 	assert.Equal(t, look.Held(), fleet.HeldPaced)
-	assert.Assert(t, order.MayLeave())
+	assert.Assert(t, order.MaySend())
 }
 
 // Guards against a permit that does not expire or that overrides an evacuation.
@@ -76,13 +76,13 @@
 	var open atomic.Bool
 	open.Store(true)
 	gate := New(Options{Fleet: known})
-	assert.Assert(t, gate.Look(engine.Incarnation(), open.Load).MayLeave())
+	assert.Assert(t, gate.Check(engine.Incarnation(), open.Load).MaySend())
 	open.Store(false)
-	look := gate.Look(engine.Incarnation(), open.Load)
-	assert.Assert(t, !look.MayLeave())
+	look := gate.Check(engine.Incarnation(), open.Load)
+	assert.Assert(t, !look.MaySend())
 	assert.Equal(t, look.Held(), fleet.HeldPaced)
 	known.Evacuate("za", time.Now(), 1)
-	look = gate.Look(engine.Incarnation(), open.Load)
-	assert.Assert(t, !look.MayLeave())
+	look = gate.Check(engine.Incarnation(), open.Load)
+	assert.Assert(t, !look.MaySend())
 	assert.Equal(t, look.Held(), fleet.HeldEvacuated)
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -35,7 +35,7 @@
 	MaxLoads           = 10_000
 	MinLease           = 500 * time.Millisecond
 	MaxLease           = time.Minute
-	MaxOrderQuiet      = lease.MaxQuiet // orders are retained for longer than this
+	MaxOrderQuiet      = lease.MaxBetweenMachines // orders are retained for longer than this
 	MaxPartitions      = 1024
 	MaxProcessors      = 1024
 	MaxMemoryMB        = 1 << 20
@@ -209,7 +209,7 @@
 	} else if hosted.DutyKinds != "" {
 		c.add("hosted.duties", "", "ip:port of the platform service for duties, because hosted.duty_kinds is set")
 	}
-	if hosted.UsageWindow != 0 || hosted.Duty(DutyUsage) {
+	if hosted.UsageWindow != 0 || hosted.HasDuty(DutyUsage) {
 		c.duration("hosted.usage_window", hosted.UsageWindow, MinUsageWindow, MaxUsageWindow)
 	}
 	c.duration("hosted.usage_due", hosted.UsageDue, MinUsageWindow, MaxUsageWindow)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -120,8 +120,8 @@
 	DutyScaler = "scaler" // scaling of engines
 )
 
-// Duty reports whether the duty is configured.
-func (h Hosted) Duty(kind string) bool {
+// HasDuty reports whether the duty is configured.
+func (h Hosted) HasDuty(kind string) bool {
 	return h.Duties != "" && slices.Contains(strings.Split(h.DutyKinds, ","), kind)
 }
 
--- a/internal/standin/leaseterm/leaseterm.go
+++ b/internal/standin/leaseterm/leaseterm.go
@@ -11,10 +11,10 @@
 
 // Term is a lease term that is valid until SetOver(true).
 type Term struct {
-	// Quiet, if set, returns the time before which no order to a subject may be sent.
-	Quiet func(subject string) time.Time
-	// Refuses, if set, returns the error with which a permit is refused.
-	Refuses func(subject string) error
+	// QuietUntilFunc, if set, returns the time before which no order to a subject may be sent.
+	QuietUntilFunc func(subject string) time.Time
+	// PermitError, if set, returns the error with which a permit is refused.
+	PermitError func(subject string) error
 
 	mu            sync.Mutex
 	ended         bool
@@ -33,16 +33,16 @@
 
 // QuietUntil implements lease.Term.
 func (t *Term) QuietUntil(subject string) time.Time {
-	if t.Quiet == nil {
+	if t.QuietUntilFunc == nil {
 		return time.Time{}
 	}
-	return t.Quiet(subject)
+	return t.QuietUntilFunc(subject)
 }
 
 // Permit implements lease.Term.
 func (t *Term) Permit(_ context.Context, subject string) (lease.Permit, error) {
-	if t.Refuses != nil {
-		if err := t.Refuses(subject); err != nil {
+	if t.PermitError != nil {
+		if err := t.PermitError(subject); err != nil {
 			return nil, err
 		}
 	}
@@ -65,13 +65,13 @@
 // permitTimeout is the lifetime of a permit's context, as in the real implementation.
 const permitTimeout = time.Second
 
-// Bound implements lease.Permit.
-func (p permit) Bound(ctx context.Context) (context.Context, context.CancelFunc) {
+// WithDeadline implements lease.Permit.
+func (p permit) WithDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, permitTimeout)
 }
 
-// SetOver ends the term, or makes it valid again.
-func (t *Term) SetOver(ended bool) {
+// SetEnded ends the term, or makes it valid again.
+func (t *Term) SetEnded(ended bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ended = ended
--- a/internal/standin/logservice/server_test.go
+++ b/internal/standin/logservice/server_test.go
@@ -37,13 +37,13 @@
 
 	assert.Equal(t, control(t, server.URL, `{"down":true}`), http.StatusOK)
 	_, err = service.Append(ctx, "s", record)
-	assert.ErrorIs(t, err, logservice.ErrUnknown)
+	assert.ErrorIs(t, err, logservice.ErrOutcomeUnknown)
 	_, err = service.Read(ctx, "s", 0, 1, 0)
 	assert.ErrorIs(t, err, logservice.ErrUnavailable)
 
 	assert.Equal(t, control(t, server.URL, `{"lose_answers":1,"late_ms":20}`), http.StatusOK)
 	_, err = service.Append(ctx, "s", [][]byte{{2}, {3}})
-	assert.ErrorIs(t, err, logservice.ErrUnknown)
+	assert.ErrorIs(t, err, logservice.ErrOutcomeUnknown)
 	batch, err := service.Read(ctx, "s", 1, 10, 30*time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, len(batch.Entries), 2)
