--- a/internal/standin/memlog/memlog.go
+++ b/internal/standin/memlog/memlog.go
@@ -19,12 +19,12 @@
 	None Fault = iota
 	// Refused fails the call without an effect, with an error that says so.
 	Refused
-	// LostAnswer performs the call and loses the response.
-	LostAnswer
+	// LostResponse performs the call and loses the response.
+	LostResponse
 	// LostCall loses the call: no effect, outcome unknown to the caller.
 	LostCall
-	// LateEffect loses the response and performs the call when Release is called.
-	LateEffect
+	// DelayedEffect loses the response and performs the call when Release is called.
+	DelayedEffect
 )
 
 // Call describes a call to the fault function.
@@ -65,8 +65,8 @@
 	l.wakeReaders()
 }
 
-// Release performs all delayed appends.
-func (l *Log) Release() {
+// ReleaseDelayed performs all delayed appends.
+func (l *Log) ReleaseDelayed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, effect := range l.pendingEffects {
@@ -183,14 +183,14 @@
 		return 0, eventlog.ErrNotDone
 	case LostCall:
 		return 0, eventlog.ErrOutcomeUnknown
-	case LateEffect:
+	case DelayedEffect:
 		l.pendingEffects = append(l.pendingEffects, func() {
 			if holds(l.partition(name).end()) {
 				l.append(name, records)
 			}
 		})
 		return 0, eventlog.ErrOutcomeUnknown
-	case LostAnswer:
+	case LostResponse:
 		if holds(l.partition(name).end()) {
 			l.append(name, records)
 		}
@@ -240,7 +240,7 @@
 	}
 	p := l.partition(name)
 	if from < p.first {
-		return eventlog.Batch{}, nil, &eventlog.GoneError{First: p.first}
+		return eventlog.Batch{}, nil, &eventlog.TrimmedError{First: p.first}
 	}
 	batch := eventlog.Batch{First: from, End: p.end()}
 	size := 0
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -42,8 +42,8 @@
 	}}
 }
 
-// LiveAnswer is the response to a live request.
-type LiveAnswer struct {
+// LiveResponse is the response to a live request.
+type LiveResponse struct {
 	Status int
 	// ID is the request ID in the response. Stamped reports whether the response carries an engine's signature.
 	ID      string
@@ -54,8 +54,8 @@
 	Numbers []int64
 }
 
-// Refused reports whether the status guarantees that the request is never executed.
-func Refused(status int) bool {
+// GuaranteesNotExecuted reports whether the status guarantees that the request is never executed.
+func GuaranteesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout,
 		http.StatusMisdirectedRequest:
@@ -81,15 +81,15 @@
 }
 
 // Live sends a live request to a node. An error means that no complete response was received.
-func (c *Client) Live(ctx context.Context, address, path, id, body string, deadline time.Duration) (LiveAnswer, error) {
+func (c *Client) Live(ctx context.Context, address, path, id, body string, deadline time.Duration) (LiveResponse, error) {
 	response, err := c.do(ctx, http.MethodPost, address, path, []byte(body), map[string]string{
 		headerRequestID: id, headerDeadline: strconv.FormatInt(deadline.Milliseconds(), 10), headerModel: ModelDrafts,
 	})
 	if err != nil {
-		return LiveAnswer{}, err
+		return LiveResponse{}, err
 	}
 	defer response.Body.Close()
-	answer := LiveAnswer{
+	answer := LiveResponse{
 		Status: response.StatusCode, ID: response.Header.Get(headerRequestID),
 		Stamped: response.Header.Get(headerStamp) != "",
 	}
@@ -103,7 +103,7 @@
 }
 
 // readEvents reads events until the stream is complete.
-func (a *LiveAnswer) readEvents(body io.Reader) error {
+func (a *LiveResponse) readEvents(body io.Reader) error {
 	reader := eventstream.NewReader(body)
 	for {
 		event, err := reader.Next()
--- a/internal/standin/platform/duties.go
+++ b/internal/standin/platform/duties.go
@@ -63,15 +63,15 @@
 // ServeHTTP implements http.Handler.
 func (d *Duties) ServeHTTP(w http.ResponseWriter, r *http.Request) { d.router.ServeHTTP(w, r) }
 
-// SoldOut sets whether scaling requests are rejected for lack of engines.
-func (d *Duties) SoldOut(noCapacity bool) {
+// SetNoCapacity sets whether scaling requests are rejected for lack of engines.
+func (d *Duties) SetNoCapacity(noCapacity bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.noCapacity = noCapacity
 }
 
-// LoseAnswers sets whether connections are closed without a response after the call took effect.
-func (d *Duties) LoseAnswers(drop bool) {
+// SetDropResponses sets whether connections are closed without a response after the call took effect.
+func (d *Duties) SetDropResponses(drop bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.dropResponses = drop
--- a/internal/standin/platform/engine.go
+++ b/internal/standin/platform/engine.go
@@ -31,24 +31,24 @@
 type EngineFault uint8
 
 const (
-	// Works injects no fault.
-	Works EngineFault = iota
-	// Full refuses the request as not executed.
-	Full
-	// Fails responds with 500.
-	Fails
-	// Impossible responds that the request can never be executed.
-	Impossible
-	// CutOff truncates the response.
-	CutOff
-	// Silent executes the request and never responds.
-	Silent
-	// AnswerLost executes the request and closes the connection.
-	AnswerLost
-	// Surplus sends a second response on the connection.
-	Surplus
-	// Foreign responds with the ID of another request.
-	Foreign
+	// NoFault injects no fault.
+	NoFault EngineFault = iota
+	// RefusesFull refuses the request as not executed.
+	RefusesFull
+	// RespondsError responds with 500.
+	RespondsError
+	// RespondsUnprocessable responds that the request can never be executed.
+	RespondsUnprocessable
+	// TruncatesResponse truncates the response.
+	TruncatesResponse
+	// NeverResponds executes the request and never responds.
+	NeverResponds
+	// DropsResponse executes the request and closes the connection.
+	DropsResponse
+	// DuplicatesResponse sends a second response on the connection.
+	DuplicatesResponse
+	// RespondsWrongID responds with the ID of another request.
+	RespondsWrongID
 )
 
 // Run is a request that an engine started to execute.
@@ -65,8 +65,8 @@
 	Credentials string
 }
 
-// OrderSeen is an order as received by the engine.
-type OrderSeen struct {
+// ReceivedOrder is an order as received by the engine.
+type ReceivedOrder struct {
 	Holder  string
 	Fence   int64
 	Version int64
@@ -84,11 +84,11 @@
 // EngineOptions configures an engine.
 type EngineOptions struct {
 	ID string
-	// Born is the start time in Unix milliseconds; zero leaves it out of entries and reports.
-	Born    int64
-	Service string
-	Zone    string
-	Slots   int
+	// StartMillis is the start time in Unix milliseconds; zero leaves it out of entries and reports.
+	StartMillis int64
+	Service     string
+	Zone        string
+	Slots       int
 	// Versions is the weight version of each model. An engine without models sends plain responses.
 	Versions map[string]int64
 	// Events returns the number of events of an item; EventTime is the time for each.
@@ -98,11 +98,11 @@
 	Data func(id string, number int, version int64) string
 	// LoadTime is the duration of a weight change.
 	LoadTime time.Duration
-	// EndsUnder reports whether a run crashes the engine, EventsBeforeEnd is the number of events that its stream
+	// CrashesOn reports whether a run crashes the engine, EventsBeforeEnd is the number of events that its stream
 	// sends first, and End performs the crash. See EngineHost.
-	EndsUnder       func(run Run) bool
-	EventsBeforeEnd int
-	End             func(run Run)
+	CrashesOn         func(run Run) bool
+	EventsBeforeCrash int
+	Crash             func(run Run)
 	// ColdFor is how long after its start the engine reports that it is cold.
 	ColdFor time.Duration
 	// CheckFences rejects orders whose fencing token is lower than that of an accepted one.
@@ -122,7 +122,7 @@
 	busy     bool
 	orders   int64
 	fence    int64
-	received []OrderSeen
+	received []ReceivedOrder
 	arrivals []Arrival
 	// coldUntil is the time at which the engine is warm.
 	coldUntil time.Time
@@ -191,10 +191,10 @@
 }
 
 // Orders returns all well-formed orders that the engine received.
-func (e *Engine) Orders() []OrderSeen {
+func (e *Engine) Orders() []ReceivedOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]OrderSeen(nil), e.received...)
+	return append([]ReceivedOrder(nil), e.received...)
 }
 
 // ID returns the engine's ID, which a later process may reuse.
@@ -219,8 +219,8 @@
 
 // withStartTime adds the engine's start time to an entry or report.
 func (e *Engine) withStartTime(fields map[string]any) map[string]any {
-	if e.options.Born != 0 {
-		fields["born"] = e.options.Born
+	if e.options.StartMillis != 0 {
+		fields["born"] = e.options.StartMillis
 	}
 	return fields
 }
@@ -236,19 +236,19 @@
 
 // crashesOn reports whether a run crashes the engine.
 func (e *Engine) crashesOn(run Run) bool {
-	return e.options.EndsUnder != nil && e.options.EndsUnder(run)
+	return e.options.CrashesOn != nil && e.options.CrashesOn(run)
 }
 
 func (e *Engine) begin(r *http.Request, body string) (Run, EngineFault, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	fault := Works
+	fault := NoFault
 	id := r.Header.Get(headerRequestID)
 	if e.fault != nil {
 		fault = e.fault(id)
 	}
-	if fault == Full || e.running >= e.options.Slots {
-		return Run{}, Full, false
+	if fault == RefusesFull || e.running >= e.options.Slots {
+		return Run{}, RefusesFull, false
 	}
 	after, _ := strconv.ParseInt(r.Header.Get(headerLastEvent), 10, 64)
 	e.running++
--- a/internal/standin/platform/engine_arrivals.go
+++ b/internal/standin/platform/engine_arrivals.go
@@ -23,24 +23,24 @@
 	e.arrivals = append(e.arrivals, Arrival{ID: r.Header.Get(headerRequestID), At: time.Now(), From: hostOf(r.RemoteAddr)})
 }
 
-// ArrivalsSeen returns the requests that reached the engine, in order of arrival.
-func (e *Engine) ArrivalsSeen() []Arrival {
+// Arrivals returns the requests that reached the engine, in order of arrival.
+func (e *Engine) Arrivals() []Arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Arrival(nil), e.arrivals...)
 }
 
-// Arrivals returns the arrival times of the requests that reached the engine.
-func (e *Engine) Arrivals() []time.Time {
+// ArrivalTimes returns the arrival times of the requests that reached the engine.
+func (e *Engine) ArrivalTimes() []time.Time {
 	var times []time.Time
-	for _, each := range e.ArrivalsSeen() {
+	for _, each := range e.Arrivals() {
 		times = append(times, each.At)
 	}
 	return times
 }
 
-// TurnCold makes the engine cold for at least a duration from now on. The caller must list its entry again.
-func (e *Engine) TurnCold(lasting time.Duration) {
+// SetCold makes the engine cold for at least a duration from now on. The caller must list its entry again.
+func (e *Engine) SetCold(lasting time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if until := time.Now().Add(lasting); until.After(e.coldUntil) {
--- a/internal/standin/platform/engine_control.go
+++ b/internal/standin/platform/engine_control.go
@@ -63,7 +63,7 @@
 	case e.versions[body.Model] == body.Version:
 		status = http.StatusOK
 	}
-	received := OrderSeen{
+	received := ReceivedOrder{
 		Holder: body.Holder, Fence: body.Fence, Version: body.Version, At: time.Now(), From: hostOf(r.RemoteAddr),
 		Expected: countUnknown, Taken: e.orders, Status: status,
 	}
--- a/internal/standin/platform/engine_host.go
+++ b/internal/standin/platform/engine_host.go
@@ -46,7 +46,7 @@
 		return errors.Wrap(err, "listen for an engine")
 	}
 	options := h.nextOptions()
-	options.End = func(Run) { h.crash() }
+	options.Crash = func(Run) { h.crash() }
 	engine := NewEngine(options)
 	server := &http.Server{Handler: engine, ReadHeaderTimeout: time.Minute}
 	h.engines, h.server = append(h.engines, engine), server
@@ -58,12 +58,12 @@
 // nextOptions returns the options of the next start. Must be called with mu held.
 func (h *EngineHost) nextOptions() EngineOptions {
 	options := h.options
-	if options.Born == 0 {
+	if options.StartMillis == 0 {
 		options.ID = fmt.Sprintf("%s-%d", options.ID, len(h.engines)+1)
 		return options
 	}
 	if len(h.engines) > 0 {
-		options.Born = max(time.Now().UnixMilli(), h.engines[len(h.engines)-1].options.Born+1)
+		options.StartMillis = max(time.Now().UnixMilli(), h.engines[len(h.engines)-1].options.StartMillis+1)
 	}
 	return options
 }
--- a/internal/standin/platform/engine_responses.go
+++ b/internal/standin/platform/engine_responses.go
@@ -32,15 +32,15 @@
 	w.Header().Set(headerStamp, Stamp(id))
 	w.Header().Set(headerLoad, fmt.Sprintf("1,0,%d", e.options.Slots))
 	switch fault {
-	case Fails:
+	case RespondsError:
 		w.WriteHeader(http.StatusInternalServerError)
-	case Impossible:
+	case RespondsUnprocessable:
 		w.WriteHeader(http.StatusUnprocessableEntity)
-	case Silent:
+	case NeverResponds:
 		<-r.Context().Done()
-	case AnswerLost:
+	case DropsResponse:
 		abortConnection()
-	case Foreign:
+	case RespondsWrongID:
 		w.Header().Set(headerRequestID, "another")
 		_, _ = io.WriteString(w, Answer(id))
 	default:
@@ -49,7 +49,7 @@
 			return
 		}
 		if e.crashesOn(run) {
-			e.options.End(run)
+			e.options.Crash(run)
 			abortConnection()
 		}
 		e.writePlain(w, id, fault)
@@ -77,12 +77,12 @@
 func (e *Engine) writePlain(w http.ResponseWriter, id string, fault EngineFault) {
 	answer := Answer(id)
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-	if fault == CutOff {
+	if fault == TruncatesResponse {
 		_, _ = io.WriteString(w, answer[:len(answer)/2])
 		abortConnection()
 	}
 	_, _ = io.WriteString(w, answer)
-	if fault == Surplus {
+	if fault == DuplicatesResponse {
 		writeDuplicate(w, answer)
 	}
 }
@@ -118,11 +118,11 @@
 			return
 		case <-time.After(e.options.EventTime):
 		}
-		if e.crashesOn(run) && number > after+e.options.EventsBeforeEnd {
-			e.options.End(run)
+		if e.crashesOn(run) && number > after+e.options.EventsBeforeCrash {
+			e.options.Crash(run)
 			abortConnection()
 		}
-		if fault == CutOff && number > (after+events)/2 {
+		if fault == TruncatesResponse && number > (after+events)/2 {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", number)
 			_ = flush.Flush()
 			abortConnection()
--- a/internal/standin/platform/operator.go
+++ b/internal/standin/platform/operator.go
@@ -41,8 +41,8 @@
 	Kind      string
 	Service   string
 	Resumable bool
-	// Homes are the only regions that may serve and store its requests; none allows all.
-	Homes []string
+	// HomeRegions are the only regions that may serve and store its requests; none allows all.
+	HomeRegions []string
 }
 
 // Tenant is one tenant of a Configuration.
@@ -108,7 +108,7 @@
 
 func (r Route) wire() wireRoute {
 	wire := wireRoute{
-		Name: r.Name, Host: RouteHost, Prefix: r.Prefix, Kind: r.Kind, Service: r.Service, Resumable: r.Resumable, Homes: r.Homes,
+		Name: r.Name, Host: RouteHost, Prefix: r.Prefix, Kind: r.Kind, Service: r.Service, Resumable: r.Resumable, Homes: r.HomeRegions,
 		TimeoutMs: lookupTimeoutMs, TargetMs: targetMs, MaxAttempts: maxAttempts,
 	}
 	switch r.Kind {
--- a/internal/standin/platform/service.go
+++ b/internal/standin/platform/service.go
@@ -168,9 +168,9 @@
 		case !call.Append:
 			return memlog.None
 		case draw < s.config.Refuse+s.config.LoseAnswers:
-			return memlog.LostAnswer
+			return memlog.LostResponse
 		case draw < s.config.Refuse+s.config.LoseAnswers+s.config.Late:
-			return memlog.LateEffect
+			return memlog.DelayedEffect
 		default:
 			return memlog.None
 		}
@@ -185,7 +185,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.store.Log.Release()
+			s.store.Log.ReleaseDelayed()
 		}
 	}
 }
--- a/internal/standin/platform/store_read.go
+++ b/internal/standin/platform/store_read.go
@@ -27,7 +27,7 @@
 	}
 	wait, _ := strconv.Atoi(query.Get("waitMs"))
 	batch, err := s.Log.Read(r.Context(), partition, from, limit<<10, time.Duration(wait)*time.Millisecond)
-	var gone *eventlog.GoneError
+	var gone *eventlog.TrimmedError
 	switch {
 	case errors.As(err, &gone):
 		writeJSON(w, http.StatusGone, map[string]int64{"first": gone.First})
--- a/internal/standin/trainer/client.go
+++ b/internal/standin/trainer/client.go
@@ -43,7 +43,7 @@
 		IdleConnTimeout:     maxIdleSeconds * time.Second,
 	}
 	return &client{servers: servers, trainer: trainer, http: httpjson.Client{
-		Service: "node", HTTP: &http.Client{Transport: transport}, MaxAnswerBytes: maxAnswerBytes,
+		Service: "node", HTTP: &http.Client{Transport: transport}, MaxResponseBytes: maxAnswerBytes,
 	}}
 }
 
--- a/internal/standin/trainer/report.go
+++ b/internal/standin/trainer/report.go
@@ -17,8 +17,8 @@
 	Lost int `json:"lost"`
 	// Stale counts samples accepted beyond the staleness bound; 0 for UnknownBound.
 	Stale int `json:"stale"`
-	// UnnamedVersions counts fetched samples whose version spans have gaps or do not match their text.
-	UnnamedVersions int     `json:"unnamed_versions"`
+	// InvalidVersions counts fetched samples whose version spans have gaps or do not match their text.
+	InvalidVersions int     `json:"unnamed_versions"`
 	StalenessMean   float64 `json:"staleness_mean"`
 	StalenessMax    uint64  `json:"staleness_max"`
 	// Staleness is the staleness of each accepted sample, in order.
@@ -30,9 +30,9 @@
 	Retries      int64     `json:"retries"`
 }
 
-// Broken reports whether a guarantee to the trainer was violated.
-func (r Report) Broken() bool {
-	return r.Duplicates > 0 || r.Lost > 0 || r.Stale > 0 || r.UnnamedVersions > 0
+// ViolatesGuarantees reports whether a guarantee to the trainer was violated.
+func (r Report) ViolatesGuarantees() bool {
+	return r.Duplicates > 0 || r.Lost > 0 || r.Stale > 0 || r.InvalidVersions > 0
 }
 
 // Report returns the counts so far.
@@ -54,7 +54,7 @@
 		Duplicates:          len(j.accepted) - len(j.bySlot),
 		Rejected:            j.rejected,
 		Lost:                j.lost,
-		UnnamedVersions:     j.invalidVersions,
+		InvalidVersions:     j.invalidVersions,
 		Staleness:           make([]uint64, 0, len(j.accepted)),
 		IdleSeconds:         j.idle.Seconds(),
 		TrainSeconds:        j.training.Seconds(),
--- a/internal/standin/trainer/trainer_test.go
+++ b/internal/standin/trainer/trainer_test.go
@@ -52,7 +52,7 @@
 	journal.persist(9, []api.Sample{sample("step-0/0/2", 0, 3)}, 0)
 	journal.applyResponse(api.AckRequest{Token: 9, TrainerVersion: 4}, api.AckResponse{Accepted: []string{"step-0/0/2"}})
 	assert.Equal(t, journal.report(UnknownBound).Duplicates, 1)
-	assert.Assert(t, journal.report(UnknownBound).Broken())
+	assert.Assert(t, journal.report(UnknownBound).ViolatesGuarantees())
 }
 
 func TestTrainerCountsLostSamples(t *testing.T) {
@@ -69,7 +69,7 @@
 	report, err := trainer.Run(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, report.Lost, 2)
-	assert.Assert(t, report.Broken())
+	assert.Assert(t, report.ViolatesGuarantees())
 }
 
 func TestConfigFlags(t *testing.T) {
--- a/internal/tables/decision.go
+++ b/internal/tables/decision.go
@@ -12,7 +12,7 @@
 	base     *policy.Table // nil when it is older than the history
 	decided  bool
 	decision policy.Decision
-	accepted policy.Accepted // set when the proposal was accepted
+	accepted policy.AcceptedRevision // set when the proposal was accepted
 }
 
 // readState returns the proposal's state and, when its base is known, sets the edit's changes.
@@ -25,8 +25,8 @@
 			state.base = base
 		}
 		state.decision, state.decided = reducer.Decision(edit.proposal.ProposalID)
-		if state.decided && state.decision.Judgement == policy.JudgedAccepted {
-			state.accepted, _ = reducer.Accepted(state.decision.Revision)
+		if state.decided && state.decision.Outcome == policy.OutcomeAccepted {
+			state.accepted, _ = reducer.AcceptedRevision(state.decision.Revision)
 		}
 	})
 	if state.base != nil {
@@ -41,11 +41,11 @@
 		return api.TableAccepted{}, errkind.New(errkind.InvalidRequest,
 			"proposal ID %q was already used for a different edit", edit.proposal.ProposalID)
 	}
-	switch s.decision.Judgement {
-	case policy.JudgedAccepted:
+	switch s.decision.Outcome {
+	case policy.OutcomeAccepted:
 		changes := append([]policy.RowChange{}, s.accepted.Changes...)
 		return api.TableAccepted{Revision: s.decision.Revision, Changes: changes}, nil
-	case policy.JudgedStale:
+	case policy.OutcomeStale:
 		return api.TableAccepted{}, s.conflict(edit)
 	default:
 		return api.TableAccepted{}, invalidTable(s.decision.Problems)
--- a/internal/tables/history.go
+++ b/internal/tables/history.go
@@ -8,7 +8,7 @@
 // History returns up to limit accepted revisions that this node has read from
 // the log, newest first.
 func (t *Tables) History(limit int) []api.HistoryEntry {
-	var accepted []policy.Accepted
+	var accepted []policy.AcceptedRevision
 	t.options.Stream.View(func() { accepted = t.options.Reducer.History(limit) })
 	entries := make([]api.HistoryEntry, 0, len(accepted))
 	for _, revision := range accepted {
--- a/internal/tables/propose.go
+++ b/internal/tables/propose.go
@@ -15,8 +15,8 @@
 // ProposeTimeout bounds a call of Propose.
 const ProposeTimeout = 15 * time.Second
 
-// proposeCatchUp bounds reading to the log's end before a proposal is appended.
-const proposeCatchUp = 5 * time.Second
+// proposeCatchUpTimeout bounds reading to the log's end before a proposal is appended.
+const proposeCatchUpTimeout = 5 * time.Second
 
 // ProposalError explains why a proposal was rejected. It wraps an *errkind.Error.
 type ProposalError struct {
@@ -56,7 +56,7 @@
 	if err := edit.proposal.Check(); err != nil {
 		return api.TableAccepted{}, errkind.New(errkind.InvalidRequest, "%v", err)
 	}
-	if err := t.proposeCatchUp(ctx, request.ProposalID); err != nil {
+	if err := t.catchUpForProposal(ctx, request.ProposalID); err != nil {
 		return api.TableAccepted{}, err
 	}
 	return t.propose(ctx, edit)
@@ -68,9 +68,9 @@
 	proposal policy.Proposal
 }
 
-// proposeCatchUp reads to the log's end, so that an existing decision on the proposal is found.
-func (t *Tables) proposeCatchUp(ctx context.Context, proposalID string) error {
-	ctx, cancel := context.WithTimeout(ctx, proposeCatchUp)
+// catchUpForProposal reads to the log's end, so that an existing decision on the proposal is found.
+func (t *Tables) catchUpForProposal(ctx context.Context, proposalID string) error {
+	ctx, cancel := context.WithTimeout(ctx, proposeCatchUpTimeout)
 	defer cancel()
 	err := t.catchUp(ctx)
 	switch {
@@ -118,7 +118,7 @@
 	}
 	proposal := edit.proposal
 	proposal.Changes = policy.Compact(proposal.Changes)
-	_, err := t.options.Stream.ProposeWithLate(ctx,
+	_, err := t.options.Stream.ProposeWithCallback(ctx,
 		logstream.Proposal{Kind: policy.KindProposal, Body: &proposal},
 		func(outcome logstream.Outcome) { t.handleLateOutcome(proposalID, outcome) })
 	if err == nil || errors.Is(err, logstream.ErrNotProposed) {
--- a/internal/weightorders/evacuation_test.go
+++ b/internal/weightorders/evacuation_test.go
@@ -51,7 +51,7 @@
 
 // Order checks whether the order may be sent, as a real client does.
 func (z *evacuationRecorder) Order(ctx context.Context, engine fleet.Engine, order Order) (Answer, error) {
-	if !order.MayLeave() {
+	if !order.MaySend() {
 		return Refused, nil
 	}
 	z.record(engine, "order")
@@ -88,7 +88,7 @@
 	testwait.Until(t, "the other zone's engine has loaded version 3", func() bool { return w.engines.versionOf("e1") == 3 })
 	assert.DeepEqual(t, recorder.recorded(), []string(nil))
 	assert.Equal(t, w.engines.versionOf("e0"), int64(2))
-	w.fleet.TakeBack("za", time.Now(), 2)
+	w.fleet.EndEvacuation("za", time.Now(), 2)
 	testwait.Until(t, "the engine loads after its zone is readmitted", func() bool { return w.engines.versionOf("e0") == 3 })
 }
 
@@ -108,6 +108,6 @@
 	close(recorder.release)
 	testwait.Until(t, "the blocked request ends", func() bool { return recorder.ended.Load() > 0 })
 	assert.DeepEqual(t, recorder.recorded(), []string(nil))
-	w.fleet.TakeBack("za", time.Now(), 2)
+	w.fleet.EndEvacuation("za", time.Now(), 2)
 	testwait.Until(t, "the engine loads after its zone is readmitted", func() bool { return w.engines.versionOf("e0") == 2 })
 }
--- a/internal/weightorders/incarnation_test.go
+++ b/internal/weightorders/incarnation_test.go
@@ -23,7 +23,7 @@
 
 // incarnationEntry returns the list entry of an incarnation of engine e0, which starts with version 1.
 func incarnationEntry(born int64) fleet.Engine {
-	return fleet.Engine{ID: "e0", Born: born, Service: service, Slots: 4, Versions: map[string]int64{model: 1}}
+	return fleet.Engine{ID: "e0", StartMillis: born, Service: service, Slots: 4, Versions: map[string]int64{model: 1}}
 }
 
 // restart starts another incarnation of engine e0, without the state of the earlier one.
@@ -44,7 +44,7 @@
 	w := startManager(t, 1, func(options *Options) {
 		options.Engines.(*fakeEngines).born["e0"] = firstStart
 		options.Fleet.Put(incarnationEntry(firstStart))
-		options.Loaded = func() { loaded.Add(1) }
+		options.OnLoadEnd = func() { loaded.Add(1) }
 	})
 	testwait.Until(t, "the first incarnation has version 2", func() bool {
 		return w.engines.allAt(2) && loaded.Load() == 1
@@ -70,13 +70,13 @@
 		engines := options.Engines.(*fakeEngines)
 		engines.born["e0"] = firstStart
 		options.Fleet.Put(incarnationEntry(firstStart))
-		options.Loaded = func() { loaded.Add(1) }
+		options.OnLoadEnd = func() { loaded.Add(1) }
 		engines.answer = func(string, Order) (Answer, bool) {
 			if engines.born["e0"] == secondStart {
 				return 0, false
 			}
 			engines.restartLocked(secondStart, 2)
-			return Taken, true
+			return Accepted, true
 		}
 	})
 	testwait.Until(t, "the first load fails", func() bool { return loaded.Load() >= 1 })
@@ -88,7 +88,7 @@
 	w.fleet.Put(incarnationEntry(secondStart))
 	testwait.Until(t, "the second incarnation is listed with version 2", func() bool {
 		listed, _ := w.fleet.Get("e0")
-		return listed.Born == secondStart && listed.Versions[model] == 2
+		return listed.StartMillis == secondStart && listed.Versions[model] == 2
 	})
 	assert.Equal(t, w.engines.orderCount(), 1, "the second incarnation already has the version")
 }
@@ -100,7 +100,7 @@
 		options.Engines.(*fakeEngines).born["e0"] = secondStart
 		options.Fleet.Put(incarnationEntry(firstStart))
 		options.Fleet.Put(incarnationEntry(secondStart))
-		options.Term = &leaseterm.Term{Quiet: func(engine string) time.Time {
+		options.Term = &leaseterm.Term{QuietUntilFunc: func(engine string) time.Time {
 			if engine == "e0" && !over.Load() {
 				return time.Now().Add(time.Hour)
 			}
@@ -131,7 +131,7 @@
 	engines.busy["e0"] = true
 	known.Put(incarnationEntry(firstStart))
 	manager := New(Options{
-		Engines: engines, Fleet: known, Term: &leaseterm.Term{}, Logger: zerolog.Nop(), Loaded: func() {},
+		Engines: engines, Fleet: known, Term: &leaseterm.Term{}, Logger: zerolog.Nop(), OnLoadEnd: func() {},
 		Running: func() map[incarnation.ID]int { return nil },
 	})
 	first := incarnationEntry(firstStart)
--- a/internal/weightorders/load.go
+++ b/internal/weightorders/load.go
@@ -23,19 +23,19 @@
 func (m *Manager) load(ctx context.Context, engine fleet.Engine, load weightplan.Load, mode Mode) {
 	began := time.Now()
 	answer := m.order(ctx, engine, load, mode)
-	done := answer == Held
-	if answer == Taken || answer == Unanswered {
+	done := answer == AlreadyLoaded
+	if answer == Accepted || answer == Unanswered {
 		done = m.awaitVersion(ctx, engine, load, began)
 	}
 	if done {
-		m.options.Fleet.Observe(engine.Incarnation(), load.Model, load.Version)
+		m.options.Fleet.ObserveVersion(engine.Incarnation(), load.Model, load.Version)
 	}
 	m.mu.Lock()
-	if done && answer == Taken {
+	if done && answer == Accepted {
 		m.recordLoadTime(time.Since(began))
 		if mode == Continue {
 			// In mode Finish the duration includes the wait for running items.
-			m.limiter.Ended(began, time.Now(), m.loading[engine.Incarnation()].concurrency)
+			m.limiter.RecordLoad(began, time.Now(), m.loading[engine.Incarnation()].concurrency)
 		}
 	}
 	delete(m.loading, engine.Incarnation())
@@ -48,7 +48,7 @@
 	m.options.Logger.Info().Stringer("engine", engine.Incarnation()).Str("model", load.Model).Int64("version", load.Version).
 		Stringer("answer", answer).Bool("done", done).Int64("fence", m.options.Fence).
 		Dur("took_ms", time.Since(began)).Int("loads_at_once", limit).Msg("weights ordered")
-	m.options.Loaded()
+	m.options.OnLoadEnd()
 }
 
 // recordLoadTime updates the mean load time. Must be called with mu held.
@@ -75,7 +75,7 @@
 		}
 		m.observe(engine, report)
 		if report.Versions[load.Model] >= load.Version {
-			return Held
+			return AlreadyLoaded
 		}
 		count = report.Count
 	}
@@ -91,13 +91,13 @@
 		return Refused
 	}
 	began := time.Now()
-	check := m.options.Gate.LookAtOrder(engine.Incarnation())
-	callContext, cancel := permit.Bound(ctx)
+	check := m.options.Gate.CheckWeightLoad(engine.Incarnation())
+	callContext, cancel := permit.WithDeadline(ctx)
 	defer cancel()
 	answer, err := m.options.Engines.Order(callContext, engine, Order{
 		Model: load.Model, Version: load.Version, Mode: mode,
 		Holder: m.options.Holder, Fence: m.options.Fence, Count: count,
-		MayLeave: func() bool { return permit.Open() && check.MayLeave() },
+		MaySend: func() bool { return permit.Open() && check.MaySend() },
 	})
 	if err != nil {
 		m.options.Logger.Warn().Err(err).Stringer("engine", engine.Incarnation()).Msg("load order failed")
@@ -106,7 +106,7 @@
 		Stringer("held_back", check.Held()).Dur("took_ms", time.Since(began)).Msg("load order answered")
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if answer == Taken {
+	if answer == Accepted {
 		m.counts[engine.Incarnation()] = count + 1
 	} else {
 		delete(m.counts, engine.Incarnation())
@@ -163,8 +163,8 @@
 	if err != nil {
 		return Report{}, err
 	}
-	if addressed := engine.Incarnation(); addressed.Contradicts(report.Of) {
-		m.options.Logger.Info().Stringer("engine", addressed).Stringer("answered", report.Of).
+	if addressed := engine.Incarnation(); addressed.Contradicts(report.Incarnation) {
+		m.options.Logger.Info().Stringer("engine", addressed).Stringer("answered", report.Incarnation).
 			Msg("report from another incarnation of the engine")
 		return Report{}, errRestarted
 	}
@@ -188,6 +188,6 @@
 // observe updates the fleet with the versions of a report.
 func (m *Manager) observe(engine fleet.Engine, report Report) {
 	for model, version := range report.Versions {
-		m.options.Fleet.Observe(engine.Incarnation(), model, version)
+		m.options.Fleet.ObserveVersion(engine.Incarnation(), model, version)
 	}
 }
--- a/internal/weightorders/plan.go
+++ b/internal/weightorders/plan.go
@@ -86,7 +86,7 @@
 func (m *Manager) engineViews(listed []fleet.Listed, running map[incarnation.ID]int) []weightplan.Engine {
 	views := make([]weightplan.Engine, 0, len(listed))
 	for _, each := range listed {
-		if !each.TakesWork {
+		if !each.AcceptsWork {
 			continue
 		}
 		id := each.Engine.Incarnation()
@@ -139,7 +139,7 @@
 			itemPeaks = &peak.Window{}
 			m.itemPeaks[model] = itemPeaks
 		}
-		itemPeaks.Observe(now, demand.Items, itemPeakPeriod)
+		itemPeaks.Observe(now, demand.Unfinished, itemPeakPeriod)
 		targets = append(targets, weightplan.Target{
 			Model: model, Version: version, MinVersion: demand.MinVersion, Items: itemPeaks.Max(),
 			Demand: m.demands[model], Waiting: demand.Waiting, Interrupts: target.SingleVersion,
--- a/internal/weightorders/scale_test.go
+++ b/internal/weightorders/scale_test.go
@@ -27,17 +27,17 @@
 		engines.busy[fmt.Sprint("e", i)] = true
 	}
 	manager := New(Options{
-		Engines: engines, Fleet: known, Logger: zerolog.Nop(), Loaded: func() {},
+		Engines: engines, Fleet: known, Logger: zerolog.Nop(), OnLoadEnd: func() {},
 		Running: func() map[incarnation.ID]int { return nil },
-		Demands: func() map[string]batchrun.Demand { return map[string]batchrun.Demand{model: {Items: 200}} },
-		Term: &leaseterm.Term{Quiet: func(string) time.Time {
+		Demands: func() map[string]batchrun.Demand { return map[string]batchrun.Demand{model: {Unfinished: 200}} },
+		Term: &leaseterm.Term{QuietUntilFunc: func(string) time.Time {
 			queries++
 			return time.Time{}
 		}},
 	})
 	for range 200 {
 		// Fast loads raise the concurrency limit.
-		manager.limiter.Ended(time.Now(), time.Now().Add(time.Second), 1000)
+		manager.limiter.RecordLoad(time.Now(), time.Now().Add(time.Second), 1000)
 	}
 	engines.mu.Lock()
 	manager.plan(t.Context(), Target{Service: service, Versions: map[string]int64{model: 2}})
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -67,9 +67,9 @@
 	Fence  int64
 	// Count is the number of orders that the engine has accepted before this one.
 	Count int64
-	// MayLeave reports whether the order may still be sent. It is called from any goroutine right before the
+	// MaySend reports whether the order may still be sent. It is called from any goroutine right before the
 	// first byte is written; nil means always.
-	MayLeave func() bool
+	MaySend func() bool
 }
 
 // Answer is an engine's answer to an order.
@@ -79,10 +79,10 @@
 const (
 	// Unanswered: no response; the order may take effect now, later or never.
 	Unanswered Answer = iota
-	// Taken: the engine has accepted the order and loads the version.
-	Taken
-	// Held: the engine has already loaded the version.
-	Held
+	// Accepted: the engine has accepted the order and loads the version.
+	Accepted
+	// AlreadyLoaded: the engine has already loaded the version.
+	AlreadyLoaded
 	// Conflict: another load is in progress, or the order count is outdated.
 	Conflict
 	// Fenced: the engine has received an order with a higher epoch.
@@ -92,7 +92,7 @@
 )
 
 var answerNames = [...]string{
-	Unanswered: "unanswered", Taken: "taken", Held: "held", Conflict: "conflict", Fenced: "fenced", Refused: "refused",
+	Unanswered: "unanswered", Accepted: "taken", AlreadyLoaded: "held", Conflict: "conflict", Fenced: "fenced", Refused: "refused",
 }
 
 // String returns the answer's name in logs.
@@ -100,8 +100,8 @@
 
 // Report is the state that an engine reports.
 type Report struct {
-	// Of is the incarnation that answered, which may differ from the one addressed.
-	Of incarnation.ID
+	// Incarnation is the incarnation that answered, which may differ from the one addressed.
+	Incarnation incarnation.ID
 	// Versions holds the loaded version by model.
 	Versions map[string]int64
 	// Busy is true while a load is in progress.
@@ -142,8 +142,8 @@
 	// model.
 	Running func() map[incarnation.ID]int
 	Demands func() map[string]batchrun.Demand
-	// Loaded is called after each order has ended, successfully or not.
-	Loaded func()
+	// OnLoadEnd is called after each order has ended, successfully or not.
+	OnLoadEnd func()
 	// Holder and Fence are sent with each order.
 	Holder string
 	Fence  int64
--- a/internal/weightorders/weightorders_test.go
+++ b/internal/weightorders/weightorders_test.go
@@ -54,8 +54,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return Report{
-		Of:       incarnation.ID{Engine: engine.ID, Born: f.born[engine.ID]},
-		Versions: map[string]int64{model: f.versions[engine.ID]}, Busy: f.busy[engine.ID], Count: f.counts[engine.ID],
+		Incarnation: incarnation.ID{Engine: engine.ID, StartMillis: f.born[engine.ID]},
+		Versions:    map[string]int64{model: f.versions[engine.ID]}, Busy: f.busy[engine.ID], Count: f.counts[engine.ID],
 	}, nil
 }
 
@@ -72,7 +72,7 @@
 	case f.busy[engine.ID] || order.Count != f.counts[engine.ID]:
 		return Conflict, nil
 	case f.versions[engine.ID] == order.Version:
-		return Held, nil
+		return AlreadyLoaded, nil
 	}
 	f.counts[engine.ID]++
 	f.busy[engine.ID] = true
@@ -84,7 +84,7 @@
 		f.versions[engine.ID], f.busy[engine.ID] = order.Version, false
 		f.loading--
 	})
-	return Taken, nil
+	return Accepted, nil
 }
 
 func (f *fakeEngines) allAt(version int64) bool {
@@ -134,9 +134,9 @@
 		Targets: func() []Target {
 			return []Target{{Service: service, Versions: map[string]int64{model: w.version.Load()}}}
 		},
-		Running: func() map[incarnation.ID]int { return nil },
-		Demands: func() map[string]batchrun.Demand { return nil },
-		Loaded:  func() {}, Holder: "h", Fence: 7, Logger: zerolog.Nop(),
+		Running:   func() map[incarnation.ID]int { return nil },
+		Demands:   func() map[string]batchrun.Demand { return nil },
+		OnLoadEnd: func() {}, Holder: "h", Fence: 7, Logger: zerolog.Nop(),
 	}
 	if change != nil {
 		change(&options)
@@ -171,7 +171,7 @@
 // Guards against a concurrency limit that does not rise although concurrent loads do not slow each other down.
 func TestConcurrentLoadsIncreaseWhileLoadTimeIsStable(t *testing.T) {
 	w := startManager(t, 48, func(options *Options) {
-		options.Demands = func() map[string]batchrun.Demand { return map[string]batchrun.Demand{model: {Items: 48 * 4}} }
+		options.Demands = func() map[string]batchrun.Demand { return map[string]batchrun.Demand{model: {Unfinished: 48 * 4}} }
 	})
 	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
 	w.engines.mu.Lock()
@@ -183,7 +183,7 @@
 func TestEngineIsNotOrderedDuringQuietPeriod(t *testing.T) {
 	var over atomic.Bool
 	w := startManager(t, 2, func(options *Options) {
-		options.Term = &leaseterm.Term{Quiet: func(engine string) time.Time {
+		options.Term = &leaseterm.Term{QuietUntilFunc: func(engine string) time.Time {
 			if engine == "e0" && !over.Load() {
 				return time.Now().Add(time.Hour)
 			}
@@ -203,7 +203,7 @@
 	var permits atomic.Int64
 	logDown.Store(true)
 	w := startManager(t, 3, func(options *Options) {
-		options.Term = &leaseterm.Term{Refuses: func(string) error {
+		options.Term = &leaseterm.Term{PermitError: func(string) error {
 			if logDown.Load() {
 				return errors.New("the log is unavailable")
 			}
@@ -220,14 +220,14 @@
 
 func TestOnlyLeaseHolderOrders(t *testing.T) {
 	var loaded atomic.Int64
-	w := startManager(t, 2, func(options *Options) { options.Loaded = func() { loaded.Add(1) } })
+	w := startManager(t, 2, func(options *Options) { options.OnLoadEnd = func() { loaded.Add(1) } })
 	testwait.Until(t, "both loads have ended", func() bool { return loaded.Load() == 2 })
-	w.term.SetOver(true)
+	w.term.SetEnded(true)
 	before := w.engines.orderCount()
 	w.version.Store(3)
 	time.Sleep(4 * tickPeriod) // enough for an order
 	assert.Equal(t, w.engines.orderCount(), before)
-	w.term.SetOver(false)
+	w.term.SetEnded(false)
 	testwait.Until(t, "all engines have version 3", func() bool { return w.engines.allAt(3) })
 }
 
@@ -244,7 +244,7 @@
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
 	for _, order := range w.engines.orders {
-		assert.Assert(t, order.MayLeave != nil && order.MayLeave(),
+		assert.Assert(t, order.MaySend != nil && order.MaySend(),
 			"the client cannot check whether the order may still be sent")
 	}
 }
--- a/internal/weights/cluster_test.go
+++ b/internal/weights/cluster_test.go
@@ -160,7 +160,7 @@
 			left--
 		}
 		if w.engines[index] >= directive.Version {
-			result.AtLeast++
+			result.AtLeastVersion++
 		}
 		if w.engines[index] == directive.Version {
 			result.AtVersion++
--- a/internal/weights/direct.go
+++ b/internal/weights/direct.go
@@ -163,7 +163,7 @@
 			held += count.Engines
 		}
 	}
-	return max(0, result.Engines-result.Loading-result.Broken-max(held, result.AtLeast))
+	return max(0, result.Engines-result.Loading-result.Broken-max(held, result.AtLeastVersion))
 }
 
 // due reports whether a settled cell needs another directive: settledAfter has
--- a/internal/weights/ownership.go
+++ b/internal/weights/ownership.go
@@ -40,7 +40,7 @@
 	unannouncedSince time.Time
 	// owning is set while the stream is owned; claimBackoff delays claims after losses.
 	owning       bool
-	claimBackoff weights.Contest
+	claimBackoff weights.ClaimBackoff
 }
 
 func newOwnership(options Options, preference *preference, model string, logger zerolog.Logger) *ownership {
@@ -57,7 +57,7 @@
 	}
 	if o.owning {
 		o.owning = false
-		o.claimBackoff.Lost(time.Now())
+		o.claimBackoff.RecordLoss(time.Now())
 	}
 	if !o.shouldClaim() {
 		o.unannouncedSince = time.Time{}
--- a/internal/weights/runner.go
+++ b/internal/weights/runner.go
@@ -29,7 +29,7 @@
 	ownership *ownership
 	version   *wantedVersion
 	planner   weights.Planner
-	storeRate weights.Pace
+	storeRate weights.StoreRateEstimator
 	cells     map[message.CellID]*cellProgress
 	// fencedEpoch is the highest epoch that any engine has reported; directives of
 	// lower epochs are rejected.
--- a/internal/weights/target.go
+++ b/internal/weights/target.go
@@ -28,7 +28,7 @@
 	if t.pinned() {
 		return result.AtVersion
 	}
-	return result.AtLeast
+	return result.AtLeastVersion
 }
 
 // outdated reports whether the digest has an engine that needs a load. The digest
--- a/test/history/callers.go
+++ b/test/history/callers.go
@@ -11,7 +11,7 @@
 	var violations []Violation
 	for i := range outcomes {
 		outcome := &outcomes[i]
-		for _, fault := range outcome.Faults {
+		for _, fault := range outcome.Violations {
 			violations = append(violations, violation(RuleComplete, "request %s: %s", outcomeName(outcome), fault))
 		}
 		if !outcome.Done && !outcome.NotConnected && !allowBroken {
--- a/test/history/history_test.go
+++ b/test/history/history_test.go
@@ -35,7 +35,7 @@
 func TestCheckComplete(t *testing.T) {
 	whole := live.Outcome{Done: true}
 	cut := live.Outcome{TransportError: "unexpected EOF"}
-	faulty := live.Outcome{Done: true, Faults: []string{"token 3 of the answer says that it is token 2"}}
+	faulty := live.Outcome{Done: true, Violations: []string{"token 3 of the answer says that it is token 2"}}
 	assertViolation(t, CheckComplete(Outcomes{whole, refused("r", "p"), {NotConnected: true}}, false), "")
 	assertViolation(t, CheckComplete(Outcomes{cut}, true), "")
 	assertViolation(t, CheckComplete(Outcomes{whole, cut}, false), RuleComplete)
--- a/test/hosted/batch_test.go
+++ b/test/hosted/batch_test.go
@@ -142,7 +142,7 @@
 	node := d.start("n1")
 	d.store.Log.SetFault(func(call memlog.Call) memlog.Fault {
 		if call.Append && strings.HasSuffix(call.Partition.Topic, ".jobs") {
-			return memlog.LostAnswer
+			return memlog.LostResponse
 		}
 		return memlog.None
 	})
@@ -208,11 +208,11 @@
 	d.addModelEngine("e1", 1, 4, 0).SetFault(func(id string) standin.EngineFault {
 		switch id {
 		case "never":
-			return standin.Impossible
+			return standin.RespondsUnprocessable
 		case "fails":
-			return standin.Fails
+			return standin.RespondsError
 		}
-		return standin.Works
+		return standin.NoFault
 	})
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
--- a/test/hosted/crash_test.go
+++ b/test/hosted/crash_test.go
@@ -49,8 +49,8 @@
 	d.t.Helper()
 	var hosts []*standin.EngineHost
 	options.Zone, options.Slots = "z1", 8
-	if options.EndsUnder == nil {
-		options.EndsUnder = isCrashRun
+	if options.CrashesOn == nil {
+		options.CrashesOn = isCrashRun
 	}
 	for i := range count {
 		address, err := benchprocess.FreeAddress()
@@ -136,7 +136,7 @@
 		t.Run(fmt.Sprint(engines), func(t *testing.T) {
 			t.Parallel()
 			d := deploy(t)
-			hosts := d.addCrashingHostsWithDownTime(engines, standin.EngineOptions{Service: "desk", Born: 1}, quickRestartTime)
+			hosts := d.addCrashingHostsWithDownTime(engines, standin.EngineOptions{Service: "desk", StartMillis: 1}, quickRestartTime)
 			d.configure(safeRoute("/a/"))
 			nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
 			sendCrashRequests(t, nodes, "/a/", 4*time.Second)
@@ -156,7 +156,7 @@
 	d := deploy(t)
 	hosts := d.addCrashingHosts(3, standin.EngineOptions{
 		Service: "llm", Versions: map[string]int64{model: 1}, Events: func(string) int { return 20 },
-		EventTime: 10 * time.Millisecond, EventsBeforeEnd: 2,
+		EventTime: 10 * time.Millisecond, EventsBeforeCrash: 2,
 	})
 	drafts := batchRoute("/batch/")
 	drafts["queueTtlS"] = 8
@@ -265,7 +265,7 @@
 			if route["service"] == "llm" {
 				options = standin.EngineOptions{
 					Service: "llm", Versions: map[string]int64{model: 1}, Events: func(string) int { return 20 },
-					EventTime: 10 * time.Millisecond, EventsBeforeEnd: 2,
+					EventTime: 10 * time.Millisecond, EventsBeforeCrash: 2,
 				}
 			}
 			hosts := d.addCrashingHosts(3, options)
--- a/test/hosted/duties_test.go
+++ b/test/hosted/duties_test.go
@@ -64,9 +64,9 @@
 		send(other, "key-two", "second", i)
 		switch i {
 		case 10:
-			calls.LoseAnswers(true)
+			calls.SetDropResponses(true)
 		case 20:
-			calls.LoseAnswers(false)
+			calls.SetDropResponses(false)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -110,15 +110,15 @@
 	failing := addDesk(d, "e1")
 	failing.SetFault(func(id string) standin.EngineFault {
 		if id == "fails" {
-			return standin.Fails
+			return standin.RespondsError
 		}
-		return standin.Works
+		return standin.NoFault
 	})
 	addDesk(d, "e2").SetFault(func(id string) standin.EngineFault {
 		if id == "full" {
-			return standin.Full
+			return standin.RefusesFull
 		}
-		return standin.Works
+		return standin.NoFault
 	})
 	d.tenants = []tenant{{"first", []string{"key-one"}}}
 	d.configure(safeRoute("/a/"))
@@ -153,10 +153,10 @@
 	testwait.Until(t, "the node to lead", func() bool { return strings.Contains(node.logs.String(), "leadership gained") })
 	time.Sleep(time.Second)
 	assert.Equal(t, len(calls.Scale()), 0, "engines were ordered that already run")
-	calls.SoldOut(true)
+	calls.SetNoCapacity(true)
 	d.store.UnlistEngine("e0")
 	testwait.Until(t, "an order to be refused", func() bool { return len(calls.Scale()) > 0 })
-	calls.SoldOut(false)
+	calls.SetNoCapacity(false)
 	testwait.Until(t, "the order to be accepted", func() bool {
 		orders := calls.Scale()
 		return orders[len(orders)-1].Status == http.StatusOK
--- a/test/hosted/incarnation_test.go
+++ b/test/hosted/incarnation_test.go
@@ -31,7 +31,7 @@
 	d.t.Helper()
 	address, err := benchprocess.FreeAddress()
 	assert.NilError(d.t, err)
-	options.Born, options.Zone, options.Slots = firstStartMS, "z1", 8
+	options.StartMillis, options.Zone, options.Slots = firstStartMS, "z1", 8
 	host, err := standin.NewEngineHost(d.store, address, options, restartTime, entryTTL)
 	assert.NilError(d.t, err)
 	d.t.Cleanup(host.Close)
@@ -101,7 +101,7 @@
 func TestCrashingRequestIsQuarantinedAtSoleEngine(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	host := d.addRestartingHost(standin.EngineOptions{ID: "desk-1", Service: "desk", EndsUnder: isCrashRun})
+	host := d.addRestartingHost(standin.EngineOptions{ID: "desk-1", Service: "desk", CrashesOn: isCrashRun})
 	d.configure(safeRoute("/a/"))
 	nodes := []*process{d.start("n1"), d.start("n2")}
 	sendCrashRequests(t, nodes, "/a/", 4*time.Second)
@@ -117,7 +117,7 @@
 // addDeskIncarnation starts and lists an engine with the given ID and start time at a new address.
 func (d *deployment) addDeskIncarnation(id string, born int64) *standin.Engine {
 	d.t.Helper()
-	return d.addEngine(standin.EngineOptions{ID: id, Service: "desk", Born: born})
+	return d.addEngine(standin.EngineOptions{ID: id, Service: "desk", StartMillis: born})
 }
 
 // listedEntry returns an engine's entry in the engine list.
--- a/test/hosted/lease_overlap_test.go
+++ b/test/hosted/lease_overlap_test.go
@@ -56,7 +56,7 @@
 // of different nodes keep the minimum gap.
 func assertExclusiveOrders(t *testing.T, engine *standin.Engine, quiet time.Duration) {
 	t.Helper()
-	var before standin.OrderSeen
+	var before standin.ReceivedOrder
 	for _, order := range engine.Orders() {
 		if before.Holder != "" {
 			assert.Assert(t, order.Fence >= before.Fence, "%s: token %d of %s after %d of %s",
--- a/test/hosted/live_test.go
+++ b/test/hosted/live_test.go
@@ -53,8 +53,8 @@
 func TestSafeRequestIsRetriedAfterFaultyResponse(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]standin.EngineFault{
-		"full": standin.Full, "fails": standin.Fails, "cut off": standin.CutOff,
-		"silent": standin.Silent, "answer lost": standin.AnswerLost, "foreign": standin.Foreign,
+		"full": standin.RefusesFull, "fails": standin.RespondsError, "cut off": standin.TruncatesResponse,
+		"silent": standin.NeverResponds, "answer lost": standin.DropsResponse, "foreign": standin.RespondsWrongID,
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := deploy(t)
@@ -63,7 +63,7 @@
 				if asked.Add(1) == 1 {
 					return fault
 				}
-				return standin.Works
+				return standin.NoFault
 			}
 			addDesk(d, "e1").SetFault(once)
 			addDesk(d, "e2").SetFault(once)
@@ -81,7 +81,7 @@
 func TestUnsafeRequestRunsAtMostOnce(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]standin.EngineFault{
-		"cut off": standin.CutOff, "answer lost": standin.AnswerLost, "foreign": standin.Foreign,
+		"cut off": standin.TruncatesResponse, "answer lost": standin.DropsResponse, "foreign": standin.RespondsWrongID,
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := deploy(t)
@@ -103,7 +103,7 @@
 func TestUnsafeRequestRefusedByEngineIsRetriedAtAnother(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	addDesk(d, "e1").SetFault(func(string) standin.EngineFault { return standin.Full })
+	addDesk(d, "e1").SetFault(func(string) standin.EngineFault { return standin.RefusesFull })
 	addDesk(d, "e2")
 	unsafe := safeRoute("/a/")
 	unsafe["routeKind"] = "unsafe"
@@ -118,7 +118,7 @@
 	t.Parallel()
 	d := deploy(t)
 	engine := addDesk(d, "e1")
-	engine.SetFault(func(string) standin.EngineFault { return standin.Full })
+	engine.SetFault(func(string) standin.EngineFault { return standin.RefusesFull })
 	d.configure(safeRoute("/a/"))
 	node := d.start("n1")
 	got := node.call(http.MethodPost, "/a/x", "id1", "")
@@ -133,9 +133,9 @@
 	d := deploy(t)
 	addDesk(d, "e1").SetFault(func(id string) standin.EngineFault {
 		if strings.HasPrefix(id, "odd") {
-			return standin.Surplus
+			return standin.DuplicatesResponse
 		}
-		return standin.Works
+		return standin.NoFault
 	})
 	d.configure(safeRoute("/a/"))
 	node := d.start("n1")
@@ -221,9 +221,9 @@
 			ID: id, Service: "llm", Versions: map[string]int64{model: 1}, Events: func(string) int { return 6 },
 		}).SetFault(func(string) standin.EngineFault {
 			if asked.Add(1) == 1 {
-				return standin.CutOff
+				return standin.TruncatesResponse
 			}
-			return standin.Works
+			return standin.NoFault
 		})
 	}
 	streaming := batchRoute("/s/")
--- a/test/hosted/scoring_test.go
+++ b/test/hosted/scoring_test.go
@@ -74,11 +74,11 @@
 	d.setScoringFault(func(id string) standin.EngineFault {
 		switch {
 		case id == scoringID("bad"):
-			return standin.Fails
+			return standin.RespondsError
 		case id == scoringID("lost") && lost.Add(1) <= 2:
-			return standin.AnswerLost
+			return standin.DropsResponse
 		default:
-			return standin.Works
+			return standin.NoFault
 		}
 	})
 	node := d.start("n1")
@@ -101,7 +101,7 @@
 func TestNewLeaderScoresCompleteTextsWithoutRerun(t *testing.T) {
 	t.Parallel()
 	d := deployScored(t, "d1")
-	d.setScoringFault(always(standin.Full))
+	d.setScoringFault(always(standin.RefusesFull))
 	leader := d.start("n1")
 	ids := itemIDs(6)
 	assert.Equal(t, leader.call(http.MethodPost, "/batch/x", "job1", scoredJobBody(1, ids...)).status, http.StatusAccepted)
@@ -126,7 +126,7 @@
 func deployWithRefusedScoring(t *testing.T) (*deployment, *process) {
 	t.Helper()
 	d := deployScored(t, "d1")
-	d.setScoringFault(always(standin.Full))
+	d.setScoringFault(always(standin.RefusesFull))
 	node := d.start("n1")
 	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", scoredJobBody(1, "a")).status, http.StatusAccepted)
 	testwait.Until(t, "a refused scoring call", func() bool { return strings.Contains(node.logs.String(), "scoring call ended") })
--- a/test/hosted/slowstart_test.go
+++ b/test/hosted/slowstart_test.go
@@ -53,7 +53,7 @@
 func assertWithinColdRate(t *testing.T, engines ...*standin.Engine) {
 	t.Helper()
 	for _, engine := range engines {
-		most := peakPerSecond(engine.Arrivals())
+		most := peakPerSecond(engine.ArrivalTimes())
 		assert.Assert(t, float64(most) <= coldBurstLimit, "%s got %d requests in a second", engine.ID(), most)
 	}
 }
@@ -61,7 +61,7 @@
 func arrivalCount(engines []*standin.Engine) int {
 	count := 0
 	for _, engine := range engines {
-		count += len(engine.Arrivals())
+		count += len(engine.ArrivalTimes())
 	}
 	return count
 }
@@ -94,9 +94,9 @@
 	for _, engine := range engines {
 		engine.SetFault(func(string) standin.EngineFault {
 			if loaded.Load() {
-				return standin.Works
+				return standin.NoFault
 			}
-			return standin.Full
+			return standin.RefusesFull
 		})
 	}
 	d.configure(batchRoute("/batch/"))
@@ -104,7 +104,7 @@
 	ids := itemIDs(40)
 	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	testwait.Until(t, "each engine to refuse some items", func() bool {
-		return len(engines[0].Arrivals()) > 10 && len(engines[1].Arrivals()) > 10
+		return len(engines[0].ArrivalTimes()) > 10 && len(engines[1].ArrivalTimes()) > 10
 	})
 	loaded.Store(true)
 	assertAllCompleted(t, d.awaitResults(node, "job1", len(ids)), ids, 1)
@@ -127,7 +127,7 @@
 	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	assertAllCompleted(t, d.awaitResults(node, "job1", len(ids)), ids, 1)
 	assertWithinColdRate(t, late)
-	assert.Assert(t, len(warm.Arrivals()) > len(late.Arrivals()))
+	assert.Assert(t, len(warm.ArrivalTimes()) > len(late.ArrivalTimes()))
 }
 
 // flood calls all nodes concurrently until stop is set. It returns the number of successes by node, the
@@ -213,6 +213,6 @@
 		got := node.call(http.MethodPost, "/a/x", fmt.Sprint("r", i), "")
 		assert.Equal(t, got.status, http.StatusOK)
 	}
-	assert.Equal(t, len(cold.Arrivals()), 0)
-	assert.Equal(t, len(warm.Arrivals()), 50)
+	assert.Equal(t, len(cold.ArrivalTimes()), 0)
+	assert.Equal(t, len(warm.ArrivalTimes()), 50)
 }
--- a/test/hosted/takeover_test.go
+++ b/test/hosted/takeover_test.go
@@ -39,7 +39,7 @@
 	testwait.Until(t, "all engines to have the last version", func() bool { return allAtLeast(engines, last) })
 	changes := 0
 	for _, engine := range engines {
-		var before standin.OrderSeen
+		var before standin.ReceivedOrder
 		for _, order := range engine.Orders() {
 			if before.Holder != "" && nodeOfHolder(order.Holder) != nodeOfHolder(before.Holder) {
 				changes++
--- a/test/integration/at_most_once_test.go
+++ b/test/integration/at_most_once_test.go
@@ -109,8 +109,8 @@
 
 func freezeAndThaw(t *testing.T, node *topology.Node, load *runningLoad) {
 	t.Helper()
-	assert.NilError(t, node.Freeze())
+	assert.NilError(t, node.Suspend())
 	load.waitOK(t, 10)
-	assert.NilError(t, node.Thaw())
+	assert.NilError(t, node.Resume())
 	load.waitOK(t, 10)
 }
--- a/test/integration/deploy_test.go
+++ b/test/integration/deploy_test.go
@@ -146,7 +146,7 @@
 		outcome := client.Send(waitContext(t), call)
 		if !outcome.OK() {
 			return errors.Errorf("answer: status %d, code %q, transport %q, faults %q",
-				outcome.Status, outcome.Code, outcome.TransportError, outcome.Faults)
+				outcome.Status, outcome.Code, outcome.TransportError, outcome.Violations)
 		}
 		return nil
 	})
--- a/test/integration/engine_drain_test.go
+++ b/test/integration/engine_drain_test.go
@@ -53,8 +53,8 @@
 
 func listAsLeaving(t *testing.T, deployment *topology.Deployment, id string) time.Time {
 	t.Helper()
-	entry := deployment.Engine(id).Machine(machines.StateLeaving)
-	assert.NilError(t, deployment.ListMachine(waitContext(t), entry))
+	entry := deployment.Engine(id).MachineEntry(machines.StateLeaving)
+	assert.NilError(t, deployment.PutMachine(waitContext(t), entry))
 	return time.Now()
 }
 
--- a/test/integration/exactly_once_test.go
+++ b/test/integration/exactly_once_test.go
@@ -59,7 +59,7 @@
 
 	client.submitAndBegin("frozen")
 	frozen := client.owner("frozen")
-	assert.NilError(t, frozen.Freeze())
+	assert.NilError(t, frozen.Suspend())
 	eventually(t, "takeover", func() error {
 		if owner := client.status("frozen").Owner; owner == frozen.ID {
 			return errors.Errorf("still owned by %s", owner)
@@ -67,7 +67,7 @@
 		return nil
 	})
 	client.collect(len(client.deliveries) + 1)
-	assert.NilError(t, frozen.Thaw())
+	assert.NilError(t, frozen.Resume())
 	client.collectAll()
 	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{}))
 
--- a/test/integration/fault_free_test.go
+++ b/test/integration/fault_free_test.go
@@ -17,7 +17,7 @@
 	return live.Load{
 		Addresses: deployment.CallerAddresses(), Service: lookupService,
 		Rate: rate, Duration: 10 * time.Minute, Seed: 1, MaxTokens: 1024, Tokens: tokens,
-		TokenSpread: 7, Groups: 3, PrefixBytes: 256, StreamShare: 0.6,
+		TokenSpread: 7, PrefixGroups: 3, PrefixBytes: 256, StreamShare: 0.6,
 	}
 }
 
@@ -26,7 +26,7 @@
 	return live.Load{
 		Addresses: deployment.CallerAddresses(), Service: permitService,
 		Rate: rate, Duration: 10 * time.Minute, Seed: 2, MaxTokens: 1024, Tokens: tokens,
-		TokenSpread: 7, StreamShare: 0.5, Keyed: true,
+		TokenSpread: 7, StreamShare: 0.5, WithIdempotencyKeys: true,
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	t.Logf("trainer: %d of %d samples, %d rejected, staleness at most %d",
 		r.report.SamplesAcknowledged, r.report.SamplesWanted, r.report.Rejected, r.report.StalenessMax)
-	assert.Check(t, !r.report.Broken(), "%+v", r.report)
+	assert.Check(t, !r.report.ViolatesGuarantees(), "%+v", r.report)
 	assert.Equal(t, r.report.SamplesAcknowledged, r.report.SamplesWanted)
 	deliveries := r.deliveries(t)
 	assertNoViolations(t, history.CheckExactlyOnce(r.wanted(), deliveries))
--- a/test/integration/fault_kinds_test.go
+++ b/test/integration/fault_kinds_test.go
@@ -45,8 +45,8 @@
 
 func freezeNode(s *schedule) func() {
 	node := s.node()
-	s.must(node.Freeze())
-	return func() { s.must(node.Thaw()) }
+	s.must(node.Suspend())
+	return func() { s.must(node.Resume()) }
 }
 
 func stopNode(s *schedule) func() {
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -26,7 +26,7 @@
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
-	binaries, err = topology.Build(context.Background(), directory)
+	binaries, err = topology.BuildBinaries(context.Background(), directory)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
--- a/test/integration/ownership_test.go
+++ b/test/integration/ownership_test.go
@@ -97,7 +97,7 @@
 	}
 	sent.Wait()
 	sleepContext(ctx, submitInterval) // gives the calls time to reach the node's sockets
-	assert.NilError(t, frozen.Thaw())
+	assert.NilError(t, frozen.Resume())
 }
 
 // consume fetches and acknowledges samples, so that steps end and later ones can begin.
@@ -207,7 +207,7 @@
 
 	for round := range 2 {
 		frozen := client.owner("n1-0-0")
-		assert.NilError(t, frozen.Freeze())
+		assert.NilError(t, frozen.Suspend())
 		epoch = submitting.waitAccepted(t, 10, epoch)
 		submitting.thawFencedOwner(t, ctx, frozen, round)
 		submitting.waitAccepted(t, 20, 0)
--- a/test/integration/refusal_test.go
+++ b/test/integration/refusal_test.go
@@ -77,7 +77,7 @@
 	overload.CallTimeout = 20 * time.Second
 	load := startLoad(t, overload)
 	single := newPermitLoad(deployment, 20, 30)
-	single.Keyed = false
+	single.WithIdempotencyKeys = false
 	single.CallTimeout = 20 * time.Second
 	unrepeatable := startLoad(t, single)
 	load.waitOK(t, 10)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -15,7 +15,7 @@
 func TestShortSoak(t *testing.T) {
 	var output bytes.Buffer
 	arguments := &soak.Arguments{
-		Seed: 4, Minutes: 0.35, Nodes: 3, Slack: 6, EnginesFence: soak.Yes, Schedule: soak.GeneralFaults,
+		Seed: 4, Minutes: 0.35, Nodes: 3, Slack: 6, EnginesFence: soak.EnginesFenceYes, Schedule: soak.GeneralFaults,
 	}
 	if err := soak.Run(t.Context(), arguments, &output); err != nil {
 		t.Fatalf("%v\n%s", err, output.String())
@@ -26,7 +26,7 @@
 func TestShortSoakLeaderFaults(t *testing.T) {
 	var output bytes.Buffer
 	arguments := &soak.Arguments{
-		Seed: 732217, Minutes: 0.34, Nodes: 4, Slack: 6, EnginesFence: soak.No, Schedule: soak.LeaderFaults,
+		Seed: 732217, Minutes: 0.34, Nodes: 4, Slack: 6, EnginesFence: soak.EnginesFenceNo, Schedule: soak.LeaderFaults,
 	}
 	if err := soak.Run(t.Context(), arguments, &output); err != nil {
 		t.Fatalf("%v\n%s", err, output.String())
@@ -38,7 +38,7 @@
 func TestShortSoakPlacementFaults(t *testing.T) {
 	var output bytes.Buffer
 	arguments := &soak.Arguments{
-		Seed: 5, Minutes: 0.4, Nodes: 4, Slack: 6, EnginesFence: soak.No, Schedule: soak.PlacementFaults,
+		Seed: 5, Minutes: 0.4, Nodes: 4, Slack: 6, EnginesFence: soak.EnginesFenceNo, Schedule: soak.PlacementFaults,
 	}
 	if err := soak.Run(t.Context(), arguments, &output); err != nil {
 		t.Fatalf("%v\n%s", err, output.String())
