--- a/internal/batchrun/engines.go
+++ b/internal/batchrun/engines.go
@@ -88,7 +88,7 @@
 	Close()
 }
 
-// Engines starts streams. Errors are of type *RefusedError.
+// Engines starts streams. Errors are of type *CallError.
 type Engines interface {
 	Stream(ctx context.Context, engine fleet.Engine, call Call) (Stream, error)
 }
@@ -103,7 +103,7 @@
 	Answered(fingerprint func() quarantine.Fingerprint)
 }
 
-// ColdStarts limits the rate at which items start on cold engines; see coldpermits.Decider.
+// ColdStarts limits the rate at which items start on cold engines; see coldpermits.Granter.
 type ColdStarts interface {
 	// Room returns how many items may start on a cold engine now.
 	Room(to incarnation.ID, cold fleet.Coldness) int
--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -15,7 +15,7 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// gatedEngines checks MayLeave after connecting; connecting to zone za blocks until release.
+// gatedEngines checks MaySend after connecting; connecting to zone za blocks until release.
 type gatedEngines struct {
 	*fakeEngines
 	dialling chan string
--- a/internal/bench/live/call.go
+++ b/internal/bench/live/call.go
@@ -65,5 +65,5 @@
 func (o *Outcome) Refused() bool { return o.Code != "" && o.Executed == "no" }
 
 // Invalid reports whether the response violates an invariant: a completion with
-// faults, or an error whose header and body disagree.
+// violations, or an error whose header and body disagree.
 func (o *Outcome) Invalid() bool { return len(o.Violations) > 0 }
--- a/internal/bench/soak/engines.go
+++ b/internal/bench/soak/engines.go
@@ -78,7 +78,7 @@
 	// answerMu guards answerFault. It is separate from mu because engines call faultFor with their own
 	// lock held, which is acquired under mu.
 	answerMu sync.Mutex
-	// answerFault affects a share of the answers; Works for none.
+	// answerFault affects a share of the answers; NoFault for none.
 	answerFault standin.EngineFault
 }
 
@@ -204,7 +204,7 @@
 	return standin.NoFault
 }
 
-// setAnswerFault sets the fault that affects a share of the answers; Works for none.
+// setAnswerFault sets the fault that affects a share of the answers; NoFault for none.
 func (p *engineSlot) setAnswerFault(fault standin.EngineFault) {
 	p.answerMu.Lock()
 	defer p.answerMu.Unlock()
--- a/internal/bench/soak/modes.go
+++ b/internal/bench/soak/modes.go
@@ -12,7 +12,7 @@
 const (
 	// Drawn: derived from the seed.
 	Drawn = "drawn"
-	// EnginesFenceYes and No: whether engines check fencing tokens.
+	// EnginesFenceYes and EnginesFenceNo: whether engines check fencing tokens.
 	EnginesFenceYes = "yes"
 	EnginesFenceNo  = "no"
 	// GeneralFaults affect all parts of a deployment; LeaderFaults are series of faults of the leader.
--- a/internal/bench/topology/machine.go
+++ b/internal/bench/topology/machine.go
@@ -72,7 +72,7 @@
 // Kill kills the process group (SIGKILL) and waits for the process to exit.
 func (m *machine) Kill() { m.Process().Kill() }
 
-// Suspend suspends the process (SIGSTOP) until Thaw; its sockets stay open.
+// Suspend suspends the process (SIGSTOP) until Resume; its sockets stay open.
 func (m *machine) Suspend() error { return m.Process().Suspend() }
 
 // Resume resumes a suspended process (SIGCONT).
--- a/internal/callerwrite/callerwrite.go
+++ b/internal/callerwrite/callerwrite.go
@@ -24,7 +24,7 @@
 	MaxBufferedBytes = 1 << 20
 )
 
-// Limits bound the memory and the time spent on slow callers. The zero value enforces only MaxHeld.
+// Limits bound the memory and the time spent on slow callers. The zero value enforces only MaxBufferedBytes.
 type Limits struct {
 	Budget *bytebudget.Budget
 	// StallTimeout is how long a caller may read nothing before it is disconnected; zero for no limit.
--- a/internal/callerwrite/callerwrite_test.go
+++ b/internal/callerwrite/callerwrite_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// Up to MaxHeld bytes must be accepted without waiting for the caller.
+// Up to MaxBufferedBytes bytes must be accepted without waiting for the caller.
 func TestSpoolAcceptsMaxHeldForStalledCaller(t *testing.T) {
 	budget := bytebudget.New(1 << 30)
 	ended := make(chan error, 1)
--- a/internal/coldpermits/decider.go
+++ b/internal/coldpermits/decider.go
@@ -31,7 +31,7 @@
 // String returns the sender's name in metrics.
 func (s Sender) String() string { return senderNames[s] }
 
-// Permit allows one request to one engine within slowstart.PermitLife.
+// Permit allows one request to one engine within slowstart.PermitTTL.
 type Permit struct {
 	Engine incarnation.ID
 	// until is the expiry by boottime, which advances while the machine is suspended.
--- a/internal/common/msgpackhttp/msgpackhttp.go
+++ b/internal/common/msgpackhttp/msgpackhttp.go
@@ -21,7 +21,7 @@
 	return call(ctx, client, url, nil, request, response, maxBytes)
 }
 
-// CallExpectContinue is like Ask with "Expect: 100-continue": the body is sent only when the peer requests it, at
+// CallExpectContinue is like Call with "Expect: 100-continue": the body is sent only when the peer requests it, at
 // the cost of a round trip. A peer that resumes after a suspension thus receives no request whose sender has
 // already given up. The client's transport needs an ExpectContinueTimeout longer than that of ctx, since it
 // sends the body unrequested afterwards.
--- a/internal/common/standstill/standstill.go
+++ b/internal/common/standstill/standstill.go
@@ -15,11 +15,11 @@
 const (
 	tickInterval = 250 * time.Millisecond
 	// minSuspension is the minimum time without a tick that counts as a suspension. It must exceed the
-	// scheduling delays of a busy machine; calls of WokeAt also tick if the ticker is late.
+	// scheduling delays of a busy machine; calls of ResumedAt also tick if the ticker is late.
 	minSuspension = time.Second
 )
 
-// clocks are the clocks read by a Watch.
+// clocks are the clocks read by a Detector.
 type clocks struct {
 	// wall returns the wall clock with its monotonic reading. Reading it needs no system call.
 	wall func() time.Time
@@ -38,7 +38,7 @@
 	resumedAt    atomic.Pointer[time.Time]
 }
 
-// New returns a Watch. Run must be running for the detection to work.
+// New returns a Detector. Run must be running for the detection to work.
 func New() *Detector { return newWatch(clocks{wall: time.Now, boot: boottime.Now}) }
 
 func newWatch(clocks clocks) *Detector {
--- a/internal/common/standstill/standstill_test.go
+++ b/internal/common/standstill/standstill_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// testClocks provides settable clocks for a Watch.
+// testClocks provides settable clocks for a Detector.
 type testClocks struct{ wall, boot time.Time }
 
 func (c *testClocks) watch() *Detector {
--- a/internal/core/answer/answer.go
+++ b/internal/core/answer/answer.go
@@ -74,7 +74,7 @@
 
 // Accept applies one message and returns its new tokens, which may be none. An
 // error leaves the assembler unchanged:
-// *GapError, *ShortError, ErrUnnamedVersion or ErrNegativeIndex.
+// *GapError, *ShortError, ErrMissingVersion or ErrNegativeIndex.
 func (a *Assembler) Accept(progress *message.Progress) (Run, error) {
 	if a.finished || progress.Attempt != a.attempt {
 		return Run{}, nil
--- a/internal/core/batchplan/plan.go
+++ b/internal/core/batchplan/plan.go
@@ -56,7 +56,7 @@
 	Loading string
 	// Usable is false for engines that leave or have recently failed.
 	Usable bool
-	// Cold is true for an engine that started recently and may be assigned at most Starts items now.
+	// Cold is true for an engine that started recently and may be assigned at most MaxStarts items now.
 	Cold      bool
 	MaxStarts int
 }
--- a/internal/core/errkind/errkind.go
+++ b/internal/core/errkind/errkind.go
@@ -144,7 +144,7 @@
 	return kinds
 }
 
-// Response returns the answer for the kind; undefined kinds are treated as Internal.
+// Response returns the response for the kind; undefined kinds are treated as Internal.
 func (k Kind) Response() Response {
 	if k >= kindCount {
 		return answers[Internal]
--- a/internal/core/idempotency/reducer.go
+++ b/internal/core/idempotency/reducer.go
@@ -10,7 +10,7 @@
 	// RetentionMS is the retention by the stream clock: 24 hours. There is no guarantee for a
 	// process that is paused for longer between its intent and the submission of its request.
 	RetentionMS = 24 * 60 * 60 * 1000
-	// RetentionRecords is the retention in offsets. It must be at least logrecord.ForgetAfter, so
+	// RetentionRecords is the retention in offsets. It must be at least logrecord.WriterRetentionOffsets, so
 	// that a late duplicate of an intent is Expired before its key can expire. It also prevents a
 	// node with a wrong clock from expiring keys at once.
 	RetentionRecords = logrecord.WriterRetentionOffsets
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -214,7 +214,7 @@
 	return s.Holder != holder && s.machine().isSame(machine{node: node, address: address})
 }
 
-// MaxBetweenMachines is the upper bound of Quiet.Between.
+// MaxBetweenMachines is the upper bound of QuietPeriod.BetweenMachines.
 const MaxBetweenMachines = 10 * time.Minute
 
 // QuietPeriod defines the quiet period: the minimum time between orders of two holders.
@@ -228,8 +228,8 @@
 }
 
 // QuietUntil returns the end of the quiet period, before which the holder must not send orders to the
-// engine: Between plus Arrival after a possible order of another machine, Arrival after a possible order
-// of the same machine in an earlier epoch. It returns the zero time if no quiet period is needed. None
+// engine: BetweenMachines plus MaxTransit after a possible order of another machine, MaxTransit after a
+// possible order of the same machine in an earlier epoch. It returns the zero time if no quiet period is needed. None
 // follows the orders of a holder that released the lease, which it does only when its process ends, if
 // engines also reject its fencing token.
 func (s *State) QuietUntil(engine string, quiet QuietPeriod) time.Time {
--- a/internal/core/logrecord/logrecord.go
+++ b/internal/core/logrecord/logrecord.go
@@ -56,8 +56,8 @@
 	Fenced
 	// Invalid means that the record is malformed or not allowed in the current state.
 	Invalid
-	// Expired means that the record's offset exceeds its Base by more than ForgetAfter, so that repeats cannot be
-	// detected. No copy after it takes effect either. The stream runtime appends the record again by itself.
+	// Expired means that the record's offset exceeds its Base by more than WriterRetentionOffsets, so that repeats
+	// cannot be detected. No copy after it takes effect either. The stream runtime appends the record again by itself.
 	Expired
 )
 
--- a/internal/core/logrecord/sequences.go
+++ b/internal/core/logrecord/sequences.go
@@ -17,10 +17,10 @@
 // Sequences detects repeated records of a stream by the highest sequence of each writer. Its state is a deterministic
 // function of the records and their offsets. The zero value is ready to use.
 //
-// The number of writers is bounded: a writer is removed ForgetAfter offsets after its last record. Repeats are still
-// detected, since a record whose offset exceeds its Base by more than ForgetAfter is Expired. This holds for every
-// repeat of a removed writer's record: its Base is at most the offset of its first copy, which is at most the offset
-// of the writer's last record.
+// The number of writers is bounded: a writer is removed WriterRetentionOffsets offsets after its last record. Repeats
+// are still detected, since a record whose offset exceeds its Base by more than WriterRetentionOffsets is Expired.
+// This holds for every repeat of a removed writer's record: its Base is at most the offset of its first copy, which
+// is at most the offset of the writer's last record.
 type Sequences struct {
 	writers map[string]writerState
 	// next is the offset after the last admitted record.
--- a/internal/core/policy/reducer.go
+++ b/internal/core/policy/reducer.go
@@ -55,7 +55,7 @@
 	// current when the proposal was evaluated.
 	Revision    int64  `msgpack:"rev"`
 	Fingerprint uint64 `msgpack:"f"`
-	// Problems has at most maxDecisionProblems entries; JudgedInvalid only.
+	// Problems has at most maxDecisionProblems entries; OutcomeInvalid only.
 	Problems []Problem `msgpack:"p,omitempty"`
 }
 
--- a/internal/core/scheduler/cell.go
+++ b/internal/core/scheduler/cell.go
@@ -13,7 +13,7 @@
 // Cell is the scheduler of one cell. It is not safe for concurrent use.
 //
 // Invariant: an enqueued item is in exactly one state: queued, running, or ended by
-// Expire, Remove, Finished or Returned.
+// Expire, Remove, Finished or Unassign.
 type Cell struct {
 	config Config
 	// classes are sorted by descending priority.
@@ -179,7 +179,7 @@
 }
 
 // RemoveEngine removes an engine. Items running on it count as running until
-// Finished or Returned.
+// Finished or Unassign.
 func (c *Cell) RemoveEngine(id string) {
 	position, found := c.search(id)
 	if !found {
--- a/internal/duties/reporter.go
+++ b/internal/duties/reporter.go
@@ -39,7 +39,7 @@
 	Platform Platform
 	Term     lease.Term
 	Holder   Holder
-	// Span is the length of a window. Late is how long after the end of a window its report is due.
+	// Span is the length of a window. ReportDelay is how long after the end of a window its report is due.
 	Span        time.Duration
 	ReportDelay time.Duration
 	Logger      zerolog.Logger
--- a/internal/duties/reporter_test.go
+++ b/internal/duties/reporter_test.go
@@ -17,7 +17,7 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// span and due are the Span and Late of the reporters.
+// span and due are the Span and ReportDelay of the reporters.
 const (
 	span = 400 * time.Millisecond
 	due  = 800 * time.Millisecond
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -51,7 +51,7 @@
 	// AppendAt appends only if the partition ends at end; otherwise it returns a *ConflictError.
 	AppendAt(ctx context.Context, partition Partition, end int64, records [][]byte) (int64, error)
 	// Read returns about limit bytes of records starting at offset from. If there are none it waits for one up
-	// to the given time. It returns a *GoneError if the offset is no longer retained.
+	// to the given time. It returns a *TrimmedError if the offset is no longer retained.
 	Read(ctx context.Context, partition Partition, from int64, limit int, wait time.Duration) (Batch, error)
 	// PutKeyed appends records to a compacted topic atomically; it ignores their offsets.
 	PutKeyed(ctx context.Context, topic string, records []KeyedRecord) error
--- a/internal/follow/replica.go
+++ b/internal/follow/replica.go
@@ -152,7 +152,7 @@
 }
 
 // Read returns the newest records at offsets from on except for the excluded classes, and the age of the replica.
-// It waits up to wait for a record. It returns a *eventlog.GoneError if the reader may have missed a deletion.
+// It waits up to wait for a record. It returns a *eventlog.TrimmedError if the reader may have missed a deletion.
 func (r *Replica) Read(
 	ctx context.Context, from int64, wait time.Duration, excluded []string,
 ) (eventlog.KeyedBatch, time.Duration, error) {
--- a/internal/goldenrecord/goldenrecord.go
+++ b/internal/goldenrecord/goldenrecord.go
@@ -38,7 +38,8 @@
 	Added map[string][]string
 }
 
-// Check compares the records of this build with the golden files, or writes golden files if Writing.
+// Check compares the records of this build with the golden files, or writes golden files if WritingCommit names a
+// commit.
 func Check(t *testing.T, samples ...Sample) {
 	t.Helper()
 	if commit := WritingCommit(); commit != "" {
@@ -56,7 +57,7 @@
 }
 
 // CheckNumbers checks that enumeration values, by name, equal those in the golden files, or writes a golden file if
-// Writing.
+// WritingCommit names a commit.
 func CheckNumbers(t *testing.T, name string, numbers map[string]int64) {
 	t.Helper()
 	if commit := WritingCommit(); commit != "" {
--- a/internal/hosted/callers.go
+++ b/internal/hosted/callers.go
@@ -29,7 +29,7 @@
 
 var _ CallerService = (*node)(nil)
 
-// Relay implements Callers.
+// Relay implements CallerService.
 func (n *node) Relay(w http.ResponseWriter, ctx context.Context, request *ingress.Request) *errkind.Error {
 	if !n.control.IsLoaded() {
 		return errkind.New(errkind.NotReady, "it is not known yet which zones are evacuated")
@@ -40,7 +40,7 @@
 	return n.relay.Serve(w, ctx, request)
 }
 
-// IsBatchRoute implements Callers.
+// IsBatchRoute implements CallerService.
 func (n *node) IsBatchRoute(host, path string) bool {
 	table := n.state.table()
 	if table == nil {
@@ -50,7 +50,7 @@
 	return route != nil && route.Kind == routes.Batch
 }
 
-// SubmitJob implements Callers.
+// SubmitJob implements CallerService.
 func (n *node) SubmitJob(ctx context.Context, credentials routes.Credentials, submission batchjobs.Submission) error {
 	began := time.Now()
 	sender, config, failure := n.submitter(credentials, submission.Job)
@@ -148,21 +148,21 @@
 // isCurrent reports whether the configuration in force is the newest one, to within maxConfigurationAge.
 func (n *node) isCurrent() bool { return n.control.Age() < maxConfigurationAge }
 
-// Results implements Callers.
+// Results implements CallerService.
 func (n *node) Results(ctx context.Context, job JobName, from int, wait time.Duration) (batchjobs.Results, error) {
 	return queryJob(ctx, n, job, func(ctx context.Context, id string) (batchjobs.Results, error) {
 		return n.jobRelay.Results(ctx, id, from, min(wait, maxResultsWait))
 	})
 }
 
-// Body implements Callers.
+// Body implements CallerService.
 func (n *node) Body(ctx context.Context, job JobName, itemID string) ([]byte, error) {
 	return queryJob(ctx, n, job, func(ctx context.Context, id string) ([]byte, error) {
 		return n.jobRelay.Body(ctx, id, itemID)
 	})
 }
 
-// End implements Callers.
+// End implements CallerService.
 func (n *node) End(ctx context.Context, job JobName) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endTimeout)
 	defer cancel()
@@ -174,10 +174,10 @@
 	return err
 }
 
-// IsStopping implements Callers.
+// IsStopping implements CallerService.
 func (n *node) IsStopping() bool { return n.state.isStopping() }
 
-// MaxBodyBytes implements Callers.
+// MaxBodyBytes implements CallerService.
 func (n *node) MaxBodyBytes() int64 {
 	table := n.state.table()
 	if table == nil || table.Limits.MaxBodyBytes <= 0 {
@@ -186,7 +186,7 @@
 	return table.Limits.MaxBodyBytes
 }
 
-// MaxHeaderBytes implements Callers.
+// MaxHeaderBytes implements CallerService.
 func (n *node) MaxHeaderBytes() int {
 	table := n.state.table()
 	if table == nil || table.Limits.MaxHeaderBytes <= 0 {
@@ -204,7 +204,7 @@
 	return table.Limits.IdleTimeout
 }
 
-// RecordRefusal implements Callers.
+// RecordRefusal implements CallerService.
 func (n *node) RecordRefusal(id string, failure *errkind.Error) {
 	n.metrics.refused.WithLabelValues(failure.Kind.String()).Inc()
 	n.logger.Warn().Str("id", id).Str("kind", failure.Kind.String()).Str("error", failure.Message).
--- a/internal/hosted/heldbytes.go
+++ b/internal/hosted/heldbytes.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// CallerLimits implements Callers.
+// CallerLimits implements CallerService.
 func (n *node) CallerLimits() callerwrite.Limits { return n.callerLimits }
 
 // refuseForMemory counts and returns the error of a request that is refused for lack of memory.
@@ -57,7 +57,7 @@
 	return failure
 }
 
-// ReserveResult implements Callers.
+// ReserveResult implements CallerService.
 func (n *node) ReserveResult(bytes int) (release func(), err error) {
 	held := int64(bytes)
 	if !n.bytes.Reserve(bytebudget.Results, held) {
@@ -66,7 +66,7 @@
 	return func() { n.bytes.Release(bytebudget.Results, held) }, nil
 }
 
-// ReserveBody implements Callers.
+// ReserveBody implements CallerService.
 func (n *node) ReserveBody() *BodyReservation { return &BodyReservation{node: n} }
 
 // BodyReservation is the memory reserved for one request body. It is not safe for concurrent use.
--- a/internal/hosted/platform.go
+++ b/internal/hosted/platform.go
@@ -67,7 +67,7 @@
 	// MaxBodyBytes and MaxHeaderBytes bound the size of a request.
 	MaxBodyBytes() int64
 	MaxHeaderBytes() int
-	// ReserveBody reserves memory for a request body while it is received, HoldResult for a response about a batch job
+	// ReserveBody reserves memory for a request body while it is received, ReserveResult for a response about a batch job
 	// until its caller has read it. Without free memory the error has a retry delay.
 	ReserveBody() *BodyReservation
 	ReserveResult(bytes int) (release func(), err error)
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -38,7 +38,7 @@
 	fingerprint *quarantine.Fingerprint
 	// executions counts the engines that may have run the request.
 	executions int
-	// startReported is true once Options.Began was called for the request.
+	// startReported is true once Options.OnStart was called for the request.
 	startReported bool
 	// serverErrors counts the engines that ran the request and answered with status 500.
 	serverErrors int
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -89,7 +89,7 @@
 type SendError struct {
 	// MayHaveRun is false if no byte of the request was sent.
 	MayHaveRun bool
-	// HeldBack is true if Call.MayLeave reported false once the connection was established.
+	// HeldBack is true if Call.MaySend reported false once the connection was established.
 	HeldBack bool
 	// ConnectionLost is true if the engine closed the connection before its answer was complete.
 	ConnectionLost bool
@@ -116,7 +116,7 @@
 	Answered(fingerprint func() quarantine.Fingerprint)
 }
 
-// ColdPermits grants permits to send requests to cold engines; see coldpermits.Asker.
+// ColdPermits grants permits to send requests to cold engines; see coldpermits.Client.
 type ColdPermits interface {
 	// Ask returns a permit for one of the given engines of a service, or a denial.
 	Ask(ctx context.Context, service string, engines []fleet.Engine) (coldpermits.Permit, coldpermits.Denial)
--- a/internal/ingress/try.go
+++ b/internal/ingress/try.go
@@ -79,7 +79,7 @@
 	return crashed && guard.Standing(x.fingerprintOf).Crashes >= quarantine.RequestLimit
 }
 
-// reportStart calls Options.Began once for a request that an engine may have started.
+// reportStart calls Options.OnStart once for a request that an engine may have started.
 func (x *exchange) reportStart(answer *Answer, err error, sent time.Time) {
 	var failure *SendError
 	refused := errors.As(err, &failure) && !failure.MayHaveRun ||
--- a/internal/leadership/arrival_test.go
+++ b/internal/leadership/arrival_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestQuietTimeCoversLatestArrival: an order is sent once its record is acknowledged, possibly long after others have
-// read the record, and may be in transit for lease.InFlight.
+// read the record, and may be in transit for lease.MaxTransitTime.
 func TestQuietTimeCoversLatestArrival(t *testing.T) {
 	log := memlog.New()
 	const delay = 350 * time.Millisecond // below recordTimeout
--- a/internal/logrelay/fallback.go
+++ b/internal/logrelay/fallback.go
@@ -35,7 +35,7 @@
 
 	dialTimeout = 300 * time.Millisecond
 	// expectContinueTimeout exceeds the duration of any write: the body is sent only once the peer asks for it; see
-	// msgpackhttp.AskOnceHeard.
+	// msgpackhttp.CallExpectContinue.
 	expectContinueTimeout = 2 * callTimeout
 	// Idle connections to peers are few and short-lived: each takes about 20 KB at either end, which adds up in
 	// large clusters.
@@ -110,7 +110,7 @@
 	return &relayClient{client: f.client, address: current}, current
 }
 
-// recordResult updates the state of the direct connection or the peer after a call. A ConflictError or GoneError
+// recordResult updates the state of the direct connection or the peer after a call. A ConflictError or TrimmedError
 // comes from the log and counts as success.
 func (f *Fallback) recordResult(address string, err error) {
 	if errors.Is(err, context.Canceled) {
--- a/internal/logrelay/replicareader.go
+++ b/internal/logrelay/replicareader.go
@@ -169,7 +169,7 @@
 }
 
 // query sends the call to the first replica that is not paused. If answered is false, the response is meaningless;
-// otherwise err is nil, or a *eventlog.GoneError that requires a full read.
+// otherwise err is nil, or a *eventlog.TrimmedError that requires a full read.
 func (r *ReplicaReader) query(
 	ctx context.Context, call request, timeout time.Duration,
 ) (answer response, answered bool, err error) {
--- a/internal/logstream/snapshotdue_test.go
+++ b/internal/logstream/snapshotdue_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against snapshots of a large state that outweigh its records: without SnapshotAtLatest one is due after
-// SnapshotEvery records, with it after up to SnapshotAtLatest.
+// Guards against snapshots of a large state that outweigh its records: without MaxSnapshotInterval one is due after
+// SnapshotEvery records, with it after up to MaxSnapshotInterval.
 func TestSnapshotAtLatestDefersLargeSnapshots(t *testing.T) {
 	const records = 120
 	for _, test := range []struct {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -111,7 +111,7 @@
 type DirectiveResult struct {
 	Engines        int `msgpack:"en"`
 	AtLeastVersion int `msgpack:"al"` // engines that report Version or higher
-	// AtVersion counts those of AtLeast that report exactly Version.
+	// AtVersion counts those of AtLeastVersion that report exactly Version.
 	AtVersion int `msgpack:"av"`
 	Loading   int `msgpack:"lo"`
 	Broken    int `msgpack:"br"`
--- a/internal/platform/logservice/http.go
+++ b/internal/platform/logservice/http.go
@@ -47,7 +47,7 @@
 }
 
 // Append implements Service. It returns ErrRefused only if the service refused the append or no request was
-// sent; all other failures are ErrUnknown.
+// sent; all other failures are ErrOutcomeUnknown.
 func (s *httpService) Append(ctx context.Context, stream string, records [][]byte) (int64, error) {
 	if err := ctx.Err(); err != nil {
 		return 0, errors.Wrapf(ErrRefused, "not sent: %v", err)
--- a/internal/platform/logservice/logservice.go
+++ b/internal/platform/logservice/logservice.go
@@ -34,7 +34,7 @@
 // several streams.
 type Service interface {
 	// Append appends the records in order and returns the offset of the first one. Errors wrap ErrRefused or
-	// ErrUnknown.
+	// ErrOutcomeUnknown.
 	Append(ctx context.Context, stream string, records [][]byte) (int64, error)
 	// Read returns up to limit records starting at offset from; a negative from counts back from the end. If
 	// there are none it waits for one, for up to wait.
--- a/internal/sendgate/sendgate_test.go
+++ b/internal/sendgate/sendgate_test.go
@@ -19,7 +19,7 @@
 	return known, engine
 }
 
-// OnHeldBack must be called once even if MayLeave is called several times.
+// OnHeldBack must be called once even if MaySend is called several times.
 func TestOnHeldBackIsCalledOnce(t *testing.T) {
 	known, engine := engineInZone("za")
 	var reasons []fleet.Hold
--- a/internal/standin/leaseterm/leaseterm.go
+++ b/internal/standin/leaseterm/leaseterm.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/lease"
 )
 
-// Term is a lease term that is valid until SetOver(true).
+// Term is a lease term that is valid until SetEnded(true).
 type Term struct {
 	// QuietUntilFunc, if set, returns the time before which no order to a subject may be sent.
 	QuietUntilFunc func(subject string) time.Time
--- a/internal/standin/memlog/memlog.go
+++ b/internal/standin/memlog/memlog.go
@@ -23,7 +23,7 @@
 	LostResponse
 	// LostCall loses the call: no effect, outcome unknown to the caller.
 	LostCall
-	// DelayedEffect loses the response and performs the call when Release is called.
+	// DelayedEffect loses the response and performs the call when ReleaseDelayed is called.
 	DelayedEffect
 )
 
--- a/internal/standin/platform/engine.go
+++ b/internal/standin/platform/engine.go
@@ -98,8 +98,8 @@
 	Data func(id string, number int, version int64) string
 	// LoadTime is the duration of a weight change.
 	LoadTime time.Duration
-	// CrashesOn reports whether a run crashes the engine, EventsBeforeEnd is the number of events that its stream
-	// sends first, and End performs the crash. See EngineHost.
+	// CrashesOn reports whether a run crashes the engine, EventsBeforeCrash is the number of events that its
+	// stream sends first, and Crash performs the crash. See EngineHost.
 	CrashesOn         func(run Run) bool
 	EventsBeforeCrash int
 	Crash             func(run Run)
--- a/internal/standin/platform/engine_control.go
+++ b/internal/standin/platform/engine_control.go
@@ -26,7 +26,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// countUnknown is OrderSeen.Expected for an order that does not state a count.
+// countUnknown is ReceivedOrder.Expected for an order that does not state a count.
 const countUnknown = -1
 
 // hostOf returns an address without its port.
--- a/internal/standin/platform/engine_host.go
+++ b/internal/standin/platform/engine_host.go
@@ -11,7 +11,7 @@
 )
 
 // EngineHost runs an engine at a fixed address and restarts it after each crash, as a supervisor does.
-// Each start has a new ID or, if EngineOptions.Born is set, the same ID and a later start time.
+// Each start has a new ID or, if EngineOptions.StartMillis is set, the same ID and a later start time.
 type EngineHost struct {
 	store   *Store
 	address string
@@ -29,7 +29,7 @@
 }
 
 // NewEngineHost starts the first engine at a free address. The options' ID is the prefix of the engines' IDs,
-// or the ID of all of them if Born is set.
+// or the ID of all of them if StartMillis is set.
 func NewEngineHost(
 	store *Store, address string, options EngineOptions, restartDelay, entryTTL time.Duration,
 ) (*EngineHost, error) {
--- a/internal/standin/platform/operator.go
+++ b/internal/standin/platform/operator.go
@@ -49,7 +49,7 @@
 type Tenant struct {
 	Name string   `json:"name"`
 	Keys []string `json:"apiKeys"`
-	// Homes has the meaning of Route.Homes.
+	// Homes has the meaning of Route.HomeRegions.
 	Homes []string `json:"homeRegions,omitempty"`
 }
 
