--- a/internal/batchjobs/partition.go
+++ b/internal/batchjobs/partition.go
@@ -9,8 +9,8 @@
 	"github.com/go-faster/errors"
 	"github.com/rs/zerolog"
 
-	"github.com/corkpulley/corkpulley/internal/common/answered"
 	"github.com/corkpulley/corkpulley/internal/common/boottime"
+	"github.com/corkpulley/corkpulley/internal/common/longpoll"
 	"github.com/corkpulley/corkpulley/internal/common/once"
 	"github.com/corkpulley/corkpulley/internal/common/retry"
 	"github.com/corkpulley/corkpulley/internal/core/batch"
@@ -184,7 +184,7 @@
 	}
 	currentAt := sent
 	if len(read.Records) == 0 {
-		currentAt = answered.AsOf(sent, wait, boottime.Now())
+		currentAt = longpoll.AsOf(sent, wait, boottime.Now())
 	}
 	p.apply(read, currentAt)
 	return read.First+int64(len(read.Records)) >= read.End, nil
--- a/internal/batchjobs/restart_test.go
+++ b/internal/batchjobs/restart_test.go
@@ -15,7 +15,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/pacing"
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
-	"github.com/corkpulley/corkpulley/internal/standin/narrowlog"
+	"github.com/corkpulley/corkpulley/internal/standin/throttledlog"
 )
 
 // logBytesPerSecond is the read bandwidth of the log.
@@ -56,7 +56,7 @@
 				assert.NilError(t, err)
 			}
 		}
-		log := narrowlog.New(backing, logBytesPerSecond)
+		log := throttledlog.New(backing, logBytesPerSecond)
 		ctx, cancel := context.WithCancel(t.Context())
 		var running, queries sync.WaitGroup
 		for range replicas {
--- a/internal/common/pauses/pauses.go
+++ b/internal/common/cooldown/cooldown.go
@@ -1,5 +1,5 @@
-// Package pauses tracks peers that are skipped for a period after a failed call.
-package pauses
+// Package cooldown tracks peers that are skipped for a period after a failed call.
+package cooldown
 
 import (
 	"maps"
--- a/internal/common/pauses/pauses_test.go
+++ b/internal/common/cooldown/cooldown_test.go
@@ -1,4 +1,4 @@
-package pauses
+package cooldown
 
 import (
 	"fmt"
--- a/internal/common/answered/answered.go
+++ b/internal/common/longpoll/longpoll.go
@@ -1,7 +1,7 @@
-// Package answered determines the time as of which a long-poll response of the log is current. The time of
+// Package longpoll determines the time as of which a long-poll response of the log is current. The time of
 // arrival does not bound it, since another node or a suspension of this process or machine may have delayed
 // the response.
-package answered
+package longpoll
 
 import "time"
 
--- a/internal/common/answered/answered_test.go
+++ b/internal/common/longpoll/longpoll_test.go
@@ -1,4 +1,4 @@
-package answered
+package longpoll
 
 import (
 	"testing"
--- a/internal/common/standstill/standstill.go
+++ b/internal/common/suspension/suspension.go
@@ -1,6 +1,6 @@
-// Package standstill detects suspensions of this process or its machine, after which its state of other
+// Package suspension detects suspensions of this process or its machine, after which its state of other
 // nodes may be outdated.
-package standstill
+package suspension
 
 import (
 	"context"
--- a/internal/common/standstill/standstill_test.go
+++ b/internal/common/suspension/suspension_test.go
@@ -1,4 +1,4 @@
-package standstill
+package suspension
 
 import (
 	"testing"
--- a/internal/duties/reporter_test.go
+++ b/internal/duties/reporter_test.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/pacing"
 	"github.com/corkpulley/corkpulley/internal/core/usage"
 	"github.com/corkpulley/corkpulley/internal/eventlog"
-	"github.com/corkpulley/corkpulley/internal/standin/leaseterm"
+	"github.com/corkpulley/corkpulley/internal/standin/fakelease"
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
@@ -46,7 +46,7 @@
 	return counter, start(t, func(ctx context.Context) { _ = counter.Run(ctx) })
 }
 
-func startReporter(t *testing.T, log *memlog.Log, platform Platform, term *leaseterm.Term, fence int64) (stop func()) {
+func startReporter(t *testing.T, log *memlog.Log, platform Platform, term *fakelease.Term, fence int64) (stop func()) {
 	t.Helper()
 	reporter := NewReporter(ReporterOptions{
 		Log: log, Platform: platform, Term: term, Holder: Holder{Node: "n", Fence: fence},
@@ -67,7 +67,7 @@
 
 func TestReportSumsCountsOfAllNodes(t *testing.T) {
 	t.Parallel()
-	log, platform, term := memlog.New(), newFakePlatform(), &leaseterm.Term{}
+	log, platform, term := memlog.New(), newFakePlatform(), &fakelease.Term{}
 	one, _ := startCounter(t, log, "one")
 	two, _ := startCounter(t, log, "two")
 	now := time.Now()
@@ -92,7 +92,7 @@
 	now := time.Now()
 	counter.CountRequest("a", now)
 	stop()
-	startReporter(t, log, platform, &leaseterm.Term{}, 1)
+	startReporter(t, log, platform, &fakelease.Term{}, 1)
 	assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)), usage.Counts{"a": 1})
 }
 
@@ -143,7 +143,7 @@
 			// The report of this window is decided after the faults have ended.
 			now := time.Now().Add(due)
 			counter.CountRequest("a", now)
-			startReporter(t, log, platform, &leaseterm.Term{}, 1)
+			startReporter(t, log, platform, &fakelease.Term{}, 1)
 			time.Sleep(2 * countDelay)
 			counter.CountRequest("a", now)
 			time.Sleep(2 * countDelay)
@@ -165,7 +165,7 @@
 	now := time.Now()
 	window := usage.WindowOf(now, span)
 	counter.CountRequest("a", now)
-	first := &leaseterm.Term{}
+	first := &fakelease.Term{}
 	stop := startReporter(t, log, platform, first, 1)
 	awaitReport(t, platform, window)
 	first.SetEnded(true)
@@ -176,7 +176,7 @@
 	platform.answer = nil
 	before := platform.calls
 	platform.mu.Unlock()
-	startReporter(t, log, platform, &leaseterm.Term{}, 2)
+	startReporter(t, log, platform, &fakelease.Term{}, 2)
 	awaitReport(t, platform, window+2)
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
@@ -198,8 +198,8 @@
 			time.Sleep(time.Millisecond)
 		}
 	})
-	startReporter(t, log, platform, &leaseterm.Term{}, 1)
-	startReporter(t, log, platform, &leaseterm.Term{}, 2)
+	startReporter(t, log, platform, &fakelease.Term{}, 1)
+	startReporter(t, log, platform, &fakelease.Term{}, 2)
 	awaitReport(t, platform, usage.WindowOf(time.Now(), span)+4)
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
@@ -209,7 +209,7 @@
 // TestReporterWaitsAfterConflict guards against retrying at once while another node has a higher fencing token.
 func TestReporterWaitsAfterConflict(t *testing.T) {
 	t.Parallel()
-	log, platform, term := memlog.New(), newFakePlatform(), &leaseterm.Term{}
+	log, platform, term := memlog.New(), newFakePlatform(), &fakelease.Term{}
 	platform.fence[usageSubject] = 9
 	startReporter(t, log, platform, term, 1)
 	testwait.Until(t, "one call", func() bool {
@@ -229,7 +229,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log, platform := memlog.New(), newFakePlatform()
 		platform.fence[usageSubject] = 9
-		stop := startReporter(t, log, platform, &leaseterm.Term{}, 1)
+		stop := startReporter(t, log, platform, &fakelease.Term{}, 1)
 		time.Sleep(6 * conflictDelay)
 		synctest.Wait()
 		platform.mu.Lock()
@@ -244,7 +244,7 @@
 	t.Parallel()
 	log, platform := memlog.New(), newFakePlatform()
 	quietUntil := time.Now().Add(3 * due)
-	term := &leaseterm.Term{QuietUntilFunc: func(string) time.Time { return quietUntil }}
+	term := &fakelease.Term{QuietUntilFunc: func(string) time.Time { return quietUntil }}
 	now := time.Now()
 	startReporter(t, log, platform, term, 2)
 	awaitReport(t, platform, usage.WindowOf(now, span))
--- a/internal/duties/scaler_test.go
+++ b/internal/duties/scaler_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/corkpulley/corkpulley/internal/core/lease"
 	"github.com/corkpulley/corkpulley/internal/core/scaling"
-	"github.com/corkpulley/corkpulley/internal/standin/leaseterm"
+	"github.com/corkpulley/corkpulley/internal/standin/fakelease"
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
@@ -43,7 +43,7 @@
 
 func TestScalerOrdersMissingEnginesOnce(t *testing.T) {
 	t.Parallel()
-	platform, term := newFakePlatform(), &leaseterm.Term{}
+	platform, term := newFakePlatform(), &fakelease.Term{}
 	startScaler(t, platform, term, func() []ScaledService { return []ScaledService{service(30, map[string]int{"a": 2, "b": 2})} })
 	testwait.Until(t, "an order", func() bool { return len(platform.ordered()) == 1 })
 	time.Sleep(3 * scaleInterval)
@@ -58,7 +58,7 @@
 func TestScalerSendsNoOrderWhenEnginesSuffice(t *testing.T) {
 	t.Parallel()
 	platform := newFakePlatform()
-	startScaler(t, platform, &leaseterm.Term{}, func() []ScaledService { return []ScaledService{service(0, map[string]int{"a": 2, "b": 1})} })
+	startScaler(t, platform, &fakelease.Term{}, func() []ScaledService { return []ScaledService{service(0, map[string]int{"a": 2, "b": 1})} })
 	time.Sleep(plannerTime)
 	assert.Equal(t, len(platform.ordered()), 0)
 }
@@ -68,7 +68,7 @@
 	platform := newFakePlatform()
 	var taken atomic.Bool
 	var begun atomic.Int64
-	startScaler(t, platform, &leaseterm.Term{}, func() []ScaledService {
+	startScaler(t, platform, &fakelease.Term{}, func() []ScaledService {
 		begun.Add(1)
 		if taken.Load() {
 			return []ScaledService{service(0, map[string]int{"a": 2})}
@@ -88,7 +88,7 @@
 	var refused atomic.Int64
 	platform.answer = func() (Answer, bool) { return Conflict, refused.Add(1) <= 2 }
 	began := time.Now()
-	startScaler(t, platform, &leaseterm.Term{}, func() []ScaledService { return []ScaledService{service(30, map[string]int{"a": 2, "b": 2})} })
+	startScaler(t, platform, &fakelease.Term{}, func() []ScaledService { return []ScaledService{service(30, map[string]int{"a": 2, "b": 2})} })
 	testwait.Until(t, "an order", func() bool { return len(platform.ordered()) == 1 })
 	assert.Assert(t, time.Since(began) >= 2*capacityRetryDelay)
 	assert.Equal(t, refused.Load(), int64(3))
@@ -96,7 +96,7 @@
 
 func TestScalerSendsNoOrderAfterTerm(t *testing.T) {
 	t.Parallel()
-	platform, term := newFakePlatform(), &leaseterm.Term{}
+	platform, term := newFakePlatform(), &fakelease.Term{}
 	term.SetEnded(true)
 	startScaler(t, platform, term, func() []ScaledService { return []ScaledService{service(30, nil)} })
 	time.Sleep(plannerTime)
@@ -111,7 +111,7 @@
 	platform := newFakePlatform()
 	var lost atomic.Bool
 	var begun atomic.Int64
-	startScaler(t, platform, &leaseterm.Term{}, func() []ScaledService {
+	startScaler(t, platform, &fakelease.Term{}, func() []ScaledService {
 		begun.Add(1)
 		if !lost.Load() {
 			return []ScaledService{service(0, map[string]int{"a": 2, "b": 2})}
--- a/internal/duties/trim_test.go
+++ b/internal/duties/trim_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/corkpulley/corkpulley/internal/core/usage"
-	"github.com/corkpulley/corkpulley/internal/standin/leaseterm"
+	"github.com/corkpulley/corkpulley/internal/standin/fakelease"
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
@@ -20,7 +20,7 @@
 	now := time.Now()
 	window := usage.WindowOf(now, span)
 	one.CountRequest("a", now)
-	first := &leaseterm.Term{}
+	first := &fakelease.Term{}
 	stop := startReporter(t, log, platform, first, 1)
 	awaitReport(t, platform, window)
 	first.SetEnded(true)
@@ -30,7 +30,7 @@
 	two, _ := startCounter(t, log, "two")
 	two.CountRequest("a", now)
 	two.CountRequest("a", now)
-	startReporter(t, log, platform, &leaseterm.Term{}, 2)
+	startReporter(t, log, platform, &fakelease.Term{}, 2)
 	awaitReport(t, platform, usage.WindowOf(time.Now(), span)+2)
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -13,8 +13,8 @@
 	"github.com/go-faster/errors"
 	"github.com/rs/zerolog"
 
-	"github.com/corkpulley/corkpulley/internal/common/answered"
 	"github.com/corkpulley/corkpulley/internal/common/boottime"
+	"github.com/corkpulley/corkpulley/internal/common/longpoll"
 	"github.com/corkpulley/corkpulley/internal/common/retry"
 	"github.com/corkpulley/corkpulley/internal/core/pacing"
 	"github.com/corkpulley/corkpulley/internal/eventlog"
@@ -232,7 +232,7 @@
 	f.next = batch.Next
 	upToDateAt := sent
 	if len(batch.Records) == 0 {
-		upToDateAt = answered.AsOf(sent, wait, f.now())
+		upToDateAt = longpoll.AsOf(sent, wait, f.now())
 	}
 	f.replica.advance(f.next, upToDateAt)
 	f.fullReads.recordSuccess(time.Now(), rand.N(f.budget.ScalePeriod(refreshDelay, maxRefreshDelay)))
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -22,7 +22,7 @@
 	"github.com/corkpulley/corkpulley/internal/batchrun"
 	"github.com/corkpulley/corkpulley/internal/callerwrite"
 	"github.com/corkpulley/corkpulley/internal/coldpermits"
-	"github.com/corkpulley/corkpulley/internal/common/standstill"
+	"github.com/corkpulley/corkpulley/internal/common/suspension"
 	"github.com/corkpulley/corkpulley/internal/core/bytebudget"
 	"github.com/corkpulley/corkpulley/internal/core/clusterversion"
 	"github.com/corkpulley/corkpulley/internal/core/fleet"
@@ -55,7 +55,7 @@
 	gate *sendgate.Gate
 	// placement tracks whether the evacuations and the engine list are known.
 	placement  *placementKnowledge
-	standstill *standstill.Detector
+	standstill *suspension.Detector
 	// bytes bounds the bytes buffered for callers and engines; callerLimits bounds those for one slow caller.
 	bytes        *bytebudget.Budget
 	callerLimits callerwrite.Limits
@@ -133,7 +133,7 @@
 		registry: registry, metrics: metrics,
 		holder: config.Node.ID + "-" + xid.New().String(),
 		state:  newState(time.Duration(config.Shutdown.Grace)),
-		fleet:  fleet.New(), loggedUnusable: make(unusableEntries), standstill: standstill.New(),
+		fleet:  fleet.New(), loggedUnusable: make(unusableEntries), standstill: suspension.New(),
 
 		topology: topology.NewMap(config.Topology.Zones, config.Node.Zone, config.Node.Region),
 	}
--- a/internal/hosted/placement.go
+++ b/internal/hosted/placement.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 
 	"github.com/corkpulley/corkpulley/internal/common/boottime"
-	"github.com/corkpulley/corkpulley/internal/common/standstill"
+	"github.com/corkpulley/corkpulley/internal/common/suspension"
 	"github.com/corkpulley/corkpulley/internal/follow"
 )
 
@@ -34,7 +34,7 @@
 }
 
 func newPlacementKnowledge(
-	watch *standstill.Detector, evacuations, engines *follow.Follower, logger zerolog.Logger,
+	watch *suspension.Detector, evacuations, engines *follow.Follower, logger zerolog.Logger,
 ) *placementKnowledge {
 	return &placementKnowledge{
 		resumedAt: watch.ResumedAt, now: boottime.Now, logger: logger,
--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -13,7 +13,7 @@
 	"github.com/corkpulley/corkpulley/internal/callerwrite"
 	"github.com/corkpulley/corkpulley/internal/common/connlost"
 	"github.com/corkpulley/corkpulley/internal/core/fleet"
-	"github.com/corkpulley/corkpulley/internal/eventstream"
+	"github.com/corkpulley/corkpulley/internal/sse"
 )
 
 const (
@@ -154,7 +154,7 @@
 
 // relayEvents copies an engine's events to the spool until the stream ends.
 func (x *exchange) relayEvents(answer *Answer, spool *callerwrite.Spool, outcome *fleet.Outcome) verdict {
-	events := eventstream.NewReader(answer.Body)
+	events := sse.NewReader(answer.Body)
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
--- a/internal/jobrelay/relay.go
+++ b/internal/jobrelay/relay.go
@@ -8,8 +8,8 @@
 	"github.com/rs/zerolog"
 
 	"github.com/corkpulley/corkpulley/internal/batchjobs"
+	"github.com/corkpulley/corkpulley/internal/common/cooldown"
 	"github.com/corkpulley/corkpulley/internal/common/msgpackhttp"
-	"github.com/corkpulley/corkpulley/internal/common/pauses"
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 	"github.com/corkpulley/corkpulley/internal/core/homes"
 )
@@ -39,7 +39,7 @@
 	directoryRead    <-chan struct{}
 	client           *http.Client
 	logger           zerolog.Logger
-	paused           *pauses.Set
+	paused           *cooldown.Set
 }
 
 var _ Jobs = (*Relay)(nil)
@@ -53,7 +53,7 @@
 ) *Relay {
 	return &Relay{
 		local: local, replicaAddresses: replicaAddresses, directoryRead: directoryRead,
-		client: client, logger: logger, paused: pauses.New(),
+		client: client, logger: logger, paused: cooldown.New(),
 	}
 }
 
--- a/internal/logrelay/replicareader.go
+++ b/internal/logrelay/replicareader.go
@@ -9,7 +9,7 @@
 
 	"github.com/go-faster/errors"
 
-	"github.com/corkpulley/corkpulley/internal/common/pauses"
+	"github.com/corkpulley/corkpulley/internal/common/cooldown"
 	"github.com/corkpulley/corkpulley/internal/common/retry"
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
@@ -62,7 +62,7 @@
 type ReplicaReader struct {
 	eventlog.Log
 	options ReplicaOptions
-	paused  *pauses.Set
+	paused  *cooldown.Set
 	awaited sync.Once
 
 	mu sync.Mutex
@@ -80,7 +80,7 @@
 		options.ExcludedClasses = func(string) []string { return nil }
 	}
 	return &ReplicaReader{
-		Log: log, options: options, paused: pauses.New(),
+		Log: log, options: options, paused: cooldown.New(),
 		readAt: make(map[string]time.Time), failed: make(map[string]int),
 	}
 }
--- a/internal/logrelay/restart_test.go
+++ b/internal/logrelay/restart_test.go
@@ -17,7 +17,7 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 	"github.com/corkpulley/corkpulley/internal/follow"
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
-	"github.com/corkpulley/corkpulley/internal/standin/narrowlog"
+	"github.com/corkpulley/corkpulley/internal/standin/throttledlog"
 )
 
 // narrowLimits is what the log serves to all nodes together.
@@ -25,7 +25,7 @@
 
 // cluster is a set of nodes that follow one topic, through each other or from the log.
 type cluster struct {
-	log *narrowlog.Log
+	log *throttledlog.Log
 
 	mu       sync.Mutex
 	handlers map[string]http.Handler
@@ -142,7 +142,7 @@
 			announceAll(t, backend, nodes)
 		}
 		c := &cluster{
-			log:      narrowlog.New(backend, narrowLimits.BytesPerSecond),
+			log:      throttledlog.New(backend, narrowLimits.BytesPerSecond),
 			handlers: make(map[string]http.Handler),
 			isCut:    faults.isCut,
 		}
@@ -218,7 +218,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		const others = 300
-		log := narrowlog.New(memlog.New(), narrowLimits.BytesPerSecond)
+		log := throttledlog.New(memlog.New(), narrowLimits.BytesPerSecond)
 		for range announcements {
 			announceAll(t, log.Log, others)
 		}
--- a/internal/logstream/tail.go
+++ b/internal/logstream/tail.go
@@ -5,7 +5,7 @@
 
 	"github.com/go-faster/errors"
 
-	"github.com/corkpulley/corkpulley/internal/common/answered"
+	"github.com/corkpulley/corkpulley/internal/common/longpoll"
 	"github.com/corkpulley/corkpulley/internal/common/retry"
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 	"github.com/corkpulley/corkpulley/internal/platform/logservice"
@@ -77,7 +77,7 @@
 func (s *TailedStream) applyBatch(batch logservice.Batch, sent time.Time) {
 	contact := sent
 	if len(batch.Entries) == 0 {
-		contact = answered.AsOf(sent, s.manager.options.PollWait, time.Now())
+		contact = longpoll.AsOf(sent, s.manager.options.PollWait, time.Now())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/eventstream/eventstream.go
+++ b/internal/sse/sse.go
@@ -1,6 +1,6 @@
-// Package eventstream reads streams of server-sent events
+// Package sse reads streams of server-sent events
 // (https://html.spec.whatwg.org/multipage/server-sent-events.html).
-package eventstream
+package sse
 
 import (
 	"bufio"
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/sse/sse_test.go
@@ -1,4 +1,4 @@
-package eventstream
+package sse
 
 import (
 	"bytes"
--- a/internal/standin/leaseterm/leaseterm.go
+++ b/internal/standin/fakelease/fakelease.go
@@ -1,5 +1,5 @@
-// Package leaseterm implements lease.Term for tests, which control its validity and permits.
-package leaseterm
+// Package fakelease implements lease.Term for tests, which control its validity and permits.
+package fakelease
 
 import (
 	"context"
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -13,7 +13,7 @@
 
 	"github.com/go-faster/errors"
 
-	"github.com/corkpulley/corkpulley/internal/eventstream"
+	"github.com/corkpulley/corkpulley/internal/sse"
 )
 
 const (
@@ -104,7 +104,7 @@
 
 // readEvents reads events until the stream is complete.
 func (a *LiveResponse) readEvents(body io.Reader) error {
-	reader := eventstream.NewReader(body)
+	reader := sse.NewReader(body)
 	for {
 		event, err := reader.Next()
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/standin/narrowlog/narrowlog.go
+++ b/internal/standin/throttledlog/throttledlog.go
@@ -1,5 +1,5 @@
-// Package narrowlog implements eventlog.Log with limited read bandwidth.
-package narrowlog
+// Package throttledlog implements eventlog.Log with limited read bandwidth.
+package throttledlog
 
 import (
 	"context"
--- a/internal/weightorders/incarnation_test.go
+++ b/internal/weightorders/incarnation_test.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/fleet"
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
 	"github.com/corkpulley/corkpulley/internal/core/weightplan"
-	"github.com/corkpulley/corkpulley/internal/standin/leaseterm"
+	"github.com/corkpulley/corkpulley/internal/standin/fakelease"
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
@@ -100,7 +100,7 @@
 		options.Engines.(*fakeEngines).born["e0"] = secondStart
 		options.Fleet.Put(incarnationEntry(firstStart))
 		options.Fleet.Put(incarnationEntry(secondStart))
-		options.Term = &leaseterm.Term{QuietUntilFunc: func(engine string) time.Time {
+		options.Term = &fakelease.Term{QuietUntilFunc: func(engine string) time.Time {
 			if engine == "e0" && !over.Load() {
 				return time.Now().Add(time.Hour)
 			}
@@ -131,7 +131,7 @@
 	engines.busy["e0"] = true
 	known.Put(incarnationEntry(firstStart))
 	manager := New(Options{
-		Engines: engines, Fleet: known, Term: &leaseterm.Term{}, Logger: zerolog.Nop(), OnLoadEnd: func() {},
+		Engines: engines, Fleet: known, Term: &fakelease.Term{}, Logger: zerolog.Nop(), OnLoadEnd: func() {},
 		Running: func() map[incarnation.ID]int { return nil },
 	})
 	first := incarnationEntry(firstStart)
--- a/internal/weightorders/scale_test.go
+++ b/internal/weightorders/scale_test.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/batchrun"
 	"github.com/corkpulley/corkpulley/internal/core/fleet"
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
-	"github.com/corkpulley/corkpulley/internal/standin/leaseterm"
+	"github.com/corkpulley/corkpulley/internal/standin/fakelease"
 )
 
 // planOnce plans the loads of a fleet once and returns the number of lease queries and of started loads.
@@ -30,7 +30,7 @@
 		Engines: engines, Fleet: known, Logger: zerolog.Nop(), OnLoadEnd: func() {},
 		Running: func() map[incarnation.ID]int { return nil },
 		Demands: func() map[string]batchrun.Demand { return map[string]batchrun.Demand{model: {Unfinished: 200}} },
-		Term: &leaseterm.Term{QuietUntilFunc: func(string) time.Time {
+		Term: &fakelease.Term{QuietUntilFunc: func(string) time.Time {
 			queries++
 			return time.Time{}
 		}},
--- a/internal/weightorders/weightorders_test.go
+++ b/internal/weightorders/weightorders_test.go
@@ -15,7 +15,7 @@
 	"github.com/corkpulley/corkpulley/internal/batchrun"
 	"github.com/corkpulley/corkpulley/internal/core/fleet"
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
-	"github.com/corkpulley/corkpulley/internal/standin/leaseterm"
+	"github.com/corkpulley/corkpulley/internal/standin/fakelease"
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
@@ -115,12 +115,12 @@
 	engines *fakeEngines
 	fleet   *fleet.Fleet
 	version atomic.Int64
-	term    *leaseterm.Term
+	term    *fakelease.Term
 }
 
 func startManager(t *testing.T, engineCount int, change func(*Options)) *testManager {
 	t.Helper()
-	w := &testManager{fleet: fleet.New(), term: &leaseterm.Term{}}
+	w := &testManager{fleet: fleet.New(), term: &fakelease.Term{}}
 	w.version.Store(2)
 	var ids []string
 	for i := range engineCount {
@@ -183,7 +183,7 @@
 func TestEngineIsNotOrderedDuringQuietPeriod(t *testing.T) {
 	var over atomic.Bool
 	w := startManager(t, 2, func(options *Options) {
-		options.Term = &leaseterm.Term{QuietUntilFunc: func(engine string) time.Time {
+		options.Term = &fakelease.Term{QuietUntilFunc: func(engine string) time.Time {
 			if engine == "e0" && !over.Load() {
 				return time.Now().Add(time.Hour)
 			}
@@ -203,7 +203,7 @@
 	var permits atomic.Int64
 	logDown.Store(true)
 	w := startManager(t, 3, func(options *Options) {
-		options.Term = &leaseterm.Term{PermitError: func(string) error {
+		options.Term = &fakelease.Term{PermitError: func(string) error {
 			if logDown.Load() {
 				return errors.New("the log is unavailable")
 			}
@@ -233,7 +233,7 @@
 
 // A permit may expire before the order is sent, because its record took too long to write or the lease was lost.
 func TestOrderIsNotSentAfterPermitExpired(t *testing.T) {
-	term := &leaseterm.Term{}
+	term := &fakelease.Term{}
 	term.ClosePermits(true)
 	w := startManager(t, 2, func(options *Options) { options.Term = term })
 	testwait.Until(t, "orders were permitted", func() bool { return len(term.Permitted()) >= 2 })
