--- a/internal/batchjobs/restart_test.go
+++ b/internal/batchjobs/restart_test.go
@@ -15,7 +15,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/pacing"
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
-	"github.com/corkpulley/corkpulley/internal/standin/narrowlog"
+	"github.com/corkpulley/corkpulley/internal/standin/throttledlog"
 )
 
 // logBytesPerSecond is the read bandwidth of the log.
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		backing := memlog.New()
 		options := Options{
-			Partitions: partitions, RecordBytes: 256 << 10, CallBytes: 2 << 20, KeepJobs: 2 * time.Minute, Logger: zerolog.Nop(),
+			Partitions: partitions, RecordBytes: 256 << 10, CallBytes: 2 << 20, JobRetention: 2 * time.Minute, Logger: zerolog.Nop(),
 			Budget: pacing.Budget{Limits: pacing.Limits{ReadsPerSecond: 16_000}, Nodes: func() int { return 300 }},
 		}
 		jobs := jobInEachPartition(t, New(backing, options), partitions)
@@ -56,7 +56,7 @@
 				assert.NilError(t, err)
 			}
 		}
-		log := narrowlog.New(backing, logBytesPerSecond)
+		log := throttledlog.New(backing, logBytesPerSecond)
 		ctx, cancel := context.WithCancel(t.Context())
 		var running, queries sync.WaitGroup
 		for range replicas {
@@ -65,7 +65,7 @@
 			for _, id := range jobs {
 				queries.Go(func() {
 					for ctx.Err() == nil {
-						if known, err := service.Knows(ctx, id); err == nil && known {
+						if known, err := service.Exists(ctx, id); err == nil && known {
 							return
 						}
 						time.Sleep(time.Second)
--- a/internal/core/logrecord/sequences.go
+++ b/internal/core/logrecord/sequences.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// ForgetAfter is the number of offsets after which a writer without further records is removed.
-	ForgetAfter = 1 << 16
+	// WriterRetentionOffsets is the number of offsets after which a writer without further records is removed.
+	WriterRetentionOffsets = 1 << 16
 	// sweepInterval is the number of offsets between removals of inactive writers.
 	sweepInterval = 1 << 10
 )
@@ -17,10 +17,10 @@
 // Sequences detects repeated records of a stream by the highest sequence of each writer. Its state is a deterministic
 // function of the records and their offsets. The zero value is ready to use.
 //
-// The number of writers is bounded: a writer is removed ForgetAfter offsets after its last record. Repeats are still
-// detected, since a record whose offset exceeds its Base by more than ForgetAfter is Expired. This holds for every
-// repeat of a removed writer's record: its Base is at most the offset of its first copy, which is at most the offset
-// of the writer's last record.
+// The number of writers is bounded: a writer is removed WriterRetentionOffsets offsets after its last record. Repeats
+// are still detected, since a record whose offset exceeds its Base by more than WriterRetentionOffsets is Expired.
+// This holds for every repeat of a removed writer's record: its Base is at most the offset of its first copy, which
+// is at most the offset of the writer's last record.
 type Sequences struct {
 	writers map[string]writerState
 	// next is the offset after the last admitted record.
@@ -40,7 +40,7 @@
 		s.writers = make(map[string]writerState)
 	}
 	s.advance(offset)
-	if offset-record.Base > ForgetAfter {
+	if offset-record.Base > WriterRetentionOffsets {
 		return Expired
 	}
 	last, known := s.writers[record.Writer]
@@ -68,7 +68,7 @@
 }
 
 func isInactive(last writerState, offset int64) bool {
-	return offset-last.offset > ForgetAfter
+	return offset-last.offset > WriterRetentionOffsets
 }
 
 // sequencesSnapshot is the encoded form of Sequences. Writers are sorted, so that equal states have equal encodings.
--- a/internal/core/scheduler/cell.go
+++ b/internal/core/scheduler/cell.go
@@ -13,7 +13,7 @@
 // Cell is the scheduler of one cell. It is not safe for concurrent use.
 //
 // Invariant: an enqueued item is in exactly one state: queued, running, or ended by
-// Expire, Remove, Finished or Returned.
+// Expire, Remove, Finished or Unassign.
 type Cell struct {
 	config Config
 	// classes are sorted by descending priority.
@@ -147,16 +147,16 @@
 // Finished records that an assigned item ended on its engine; false if it was not
 // running.
 func (c *Cell) Finished(now time.Time, id string) bool {
-	if !c.Returned(id) {
+	if !c.Unassign(id) {
 		return false
 	}
 	c.drain.finished(now)
 	return true
 }
 
-// Returned records that an assigned item was not executed; false if it was not
+// Unassign records that an assigned item was not executed; false if it was not
 // assigned. Unlike Finished, it doesn't count toward the drain rate.
-func (c *Cell) Returned(id string) bool {
+func (c *Cell) Unassign(id string) bool {
 	finished, ok := c.running[id]
 	if !ok {
 		return false
@@ -179,7 +179,7 @@
 }
 
 // RemoveEngine removes an engine. Items running on it count as running until
-// Finished or Returned.
+// Finished or Unassign.
 func (c *Cell) RemoveEngine(id string) {
 	position, found := c.search(id)
 	if !found {
--- a/internal/core/scheduler/dispatch.go
+++ b/internal/core/scheduler/dispatch.go
@@ -6,7 +6,7 @@
 )
 
 // Dispatch assigns queued items to engines until no further item can run. The caller
-// must send each item immediately and later call Finished or Returned for it.
+// must send each item immediately and later call Finished or Unassign for it.
 func (c *Cell) Dispatch(now time.Time) []Assignment {
 	var assignments []Assignment
 	for len(c.queued) > 0 {
@@ -156,7 +156,7 @@
 	c.lastPicked = host.id
 	version, _ := host.version(queued.item.Model)
 	if c.config.Prefixes != nil {
-		c.config.Prefixes.Sent(host.id, queued.prefixHashes(version))
+		c.config.Prefixes.RecordSent(host.id, queued.prefixHashes(version))
 	}
 	queued.hashes = nil
 	return Assignment{
--- a/internal/duties/reporter_test.go
+++ b/internal/duties/reporter_test.go
@@ -12,12 +12,12 @@
 	"github.com/corkpulley/corkpulley/internal/core/pacing"
 	"github.com/corkpulley/corkpulley/internal/core/usage"
 	"github.com/corkpulley/corkpulley/internal/eventlog"
-	"github.com/corkpulley/corkpulley/internal/standin/leaseterm"
+	"github.com/corkpulley/corkpulley/internal/standin/fakelease"
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// span and due are the Span and Late of the reporters.
+// span and due are the Span and ReportDelay of the reporters.
 const (
 	span = 400 * time.Millisecond
 	due  = 800 * time.Millisecond
@@ -46,11 +46,11 @@
 	return counter, start(t, func(ctx context.Context) { _ = counter.Run(ctx) })
 }
 
-func startReporter(t *testing.T, log *memlog.Log, platform Platform, term *leaseterm.Term, fence int64) (stop func()) {
+func startReporter(t *testing.T, log *memlog.Log, platform Platform, term *fakelease.Term, fence int64) (stop func()) {
 	t.Helper()
 	reporter := NewReporter(ReporterOptions{
 		Log: log, Platform: platform, Term: term, Holder: Holder{Node: "n", Fence: fence},
-		Span: span, Late: due, Logger: zerolog.Nop(),
+		Span: span, ReportDelay: due, Logger: zerolog.Nop(),
 	})
 	return start(t, reporter.Run)
 }
@@ -67,17 +67,17 @@
 
 func TestReportSumsCountsOfAllNodes(t *testing.T) {
 	t.Parallel()
-	log, platform, term := memlog.New(), newFakePlatform(), &leaseterm.Term{}
+	log, platform, term := memlog.New(), newFakePlatform(), &fakelease.Term{}
 	one, _ := startCounter(t, log, "one")
 	two, _ := startCounter(t, log, "two")
 	now := time.Now()
 	startReporter(t, log, platform, term, 1)
 	for range 3 {
-		one.Began("a", now)
+		one.CountRequest("a", now)
 	}
-	two.Began("a", now)
-	two.Began("b", now)
-	two.Began("", now)
+	two.CountRequest("a", now)
+	two.CountRequest("b", now)
+	two.CountRequest("", now)
 	assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)), usage.Counts{"a": 4, "b": 1})
 	// A window without requests is reported as well.
 	assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)+1), usage.Counts{})
@@ -90,9 +90,9 @@
 	log, platform := memlog.New(), newFakePlatform()
 	counter, stop := startCounter(t, log, "one")
 	now := time.Now()
-	counter.Began("a", now)
+	counter.CountRequest("a", now)
 	stop()
-	startReporter(t, log, platform, &leaseterm.Term{}, 1)
+	startReporter(t, log, platform, &fakelease.Term{}, 1)
 	assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)), usage.Counts{"a": 1})
 }
 
@@ -114,7 +114,7 @@
 			defer close(ended)
 			_ = counter.Run(ctx)
 		}()
-		counter.Began("a", time.Now())
+		counter.CountRequest("a", time.Now())
 		time.Sleep(10 * time.Second)
 		stopped := time.Now()
 		cancel()
@@ -128,8 +128,8 @@
 func TestCountsSurviveAppendFaults(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]memlog.Fault{
-		"lost answers": memlog.LostAnswer, "refused": memlog.Refused, "lost calls": memlog.LostCall,
-		"late effects": memlog.LateEffect,
+		"lost answers": memlog.LostResponse, "refused": memlog.Refused, "lost calls": memlog.LostCall,
+		"late effects": memlog.DelayedEffect,
 	} {
 		t.Run(name, func(t *testing.T) {
 			log, platform := memlog.New(), newFakePlatform()
@@ -142,13 +142,13 @@
 			counter, _ := startCounter(t, log, "one")
 			// The report of this window is decided after the faults have ended.
 			now := time.Now().Add(due)
-			counter.Began("a", now)
-			startReporter(t, log, platform, &leaseterm.Term{}, 1)
+			counter.CountRequest("a", now)
+			startReporter(t, log, platform, &fakelease.Term{}, 1)
 			time.Sleep(2 * countDelay)
-			counter.Began("a", now)
+			counter.CountRequest("a", now)
 			time.Sleep(2 * countDelay)
 			log.SetFault(nil)
-			log.Release()
+			log.ReleaseDelayed()
 			assert.DeepEqual(t, awaitReport(t, platform, usage.WindowOf(now, span)), usage.Counts{"a": 2})
 			assert.Equal(t, platform.changed, 0)
 		})
@@ -164,19 +164,19 @@
 	counter, _ := startCounter(t, log, "one")
 	now := time.Now()
 	window := usage.WindowOf(now, span)
-	counter.Began("a", now)
-	first := &leaseterm.Term{}
+	counter.CountRequest("a", now)
+	first := &fakelease.Term{}
 	stop := startReporter(t, log, platform, first, 1)
 	awaitReport(t, platform, window)
-	first.SetOver(true)
+	first.SetEnded(true)
 	stop()
-	counter.Began("a", now)
+	counter.CountRequest("a", now)
 	time.Sleep(2 * countDelay)
 	platform.mu.Lock()
 	platform.answer = nil
 	before := platform.calls
 	platform.mu.Unlock()
-	startReporter(t, log, platform, &leaseterm.Term{}, 2)
+	startReporter(t, log, platform, &fakelease.Term{}, 2)
 	awaitReport(t, platform, window+2)
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
@@ -194,12 +194,12 @@
 	start(t, func(ctx context.Context) {
 		defer close(stopped)
 		for ctx.Err() == nil {
-			counter.Began("a", time.Now().Add(-due))
+			counter.CountRequest("a", time.Now().Add(-due))
 			time.Sleep(time.Millisecond)
 		}
 	})
-	startReporter(t, log, platform, &leaseterm.Term{}, 1)
-	startReporter(t, log, platform, &leaseterm.Term{}, 2)
+	startReporter(t, log, platform, &fakelease.Term{}, 1)
+	startReporter(t, log, platform, &fakelease.Term{}, 2)
 	awaitReport(t, platform, usage.WindowOf(time.Now(), span)+4)
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
@@ -209,7 +209,7 @@
 // TestReporterWaitsAfterConflict guards against retrying at once while another node has a higher fencing token.
 func TestReporterWaitsAfterConflict(t *testing.T) {
 	t.Parallel()
-	log, platform, term := memlog.New(), newFakePlatform(), &leaseterm.Term{}
+	log, platform, term := memlog.New(), newFakePlatform(), &fakelease.Term{}
 	platform.fence[usageSubject] = 9
 	startReporter(t, log, platform, term, 1)
 	testwait.Until(t, "one call", func() bool {
@@ -218,7 +218,7 @@
 		return platform.calls == 1
 	})
 	time.Sleep(4 * span)
-	term.SetOver(true)
+	term.SetEnded(true)
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
 	assert.Equal(t, platform.calls, 1)
@@ -229,7 +229,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log, platform := memlog.New(), newFakePlatform()
 		platform.fence[usageSubject] = 9
-		stop := startReporter(t, log, platform, &leaseterm.Term{}, 1)
+		stop := startReporter(t, log, platform, &fakelease.Term{}, 1)
 		time.Sleep(6 * conflictDelay)
 		synctest.Wait()
 		platform.mu.Lock()
@@ -244,7 +244,7 @@
 	t.Parallel()
 	log, platform := memlog.New(), newFakePlatform()
 	quietUntil := time.Now().Add(3 * due)
-	term := &leaseterm.Term{Quiet: func(string) time.Time { return quietUntil }}
+	term := &fakelease.Term{QuietUntilFunc: func(string) time.Time { return quietUntil }}
 	now := time.Now()
 	startReporter(t, log, platform, term, 2)
 	awaitReport(t, platform, usage.WindowOf(now, span))
@@ -256,7 +256,7 @@
 	t.Parallel()
 	log := memlog.New()
 	counter := NewCounter(log, "one", 0, pacing.Budget{}, zerolog.Nop())
-	counter.Began("a", time.Now())
+	counter.CountRequest("a", time.Now())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	assert.NilError(t, counter.Run(ctx))
--- a/internal/duties/trim_test.go
+++ b/internal/duties/trim_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/corkpulley/corkpulley/internal/core/usage"
-	"github.com/corkpulley/corkpulley/internal/standin/leaseterm"
+	"github.com/corkpulley/corkpulley/internal/standin/fakelease"
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
@@ -19,18 +19,18 @@
 	one, _ := startCounter(t, log, "one")
 	now := time.Now()
 	window := usage.WindowOf(now, span)
-	one.Began("a", now)
-	first := &leaseterm.Term{}
+	one.CountRequest("a", now)
+	first := &fakelease.Term{}
 	stop := startReporter(t, log, platform, first, 1)
 	awaitReport(t, platform, window)
-	first.SetOver(true)
+	first.SetEnded(true)
 	stop()
 	log.Trim(reportPartition, log.End(reportPartition))
 	log.Trim(countPartition, log.End(countPartition))
 	two, _ := startCounter(t, log, "two")
-	two.Began("a", now)
-	two.Began("a", now)
-	startReporter(t, log, platform, &leaseterm.Term{}, 2)
+	two.CountRequest("a", now)
+	two.CountRequest("a", now)
+	startReporter(t, log, platform, &fakelease.Term{}, 2)
 	awaitReport(t, platform, usage.WindowOf(time.Now(), span)+2)
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -51,7 +51,7 @@
 	// AppendAt appends only if the partition ends at end; otherwise it returns a *ConflictError.
 	AppendAt(ctx context.Context, partition Partition, end int64, records [][]byte) (int64, error)
 	// Read returns about limit bytes of records starting at offset from. If there are none it waits for one up
-	// to the given time. It returns a *GoneError if the offset is no longer retained.
+	// to the given time. It returns a *TrimmedError if the offset is no longer retained.
 	Read(ctx context.Context, partition Partition, from int64, limit int, wait time.Duration) (Batch, error)
 	// PutKeyed appends records to a compacted topic atomically; it ignores their offsets.
 	PutKeyed(ctx context.Context, topic string, records []KeyedRecord) error
@@ -78,13 +78,13 @@
 // Error implements the error interface.
 func (e *ConflictError) Error() string { return fmt.Sprintf("partition ends at %d", e.End) }
 
-// GoneError is returned by a read of records that are no longer retained.
-type GoneError struct {
+// TrimmedError is returned by a read of records that are no longer retained.
+type TrimmedError struct {
 	// First is the first retained offset.
 	First int64
 }
 
 // Error implements the error interface.
-func (e *GoneError) Error() string {
+func (e *TrimmedError) Error() string {
 	return fmt.Sprintf("records before offset %d are no longer retained", e.First)
 }
--- a/internal/leadership/arrival_test.go
+++ b/internal/leadership/arrival_test.go
@@ -15,11 +15,11 @@
 func latestArrival(given lease.Permit) time.Time {
 	last := given.(*permit)
 	left := last.until.Sub(last.term.elector.now())
-	return time.Now().Add(left + lease.InFlight)
+	return time.Now().Add(left + lease.MaxTransitTime)
 }
 
 // TestQuietTimeCoversLatestArrival: an order is sent once its record is acknowledged, possibly long after others have
-// read the record, and may be in transit for lease.InFlight.
+// read the record, and may be in transit for lease.MaxTransitTime.
 func TestQuietTimeCoversLatestArrival(t *testing.T) {
 	log := memlog.New()
 	const delay = 350 * time.Millisecond // below recordTimeout
--- a/internal/logrelay/fallback.go
+++ b/internal/logrelay/fallback.go
@@ -35,7 +35,7 @@
 
 	dialTimeout = 300 * time.Millisecond
 	// expectContinueTimeout exceeds the duration of any write: the body is sent only once the peer asks for it; see
-	// msgpackhttp.AskOnceHeard.
+	// msgpackhttp.CallExpectContinue.
 	expectContinueTimeout = 2 * callTimeout
 	// Idle connections to peers are few and short-lived: each takes about 20 KB at either end, which adds up in
 	// large clusters.
@@ -110,14 +110,14 @@
 	return &relayClient{client: f.client, address: current}, current
 }
 
-// recordResult updates the state of the direct connection or the peer after a call. A ConflictError or GoneError
+// recordResult updates the state of the direct connection or the peer after a call. A ConflictError or TrimmedError
 // comes from the log and counts as success.
 func (f *Fallback) recordResult(address string, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
 	var conflicting *eventlog.ConflictError
-	var lost *eventlog.GoneError
+	var lost *eventlog.TrimmedError
 	answered := err == nil || errors.As(err, &conflicting) || errors.As(err, &lost)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -221,8 +221,8 @@
 	f.directUntil = time.Now().Add(outagePause)
 }
 
-// Direct reports whether calls are made directly at present.
-func (f *Fallback) Direct() bool {
+// IsDirect reports whether calls are made directly at present.
+func (f *Fallback) IsDirect() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failures < switchWeight
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -109,9 +109,9 @@
 
 // DirectiveResult is the response to a Directive: the number of engines in each state.
 type DirectiveResult struct {
-	Engines int `msgpack:"en"`
-	AtLeast int `msgpack:"al"` // engines that report Version or higher
-	// AtVersion counts those of AtLeast that report exactly Version.
+	Engines        int `msgpack:"en"`
+	AtLeastVersion int `msgpack:"al"` // engines that report Version or higher
+	// AtVersion counts those of AtLeastVersion that report exactly Version.
 	AtVersion int `msgpack:"av"`
 	Loading   int `msgpack:"lo"`
 	Broken    int `msgpack:"br"`
--- a/internal/platform/logservice/logservice.go
+++ b/internal/platform/logservice/logservice.go
@@ -11,8 +11,8 @@
 // ErrRefused means that the log guarantees that the append has no effect, now or later.
 var ErrRefused = errors.New("log service: append refused")
 
-// ErrUnknown means that the append may or may not take effect, now or later.
-var ErrUnknown = errors.New("log service: append outcome unknown")
+// ErrOutcomeUnknown means that the append may or may not take effect, now or later.
+var ErrOutcomeUnknown = errors.New("log service: append outcome unknown")
 
 // ErrUnavailable means that a read failed; it may be repeated.
 var ErrUnavailable = errors.New("log service: read failed")
@@ -34,7 +34,7 @@
 // several streams.
 type Service interface {
 	// Append appends the records in order and returns the offset of the first one. Errors wrap ErrRefused or
-	// ErrUnknown.
+	// ErrOutcomeUnknown.
 	Append(ctx context.Context, stream string, records [][]byte) (int64, error)
 	// Read returns up to limit records starting at offset from; a negative from counts back from the end. If
 	// there are none it waits for one, for up to wait.
--- a/internal/standin/platform/engine_control.go
+++ b/internal/standin/platform/engine_control.go
@@ -26,7 +26,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// countUnknown is OrderSeen.Expected for an order that does not state a count.
+// countUnknown is ReceivedOrder.Expected for an order that does not state a count.
 const countUnknown = -1
 
 // hostOf returns an address without its port.
@@ -63,7 +63,7 @@
 	case e.versions[body.Model] == body.Version:
 		status = http.StatusOK
 	}
-	received := OrderSeen{
+	received := ReceivedOrder{
 		Holder: body.Holder, Fence: body.Fence, Version: body.Version, At: time.Now(), From: hostOf(r.RemoteAddr),
 		Expected: countUnknown, Taken: e.orders, Status: status,
 	}
--- a/internal/standin/platform/engine_host.go
+++ b/internal/standin/platform/engine_host.go
@@ -11,7 +11,7 @@
 )
 
 // EngineHost runs an engine at a fixed address and restarts it after each crash, as a supervisor does.
-// Each start has a new ID or, if EngineOptions.Born is set, the same ID and a later start time.
+// Each start has a new ID or, if EngineOptions.StartMillis is set, the same ID and a later start time.
 type EngineHost struct {
 	store   *Store
 	address string
@@ -29,7 +29,7 @@
 }
 
 // NewEngineHost starts the first engine at a free address. The options' ID is the prefix of the engines' IDs,
-// or the ID of all of them if Born is set.
+// or the ID of all of them if StartMillis is set.
 func NewEngineHost(
 	store *Store, address string, options EngineOptions, restartDelay, entryTTL time.Duration,
 ) (*EngineHost, error) {
@@ -46,7 +46,7 @@
 		return errors.Wrap(err, "listen for an engine")
 	}
 	options := h.nextOptions()
-	options.End = func(Run) { h.crash() }
+	options.Crash = func(Run) { h.crash() }
 	engine := NewEngine(options)
 	server := &http.Server{Handler: engine, ReadHeaderTimeout: time.Minute}
 	h.engines, h.server = append(h.engines, engine), server
@@ -58,12 +58,12 @@
 // nextOptions returns the options of the next start. Must be called with mu held.
 func (h *EngineHost) nextOptions() EngineOptions {
 	options := h.options
-	if options.Born == 0 {
+	if options.StartMillis == 0 {
 		options.ID = fmt.Sprintf("%s-%d", options.ID, len(h.engines)+1)
 		return options
 	}
 	if len(h.engines) > 0 {
-		options.Born = max(time.Now().UnixMilli(), h.engines[len(h.engines)-1].options.Born+1)
+		options.StartMillis = max(time.Now().UnixMilli(), h.engines[len(h.engines)-1].options.StartMillis+1)
 	}
 	return options
 }
