--- a/internal/follow/replica_test.go
+++ b/internal/follow/replica_test.go
@@ -72,9 +72,9 @@
 	assert.Assert(t, age < time.Hour)
 }
 
-// TestReaderThatMayHaveMissedADeletionGetsGoneError guards against a reader that keeps a deleted key, since
+// TestReaderThatMayHaveMissedADeletionGetsTrimmedError guards against a reader that keeps a deleted key, since
 // replicas drop old deletions.
-func TestReaderThatMayHaveMissedADeletionGetsGoneError(t *testing.T) {
+func TestReaderThatMayHaveMissedADeletionGetsTrimmedError(t *testing.T) {
 	replica := newReplica()
 	offset := int64(0)
 	for number := range maxDeletions + 1 {
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -55,7 +55,7 @@
 	gate *sendgate.Gate
 	// placement tracks whether the evacuations and the engine list are known.
 	placement  *placementKnowledge
-	standstill *suspension.Detector
+	suspension *suspension.Detector
 	// bytes bounds the bytes buffered for callers and engines; callerLimits bounds those for one slow caller.
 	bytes        *bytebudget.Budget
 	callerLimits callerwrite.Limits
@@ -133,7 +133,7 @@
 		registry: registry, metrics: metrics,
 		holder: config.Node.ID + "-" + xid.New().String(),
 		state:  newState(time.Duration(config.Shutdown.Grace)),
-		fleet:  fleet.New(), loggedUnusable: make(unusableEntries), standstill: suspension.New(),
+		fleet:  fleet.New(), loggedUnusable: make(unusableEntries), suspension: suspension.New(),
 
 		topology: topology.NewMap(config.Topology.Zones, config.Node.Zone, config.Node.Region),
 	}
@@ -158,7 +158,7 @@
 	n.control = follow.New(replicas, platform.ControlTopic(), n.applyControlRecord, n.directory.Budget(), logger)
 	n.engines = follow.New(replicas, platform.EngineTopic(), n.applyEngineRecord, n.directory.Budget(), logger)
 	n.engines.Classify(n.engineClass)
-	n.placement = newPlacementKnowledge(n.standstill, n.control, n.engines, logger)
+	n.placement = newPlacementKnowledge(n.suspension, n.control, n.engines, logger)
 	n.gate = sendgate.New(sendgate.Options{Fleet: n.fleet, Known: n.placement.isKnown, OnHeldBack: metrics.requestHeldBack})
 	n.jobs = batchjobs.New(log, batchjobs.Options{
 		Partitions:  config.Hosted.Partitions,
@@ -246,7 +246,7 @@
 	group.Go(n.peers.serve)
 	for _, role := range []func(context.Context) error{
 		n.control.Run, n.followEngines, n.crashFollower.Run, n.crashGuard.Run, n.jobs.Run, n.directory.Run, n.counter.Run,
-		n.applyDeferred, n.standstill.Run, n.watchColdEngines, n.logCalls.summary.Run, n.clusterVersion.Run,
+		n.applyDeferred, n.suspension.Run, n.watchColdEngines, n.logCalls.summary.Run, n.clusterVersion.Run,
 		n.afterFirstRead(n.elector.Run), n.afterFirstRead(n.regionRunners.Run),
 	} {
 		group.Go(func() error { return role(groupContext) })
--- a/internal/logstream/snapshotdue_test.go
+++ b/internal/logstream/snapshotdue_test.go
@@ -9,7 +9,7 @@
 
 // Guards against snapshots of a large state that outweigh its records: without MaxSnapshotInterval one is due after
 // SnapshotEvery records, with it after up to MaxSnapshotInterval.
-func TestSnapshotAtLatestDefersLargeSnapshots(t *testing.T) {
+func TestMaxSnapshotIntervalDefersLargeSnapshots(t *testing.T) {
 	const records = 120
 	for _, test := range []struct {
 		name      string
