--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -30,12 +30,12 @@
 
 // Admits reports whether another call may start. A single call always may, so that a service of unknown or
 // no free capacity is still probed.
-func (w *Window) Admits(places Capacity) bool {
+func (w *Window) Admits(capacity Capacity) bool {
 	if w.inFlight == 0 {
 		return true
 	}
-	allowed := shareOfSlots * float64(places.Slots)
-	return float64(w.inFlight) < min(w.limit, allowed) && float64(places.Busy) < allowed
+	allowed := shareOfSlots * float64(capacity.Slots)
+	return float64(w.inFlight) < min(w.limit, allowed) && float64(capacity.Busy) < allowed
 }
 
 // Began records the start of a call.
--- a/internal/core/batch/groups.go
+++ b/internal/core/batch/groups.go
@@ -1,9 +1,10 @@
 package batch
 
 // groups determines when the submitter of a job may have all results that it waits for: the
-// wanted number of complete groups, and all groups that return from an earlier job. Returned
-// groups are the first ones of the job and at most half of the wanted number. If their number is
-// unknown, each of these first groups that completes late may be the last one awaited.
+// wanted number of complete groups, and all groups that return from an earlier job, which also
+// had a group of that name. Returned groups are the first ones of the job and at most half of the
+// wanted number. If their number is unknown, each of these first groups that completes after the
+// wanted number may be the last one awaited.
 type groups struct {
 	wanted int
 	// missing is the number of items without a result, by group.
--- a/internal/core/batchitem/item.go
+++ b/internal/core/batchitem/item.go
@@ -33,6 +33,7 @@
 	scoreFailures int
 }
 
+// Stage returns the stage that the item has reached.
 func (i *Item) Stage() Stage { return i.stage }
 
 // Ended reports whether the item has reached its last stage.
--- a/internal/core/batchitem/output.go
+++ b/internal/core/batchitem/output.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// Add appends the next event, unless it is out of order or violates the limits.
+// Add appends the next event, unless it is out of order or violates the limits. The first event of an empty output
+// may have any number.
 func (o *Output) Add(event Event, limits Limits) Verdict {
 	switch {
 	case o.last != 0 && event.Number != o.last+1:
--- a/internal/core/batchplan/plan.go
+++ b/internal/core/batchplan/plan.go
@@ -1,9 +1,9 @@
 // Package batchplan schedules the items of batch jobs on engines. It performs no I/O and reads no
 // clock; callers pass the current time.
 //
-// Start order determines when the last group of a job is complete: older jobs come first; within a
-// job, items expected to be long, then items of unknown length, then items known to be short. An
-// item is assigned to the engine that is expected to generate its tokens fastest. The items of a
+// Start order determines when the last group of a job is complete: jobs start by priority, then by
+// age; within a job, items expected to be long come first, then items of unknown length, then items
+// known to be short. An item is assigned to the engine that is expected to generate its tokens fastest. The items of a
 // group share a prompt, so they are preferably assigned to the same engine.
 package batchplan
 
--- a/internal/core/batchplan/slowstart_test.go
+++ b/internal/core/batchplan/slowstart_test.go
@@ -53,7 +53,7 @@
 	pacer *slowstart.Pacer
 	warm  []Engine
 	cold  []Engine
-	// startTimes holds the times of the startTimes at each cold engine.
+	// startTimes holds the times at which each cold engine was assigned an item.
 	startTimes map[incarnation.ID][]time.Time
 	next       int
 }
--- a/internal/core/fleet/choose.go
+++ b/internal/core/fleet/choose.go
@@ -34,7 +34,7 @@
 	LoadAge time.Duration
 	// Expected is the estimated response time, from the engine's load and distance.
 	Expected time.Duration
-	// Distance is that between the engine and the querying node.
+	// Distance is the distance between the engine and the querying node.
 	Distance topology.Distance
 	// Candidates is the number of engines that passed the filters.
 	Candidates int
@@ -43,7 +43,7 @@
 }
 
 const (
-	// coldPenalty is added to the occupancy of a cold engine (1 = all slots taken).
+	// coldPenalty is added to the occupancy (1 = all slots taken) of an engine that reports that it is cold.
 	coldPenalty = 0.5
 	// reportedLoadTTL and slowdownTTL are how long a reported load and a reported slowdown are used.
 	// The slowdown changes several times a second.
@@ -140,7 +140,7 @@
 // occupancy, and weighs more the shorter the answers are.
 func expectedTime(candidate *member, query Query, answerTime time.Duration) time.Duration {
 	share := float64(candidate.occupied(query.Now)+1) / float64(max(1, candidate.engine.Slots))
-	// An additional second of recent latency counts like double occupancy: engines of a service differ.
+	// Engines of a service differ in speed: each second of an engine's mean latency adds its occupancy once more.
 	share *= 1 + candidate.latency.Seconds()
 	share *= candidate.slowdown(query.Now)
 	if query.Now.Before(candidate.engine.ColdUntil) {
--- a/internal/core/fleet/choosecold.go
+++ b/internal/core/fleet/choosecold.go
@@ -12,8 +12,8 @@
 	return cold
 }
 
-// isDueForProbe reports whether an engine is cold only since it was unreachable and has not responded for its
-// slow start period. Without a probe it would stay cold while other engines have free slots. Must be called
+// isDueForProbe reports whether an engine is cold only because it was unreachable, and has not responded for the
+// slow start period since. Without a probe it would stay cold while other engines have free slots. Must be called
 // with mu held.
 func (f *Fleet) isDueForProbe(of *member, now time.Time) bool {
 	if now.Before(of.engine.ColdUntil) {
--- a/internal/core/fleet/cold.go
+++ b/internal/core/fleet/cold.go
@@ -40,9 +40,9 @@
 type coldMark struct {
 	reason ColdReason
 	at     time.Time
-	// respondedAt is the time of the first response after an Unreached.
+	// respondedAt is the time of the first response after the mark; set for Unreached only.
 	respondedAt time.Time
-	// other is a second mark beside an Unreached, which responses do not clear; nil for none.
+	// other is a mark beside one with reason Unreached: one that ends by time only. It is nil for none.
 	other *coldMark
 }
 
@@ -73,7 +73,8 @@
 	return coldTracker{services: make(map[string]routes.SlowStart), marks: make(map[incarnation.ID]coldMark)}
 }
 
-// add records a mark. An Unreached and a mark of another reason are kept side by side, since each ends on its own.
+// add records a mark. A mark with reason Unreached and one that ends by time only are kept side by side, since each
+// ends on its own.
 func (c *coldTracker) add(of incarnation.ID, added coldMark) {
 	known, found := c.marks[of]
 	switch {
@@ -139,12 +140,13 @@
 	f.recordResponse(of, at)
 }
 
-// sameIncarnationMargin bounds the delay between the end of an engine and the detection of the lost connection,
-// and the delay with which events sent before that are still read.
+// sameIncarnationMargin bounds how long after the end of an engine the loss of a connection to it is detected, and
+// how long after that events are still read that the engine sent before its end.
 const sameIncarnationMargin = 300 * time.Millisecond
 
-// RecordStreamProgress records that a stream opened at began delivered events made after eventsFrom. An engine loses all
-// streams when it ends, so an engine whose stream outlasts an Unreached has not restarted.
+// RecordStreamProgress records that a stream opened at began delivered events made after eventsFrom. An engine loses
+// all streams when it ends, so an engine with a stream that was open before and after it was unreachable has not
+// restarted.
 func (f *Fleet) RecordStreamProgress(of incarnation.ID, began, eventsFrom time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/core/fleet/cold_test.go
+++ b/internal/core/fleet/cold_test.go
@@ -67,7 +67,7 @@
 }
 
 // A stream opened after the loss, or events read late, do not rule out a restart.
-func TestContinuesClearsUnreachedOnlyForStreamsSpanningTheLoss(t *testing.T) {
+func TestStreamProgressClearsUnreachedOnlyIfStreamSpansTheLoss(t *testing.T) {
 	f := slowStartFleet(testEngine("a", "z"))
 	f.RequestStarted(incarnationOf("a"))
 	f.RequestEnded(incarnationOf("a"), Outcome{At: now, Failed: true, Unreached: true})
--- a/internal/core/fleet/distance_test.go
+++ b/internal/core/fleet/distance_test.go
@@ -34,7 +34,8 @@
 
 var fromA1 = Query{Zone: "a1", Region: "a"}
 
-// With answers of 25 ms a round trip of 24 ms costs almost a whole engine, and one of 1 ms almost nothing.
+// With answers of 25 ms, a round trip of 24 ms counts almost like occupying all slots of an engine, and one of 1 ms
+// hardly at all.
 func TestChoosePrefersOwnRegionForShortAnswers(t *testing.T) {
 	f := regionalFleet(6)
 	recordAnswers(f, 25*time.Millisecond)
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -62,7 +62,7 @@
 	predecessor Engine
 	// deferred is an entry of an earlier incarnation that was read after this one's; nil for none.
 	deferred *Engine
-	// claimed is the sequence number of the claim to its current address; later claims are higher.
+	// claimed is the number of the claim to the engine's current address; later claims have higher numbers.
 	claimed int64
 }
 
@@ -79,7 +79,7 @@
 	cold  coldTracker
 	// answerTimes holds the moving mean of each service's response time.
 	answerTimes map[string]time.Duration
-	// lastClaim is the newest sequence number of a claim to an address.
+	// lastClaim is the number of the newest claim to an address; see member.claimed.
 	lastClaim int64
 }
 
--- a/internal/core/fleet/homes_test.go
+++ b/internal/core/fleet/homes_test.go
@@ -49,7 +49,7 @@
 	assert.Assert(t, found)
 }
 
-func TestServesIgnoresDrainingEnginesOnly(t *testing.T) {
+func TestHasEnginesIgnoresOnlyDrainingEngines(t *testing.T) {
 	now := time.Now()
 	known := twoRegions(now)
 	north := homes.Of([]string{"north"})
--- a/internal/core/fleet/list.go
+++ b/internal/core/fleet/list.go
@@ -198,7 +198,7 @@
 	case known.engine.StartMillis == of.StartMillis:
 		return Listing{Listed: true, Replaced: f.addressReused(of, known.claimed), Draining: known.engine.Draining}
 	case known.predecessor.ID == "":
-		// The earlier entry was removed before this one was added, so the fate of its engine is unknown.
+		// The earlier entry was removed before this one was added, so whether its engine has ended is unknown.
 		return Listing{}
 	default:
 		draining := known.predecessor.Incarnation() == of.Incarnation() && known.predecessor.Draining
--- a/internal/core/fleet/list_test.go
+++ b/internal/core/fleet/list_test.go
@@ -77,7 +77,7 @@
 	assert.Equal(t, engine.Address, "")
 }
 
-// Guards against an engine whose clock was set back and that is ignored for good. Its entry takes effect once the
+// Guards against an engine whose clock was set back and that is ignored permanently. Its entry takes effect once the
 // other incarnation has written none for deferPeriod, or at once if that one's entry was deleted.
 func TestIncarnationWithEarlierClockIsAppliedAfterDeferral(t *testing.T) {
 	before, after := startedAt("a", 2000), startedAt("a", 1000)
--- a/internal/core/incarnation/incarnation.go
+++ b/internal/core/incarnation/incarnation.go
@@ -16,8 +16,8 @@
 // IsZero reports whether the ID is empty.
 func (i ID) IsZero() bool { return i == ID{} }
 
-// String returns the form used in logs and records: "engine@born", or the engine's ID alone if its start time
-// is not known.
+// String returns the form used in logs and records: ENGINE@STARTMILLIS, or the engine's ID alone if its start
+// time is not known.
 func (i ID) String() string {
 	if i.StartMillis == 0 {
 		return i.Engine
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -122,7 +122,7 @@
 // proves that its epoch is current at its offset.
 func (s *State) update(record Record, offset int64, at time.Time) (changed, proves bool) {
 	if record.Kind == Claim {
-		if !s.wins(record, offset) {
+		if !s.takesEffect(record, offset) {
 			return false, false
 		}
 		s.history.beginEpoch(0)
@@ -152,8 +152,8 @@
 	return changed, true
 }
 
-// wins reports whether a claim takes effect at the offset.
-func (s *State) wins(claim Record, offset int64) bool {
+// takesEffect reports whether a claim takes effect at the offset.
+func (s *State) takesEffect(claim Record, offset int64) bool {
 	if claim.NewEpoch == 0 {
 		return claim.Epoch == s.Epoch
 	}
@@ -194,8 +194,8 @@
 
 // Claimable reports whether a process on the node that has bound the address may claim the lease: it was
 // never held, is released, is held by an earlier process of the same machine, or was not renewed for ttl
-// while the log was reachable, which it is since contactSince. After a gap, which may contain another
-// claim, only the last condition applies.
+// while the log was reachable. contactSince is the time since which the log has been reachable. After a
+// gap, which may contain another claim, only the last condition applies.
 func (s *State) Claimable(node, holder, address string, now, contactSince time.Time, ttl time.Duration) bool {
 	if !s.missed && (s.Epoch == 0 || s.Released || s.heldByTerminatedProcess(node, holder, address)) {
 		return true
@@ -228,10 +228,11 @@
 }
 
 // QuietUntil returns the end of the quiet period, before which the holder must not send orders to the
-// engine: BetweenMachines plus MaxTransit after a possible order of another machine, MaxTransit after a
-// possible order of the same machine in an earlier epoch. It returns the zero time if no quiet period is needed. None
-// follows the orders of a holder that released the lease, which it does only when its process ends, if
-// engines also reject its fencing token.
+// engine; the zero time if no quiet period is needed. The period is BetweenMachines plus MaxTransit after a
+// possible order of another machine or a gap, and MaxTransit after a possible order of the same machine in
+// an earlier epoch. If engines reject the fencing tokens of earlier epochs, no period is needed after orders
+// of the same machine, nor after those of a holder that released the lease: it does so only when its process
+// ends.
 func (s *State) QuietUntil(engine string, quiet QuietPeriod) time.Time {
 	return s.history.quietUntil(s.Epoch, s.machine(), engine, quiet)
 }
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -308,13 +308,13 @@
 // Guards against orders that arrive out of sequence: an order of the previous process may still be in transit,
 // and only engines that check fencing tokens reject it.
 func TestQuietUntilCoversTransitAfterRestart(t *testing.T) {
-	const arrival = 100 * time.Millisecond
+	const maxTransit = 100 * time.Millisecond
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(orderOf("a", 1, 0, "e1"), start)
 	state.Apply(claim("a", "a2", 1), start)
-	period := QuietPeriod{BetweenMachines: quiet, MaxTransit: arrival}
-	assert.Equal(t, state.QuietUntil("e1", period), start.Add(arrival))
+	period := QuietPeriod{BetweenMachines: quiet, MaxTransit: maxTransit}
+	assert.Equal(t, state.QuietUntil("e1", period), start.Add(maxTransit))
 	period.EnginesFence = true
 	assert.Assert(t, state.QuietUntil("e1", period).IsZero())
 }
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -34,7 +34,7 @@
 	fence     logrecord.Fence
 	// tableRevision is the highest table revision of any effective record.
 	tableRevision int64
-	// trainerVersion is the trainer version of the last effective record.
+	// trainerVersion is the trainer version of the last effective record that has one.
 	trainerVersion uint64
 	// steps are the unfinished steps in order of submission.
 	steps []*Step
@@ -45,6 +45,7 @@
 	finishedByID map[string]*FinishedStep
 }
 
+// New returns the state of an empty stream.
 func New() *Ledger {
 	return &Ledger{
 		stepByID:     make(map[string]*Step),
--- a/internal/core/ledger/query.go
+++ b/internal/core/ledger/query.go
@@ -5,7 +5,7 @@
 // Fence returns the ownership state.
 func (l *Ledger) Fence() logrecord.Fence { return l.fence }
 
-// TrainerVersion returns the trainer version of the last effective record.
+// TrainerVersion returns the trainer version of the last effective record that has one.
 func (l *Ledger) TrainerVersion() uint64 { return l.trainerVersion }
 
 // TableRevision returns the highest table revision of any effective record.
--- a/internal/core/ledger/step.go
+++ b/internal/core/ledger/step.go
@@ -103,8 +103,8 @@
 	// Receipts has one entry per slot, used to answer repeated acknowledgements. Only
 	// the last ReceiptSteps finished steps keep them.
 	Receipts []Receipt `msgpack:"r,omitempty"`
-	// Acknowledged is the number of acknowledged samples of an abandoned step. It is
-	// 0 for other steps, whose samples are all acknowledged.
+	// Abandoned is true for an abandoned step, and Acknowledged is then the number of its
+	// acknowledged samples. For other steps it is 0, although all are acknowledged.
 	Abandoned    bool `msgpack:"x,omitempty"`
 	Acknowledged int  `msgpack:"a,omitempty"`
 }
--- a/internal/core/membership/apply.go
+++ b/internal/core/membership/apply.go
@@ -53,7 +53,7 @@
 	n.ready.Changes = append(n.ready.Changes, update)
 }
 
-// applySelf handles an update about this node: it refutes a suspicion or death by a higher incarnation.
+// applySelf handles an update about this node: it refutes a suspicion or death by raising this node's incarnation.
 func (n *Node) applySelf(update Update) {
 	if n.superseded || n.self.State == Dead {
 		return
--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -81,8 +81,8 @@
 
 // ItemHeld reports whether an item of a batch job is quarantined.
 func (s Standing) ItemHeld(now time.Time) bool {
-	blamed := s.Crashes >= ItemLimit && s.Isolated > 0 || s.Crashes >= SharedItemLimit
-	return blamed && now.Before(s.HeldUntil)
+	atLimit := s.Crashes >= ItemLimit && s.Isolated > 0 || s.Crashes >= SharedItemLimit
+	return atLimit && now.Before(s.HeldUntil)
 }
 
 // ItemSuspect reports whether an item must be started in isolation.
--- a/internal/core/replicaset/replicaset.go
+++ b/internal/core/replicaset/replicaset.go
@@ -49,8 +49,9 @@
 }
 
 // Replicas returns the replicas of a zone, chosen among the nodes with the most processors.
-// Nodes with the same member list choose the same replicas, and adding or removing one
-// member changes at most one of them.
+// Nodes with the same member list choose the same replicas. Adding or removing one member
+// changes at most one of them, unless it changes the zone's highest number of processors or
+// the cluster size crosses MinNodes.
 func Replicas(members []Member, zone string) []Member {
 	if len(members) < MinNodes {
 		return nil
--- a/internal/core/routes/routes.go
+++ b/internal/core/routes/routes.go
@@ -75,7 +75,8 @@
 	SlowStart SlowStart
 }
 
-// SlowStart limits the load of a cold engine. An engine is cold after its start and whenever it reports so.
+// SlowStart limits the load of a cold engine. An engine is cold when it reports so, after its start, and whenever it
+// may have restarted; see fleet.ColdReason.
 type SlowStart struct {
 	// Period is how long an engine stays cold after its start.
 	Period time.Duration
@@ -196,8 +197,8 @@
 	return batch
 }
 
-// BatchOnlyServices returns the sorted names of the services that only batch routes use. Nodes that run no batch items send
-// no requests to their engines.
+// BatchOnlyServices returns the sorted names of the services that only batch routes use. Nodes that run no batch items
+// send no requests to their engines.
 func (t *Table) BatchOnlyServices() []string {
 	live, batch := make(map[string]bool), make(map[string]bool)
 	for _, routes := range t.byHost {
--- a/internal/core/routing/version.go
+++ b/internal/core/routing/version.go
@@ -93,9 +93,9 @@
 	return counts
 }
 
-func (h *engineVersions) enginesAtLeast(version uint64) int {
+func (e *engineVersions) enginesAtLeast(version uint64) int {
 	engines := 0
-	for at, count := range h.byVersion {
+	for at, count := range e.byVersion {
 		if at >= version {
 			engines += count
 		}
--- a/internal/core/scaling/scaling.go
+++ b/internal/core/scaling/scaling.go
@@ -60,8 +60,8 @@
 	began   time.Time
 	grownAt time.Time
 	// substituted is the highest number of engines requested in each zone to replace those of
-	// evacuated zones, substitutes the total of such engines. They are kept when a zone is
-	// readmitted and count for the next evacuation.
+	// evacuated zones, substitutes the total of such engines. They are kept when an evacuation
+	// ends and count for the next evacuation.
 	substituted map[string]int
 	substitutes int
 	// regular is the highest number of engines seen in all zones, excluding substitutes.
@@ -89,7 +89,7 @@
 }
 
 // Wanted returns the number of engines that each zone should have, without zones that are
-// not known well enough.
+// evacuated, above their bound or not known well enough; nil while the number of engines grows.
 func (p *Planner) Wanted(now time.Time, bounds Bounds, slots int) map[string]int {
 	if now.Sub(p.grownAt) < settleTime {
 		return nil
--- a/internal/core/scheduler/cell.go
+++ b/internal/core/scheduler/cell.go
@@ -139,8 +139,8 @@
 	if !ok {
 		return
 	}
-	if host := c.engine(running.engineID); host != nil && host.running[id] == running {
-		host.progressed(running, generated)
+	if assigned := c.engine(running.engineID); assigned != nil && assigned.running[id] == running {
+		assigned.progressed(running, generated)
 	}
 }
 
@@ -163,8 +163,8 @@
 	}
 	delete(c.running, id)
 	decrement(c.runningByService, finished.item.Service)
-	if host := c.engine(finished.engineID); host != nil && host.running[id] == finished {
-		host.finish(finished)
+	if assigned := c.engine(finished.engineID); assigned != nil && assigned.running[id] == finished {
+		assigned.finish(finished)
 	}
 	return true
 }
--- a/internal/core/scheduler/dispatch.go
+++ b/internal/core/scheduler/dispatch.go
@@ -76,8 +76,8 @@
 			if c.atCap(&head.item) || (!head.item.Live && !trainersMayRun) {
 				continue
 			}
-			if host := c.selectEngine(head); host != nil {
-				return c.assign(now, from, head, host), true
+			if selected := c.selectEngine(head); selected != nil {
+				return c.assign(now, from, head, selected), true
 			}
 		}
 	}
@@ -147,21 +147,21 @@
 }
 
 // assign moves an entry from the queue to the engine.
-func (c *Cell) assign(now time.Time, from *class, queued *entry, host *engineState) Assignment {
+func (c *Cell) assign(now time.Time, from *class, queued *entry, selected *engineState) Assignment {
 	from.recordDispatch(now, queued)
 	c.dequeue(queued)
-	host.start(queued)
+	selected.start(queued)
 	c.running[queued.item.ID] = queued
 	c.runningByService[queued.item.Service]++
-	c.lastPicked = host.id
-	version, _ := host.version(queued.item.Model)
+	c.lastPicked = selected.id
+	version, _ := selected.version(queued.item.Model)
 	if c.config.Prefixes != nil {
-		c.config.Prefixes.RecordSent(host.id, queued.prefixHashes(version))
+		c.config.Prefixes.RecordSent(selected.id, queued.prefixHashes(version))
 	}
 	queued.hashes = nil
 	return Assignment{
 		Item:     queued.item,
-		EngineID: host.id,
+		EngineID: selected.id,
 		Version:  version,
 		Waited:   now.Sub(queued.enqueued),
 	}
--- a/internal/core/weightplan/limiter.go
+++ b/internal/core/weightplan/limiter.go
@@ -31,18 +31,19 @@
 	fastest time.Duration
 	// saturated is true once a slow load was observed.
 	saturated bool
-	// loweredAt is when the limit was last lowered. Loads that began before do not count
-	// for the new limit.
+	// loweredAt is when the limit was last lowered. Slow loads that began before do not lower
+	// it again.
 	loweredAt time.Time
 }
 
 // NewLimiter returns a limiter without observations.
 func NewLimiter() *Limiter { return &Limiter{limit: MinConcurrentLoads} }
 
-// Limit returns the number of concurrent loads that the source sustains.
+// Limit returns the current estimate of the number of concurrent loads that the source sustains.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// LimitOf returns the permitted number of concurrent loads of a service with the given number of engines.
+// LimitOf returns the permitted number of concurrent loads of a service with the given number of engines. Until the
+// first slow load, it also raises the limit to the initial one for that number.
 func (l *Limiter) LimitOf(engines int) int {
 	if !l.saturated {
 		l.limit = max(l.limit, float64(min(engines/initialLimitDivisor, maxInitialLimit)))
--- a/internal/core/weightplan/limiter_test.go
+++ b/internal/core/weightplan/limiter_test.go
@@ -91,7 +91,8 @@
 	assert.Equal(t, limiter.LimitOf(3000), limiter.Limit())
 }
 
-// Guards against a slow start in a large service, and against an initial limit that overrides a lowered one.
+// Guards against too few concurrent loads at first in a large service, and against an initial limit that overrides a
+// lowered one.
 func TestInitialLimitScalesWithTheServiceUntilASlowLoad(t *testing.T) {
 	limiter := NewLimiter()
 	assert.Equal(t, limiter.LimitOf(11), MinConcurrentLoads)
--- a/internal/core/weightplan/weightplan.go
+++ b/internal/core/weightplan/weightplan.go
@@ -205,7 +205,7 @@
 //
 // The source of the weights sustains a bounded number of loads, which all models share.
 // The next load is therefore that of the model with the smallest share of its engines at the
-// named version or loading it, so that each model has some engines for its next job.
+// target version or loading it, so that each model has some engines for its next job.
 // Among the engines of a model, those too old for open jobs come first, then those with
 // the largest lag. Engines that could start waiting items do not load.
 func NextLoads(engines []Engine, models map[incarnation.ID]string, targets []Target, atOnce int) []Load {
@@ -252,7 +252,8 @@
 }
 
 // leastCovered returns the model, among those with a candidate, with the smallest share of its
-// engines at the named version. Ties are broken by the first candidates, then by name.
+// engines at the target version or loading it. Ties are broken by the order of the models' first
+// candidates, then by name.
 func leastCovered(candidates map[string][]candidate, current, counts map[string]int) (string, bool) {
 	best, found := "", false
 	share := func(model string) float64 { return float64(current[model]) / float64(counts[model]) }
--- a/internal/core/weightplan/weightplan_test.go
+++ b/internal/core/weightplan/weightplan_test.go
@@ -131,7 +131,7 @@
 	for _, load := range NextLoads(all, models, targets, 8) {
 		count[load.Model]++
 	}
-	// Half of model a's engines have the named version, none of model b's.
+	// Half of model a's engines have the target version, none of model b's.
 	assert.DeepEqual(t, count, map[string]int{"a": 1, "b": 7})
 }
 
--- a/internal/core/weights/claim_backoff_test.go
+++ b/internal/core/weights/claim_backoff_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against ownership flapping between two partitioned nodes.
-func TestContestLimitsAlternatingClaims(t *testing.T) {
+func TestClaimBackoffLimitsAlternatingClaims(t *testing.T) {
 	var nodes [2]ClaimBackoff
 	owner, claims := 0, 0
 	start := time.Unix(1_000_000, 0)
@@ -24,15 +24,15 @@
 	assert.Assert(t, claims < 40, "%d claims in an hour", claims)
 }
 
-func TestContestResetsAfterLossRetention(t *testing.T) {
-	var contest ClaimBackoff
+func TestClaimBackoffResetsAfterLossRetention(t *testing.T) {
+	var backoff ClaimBackoff
 	now := time.Unix(1_000_000, 0)
-	assert.Assert(t, contest.MayClaim(now))
+	assert.Assert(t, backoff.MayClaim(now))
 	for range 10 {
-		contest.RecordLoss(now)
+		backoff.RecordLoss(now)
 	}
-	assert.Assert(t, !contest.MayClaim(now.Add(maxClaimDelay-time.Second)))
+	assert.Assert(t, !backoff.MayClaim(now.Add(maxClaimDelay-time.Second)))
 	now = now.Add(lossRetention + time.Second)
-	contest.RecordLoss(now)
-	assert.Assert(t, contest.MayClaim(now.Add(minClaimDelay)))
+	backoff.RecordLoss(now)
+	assert.Assert(t, backoff.MayClaim(now.Add(minClaimDelay)))
 }
--- a/internal/core/weights/store_rate.go
+++ b/internal/core/weights/store_rate.go
@@ -43,53 +43,53 @@
 
 // Observe records the number of running loads and of engines that have reached
 // the version. Calls must have non-decreasing times.
-func (p *StoreRateEstimator) Observe(now time.Time, version uint64, running, reached int) {
-	if version != p.version {
-		p.version = version
-		p.samples = nil
-		p.minDuration = time.Duration(float64(p.minDuration) * rolloutGrowthFactor)
+func (e *StoreRateEstimator) Observe(now time.Time, version uint64, running, reached int) {
+	if version != e.version {
+		e.version = version
+		e.samples = nil
+		e.minDuration = time.Duration(float64(e.minDuration) * rolloutGrowthFactor)
 	}
 	started := running + reached
-	if last := len(p.samples) - 1; last >= 0 {
-		started = max(started, p.samples[last].started)
-		reached = max(reached, p.samples[last].finished)
+	if last := len(e.samples) - 1; last >= 0 {
+		started = max(started, e.samples[last].started)
+		reached = max(reached, e.samples[last].finished)
 	}
-	p.samples = append(p.samples, progressSample{at: now, started: started, finished: reached})
-	if len(p.samples) > maxSamples {
-		p.samples = p.samples[1:]
+	e.samples = append(e.samples, progressSample{at: now, started: started, finished: reached})
+	if len(e.samples) > maxSamples {
+		e.samples = e.samples[1:]
 	}
-	p.updateEstimate()
+	e.updateEstimate()
 }
 
 // updateEstimate updates the estimates if loads finished since the previous sample.
-func (p *StoreRateEstimator) updateEstimate() {
-	last := len(p.samples) - 1
-	if last < 1 || p.samples[last].finished == p.samples[last-1].finished {
+func (e *StoreRateEstimator) updateEstimate() {
+	last := len(e.samples) - 1
+	if last < 1 || e.samples[last].finished == e.samples[last-1].finished {
 		return
 	}
-	took, known := p.lastLoadDuration()
+	took, known := e.lastLoadDuration()
 	if !known {
 		return
 	}
-	if p.minDuration == 0 || took < p.minDuration {
-		p.minDuration = took
+	if e.minDuration == 0 || took < e.minDuration {
+		e.minDuration = took
 	}
-	if took > time.Duration(float64(p.minDuration)*bottleneckFactor)+bottleneckSlack {
-		p.storeRate = p.completionRate()
+	if took > time.Duration(float64(e.minDuration)*bottleneckFactor)+bottleneckSlack {
+		e.storeRate = e.completionRate()
 	} else {
-		p.storeRate *= probeFactor // not the bottleneck: the store may be faster
+		e.storeRate *= probeFactor // not the bottleneck: the store may be faster
 	}
 }
 
 // lastLoadDuration returns the duration of the load that finished last; false if it is
 // unknown. For a load already running at the oldest sample, it is the time since then.
-func (p *StoreRateEstimator) lastLoadDuration() (time.Duration, bool) {
-	last := p.samples[len(p.samples)-1]
-	if last.finished <= p.samples[0].started {
-		return last.at.Sub(p.samples[0].at),
-			p.samples[0].finished < last.finished && p.samples[0].started > p.samples[0].finished
+func (e *StoreRateEstimator) lastLoadDuration() (time.Duration, bool) {
+	last := e.samples[len(e.samples)-1]
+	if last.finished <= e.samples[0].started {
+		return last.at.Sub(e.samples[0].at),
+			e.samples[0].finished < last.finished && e.samples[0].started > e.samples[0].finished
 	}
-	for _, earlier := range p.samples {
+	for _, earlier := range e.samples {
 		if earlier.started >= last.finished {
 			return last.at.Sub(earlier.at), true
 		}
@@ -98,11 +98,11 @@
 }
 
 // completionRate returns the loads finished per second over the last minDuration.
-func (p *StoreRateEstimator) completionRate() float64 {
-	last := p.samples[len(p.samples)-1]
-	from := p.samples[0]
-	for _, earlier := range p.samples {
-		if last.at.Sub(earlier.at) >= p.minDuration {
+func (e *StoreRateEstimator) completionRate() float64 {
+	last := e.samples[len(e.samples)-1]
+	from := e.samples[0]
+	for _, earlier := range e.samples {
+		if last.at.Sub(earlier.at) >= e.minDuration {
 			from = earlier
 		}
 	}
@@ -115,15 +115,15 @@
 
 // Limits returns the limits for the next wave, given the configured bound on
 // concurrent loads and the number of engines.
-func (p *StoreRateEstimator) Limits(maxConcurrent, engines int) Limits {
+func (e *StoreRateEstimator) Limits(maxConcurrent, engines int) Limits {
 	limits := Limits{MaxConcurrent: maxConcurrent}
-	if p.minDuration == 0 {
+	if e.minDuration == 0 {
 		limits.MaxConcurrent = min(maxConcurrent, max(1, (engines+initialLoadDivisor-1)/initialLoadDivisor))
 		return limits
 	}
-	if p.storeRate > 0 {
-		limits.StoreRate = p.storeRate * probeFactor
-		limits.LoadDuration = p.minDuration
+	if e.storeRate > 0 {
+		limits.StoreRate = e.storeRate * probeFactor
+		limits.LoadDuration = e.minDuration
 	}
 	return limits
 }
--- a/internal/core/weights/store_rate_test.go
+++ b/internal/core/weights/store_rate_test.go
@@ -10,7 +10,7 @@
 // simulateRollout loads the engines from a store that serves storeRate loads per
 // second (0: unlimited), observed once per second. It returns the rollout's duration
 // in seconds and the peak number of concurrent loads.
-func simulateRollout(p *StoreRateEstimator, version uint64, engines, maxConcurrent, storeRate, loadSeconds int) (seconds, peak int) {
+func simulateRollout(e *StoreRateEstimator, version uint64, engines, maxConcurrent, storeRate, loadSeconds int) (seconds, peak int) {
 	start := time.Unix(1_000_000*int64(version), 0)
 	var ends []int // second at which each running load ends
 	waiting, reached := 0, 0
@@ -24,8 +24,8 @@
 			}
 		}
 		ends = left
-		p.Observe(start.Add(time.Duration(seconds)*time.Second), version, len(ends)+waiting, reached)
-		limit := p.Limits(maxConcurrent, engines).concurrency()
+		e.Observe(start.Add(time.Duration(seconds)*time.Second), version, len(ends)+waiting, reached)
+		limit := e.Limits(maxConcurrent, engines).concurrency()
 		waiting += max(0, min(limit, engines-reached)-len(ends)-waiting)
 		peak = max(peak, len(ends)+waiting)
 		fed := waiting
@@ -40,36 +40,36 @@
 	return seconds, peak
 }
 
-func TestPaceUsesFastStoreFully(t *testing.T) {
-	var pace StoreRateEstimator
-	first, peak := simulateRollout(&pace, 2, 6100, 10_000, 0, 5)
+func TestEstimatorLetsFastStoreBeUsedFully(t *testing.T) {
+	var estimator StoreRateEstimator
+	first, peak := simulateRollout(&estimator, 2, 6100, 10_000, 0, 5)
 	assert.Assert(t, peak >= 6100/initialLoadDivisor && first <= 16, "%d s, peak %d", first, peak)
-	again, _ := simulateRollout(&pace, 3, 6100, 3050, 0, 5)
+	again, _ := simulateRollout(&estimator, 3, 6100, 3050, 0, 5)
 	assert.Assert(t, again <= 12, "%d s", again)
 }
 
-func TestPaceEstimatesStoreRate(t *testing.T) {
-	var pace StoreRateEstimator
-	_, _ = simulateRollout(&pace, 2, 1000, 10_000, 20, 5)
-	learnt := pace.Limits(10_000, 1000).concurrency()
+func TestEstimatorFindsRateOfSaturatedStore(t *testing.T) {
+	var estimator StoreRateEstimator
+	_, _ = simulateRollout(&estimator, 2, 1000, 10_000, 20, 5)
+	learnt := estimator.Limits(10_000, 1000).concurrency()
 	// 20 loads per second of 5 s each saturate the store at 100 concurrent loads.
 	assert.Assert(t, learnt >= 90 && learnt <= 200, "%d", learnt)
-	seconds, _ := simulateRollout(&pace, 3, 1000, 10_000, 20, 5)
+	seconds, _ := simulateRollout(&estimator, 3, 1000, 10_000, 20, 5)
 	assert.Assert(t, seconds <= 60, "a saturated store takes 50 s + 5 s, this took %d s", seconds)
 }
 
-func TestPaceDetectsFasterStore(t *testing.T) {
-	var pace StoreRateEstimator
-	_, _ = simulateRollout(&pace, 2, 1000, 10_000, 20, 5)
-	slow, _ := simulateRollout(&pace, 3, 1000, 10_000, 0, 5)
-	fast, _ := simulateRollout(&pace, 4, 1000, 10_000, 0, 5)
+func TestEstimatorDetectsFasterStore(t *testing.T) {
+	var estimator StoreRateEstimator
+	_, _ = simulateRollout(&estimator, 2, 1000, 10_000, 20, 5)
+	slow, _ := simulateRollout(&estimator, 3, 1000, 10_000, 0, 5)
+	fast, _ := simulateRollout(&estimator, 4, 1000, 10_000, 0, 5)
 	assert.Assert(t, fast <= slow && fast <= 20, "%d s, then %d s", slow, fast)
 }
 
-func TestPaceKeepsConfiguredBound(t *testing.T) {
-	var pace StoreRateEstimator
-	_, peak := simulateRollout(&pace, 2, 500, 8, 0, 5)
+func TestEstimatorKeepsConfiguredBound(t *testing.T) {
+	var estimator StoreRateEstimator
+	_, peak := simulateRollout(&estimator, 2, 500, 8, 0, 5)
 	assert.Equal(t, peak, 8)
-	_, peak = simulateRollout(&pace, 3, 1, 8, 0, 5)
+	_, peak = simulateRollout(&estimator, 3, 1, 8, 0, 5)
 	assert.Equal(t, peak, 1)
 }
