--- a/internal/batchjobs/batches_test.go
+++ b/internal/batchjobs/batches_test.go
@@ -95,6 +95,7 @@
 	assert.Equal(t, len(results.Results), len(ended))
 }
 
+// Guards against a batch that exceeds one append, that mixes data partitions, or that is empty.
 func TestFirstBatchLenBounds(t *testing.T) {
 	sizes := textAccessors[int]{
 		size:          func(size int) int { return size },
--- a/internal/batchjobs/gap_test.go
+++ b/internal/batchjobs/gap_test.go
@@ -107,7 +107,8 @@
 	assert.Equal(t, string(results.Results[0].Text), "text")
 }
 
-// A gap makes only the positions of a known job's results uncertain.
+// A gap, which is records that the log trimmed before this node read them, makes only the positions of a known job's
+// results uncertain.
 func TestKnownJobAcrossGapCanBeEndedAndItsBodiesRead(t *testing.T) {
 	t.Parallel()
 	log := memlog.New()
--- a/internal/batchrun/cold.go
+++ b/internal/batchrun/cold.go
@@ -18,9 +18,10 @@
 	return true, r.options.ColdStarts.Room(engine, coldness)
 }
 
-// admit requests permission to start an item on an engine. mayLeave is nil if the engine is not known to be cold;
-// the item is counted anyway, in case it turns out to be.
-func (r *Runner) admit(engine fleet.Engine) (mayLeave func() bool, admitted bool) {
+// admit requests permission to start an item on an engine. permitOpen reports whether the permission is still
+// valid; it is nil if the engine is not known to be cold. The item is counted anyway, in case the engine turns out to
+// be.
+func (r *Runner) admit(engine fleet.Engine) (permitOpen func() bool, admitted bool) {
 	slowStart, bounded := r.options.Fleet.SlowStart(engine.Service)
 	if !bounded {
 		return nil, true
--- a/internal/batchrun/engines.go
+++ b/internal/batchrun/engines.go
@@ -62,13 +62,13 @@
 	HeldBack
 )
 
-var refusalNames = [...]string{
+var callErrorKindNames = [...]string{
 	NotExecuted: "not_executed", WrongEngine: "wrong_engine", ExecutionFailed: "failed", NotExecutable: "impossible", InvalidResponse: "broken",
 	HeldBack: "held_back",
 }
 
-// String returns the refusal's name in logs; empty for none.
-func (r CallErrorKind) String() string { return refusalNames[r] }
+// String returns the kind's name in logs; empty for the zero value.
+func (k CallErrorKind) String() string { return callErrorKindNames[k] }
 
 // CallError is the error of a call or stream that an engine did not serve to the end.
 type CallError struct {
--- a/internal/batchrun/move.go
+++ b/internal/batchrun/move.go
@@ -47,11 +47,11 @@
 			continue
 		}
 		state := &job.items[key.Item]
-		wanted := minAgeToMove(float64(r.plan.Pace(each.engine)) / float64(best))
+		minAge := minAgeToMove(float64(r.plan.Pace(each.engine)) / float64(best))
 		if engine, known := r.options.Fleet.Find(each.engine); known && engine.Draining {
-			wanted = 0
+			minAge = 0
 		}
-		if state.Moves >= maxMoves || now.Sub(each.started) < wanted {
+		if state.Moves >= maxMoves || now.Sub(each.started) < minAge {
 			continue
 		}
 		state.Moves++
@@ -93,13 +93,13 @@
 
 // minVersion returns the highest minimum weight version of the model's open jobs. Must be called with mu held.
 func (r *Runner) minVersion(model string) int64 {
-	newest := int64(0)
+	highest := int64(0)
 	for _, job := range r.jobs {
 		if job.record.Model == model {
-			newest = max(newest, job.record.MinVersion)
+			highest = max(highest, job.record.MinVersion)
 		}
 	}
-	return newest
+	return highest
 }
 
 // stopRunsAtRestarted stops the runs on engines that have restarted, so that their items continue elsewhere: the
--- a/internal/batchrun/observe.go
+++ b/internal/batchrun/observe.go
@@ -132,8 +132,8 @@
 		if item.Ended() {
 			continue
 		}
-		if left, found := kept[i]; found && left.Satisfies(limits) {
-			item.Output = left
+		if saved, found := kept[i]; found && saved.Satisfies(limits) {
+			item.Output = saved
 			continued++
 		}
 		r.reuseCarriedOver(job, i)
--- a/internal/batchrun/overcommit.go
+++ b/internal/batchrun/overcommit.go
@@ -21,10 +21,10 @@
 	overcommitted bool
 }
 
-// endedOvercommitted reports whether an engine that broke an item's stream had been assigned more than its memory
+// crashedOvercommitted reports whether an engine that broke an item's stream had been assigned more than its memory
 // holds. Such a crash is not evidence against an item that fits on its own. The result for the first broken stream
 // applies to the engine's other streams too, since their items leave the plan one by one.
-func (r *Runner) endedOvercommitted(key batchplan.Key, engine fleet.Engine, now time.Time) bool {
+func (r *Runner) crashedOvercommitted(key batchplan.Key, engine fleet.Engine, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	job := r.jobs[key.Job]
--- a/internal/batchrun/progress.go
+++ b/internal/batchrun/progress.go
@@ -54,11 +54,11 @@
 func (r *Runner) saveProgress(ctx context.Context, minAge time.Duration) {
 	writes, marks := r.unsavedProgress(minAge)
 	var group errgroup.Group
-	for partition, running := range writes {
+	for partition, progress := range writes {
 		group.Go(func() error {
-			written, err := r.options.Jobs.Keep(ctx, partition, running)
+			written, err := r.options.Jobs.Keep(ctx, partition, progress)
 			if err != nil {
-				r.options.Logger.Warn().Err(err).Int("partition", partition).Int("items", len(running)-written).
+				r.options.Logger.Warn().Err(err).Int("partition", partition).Int("items", len(progress)-written).
 					Msg("failed to save progress")
 			}
 			r.markSaved(marks[partition][:written])
@@ -78,9 +78,9 @@
 	for _, job := range r.jobs {
 		partition := r.options.Jobs.PartitionOf(job.record.ID)
 		for index := range job.items {
-			running, mark, found := r.unsavedItemProgress(job, index, now, minAge)
+			progress, mark, found := r.unsavedItemProgress(job, index, now, minAge)
 			if found {
-				writes[partition] = append(writes[partition], running)
+				writes[partition] = append(writes[partition], progress)
 				marks[partition] = append(marks[partition], mark)
 			}
 		}
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -115,7 +115,7 @@
 		}
 		return
 	}
-	mayLeave, admitted := r.admit(engine)
+	permitOpen, admitted := r.admit(engine)
 	if !admitted {
 		r.plan.Ended(key)
 		r.plan.Add(assignment.Item)
@@ -124,7 +124,7 @@
 	ctx, cancel := context.WithCancel(r.ctx)
 	started := &run{
 		engine: engine.Incarnation(), started: time.Now(), isolated: assignment.Item.Suspect, cancel: cancel,
-		sendCheck: r.options.Gate.Check(engine.Incarnation(), mayLeave),
+		sendCheck: r.options.Gate.Check(engine.Incarnation(), permitOpen),
 	}
 	r.runs[key] = started
 	state := &job.items[key.Item]
@@ -133,7 +133,7 @@
 	call.LastEvent, call.Continues = state.Output.Last(), !state.Output.Empty()
 	call.MaySend = started.sendCheck.MaySend
 	r.options.Logger.Info().Str("job", key.Job).Str("item", record.ID).Str("group", record.Group).
-		Stringer("engine", started.engine).Int("running", assignment.Running).Bool("cold", mayLeave != nil).Dur("pace_ms", assignment.Pace).
+		Stringer("engine", started.engine).Int("running", assignment.Running).Bool("cold", permitOpen != nil).Dur("pace_ms", assignment.Pace).
 		Int64("version", engine.Versions[job.record.Model]).Int64("after_event", call.LastEvent).
 		Int("length", record.Length).Int("tokens", record.Tokens).
 		Dur("waited_ms", time.Since(job.addedAt)).Msg("item started")
@@ -152,11 +152,11 @@
 		r.options.Guard.Answered(call.fingerprint)
 		return
 	}
-	var refused *CallError
-	if !errors.As(err, &refused) || !refused.ConnectionLost {
+	var callError *CallError
+	if !errors.As(err, &callError) || !callError.ConnectionLost {
 		return
 	}
-	if r.endedOvercommitted(key, engine, time.Now()) {
+	if r.crashedOvercommitted(key, engine, time.Now()) {
 		r.options.Logger.Warn().Str("job", key.Job).Str("item", call.ItemID).Stringer("engine", engine.Incarnation()).
 			Msg("overcommitted engine lost its connections")
 		return
@@ -244,14 +244,14 @@
 func (r *Runner) runEnded(job *openJob, key batchplan.Key, own *run, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	whole := errors.Is(err, io.EOF)
+	complete := errors.Is(err, io.EOF)
 	outcome := fleet.Outcome{At: time.Now()}
-	var refused *CallError
+	var callError *CallError
 	refusal := InvalidResponse
-	if errors.As(err, &refused) {
-		refusal = refused.Kind
+	if errors.As(err, &callError) {
+		refusal = callError.Kind
 	}
-	if own.reason == notStopped && !whole && r.ctx.Err() == nil {
+	if own.reason == notStopped && !complete && r.ctx.Err() == nil {
 		outcome.Failed = refusal == InvalidResponse
 		outcome.Unreached = refusal == InvalidResponse
 		outcome.RefusedItem = refusal == NotExecuted && !own.hasEvents
@@ -271,15 +271,16 @@
 	if job.items[key.Item].Ended() || r.jobs[key.Job] != job {
 		return
 	}
-	whole = whole && own.reason == notStopped
+	complete = complete && own.reason == notStopped
 	switch {
-	case r.ctx.Err() != nil && whole:
-		// Marked as complete so that the final save, if still due, tells the next leader.
+	case r.ctx.Err() != nil && complete:
+		// The output is marked as complete, so that the last write of progress, if it is still to come, records this
+		// for the next leader.
 		job.items[key.Item].StartScoring()
 		return
 	case r.ctx.Err() != nil:
 		return
-	case whole:
+	case complete:
 		r.outputComplete(job, key.Item, "whole")
 		r.Wake()
 		return
--- a/internal/batchrun/scope.go
+++ b/internal/batchrun/scope.go
@@ -97,16 +97,16 @@
 // release cancels all work on a job that another runner takes over. The progress saved so far is in the log. Must
 // be called with mu held.
 func (r *Runner) release(job *openJob) {
-	running := 0
+	unfinished := 0
 	for i := range job.items {
 		if !job.items[i].Ended() {
-			running++
+			unfinished++
 		}
 		r.dropItem(job, i)
 	}
 	r.removeJob(job)
 	r.options.Logger.Info().Str("job", job.record.ID).Stringer("homes", r.options.HomesOf(&job.record)).
-		Stringer("runner_homes", r.options.Homes).Int("unfinished", running).Msg("job handed over to another runner")
+		Stringer("runner_homes", r.options.Homes).Int("unfinished", unfinished).Msg("job handed over to another runner")
 }
 
 // expireOverdueOthers expires items that their own runner has not ended in time, for example because no node is in
--- a/internal/callerwrite/callerwrite_test.go
+++ b/internal/callerwrite/callerwrite_test.go
@@ -85,7 +85,7 @@
 }
 
 // Up to MaxBufferedBytes bytes must be accepted without waiting for the caller.
-func TestSpoolAcceptsMaxHeldForStalledCaller(t *testing.T) {
+func TestSpoolAcceptsMaxBufferedBytesForStalledCaller(t *testing.T) {
 	budget := bytebudget.New(1 << 30)
 	ended := make(chan error, 1)
 	full := make(chan int, 1)
--- a/internal/coldpermits/asker.go
+++ b/internal/coldpermits/asker.go
@@ -24,7 +24,7 @@
 	unansweredBackoff = 500 * time.Millisecond
 )
 
-// Denial tells why no permit was granted; its outcome is Granted if one was.
+// Denial is the reason why no permit was granted; its outcome is Granted if one was.
 type Denial struct {
 	Outcome Outcome
 	// Wait is the time after which a retry may succeed.
@@ -65,39 +65,39 @@
 }
 
 // Ask requests a permit for one of a service's engines, which are listed in order of preference.
-func (a *Client) Ask(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
-	permit, denial := a.request(ctx, service, engines)
-	a.options.Observe(denial.Outcome)
+func (c *Client) Ask(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
+	permit, denial := c.request(ctx, service, engines)
+	c.options.Observe(denial.Outcome)
 	return permit, denial
 }
 
-func (a *Client) request(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
-	if denial, backingOff := a.isBackingOff(service); backingOff {
+func (c *Client) request(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
+	if denial, backingOff := c.isBackingOff(service); backingOff {
 		return Permit{}, denial
 	}
-	if a.options.Granter.Leads() {
-		permit, denial := a.admitLocally(engines)
-		return permit, a.backOffUnlessGranted(ctx, service, denial)
+	if c.options.Granter.Leads() {
+		permit, denial := c.admitLocally(engines)
+		return permit, c.backOffUnlessGranted(ctx, service, denial)
 	}
 	select {
-	case a.slots <- struct{}{}:
-		defer func() { <-a.slots }()
+	case c.slots <- struct{}{}:
+		defer func() { <-c.slots }()
 	default:
 		return Permit{}, Denial{Outcome: Suppressed, Wait: unansweredBackoff}
 	}
-	permit, denial := a.requestFromLeader(ctx, service, engines)
-	return permit, a.backOffUnlessGranted(ctx, service, denial)
+	permit, denial := c.requestFromLeader(ctx, service, engines)
+	return permit, c.backOffUnlessGranted(ctx, service, denial)
 }
 
 // admitLocally requests a permit from this node itself while it leads.
-func (a *Client) admitLocally(engines []fleet.Engine) (Permit, Denial) {
+func (c *Client) admitLocally(engines []fleet.Engine) (Permit, Denial) {
 	denial := Denial{Outcome: RateLimited}
 	for _, each := range engines {
-		cold, isCold := a.options.Cold(each)
+		cold, isCold := c.options.Cold(each)
 		if !isCold {
 			continue
 		}
-		permit, wait, outcome := a.options.Granter.Admit(Requests, each.Incarnation(), cold)
+		permit, wait, outcome := c.options.Granter.Admit(Requests, each.Incarnation(), cold)
 		if outcome == Granted {
 			return permit, Denial{Outcome: Granted}
 		}
@@ -111,8 +111,8 @@
 // requestFromLeader requests a permit from the leader, without retries. The permit's lifetime starts before the
 // request is sent, since the permit may be granted at any time after that. A permit whose response is lost stays
 // unused.
-func (a *Client) requestFromLeader(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
-	leader := a.options.Leader()
+func (c *Client) requestFromLeader(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
+	leader := c.options.Leader()
 	if leader == "" {
 		return Permit{}, Denial{Outcome: Unanswered, Wait: notLeadingBackoff}
 	}
@@ -120,33 +120,33 @@
 	for _, each := range engines[:min(len(engines), MaxEngines)] {
 		request.Engines = append(request.Engines, engine{ID: each.ID, StartMillis: each.StartMillis})
 	}
-	began := a.now()
+	began := c.now()
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var response permitResponse
-	err := msgpackhttp.Call(ctx, a.options.Client, "http://"+leader+Path, &request, &response, maxResponseBytes)
+	err := msgpackhttp.Call(ctx, c.options.Client, "http://"+leader+Path, &request, &response, maxResponseBytes)
 	if err != nil {
-		a.options.Logger.Info().Err(err).Str("leader", leader).Str("service", service).Int("engines", len(engines)).
-			Dur("took_ms", a.now().Sub(began)).Msg("no response to the permit request for a cold engine")
+		c.options.Logger.Info().Err(err).Str("leader", leader).Str("service", service).Int("engines", len(engines)).
+			Dur("took_ms", c.now().Sub(began)).Msg("no response to the permit request for a cold engine")
 		return Permit{}, Denial{Outcome: Unanswered, Wait: unansweredBackoff}
 	}
 	if response.Outcome != Granted {
 		return Permit{}, Denial{Outcome: response.Outcome, Wait: max(response.Wait, time.Millisecond)}
 	}
-	return Permit{Engine: response.Engine.incarnation(), until: began.Add(slowstart.PermitTTL), now: a.now}, Denial{Outcome: Granted}
+	return Permit{Engine: response.Engine.incarnation(), until: began.Add(slowstart.PermitTTL), now: c.now}, Denial{Outcome: Granted}
 }
 
 // isBackingOff reports whether requests for a service are suspended, and returns the denial in that case.
-func (a *Client) isBackingOff(service string) (Denial, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	until, found := a.backoffUntil[service]
+func (c *Client) isBackingOff(service string) (Denial, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	until, found := c.backoffUntil[service]
 	if !found {
 		return Denial{}, false
 	}
-	left := until.Sub(a.now())
+	left := until.Sub(c.now())
 	if left <= 0 {
-		delete(a.backoffUntil, service)
+		delete(c.backoffUntil, service)
 		return Denial{}, false
 	}
 	return Denial{Outcome: Suppressed, Wait: left}, true
@@ -154,13 +154,13 @@
 
 // backOffUnlessGranted suspends requests for a service for the wait of a denial, extended by a random jitter of up
 // to a half. Without jitter all nodes would retry at the same time, and the leader would always be first.
-func (a *Client) backOffUnlessGranted(ctx context.Context, service string, denial Denial) Denial {
+func (c *Client) backOffUnlessGranted(ctx context.Context, service string, denial Denial) Denial {
 	if denial.Outcome == Granted || ctx.Err() != nil {
 		return denial
 	}
 	denial.Wait += rand.N(denial.Wait/2 + 1)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.backoffUntil[service] = a.now().Add(min(denial.Wait, notLeadingBackoff))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.backoffUntil[service] = c.now().Add(min(denial.Wait, notLeadingBackoff))
 	return denial
 }
--- a/internal/coldpermits/coldpermits_test.go
+++ b/internal/coldpermits/coldpermits_test.go
@@ -22,7 +22,7 @@
 
 const ratePerSecond = 7.9
 
-// manualClock is a clock that advances only when told to.
+// manualClock is a clock that advances only by calls of advance.
 type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -79,20 +79,20 @@
 type cluster struct {
 	t       *testing.T
 	clock   *manualClock
-	decider *Granter
+	granter *Granter
 	server  *httptest.Server
 }
 
-func newDecider(clock *manualClock) *Granter {
-	decider := NewGranter(func(Sender, Outcome) {})
-	decider.now = clock.read
-	return decider
+func newGranter(clock *manualClock) *Granter {
+	granter := NewGranter(func(Sender, Outcome) {})
+	granter.now = clock.read
+	return granter
 }
 
 func newCluster(t *testing.T) *cluster {
 	clock := &manualClock{now: time.Unix(1000, 0)}
-	c := &cluster{t: t, clock: clock, decider: newDecider(clock)}
-	c.server = httptest.NewServer(c.decider.Handler(func(service string) (routes.SlowStart, bool) {
+	c := &cluster{t: t, clock: clock, granter: newGranter(clock)}
+	c.server = httptest.NewServer(c.granter.Handler(func(service string) (routes.SlowStart, bool) {
 		return routes.SlowStart{Period: 3 * time.Second, RatePerSecond: ratePerSecond}, service == "s"
 	}))
 	t.Cleanup(c.server.Close)
@@ -101,35 +101,35 @@
 
 // lead makes the cluster's node lead and advances the clock past the takeover pause.
 func (c *cluster) lead() (end func()) {
-	end = c.decider.Lead(func() bool { return true })
+	end = c.granter.Lead(func() bool { return true })
 	c.clock.advance(slowstart.TakeoverPause)
 	return end
 }
 
-// asker returns another node that requests permits, and its transport.
-func (c *cluster) asker() (*Client, *fakeTransport) {
+// client returns the client of another node, and its transport.
+func (c *cluster) client() (*Client, *fakeTransport) {
 	transport := &fakeTransport{}
-	asker := NewClient(Options{
-		Granter: newDecider(c.clock), Leader: func() string { return strings.TrimPrefix(c.server.URL, "http://") },
+	client := NewClient(Options{
+		Granter: newGranter(c.clock), Leader: func() string { return strings.TrimPrefix(c.server.URL, "http://") },
 		Client: &http.Client{Transport: transport}, Logger: zerolog.Nop(), Observe: func(Outcome) {},
 		Cold: func(fleet.Engine) (fleet.Coldness, bool) { return fleet.Coldness{RatePerSecond: ratePerSecond}, true },
 	})
-	asker.now = c.clock.read
-	return asker, transport
+	client.now = c.clock.read
+	return client, transport
 }
 
 func cold(id string) fleet.Engine { return fleet.Engine{ID: id, StartMillis: 7, Service: "s"} }
 
-func ask(asker *Client, engines ...fleet.Engine) (Permit, Denial) {
-	return asker.Ask(context.Background(), "s", engines)
+func ask(client *Client, engines ...fleet.Engine) (Permit, Denial) {
+	return client.Ask(context.Background(), "s", engines)
 }
 
 // sendPermitted requests permits for a period and returns the times at which requests were permitted.
-func (c *cluster) sendPermitted(askers []*Client, period time.Duration) []time.Time {
+func (c *cluster) sendPermitted(clients []*Client, period time.Duration) []time.Time {
 	var sent []time.Time
 	for until := c.clock.read().Add(period); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
-		for _, asker := range askers {
-			if permit, denial := ask(asker, cold("e")); denial.Outcome == Granted && permit.Open() {
+		for _, client := range clients {
+			if permit, denial := ask(client, cold("e")); denial.Outcome == Granted && permit.Open() {
 				sent = append(sent, c.clock.read())
 			}
 		}
@@ -154,14 +154,14 @@
 func TestAllNodesTogetherStayWithinRate(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
-	var askers []*Client
+	var clients []*Client
 	for range 5 {
-		asker, _ := c.asker()
-		askers = append(askers, asker)
+		client, _ := c.client()
+		clients = append(clients, client)
 	}
-	own, _ := c.asker()
-	own.options.Granter = c.decider
-	sent := c.sendPermitted(append(askers, own), 4*time.Second)
+	own, _ := c.client()
+	own.options.Granter = c.granter
+	sent := c.sendPermitted(append(clients, own), 4*time.Second)
 	assert.Assert(t, maxPerSecond(sent) <= 8+slowstart.Burst, "%d", maxPerSecond(sent))
 	assert.Assert(t, len(sent) >= 4*7, "%d requests in four seconds, below the rate", len(sent))
 }
@@ -169,16 +169,16 @@
 func TestPermitIsGrantedForFirstAvailableEngine(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
-	asker, _ := c.asker()
+	client, _ := c.client()
 	got := make(map[string]int)
 	for range 2 * slowstart.Burst {
-		permit, denial := ask(asker, cold("a"), cold("b"))
+		permit, denial := ask(client, cold("a"), cold("b"))
 		assert.Equal(t, denial.Outcome, Granted)
 		assert.Equal(t, permit.Engine.StartMillis, int64(7))
 		got[permit.Engine.Engine]++
 	}
 	assert.DeepEqual(t, got, map[string]int{"a": slowstart.Burst, "b": slowstart.Burst})
-	_, denial := ask(asker, cold("a"), cold("b"))
+	_, denial := ask(client, cold("a"), cold("b"))
 	assert.Equal(t, denial.Outcome, RateLimited)
 	assert.Assert(t, denial.Wait > 0 && denial.Wait <= time.Second/7*3/2, "%s", denial.Wait)
 }
@@ -187,16 +187,16 @@
 func TestDeniedNodeSendsNoRequestDuringBackoff(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
-	asker, transport := c.asker()
+	client, transport := c.client()
 	for range slowstart.Burst + 1 {
-		ask(asker, cold("e"))
+		ask(client, cold("e"))
 	}
 	asked := transport.count()
-	_, first := ask(asker, cold("e"))
+	_, first := ask(client, cold("e"))
 	assert.Equal(t, first.Outcome, Suppressed)
 	assert.Equal(t, transport.count(), asked)
 	c.clock.advance(first.Wait)
-	_, denial := ask(asker, cold("e"))
+	_, denial := ask(client, cold("e"))
 	assert.Equal(t, denial.Outcome, Granted, "a request after the wait is granted")
 }
 
@@ -204,8 +204,8 @@
 func TestPartitionedNodeGetsNoPermit(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
-	cut, transport := c.asker()
-	other, _ := c.asker()
+	cut, transport := c.client()
+	other, _ := c.client()
 	transport.set(func(f *fakeTransport) { f.refuse = true })
 	assert.Equal(t, len(c.sendPermitted([]*Client{cut}, 2*time.Second)), 0)
 	_, denial := ask(cut, cold("e"))
@@ -218,19 +218,19 @@
 func TestPermitInLateResponseIsExpired(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
-	asker, transport := c.asker()
+	client, transport := c.client()
 	hold := make(chan struct{})
 	transport.set(func(f *fakeTransport) { f.hold = hold })
 	done := make(chan Denial)
 	go func() {
-		permit, denial := ask(asker, cold("e"))
+		permit, denial := ask(client, cold("e"))
 		if denial.Outcome == Granted && permit.Open() {
 			denial.Outcome = 99
 		}
 		done <- denial
 	}()
 	testwait.Until(t, "the request is admitted", func() bool {
-		return c.decider.Room(cold("e").Incarnation(), fleet.Coldness{RatePerSecond: ratePerSecond}) < slowstart.Burst
+		return c.granter.Room(cold("e").Incarnation(), fleet.Coldness{RatePerSecond: ratePerSecond}) < slowstart.Burst
 	})
 	c.clock.advance(slowstart.PermitTTL)
 	close(hold)
@@ -243,8 +243,8 @@
 func TestPermitExpiresDuringSuspension(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
-	asker, _ := c.asker()
-	permit, denial := ask(asker, cold("e"))
+	client, _ := c.client()
+	permit, denial := ask(client, cold("e"))
 	assert.Equal(t, denial.Outcome, Granted)
 	assert.Assert(t, permit.Open())
 	c.clock.advance(slowstart.PermitTTL)
@@ -254,18 +254,18 @@
 // Guards against permits of the leader itself that outlast its term, for which the next leader does not wait.
 func TestLocalPermitEndsWithTerm(t *testing.T) {
 	clock := &manualClock{now: time.Unix(1000, 0)}
-	decider := newDecider(clock)
+	granter := newGranter(clock)
 	valid := true
-	end := decider.Lead(func() bool { return valid })
+	end := granter.Lead(func() bool { return valid })
 	clock.advance(slowstart.TakeoverPause)
-	permit, _, outcome := decider.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond})
+	permit, _, outcome := granter.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond})
 	assert.Equal(t, outcome, Granted)
 	assert.Assert(t, permit.Open())
 	valid = false
 	assert.Assert(t, !permit.Open())
-	assert.Assert(t, !decider.Leads())
-	assert.Equal(t, decider.Room(incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond}), 0)
-	_, _, outcome = decider.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond})
+	assert.Assert(t, !granter.Leads())
+	assert.Equal(t, granter.Room(incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond}), 0)
+	_, _, outcome = granter.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond})
 	assert.Equal(t, outcome, NotLeading)
 	end()
 }
@@ -275,16 +275,16 @@
 func TestRateHoldsAcrossLeaderFailure(t *testing.T) {
 	c := newCluster(t)
 	c.lead()
-	var askers []*Client
+	var clients []*Client
 	for range 3 {
-		asker, _ := c.asker()
-		askers = append(askers, asker)
+		client, _ := c.client()
+		clients = append(clients, client)
 	}
 	var sent []time.Time
 	var outstanding []Permit
 	for until := c.clock.read().Add(2 * time.Second); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
-		for _, asker := range askers {
-			if permit, denial := ask(asker, cold("e")); denial.Outcome == Granted {
+		for _, client := range clients {
+			if permit, denial := ask(client, cold("e")); denial.Outcome == Granted {
 				outstanding = append(outstanding, permit)
 			}
 		}
@@ -300,12 +300,12 @@
 		})
 	}
 	assert.Assert(t, len(outstanding) > 0, "no permit is outstanding")
-	defer c.decider.Lead(func() bool { return true })()
+	defer c.granter.Lead(func() bool { return true })()
 	for range outstanding {
 		sent = append(sent, c.clock.read().Add(slowstart.PermitTTL))
 	}
 	takeover := len(sent)
-	next := c.sendPermitted(askers, 4*time.Second)
+	next := c.sendPermitted(clients, 4*time.Second)
 	sent = append(sent, next...)
 	slices.SortFunc(sent, time.Time.Compare)
 	assert.Assert(t, maxPerSecond(sent) <= 8+slowstart.Burst, "%d requests in a second", maxPerSecond(sent))
@@ -314,11 +314,11 @@
 
 func TestNotLeadingAndUnknownServiceOutcomes(t *testing.T) {
 	c := newCluster(t)
-	asker, _ := c.asker()
-	_, denial := ask(asker, cold("e"))
+	client, _ := c.client()
+	_, denial := ask(client, cold("e"))
 	assert.Equal(t, denial.Outcome, NotLeading)
 	defer c.lead()()
-	other, _ := c.asker()
+	other, _ := c.client()
 	_, denial = other.Ask(context.Background(), "unknown", []fleet.Engine{cold("e")})
 	assert.Equal(t, denial.Outcome, Unknown)
 }
@@ -327,15 +327,15 @@
 func TestConcurrentRequestsAreBounded(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
-	asker, transport := c.asker()
+	client, transport := c.client()
 	hold := make(chan struct{})
 	transport.set(func(f *fakeTransport) { f.hold = hold })
 	var waiting sync.WaitGroup
 	for range maxConcurrentRequests {
-		waiting.Go(func() { ask(asker, cold("e")) })
+		waiting.Go(func() { ask(client, cold("e")) })
 	}
 	testwait.Until(t, "all slots are in use", func() bool { return transport.count() == maxConcurrentRequests })
-	_, denial := ask(asker, cold("e"))
+	_, denial := ask(client, cold("e"))
 	assert.Equal(t, denial.Outcome, Suppressed)
 	assert.Equal(t, transport.count(), maxConcurrentRequests)
 	close(hold)
--- a/internal/coldpermits/decider.go
+++ b/internal/coldpermits/decider.go
@@ -70,73 +70,73 @@
 }
 
 // Lead begins a term, which lasts as long as valid returns true, and returns a function that ends it.
-func (d *Granter) Lead(valid func() bool) (end func()) {
-	began := &term{pacer: slowstart.New(d.now()), valid: valid}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.current = began
+func (g *Granter) Lead(valid func() bool) (end func()) {
+	began := &term{pacer: slowstart.New(g.now()), valid: valid}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.current = began
 	return func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		if d.current == began {
-			d.current = nil
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		if g.current == began {
+			g.current = nil
 		}
 	}
 }
 
 // currentTerm returns the current term, and false if this node does not lead.
-func (d *Granter) currentTerm() (*term, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.current == nil || !d.current.valid() {
+func (g *Granter) currentTerm() (*term, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.current == nil || !g.current.valid() {
 		return nil, false
 	}
-	return d.current, true
+	return g.current, true
 }
 
 // Leads reports whether this node leads and thus grants permits.
-func (d *Granter) Leads() bool {
-	_, leads := d.currentTerm()
+func (g *Granter) Leads() bool {
+	_, leads := g.currentTerm()
 	return leads
 }
 
 // Admit grants a permit for one request to a cold engine. If it does not, wait is the time after which a retry may
 // succeed.
-func (d *Granter) Admit(sender Sender, to incarnation.ID, cold fleet.Coldness) (permit Permit, wait time.Duration, outcome Outcome) {
-	defer func() { d.observe(sender, outcome) }()
-	current, leads := d.currentTerm()
+func (g *Granter) Admit(sender Sender, to incarnation.ID, cold fleet.Coldness) (permit Permit, wait time.Duration, outcome Outcome) {
+	defer func() { g.observe(sender, outcome) }()
+	current, leads := g.currentTerm()
 	if !leads {
 		return Permit{}, notLeadingBackoff, NotLeading
 	}
-	now := d.now()
+	now := g.now()
 	if wait := current.pacer.Admit(to, cold.RatePerSecond, now); wait > 0 {
 		return Permit{}, wait, RateLimited
 	}
-	return Permit{Engine: to, until: now.Add(slowstart.PermitTTL), valid: current.valid, now: d.now}, 0, Granted
+	return Permit{Engine: to, until: now.Add(slowstart.PermitTTL), valid: current.valid, now: g.now}, 0, Granted
 }
 
 // Room returns the number of requests to a cold engine that would be admitted now.
-func (d *Granter) Room(to incarnation.ID, cold fleet.Coldness) int {
-	current, leads := d.currentTerm()
+func (g *Granter) Room(to incarnation.ID, cold fleet.Coldness) int {
+	current, leads := g.currentTerm()
 	if !leads {
 		return 0
 	}
-	return current.pacer.Room(to, cold.RatePerSecond, d.now())
+	return current.pacer.Room(to, cold.RatePerSecond, g.now())
 }
 
 // Want does nothing, since the leader needs no permits from other nodes.
-func (d *Granter) Want(incarnation.ID) {}
+func (g *Granter) Want(incarnation.ID) {}
 
 // Note counts a request to an engine that is not known to be cold; see slowstart.Pacer.
-func (d *Granter) Note(to incarnation.ID, ratePerSecond float64) {
-	if current, leads := d.currentTerm(); leads {
-		current.pacer.Note(to, ratePerSecond, d.now())
+func (g *Granter) Note(to incarnation.ID, ratePerSecond float64) {
+	if current, leads := g.currentTerm(); leads {
+		current.pacer.Note(to, ratePerSecond, g.now())
 	}
 }
 
 // Forget drops the expired state of the current term.
-func (d *Granter) Forget() {
-	if current, leads := d.currentTerm(); leads {
-		current.pacer.Forget(d.now())
+func (g *Granter) Forget() {
+	if current, leads := g.currentTerm(); leads {
+		current.pacer.Forget(g.now())
 	}
 }
--- a/internal/coldpermits/message.go
+++ b/internal/coldpermits/message.go
@@ -80,16 +80,16 @@
 }
 
 // Handler serves permit requests of other nodes. The rates are those of this node's configuration.
-func (d *Granter) Handler(slowStart func(service string) (routes.SlowStart, bool)) http.Handler {
+func (g *Granter) Handler(slowStart func(service string) (routes.SlowStart, bool)) http.Handler {
 	return msgpackhttp.Handle(maxRequestBytes, func(_ context.Context, request permitRequest) permitResponse {
 		limits, bounded := slowStart(request.Service)
 		if !bounded {
-			d.observe(Peers, Unknown)
+			g.observe(Peers, Unknown)
 			return permitResponse{Outcome: Unknown, Wait: notLeadingBackoff}
 		}
 		denied := permitResponse{Outcome: Unknown, Wait: notLeadingBackoff}
 		for _, each := range request.Engines[:min(len(request.Engines), MaxEngines)] {
-			_, wait, outcome := d.Admit(Peers, each.incarnation(), fleet.Coldness{RatePerSecond: limits.RatePerSecond})
+			_, wait, outcome := g.Admit(Peers, each.incarnation(), fleet.Coldness{RatePerSecond: limits.RatePerSecond})
 			if outcome == Granted {
 				return permitResponse{Outcome: Granted, Engine: each}
 			}
--- a/internal/crashes/guard_test.go
+++ b/internal/crashes/guard_test.go
@@ -51,7 +51,7 @@
 // node adds a guard and returns it with the follower of its topic.
 func (c *cluster) node() (*Guard, *follow.Follower) {
 	guard := NewGuard(GuardOptions{
-		Watch: newTestWatch(&fakeProber{answer: Ended}, engineAt("a", "a:1"), engineAt("b", "b:1"), engineAt("c", "c:1")),
+		Watch: newTestDetector(&fakeProber{answer: Ended}, engineAt("a", "a:1"), engineAt("b", "b:1"), engineAt("c", "c:1")),
 		Log:   c.log, Topic: topic, Logger: zerolog.Nop(), Observe: func(int) {},
 		Unwritten: func(_ context.Context, records []eventlog.KeyedRecord) {
 			for _, other := range c.guards {
@@ -268,7 +268,8 @@
 	return ctx.Err()
 }
 
-// TestWriterShutdownWithUnresponsiveLog: roles have 350 ms to shut down.
+// TestWriterShutdownWithUnresponsiveLog guards against a last write that outlasts the 350 ms (hosted.minRoleTime) that a
+// stopping node leaves for it.
 func TestWriterShutdownWithUnresponsiveLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		writer := newWriter(unresponsiveLog{}, topic, func(context.Context, []eventlog.KeyedRecord) {}, zerolog.Nop())
@@ -314,7 +315,7 @@
 func BenchmarkAdmit(b *testing.B) {
 	for _, held := range []int{0, 100} {
 		b.Run(fmt.Sprintf("held-%d", held), func(b *testing.B) {
-			guard := NewGuard(GuardOptions{Watch: newTestWatch(&fakeProber{}), Log: memlog.New(), Topic: topic, Logger: zerolog.Nop(), Observe: func(int) {}})
+			guard := NewGuard(GuardOptions{Watch: newTestDetector(&fakeProber{}), Log: memlog.New(), Topic: topic, Logger: zerolog.Nop(), Observe: func(int) {}})
 			for i := range held {
 				other := quarantine.Request{Target: fmt.Sprint(i)}.Fingerprint()
 				guard.put(quarantine.Record{Fingerprint: other, Engine: "e", At: time.Now()}, "test")
--- a/internal/crashes/tombstones.go
+++ b/internal/crashes/tombstones.go
@@ -17,8 +17,8 @@
 	own bool
 }
 
-// clear remembers that a record was deleted. Keys are never reused, since an incarnation ends once and a trial is
-// claimed once, so a later record with the key is a late write. Must be called with mu held.
+// clear adds a tombstone for the deleted record with the key. Keys are never reused, since an incarnation ends once and
+// a trial is claimed once, so a later record with the key is a late write. Must be called with mu held.
 func (g *Guard) clear(key string, own bool) {
 	own = own || g.tombstones[key].own
 	g.tombstones[key] = tombstone{until: time.Now().Add(tombstoneTTL), own: own}
--- a/internal/crashes/watch.go
+++ b/internal/crashes/watch.go
@@ -32,8 +32,8 @@
 
 // Prober probes whether an engine is alive.
 type Prober interface {
-	// Probe connects to the engine. It may send a request only while mayAsk reports true.
-	Probe(ctx context.Context, engine fleet.Engine, mayAsk func() bool) Liveness
+	// Probe connects to the engine and returns the result. It may send a request only while maySend reports true.
+	Probe(ctx context.Context, engine fleet.Engine, maySend func() bool) Liveness
 }
 
 // probeTimeout bounds a probe. It is short because a request that lost its connection waits for the probe before it is
@@ -50,7 +50,7 @@
 	Isolated bool
 }
 
-// Options configure a watch.
+// Options configure a detector.
 type Options struct {
 	Prober Prober
 	Fleet  *fleet.Fleet
@@ -69,32 +69,32 @@
 func NewDetector(options Options) *Detector { return &Detector{options: options} }
 
 // ConnectionLost probes the engine and reports whether it crashed during the request.
-func (w *Detector) ConnectionLost(ctx context.Context, loss LostConnection) bool {
+func (d *Detector) ConnectionLost(ctx context.Context, loss LostConnection) bool {
 	began := time.Now()
-	liveness, listed := w.probe(ctx, loss.Engine)
+	liveness, listed := d.probe(ctx, loss.Engine)
 	crashed := listed && liveness == Ended
-	w.options.Logger.Warn().Str("id", loss.RequestID).Stringer("fingerprint", loss.Fingerprint).
+	d.options.Logger.Warn().Str("id", loss.RequestID).Stringer("fingerprint", loss.Fingerprint).
 		Stringer("engine", loss.Engine.Incarnation()).Str("address", loss.Engine.Address).Stringer("liveness", liveness).
 		Bool("listed", listed).Bool("crashed", crashed).Dur("took_ms", time.Since(began)).
 		Msg("engine lost a request")
-	w.options.Observe(loss.Engine.Service, liveness.String())
+	d.options.Observe(loss.Engine.Service, liveness.String())
 	return crashed
 }
 
 // probe returns the liveness of an engine. listed is false if the engine was draining or is no longer listed: its end
 // was planned.
-func (w *Detector) probe(ctx context.Context, engine fleet.Engine) (liveness Liveness, listed bool) {
-	listing := w.options.Fleet.Listing(engine)
+func (d *Detector) probe(ctx context.Context, engine fleet.Engine) (liveness Liveness, listed bool) {
+	listing := d.options.Fleet.Listing(engine)
 	switch {
 	case listing.Draining, !listing.Listed && !listing.Replaced:
 		return Unknown, false
 	case listing.Replaced:
 		return Ended, true
 	}
-	answer, _, _ := w.probes.Do(engine.Incarnation().String(), func() (any, error) {
+	answer, _, _ := d.probes.Do(engine.Incarnation().String(), func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 		defer cancel()
-		return w.options.Prober.Probe(ctx, engine, func() bool { return !w.options.Fleet.IsEvacuated(engine.Zone) }), nil
+		return d.options.Prober.Probe(ctx, engine, func() bool { return !d.options.Fleet.IsEvacuated(engine.Zone) }), nil
 	})
 	return answer.(Liveness), true
 }
--- a/internal/crashes/watch_test.go
+++ b/internal/crashes/watch_test.go
@@ -18,15 +18,15 @@
 type fakeProber struct {
 	answer Liveness
 	probes atomic.Int64
-	// mayAsk is whether the last probe could send a request.
-	mayAsk atomic.Bool
+	// maySend is whether the last probe could send a request.
+	maySend atomic.Bool
 	// hold, if set, blocks probes until it is closed.
 	hold chan struct{}
 }
 
-func (p *fakeProber) Probe(_ context.Context, _ fleet.Engine, mayAsk func() bool) Liveness {
+func (p *fakeProber) Probe(_ context.Context, _ fleet.Engine, maySend func() bool) Liveness {
 	p.probes.Add(1)
-	p.mayAsk.Store(mayAsk())
+	p.maySend.Store(maySend())
 	if p.hold != nil {
 		<-p.hold
 	}
@@ -37,7 +37,7 @@
 	return fleet.Engine{ID: id, Service: "s", Address: address, Slots: 4}
 }
 
-func newTestWatch(prober Prober, engines ...fleet.Engine) *Detector {
+func newTestDetector(prober Prober, engines ...fleet.Engine) *Detector {
 	known := fleet.New()
 	for _, engine := range engines {
 		known.Put(engine)
@@ -48,25 +48,25 @@
 func TestOnlyRefusedConnectionsCountAsCrash(t *testing.T) {
 	engine := engineAt("e", "a:1")
 	for answer, crashed := range map[Liveness]bool{Ended: true, Listening: false, Unknown: false} {
-		watch := newTestWatch(&fakeProber{answer: answer}, engine)
-		assert.Equal(t, watch.ConnectionLost(t.Context(), LostConnection{Engine: engine}), crashed, answer.String())
+		detector := newTestDetector(&fakeProber{answer: answer}, engine)
+		assert.Equal(t, detector.ConnectionLost(t.Context(), LostConnection{Engine: engine}), crashed, answer.String())
 	}
 }
 
 func TestDrainingEngineHasNotCrashed(t *testing.T) {
 	leaving := engineAt("e", "a:1")
 	leaving.Draining = true
-	assert.Assert(t, !newTestWatch(&fakeProber{answer: Ended}, leaving).ConnectionLost(t.Context(), LostConnection{Engine: leaving}))
+	assert.Assert(t, !newTestDetector(&fakeProber{answer: Ended}, leaving).ConnectionLost(t.Context(), LostConnection{Engine: leaving}))
 	// The engine is no longer listed.
-	assert.Assert(t, !newTestWatch(&fakeProber{answer: Ended}).ConnectionLost(t.Context(), LostConnection{Engine: leaving}))
+	assert.Assert(t, !newTestDetector(&fakeProber{answer: Ended}).ConnectionLost(t.Context(), LostConnection{Engine: leaving}))
 }
 
 // TestReplacedEngineHasCrashed: a node that was suspended notices the lost connection when another engine has the
 // address.
 func TestReplacedEngineHasCrashed(t *testing.T) {
 	engine := engineAt("e", "a:1")
-	watch := newTestWatch(&fakeProber{answer: Listening}, engine, engineAt("next", "a:1"))
-	assert.Assert(t, watch.ConnectionLost(t.Context(), LostConnection{Engine: engine}))
+	detector := newTestDetector(&fakeProber{answer: Listening}, engine, engineAt("next", "a:1"))
+	assert.Assert(t, detector.ConnectionLost(t.Context(), LostConnection{Engine: engine}))
 }
 
 // TestConcurrentLossesShareOneProbe: a crash closes all connections of an engine at the same time.
@@ -74,12 +74,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		engine := engineAt("e", "a:1")
 		prober := &fakeProber{answer: Ended, hold: make(chan struct{})}
-		watch := newTestWatch(prober, engine)
+		detector := newTestDetector(prober, engine)
 		var group sync.WaitGroup
 		var crashed atomic.Int64
 		for range 16 {
 			group.Go(func() {
-				if watch.ConnectionLost(t.Context(), LostConnection{Engine: engine}) {
+				if detector.ConnectionLost(t.Context(), LostConnection{Engine: engine}) {
 					crashed.Add(1)
 				}
 			})
@@ -103,10 +103,10 @@
 func TestRestartedEngineHasCrashed(t *testing.T) {
 	first, second := incarnationOf("e", "a:1", 1000), incarnationOf("e", "a:1", 2000)
 	prober := &fakeProber{answer: Listening}
-	watch := newTestWatch(prober, first, second)
-	assert.Assert(t, watch.ConnectionLost(t.Context(), LostConnection{Engine: first}))
+	detector := newTestDetector(prober, first, second)
+	assert.Assert(t, detector.ConnectionLost(t.Context(), LostConnection{Engine: first}))
 	assert.Equal(t, prober.probes.Load(), int64(0), "another incarnation listens there")
-	assert.Assert(t, !watch.ConnectionLost(t.Context(), LostConnection{Engine: second}))
+	assert.Assert(t, !detector.ConnectionLost(t.Context(), LostConnection{Engine: second}))
 }
 
 // TestDrainedAndRestartedEngineHasNotCrashed: the end of a draining engine is planned.
@@ -114,16 +114,16 @@
 	first := incarnationOf("e", "a:1", 1000)
 	leaving := first
 	leaving.Draining = true
-	watch := newTestWatch(&fakeProber{answer: Ended}, first, leaving, incarnationOf("e", "a:1", 2000))
-	assert.Assert(t, !watch.ConnectionLost(t.Context(), LostConnection{Engine: first}))
+	detector := newTestDetector(&fakeProber{answer: Ended}, first, leaving, incarnationOf("e", "a:1", 2000))
+	assert.Assert(t, !detector.ConnectionLost(t.Context(), LostConnection{Engine: first}))
 }
 
 // TestEngineWithReassignedAddressHasCrashed: an engine of another service is listed at the address.
 func TestEngineWithReassignedAddressHasCrashed(t *testing.T) {
 	first, next := incarnationOf("e", "a:1", 1000), incarnationOf("f", "a:1", 2000)
 	next.Service = "other"
-	watch := newTestWatch(&fakeProber{answer: Listening}, first, next)
-	assert.Assert(t, watch.ConnectionLost(t.Context(), LostConnection{Engine: first}))
+	detector := newTestDetector(&fakeProber{answer: Listening}, first, next)
+	assert.Assert(t, detector.ConnectionLost(t.Context(), LostConnection{Engine: first}))
 }
 
 // TestIncarnationsAreProbedSeparately: the probe of an incarnation must not share the result of a hanging probe of the
@@ -134,12 +134,12 @@
 		known := fleet.New()
 		known.Put(first)
 		prober := &fakeProber{answer: Ended, hold: make(chan struct{})}
-		watch := NewDetector(Options{Prober: prober, Fleet: known, Logger: zerolog.Nop(), Observe: func(string, string) {}})
+		detector := NewDetector(Options{Prober: prober, Fleet: known, Logger: zerolog.Nop(), Observe: func(string, string) {}})
 		var group sync.WaitGroup
-		group.Go(func() { watch.ConnectionLost(t.Context(), LostConnection{Engine: first}) })
+		group.Go(func() { detector.ConnectionLost(t.Context(), LostConnection{Engine: first}) })
 		synctest.Wait()
 		known.Put(second)
-		group.Go(func() { watch.ConnectionLost(t.Context(), LostConnection{Engine: second}) })
+		group.Go(func() { detector.ConnectionLost(t.Context(), LostConnection{Engine: second}) })
 		synctest.Wait()
 		assert.Equal(t, prober.probes.Load(), int64(2))
 		close(prober.hold)
@@ -153,10 +153,10 @@
 	engine := engineAt("e", "a:1")
 	engine.Zone = "za"
 	prober := &fakeProber{answer: Listening}
-	watch := newTestWatch(prober, engine)
-	watch.ConnectionLost(t.Context(), LostConnection{Engine: engine})
-	assert.Assert(t, prober.mayAsk.Load())
-	watch.options.Fleet.Evacuate("za", time.Now(), 1)
-	watch.ConnectionLost(t.Context(), LostConnection{Engine: engine})
-	assert.Assert(t, !prober.mayAsk.Load())
+	detector := newTestDetector(prober, engine)
+	detector.ConnectionLost(t.Context(), LostConnection{Engine: engine})
+	assert.Assert(t, prober.maySend.Load())
+	detector.options.Fleet.Evacuate("za", time.Now(), 1)
+	detector.ConnectionLost(t.Context(), LostConnection{Engine: engine})
+	assert.Assert(t, !prober.maySend.Load())
 }
--- a/internal/crashes/writer.go
+++ b/internal/crashes/writer.go
@@ -13,7 +13,8 @@
 
 const (
 	writeTimeout = 1500 * time.Millisecond
-	// finalWriteTimeout bounds the write at shutdown. It must be below the shutdown time of roles.
+	// finalWriteTimeout bounds the write at shutdown. It must be below hosted.minRoleTime, the time that a stopping
+	// node leaves for it.
 	finalWriteTimeout = 200 * time.Millisecond
 	// maxBatch is the maximum number of records in one write.
 	maxBatch = 500
--- a/internal/duties/arrival_test.go
+++ b/internal/duties/arrival_test.go
@@ -72,8 +72,8 @@
 	return term, start(t, func(ctx context.Context) { _ = elector.Run(ctx) })
 }
 
-// TestQuietTimeCoversLatestArrivalOfCall guards against a quiet time that ends before a delayed call has arrived.
-func TestQuietTimeCoversLatestArrivalOfCall(t *testing.T) {
+// TestQuietPeriodCoversLatestArrivalOfCall guards against a quiet period that ends before a delayed call has arrived.
+func TestQuietPeriodCoversLatestArrivalOfCall(t *testing.T) {
 	t.Parallel()
 	log, platform := memlog.New(), &latePlatform{}
 	first, stop := startElector(t, log, "a")
--- a/internal/duties/reporter.go
+++ b/internal/duties/reporter.go
@@ -125,7 +125,7 @@
 		return r.options.Platform.ReportUsage(ctx, holder, report.Window, report.Counts)
 	})
 	if answer == NotDone && err == nil {
-		// No permit.
+		// No call was made: the lease is not valid, the quiet period is not over, or the permit has expired.
 		return nil
 	}
 	late := time.Since(report.Window.End(r.options.Span)) - r.options.ReportDelay
--- a/internal/duties/reporter_test.go
+++ b/internal/duties/reporter_test.go
@@ -104,7 +104,8 @@
 	return 0, ctx.Err()
 }
 
-// TestCounterShutdownWithUnresponsiveLog: roles have only 350 ms to shut down.
+// TestCounterShutdownWithUnresponsiveLog guards against a last write that outlasts the 350 ms (hosted.minRoleTime) that
+// a stopping node leaves for it.
 func TestCounterShutdownWithUnresponsiveLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counter := NewCounter(unresponsiveLog{memlog.New()}, "one", span, pacing.Budget{}, zerolog.Nop())
@@ -240,7 +241,7 @@
 	})
 }
 
-func TestReporterWaitsForQuietTime(t *testing.T) {
+func TestReporterWaitsForQuietPeriod(t *testing.T) {
 	t.Parallel()
 	log, platform := memlog.New(), newFakePlatform()
 	quietUntil := time.Now().Add(3 * due)
--- a/internal/duties/scaler.go
+++ b/internal/duties/scaler.go
@@ -112,7 +112,7 @@
 		return s.options.Platform.OrderEngines(ctx, holder, order)
 	})
 	if answer == NotDone && err == nil {
-		// No permit.
+		// No call was made: the lease is not valid, the quiet period is not over, or the permit has expired.
 		return
 	}
 	s.options.Logger.Info().Err(err).Str("service", service.Name).Str("zone_ordered", zone).Int("count", count).
--- a/internal/hosted/callers.go
+++ b/internal/hosted/callers.go
@@ -124,23 +124,23 @@
 	})
 }
 
-// firstFound calls run for each candidate until one is found. A candidate with lost history does not hide a later
+// firstFound calls run for each query until one finds the job. A query that fails with HistoryLost does not hide a later
 // match; without a match, its error is returned in place of NotFound.
 func firstFound[Query, Answer any](
 	queries []Query, run func(query Query) (Answer, error),
 ) (answer Answer, err error) {
-	var unsure error
+	var historyLost error
 	for _, query := range queries {
 		answer, err = run(query)
 		switch {
 		case errkind.Is(err, errkind.HistoryLost):
-			unsure = err
+			historyLost = err
 		case !errkind.Is(err, errkind.NotFound):
 			return answer, err
 		}
 	}
-	if unsure != nil {
-		return answer, unsure
+	if historyLost != nil {
+		return answer, historyLost
 	}
 	return answer, err
 }
--- a/internal/hosted/callers_test.go
+++ b/internal/hosted/callers_test.go
@@ -8,8 +8,8 @@
 	"github.com/corkpulley/corkpulley/internal/core/errkind"
 )
 
-// Guards against a job that is not found because a candidate before it has lost history, and against NotFound where
-// one has.
+// Guards against a job that is not found because the query before it failed with HistoryLost, and against NotFound if
+// any query failed so.
 func TestFirstFoundWithLostHistory(t *testing.T) {
 	answers := map[string]error{
 		"unsure": errkind.New(errkind.HistoryLost, "why"), "none": errkind.New(errkind.NotFound, "why"),
--- a/internal/hosted/crashes.go
+++ b/internal/hosted/crashes.go
@@ -14,12 +14,12 @@
 
 // newCrashGuard returns the guard that quarantines requests during which engines crashed.
 func (n *node) newCrashGuard(log eventlog.Log) *crashes.Guard {
-	watch := crashes.NewDetector(crashes.Options{
+	detector := crashes.NewDetector(crashes.Options{
 		Prober: n.platform.Engines(), Fleet: n.fleet, Logger: n.logger, Observe: n.metrics.connectionLost,
 	})
 	peers := crashes.NewPeers(n.directory.Peers, logrelay.NewClient(), n.logger)
 	return crashes.NewGuard(crashes.GuardOptions{
-		Watch: watch, Log: log, Topic: n.platform.CrashTopic(), Unwritten: peers.Send,
+		Watch: detector, Log: log, Topic: n.platform.CrashTopic(), Unwritten: peers.Send,
 		Observe: n.metrics.requestsSuspected, Logger: n.logger,
 	})
 }
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -78,9 +78,9 @@
 	crashGuard    *crashes.Guard
 	crashFollower *follow.Follower
 	elector       *leadership.Elector
-	// coldDecider admits requests to cold engines while this node leads; coldPermits requests permits from the
+	// coldGranter admits requests to cold engines while this node leads; coldPermits requests permits from the
 	// leader.
-	coldDecider *coldpermits.Granter
+	coldGranter *coldpermits.Granter
 	coldPermits *coldpermits.Client
 	// regionRunners elects the runners of region-bound batch jobs.
 	regionRunners *regionRunners
@@ -103,8 +103,8 @@
 	peers     *server
 }
 
-// Run runs a node until ctx ends, and then performs a planned stop. Settings received from reloads change what does
-// not need a restart: the grace period and the log level. Logs are written as JSON lines.
+// Run runs a node until ctx ends, and then performs a planned stop. Of the settings received from
+// reloads, only the grace period and the log level take effect; the others need a restart. Logs are written as JSON lines.
 func Run(
 	ctx context.Context, config settings.Settings, platform Platform, reloads <-chan settings.Settings, logs io.Writer,
 ) error {
@@ -172,7 +172,7 @@
 	n.counter = duties.NewCounter(log, n.holder, usageWindow(config.Hosted), n.directory.Budget(), logger)
 	n.crashGuard = n.newCrashGuard(log)
 	n.crashFollower = follow.New(replicas, platform.CrashTopic(), n.crashGuard.HandleRecord, n.directory.Budget(), logger)
-	n.coldDecider, n.coldPermits = n.newColdPermits()
+	n.coldGranter, n.coldPermits = n.newColdPermits()
 	n.relay = ingress.New(ingress.Options{
 		Engines: n.engineCalls, Fleet: n.fleet, Guard: n.crashGuard, Gate: n.gate, ColdPermits: n.coldPermits,
 		Callers: n.callerLimits, OnInvalidLoad: n.reportUnreadableLoad,
@@ -203,7 +203,7 @@
 	router.Handle(logrelay.Path, logrelay.NewHandler(direct, log.IsDirect, n))
 	router.Handle(jobrelay.Path, jobrelay.NewHandler(n.jobs, n.directory.ServesReadsWithin)).Methods(http.MethodPost)
 	router.Handle(crashes.Path, n.crashGuard.Handler()).Methods(http.MethodPost)
-	router.Handle(coldpermits.Path, n.coldDecider.Handler(n.fleet.SlowStart)).Methods(http.MethodPost)
+	router.Handle(coldpermits.Path, n.coldGranter.Handler(n.fleet.SlowStart)).Methods(http.MethodPost)
 	return router
 }
 
--- a/internal/hosted/lead.go
+++ b/internal/hosted/lead.go
@@ -24,10 +24,10 @@
 		OnLoadEnd: func() { runner.Wake() },
 		Term:      term, Holder: n.holder, Fence: term.Epoch, Logger: n.logger,
 	})
-	defer n.coldDecider.Lead(term.Valid)()
+	defer n.coldGranter.Lead(term.Valid)()
 	runner = batchrun.New(batchrun.Options{
 		Jobs: n.jobs, Engines: n.engineCalls, Fleet: n.fleet, Scorer: n, Guard: n.crashGuard, Gate: n.gate,
-		ColdStarts: n.coldDecider, RouteOf: n.batchRoute, HomesOf: n.jobHomes, Config: n.configVersion,
+		ColdStarts: n.coldGranter, RouteOf: n.batchRoute, HomesOf: n.jobHomes, Config: n.configVersion,
 		Loading: orders.Loading, AllLoading: orders.AllLoading, Term: strconv.FormatInt(term.Epoch, 10), Logger: n.logger,
 	})
 	n.metrics.leading.Set(1)
--- a/internal/hosted/placement.go
+++ b/internal/hosted/placement.go
@@ -34,10 +34,10 @@
 }
 
 func newPlacementKnowledge(
-	watch *suspension.Detector, evacuations, engines *follow.Follower, logger zerolog.Logger,
+	detector *suspension.Detector, evacuations, engines *follow.Follower, logger zerolog.Logger,
 ) *placementKnowledge {
 	return &placementKnowledge{
-		resumedAt: watch.ResumedAt, now: boottime.Now, logger: logger,
+		resumedAt: detector.ResumedAt, now: boottime.Now, logger: logger,
 		age: func() time.Duration { return max(evacuations.Age(), engines.Age()) },
 	}
 }
@@ -48,12 +48,12 @@
 	if settled := k.settled.Load(); resumed.IsZero() || settled != nil && settled.Equal(resumed) {
 		return true
 	}
-	age, awake := k.age(), k.now().Sub(resumed)
-	if age >= follow.StaleAge && awake < maxUnknownTime {
+	age, sinceResume := k.age(), k.now().Sub(resumed)
+	if age >= follow.StaleAge && sinceResume < maxUnknownTime {
 		return false
 	}
 	if before := k.settled.Swap(&resumed); before == nil || !before.Equal(resumed) {
-		k.logger.Info().Dur("age_ms", age).Dur("awake_ms", awake).Msg("sending on after a standstill")
+		k.logger.Info().Dur("age_ms", age).Dur("awake_ms", sinceResume).Msg("sending on after a standstill")
 	}
 	return true
 }
--- a/internal/hosted/regionrunners_test.go
+++ b/internal/hosted/regionrunners_test.go
@@ -30,8 +30,8 @@
 	epochs     []int64
 	running    int
 	maxRunning int
-	// cancelled is the number of terms whose context has ended.
-	cancelled int
+	// canceled is the number of terms whose context has ended.
+	canceled int
 }
 
 func (r *roleRecorder) run(ctx context.Context, term leadership.Term, _ homes.Set) {
@@ -42,7 +42,7 @@
 	r.mu.Unlock()
 	<-ctx.Done()
 	r.mu.Lock()
-	r.cancelled++
+	r.canceled++
 	r.mu.Unlock()
 	time.Sleep(roleEndDelay)
 	r.mu.Lock()
@@ -50,10 +50,10 @@
 	r.mu.Unlock()
 }
 
-func (r *roleRecorder) counts() (began, cancelled int) {
+func (r *roleRecorder) counts() (began, canceled int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.epochs), r.cancelled
+	return len(r.epochs), r.canceled
 }
 
 // Guards against two runners in one term, whose records could not be told apart.
@@ -83,7 +83,7 @@
 	go func() { ended <- runners.Run(ctx) }()
 	testwait.Until(t, "the role runs", func() bool { began, _ := ran.counts(); return began == 1 })
 	put()
-	testwait.Until(t, "the role is cancelled", func() bool { _, cancelled := ran.counts(); return cancelled == 1 })
+	testwait.Until(t, "the role is canceled", func() bool { _, canceled := ran.counts(); return canceled == 1 })
 	put("north")
 	testwait.Until(t, "the role runs again", func() bool { began, _ := ran.counts(); return began == 2 })
 	cancel()
--- a/internal/hosted/slowstart.go
+++ b/internal/hosted/slowstart.go
@@ -15,12 +15,12 @@
 // coldWatchPeriod is the interval at which cold engines are logged and counted.
 const coldWatchPeriod = 500 * time.Millisecond
 
-// newColdPermits returns the decider that admits requests to cold engines, and the asker that requests permits from
-// the leader.
+// newColdPermits returns the granter that admits requests to cold engines while this node leads, and the client that
+// requests permits from the leader.
 func (n *node) newColdPermits() (*coldpermits.Granter, *coldpermits.Client) {
-	decider := coldpermits.NewGranter(n.metrics.coldAdmission)
-	return decider, coldpermits.NewClient(coldpermits.Options{
-		Granter: decider, Leader: n.leaderAddress, Client: logrelay.NewClient(), Logger: n.logger,
+	granter := coldpermits.NewGranter(n.metrics.coldAdmission)
+	return granter, coldpermits.NewClient(coldpermits.Options{
+		Granter: granter, Leader: n.leaderAddress, Client: logrelay.NewClient(), Logger: n.logger,
 		Observe: n.metrics.coldPermitAsked,
 		Cold: func(engine fleet.Engine) (fleet.Coldness, bool) {
 			return n.fleet.Cold(engine.Incarnation(), time.Now())
@@ -60,7 +60,7 @@
 			return nil
 		case <-ticker.C:
 			logged = n.logColdEngines(logged)
-			n.coldDecider.Forget()
+			n.coldGranter.Forget()
 		}
 	}
 }
--- a/internal/hosted/stop.go
+++ b/internal/hosted/stop.go
@@ -20,7 +20,7 @@
 
 // stop performs the planned stop: it reports not ready, serves requests until there are none left or the grace
 // period is nearly over, and then releases leadership. Leadership is kept that long because in a rolling restart
-// all other nodes may be stopping or starting. It returns the time that the cancelled roles have to write their
+// all other nodes may be stopping or starting. It returns the time that the canceled roles have to write their
 // remaining records to a possibly slow log.
 func (n *node) stop(stopRoles context.CancelFunc) time.Duration {
 	began := time.Now()
@@ -53,7 +53,7 @@
 	return max(minRoleTime, time.Until(began.Add(grace-minRoleTime)))
 }
 
-// releaseWhenDrained releases leadership once drained is closed, or at the time latest if that comes first.
+// releaseWhenDrained releases leadership once drained is closed, or at the time given by latest, whichever comes first.
 func (n *node) releaseWhenDrained(ctx context.Context, drained <-chan struct{}, latest time.Time) {
 	timer := time.NewTimer(time.Until(latest))
 	defer timer.Stop()
--- a/internal/ingress/cold.go
+++ b/internal/ingress/cold.go
@@ -12,9 +12,9 @@
 // minPermitWait is the minimum time between two permit requests for a request.
 const minPermitWait = 20 * time.Millisecond
 
-// choose returns the engine to try next. A cold engine needs a permit, whose validity mayLeave reports; without a
-// permit, a warm engine is chosen, or none.
-func (x *exchange) choose() (choice fleet.Choice, mayLeave func() bool, found bool) {
+// choose returns the engine to try next. A cold engine needs a permit, whose validity permitOpen reports; without
+// a permit, a warm engine is chosen, or none.
+func (x *exchange) choose() (choice fleet.Choice, permitOpen func() bool, found bool) {
 	x.denial = coldpermits.Denial{}
 	engines := x.relay.options.Fleet
 	query := fleet.Query{
--- a/internal/ingress/cold_test.go
+++ b/internal/ingress/cold_test.go
@@ -118,18 +118,18 @@
 }
 
 // cancelingEngine is an engine during whose dial the caller cancels.
-type cancelingEngine struct{ leave context.CancelFunc }
+type cancelingEngine struct{ cancelCaller context.CancelFunc }
 
 func (e cancelingEngine) Send(context.Context, fleet.Engine, Call) (*Answer, error) {
-	e.leave()
+	e.cancelCaller()
 	return nil, &SendError{Cause: io.ErrUnexpectedEOF}
 }
 
 // TestCallerCancellationKeepsEngineWarm: a canceled dial does not show that the engine is unreachable.
 func TestCallerCancellationKeepsEngineWarm(t *testing.T) {
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancelCaller := context.WithCancel(t.Context())
 	relay := withColdEngines(newRelay(scriptedEngines{"a": successAnswer}, noCrashes{}, 2), &scriptedPermits{})
-	relay.options.Engines = cancelingEngine{leave: leave}
+	relay.options.Engines = cancelingEngine{cancelCaller: cancelCaller}
 	_, failure := relay.Call(ctx, &Request{
 		ID: "id", Method: http.MethodPost, Target: "/x/1", Path: "/x/1", Host: "h", Received: time.Now(),
 	})
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -82,14 +82,14 @@
 		if !x.relay.options.Gate.AwaitKnown(x.ctx) {
 			return x.staleStateFailure()
 		}
-		choice, mayLeave, found := x.choose()
+		choice, permitOpen, found := x.choose()
 		if !found && x.waitForPermit() {
 			continue
 		}
 		if !found {
 			break
 		}
-		switch x.try(choice, mayLeave) {
+		switch x.try(choice, permitOpen) {
 		case answered:
 			return nil
 		case giveUp:
--- a/internal/ingress/try.go
+++ b/internal/ingress/try.go
@@ -14,8 +14,9 @@
 	"github.com/corkpulley/corkpulley/internal/crashes"
 )
 
-// try sends the request to an engine, if mayLeave still reports true right before; nil means always.
-func (x *exchange) try(choice fleet.Choice, mayLeave func() bool) verdict {
+// try sends the request to an engine, if permitOpen still reports true right before; nil if the engine is not
+// known to be cold and needs no permit.
+func (x *exchange) try(choice fleet.Choice, permitOpen func() bool) verdict {
 	engine := choice.Engine
 	x.tried = append(x.tried, engine.ID)
 	began := time.Now()
@@ -26,10 +27,10 @@
 	ctx, cancel := x.withTryTimeout(remaining)
 	defer cancel()
 	x.relay.options.Fleet.RequestStarted(engine.Incarnation())
-	look := x.relay.options.Gate.Check(engine.Incarnation(), mayLeave)
+	check := x.relay.options.Gate.Check(engine.Incarnation(), permitOpen)
 	answer, err := x.relay.options.Engines.Send(ctx, engine, Call{
 		Request: x.request, Sender: x.sender, Remaining: remaining,
-		After: x.lastEventID, HasAfter: x.streaming && x.lastEventID > 0, MaySend: look.MaySend,
+		After: x.lastEventID, HasAfter: x.streaming && x.lastEventID > 0, MaySend: check.MaySend,
 	})
 	outcome := fleet.Outcome{}
 	x.reportStart(answer, err, began)
@@ -58,14 +59,14 @@
 	if x.complete && x.status/100 == 2 {
 		x.relay.options.Guard.Answered(x.fingerprintOf)
 	}
-	x.logTry(choice, look.Held(), answer, err, result, outcome.At.Sub(began))
+	x.logTry(choice, check.Held(), answer, err, result, outcome.At.Sub(began))
 	return result
 }
 
 // reportLoadFault reports an answer whose load information cannot be decoded.
 func (x *exchange) reportLoadFault(engine fleet.Engine, answer *Answer) {
-	if tell := x.relay.options.OnInvalidLoad; tell != nil && answer.LoadError != nil {
-		tell(engine, answer.LoadError)
+	if report := x.relay.options.OnInvalidLoad; report != nil && answer.LoadError != nil {
+		report(engine, answer.LoadError)
 	}
 }
 
@@ -97,8 +98,8 @@
 	if !x.route.Repeatable() || x.route.Kind != routes.Safe || last {
 		return context.WithCancel(x.ctx)
 	}
-	patience := max(minTryTimeout, tryTimeoutObjectives*x.route.Objective)
-	return context.WithTimeout(x.ctx, min(patience, remaining/2))
+	timeout := max(minTryTimeout, tryTimeoutObjectives*x.route.Objective)
+	return context.WithTimeout(x.ctx, min(timeout, remaining/2))
 }
 
 func (x *exchange) handleSendError(err error, outcome *fleet.Outcome) verdict {
--- a/internal/leadership/answers_test.go
+++ b/internal/leadership/answers_test.go
@@ -21,18 +21,18 @@
 // order after the next holder's claim. The next holder reads it only when its own append conflicts.
 func TestPermitRespectsOrderReadDuringAppend(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
+	connection := newFaultyLog(log)
 	first := join(t, log, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	earlier := first.lastTerm().Epoch
 	first.elector.Stop(t.Context())
 	first.cancel()
-	second := join(t, path, "b", "b1")
+	second := join(t, connection, "b", "b1")
 	testwait.Until(t, "b leads", second.leads)
 	raw, err := msgpack.Marshal(&lease.Record{Kind: lease.Order, Holder: "a1", Node: "a", Epoch: earlier, Engines: []string{"e"}})
 	assert.NilError(t, err)
 	var once sync.Once
-	path.faults(func(ctx context.Context, record lease.Record, _ int64, call func() (int64, error)) (int64, error) {
+	connection.faults(func(ctx context.Context, record lease.Record, _ int64, call func() (int64, error)) (int64, error) {
 		if record.Kind == lease.Order {
 			once.Do(func() { _, _ = log.Append(ctx, eventlog.Partition{Topic: topic}, [][]byte{raw}) })
 		}
@@ -46,11 +46,11 @@
 // TestUnexplainedConflictDoesNotSpin guards against a retry loop when a conflict reports the offset that the append
 // expected.
 func TestUnexplainedConflictDoesNotSpin(t *testing.T) {
-	path := newFaultyLog(memlog.New())
-	first := join(t, path, "a", "a1")
+	connection := newFaultyLog(memlog.New())
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	var count atomic.Int64
-	path.faults(func(_ context.Context, _ lease.Record, at int64, _ func() (int64, error)) (int64, error) {
+	connection.faults(func(_ context.Context, _ lease.Record, at int64, _ func() (int64, error)) (int64, error) {
 		count.Add(1)
 		return 0, &eventlog.ConflictError{End: at}
 	}, nil)
@@ -77,10 +77,10 @@
 
 // TestStopReturnsWhenReleaseIsUnanswered: the release takes effect, but its answer is lost.
 func TestStopReturnsWhenReleaseIsUnanswered(t *testing.T) {
-	path := newFaultyLog(memlog.New())
-	first := join(t, path, "a", "a1")
+	connection := newFaultyLog(memlog.New())
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
-	path.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
+	connection.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
 		_, _ = call()
 		return 0, eventlog.ErrOutcomeUnknown
 	}, nil)
@@ -110,14 +110,14 @@
 // read hangs.
 func TestRenewalContinuesWhileReadHangs(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
-	first := join(t, path, "a", "a1")
+	connection := newFaultyLog(log)
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	// The first read never returns, all later ones work.
 	var hung atomic.Bool
 	lost := make(chan struct{})
 	var once sync.Once
-	path.faults(func(ctx context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
+	connection.faults(func(ctx context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
 		offset, err := call()
 		select {
 		case <-lost:
@@ -155,9 +155,9 @@
 	began := time.Now()
 	var all []*candidate
 	for _, node := range []string{"a", "b", "c"} {
-		path := newFaultyLog(log)
-		path.faults(claimsUnanswered, nil)
-		all = append(all, join(t, path, node, node+"1"))
+		connection := newFaultyLog(log)
+		connection.faults(claimsUnanswered, nil)
+		all = append(all, join(t, connection, node, node+"1"))
 	}
 	var led time.Duration
 	for time.Since(began) < 6*time.Second && led == 0 {
--- a/internal/leadership/arrival_test.go
+++ b/internal/leadership/arrival_test.go
@@ -18,14 +18,14 @@
 	return time.Now().Add(left + lease.MaxTransitTime)
 }
 
-// TestQuietTimeCoversLatestArrival: an order is sent once its record is acknowledged, possibly long after others have
+// TestQuietPeriodCoversLatestArrival: an order is sent once its record is acknowledged, possibly long after others have
 // read the record, and may be in transit for lease.MaxTransitTime.
-func TestQuietTimeCoversLatestArrival(t *testing.T) {
+func TestQuietPeriodCoversLatestArrival(t *testing.T) {
 	log := memlog.New()
 	const delay = 350 * time.Millisecond // below recordTimeout
-	path := newFaultyLog(log)
-	path.faults(appendsAnsweredAfter(delay), readsAnsweredAfter(delay)) // so that the record is not read back earlier
-	first := join(t, path, "a", "a1")
+	connection := newFaultyLog(log)
+	connection.faults(appendsAnsweredAfter(delay), readsAnsweredAfter(delay)) // so that the record is not read back earlier
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	second := join(t, log, "b", "b1")
 	second.awaitHolder(t, "a1")
@@ -35,12 +35,12 @@
 	testwait.Until(t, "b leads", second.leads)
 	until := second.lastTerm().QuietUntil("ordered")
 	gap := until.Sub(arrives)
-	assert.Assert(t, gap >= testTTL, "b may send an order %s after the order of a arrives, the quiet time is %s", gap, testTTL)
+	assert.Assert(t, gap >= testTTL, "b may send an order %s after the order of a arrives, the quiet period is %s", gap, testTTL)
 }
 
-// TestQuietTimeCoversOrdersOfPreviousProcess: bytes sent by a process that has ended may arrive together with the
+// TestQuietPeriodCoversOrdersOfPreviousProcess: bytes sent by a process that has ended may arrive together with the
 // first orders of its successor.
-func TestQuietTimeCoversOrdersOfPreviousProcess(t *testing.T) {
+func TestQuietPeriodCoversOrdersOfPreviousProcess(t *testing.T) {
 	log := memlog.New()
 	const address = "10.0.0.1:7000"
 	first := joinAt(t, log, "a", "a1", address)
@@ -58,32 +58,32 @@
 // TestPreviousProcessLosesLeaseToSuccessor: the previous process on the machine still runs but cannot reach the log.
 func TestPreviousProcessLosesLeaseToSuccessor(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
-	first := join(t, path, "a", "a1")
+	connection := newFaultyLog(log)
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	epoch := first.lastTerm().Epoch
-	path.refuse(true)
+	connection.refuse(true)
 	second := join(t, log, "a", "a2")
 	testwait.Until(t, "the next process leads", second.leads)
 	newest := second.lastTerm().Epoch
 	assert.Assert(t, !first.elector.Valid(epoch) || !second.elector.Valid(newest), "both hold the lease")
 }
 
-// TestQuietTimeCoversOrdersOfEarlierTerm: the node leads again after another leader that sent no orders. Orders of its
+// TestQuietPeriodCoversOrdersOfEarlierTerm: the node leads again after another leader that sent no orders. Orders of its
 // earlier term may still be in transit.
-func TestQuietTimeCoversOrdersOfEarlierTerm(t *testing.T) {
+func TestQuietPeriodCoversOrdersOfEarlierTerm(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
-	first := join(t, path, "a", "a1")
+	connection := newFaultyLog(log)
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	earlier := first.lastTerm().Epoch
 	second := join(t, log, "b", "b1")
 	second.awaitHolder(t, "a1")
 	given := first.permit(t, "ordered")
 	arrives := latestArrival(given)
-	path.refuse(true)
+	connection.refuse(true)
 	testwait.Until(t, "b leads", second.leads)
-	path.refuse(false)
+	connection.refuse(false)
 	second.elector.Stop(t.Context())
 	testwait.Until(t, "a leads again", func() bool { return first.leads() && first.lastTerm().Epoch > earlier })
 	until := first.lastTerm().QuietUntil("ordered")
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -117,8 +117,8 @@
 	testwait.Until(t, "b leads", second.leads)
 	assert.Assert(t, second.lastTerm().Epoch > first.lastTerm().Epoch)
 	until := second.lastTerm().QuietUntil("ordered")
-	assert.Assert(t, !until.Before(recorded.Add(testTTL)), "the quiet time after the order of a is too short")
-	assert.Assert(t, second.lastTerm().QuietUntil("another").IsZero(), "quiet time for an engine without an order")
+	assert.Assert(t, !until.Before(recorded.Add(testTTL)), "the quiet period after the order of a is too short")
+	assert.Assert(t, second.lastTerm().QuietUntil("another").IsZero(), "quiet period for an engine without an order")
 }
 
 // TestRestartedProcessTakesOverImmediately: a process that has bound the previous holder's address need not wait for
@@ -162,14 +162,14 @@
 // reads the other node's claim.
 func TestPartitionedLeaderLosesLease(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
-	first := join(t, path, "a", "a1")
+	connection := newFaultyLog(log)
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	second := join(t, log, "b", "b1")
-	path.refuse(true)
+	connection.refuse(true)
 	testwait.Until(t, "b leads", second.leads)
 	assert.Assert(t, !first.elector.Valid(first.lastTerm().Epoch), "the lease of a is still valid")
-	path.refuse(false)
+	connection.refuse(false)
 	testwait.Until(t, "a learns of b", func() bool { holder, _ := first.elector.Leader(); return holder == "b1" })
 	testwait.Until(t, "a stops", func() bool { return !first.leads() })
 	assert.Assert(t, second.leads())
@@ -227,10 +227,10 @@
 // TestLeaseExpiresDuringSuspension: Go's monotonic clock stops during suspension, and reads fail after the resume.
 func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
+	connection := newFaultyLog(log)
 	clock := &suspendableClock{}
 	first := &candidate{}
-	first.elector = New(path, Options{
+	first.elector = New(connection, Options{
 		Holder: "a1", Node: "a", TTL: testTTL, Quiet: testTTL, Logger: zerolog.Nop(),
 	}, first.role)
 	first.elector.now = clock.now
@@ -239,11 +239,11 @@
 	go func() { _ = first.elector.Run(ctx) }()
 	testwait.Until(t, "a leads", func() bool { return first.leads() && first.elector.Valid(first.lastTerm().Epoch) })
 	epoch := first.lastTerm().Epoch
-	path.faults(nil, readsRefused)
+	connection.faults(nil, readsRefused)
 	clock.suspend(testTTL)
 	assert.Assert(t, !first.elector.Valid(epoch), "the lease is still valid after the suspension")
 	time.Sleep(testTTL) // long enough for a renewal without a read
 	assert.Assert(t, !first.elector.Valid(epoch), "the lease was renewed without a read")
-	path.faults(nil, nil)
+	connection.faults(nil, nil)
 	testwait.Until(t, "the lease of a is valid again", func() bool { return first.elector.Valid(epoch) })
 }
--- a/internal/leadership/overlap_test.go
+++ b/internal/leadership/overlap_test.go
@@ -45,21 +45,21 @@
 // claims, then accepts appends again while the leader's reads hang.
 func TestRenewalAfterAnotherClaimDoesNotExtendLease(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
-	first := join(t, path, "a", "a1")
+	connection := newFaultyLog(log)
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	epoch := first.lastTerm().Epoch
 	second := join(t, log, "b", "b1")
 	second.awaitHolder(t, "a1")
 	released := make(chan struct{})
 	defer close(released)
-	path.faults(appendsRefused, nil)
+	connection.faults(appendsRefused, nil)
 	refused := time.Now()
 	testwait.Until(t, "a still reads", func() bool { return first.elector.readSince(refused) > testTTL/2 })
-	path.faults(appendsRefused, readsHangUntil(released))
+	connection.faults(appendsRefused, readsHangUntil(released))
 	testwait.Until(t, "b leads", second.leads)
 	newer := second.lastTerm().Epoch
-	path.faults(nil, readsHangUntil(released))
+	connection.faults(nil, readsHangUntil(released))
 	found := overlap(first, second, epoch, newer, testTTL)
 	ctx, cancel := context.WithTimeout(t.Context(), testTTL)
 	defer cancel()
@@ -72,13 +72,13 @@
 // lease valid and its reads hang. Only the conditional append can reject its order.
 func TestNoPermitAfterSupersedingClaim(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
+	connection := newFaultyLog(log)
 	const address = "10.0.0.1:7000"
-	first := joinAt(t, path, "a", "a1", address)
+	first := joinAt(t, connection, "a", "a1", address)
 	testwait.Until(t, "a leads", first.leads)
 	released := make(chan struct{})
 	defer close(released)
-	path.faults(nil, readsHangUntil(released))
+	connection.faults(nil, readsHangUntil(released))
 	second := joinAt(t, log, "a", "a2", address)
 	testwait.Until(t, "the next process leads", second.leads)
 	assert.Assert(t, first.elector.Valid(first.lastTerm().Epoch), "the earlier lease ended too soon for this test")
@@ -90,27 +90,27 @@
 // lease counts from when the first claim was sent, since other nodes count from reading that one.
 func TestLeaseCountsFromEffectiveClaim(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
+	connection := newFaultyLog(log)
 	released, claimed := make(chan struct{}), make(chan struct{})
-	path.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
+	connection.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
 		_, err := call()
 		assert.Check(t, err)
-		path.faults(nil, readsHangUntil(released))
+		connection.faults(nil, readsHangUntil(released))
 		close(claimed)
 		return 0, eventlog.ErrOutcomeUnknown
 	}, nil)
-	first := join(t, path, "a", "a1")
+	first := join(t, connection, "a", "a1")
 	<-claimed
 	second := join(t, log, "b", "b1")
 	second.awaitHolder(t, "a1")
 	_, epoch := second.elector.Leader()
-	time.Sleep(testTTL - testTTL/10) // just before b may claim
-	path.faults(appendsRefused, nil) // so that a cannot renew
+	time.Sleep(testTTL - testTTL/10)       // just before b may claim
+	connection.faults(appendsRefused, nil) // so that a cannot renew
 	close(released)
 	first.awaitHolder(t, "a1")
 	never := make(chan struct{})
 	defer close(never)
-	path.faults(appendsRefused, readsHangUntil(never))
+	connection.faults(appendsRefused, readsHangUntil(never))
 	testwait.Until(t, "b leads", second.leads)
 	assert.Equal(t, overlap(first, second, epoch, second.lastTerm().Epoch, testTTL), 0,
 		"two leases valid at the same time, for about this many milliseconds")
@@ -120,14 +120,14 @@
 // until another node leads.
 func TestDelayedReadDoesNotExtendLease(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
-	first := join(t, path, "a", "a1")
+	connection := newFaultyLog(log)
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	epoch := first.lastTerm().Epoch
 	second := join(t, log, "b", "b1")
 	const delay = 3 * testTTL
-	path.faults(appendsRefused, readsAnsweredAfter(delay))
+	connection.faults(appendsRefused, readsAnsweredAfter(delay))
 	testwait.Until(t, "b leads", second.leads)
-	path.faults(nil, readsAnsweredAfter(delay))
+	connection.faults(nil, readsAnsweredAfter(delay))
 	assert.Equal(t, overlap(first, second, epoch, second.lastTerm().Epoch, delay), 0, "both hold the lease")
 }
--- a/internal/leadership/permit.go
+++ b/internal/leadership/permit.go
@@ -11,7 +11,7 @@
 )
 
 // errQuiet is returned when an order of another holder may recently have reached the engine.
-var errQuiet = errors.New("the quiet time after another holder's order is not over")
+var errQuiet = errors.New("the quiet period after another holder's order is not over")
 
 // Term is one term of leadership. It implements lease.Term.
 type Term struct {
--- a/internal/leadership/permit_test.go
+++ b/internal/leadership/permit_test.go
@@ -57,8 +57,8 @@
 	assert.Assert(t, !given.Open())
 }
 
-// TestPermitRefusedDuringQuietTime: another machine has recently sent an order to the engine.
-func TestPermitRefusedDuringQuietTime(t *testing.T) {
+// TestPermitRefusedDuringQuietPeriod: another machine has recently sent an order to the engine.
+func TestPermitRefusedDuringQuietPeriod(t *testing.T) {
 	log := memlog.New()
 	first := join(t, log, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
@@ -75,15 +75,15 @@
 // TestConcurrentOrdersShareRecords guards against one append for each order, which is slow when the log is.
 func TestConcurrentOrdersShareRecords(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
+	connection := newFaultyLog(log)
 	const pause = 50 * time.Millisecond
 	var appends atomic.Int64
-	path.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
+	connection.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
 		appends.Add(1)
 		time.Sleep(pause)
 		return call()
 	}, nil)
-	first := join(t, path, "a", "a1")
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	before := appends.Load()
 	const orders = 100
@@ -126,10 +126,10 @@
 
 // TestRecordIsAcceptedOnceReadBack: the next record must not wait for the timeout of a lost answer.
 func TestRecordIsAcceptedOnceReadBack(t *testing.T) {
-	path := newFaultyLog(memlog.New())
-	first := join(t, path, "a", "a1")
+	connection := newFaultyLog(memlog.New())
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
-	path.faults(appendsUnanswered, nil)
+	connection.faults(appendsUnanswered, nil)
 	began := time.Now()
 	first.permit(t, "engine")
 	assert.Assert(t, time.Since(began) < recordTimeout, "the order waited for a timeout: %s", time.Since(began))
--- a/internal/leadership/randomfaults_test.go
+++ b/internal/leadership/randomfaults_test.go
@@ -185,8 +185,8 @@
 type arrival struct {
 	engine, node string
 	epoch        int64
-	// left is when the order was sent, at when it arrived.
-	left, at time.Time
+	// sentAt is when the order was sent, arrivedAt when it arrived.
+	sentAt, arrivedAt time.Time
 }
 
 // validPeriod is the period in which a lease was observed to be valid.
@@ -208,24 +208,24 @@
 }
 
 // process starts a process on a machine. stop ends it, and releases its lease before if planned is true.
-func (h *faultRun) process(link *faultyMachine, node string, number int, seed uint64) (stop func(planned bool)) {
+func (h *faultRun) process(machine *faultyMachine, node string, number int, seed uint64) (stop func(planned bool)) {
 	random := rand.New(rand.NewPCG(seed, uint64(number)))
 	ctx, cancel := context.WithCancel(context.Background())
 	holder := fmt.Sprintf("%s-%d", node, number)
-	var dead atomic.Bool
+	var ended atomic.Bool
 	var elector *Elector
-	elector = New(link, Options{
+	elector = New(machine, Options{
 		Holder: holder, Node: node, Address: node + ":7000", TTL: h.ttl, Quiet: h.quiet, EnginesFence: h.fence, Logger: zerolog.Nop(),
 	}, func(ctx context.Context, term Term) {
 		var orders sync.WaitGroup
 		for i := range 4 {
 			seed := random.Uint64()
-			orders.Go(func() { h.order(ctx, &dead, term, node, holder, fmt.Sprint("e", i), rand.New(rand.NewPCG(seed, 1))) })
+			orders.Go(func() { h.order(ctx, &ended, term, node, holder, fmt.Sprint("e", i), rand.New(rand.NewPCG(seed, 1))) })
 		}
 		orders.Go(func() { h.sample(ctx, elector, term.Epoch) })
 		orders.Wait()
 	})
-	elector.now = link.now
+	elector.now = machine.now
 	h.wait.Go(func() { _ = elector.Run(ctx) })
 	return func(planned bool) {
 		if planned {
@@ -233,13 +233,13 @@
 			elector.Stop(stopping)
 			done()
 		}
-		dead.Store(true)
+		ended.Store(true)
 		cancel()
 	}
 }
 
 // order repeatedly sends orders to an engine while the term lasts.
-func (h *faultRun) order(ctx context.Context, dead *atomic.Bool, term Term, node, holder, engine string, random *rand.Rand) {
+func (h *faultRun) order(ctx context.Context, ended *atomic.Bool, term Term, node, holder, engine string, random *rand.Rand) {
 	for ctx.Err() == nil {
 		permit, err := term.Permit(ctx, engine)
 		if err == nil {
@@ -247,12 +247,12 @@
 			if random.IntN(2) == 0 {
 				time.Sleep(time.Duration(300+random.IntN(250)) * time.Millisecond)
 			}
-			left := boottime.Now()
-			if permit.Open() && !dead.Load() {
+			sentAt := boottime.Now()
+			if permit.Open() && !ended.Load() {
 				h.mu.Lock()
 				h.arrivals = append(h.arrivals, arrival{
-					engine: engine, node: node, epoch: term.Epoch, left: left,
-					at: left.Add(time.Duration(random.IntN(2)*random.IntN(500)) * time.Millisecond),
+					engine: engine, node: node, epoch: term.Epoch, sentAt: sentAt,
+					arrivedAt: sentAt.Add(time.Duration(random.IntN(2)*random.IntN(500)) * time.Millisecond),
 				})
 				if known := h.holders[term.Epoch]; known != "" && known != holder {
 					h.t.Errorf("token %d has two holders: %s and %s", term.Epoch, known, holder)
@@ -286,7 +286,7 @@
 }
 
 // check verifies the invariants and returns the shortest time between orders of two machines to one engine.
-func (h *faultRun) check(tolerance time.Duration) (worst time.Duration) {
+func (h *faultRun) check(tolerance time.Duration) (shortest time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for a, one := range h.valid {
@@ -296,8 +296,8 @@
 			}
 		}
 	}
-	worst = time.Hour
-	sort.Slice(h.arrivals, func(i, j int) bool { return h.arrivals[i].at.Before(h.arrivals[j].at) })
+	shortest = time.Hour
+	sort.Slice(h.arrivals, func(i, j int) bool { return h.arrivals[i].arrivedAt.Before(h.arrivals[j].arrivedAt) })
 	latest := make(map[string]arrival)
 	for _, each := range h.arrivals {
 		before, found := latest[each.engine]
@@ -308,18 +308,18 @@
 		if each.epoch < before.epoch {
 			h.t.Errorf("%s: token %d of %s arrives after %d of %s", each.engine, each.epoch, each.node, before.epoch, before.node)
 		}
-		if gap := each.at.Sub(before.at); each.node != before.node {
-			worst = min(worst, gap)
+		if gap := each.arrivedAt.Sub(before.arrivedAt); each.node != before.node {
+			shortest = min(shortest, gap)
 			if !h.fence && gap < h.quiet-tolerance {
 				h.t.Errorf("%s: order of %s (%d) arrives %s after that of %s (%d)", each.engine, each.node, each.epoch, gap, before.node, before.epoch)
 			}
 		}
 	}
-	return worst
+	return shortest
 }
 
 // run starts three machines, injects faults into each independently, and waits for all to end.
-func (h *faultRun) run(seed uint64, lasting time.Duration, rates float64, trims bool) {
+func (h *faultRun) run(seed uint64, lasting time.Duration, clockRate float64, trims bool) {
 	random := rand.New(rand.NewPCG(seed, 99))
 	h.valid, h.holders, h.log = make(map[int64]*validPeriod), make(map[int64]string), memlog.New()
 	appends := []logFault{noFault, noFault, refused, answerLost, hanging, takesEffectLate, slow, anyFault, anyFault}
@@ -329,37 +329,37 @@
 	for i := range 3 {
 		node := fmt.Sprint("n", i)
 		seed := random.Uint64()
-		link := &faultyMachine{
-			log: h.log, rate: rates * float64(i-1), origin: boottime.Now(), random: rand.New(rand.NewPCG(seed, 5)),
+		machine := &faultyMachine{
+			log: h.log, rate: clockRate * float64(i-1), origin: boottime.Now(), random: rand.New(rand.NewPCG(seed, 5)),
 			appends: noFault, reads: noFault, changed: make(chan struct{}),
 		}
 		machines.Go(func() {
 			own := rand.New(rand.NewPCG(seed, 6))
 			number := 1
-			stop := h.process(link, node, number, seed)
+			stop := h.process(machine, node, number, seed)
 			for time.Now().Before(end) {
 				time.Sleep(time.Duration(50+own.IntN(500)) * time.Millisecond)
 				switch own.IntN(14) {
 				case 0: // restart after a kill or a planned stop
 					stop(own.IntN(2) == 0)
 					number++
-					stop = h.process(link, node, number, seed)
+					stop = h.process(machine, node, number, seed)
 				case 1, 2: // freeze
-					link.frozen.Lock()
+					machine.frozen.Lock()
 					time.Sleep(time.Duration(own.IntN(1500)) * time.Millisecond)
-					link.frozen.Unlock()
+					machine.frozen.Unlock()
 				case 3, 4, 5, 6:
-					link.setFaults(noFault, noFault)
+					machine.setFaults(noFault, noFault)
 				case 7:
 					if trims {
 						name := eventlog.Partition{Topic: topic}
 						h.log.Trim(name, h.log.End(name)-int64(own.IntN(3)))
 					}
 				default:
-					link.setFaults(appends[own.IntN(len(appends))], reads[own.IntN(len(reads))])
+					machine.setFaults(appends[own.IntN(len(appends))], reads[own.IntN(len(reads))])
 				}
 			}
-			link.setFaults(noFault, noFault)
+			machine.setFaults(noFault, noFault)
 			stop(false)
 		})
 	}
@@ -368,7 +368,7 @@
 }
 
 // TestRandomFaults checks that leases do not overlap, that each token has one holder, that tokens do not decrease, and
-// that orders of two machines are separated by the quiet time. Machines freeze, restart and have skewed clocks; the log
+// that orders of two machines are separated by the quiet period. Machines freeze, restart and have skewed clocks; the log
 // rejects, loses, delays and trims records.
 func TestRandomFaults(t *testing.T) {
 	lasting := time.Duration(*faultSeconds) * time.Second
@@ -389,8 +389,8 @@
 				h := &faultRun{t: t, ttl: c.ttl, quiet: c.quiet}
 				h.run(seed, lasting, c.rates, c.trims)
 				tolerance := time.Duration(2*c.rates*float64(c.quiet+arrivalTime)) + time.Millisecond
-				worst := h.check(tolerance)
-				t.Logf("%d orders, %d terms with a lease, shortest time between orders of two machines %s", len(h.arrivals), len(h.valid), worst)
+				shortest := h.check(tolerance)
+				t.Logf("%d orders, %d terms with a lease, shortest time between orders of two machines %s", len(h.arrivals), len(h.valid), shortest)
 			})
 		}
 	}
--- a/internal/leadership/trim_test.go
+++ b/internal/leadership/trim_test.go
@@ -32,11 +32,11 @@
 // cut off from the log but its lease is still valid.
 func TestStartingNodeDoesNotClaimAfterTrim(t *testing.T) {
 	log := memlog.New()
-	path := newFaultyLog(log)
-	first := join(t, path, "a", "a1")
+	connection := newFaultyLog(log)
+	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	epoch := first.lastTerm().Epoch
-	path.refuse(true)
+	connection.refuse(true)
 	trimAll(log)
 	second := join(t, log, "b", "b1")
 	assertNoOverlap(t, first, second, epoch)
--- a/internal/sendgate/sendgate_test.go
+++ b/internal/sendgate/sendgate_test.go
@@ -35,7 +35,7 @@
 }
 
 // Guards against sending while the engine's zone may be evacuated.
-func TestMayLeaveWhileEvacuationsAreUnknown(t *testing.T) {
+func TestMaySendWhileEvacuationsAreUnknown(t *testing.T) {
 	known, engine := engineInZone("za")
 	var learned atomic.Bool
 	gate := New(Options{Fleet: known, Known: learned.Load})
@@ -49,7 +49,7 @@
 }
 
 // Guards against a wait that outlasts the caller's context.
-func TestAwaitKnownWithCancelledContext(t *testing.T) {
+func TestAwaitKnownWithCanceledContext(t *testing.T) {
 	known, _ := engineInZone("za")
 	gate := New(Options{Fleet: known, Known: func() bool { return false }})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -58,7 +58,7 @@
 }
 
 // Guards against requests to a cold engine that was warm when it was chosen.
-func TestMayLeaveWithoutPermitAfterEngineTurnedCold(t *testing.T) {
+func TestMaySendWithoutPermitAfterEngineTurnedCold(t *testing.T) {
 	known, engine := engineInZone("za")
 	known.SetSlowStarts(map[string]routes.SlowStart{"s": {Period: time.Hour, RatePerSecond: 4}})
 	gate := New(Options{Fleet: known})
@@ -71,7 +71,7 @@
 }
 
 // Guards against a permit that does not expire or that overrides an evacuation.
-func TestMayLeaveWithPermitForColdEngine(t *testing.T) {
+func TestMaySendWithPermitForColdEngine(t *testing.T) {
 	known, engine := engineInZone("za")
 	var open atomic.Bool
 	open.Store(true)
--- a/internal/weightorders/evacuation_test.go
+++ b/internal/weightorders/evacuation_test.go
@@ -36,17 +36,17 @@
 	}
 }
 
-func (z *evacuationRecorder) Report(ctx context.Context, engine fleet.Engine, mayLeave func() bool) (Report, error) {
+func (z *evacuationRecorder) Report(ctx context.Context, engine fleet.Engine, maySend func() bool) (Report, error) {
 	if z.blocked != nil && engine.Zone == "za" {
 		defer z.ended.Add(1)
 		z.blocked <- engine.ID
 		<-z.release
 	}
-	if !mayLeave() {
+	if !maySend() {
 		return Report{}, errors.New("not permitted")
 	}
 	z.record(engine, "report")
-	return z.Engines.Report(ctx, engine, mayLeave)
+	return z.Engines.Report(ctx, engine, maySend)
 }
 
 // Order checks whether the order may be sent, as a real client does.
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -112,9 +112,9 @@
 
 // Engines is a client of the engines.
 type Engines interface {
-	// Report requests an engine's report. mayLeave is called from any goroutine right before the request is sent
+	// Report requests an engine's report. maySend is called from any goroutine right before the request is sent
 	// and reports whether it may still be sent.
-	Report(ctx context.Context, engine fleet.Engine, mayLeave func() bool) (Report, error)
+	Report(ctx context.Context, engine fleet.Engine, maySend func() bool) (Report, error)
 	// Order sends an order to an engine.
 	Order(ctx context.Context, engine fleet.Engine, order Order) (Answer, error)
 }
