--- a/internal/cluster/announce.go
+++ b/internal/cluster/announce.go
@@ -58,8 +58,8 @@
 
 func loadChanged(a cellState, b message.CellDigest) bool {
 	step := b.Slots/loadChangeDivisor + 1
-	moved := max(a.Running-b.Running, b.Running-a.Running) >= step
-	return moved || max(a.Queued-b.Queued, b.Queued-a.Queued) >= step || (a.Queued == 0) != (b.Queued == 0)
+	runningChanged := max(a.Running-b.Running, b.Running-a.Running) >= step
+	return runningChanged || max(a.Queued-b.Queued, b.Queued-a.Queued) >= step || (a.Queued == 0) != (b.Queued == 0)
 }
 
 // refreshOwnCells updates the own record if cell loads have changed, and drops cells that were not announced
@@ -88,7 +88,7 @@
 	return true
 }
 
-// setOwnCells updates the cells in the own record.
+// setOwnCells updates the cells in the own record. Must be called with mu held.
 func (c *Cluster) setOwnCells(now time.Time) {
 	cells := make([]cellState, 0, len(c.own))
 	for _, cell := range c.own {
--- a/internal/cluster/cells.go
+++ b/internal/cluster/cells.go
@@ -137,8 +137,8 @@
 		return // common case; avoids scanning all cells
 	}
 	s.retain(func(digest message.CellDigest, at time.Time) bool {
-		_, stays := listed[digest.Cell]
-		return stays || digest.Node != update.ID || now.Sub(at) < unlistedCellMinAge
+		_, isListed := listed[digest.Cell]
+		return isListed || digest.Node != update.ID || now.Sub(at) < unlistedCellMinAge
 	})
 }
 
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -45,7 +45,7 @@
 	lastContact    map[string]string              // address that last responded, by zone
 	answeredSeeds  map[string]bool                // seeds that have responded
 	logContact     time.Time
-	engines        engineState
+	engines        engineListState
 	schedule       schedule
 	pushSelf       bool // push the own record to all members of the zone
 	pushSelfRemote bool // also push it to the other zones
--- a/internal/cluster/enginelist.go
+++ b/internal/cluster/enginelist.go
@@ -22,8 +22,8 @@
 	pollersPerZone = 2
 )
 
-// engineState is the engine list of the zone as known to this node.
-type engineState struct {
+// engineListState is the engine list of the zone as known to this node.
+type engineListState struct {
 	list []EngineMachine // sorted by ID; replaced, never modified
 	hash uint64
 	// confirmedAt is the time at which a node of the zone last read this list from the platform; zero if no
@@ -65,14 +65,14 @@
 	return digest.Sum64()
 }
 
-func (e *engineState) stamp(now time.Time) engineStamp {
+func (e *engineListState) stamp(now time.Time) engineStamp {
 	if e.confirmedAt.IsZero() {
 		return engineStamp{Age: -1}
 	}
 	return engineStamp{Hash: e.hash, Age: max(0, now.Sub(e.confirmedAt).Milliseconds())}
 }
 
-func (e *engineState) pollPeriods() int {
+func (e *engineListState) pollPeriods() int {
 	if e.failing {
 		return pollPeriodsFailing
 	}
@@ -80,13 +80,13 @@
 }
 
 // replace sets the list that was current at the given time.
-func (e *engineState) replace(list []EngineMachine, hash uint64, at time.Time) {
+func (e *engineListState) replace(list []EngineMachine, hash uint64, at time.Time) {
 	e.list, e.hash, e.confirmedAt = list, hash, at
 	e.wanted = false
 }
 
 // diff returns the changes that lead to the next list.
-func (e *engineState) diff(next []EngineMachine) *engineDelta {
+func (e *engineListState) diff(next []EngineMachine) *engineDelta {
 	delta := &engineDelta{Base: e.hash}
 	for _, engine := range next {
 		at, known := slices.BinarySearchFunc(e.list, engine, compareEngines)
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, engine := range e.list {
-		if _, stays := slices.BinarySearchFunc(next, engine, compareEngines); !stays {
+		if _, found := slices.BinarySearchFunc(next, engine, compareEngines); !found {
 			delta.Removed = append(delta.Removed, engine.ID)
 		}
 	}
@@ -137,11 +137,11 @@
 }
 
 // mergeEngines merges the stamp and the optional list of a response. Must be called with mu held.
-func (c *Cluster) mergeEngines(list []EngineMachine, stamp engineStamp, askedAt time.Time) {
+func (c *Cluster) mergeEngines(list []EngineMachine, stamp engineStamp, requestedAt time.Time) {
 	if stamp.Age < 0 {
 		return
 	}
-	at := askedAt.Add(-time.Duration(stamp.Age) * time.Millisecond)
+	at := requestedAt.Add(-time.Duration(stamp.Age) * time.Millisecond)
 	if !at.After(c.engines.confirmedAt) {
 		return
 	}
@@ -171,7 +171,7 @@
 func (c *Cluster) pollMachines(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	list, err := c.options.Machines.List(ctx)
 	c.mu.Lock()
 	c.engines.failing = err != nil
@@ -180,7 +180,7 @@
 		c.options.Logger.Debug().Err(err).Msg("reading the machine list failed; keeping the last list")
 		return
 	}
-	delta, members := c.applyMachineList(list, askedAt)
+	delta, members := c.applyMachineList(list, requestedAt)
 	if delta == nil {
 		return
 	}
@@ -191,7 +191,7 @@
 
 // applyMachineList sets a list read from the platform. It returns the delta and the members to push it to,
 // or nil if nothing changed.
-func (c *Cluster) applyMachineList(list machines.List, askedAt time.Time) (*engineDelta, []string) {
+func (c *Cluster) applyMachineList(list machines.List, requestedAt time.Time) (*engineDelta, []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, machine := range list.Machines {
@@ -202,15 +202,15 @@
 	next := c.zoneEngines(list)
 	hash := hashEngines(next)
 	known := !c.engines.confirmedAt.IsZero()
-	if !askedAt.After(c.engines.confirmedAt) {
+	if !requestedAt.After(c.engines.confirmedAt) {
 		return nil, nil
 	}
 	if known && hash == c.engines.hash {
-		c.engines.confirmedAt = askedAt
+		c.engines.confirmedAt = requestedAt
 		return nil, nil
 	}
 	delta := c.engines.diff(next)
-	c.engines.replace(next, hash, askedAt)
+	c.engines.replace(next, hash, requestedAt)
 	delta.Stamp = c.engines.stamp(time.Now())
 	return delta, c.liveMembers()
 }
@@ -239,9 +239,9 @@
 		return
 	}
 	c.mu.Lock()
-	whole := &engineDelta{Stamp: c.engines.stamp(time.Now()), Changed: c.engines.list}
+	complete := &engineDelta{Stamp: c.engines.stamp(time.Now()), Changed: c.engines.list}
 	c.mu.Unlock()
-	_, _ = c.gossip(ctx, address, outgoing{content: payload{Delta: whole}})
+	_, _ = c.gossip(ctx, address, outgoing{content: payload{Delta: complete}})
 }
 
 // Engines implements EngineList. Only engines of the local zone are known; an empty zone selects it, any
--- a/internal/cluster/lost_zone_test.go
+++ b/internal/cluster/lost_zone_test.go
@@ -59,7 +59,7 @@
 
 // Disables remote pulls, so that only the zone check can detect the partition.
 func TestStaleLogContactTriggersZoneCheck(t *testing.T) {
-	// With this interval a silent zone counts as reachable for 45 s.
+	// With this interval a zone counts as reachable for 45 s after its last contact.
 	const interval = 1500 * time.Millisecond
 	node := startNode(t, testSettings{id: "near-n0", zone: "near", interval: interval})
 	var rest []*testNode
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -141,11 +141,11 @@
 // observeLogAge records the log contact of a response. The age is counted from the time of the request, so
 // that a response read late, after a pause of this process, never dates the contact too late. Must be called
 // with mu held.
-func (c *Cluster) observeLogAge(age logAge, askedAt time.Time) {
+func (c *Cluster) observeLogAge(age logAge, requestedAt time.Time) {
 	if age < 0 {
 		return
 	}
-	contact := askedAt.Add(-time.Duration(age) * time.Millisecond)
+	contact := requestedAt.Add(-time.Duration(age) * time.Millisecond)
 	if contact.After(c.logContact) {
 		c.logContact = contact
 	}
--- a/internal/cluster/remote.go
+++ b/internal/cluster/remote.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// failuresZoneUnreachable is the number of consecutive failed contacts after which a zone counts as
+// zoneUnreachableFailures is the number of consecutive failed contacts after which a zone counts as
 // unreachable.
-const failuresZoneUnreachable = 2
+const zoneUnreachableFailures = 2
 
-// failuresZoneLost is the number of consecutive failed contacts after which the nodes of a zone are no
+// zoneLostFailures is the number of consecutive failed contacts after which the nodes of a zone are no
 // longer listed as members. It is higher, since work is then moved to other zones.
-const failuresZoneLost = 6
+const zoneLostFailures = 6
 
 // confirmationContacts is the number of other nodes of a zone that are contacted after one failed to
 // respond.
@@ -201,9 +201,9 @@
 
 // zoneReachable reports whether another zone is currently reachable.
 func (c *Cluster) zoneReachable(zone *zoneRecords, now time.Time) bool {
-	return zone.failures < failuresZoneUnreachable && now.Sub(zone.lastContactAt) < c.reachableTimeout()
+	return zone.failures < zoneUnreachableFailures && now.Sub(zone.lastContactAt) < c.reachableTimeout()
 }
 
 // zoneLost reports whether all recent contacts of the zone failed, as in a power loss or a network
 // partition. Its records are kept for Reachability.
-func (c *Cluster) zoneLost(zone *zoneRecords) bool { return zone.failures >= failuresZoneLost }
+func (c *Cluster) zoneLost(zone *zoneRecords) bool { return zone.failures >= zoneLostFailures }
--- a/internal/cluster/sync.go
+++ b/internal/cluster/sync.go
@@ -36,7 +36,7 @@
 	out.request.From = c.sender()
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	if err := c.call(ctx, address, peer.MethodGossip, &out.request, &response); err != nil {
 		return response, err
 	}
@@ -44,7 +44,7 @@
 	if err != nil {
 		return response, err
 	}
-	c.mergeResponse(response, content, address, askedAt)
+	c.mergeResponse(response, content, address, requestedAt)
 	return response, nil
 }
 
@@ -62,7 +62,7 @@
 }
 
 // mergeResponse merges the response of the node at address.
-func (c *Cluster) mergeResponse(response gossipResponse, content payload, address string, askedAt time.Time) {
+func (c *Cluster) mergeResponse(response gossipResponse, content payload, address string, requestedAt time.Time) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,14 +70,14 @@
 		c.answeredSeeds[address] = true
 	}
 	c.observeSender(response.From, now)
-	c.observeLogAge(response.LogAge, askedAt)
+	c.observeLogAge(response.LogAge, requestedAt)
 	for _, shared := range content.Contacts {
 		c.addContact(shared.Zone, shared.Address)
 	}
 	if response.From.Zone == c.self.Zone {
 		c.node.Merge(content.Updates)
 		c.outbox = append(c.outbox, c.drainReady(now)...)
-		c.mergeEngines(content.Engines, response.Engines, askedAt)
+		c.mergeEngines(content.Engines, response.Engines, requestedAt)
 	} else {
 		c.addContact(response.From.Zone, address)
 		c.removeGone(response.From.Zone, response.Gone, now)
@@ -105,7 +105,7 @@
 	}
 }
 
-// zone returns the records of a zone, creating them if needed.
+// zone returns the records of a zone, creating them if needed. Must be called with mu held.
 func (c *Cluster) zone(name string) *zoneRecords {
 	zone := c.zones[name]
 	if zone == nil {
@@ -136,7 +136,7 @@
 	return accepted
 }
 
-// removeGone removes processes that are no longer known to a node of their own zone.
+// removeGone removes processes that are no longer known to a node of their own zone. Must be called with mu held.
 func (c *Cluster) removeGone(zone string, gone []recordKey, now time.Time) {
 	for _, key := range gone {
 		if held, known := c.zone(zone).remove(key, now); known {
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -27,7 +27,7 @@
 	Address string      `json:"address"` // peer address
 	Zone    string      `json:"zone"`
 	State   MemberState `json:"state"`
-	// TableRevision is the last known table revision in force on the node.
+	// TableRevision is the last known active table revision of the node.
 	TableRevision int64 `json:"table_revision"`
 	// Owned lists the streams (ledgers, models) that the node owns, with their epochs.
 	Owned []Ownership `json:"owned,omitempty"`
--- a/internal/cluster/wire.go
+++ b/internal/cluster/wire.go
@@ -63,7 +63,7 @@
 	Writer  string
 	Zone    string
 	Address string
-	// Revision is the table revision in force on the sender.
+	// Revision is the sender's active table revision.
 	Revision int64
 }
 
--- a/internal/cluster/zonecheck.go
+++ b/internal/cluster/zonecheck.go
@@ -15,7 +15,7 @@
 	zoneCheckInterval = 8 * time.Second
 	// zoneCheckContacts is the number of nodes contacted in each zone, sufficient to count it as
 	// unreachable.
-	zoneCheckContacts = failuresZoneUnreachable
+	zoneCheckContacts = zoneUnreachableFailures
 )
 
 // zoneCheckDue reports whether a zone check is due and, if so, schedules the next. Must be called with mu
--- a/internal/common/connlost/connlost_test.go
+++ b/internal/common/connlost/connlost_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestIsRecognizesConnectionsClosedByPeer(t *testing.T) {
+func TestClosedByPeerRecognizesClosedConnections(t *testing.T) {
 	for _, lost := range []error{
 		io.EOF, io.ErrUnexpectedEOF, errors.Wrap(io.EOF, "read"),
 		&net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)},
--- a/internal/common/cooldown/cooldown.go
+++ b/internal/common/cooldown/cooldown.go
@@ -20,19 +20,19 @@
 func New() *Set { return &Set{until: make(map[string]time.Time)} }
 
 // Start pauses a peer for the period.
-func (p *Set) Start(peer string, period time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *Set) Start(peer string, period time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	if len(p.until) >= pruneThreshold {
-		maps.DeleteFunc(p.until, func(_ string, until time.Time) bool { return !now.Before(until) })
+	if len(s.until) >= pruneThreshold {
+		maps.DeleteFunc(s.until, func(_ string, until time.Time) bool { return !now.Before(until) })
 	}
-	p.until[peer] = now.Add(period)
+	s.until[peer] = now.Add(period)
 }
 
 // Active reports whether a peer is paused.
-func (p *Set) Active(peer string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return time.Now().Before(p.until[peer])
+func (s *Set) Active(peer string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return time.Now().Before(s.until[peer])
 }
--- a/internal/common/suspension/suspension.go
+++ b/internal/common/suspension/suspension.go
@@ -39,32 +39,32 @@
 }
 
 // New returns a Detector. Run must be running for the detection to work.
-func New() *Detector { return newWatch(clocks{wall: time.Now, boot: boottime.Now}) }
+func New() *Detector { return newDetector(clocks{wall: time.Now, boot: boottime.Now}) }
 
-func newWatch(clocks clocks) *Detector {
-	w := &Detector{clocks: clocks, lastTickBoot: clocks.boot()}
+func newDetector(clocks clocks) *Detector {
+	d := &Detector{clocks: clocks, lastTickBoot: clocks.boot()}
 	now := clocks.wall()
-	w.lastTickWall.Store(&now)
-	w.resumedAt.Store(&time.Time{})
-	return w
+	d.lastTickWall.Store(&now)
+	d.resumedAt.Store(&time.Time{})
+	return d
 }
 
 // Run ticks until ctx ends.
-func (w *Detector) Run(ctx context.Context) error {
+func (d *Detector) Run(ctx context.Context) error {
 	for retry.Sleep(ctx, tickInterval) {
-		w.tick(w.clocks.wall())
+		d.tick(d.clocks.wall())
 	}
 	return nil
 }
 
 // ResumedAt returns the time, by package boottime, at which the last suspension ended; zero if there was none.
 // The first call after a suspension detects it, even before the ticker runs.
-func (w *Detector) ResumedAt() time.Time {
-	now := w.clocks.wall()
-	if lastTick := *w.lastTickWall.Load(); isLate(lastTick, now) {
-		w.tick(now)
+func (d *Detector) ResumedAt() time.Time {
+	now := d.clocks.wall()
+	if lastTick := *d.lastTickWall.Load(); isLate(lastTick, now) {
+		d.tick(now)
 	}
-	return *w.resumedAt.Load()
+	return *d.resumedAt.Load()
 }
 
 // isLate reports whether a tick is due by the monotonic or the wall clock. Neither is reliable alone: the
@@ -74,13 +74,13 @@
 }
 
 // tick records that the process is running, and detects a suspension since the last tick.
-func (w *Detector) tick(now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	boot := w.clocks.boot()
-	if boot.Sub(w.lastTickBoot) >= minSuspension {
-		w.resumedAt.Store(&boot)
+func (d *Detector) tick(now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	boot := d.clocks.boot()
+	if boot.Sub(d.lastTickBoot) >= minSuspension {
+		d.resumedAt.Store(&boot)
 	}
-	w.lastTickBoot = boot
-	w.lastTickWall.Store(&now)
+	d.lastTickBoot = boot
+	d.lastTickWall.Store(&now)
 }
--- a/internal/common/suspension/suspension_test.go
+++ b/internal/common/suspension/suspension_test.go
@@ -11,7 +11,7 @@
 type testClocks struct{ wall, boot time.Time }
 
 func (c *testClocks) watch() *Detector {
-	return newWatch(clocks{wall: func() time.Time { return c.wall }, boot: func() time.Time { return c.boot }})
+	return newDetector(clocks{wall: func() time.Time { return c.wall }, boot: func() time.Time { return c.boot }})
 }
 
 func (c *testClocks) advance(wall, boot time.Duration) {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -74,6 +74,7 @@
 	logger  zerolog.Logger
 
 	// The fields from here to classOf are used by Run's goroutine only, except for replica and loaded.
+
 	// offsets holds the offset of the newest handled record of each key.
 	offsets map[string]int64
 	next    int64
@@ -93,7 +94,7 @@
 	classOf func(eventlog.KeyedRecord) string
 
 	mu sync.Mutex
-	// reloads are closed after the next full read.
+	// reloads holds the channels that are closed after the next full read.
 	reloads []chan struct{}
 }
 
@@ -179,9 +180,9 @@
 		if ctx.Err() != nil {
 			break
 		}
-		var gone *eventlog.TrimmedError
-		if errors.As(err, &gone) {
-			f.logger.Info().Int64("offset", f.next).Int64("first_kept", gone.First).
+		var trimmed *eventlog.TrimmedError
+		if errors.As(err, &trimmed) {
+			f.logger.Info().Int64("offset", f.next).Int64("first_kept", trimmed.First).
 				Msg("topic history lost, reading in full")
 			f.fullReads.force()
 			continue
@@ -205,7 +206,8 @@
 	return delay + rand.N(longest)
 }
 
-// readDelay returns the time until the next read; zero if the answer is stale because the process was suspended.
+// readDelay returns the time until the next read; zero if the data are already stale because the process was
+// suspended.
 func (f *Follower) readDelay() time.Duration {
 	if f.Age() >= StaleAge {
 		return 0
@@ -265,8 +267,9 @@
 	return period - time.Duration(rand.Float64()*refreshJitter*float64(period))
 }
 
-// refresh makes a full read. A missing key was deleted, unless its record is newer than the read, or could not be
-// read and has no key. If all is true, records that were handled before are passed to the handler again.
+// refresh makes a full read. A known key that it lacks was deleted, unless the newest handled record of the key is
+// newer than the read; the empty key stands for undecodable records and is skipped. If all is true, records that were
+// handled before are passed to the handler again.
 func (f *Follower) refresh(ctx context.Context, all bool) error {
 	sent := f.now()
 	batch, err := f.log.Newest(ctx, f.topic)
--- a/internal/follow/replica.go
+++ b/internal/follow/replica.go
@@ -117,8 +117,8 @@
 	r.deleted = 0
 }
 
-// advance records that the replica holds everything below next as of the given time. Records beyond the size limit
-// of a read follow with the next one, after a read gap.
+// advance records that the replica holds all records below next, and counts as up to date at the given time. A read
+// that reached its size limit left out newer records; the next read, readGap later, returns them.
 func (r *Replica) advance(next int64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/follow/replica_test.go
+++ b/internal/follow/replica_test.go
@@ -82,9 +82,9 @@
 		offset++
 	}
 	replica.advance(offset, boottime.Now())
-	var gone *eventlog.TrimmedError
+	var trimmed *eventlog.TrimmedError
 	_, _, err := replica.Read(t.Context(), 5, 0, nil)
-	assert.Assert(t, errors.As(err, &gone), "%v", err)
+	assert.Assert(t, errors.As(err, &trimmed), "%v", err)
 	_, _, err = replica.Read(t.Context(), offset, 0, nil)
 	assert.NilError(t, err)
 }
--- a/internal/follow/stale_test.go
+++ b/internal/follow/stale_test.go
@@ -25,7 +25,7 @@
 	return l.Log.Newest(ctx, topic)
 }
 
-// TestFullReadOfStaleReplicaRestoresNoDeletedKey guards against a deleted key that reappears for good, since its
+// TestFullReadOfStaleReplicaRestoresNoDeletedKey guards against a deleted key that reappears permanently, since its
 // deletion is not read again.
 func TestFullReadOfStaleReplicaRestoresNoDeletedKey(t *testing.T) {
 	log := &staleReadLog{Log: memlog.New()}
--- a/internal/keyed/shard.go
+++ b/internal/keyed/shard.go
@@ -213,8 +213,8 @@
 	s.release(key, late.Offset)
 }
 
-// release appends a release of the intent. The key stays in executions until the release is read back, which may
-// take long.
+// release appends a release of the intent, after which the key can be used again: its request did not run. The key
+// stays in executions until the release is read back, which may take long.
 func (s *shard) release(key string, intentOffset int64) {
 	ctx, cancel := s.logContext()
 	defer cancel()
--- a/internal/logrelay/abandoned_test.go
+++ b/internal/logrelay/abandoned_test.go
@@ -39,7 +39,7 @@
 	assert.Equal(t, log.End(partition), int64(0), "an abandoned call was made")
 }
 
-// delayedBody is a request body that has been received, but is handed out only after resume is closed.
+// delayedBody is a request body that has been received, but is returned to its reader only after resume is closed.
 type delayedBody struct {
 	io.ReadCloser
 	resume <-chan struct{}
--- a/internal/logrelay/bootstrap.go
+++ b/internal/logrelay/bootstrap.go
@@ -103,9 +103,9 @@
 func (d *Directory) locateEnd(ctx context.Context, partition eventlog.Partition) error {
 	state := &d.bootstrap
 	batch, err := d.log.Read(ctx, partition, 0, endBytes, state.readWait)
-	var gone *eventlog.TrimmedError
-	if errors.As(err, &gone) {
-		batch, err = d.log.Read(ctx, partition, gone.First, endBytes, state.readWait)
+	var trimmed *eventlog.TrimmedError
+	if errors.As(err, &trimmed) {
+		batch, err = d.log.Read(ctx, partition, trimmed.First, endBytes, state.readWait)
 	}
 	if err != nil {
 		return err
@@ -124,9 +124,9 @@
 	first = from
 	for next := from; next < to; {
 		batch, err := d.log.Read(ctx, partition, next, backwardReadBytes, d.bootstrap.readWait)
-		var gone *eventlog.TrimmedError
-		if errors.As(err, &gone) && gone.First > next {
-			next = min(gone.First, to)
+		var trimmed *eventlog.TrimmedError
+		if errors.As(err, &trimmed) && trimmed.First > next {
+			next = min(trimmed.First, to)
 			first, members = next, nil
 			continue
 		}
--- a/internal/logrelay/client.go
+++ b/internal/logrelay/client.go
@@ -25,7 +25,7 @@
 
 var _ eventlog.Log = (*relayClient)(nil)
 
-func (p *relayClient) call(ctx context.Context, call request) (response, error) {
+func (c *relayClient) call(ctx context.Context, call request) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Wait+callTimeout)
 	defer cancel()
 	post := msgpackhttp.Call
@@ -34,35 +34,35 @@
 		call.SenderTimeout = callTimeout
 	}
 	var decoded response
-	if err := post(ctx, p.client, "http://"+p.address+Path, &call, &decoded, maxResponseBytes); err != nil {
-		return response{}, errors.Wrap(eventlog.ErrOutcomeUnknown, "through "+p.address+": "+err.Error())
+	if err := post(ctx, c.client, "http://"+c.address+Path, &call, &decoded, maxResponseBytes); err != nil {
+		return response{}, errors.Wrap(eventlog.ErrOutcomeUnknown, "through "+c.address+": "+err.Error())
 	}
 	return decoded, decoded.err()
 }
 
 // Append implements eventlog.Log.
-func (p *relayClient) Append(ctx context.Context, partition eventlog.Partition, records [][]byte) (int64, error) {
-	answer, err := p.call(ctx, request{
+func (c *relayClient) Append(ctx context.Context, partition eventlog.Partition, records [][]byte) (int64, error) {
+	answer, err := c.call(ctx, request{
 		Operation: opAppend, Topic: partition.Topic, Number: partition.Number, Records: records,
 	})
 	return answer.Offset, err
 }
 
 // AppendAt implements eventlog.Log.
-func (p *relayClient) AppendAt(
+func (c *relayClient) AppendAt(
 	ctx context.Context, partition eventlog.Partition, end int64, records [][]byte,
 ) (int64, error) {
-	answer, err := p.call(ctx, request{
+	answer, err := c.call(ctx, request{
 		Operation: opAppendAt, Topic: partition.Topic, Number: partition.Number, Offset: end, Records: records,
 	})
 	return answer.Offset, err
 }
 
 // Read implements eventlog.Log.
-func (p *relayClient) Read(
+func (c *relayClient) Read(
 	ctx context.Context, partition eventlog.Partition, from int64, limit int, wait time.Duration,
 ) (eventlog.Batch, error) {
-	answer, err := p.call(ctx, request{
+	answer, err := c.call(ctx, request{
 		Operation: opRead, Topic: partition.Topic, Number: partition.Number,
 		Offset: from, Limit: limit, Wait: min(wait, maxWait),
 	})
@@ -73,21 +73,21 @@
 }
 
 // PutKeyed implements eventlog.Log.
-func (p *relayClient) PutKeyed(ctx context.Context, topic string, records []eventlog.KeyedRecord) error {
-	_, err := p.call(ctx, request{Operation: opPutKeyed, Topic: topic, Keyed: records})
+func (c *relayClient) PutKeyed(ctx context.Context, topic string, records []eventlog.KeyedRecord) error {
+	_, err := c.call(ctx, request{Operation: opPutKeyed, Topic: topic, Keyed: records})
 	return err
 }
 
 // Newest implements eventlog.Log.
-func (p *relayClient) Newest(ctx context.Context, topic string) (eventlog.KeyedBatch, error) {
-	answer, err := p.call(ctx, request{Operation: opNewest, Topic: topic})
+func (c *relayClient) Newest(ctx context.Context, topic string) (eventlog.KeyedBatch, error) {
+	answer, err := c.call(ctx, request{Operation: opNewest, Topic: topic})
 	return eventlog.KeyedBatch{Records: answer.Keyed, Next: answer.Offset}, err
 }
 
 // ReadKeyed implements eventlog.Log.
-func (p *relayClient) ReadKeyed(
+func (c *relayClient) ReadKeyed(
 	ctx context.Context, topic string, from int64, wait time.Duration,
 ) (eventlog.KeyedBatch, error) {
-	answer, err := p.call(ctx, request{Operation: opReadKeyed, Topic: topic, Offset: from, Wait: min(wait, maxWait)})
+	answer, err := c.call(ctx, request{Operation: opReadKeyed, Topic: topic, Offset: from, Wait: min(wait, maxWait)})
 	return eventlog.KeyedBatch{Records: answer.Keyed, Next: answer.Offset}, err
 }
--- a/internal/logrelay/directory.go
+++ b/internal/logrelay/directory.go
@@ -69,9 +69,9 @@
 	// itself.
 	sources   []string
 	isReplica bool
-	// known is closed after the first complete read of the directory; settled is closed once two consecutive reads
+	// loaded is closed after the first complete read of the directory; settled is closed once two consecutive reads
 	// have found about the same number of nodes.
-	known   chan struct{}
+	loaded  chan struct{}
 	settled chan struct{}
 	// lastSize is the number of nodes after the previous read; zero before the first one.
 	lastSize   int
@@ -100,7 +100,7 @@
 	return &Directory{
 		log: log, own: own, limits: limits, logger: logger,
 		members: make(map[string]member), seenAt: make(map[string]time.Time),
-		known: make(chan struct{}), settled: make(chan struct{}),
+		loaded: make(chan struct{}), settled: make(chan struct{}),
 	}
 }
 
@@ -273,8 +273,8 @@
 	}
 	d.isReplica, d.sources = isReplica, sources
 	d.recordSize(len(members))
-	if !isClosed(d.known) {
-		close(d.known)
+	if !isClosed(d.loaded) {
+		close(d.loaded)
 	}
 }
 
@@ -308,7 +308,7 @@
 func (m member) place() topology.Place { return topology.Place{Zone: m.Zone, Region: m.Region} }
 
 // Loaded is closed after the first complete read of the directory.
-func (d *Directory) Loaded() <-chan struct{} { return d.known }
+func (d *Directory) Loaded() <-chan struct{} { return d.loaded }
 
 // read applies new announcements and reports whether the directory could be read.
 func (d *Directory) read(ctx context.Context) bool {
@@ -316,9 +316,9 @@
 		return d.readRecent(ctx)
 	}
 	batch, err := d.log.Read(ctx, eventlog.Partition{Topic: directoryTopic}, d.next, readLimit, 0)
-	var gone *eventlog.TrimmedError
-	if errors.As(err, &gone) {
-		d.next = gone.First
+	var trimmed *eventlog.TrimmedError
+	if errors.As(err, &trimmed) {
+		d.next = trimmed.First
 		return false
 	}
 	if err != nil {
--- a/internal/logrelay/fallback.go
+++ b/internal/logrelay/fallback.go
@@ -34,7 +34,7 @@
 	outagePause = probePeriod
 
 	dialTimeout = 300 * time.Millisecond
-	// expectContinueTimeout exceeds the duration of any write: the body is sent only once the peer asks for it; see
+	// expectContinueTimeout exceeds the duration of any write: the body is sent only once the peer requests it; see
 	// msgpackhttp.CallExpectContinue.
 	expectContinueTimeout = 2 * callTimeout
 	// Idle connections to peers are few and short-lived: each takes about 20 KB at either end, which adds up in
@@ -117,8 +117,8 @@
 		return
 	}
 	var conflicting *eventlog.ConflictError
-	var lost *eventlog.TrimmedError
-	answered := err == nil || errors.As(err, &conflicting) || errors.As(err, &lost)
+	var trimmed *eventlog.TrimmedError
+	answered := err == nil || errors.As(err, &conflicting) || errors.As(err, &trimmed)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if address != "" {
@@ -129,17 +129,17 @@
 	}
 	switch {
 	case answered:
-		f.setFailuresLocked(0, err)
+		f.setFailures(0, err)
 	case errors.Is(err, eventlog.ErrThrottled):
-		f.setFailuresLocked(f.failures+1, err)
+		f.setFailures(f.failures+1, err)
 	default:
-		f.setFailuresLocked(f.failures+failureWeight, err)
+		f.setFailures(f.failures+failureWeight, err)
 	}
 }
 
-// setFailuresLocked sets the weight of the consecutive failed direct calls and switches between direct and relayed
+// setFailures sets the weight of the consecutive failed direct calls and switches between direct and relayed
 // calls when it crosses switchWeight. Must be called with mu held.
-func (f *Fallback) setFailuresLocked(failures int, err error) {
+func (f *Fallback) setFailures(failures int, err error) {
 	before, after := f.failures >= switchWeight, failures >= switchWeight
 	f.failures = failures
 	if after == before {
@@ -189,7 +189,7 @@
 			return result, err
 		}
 	}
-	// The outage may affect all nodes and be over by now.
+	// None of the peers tried reaches the log: all nodes may be affected, and by now the log may answer again.
 	f.pausePeers()
 	return callDirect(ctx, f, call)
 }
--- a/internal/logrelay/logrelay.go
+++ b/internal/logrelay/logrelay.go
@@ -61,11 +61,12 @@
 	unknown
 	conflict
 	gone
-	// cannotRelay means that the node has no direct connection to the log; nothing was attempted.
+	// cannotRelay means that the node has no direct connection to the log, or no copy of the topic to read from;
+	// nothing was attempted.
 	cannotRelay
 )
 
-// errCannotRelay is returned for a peer that has no direct connection to the log; the call was not made.
+// errCannotRelay is returned for a peer that replied cannotRelay; the call was not made.
 var errCannotRelay = errors.Wrap(eventlog.ErrNotDone, "the other node has no direct connection to the log")
 
 // response is the reply to a request, encoded as msgpack.
@@ -83,12 +84,12 @@
 // errorResponse encodes an error as a response.
 func errorResponse(err error) response {
 	var conflicting *eventlog.ConflictError
-	var lost *eventlog.TrimmedError
+	var trimmed *eventlog.TrimmedError
 	switch {
 	case errors.As(err, &conflicting):
 		return response{Outcome: conflict, Offset: conflicting.End}
-	case errors.As(err, &lost):
-		return response{Outcome: gone, Offset: lost.First}
+	case errors.As(err, &trimmed):
+		return response{Outcome: gone, Offset: trimmed.First}
 	case errors.Is(err, eventlog.ErrNotDone):
 		return response{Outcome: notDone, Detail: err.Error()}
 	default:
--- a/internal/logrelay/logrelay_test.go
+++ b/internal/logrelay/logrelay_test.go
@@ -76,9 +76,9 @@
 	assert.Equal(t, string(batch.Records[0]), "b")
 	n.log.Trim(testPartition, 1)
 	_, err = n.fallback.Read(t.Context(), testPartition, 0, 1024, 0)
-	var gone *eventlog.TrimmedError
-	assert.Assert(t, errors.As(err, &gone))
-	assert.Equal(t, gone.First, int64(1))
+	var trimmed *eventlog.TrimmedError
+	assert.Assert(t, errors.As(err, &trimmed))
+	assert.Equal(t, trimmed.First, int64(1))
 }
 
 func TestKeyedTopicsAreReadThroughPeer(t *testing.T) {
--- a/internal/logrelay/replicareader.go
+++ b/internal/logrelay/replicareader.go
@@ -17,8 +17,8 @@
 const (
 	// replicaWait limits how long a replica holds a read, replicaTimeout how much later its reply may arrive, and
 	// maxReplicaAge the age of its data. Together with replicaReadGap they add up to 2 s, the longest delay of a
-	// change through a replica that froze or lost the log just then. A configuration has to take effect within 4 s
-	// where replicas are used.
+	// change through a replica that stalls or loses the log at that moment. A configuration has to take effect
+	// within 4 s where replicas are used.
 	replicaWait    = 300 * time.Millisecond
 	replicaTimeout = 300 * time.Millisecond
 	maxReplicaAge  = 1300 * time.Millisecond
@@ -91,7 +91,7 @@
 		r.awaited.Do(func() { r.options.AwaitSources(ctx) })
 	}
 	call := request{Operation: opReplicaNewest, Topic: topic, ExcludedClasses: r.options.ExcludedClasses(topic)}
-	answer, answered, _ := r.queryUntil(ctx, call, newestTimeout, r.waitForReplicas(topic, minNewestWait))
+	answer, answered, _ := r.queryUntil(ctx, call, newestTimeout, r.replicaWaitLimit(topic, minNewestWait))
 	if !answered {
 		batch, err := r.Log.Newest(ctx, topic)
 		r.recordLogRead(topic, err)
@@ -109,7 +109,7 @@
 		ExcludedClasses: r.options.ExcludedClasses(topic),
 	}
 	retry.Sleep(ctx, r.untilNextRead(topic))
-	answer, answered, err := r.queryUntil(ctx, call, call.Wait+replicaTimeout, r.waitForReplicas(topic, minTailWait))
+	answer, answered, err := r.queryUntil(ctx, call, call.Wait+replicaTimeout, r.replicaWaitLimit(topic, minTailWait))
 	if !answered {
 		batch, err := r.Log.ReadKeyed(ctx, topic, from, wait)
 		r.recordLogRead(topic, err)
@@ -131,9 +131,10 @@
 // randomBelow returns a random duration below the limit.
 func randomBelow(limit time.Duration) time.Duration { return rand.N(max(limit, 1)) }
 
-// waitForReplicas returns how long a read waits for replicas, at least the given time. The random part doubles with
-// each failed read of the log: the records may be large, and all nodes may be reading them.
-func (r *ReplicaReader) waitForReplicas(topic string, least time.Duration) time.Duration {
+// replicaWaitLimit returns how long a read of the topic may wait for replicas before it goes to the log, at least the
+// given time. The random part doubles with each failed read of the log: the records may be large, and all nodes may
+// be reading them.
+func (r *ReplicaReader) replicaWaitLimit(topic string, least time.Duration) time.Duration {
 	r.mu.Lock()
 	failed := r.failed[topic]
 	r.mu.Unlock()
@@ -144,8 +145,8 @@
 func (r *ReplicaReader) recordLogRead(topic string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var gone *eventlog.TrimmedError
-	if err == nil || errors.As(err, &gone) {
+	var trimmed *eventlog.TrimmedError
+	if err == nil || errors.As(err, &trimmed) {
 		delete(r.failed, topic)
 		return
 	}
@@ -163,7 +164,7 @@
 		if answered || len(r.options.Sources()) == 0 || time.Now().After(until) || !retry.Sleep(ctx, queryInterval) {
 			return answer, answered, err
 		}
-		// The first attempt already took the time for which a read may wait for changes.
+		// The first attempt has used up the time for which a read may wait for changes.
 		call.Wait = 0
 	}
 }
@@ -181,9 +182,9 @@
 	defer cancel()
 	replica := &relayClient{client: r.options.Client, address: address}
 	answer, err = replica.call(ctx, call)
-	var gone *eventlog.TrimmedError
+	var trimmed *eventlog.TrimmedError
 	switch {
-	case errors.As(err, &gone):
+	case errors.As(err, &trimmed):
 		return answer, true, err
 	case errors.Is(err, errCannotRelay), err == nil && answer.Age > maxReplicaAge:
 		r.paused.Start(address, stalePause)
--- a/internal/logrelay/replicareader_test.go
+++ b/internal/logrelay/replicareader_test.go
@@ -212,7 +212,7 @@
 	assert.Assert(t, len(replicas) > 1)
 	for _, directory := range directories {
 		for _, source := range directory.Sources() {
-			assert.Assert(t, replicas[source], "%s asks %s", directory.own.Node, source)
+			assert.Assert(t, replicas[source], "%s reads from %s", directory.own.Node, source)
 		}
 	}
 }
--- a/internal/logrelay/restart_test.go
+++ b/internal/logrelay/restart_test.go
@@ -183,7 +183,7 @@
 	return result
 }
 
-// TestSimultaneousRestartCompletes guards against a restart of all nodes that overloads the log for good, so that
+// TestSimultaneousRestartCompletes guards against a restart of all nodes that overloads the log permanently, so that
 // no node learns of the others, the routes or the jobs.
 func TestSimultaneousRestartCompletes(t *testing.T) {
 	for _, nodes := range []int{120, 240} {
--- a/internal/logrelay/server.go
+++ b/internal/logrelay/server.go
@@ -30,9 +30,9 @@
 
 // Replica is a node's copy of a followed topic; see follow.Replica.
 type Replica interface {
-	Newest(leftOut []string) (eventlog.KeyedBatch, time.Duration, bool)
+	Newest(excluded []string) (eventlog.KeyedBatch, time.Duration, bool)
 	Read(
-		ctx context.Context, from int64, wait time.Duration, leftOut []string,
+		ctx context.Context, from int64, wait time.Duration, excluded []string,
 	) (eventlog.KeyedBatch, time.Duration, error)
 }
 
--- a/internal/logrelay/settle.go
+++ b/internal/logrelay/settle.go
@@ -33,11 +33,11 @@
 func (d *Directory) AwaitSettled(ctx context.Context) {
 	started := time.Now()
 	for {
-		left := min(time.Until(d.lastProgress(started).Add(settleLimit)), time.Until(started.Add(maxSettleLimit)))
-		if left <= 0 {
+		remaining := min(time.Until(d.lastProgress(started).Add(settleLimit)), time.Until(started.Add(maxSettleLimit)))
+		if remaining <= 0 {
 			return
 		}
-		timer := time.NewTimer(left)
+		timer := time.NewTimer(remaining)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
--- a/internal/logrelay/stall.go
+++ b/internal/logrelay/stall.go
@@ -68,7 +68,7 @@
 	if !errors.Is(err, context.DeadlineExceeded) || f.failures >= switchWeight {
 		return
 	}
-	f.setFailuresLocked(switchWeight, err)
+	f.setFailures(switchWeight, err)
 }
 
 // readDirect makes a small direct read of the log. It returns nil if the log answered, and context.DeadlineExceeded
@@ -77,8 +77,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	_, err := f.direct.Read(ctx, eventlog.Partition{Topic: directoryTopic}, 0, 1, 0)
-	var lost *eventlog.TrimmedError
-	if errors.As(err, &lost) {
+	var trimmed *eventlog.TrimmedError
+	if errors.As(err, &trimmed) {
 		return nil
 	}
 	if err != nil && ctx.Err() != nil {
--- a/internal/logrelay/versions.go
+++ b/internal/logrelay/versions.go
@@ -11,9 +11,9 @@
 const ownRecordAge = maxAnnouncePeriod + 2*maxReadPeriod
 
 // Versions returns the versions of the live nodes. The view is current while the node finds its own announcements
-// in the directory: if reads fail or lag behind, live nodes appear to be gone. Known is false once the node's own
-// announcement is older than ownRecordAge, since others may have been missed; it is true before the first one is
-// found.
+// in the directory: if reads fail or lag behind, live nodes appear to be gone. Known is false until the directory
+// was first read completely, and once the node's own newest announcement is older than ownRecordAge, since
+// announcements of others may have been missed as well. A node that has not found any of its own yet counts as known.
 func (d *Directory) Versions() clusterversion.View {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -21,7 +21,7 @@
 	recent := time.Since(seenAt) < ownRecordAge
 	view := clusterversion.View{
 		Lowest: d.own.version(), Highest: d.own.version(),
-		Known:   isClosed(d.known) && (recent || !found),
+		Known:   isClosed(d.loaded) && (recent || !found),
 		Current: recent && found && d.isSettled(),
 	}
 	for node, each := range d.members {
--- a/internal/logrelay/versions_test.go
+++ b/internal/logrelay/versions_test.go
@@ -17,8 +17,8 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// TestVersionsAreCurrentOnlyWhileReadsSucceed guards against a view without live nodes, since all others seem gone
-// while reads fail. The clock is virtual.
+// TestVersionsAreCurrentOnlyWhileReadsSucceed guards against a view that is considered current although failed
+// reads made live nodes expire. The clock is virtual.
 func TestVersionsAreCurrentOnlyWhileReadsSucceed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
@@ -41,7 +41,7 @@
 		assert.Equal(t, view.Lowest, clusterversion.Unversioned)
 		assert.Equal(t, view.Highest, clusterversion.Announced)
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, own.Versions().Lowest, clusterversion.Homes, "a node that is gone was counted")
+		assert.Equal(t, own.Versions().Lowest, clusterversion.Homes, "an expired node was counted")
 
 		log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
 		time.Sleep(ownRecordAge)
--- a/internal/logstream/logstream_test.go
+++ b/internal/logstream/logstream_test.go
@@ -212,7 +212,7 @@
 	assert.Assert(t, len(owners) > 0)
 }
 
-func TestProposeWithLateReportsOutcomeAfterTimeout(t *testing.T) {
+func TestProposeWithCallbackReportsOutcomeAfterTimeout(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
 	manager := fixture.manager(t, "a")
--- a/internal/logstream/manager.go
+++ b/internal/logstream/manager.go
@@ -16,11 +16,12 @@
 
 	mu      sync.Mutex
 	streams map[string][]*TailedStream
-	// openCounts counts the runtimes started for each stream name. Each appends under its own writer ID, so that
-	// their sequence numbers do not collide.
+	// openCounts counts the TailedStreams started for each stream name. Each appends under its own writer ID, so
+	// that their sequence numbers do not collide.
 	openCounts map[string]int
 }
 
+// NewManager returns a Manager without open streams.
 func NewManager(options Options) *Manager {
 	options = options.withDefaults()
 	return &Manager{
@@ -33,8 +34,8 @@
 }
 
 // Open starts tailing the stream into the reducer, which must be a new pointer. Opening the same stream with the
-// same reducer again returns the same runtime and adds a reference; another reducer gets its own runtime. Each
-// Open needs one Close.
+// same reducer again returns the same TailedStream and adds a reference; another reducer gets its own. Each Open
+// needs one Close.
 func (m *Manager) Open(name string, reducer Reducer, options StreamOptions) *TailedStream {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -49,7 +50,7 @@
 	return stream
 }
 
-// nextWriter returns the plain writer ID for the first runtime of a stream, and a numbered one for later ones.
+// nextWriter returns the process's writer ID for the first TailedStream of a name, and a numbered one for later ones.
 func (m *Manager) nextWriter(name string) string {
 	m.openCounts[name]++
 	if m.openCounts[name] == 1 {
--- a/internal/logstream/options.go
+++ b/internal/logstream/options.go
@@ -23,7 +23,7 @@
 	// ErrBacklogFull means that maxBacklog proposals are unresolved because the log is unavailable or slow.
 	ErrBacklogFull = errors.Wrap(ErrNotProposed, "too many unresolved proposals")
 	// ErrBadProposal means that the record exceeds a limit of package logrecord or MaxBodyBytes.
-	ErrBadProposal = errors.Wrap(ErrNotProposed, "bad proposal")
+	ErrBadProposal = errors.Wrap(ErrNotProposed, "invalid proposal")
 )
 
 const (
--- a/internal/logstream/snapshot.go
+++ b/internal/logstream/snapshot.go
@@ -218,7 +218,7 @@
 }
 
 func joinSnapshots(parts map[snapshotKey]map[int][]byte) []completeSnapshot {
-	var whole []completeSnapshot
+	var complete []completeSnapshot
 	for key, found := range parts {
 		if len(found) != key.parts {
 			continue
@@ -227,10 +227,10 @@
 		for part := range key.parts {
 			state = append(state, found[part]...)
 		}
-		whole = append(whole, completeSnapshot{asOf: key.asOf, state: state})
+		complete = append(complete, completeSnapshot{asOf: key.asOf, state: state})
 	}
-	slices.SortFunc(whole, func(a, b completeSnapshot) int { return cmp.Compare(b.asOf, a.asOf) })
-	return whole
+	slices.SortFunc(complete, func(a, b completeSnapshot) int { return cmp.Compare(b.asOf, a.asOf) })
+	return complete
 }
 
 // scan reads [from, end) in batches and calls visit for each entry.
--- a/internal/logstream/stream.go
+++ b/internal/logstream/stream.go
@@ -89,9 +89,10 @@
 	}()
 }
 
+// Name returns the name of the stream.
 func (s *TailedStream) Name() string { return s.name }
 
-// Writer returns the writer ID of this runtime.
+// Writer returns the writer ID under which this TailedStream appends.
 func (s *TailedStream) Writer() string { return s.writer }
 
 // Reducer returns the reducer. Its state may only be read within View.
--- a/internal/logusage/logusage.go
+++ b/internal/logusage/logusage.go
@@ -24,13 +24,13 @@
 type Outcome string
 
 const (
-	// Answered: the log made the call, or reported a conflict or records that it no longer keeps.
+	// Answered means that the log made the call, or reported a conflict or records that it no longer keeps.
 	Answered Outcome = "answered"
-	// Refused: the log refused the call or could not be reached; the call was not made.
+	// Refused means that the log refused the call or could not be reached; the call was not made.
 	Refused Outcome = "refused"
-	// Unanswered: it is unknown whether the log made the call, or its reply was incomplete.
+	// Unanswered means that it is unknown whether the log made the call, or its reply was incomplete.
 	Unanswered Outcome = "unanswered"
-	// Abandoned: the caller canceled the call.
+	// Abandoned means that the caller canceled the call.
 	Abandoned Outcome = "abandoned"
 )
 
@@ -111,9 +111,9 @@
 
 func outcomeOf(ctx context.Context, err error) Outcome {
 	var conflict *eventlog.ConflictError
-	var gone *eventlog.TrimmedError
+	var trimmed *eventlog.TrimmedError
 	switch {
-	case err == nil, errors.As(err, &conflict), errors.As(err, &gone):
+	case err == nil, errors.As(err, &conflict), errors.As(err, &trimmed):
 		return Answered
 	case errors.Is(ctx.Err(), context.Canceled):
 		return Abandoned
--- a/internal/operatorapi/operatorapi_test.go
+++ b/internal/operatorapi/operatorapi_test.go
@@ -124,8 +124,8 @@
 // Guards against a restarted node that reports a lower revision, from an old
 // snapshot, than it did before.
 func TestNoRevisionReportedBeforeCatchUp(t *testing.T) {
-	behind := errkind.New(errkind.NotReady, "not caught up")
-	system := &fakeSystem{notReady: behind, notCurrent: behind}
+	notReadyError := errkind.New(errkind.NotReady, "not caught up")
+	system := &fakeSystem{notReady: notReadyError, notCurrent: notReadyError}
 	for _, target := range []string{PathTable, PathTable + "?revision=2", PathTable + "?revision=3", PathHistory} {
 		var failure api.ErrorBody
 		assert.Equal(t, system.do(t, http.MethodGet, target, "", &failure), http.StatusServiceUnavailable, target)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -53,7 +53,7 @@
 	outgoing := newFrame(kind, 0)
 	defer outgoing.release()
 	if err := outgoing.setMethod(method); err != nil {
-		return nil, errors.Wrap(err, "method name")
+		return nil, errors.Wrap(err, "encode method name")
 	}
 	if err := outgoing.encode(request); err != nil {
 		return nil, errors.Wrap(err, "encode request")
@@ -186,7 +186,7 @@
 	stream.counters.addReceived(received.size())
 	failure := &errkind.Error{}
 	if err := decode(received.body.data, failure); err != nil {
-		stream.receiveQueue.finish(&DeliveryError{Sent: true, Err: errors.Wrap(err, "decode error")})
+		stream.receiveQueue.finish(&DeliveryError{Sent: true, Err: errors.Wrap(err, "decode error response")})
 		return errProtocol
 	}
 	stream.receiveQueue.finish(failure)
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -21,8 +21,9 @@
 	// while streams are open, after which a ping is sent and the connection is failed.
 	pingAfterTicks   = 1
 	silentLimitTicks = 4
-	// Keepalive intervals without streams after which a connection is closed. The dialer closes first, so
-	// that a request cannot be lost to a concurrent close by the listener.
+	// dialerIdleTicks and listenerIdleTicks are the number of keepalive intervals without streams after which
+	// either end closes the connection. The dialer closes first, so that a request cannot be lost to a concurrent
+	// close by the listener.
 	dialerIdleTicks   = 60
 	listenerIdleTicks = 300
 )
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -232,7 +232,7 @@
 	if failure != nil {
 		outgoing.kind = frameError
 		if err := outgoing.encode(failure); err != nil {
-			r.session.connection.fail(errors.Wrap(err, "encode error"))
+			r.session.connection.fail(errors.Wrap(err, "encode error response"))
 			return
 		}
 	}
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -80,7 +80,7 @@
 	address, err := advertiseAddress(t.options.AdvertiseAddress, listener.Addr().String())
 	if err != nil {
 		_ = listener.Close()
-		return errors.Wrap(err, "advertised peer address")
+		return errors.Wrap(err, "determine advertised peer address")
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -211,7 +211,7 @@
 		return l, nil
 	}
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return nil, errors.Wrap(err, "peer address")
+		return nil, errors.Wrap(err, "parse peer address")
 	}
 	t.linksMu.Lock()
 	defer t.linksMu.Unlock()
--- a/internal/platform/enginehttp/scan_test.go
+++ b/internal/platform/enginehttp/scan_test.go
@@ -34,7 +34,7 @@
 	}
 	var decoded engine.Chunk
 	if err := json.Unmarshal(line, &decoded); err != nil {
-		t.Fatalf("scanner took %q, which encoding/json refuses: %v", line, err)
+		t.Fatalf("scanner accepted %q, which encoding/json rejects: %v", line, err)
 	}
 	assert.DeepEqual(t, scanned, decoded)
 }
--- a/internal/platform/httpjson/httpjson.go
+++ b/internal/platform/httpjson/httpjson.go
@@ -100,14 +100,14 @@
 }
 
 // Decode decodes the response's body into result, unless it is nil. A status other than 2xx is an error.
-func (a *Response) Decode(result any) error {
-	if a.StatusCode/100 != 2 {
-		return errors.Errorf("%s answered %s: %s", a.Service, a.Status, bytes.TrimSpace(a.Content))
+func (r *Response) Decode(result any) error {
+	if r.StatusCode/100 != 2 {
+		return errors.Errorf("%s answered %s: %s", r.Service, r.Status, bytes.TrimSpace(r.Content))
 	}
 	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(a.Content, result); err != nil {
+	if err := json.Unmarshal(r.Content, result); err != nil {
 		return errors.Wrap(err, "decode response")
 	}
 	return nil
--- a/internal/platform/logservice/http.go
+++ b/internal/platform/logservice/http.go
@@ -54,7 +54,7 @@
 	}
 	body, err := json.Marshal(AppendRequest{Records: records})
 	if err != nil {
-		return 0, errors.Wrapf(ErrRefused, "encode: %v", err)
+		return 0, errors.Wrapf(ErrRefused, "encode request: %v", err)
 	}
 	address := s.baseURL + "/v1/append?" + url.Values{"stream": {stream}}.Encode()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, address, bytes.NewReader(body))
--- a/internal/platform/machines/http_test.go
+++ b/internal/platform/machines/http_test.go
@@ -12,7 +12,7 @@
 
 // Guards against downloading and decoding an unchanged list.
 func TestListIsCachedByETag(t *testing.T) {
-	var whole atomic.Int64
+	var fullResponses atomic.Int64
 	tag, body := `"1"`, `{"machines":[{"id":"a"}]}`
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("ETag", tag)
@@ -20,7 +20,7 @@
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
-		whole.Add(1)
+		fullResponses.Add(1)
 		_, _ = w.Write([]byte(body))
 	}))
 	defer server.Close()
@@ -30,7 +30,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(list.Machines), 1)
 	}
-	assert.Equal(t, whole.Load(), int64(1))
+	assert.Equal(t, fullResponses.Load(), int64(1))
 	tag, body = `"2"`, `{"machines":[{"id":"a"},{"id":"b"}]}`
 	list, err := source.List(context.Background())
 	assert.NilError(t, err)
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -41,6 +41,7 @@
 	source *bufio.Reader
 }
 
+// NewReader returns a Reader of the events in source.
 func NewReader(source io.Reader) *Reader {
 	return &Reader{source: bufio.NewReaderSize(source, readBufferBytes)}
 }
