--- a/internal/bench/command/load.go
+++ b/internal/bench/command/load.go
@@ -34,7 +34,7 @@
 
 func runLoad(ctx context.Context, arguments *loadArguments, output io.Writer) error {
 	if arguments.Rate > maxRate || arguments.Seconds > maxSeconds {
-		return errors.Errorf("at most %d arrivals a second and %d seconds", maxRate, maxSeconds)
+		return errors.Errorf("--rate must be at most %d and --seconds at most %d", maxRate, maxSeconds)
 	}
 	load := live.Load{
 		Addresses:           arguments.Addresses,
--- a/internal/bench/experiment/histories.go
+++ b/internal/bench/experiment/histories.go
@@ -7,7 +7,7 @@
 	"github.com/corkpulley/corkpulley/internal/standin/engine"
 )
 
-// made sums up what engines did for one service.
+// tokenTotals sums up the requests that engines served for one service.
 type tokenTotals struct {
 	tokens       int
 	promptTokens int
@@ -63,9 +63,10 @@
 	return result
 }
 
-// busy returns the time, in nanoseconds, that the places of an engine's batch
-// were in use while the trainers ran, and the tokens made, a request that lies
-// partly outside counted in proportion.
+// busyTime returns the time, in nanoseconds, for which the batch slots of an
+// engine were in use during the training phase, and the number of tokens that it
+// generated in that phase. The tokens of a request that is only partly within the
+// phase count in proportion to the part within it.
 func (r *run) busyTime(history engine.History) (busyTime, tokens float64) {
 	trainingStart, trainingEnd := r.trainingStart.UnixNano(), r.trainingEnd.UnixNano()
 	for _, request := range history.Requests {
--- a/internal/bench/pathcost/measure.go
+++ b/internal/bench/pathcost/measure.go
@@ -92,18 +92,18 @@
 }
 
 // round measures each process of the route once.
-func (w *route) round(ctx context.Context, arguments *Arguments) ([]Side, error) {
+func (r *route) round(ctx context.Context, arguments *Arguments) ([]Side, error) {
 	short := arguments.Streams * shortRequests
-	shortUsages, err := w.load(ctx, short, arguments.Streams, shortTokens)
+	shortUsages, err := r.load(ctx, short, arguments.Streams, shortTokens)
 	if err != nil {
 		return nil, err
 	}
 	long := arguments.Streams * longRequests
-	longUsages, err := w.load(ctx, long, arguments.Streams, arguments.Tokens)
+	longUsages, err := r.load(ctx, long, arguments.Streams, arguments.Tokens)
 	if err != nil {
 		return nil, err
 	}
-	sides := make([]Side, len(w.usages))
+	sides := make([]Side, len(r.usages))
 	for index := range sides {
 		sides[index] = split(perRequest(shortUsages[index], short), perRequest(longUsages[index], long), arguments.Tokens)
 	}
@@ -111,15 +111,15 @@
 }
 
 // load sends requests and returns the resources that each process of the route used for them.
-func (w *route) load(ctx context.Context, requests, streams, tokens int) ([]Usage, error) {
-	before, err := w.usage(ctx)
+func (r *route) load(ctx context.Context, requests, streams, tokens int) ([]Usage, error) {
+	before, err := r.usage(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if err := w.client.run(ctx, requests, streams, tokens); err != nil {
+	if err := r.client.run(ctx, requests, streams, tokens); err != nil {
 		return nil, err
 	}
-	after, err := w.usage(ctx)
+	after, err := r.usage(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -129,9 +129,9 @@
 	return after, nil
 }
 
-func (w *route) usage(ctx context.Context) ([]Usage, error) {
-	usages := make([]Usage, len(w.usages))
-	for index, address := range w.usages {
+func (r *route) usage(ctx context.Context) ([]Usage, error) {
+	usages := make([]Usage, len(r.usages))
+	for index, address := range r.usages {
 		usage, err := readUsage(ctx, address)
 		if err != nil {
 			return nil, err
--- a/internal/bench/pathcost/usage.go
+++ b/internal/bench/pathcost/usage.go
@@ -61,7 +61,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return usage, errors.Errorf("usage: %s", response.Status)
+		return usage, errors.Errorf("get usage: status %s", response.Status)
 	}
 	if err := json.NewDecoder(response.Body).Decode(&usage); err != nil {
 		return usage, errors.Wrap(err, "decode usage")
--- a/internal/bench/process/process_test.go
+++ b/internal/bench/process/process_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestProcessProducesOutputAfterFreezeAndThaw(t *testing.T) {
+func TestProcessProducesOutputAfterSuspendAndResume(t *testing.T) {
 	child := startScript(t, `while :; do echo tick; sleep 0.01; done`)
 	_, err := child.WaitLine(timeoutContext(t), equals("tick"))
 	assert.NilError(t, err)
--- a/internal/bench/soak/check_test.go
+++ b/internal/bench/soak/check_test.go
@@ -318,7 +318,7 @@
 
 // Guards against checks that cannot fail, or that report a violation of another rule.
 func TestCheckDetectsEachMutation(t *testing.T) {
-	caught := make(map[string]bool)
+	detected := make(map[string]bool)
 	for _, mutation := range append(slices.Clone(mutations), placementMutations...) {
 		t.Run(mutation.name, func(t *testing.T) {
 			h := validHistory()
@@ -326,13 +326,13 @@
 			violations := Check(h, bounds)
 			assert.Assert(t, len(violations) > 0, "no violation found")
 			for _, violation := range violations {
-				caught[violation.Rule] = true
+				detected[violation.Rule] = true
 				assert.Equal(t, violation.Rule, mutation.rule, "%s", violation.Detail)
 			}
 		})
 	}
 	for _, each := range invariants {
-		assert.Assert(t, caught[each.rule], "no mutation for %s", each.rule)
+		assert.Assert(t, detected[each.rule], "no mutation for %s", each.rule)
 	}
 }
 
--- a/internal/bench/soak/crash.go
+++ b/internal/bench/soak/crash.go
@@ -21,7 +21,7 @@
 
 // crashEngines sends requests that crash engines until ctx ends. Each is repeated, with a new ID, at any
 // node.
-func (v *driver) crashEngines(ctx context.Context) {
+func (d *driver) crashEngines(ctx context.Context) {
 	began := time.Now()
 	for retry.Sleep(ctx, crashGap) {
 		known := 1 + int(time.Since(began)/crashingRequestInterval)
@@ -31,6 +31,6 @@
 			kind, prefix = standin.RouteUnsafe, prefixPermit
 		}
 		name := fmt.Sprintf("%s%d", crashPrefix, number)
-		v.send(ctx, LiveCall{ID: v.newID("again-"), Path: prefix + name, Body: "body of " + name, Kind: kind})
+		d.send(ctx, LiveCall{ID: d.newID("again-"), Path: prefix + name, Body: "body of " + name, Kind: kind})
 	}
 }
--- a/internal/bench/soak/drive.go
+++ b/internal/bench/soak/drive.go
@@ -81,15 +81,15 @@
 	return driver
 }
 
-func (v *driver) anyNode() *node { return v.deployment.nodes[rand.IntN(len(v.deployment.nodes))] }
+func (d *driver) anyNode() *node { return d.deployment.nodes[rand.IntN(len(d.deployment.nodes))] }
 
-func (v *driver) newID(prefix string) string {
-	return fmt.Sprintf("%s%d", prefix, v.ids.Add(1))
+func (d *driver) newID(prefix string) string {
+	return fmt.Sprintf("%s%d", prefix, d.ids.Add(1))
 }
 
 // configure applies the next configuration.
-func (v *driver) configure() {
-	version := v.config.Load() + 1
+func (d *driver) configure() {
+	version := d.config.Load() + 1
 	routes := []standin.Route{
 		{Name: "lookup", Prefix: standin.PrefixLookup, Kind: standin.RouteSafe, Service: standin.ServiceLookup},
 		{Name: "permit", Prefix: prefixPermit, Kind: standin.RouteUnsafe, Service: standin.ServiceLookup},
@@ -104,36 +104,36 @@
 	}
 	configuration := standin.Configuration{Version: version, Routes: routes, Tenants: tenantsOf(version)}
 	config := ConfigRecord{Version: version, SentAt: time.Now()}
-	if v.placement {
-		config.Homes = v.homesOf(version)
+	if d.placement {
+		config.Homes = d.homesOf(version)
 		addPinnedRequests(&configuration, config.Homes)
 	}
-	v.deployment.store.store.Configure(configuration)
+	d.deployment.store.store.Configure(configuration)
 	config.AckedAt = time.Now()
-	v.history.update(func() { v.history.Configs = append(v.history.Configs, config) })
-	v.config.Store(version)
+	d.history.update(func() { d.history.Configs = append(d.history.Configs, config) })
+	d.config.Store(version)
 }
 
 func probePrefix(version int64) string { return fmt.Sprintf("/probe-%d/", version) }
 
 // reconfigure applies a configuration at each configGap until ctx ends.
-func (v *driver) reconfigure(ctx context.Context) {
+func (d *driver) reconfigure(ctx context.Context) {
 	for retry.Sleep(ctx, configGap) {
-		v.configure()
+		d.configure()
 	}
 }
 
 // sendProbes requests the newest configuration's route from one node until ctx ends.
-func (v *driver) sendProbes(ctx context.Context, target *node) {
+func (d *driver) sendProbes(ctx context.Context, target *node) {
 	for retry.Sleep(ctx, probeGap) {
-		version := v.config.Load()
+		version := d.config.Load()
 		_, incarnation := target.current()
 		path, sent := probePrefix(version)+"x", time.Now()
-		id := v.newID("probe-")
-		answer, err := v.client.WithKey(settledKey(version)).Live(ctx, target.callers, path, id, "", callDeadline)
-		v.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Intact: err == nil})
+		id := d.newID("probe-")
+		answer, err := d.client.WithKey(settledKey(version)).Live(ctx, target.callers, path, id, "", callDeadline)
+		d.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Intact: err == nil})
 		_, after := target.current()
-		newest := v.config.Load()
+		newest := d.config.Load()
 		if err != nil || incarnation != after || newest >= version+keptProbeRoutes {
 			continue
 		}
@@ -141,8 +141,8 @@
 			// A newer configuration has revoked the key in the meantime.
 			continue
 		}
-		v.history.update(func() {
-			v.history.Probes = append(v.history.Probes, Probe{
+		d.history.update(func() {
+			d.history.Probes = append(d.history.Probes, Probe{
 				Node: target.number, Incarnation: incarnation, Version: version, SentAt: sent, EndedAt: time.Now(), Status: answer.Status,
 			})
 		})
@@ -159,47 +159,47 @@
 }
 
 // sendTraffic sends live requests of one kind until ctx ends.
-func (v *driver) sendTraffic(ctx context.Context, sent traffic) {
+func (d *driver) sendTraffic(ctx context.Context, sent traffic) {
 	for retry.Sleep(ctx, sent.gap) {
-		id := v.newID(sent.kind + "-")
-		v.send(ctx, LiveCall{ID: id, Path: sent.prefix + id, Body: "body of " + id, Kind: sent.kind, Tenant: sent.tenant})
+		id := d.newID(sent.kind + "-")
+		d.send(ctx, LiveCall{ID: id, Path: sent.prefix + id, Body: "body of " + id, Kind: sent.kind, Tenant: sent.tenant})
 	}
 }
 
 // send sends a live request to a random node and records the response.
-func (v *driver) send(ctx context.Context, call LiveCall) {
+func (d *driver) send(ctx context.Context, call LiveCall) {
 	call.SentAt = time.Now()
-	key := settledKey(v.config.Load())
+	key := settledKey(d.config.Load())
 	if call.Tenant == tenantPinned {
 		key = keyPinned
 	}
-	client := v.client.WithKey(key)
+	client := d.client.WithKey(key)
 	var err error
-	call.Answer, err = client.Live(ctx, v.anyNode().callers, call.Path, call.ID, call.Body, callDeadline)
+	call.Answer, err = client.Live(ctx, d.anyNode().callers, call.Path, call.ID, call.Body, callDeadline)
 	call.Intact = err == nil
-	v.history.addCall(call)
+	d.history.addCall(call)
 }
 
 // runTrainer submits one job after the other until ctx ends; the last job continues until jobCtx ends.
-func (v *driver) runTrainer(ctx, jobCtx context.Context, trainer int) {
+func (d *driver) runTrainer(ctx, jobCtx context.Context, trainer int) {
 	for step := int64(0); ctx.Err() == nil; step++ {
-		job := v.newJob(trainer, step)
-		seen := v.history.addJob(job, trainer)
-		if !v.submit(jobCtx, seen) {
+		job := d.newJob(trainer, step)
+		seen := d.history.addJob(job, trainer)
+		if !d.submit(jobCtx, seen) {
 			continue
 		}
-		v.readUntilDone(jobCtx, seen)
-		v.announceVersion()
+		d.readUntilDone(jobCtx, seen)
+		d.announceVersion()
 	}
 }
 
-func (v *driver) announceVersion() {
-	v.deployment.store.store.NameVersion(standin.ModelDrafts, v.version.Add(1))
+func (d *driver) announceVersion() {
+	d.deployment.store.store.NameVersion(standin.ModelDrafts, d.version.Add(1))
 }
 
 // announceVersions announces weight versions in bursts until ctx ends. The pauses leave a leader without
 // orders for longer than the quiet time, so that the next leader may send orders at once.
-func (v *driver) announceVersions(ctx context.Context) {
+func (d *driver) announceVersions(ctx context.Context) {
 	for {
 		gap := versionGap + rand.N(versionGap)
 		if rand.IntN(meanBurstLength) == 0 {
@@ -208,16 +208,16 @@
 		if !retry.Sleep(ctx, gap) {
 			return
 		}
-		v.announceVersion()
+		d.announceVersion()
 	}
 }
 
-func (v *driver) newJob(trainer int, step int64) standin.Job {
+func (d *driver) newJob(trainer int, step int64) standin.Job {
 	job := standin.Job{
-		ID: fmt.Sprintf("job-%d-%d", trainer, step), Step: step, MinVersion: max(1, v.version.Load()-1),
+		ID: fmt.Sprintf("job-%d-%d", trainer, step), Step: step, MinVersion: max(1, d.version.Load()-1),
 	}
 	crashing := -1
-	if v.sendsCrashing && rand.IntN(crashingJobOneIn) == 0 {
+	if d.sendsCrashing && rand.IntN(crashingJobOneIn) == 0 {
 		crashing = rand.IntN(itemsPerJob)
 	}
 	for i := range itemsPerJob {
@@ -230,9 +230,9 @@
 		case rand.IntN(impossibleOneIn) == 0:
 			prefix = impossiblePrefix
 		}
-		id := v.newID(fmt.Sprintf("%s%d-%d-", prefix, trainer, step))
+		id := d.newID(fmt.Sprintf("%s%d-%d-", prefix, trainer, step))
 		job.Items = append(job.Items, standin.JobItem{
-			ID: id, Group: fmt.Sprintf("group-%d-%d-%d", trainer, step, i/groupSize), Body: v.bodyOf(trainer, id),
+			ID: id, Group: fmt.Sprintf("group-%d-%d-%d", trainer, step, i/groupSize), Body: d.bodyOf(trainer, id),
 			ScoringID: scoringIDOf(id),
 		})
 	}
@@ -241,56 +241,56 @@
 
 // submit submits a job to one node after the other until one accepts it. It gives up after submitTries
 // attempts if all of them were rejected.
-func (v *driver) submit(ctx context.Context, seen *JobRecord) bool {
+func (d *driver) submit(ctx context.Context, seen *JobRecord) bool {
 	refusals, tries := 0, 0
 	for ; ctx.Err() == nil && (tries < submitTries || refusals < tries); tries++ {
-		target := v.nodeFor(seen)
-		status, err := v.client.WithKey(seen.Key).Submit(ctx, target.callers, seen.Job)
+		target := d.nodeFor(seen)
+		status, err := d.client.WithKey(seen.Key).Submit(ctx, target.callers, seen.Job)
 		switch {
 		case err == nil && status == http.StatusAccepted:
-			v.history.update(func() { seen.Accepted = true })
+			d.history.update(func() { seen.Accepted = true })
 			return true
 		case err == nil && standin.GuaranteesNotExecuted(status):
 			refusals++
 		}
 		retry.Sleep(ctx, retryGap)
 	}
-	v.history.update(func() { seen.AllRejected = tries > 0 && refusals == tries })
+	d.history.update(func() { seen.AllRejected = tries > 0 && refusals == tries })
 	return false
 }
 
 // readUntilDone reads a job at one node after the other until all expected results are listed or the
 // trainer cancels it early.
-func (v *driver) readUntilDone(ctx context.Context, seen *JobRecord) {
+func (d *driver) readUntilDone(ctx context.Context, seen *JobRecord) {
 	early := rand.IntN(earlyCancelOneIn) == 0
 	for ctx.Err() == nil {
 		from := 0
-		v.history.update(func() { from = len(seen.Positions) })
+		d.history.update(func() { from = len(seen.Positions) })
 		if rand.IntN(earlyCancelOneIn) == 0 {
 			from = rand.IntN(from + 1) // rereads some positions
 		}
-		results, status, err := v.client.WithKey(seen.Key).Results(ctx, v.nodeFor(seen).callers, seen.Job.ID, from, readWait)
+		results, status, err := d.client.WithKey(seen.Key).Results(ctx, d.nodeFor(seen).callers, seen.Job.ID, from, readWait)
 		if err != nil || status != http.StatusOK {
 			retry.Sleep(ctx, retryGap)
 			continue
 		}
-		v.history.recordResults(seen, from, results.Results)
+		d.history.recordResults(seen, from, results.Results)
 		done, some := false, false
-		v.history.update(func() { done, some = seen.Complete, len(seen.Positions) > 0 })
+		d.history.update(func() { done, some = seen.Complete, len(seen.Positions) > 0 })
 		if early && some || done {
-			v.cancelJob(ctx, seen)
+			d.cancelJob(ctx, seen)
 			return
 		}
 	}
 }
 
 // cancelJob cancels a job at one node after the other until one acknowledges it.
-func (v *driver) cancelJob(ctx context.Context, seen *JobRecord) {
-	v.history.update(func() { seen.CancelSentAt = time.Now() })
+func (d *driver) cancelJob(ctx context.Context, seen *JobRecord) {
+	d.history.update(func() { seen.CancelSentAt = time.Now() })
 	for ctx.Err() == nil {
-		status, err := v.client.WithKey(seen.Key).End(ctx, v.nodeFor(seen).callers, seen.Job.ID)
+		status, err := d.client.WithKey(seen.Key).End(ctx, d.nodeFor(seen).callers, seen.Job.ID)
 		if err == nil && status == http.StatusOK {
-			v.history.update(func() { seen.EndedAt = time.Now() })
+			d.history.update(func() { seen.EndedAt = time.Now() })
 			return
 		}
 		retry.Sleep(ctx, retryGap)
@@ -298,29 +298,29 @@
 }
 
 // readAllJobs reads every accepted job that nodes must still retain, at every node.
-func (v *driver) readAllJobs(ctx context.Context) {
-	for _, seen := range v.history.Jobs {
+func (d *driver) readAllJobs(ctx context.Context) {
+	for _, seen := range d.history.Jobs {
 		if !seen.Accepted || time.Since(seen.SentAt) > jobRetention {
 			continue
 		}
-		for _, each := range v.deployment.nodes {
-			v.history.recordAsked(seen, each.number)
-			v.readAllPositions(ctx, seen, each)
+		for _, each := range d.deployment.nodes {
+			d.history.recordAsked(seen, each.number)
+			d.readAllPositions(ctx, seen, each)
 		}
 	}
 }
 
 // readAllPositions reads all positions of a job at a node. It retries after failures, and while positions
 // that were read elsewhere are missing for no longer than resultSettleTime.
-func (v *driver) readAllPositions(ctx context.Context, seen *JobRecord, target *node) {
+func (d *driver) readAllPositions(ctx context.Context, seen *JobRecord, target *node) {
 	problem, status := "", 0
 	for began := time.Now(); ctx.Err() == nil && time.Since(began) < resultSettleTime+callTimeout; retry.Sleep(ctx, retryGap) {
-		results, got, err := v.client.WithKey(seen.Key).Results(ctx, target.callers, seen.Job.ID, 0, 0)
+		results, got, err := d.client.WithKey(seen.Key).Results(ctx, target.callers, seen.Job.ID, 0, 0)
 		if err != nil || got != http.StatusOK {
 			problem, status = fmt.Sprintf("node %d", target.number), got
 			continue
 		}
-		v.history.recordResults(seen, 0, results.Results)
+		d.history.recordResults(seen, 0, results.Results)
 		missing := len(seen.Positions) - len(results.Results)
 		if missing == 0 {
 			return
@@ -334,20 +334,20 @@
 }
 
 // run generates the load until ctx ends. Open jobs continue until jobCtx ends.
-func (v *driver) run(ctx, jobCtx context.Context) {
-	v.callers.Go(func() { v.reconfigure(ctx) })
-	for _, each := range v.deployment.nodes {
-		v.callers.Go(func() { v.sendProbes(ctx, each) })
-		v.callers.Go(func() { v.sendRevokedKeys(ctx, each) })
+func (d *driver) run(ctx, jobCtx context.Context) {
+	d.callers.Go(func() { d.reconfigure(ctx) })
+	for _, each := range d.deployment.nodes {
+		d.callers.Go(func() { d.sendProbes(ctx, each) })
+		d.callers.Go(func() { d.sendRevokedKeys(ctx, each) })
 	}
-	for _, each := range v.traffic() {
-		v.callers.Go(func() { v.sendTraffic(ctx, each) })
-		v.callers.Go(func() { v.sendTraffic(ctx, each) })
+	for _, each := range d.traffic() {
+		d.callers.Go(func() { d.sendTraffic(ctx, each) })
+		d.callers.Go(func() { d.sendTraffic(ctx, each) })
 	}
-	if v.sendsCrashing {
-		v.callers.Go(func() { v.crashEngines(ctx) })
+	if d.sendsCrashing {
+		d.callers.Go(func() { d.crashEngines(ctx) })
 	}
 	for trainer := range trainers {
-		v.jobs.Go(func() { v.runTrainer(ctx, jobCtx, trainer) })
+		d.jobs.Go(func() { d.runTrainer(ctx, jobCtx, trainer) })
 	}
 }
--- a/internal/bench/soak/engines.go
+++ b/internal/bench/soak/engines.go
@@ -70,8 +70,8 @@
 	server *http.Server
 	// incarnations holds all incarnations of all engines, the newest last.
 	incarnations []*incarnation
-	// lastBorn is the time of the newest start in Unix milliseconds, strictly increasing.
-	lastBorn int64
+	// lastStartMillis is the time of the newest start in Unix milliseconds, strictly increasing.
+	lastStartMillis int64
 	// entryInvalid is set while an invalid entry replaces the engine's own.
 	entryInvalid bool
 
@@ -83,201 +83,201 @@
 }
 
 // start starts a new engine with the weight version of the previous one.
-func (p *engineSlot) start() error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *engineSlot) start() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	version := int64(firstVersion)
-	if len(p.incarnations) > 0 {
-		version = p.engine().Version(standin.ModelDrafts)
+	if len(s.incarnations) > 0 {
+		version = s.engine().Version(standin.ModelDrafts)
 	}
-	p.starts++
-	return p.startIncarnation(fmt.Sprintf("engine-%d-%d", p.number, p.starts), version)
+	s.starts++
+	return s.startIncarnation(fmt.Sprintf("engine-%d-%d", s.number, s.starts), version)
 }
 
 // restartWithSameID starts the next incarnation of the last engine, which keeps its weights unless
 // losesWeights is set.
-func (p *engineSlot) restartWithSameID(losesWeights bool) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	before := p.engine()
+func (s *engineSlot) restartWithSameID(losesWeights bool) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	before := s.engine()
 	version := int64(firstVersion)
 	if !losesWeights {
 		version = before.Version(standin.ModelDrafts)
 	}
-	return p.startIncarnation(before.ID(), version)
+	return s.startIncarnation(before.ID(), version)
 }
 
 // engine returns the newest engine. Must be called with mu held.
-func (p *engineSlot) engine() *standin.Engine { return p.incarnations[len(p.incarnations)-1].engine }
+func (s *engineSlot) engine() *standin.Engine { return s.incarnations[len(s.incarnations)-1].engine }
 
-func (p *engineSlot) id() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.engine().ID()
+func (s *engineSlot) id() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.engine().ID()
 }
 
 // overwriteEntry replaces the engine's entry with content. The returned function restores the entry.
-func (p *engineSlot) overwriteEntry(content []byte) func() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.entryInvalid = true
-	engine := p.engine()
-	p.store.PutEngineEntry(engine.ID(), content)
-	running := p.incarnations[len(p.incarnations)-1]
+func (s *engineSlot) overwriteEntry(content []byte) func() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.entryInvalid = true
+	engine := s.engine()
+	s.store.PutEngineEntry(engine.ID(), content)
+	running := s.incarnations[len(s.incarnations)-1]
 	began := time.Now()
 	return func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
+		s.mu.Lock()
+		defer s.mu.Unlock()
 		running.entryInvalid = append(running.entryInvalid, TimeSpan{From: began, To: time.Now()})
-		p.entryInvalid = false
-		p.store.ListEngine(engine, p.senderProxy.address, false)
+		s.entryInvalid = false
+		s.store.ListEngine(engine, s.senderProxy.address, false)
 	}
 }
 
 // unlist removes the engine's entry.
-func (p *engineSlot) unlist() { p.store.UnlistEngine(p.id()) }
+func (s *engineSlot) unlist() { s.store.UnlistEngine(s.id()) }
 
 // startIncarnation starts an incarnation of an engine. Must be called with mu held.
-func (p *engineSlot) startIncarnation(id string, version int64) error {
+func (s *engineSlot) startIncarnation(id string, version int64) error {
 	var listener net.Listener
 	err := retryUntilFree(func() (err error) {
-		listener, err = net.Listen("tcp", p.listen)
+		listener, err = net.Listen("tcp", s.listen)
 		return err
 	})
 	if err != nil {
 		return errors.Wrap(err, "listen for an engine")
 	}
-	p.lastBorn = max(p.lastBorn+1, time.Now().UnixMilli())
+	s.lastStartMillis = max(s.lastStartMillis+1, time.Now().UnixMilli())
 	options := standin.EngineOptions{
-		ID: id, Service: p.service, Zone: zoneOf(p.number), StartMillis: p.lastBorn,
-		Slots: lookupSlots, Events: eventsOf, EventTime: eventTime, Data: eventData, LoadTime: loadTime, CheckFences: p.checkFences,
-		CrashesOn: func(run standin.Run) bool { return crashesEngine(run.Body) }, Crash: p.onCrash,
+		ID: id, Service: s.service, Zone: zoneOf(s.number), StartMillis: s.lastStartMillis,
+		Slots: lookupSlots, Events: eventsOf, EventTime: eventTime, Data: eventData, LoadTime: loadTime, CheckFences: s.checkFences,
+		CrashesOn: func(run standin.Run) bool { return crashesEngine(run.Body) }, Crash: s.onCrash,
 	}
-	if p.service == standin.ServiceDrafts {
+	if s.service == standin.ServiceDrafts {
 		options.Versions = map[string]int64{standin.ModelDrafts: version}
 		options.Slots = draftSlots
 	}
 	started := &incarnation{version: version, startedAt: time.Now()}
-	if len(p.incarnations) > 0 {
-		options.ColdFor = p.coldFor
-		started.restarted = p.engine().ID() == id
+	if len(s.incarnations) > 0 {
+		options.ColdFor = s.coldFor
+		started.restarted = s.engine().ID() == id
 	}
 	if options.ColdFor > 0 {
 		started.cold = append(started.cold, ColdPeriod{From: started.startedAt, To: started.startedAt.Add(options.ColdFor)})
 	}
 	started.engine = standin.NewEngine(options)
-	started.engine.SetFault(p.faultFor)
+	started.engine.SetFault(s.faultFor)
 	server := &http.Server{Handler: started.engine, ReadHeaderTimeout: time.Minute}
-	p.server, p.incarnations = server, append(p.incarnations, started)
+	s.server, s.incarnations = server, append(s.incarnations, started)
 	go func() { _ = server.Serve(listener) }()
-	p.store.ListEngine(started.engine, p.senderProxy.address, false)
+	s.store.ListEngine(started.engine, s.senderProxy.address, false)
 	return nil
 }
 
 // markCold makes the running engine cold and updates its entry at once.
-func (p *engineSlot) markCold(duration time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	running := p.incarnations[len(p.incarnations)-1]
-	if !running.endedAt.IsZero() || running.draining || p.entryInvalid {
+func (s *engineSlot) markCold(duration time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	running := s.incarnations[len(s.incarnations)-1]
+	if !running.endedAt.IsZero() || running.draining || s.entryInvalid {
 		return
 	}
 	running.engine.SetCold(duration)
-	p.store.ListEngine(running.engine, p.senderProxy.address, false)
+	s.store.ListEngine(running.engine, s.senderProxy.address, false)
 	now := time.Now()
 	running.cold = append(running.cold, ColdPeriod{From: now, To: now.Add(duration), Announced: true})
 }
 
 // faultFor returns the fault for a request.
-func (p *engineSlot) faultFor(id string) standin.EngineFault {
+func (s *engineSlot) faultFor(id string) standin.EngineFault {
 	switch {
 	case failsAlways(id):
 		return standin.RespondsError
 	case isImpossible(id):
 		return standin.RespondsUnprocessable
 	}
-	p.answerMu.Lock()
-	defer p.answerMu.Unlock()
-	if p.answerFault != standin.NoFault && rand.Float64() < answerFaultShare {
-		return p.answerFault
+	s.answerMu.Lock()
+	defer s.answerMu.Unlock()
+	if s.answerFault != standin.NoFault && rand.Float64() < answerFaultShare {
+		return s.answerFault
 	}
 	return standin.NoFault
 }
 
 // setAnswerFault sets the fault that affects a share of the answers; NoFault for none.
-func (p *engineSlot) setAnswerFault(fault standin.EngineFault) {
-	p.answerMu.Lock()
-	defer p.answerMu.Unlock()
-	p.answerFault = fault
+func (s *engineSlot) setAnswerFault(fault standin.EngineFault) {
+	s.answerMu.Lock()
+	defer s.answerMu.Unlock()
+	s.answerFault = fault
 }
 
 // stop ends the engine without updating its entry.
-func (p *engineSlot) stop() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	_ = p.server.Close()
-	if running := p.incarnations[len(p.incarnations)-1]; running.endedAt.IsZero() {
+func (s *engineSlot) stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_ = s.server.Close()
+	if running := s.incarnations[len(s.incarnations)-1]; running.endedAt.IsZero() {
 		running.endedAt = time.Now()
 	}
 }
 
 // writeEntry writes the running engine's entry, unless it drains or an invalid entry replaces it.
-func (p *engineSlot) writeEntry() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if running := p.incarnations[len(p.incarnations)-1]; running.endedAt.IsZero() && !running.draining && !p.entryInvalid {
-		p.store.ListEngine(running.engine, p.senderProxy.address, false)
+func (s *engineSlot) writeEntry() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if running := s.incarnations[len(s.incarnations)-1]; running.endedAt.IsZero() && !running.draining && !s.entryInvalid {
+		s.store.ListEngine(running.engine, s.senderProxy.address, false)
 	}
 }
 
 // writeEntryPeriodically writes the engine's entry at each entryInterval until ctx ends.
-func (p *engineSlot) writeEntryPeriodically(ctx context.Context) {
+func (s *engineSlot) writeEntryPeriodically(ctx context.Context) {
 	for retry.Sleep(ctx, entryInterval) {
-		p.writeEntry()
+		s.writeEntry()
 	}
 }
 
 // entry returns the engine's current entry.
-func (p *engineSlot) entry() []byte {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.engine().Entry(p.senderProxy.address, standin.StateReady)
+func (s *engineSlot) entry() []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.engine().Entry(s.senderProxy.address, standin.StateReady)
 }
 
 // drain lists the engine as draining, keeps it serving for drainTime, and stops it.
-func (p *engineSlot) drain(ctx context.Context) {
-	p.mu.Lock()
-	engine := p.engine()
-	p.incarnations[len(p.incarnations)-1].draining = true
-	p.mu.Unlock()
-	p.store.ListEngine(engine, p.senderProxy.address, true)
-	p.history.update(func() { p.history.Drains = append(p.history.Drains, DrainRecord{Engine: engine.ID(), At: time.Now()}) })
+func (s *engineSlot) drain(ctx context.Context) {
+	s.mu.Lock()
+	engine := s.engine()
+	s.incarnations[len(s.incarnations)-1].draining = true
+	s.mu.Unlock()
+	s.store.ListEngine(engine, s.senderProxy.address, true)
+	s.history.update(func() { s.history.Drains = append(s.history.Drains, DrainRecord{Engine: engine.ID(), At: time.Now()}) })
 	retry.Sleep(ctx, drainTime)
-	p.stop()
-	p.store.UnlistEngine(engine.ID())
+	s.stop()
+	s.store.UnlistEngine(engine.ID())
 }
 
 // crash stops the engine and refuses connections until the next one starts. The returned function removes
 // the entry after the given time.
-func (p *engineSlot) crash(ctx context.Context, duration time.Duration) func() {
-	id := p.id()
-	p.senderProxy.cut()
-	p.stop()
+func (s *engineSlot) crash(ctx context.Context, duration time.Duration) func() {
+	id := s.id()
+	s.senderProxy.cut()
+	s.stop()
 	return func() {
 		retry.Sleep(ctx, duration)
-		p.store.UnlistEngine(id)
+		s.store.UnlistEngine(id)
 	}
 }
 
 // records returns what all incarnations observed.
-func (p *engineSlot) records() []EngineRecord {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *engineSlot) records() []EngineRecord {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var all []EngineRecord
-	for _, each := range p.incarnations {
+	for _, each := range s.incarnations {
 		engine := each.engine
 		all = append(all, EngineRecord{
-			ID: engine.ID(), Service: engine.Service(), Zone: zoneOf(p.number), Region: regionOf(p.number),
+			ID: engine.ID(), Service: engine.Service(), Zone: zoneOf(s.number), Region: regionOf(s.number),
 			Restarted: each.restarted, Version: each.version, StartedAt: each.startedAt, EndedAt: each.endedAt,
 			Runs: engine.Runs(), Orders: engine.Orders(), Arrivals: engine.Arrivals(), Cold: each.cold, EntryInvalid: each.entryInvalid,
 		})
--- a/internal/bench/soak/forwarding.go
+++ b/internal/bench/soak/forwarding.go
@@ -43,8 +43,8 @@
 const listenTimeout = 2 * time.Second
 
 // listen starts to accept connections; it does nothing if that is already so.
-func (f *senderProxy) listen() error {
-	if err := retryUntilFree(f.tryListen); err != nil {
+func (p *senderProxy) listen() error {
+	if err := retryUntilFree(p.tryListen); err != nil {
 		return errors.Wrap(err, "listen for connections to an engine")
 	}
 	return nil
@@ -62,77 +62,77 @@
 	}
 }
 
-func (f *senderProxy) tryListen() error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.listener != nil {
+func (p *senderProxy) tryListen() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.listener != nil {
 		return nil
 	}
-	listener, err := net.Listen("tcp", f.address)
+	listener, err := net.Listen("tcp", p.address)
 	if err != nil {
 		return err
 	}
-	f.listener = listener
-	go f.accept(listener)
+	p.listener = listener
+	go p.accept(listener)
 	return nil
 }
 
 // cut closes all connections and refuses new ones until listen is called.
-func (f *senderProxy) cut() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.listener != nil {
-		_ = f.listener.Close()
-		f.listener = nil
+func (p *senderProxy) cut() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.listener != nil {
+		_ = p.listener.Close()
+		p.listener = nil
 	}
-	for each := range f.open {
+	for each := range p.open {
 		_ = each.Close()
 	}
 }
 
-func (f *senderProxy) accept(listener net.Listener) {
+func (p *senderProxy) accept(listener net.Listener) {
 	for {
 		accepted, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go f.forward(listener, accepted)
+		go p.forward(listener, accepted)
 	}
 }
 
 // track registers an open connection. It closes it instead and returns false if the proxy was cut since
 // listener accepted it.
-func (f *senderProxy) track(listener net.Listener, connection net.Conn) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.listener != listener {
+func (p *senderProxy) track(listener net.Listener, connection net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.listener != listener {
 		_ = connection.Close()
 		return false
 	}
-	f.open[connection] = true
+	p.open[connection] = true
 	return true
 }
 
-func (f *senderProxy) closeConnection(connection net.Conn) {
+func (p *senderProxy) closeConnection(connection net.Conn) {
 	_ = connection.Close()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.open, connection)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.open, connection)
 }
 
 // forward forwards the bytes of a connection until both directions are done.
-func (f *senderProxy) forward(listener net.Listener, accepted net.Conn) {
-	if !f.track(listener, accepted) {
+func (p *senderProxy) forward(listener net.Listener, accepted net.Conn) {
+	if !p.track(listener, accepted) {
 		return
 	}
-	defer f.closeConnection(accepted)
-	path := f.pathOf(accepted)
+	defer p.closeConnection(accepted)
+	path := p.pathOf(accepted)
 	dialer := &net.Dialer{LocalAddr: path.address()}
-	engine, err := dialer.Dial("tcp", f.upstream)
-	if err != nil || !f.track(listener, engine) {
+	engine, err := dialer.Dial("tcp", p.upstream)
+	if err != nil || !p.track(listener, engine) {
 		return
 	}
-	defer f.closeConnection(engine)
+	defer p.closeConnection(engine)
 	var both sync.WaitGroup
 	both.Go(func() { path.copy(engine, accepted) })
 	both.Go(func() { path.copy(accepted, engine) })
@@ -158,11 +158,11 @@
 const nodeAddressFormat = "127.7.0.%d"
 
 // address returns the source address that engines see; nil for any.
-func (w *nodePath) address() net.Addr {
-	if w.node == anyNode {
+func (p *nodePath) address() net.Addr {
+	if p.node == anyNode {
 		return nil
 	}
-	return &net.TCPAddr{IP: net.ParseIP(fmt.Sprintf(nodeAddressFormat, w.node+1))}
+	return &net.TCPAddr{IP: net.ParseIP(fmt.Sprintf(nodeAddressFormat, p.node+1))}
 }
 
 // nodeAtAddress returns the node that a source address stands for; false if there is none.
@@ -176,37 +176,37 @@
 
 // hold holds back all bytes on open connections until the returned function is called; then they are
 // delivered.
-func (w *nodePath) hold() func() {
+func (p *nodePath) hold() func() {
 	change := func(by int) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.held += by
-		close(w.changed)
-		w.changed = make(chan struct{})
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.held += by
+		close(p.changed)
+		p.changed = make(chan struct{})
 	}
 	change(1)
 	return func() { change(-1) }
 }
 
 // delay sets the delay of each chunk.
-func (w *nodePath) delay(latency time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.latency = latency
+func (p *nodePath) delay(latency time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.latency = latency
 }
 
 // awaitDelivery blocks until bytes may be delivered.
-func (w *nodePath) awaitDelivery() {
-	w.mu.Lock()
-	latency := w.latency
-	w.mu.Unlock()
+func (p *nodePath) awaitDelivery() {
+	p.mu.Lock()
+	latency := p.latency
+	p.mu.Unlock()
 	if latency > 0 {
 		time.Sleep(latency)
 	}
 	for {
-		w.mu.Lock()
-		held, changed := w.held > 0, w.changed
-		w.mu.Unlock()
+		p.mu.Lock()
+		held, changed := p.held > 0, p.changed
+		p.mu.Unlock()
 		if !held {
 			return
 		}
@@ -215,13 +215,13 @@
 }
 
 // copy forwards bytes. Bytes sent before the sender closed its connection are still delivered.
-func (w *nodePath) copy(to, from net.Conn) {
+func (p *nodePath) copy(to, from net.Conn) {
 	const chunk = 16 << 10
 	buffer := make([]byte, chunk)
 	for {
 		length, err := from.Read(buffer)
 		if length > 0 {
-			w.awaitDelivery()
+			p.awaitDelivery()
 			if _, failed := to.Write(buffer[:length]); failed != nil {
 				err = failed
 			}
@@ -229,7 +229,7 @@
 		if err == nil {
 			continue
 		}
-		w.awaitDelivery()
+		p.awaitDelivery()
 		if half, can := to.(*net.TCPConn); can && errors.Is(err, io.EOF) {
 			_ = half.CloseWrite()
 			return
--- a/internal/bench/soak/inject.go
+++ b/internal/bench/soak/inject.go
@@ -125,14 +125,14 @@
 	d.history.update(func() {
 		d.history.Crashes = append(d.history.Crashes, CrashRecord{Path: run.Path, Body: run.Body, At: time.Now()})
 	})
-	rest := slot.crash(ctx, minDowntime)
+	removeEntry := slot.crash(ctx, minDowntime)
 	d.wait.Go(func() {
 		defer slot.replacing.Unlock()
 		if d.restartsWithSameID {
 			d.restartAfterDelay(ctx, slot)
 			return
 		}
-		rest()
+		removeEntry()
 		d.startReplacement(slot)
 	})
 }
--- a/internal/bench/soak/node_store.go
+++ b/internal/bench/soak/node_store.go
@@ -235,19 +235,19 @@
 }
 
 // Header implements http.ResponseWriter.
-func (a *bufferedResponse) Header() http.Header { return a.header }
+func (r *bufferedResponse) Header() http.Header { return r.header }
 
 // Write implements http.ResponseWriter.
-func (a *bufferedResponse) Write(content []byte) (int, error) { return a.body.Write(content) }
+func (r *bufferedResponse) Write(content []byte) (int, error) { return r.body.Write(content) }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *bufferedResponse) WriteHeader(status int) { a.status = status }
+func (r *bufferedResponse) WriteHeader(status int) { r.status = status }
 
 // writeTo sends the response to w.
-func (a *bufferedResponse) writeTo(w http.ResponseWriter) {
-	for name, values := range a.header {
+func (r *bufferedResponse) writeTo(w http.ResponseWriter) {
+	for name, values := range r.header {
 		w.Header()[name] = values
 	}
-	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body.Bytes())
+	w.WriteHeader(r.status)
+	_, _ = w.Write(r.body.Bytes())
 }
--- a/internal/bench/soak/node_store_test.go
+++ b/internal/bench/soak/node_store_test.go
@@ -123,12 +123,12 @@
 
 func TestNodeStoreLoseNextClaim(t *testing.T) {
 	s := newFaultyStore(t)
-	told := make(chan struct{}, 2)
-	cancelLoss := s.loseNextClaim(func() { told <- struct{}{} })
+	lost := make(chan struct{}, 2)
+	cancelLoss := s.loseNextClaim(func() { lost <- struct{}{} })
 	defer cancelLoss()
 	assert.Equal(t, s.write(t, waitTimeout, leaseTopic, lease.Record{Kind: lease.Renew, Node: "node-1"}), http.StatusOK)
 	assert.Equal(t, s.write(t, waitTimeout, leaseTopic, lease.Record{Kind: lease.Claim, Node: "node-1"}), 0)
-	<-told
+	<-lost
 	assert.Equal(t, s.write(t, waitTimeout, leaseTopic, lease.Record{Kind: lease.Claim, Node: "node-1"}), http.StatusOK)
 	assert.Equal(t, s.end(leaseTopic), int64(3))
 }
--- a/internal/bench/soak/placement.go
+++ b/internal/bench/soak/placement.go
@@ -44,8 +44,8 @@
 }
 
 // homesOf returns the homes of a configuration version.
-func (v *driver) homesOf(version int64) Homes {
-	if !v.changesHomes {
+func (d *driver) homesOf(version int64) Homes {
+	if !d.changesHomes {
 		return homesCycle[0]
 	}
 	return homesCycle[version%int64(len(homesCycle))]
@@ -70,13 +70,13 @@
 }
 
 // traffic returns what each live caller sends.
-func (v *driver) traffic() []traffic {
+func (d *driver) traffic() []traffic {
 	all := []traffic{
 		{kind: standin.RouteSafe, prefix: standin.PrefixLookup, gap: callGap},
 		{kind: standin.RouteUnsafe, prefix: prefixPermit, gap: callGap},
 		{kind: standin.RouteStream, prefix: prefixStream, gap: callGap},
 	}
-	if !v.placement {
+	if !d.placement {
 		return all
 	}
 	for range denseCallers {
@@ -94,19 +94,19 @@
 const pinnedJobNodes = 2
 
 // nodeFor selects the node for the next request about a job.
-func (v *driver) nodeFor(job *JobRecord) *node {
-	target := v.anyNode()
-	if v.placement && job.Tenant == tenantOf(pinnedTrainer) {
-		nodes := v.deployment.nodes
+func (d *driver) nodeFor(job *JobRecord) *node {
+	target := d.anyNode()
+	if d.placement && job.Tenant == tenantOf(pinnedTrainer) {
+		nodes := d.deployment.nodes
 		target = nodes[(int(job.Job.Step)+rand.IntN(pinnedJobNodes))%len(nodes)]
 	}
-	v.history.recordAsked(job, target.number)
+	d.history.recordAsked(job, target.number)
 	return target
 }
 
 // bodyOf returns the body of a trainer's item.
-func (v *driver) bodyOf(trainer int, id string) string {
-	if v.placement && trainer == pinnedTrainer {
+func (d *driver) bodyOf(trainer int, id string) string {
+	if d.placement && trainer == pinnedTrainer {
 		return pinnedBody(id)
 	}
 	return "body of " + id
--- a/internal/bench/soak/seeds.go
+++ b/internal/bench/soak/seeds.go
@@ -38,7 +38,7 @@
 func (k KeptSeed) check() error {
 	switch {
 	case k.Number == 0:
-		return errors.New("a seed has no number")
+		return errors.New("kept seed without a number")
 	case k.Minutes < minMinutes || k.Minutes > maxMinutes:
 		return errors.Errorf("seed %d: minutes is %g, expected %g..%d", k.Number, k.Minutes, minMinutes, maxMinutes)
 	case k.Found == "" || k.Rule == "" || k.Cause == "" || k.Mended == "":
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -61,11 +61,11 @@
 
 // scale returns the bounds multiplied by a factor.
 func (b Bounds) scale(factor float64) Bounds {
-	stretch := func(bound time.Duration) time.Duration { return time.Duration(factor * float64(bound)) }
+	scaled := func(bound time.Duration) time.Duration { return time.Duration(factor * float64(bound)) }
 	return Bounds{
-		Settle: stretch(b.Settle), Apply: stretch(b.Apply), Drain: stretch(b.Drain),
-		Cancel: stretch(b.Cancel), FencedStop: stretch(b.FencedStop), ResumeGrace: stretch(b.ResumeGrace),
-		Evacuate: stretch(b.Evacuate), ColdNotice: stretch(b.ColdNotice), Reorder: stretch(b.Reorder),
+		Settle: scaled(b.Settle), Apply: scaled(b.Apply), Drain: scaled(b.Drain),
+		Cancel: scaled(b.Cancel), FencedStop: scaled(b.FencedStop), ResumeGrace: scaled(b.ResumeGrace),
+		Evacuate: scaled(b.Evacuate), ColdNotice: scaled(b.ColdNotice), Reorder: scaled(b.Reorder),
 	}
 }
 
--- a/internal/bench/soak/tenants.go
+++ b/internal/bench/soak/tenants.go
@@ -45,22 +45,22 @@
 }
 
 // sendRevokedKeys sends requests with a revoked key to one node until ctx ends.
-func (v *driver) sendRevokedKeys(ctx context.Context, target *node) {
+func (d *driver) sendRevokedKeys(ctx context.Context, target *node) {
 	for retry.Sleep(ctx, revokedGap) {
-		version := v.config.Load()
+		version := d.config.Load()
 		if version <= liveKeys {
 			continue
 		}
-		id, sent := v.newID("revoked-"), time.Now()
+		id, sent := d.newID("revoked-"), time.Now()
 		path := standin.PrefixLookup + id
-		client := v.client.WithKey(liveKey(version - liveKeys))
+		client := d.client.WithKey(liveKey(version - liveKeys))
 		answer, err := client.Live(ctx, target.callers, path, id, "", callDeadline)
-		v.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Intact: err == nil})
+		d.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Intact: err == nil})
 		if err != nil {
 			continue
 		}
-		v.history.update(func() {
-			v.history.Revoked = append(v.history.Revoked, Probe{
+		d.history.update(func() {
+			d.history.Revoked = append(d.history.Revoked, Probe{
 				Node: target.number, Version: version, SentAt: sent, EndedAt: time.Now(), Status: answer.Status,
 			})
 		})
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -83,7 +83,7 @@
 	return statuses
 }
 
-// followerOf returns the followerOf of a trainer's ledger, or nil.
+// followerOf returns the follower of a trainer's ledger, or nil.
 func (c *Coordinator) followerOf(trainer string) *follower {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/coordinator/fake_platform_test.go
+++ b/internal/coordinator/fake_platform_test.go
@@ -24,22 +24,22 @@
 	resume chan struct{}
 }
 
-func (g *pausableLog) setPaused(paused bool) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if g.resume != nil {
-		close(g.resume)
-		g.resume = nil
+func (l *pausableLog) setPaused(paused bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.resume != nil {
+		close(l.resume)
+		l.resume = nil
 	}
 	if paused {
-		g.resume = make(chan struct{})
+		l.resume = make(chan struct{})
 	}
 }
 
-func (g *pausableLog) wait(ctx context.Context) {
-	g.mutex.Lock()
-	resume := g.resume
-	g.mutex.Unlock()
+func (l *pausableLog) wait(ctx context.Context) {
+	l.mutex.Lock()
+	resume := l.resume
+	l.mutex.Unlock()
 	if resume == nil {
 		return
 	}
@@ -49,17 +49,17 @@
 	}
 }
 
-func (g *pausableLog) Append(ctx context.Context, stream string, records [][]byte) (int64, error) {
-	g.wait(ctx)
-	return g.Service.Append(ctx, stream, records)
+func (l *pausableLog) Append(ctx context.Context, stream string, records [][]byte) (int64, error) {
+	l.wait(ctx)
+	return l.Service.Append(ctx, stream, records)
 }
 
-func (g *pausableLog) Read(
+func (l *pausableLog) Read(
 	ctx context.Context, stream string, from int64, limit int, wait time.Duration,
 ) (logservice.Batch, error) {
-	g.wait(ctx)
-	batch, err := g.Service.Read(ctx, stream, from, limit, wait)
-	g.wait(ctx) // a read in progress does not return while paused either
+	l.wait(ctx)
+	batch, err := l.Service.Read(ctx, stream, from, limit, wait)
+	l.wait(ctx) // a read in progress does not return while paused either
 	return batch, err
 }
 
--- a/internal/ctl/steps_test.go
+++ b/internal/ctl/steps_test.go
@@ -9,6 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/api"
 )
 
+// Guards against an abandoned step shown as done or unfinished.
 func TestStepsShowTheirState(t *testing.T) {
 	var output strings.Builder
 	printSteps(&output, []api.StepStatus{
--- a/internal/dispatcher/buffer.go
+++ b/internal/dispatcher/buffer.go
@@ -83,8 +83,8 @@
 		return false
 	}
 	last := &b.pieces[len(b.pieces)-1]
-	alike := last.EngineAttempt == piece.EngineAttempt && last.Engine == piece.Engine && last.Version == piece.Version
-	if !alike || len(last.Tokens)+len(piece.Tokens) > bufferMaximumPieceTokens {
+	sameSource := last.EngineAttempt == piece.EngineAttempt && last.Engine == piece.Engine && last.Version == piece.Version
+	if !sameSource || len(last.Tokens)+len(piece.Tokens) > bufferMaximumPieceTokens {
 		return false
 	}
 	last.Tokens = append(last.Tokens, piece.Tokens...)
--- a/internal/dispatcher/limits.go
+++ b/internal/dispatcher/limits.go
@@ -14,8 +14,8 @@
 	// reconcileInterval is the interval at which cells are matched to the engine list, the members and
 	// the policy table. It is also the tick interval of an idle dispatcher.
 	reconcileInterval = 250 * time.Millisecond
-	// A changed digest is announced at most once per announceMinimumInterval, an unchanged one once
-	// per announceMaximumInterval.
+	// announceMinimumInterval is the minimum time between two announcements of a changed digest,
+	// announceMaximumInterval the time after which an unchanged digest is announced again.
 	announceMinimumInterval = 500 * time.Millisecond
 	announceMaximumInterval = 2 * time.Second
 	// cellIdleTimeout is the time without a request after which a cell owned by another node is
--- a/internal/dispatcher/link.go
+++ b/internal/dispatcher/link.go
@@ -71,17 +71,17 @@
 	generation := c.beginConnection(link, disconnect)
 	silence := time.AfterFunc(watchIdleTimeout, disconnect)
 	defer silence.Stop()
-	heard := false
+	delivered := false
 	err := c.dispatcher.options.EngineClient.Watch(connection, link.address, watchInterval, func(event engine.Event) {
 		silence.Reset(watchIdleTimeout)
-		heard = true
+		delivered = true
 		c.observe(link, generation, &event)
 	})
 	c.endConnection(link, generation)
-	if heard && ctx.Err() == nil {
+	if delivered && ctx.Err() == nil {
 		c.dispatcher.options.Logger.Warn().Err(err).Str("engine", link.id).Msg("engine watch stream broke")
 	}
-	return heard
+	return delivered
 }
 
 func (c *cell) beginConnection(link *engineLink, disconnect context.CancelFunc) uint64 {
--- a/internal/standin/logservice/server_test.go
+++ b/internal/standin/logservice/server_test.go
@@ -20,6 +20,7 @@
 	return response.StatusCode
 }
 
+// Guards against a fault whose error states another outcome than the append had.
 func TestInjectedFaults(t *testing.T) {
 	ctx := t.Context()
 	server := httptest.NewServer(New(Config{Seed: 1}).Handler())
--- a/internal/standin/machines/history_test.go
+++ b/internal/standin/machines/history_test.go
@@ -14,6 +14,7 @@
 
 func at(seconds int) time.Time { return startTime.Add(time.Duration(seconds) * time.Second) }
 
+// Guards against changes visible before the lag has passed, and against machines that never expire.
 func TestHistoryLagAndExpiry(t *testing.T) {
 	list := newHistory(10*time.Second, 30*time.Second)
 	live := machines.Machine{ID: "e1", Address: "127.0.0.1:1", State: machines.StateLive}
@@ -34,7 +35,7 @@
 	assert.Equal(t, len(list.list(at(62)).Machines), 0)
 }
 
-func TestServerOverHTTP(t *testing.T) {
+func TestServerRegistersListsAndRemovesMachines(t *testing.T) {
 	server := New(Config{})
 	listener := httptest.NewServer(server.Handler())
 	defer listener.Close()
--- a/internal/standin/memlog/memlog.go
+++ b/internal/standin/memlog/memlog.go
@@ -235,7 +235,7 @@
 func (l *Log) readNow(name eventlog.Partition, from int64, limit int) (eventlog.Batch, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if fate := l.selectFault(Call{Partition: name}); fate != None {
+	if fault := l.selectFault(Call{Partition: name}); fault != None {
 		return eventlog.Batch{}, nil, eventlog.ErrNotDone
 	}
 	p := l.partition(name)
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -103,7 +103,7 @@
 }
 
 // readEvents reads events until the stream is complete.
-func (a *LiveResponse) readEvents(body io.Reader) error {
+func (r *LiveResponse) readEvents(body io.Reader) error {
 	reader := sse.NewReader(body)
 	for {
 		event, err := reader.Next()
@@ -113,8 +113,8 @@
 		if err != nil {
 			return err
 		}
-		a.Events = append(a.Events, string(event.Data))
-		a.Numbers = append(a.Numbers, event.ID)
+		r.Events = append(r.Events, string(event.Data))
+		r.Numbers = append(r.Numbers, event.ID)
 	}
 }
 
--- a/internal/standin/scorer/scorer_test.go
+++ b/internal/standin/scorer/scorer_test.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/platform/scorer"
 )
 
-func TestAdapterReturnsDeterministicScore(t *testing.T) {
+func TestHTTPClientReturnsDeterministicScore(t *testing.T) {
 	server := httptest.NewServer(New(Config{Seed: 7}).Handler())
 	defer server.Close()
 	adapter := scorer.NewHTTP(server.URL+"/", server.Client())
@@ -23,13 +23,13 @@
 	assert.Assert(t, Score(8, "p", "answer") != response.Score)
 }
 
-func TestAdapterReportsFailures(t *testing.T) {
-	stand := New(Config{Seed: 7, FailShare: 1})
-	server := httptest.NewServer(stand.Handler())
+func TestHTTPClientReportsFailures(t *testing.T) {
+	simulated := New(Config{Seed: 7, FailShare: 1})
+	server := httptest.NewServer(simulated.Handler())
 	adapter := scorer.NewHTTP(server.URL, server.Client())
 	_, err := adapter.Score(t.Context(), scorer.Request{Text: "x"})
 	assert.ErrorContains(t, err, "status 503")
-	assert.Equal(t, stand.Calls(), int64(1))
+	assert.Equal(t, simulated.Calls(), int64(1))
 	server.Close()
 	_, err = adapter.Score(t.Context(), scorer.Request{Text: "x"})
 	assert.ErrorContains(t, err, "scorer: call")
--- a/internal/standin/trainer/trainer_test.go
+++ b/internal/standin/trainer/trainer_test.go
@@ -72,7 +72,7 @@
 	assert.Assert(t, report.ViolatesGuarantees())
 }
 
-func TestConfigFlags(t *testing.T) {
+func TestConfigParsesFlagsAndRequiresStartVersion(t *testing.T) {
 	var config Config
 	parser, err := arg.NewParser(arg.Config{}, &config)
 	assert.NilError(t, err)
--- a/internal/weights/cluster_test.go
+++ b/internal/weights/cluster_test.go
@@ -67,44 +67,44 @@
 	return w
 }
 
-func (w *testCluster) Candidates(string) []cluster.Member {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.members
+func (c *testCluster) Candidates(string) []cluster.Member {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.members
 }
 
-func (w *testCluster) Owner(string) (cluster.Member, int64, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return cluster.Member{ID: w.owner}, 0, w.owner != ""
+func (c *testCluster) Owner(string) (cluster.Member, int64, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return cluster.Member{ID: c.owner}, 0, c.owner != ""
 }
 
-func (w *testCluster) Cells() []message.CellDigest {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.frozenDigest != nil {
-		return []message.CellDigest{*w.frozenDigest}
+func (c *testCluster) Cells() []message.CellDigest {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.frozenDigest != nil {
+		return []message.CellDigest{*c.frozenDigest}
 	}
-	return []message.CellDigest{w.digestLocked()}
+	return []message.CellDigest{c.digestLocked()}
 }
 
 // freezeDigest makes Cells return the cell's current digest from now on.
-func (w *testCluster) freezeDigest() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	digest := w.digestLocked()
-	w.frozenDigest = &digest
+func (c *testCluster) freezeDigest() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	digest := c.digestLocked()
+	c.frozenDigest = &digest
 }
 
 // digestLocked returns the cell's current digest. Must be called with mu held.
-func (w *testCluster) digestLocked() message.CellDigest {
+func (c *testCluster) digestLocked() message.CellDigest {
 	counts := make(map[uint64]int)
-	for _, version := range w.engines {
+	for _, version := range c.engines {
 		if version > 0 {
 			counts[version]++
 		}
 	}
-	digest := message.CellDigest{Cell: message.CellID{Zone: "z", Pool: "p"}, Address: "cell", Engines: len(w.engines)}
+	digest := message.CellDigest{Cell: message.CellID{Zone: "z", Pool: "p"}, Address: "cell", Engines: len(c.engines)}
 	for version, engines := range counts {
 		held := engine.ModelVersion{Model: "m", Version: version}
 		digest.Models = append(digest.Models, message.ModelCount{ModelVersion: held, Engines: engines})
@@ -112,57 +112,57 @@
 	return digest
 }
 
-func (w *testCluster) AnnounceOwned([]cluster.Ownership) {}
+func (c *testCluster) AnnounceOwned([]cluster.Ownership) {}
 
-func (w *testCluster) Table() *policy.Table {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.table
+func (c *testCluster) Table() *policy.Table {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.table
 }
 
-func (w *testCluster) Changed(int64) <-chan struct{} {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.changed
+func (c *testCluster) Changed(int64) <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.changed
 }
 
-func (w *testCluster) Current() error { return nil }
+func (c *testCluster) Current() error { return nil }
 
-func (w *testCluster) setRows(rows ...policy.Row) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.table = &policy.Table{Revision: w.table.Revision + 1, Rows: rows}
-	close(w.changed)
-	w.changed = make(chan struct{})
+func (c *testCluster) setRows(rows ...policy.Row) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.table = &policy.Table{Revision: c.table.Revision + 1, Rows: rows}
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-func (w *testCluster) OpenStream(context.Context, string, peer.Method, any) (peer.Stream, error) {
+func (c *testCluster) OpenStream(context.Context, string, peer.Method, any) (peer.Stream, error) {
 	return nil, errors.New("not used")
 }
 
 // Call simulates the dispatcher: engines load instantly, up to the allotment.
-func (w *testCluster) Call(_ context.Context, _ string, _ peer.Method, request, response any) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *testCluster) Call(_ context.Context, _ string, _ peer.Method, request, response any) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	directive := *request.(*message.Directive)
 	result := response.(*message.DirectiveResult)
-	w.received = append(w.received, directive)
-	result.Engines = len(w.engines)
-	if directive.Epoch < w.fence {
-		result.StaleEpoch = w.fence
+	c.received = append(c.received, directive)
+	result.Engines = len(c.engines)
+	if directive.Epoch < c.fence {
+		result.StaleEpoch = c.fence
 		return nil
 	}
-	w.fence = directive.Epoch
+	c.fence = directive.Epoch
 	left := directive.Concurrent
-	for index, version := range w.engines {
+	for index, version := range c.engines {
 		if version != directive.Version && left > 0 {
-			w.engines[index] = directive.Version
+			c.engines[index] = directive.Version
 			left--
 		}
-		if w.engines[index] >= directive.Version {
+		if c.engines[index] >= directive.Version {
 			result.AtLeastVersion++
 		}
-		if w.engines[index] == directive.Version {
+		if c.engines[index] == directive.Version {
 			result.AtVersion++
 		}
 	}
@@ -170,43 +170,43 @@
 }
 
 // nextDirectives waits for count directives planned after the call and returns them.
-func (w *testCluster) nextDirectives(t *testing.T, count int) []message.Directive {
+func (c *testCluster) nextDirectives(t *testing.T, count int) []message.Directive {
 	t.Helper()
-	w.mu.Lock()
-	known := len(w.received) + 1 // one may be in transit
-	w.mu.Unlock()
+	c.mu.Lock()
+	known := len(c.received) + 1 // one may be in transit
+	c.mu.Unlock()
 	var directives []message.Directive
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if len(w.received) < known+count {
-			return poll.Continue("%d directives", len(w.received)-known)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if len(c.received) < known+count {
+			return poll.Continue("%d directives", len(c.received)-known)
 		}
-		directives = append(directives, w.received[known:known+count]...)
+		directives = append(directives, c.received[known:known+count]...)
 		return poll.Success()
 	}, pollTimeout)
 	return directives
 }
 
-func (w *testCluster) setMembers(owner string, ids ...string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.owner = owner
-	w.members = nil
+func (c *testCluster) setMembers(owner string, ids ...string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.owner = owner
+	c.members = nil
 	for _, id := range ids {
-		w.members = append(w.members, cluster.Member{ID: id, State: cluster.StateAlive})
+		c.members = append(c.members, cluster.Member{ID: id, State: cluster.StateAlive})
 	}
 }
 
 // startNode starts a coordinator that stops at the end of the test.
-func (w *testCluster) startNode(t *testing.T, id string) *Coordinator {
+func (c *testCluster) startNode(t *testing.T, id string) *Coordinator {
 	t.Helper()
 	manager := logstream.NewManager(logstream.Options{
-		Service: logservice.NewHTTP(w.log, http.DefaultClient), Writer: id, Logger: zerolog.Nop(), PollWait: 100 * time.Millisecond,
+		Service: logservice.NewHTTP(c.log, http.DefaultClient), Writer: id, Logger: zerolog.Nop(), PollWait: 100 * time.Millisecond,
 	})
 	coordinator := New(Options{
-		NodeID: id, PeerAddress: "127.0.0.1:1", Manager: manager, View: w, Announcer: w, Caller: w,
-		Store: weightstore.NewHTTP(w.storeURL, nil), Tables: w, Interval: 10 * time.Millisecond, Logger: zerolog.Nop(),
+		NodeID: id, PeerAddress: "127.0.0.1:1", Manager: manager, View: c, Announcer: c, Caller: c,
+		Store: weightstore.NewHTTP(c.storeURL, nil), Tables: c, Interval: 10 * time.Millisecond, Logger: zerolog.Nop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -224,14 +224,14 @@
 	return coordinator
 }
 
-func (w *testCluster) waitVersion(t *testing.T, version uint64) {
+func (c *testCluster) waitVersion(t *testing.T, version uint64) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		for _, held := range w.engines {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		for _, held := range c.engines {
 			if held != version {
-				return poll.Continue("engines: %v", w.engines)
+				return poll.Continue("engines: %v", c.engines)
 			}
 		}
 		return poll.Success()
--- a/internal/weights/direct.go
+++ b/internal/weights/direct.go
@@ -17,7 +17,8 @@
 	// maxDirectiveCalls limits the concurrent calls to dispatchers per model.
 	maxDirectiveCalls = 32
 	// settledInterval is the minimum time between directives to a cell whose engines
-	// all hold the version. They find engines whose change is not in the digest.
+	// all hold the version. These directives detect engines whose change is missing
+	// from the digest.
 	settledInterval = 5 * time.Second
 	// settledIntervalPerCell raises that interval in proportion to the number of
 	// cells, to limit control traffic for models with hundreds of cells.
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -18,9 +18,9 @@
 	return policy.Row{Service: "s", Pool: "p", Model: "m", Version: version, Floor: floor}
 }
 
-func (w *testCluster) publish(t *testing.T, version uint64) {
+func (c *testCluster) publish(t *testing.T, version uint64) {
 	t.Helper()
-	assert.NilError(t, w.store.Publish("m", weightstore.PublishRequest{Version: version}))
+	assert.NilError(t, c.store.Publish("m", weightstore.PublishRequest{Version: version}))
 }
 
 func TestOwnerRollsOutLatestVersionInWaves(t *testing.T) {
--- a/test/history/linearizable_test.go
+++ b/test/history/linearizable_test.go
@@ -17,6 +17,8 @@
 	return operation(call, end, TableOperation{base}, TableResult{outcome, revision})
 }
 
+// Guards against a checker that misses two winners of one revision, a wrong refusal or a reverted revision, or that
+// rejects a proposal whose outcome was unknown and that took effect late.
 func TestTableModel(t *testing.T) {
 	race := []porcupine.Operation{proposal(1, 9, 0, Accepted, 4), proposal(1, 9, 0, Refused, 0)}
 	assert.Assert(t, Linearizable(TableModel(0), race))
@@ -37,6 +39,7 @@
 	assert.Assert(t, !Linearizable(TableModel(0), lateEffect[1:]))
 }
 
+// Guards against a checker that misses a record accepted after a takeover, two winners of one epoch or a lower epoch.
 func TestOwnershipModel(t *testing.T) {
 	claim := func(call, end, previous, epoch int64, outcome Outcome) porcupine.Operation {
 		return operation(call, end, OwnershipOperation{Claim: true, Previous: previous, Epoch: epoch}, outcome)
@@ -56,6 +59,7 @@
 	assert.Assert(t, !Linearizable(OwnershipModel(), backwards))
 }
 
+// Guards against a checker that misses a second, different answer for one idempotency key.
 func TestKeyedModel(t *testing.T) {
 	call := func(key string, started, ended int64, text, executed string) live.Outcome {
 		return live.Outcome{
--- a/test/hosted/batch_test.go
+++ b/test/hosted/batch_test.go
@@ -116,7 +116,7 @@
 	assert.Equal(t, status, http.StatusNotFound)
 }
 
-// The rejection promises that nothing runs, also once the log is back.
+// The rejection guarantees that nothing runs, even after the log is available again.
 func TestRejectedJobNeverRuns(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
--- a/test/hosted/duties_test.go
+++ b/test/hosted/duties_test.go
@@ -139,7 +139,7 @@
 	assert.Equal(t, reportedUsage(calls, "first"), int64(3))
 }
 
-// A replacement that is sold out at first is ordered again.
+// A replacement that is rejected at first for lack of engines is ordered again.
 func TestScalerReplacesLostEngines(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
--- a/test/hosted/incarnation_test.go
+++ b/test/hosted/incarnation_test.go
@@ -115,9 +115,9 @@
 }
 
 // addDeskIncarnation starts and lists an engine with the given ID and start time at a new address.
-func (d *deployment) addDeskIncarnation(id string, born int64) *standin.Engine {
+func (d *deployment) addDeskIncarnation(id string, startMillis int64) *standin.Engine {
 	d.t.Helper()
-	return d.addEngine(standin.EngineOptions{ID: id, Service: "desk", StartMillis: born})
+	return d.addEngine(standin.EngineOptions{ID: id, Service: "desk", StartMillis: startMillis})
 }
 
 // listedEntry returns an engine's entry in the engine list.
--- a/test/integration/at_most_once_test.go
+++ b/test/integration/at_most_once_test.go
@@ -28,7 +28,7 @@
 	permitCallTimeout = 10 * time.Second
 )
 
-func (d *permitCallers) issue(number int) {
+func (c *permitCallers) issue(number int) {
 	call := live.Call{
 		Service: permitService, MaxTokens: 64, Stream: number%2 == 0,
 		Prompt:         fmt.Sprintf("issue permit %d [tokens=12]", number),
@@ -36,18 +36,18 @@
 	}
 	var racing sync.WaitGroup
 	for racer := range 2 {
-		racing.Go(func() { d.retryUntilOK(call, number+racer) })
+		racing.Go(func() { c.retryUntilOK(call, number+racer) })
 	}
 	racing.Wait()
 }
 
-func (d *permitCallers) retryUntilOK(call live.Call, first int) {
+func (c *permitCallers) retryUntilOK(call live.Call, first int) {
 	for try := range permitMaxTries {
-		call.Address = d.addresses[(first+try)%len(d.addresses)]
+		call.Address = c.addresses[(first+try)%len(c.addresses)]
 		ctx, cancel := context.WithTimeout(context.Background(), permitCallTimeout)
-		outcome := d.client.Send(ctx, call)
+		outcome := c.client.Send(ctx, call)
 		cancel()
-		d.recorder.Add(outcome)
+		c.recorder.Add(outcome)
 		if outcome.OK() {
 			return
 		}
@@ -55,10 +55,10 @@
 }
 
 // run issues permits one after another until the context ends.
-func (d *permitCallers) run(ctx context.Context, caller int) {
+func (c *permitCallers) run(ctx context.Context, caller int) {
 	const permitsPerCaller = 100_000
 	for number := caller * permitsPerCaller; ctx.Err() == nil; number++ {
-		d.issue(number)
+		c.issue(number)
 	}
 }
 
@@ -82,10 +82,10 @@
 	issued.waitOK(t, 20)
 	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{LoseAnswers: 0.3, LateMS: 50}))
 	issued.waitOK(t, 20)
-	// Each node in turn, to hit every role: gateway, owner of a key's shard, dispatcher of a cell.
+	// Each node in turn, so that the fault affects every role: gateway, owner of a key's shard, dispatcher of a cell.
 	for _, node := range deployment.Nodes() {
 		killAndRestart(t, node, issued)
-		freezeAndThaw(t, node, issued)
+		freezeAndResume(t, node, issued)
 	}
 	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{}))
 	issued.waitOK(t, 10)
@@ -107,7 +107,7 @@
 	restart(t, node)
 }
 
-func freezeAndThaw(t *testing.T, node *topology.Node, load *runningLoad) {
+func freezeAndResume(t *testing.T, node *topology.Node, load *runningLoad) {
 	t.Helper()
 	assert.NilError(t, node.Suspend())
 	load.waitOK(t, 10)
--- a/test/integration/exactly_once_test.go
+++ b/test/integration/exactly_once_test.go
@@ -17,7 +17,7 @@
 	stepTokens  = 60
 )
 
-// submitAndBegin submits a step and collects its first samples, so that later faults hit it midway.
+// submitAndBegin submits a step and collects its first samples, so that later faults occur while the step is in progress.
 func (c *trainerClient) submitAndBegin(step string) {
 	c.t.Helper()
 	before := len(c.deliveries)
--- a/test/integration/ownership_test.go
+++ b/test/integration/ownership_test.go
@@ -32,7 +32,7 @@
 }
 
 const (
-	// submittersPerNode calls run at once, so that some wait in a frozen node's sockets when it is thawed.
+	// submittersPerNode calls run at once, so that some wait in a frozen node's sockets when it resumes.
 	submittersPerNode = 3
 	submitInterval    = 30 * time.Millisecond
 )
@@ -79,12 +79,12 @@
 	})
 }
 
-// lateSubmissions is the number of calls that wait at a frozen owner when it is thawed.
+// lateSubmissions is the number of calls that wait at a frozen owner when it resumes.
 const lateSubmissions = 8
 
-// thawFencedOwner thaws an owner that was replaced while frozen. Calls made after the takeover wait in its sockets,
+// resumeFencedOwner resumes an owner that was replaced while frozen. Calls made after the takeover wait in its sockets,
 // and its log connections are reset, so that it handles the calls before it can read that it was fenced.
-func (s *submitters) thawFencedOwner(t *testing.T, ctx context.Context, frozen *topology.Node, round int) {
+func (s *submitters) resumeFencedOwner(t *testing.T, ctx context.Context, frozen *topology.Node, round int) {
 	t.Helper()
 	assert.NilError(t, frozen.LogLink.Reset())
 	var sent sync.WaitGroup
@@ -209,7 +209,7 @@
 		frozen := client.owner("n1-0-0")
 		assert.NilError(t, frozen.Suspend())
 		epoch = submitting.waitAccepted(t, 10, epoch)
-		submitting.thawFencedOwner(t, ctx, frozen, round)
+		submitting.resumeFencedOwner(t, ctx, frozen, round)
 		submitting.waitAccepted(t, 20, 0)
 		assert.NilError(t, deployment.ControlLog(waitContext(t), standin.Control{LoseAnswers: 0.3, LateMS: 50}))
 	}
