--- a/internal/batchjobs/batches_test.go
+++ b/internal/batchjobs/batches_test.go
@@ -64,7 +64,7 @@
 	ended, running := outageBacklog(t, service)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	kept, err := service.Keep(ctx, service.PartitionOf("j"), running)
+	kept, err := service.SaveProgress(ctx, service.PartitionOf("j"), running)
 	assert.NilError(t, err)
 	assert.Equal(t, kept, len(running))
 	record(t, service, ended)
--- a/internal/batchjobs/homes_test.go
+++ b/internal/batchjobs/homes_test.go
@@ -109,7 +109,7 @@
 	assert.NilError(t, err)
 	kept := ItemProgress{Homes: bound.Job.Homes, Text: []byte("hidden part")}
 	kept.Record.Job, kept.Record.To = "bound", 1
-	_, err = service.Keep(t.Context(), service.PartitionOf("bound"), []ItemProgress{kept})
+	_, err = service.SaveProgress(t.Context(), service.PartitionOf("bound"), []ItemProgress{kept})
 	assert.NilError(t, err)
 	open, err := log.Read(t.Context(), target.dataPartition(nil), 0, readLimitBytes, 0)
 	assert.NilError(t, err)
--- a/internal/batchjobs/progress.go
+++ b/internal/batchjobs/progress.go
@@ -19,9 +19,9 @@
 	maxReadGapRecords = 4
 )
 
-// KeptTexts returns the saved partial texts by item. A leader appends the new parts of all running items in
+// SavedTexts returns the saved partial texts by item. A leader appends the new parts of all running items in
 // one call, so adjacent parts are read together. On an error it also returns the texts that could be read.
-func (s *Service) KeptTexts(
+func (s *Service) SavedTexts(
 	ctx context.Context, job batch.JobRecord, saved map[int]batch.Progress,
 ) (map[int][]byte, error) {
 	dataPartition := s.partitionOf(job.ID).dataPartition(job.Homes)
--- a/internal/batchjobs/progress_test.go
+++ b/internal/batchjobs/progress_test.go
@@ -38,7 +38,7 @@
 				Text: fmt.Appendf(nil, "%d-%d", item, part+1),
 			})
 		}
-		_, err := service.Keep(ctx, service.PartitionOf("j"), running)
+		_, err := service.SaveProgress(ctx, service.PartitionOf("j"), running)
 		assert.NilError(t, err)
 	}
 	var observer latestJobObserver
@@ -60,7 +60,7 @@
 	service := newService(log)
 	saved := jobWithProgress(t.Context(), t, service, 40, 5)
 	before := log.dataReads.Load()
-	texts, err := service.KeptTexts(t.Context(), batch.JobRecord{ID: "j"}, saved)
+	texts, err := service.SavedTexts(t.Context(), batch.JobRecord{ID: "j"}, saved)
 	assert.NilError(t, err)
 	for item := range saved {
 		assert.Equal(t, string(texts[item]), fmt.Sprintf("%[1]d-1\n%[1]d-2\n%[1]d-3\n%[1]d-4\n%[1]d-5", item))
@@ -77,7 +77,7 @@
 	lost := saved[1]
 	lost.Parts = []batch.Span{{First: 1 << 30, Count: 1}}
 	saved[1] = lost
-	texts, err := service.KeptTexts(t.Context(), batch.JobRecord{ID: "j"}, saved)
+	texts, err := service.SavedTexts(t.Context(), batch.JobRecord{ID: "j"}, saved)
 	assert.ErrorContains(t, err, "no record")
 	assert.Equal(t, string(texts[0]), "0-1")
 	_, found := texts[1]
@@ -100,7 +100,7 @@
 	service := newService(log)
 	saved := jobWithProgress(t.Context(), t, service, 40, 5)
 	log.dataBytes.Store(0)
-	_, err := service.KeptTexts(t.Context(), batch.JobRecord{ID: "j"}, saved)
+	_, err := service.SavedTexts(t.Context(), batch.JobRecord{ID: "j"}, saved)
 	assert.NilError(t, err)
 	needed := 0
 	for _, progress := range saved {
--- a/internal/batchjobs/write.go
+++ b/internal/batchjobs/write.go
@@ -119,7 +119,7 @@
 	return s.appendIndex(ctx, target, batch.Record{Results: results})
 }
 
-// ItemProgress is new partial output of a running item, as passed to Keep.
+// ItemProgress is new partial output of a running item, as passed to SaveProgress.
 type ItemProgress struct {
 	// Homes are the home regions from the job's record. They determine the topic of the text.
 	Homes  []string
@@ -127,21 +127,21 @@
 	Text   []byte
 }
 
-// Keep saves partial output of running items of one partition, in as many appends as the log's limits require.
+// SaveProgress saves partial output of running items of one partition, in as many appends as the log's limits require.
 // It returns how many of the items, from the first on, were saved; without an error these are all.
-func (s *Service) Keep(ctx context.Context, number int, running []ItemProgress) (int, error) {
+func (s *Service) SaveProgress(ctx context.Context, number int, running []ItemProgress) (int, error) {
 	target := s.partitions[number]
 	texts := textAccessors[ItemProgress]{
 		size:          func(item ItemProgress) int { return len(item.Text) },
 		dataPartition: func(item ItemProgress) eventlog.Partition { return target.dataPartition(item.Homes) },
 	}
 	return writeBatches(running, texts, s.options.CallBytes, func(batch []ItemProgress) error {
-		return s.keepBatch(ctx, target, batch)
+		return s.saveProgressBatch(ctx, target, batch)
 	})
 }
 
-// keepBatch saves partial output whose texts fit into one append.
-func (s *Service) keepBatch(ctx context.Context, target *partition, running []ItemProgress) error {
+// saveProgressBatch saves partial output whose texts fit into one append.
+func (s *Service) saveProgressBatch(ctx context.Context, target *partition, running []ItemProgress) error {
 	progress := make([]batch.ProgressRecord, len(running))
 	var records [][]byte
 	for i, item := range running {
--- a/internal/batchrun/cold.go
+++ b/internal/batchrun/cold.go
@@ -15,12 +15,12 @@
 	if !cold {
 		return false, 0
 	}
-	return true, r.options.ColdStarts.Room(engine, coldness)
+	return true, r.options.ColdStarts.Available(engine, coldness)
 }
 
-// admit requests permission to start an item on an engine. permitOpen reports whether the permission is still
-// valid; it is nil if the engine is not known to be cold. The item is counted anyway, in case the engine turns out to
-// be.
+// admit requests a permit to start an item on an engine. permitOpen reports whether the permit is still valid; it is
+// nil if the engine is not known to be cold. Such a start is recorded, so that it counts against the engine's rate if
+// the engine turns out to be cold.
 func (r *Runner) admit(engine fleet.Engine) (permitOpen func() bool, admitted bool) {
 	slowStart, bounded := r.options.Fleet.SlowStart(engine.Service)
 	if !bounded {
@@ -29,7 +29,7 @@
 	id := engine.Incarnation()
 	coldness, cold := r.options.Fleet.Cold(id, time.Now())
 	if !cold {
-		r.options.ColdStarts.Note(id, slowStart.RatePerSecond)
+		r.options.ColdStarts.RecordStart(id, slowStart.RatePerSecond)
 		return nil, true
 	}
 	permit, _, outcome := r.options.ColdStarts.Admit(coldpermits.Items, id, coldness)
@@ -48,11 +48,11 @@
 	return free
 }
 
-// requestColdStarts requests permits for the cold engines that could run waiting items but have none left.
-func (r *Runner) requestColdStarts(engines []batchplan.Engine) {
+// prefetchPermits requests permits for the cold engines that could run waiting items but have no permits left.
+func (r *Runner) prefetchPermits(engines []batchplan.Engine) {
 	for _, engine := range engines {
 		if engine.Cold && engine.Usable && engine.MaxStarts == 0 {
-			r.options.ColdStarts.Want(engine.ID)
+			r.options.ColdStarts.Prefetch(engine.ID)
 		}
 	}
 }
--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -15,7 +15,7 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// fakeColdStarts admits a set number of items, and reports free starts unless it is full.
+// fakeColdStarts admits a set number of items, and reports available starts unless it is full.
 type fakeColdStarts struct {
 	mu        sync.Mutex
 	full      bool
@@ -26,13 +26,13 @@
 	noted     int
 }
 
-func (s *fakeColdStarts) Want(to incarnation.ID) {
+func (s *fakeColdStarts) Prefetch(to incarnation.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requested = append(s.requested, to)
 }
 
-func (s *fakeColdStarts) Room(incarnation.ID, fleet.Coldness) int {
+func (s *fakeColdStarts) Available(incarnation.ID, fleet.Coldness) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.full {
@@ -55,7 +55,7 @@
 	return coldpermits.Permit{Engine: to}, 0, coldpermits.Granted
 }
 
-func (s *fakeColdStarts) Note(incarnation.ID, float64) {
+func (s *fakeColdStarts) RecordStart(incarnation.ID, float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.noted++
@@ -85,7 +85,8 @@
 	return env
 }
 
-func addItemNames(env *testEnv, count int) []string {
+// addSingleEventItems returns item IDs and gives each one event.
+func addSingleEventItems(env *testEnv, count int) []string {
 	var names []string
 	for i := range count {
 		names = append(names, fmt.Sprint("item", i))
@@ -94,10 +95,10 @@
 	return names
 }
 
-// The plan's view of the free starts may be outdated, since live requests use them as well.
+// The plan's count of available starts may be outdated, since live requests use them as well.
 func TestItemsWaitUntilAdmitted(t *testing.T) {
 	env := newColdEnv(t, time.Now().Add(time.Hour))
-	env.submit("j", 1, addItemNames(env, 6)...)
+	env.submit("j", 1, addSingleEventItems(env, 6)...)
 	env.coldStarts.admit(2)
 	env.startRunner()
 	env.awaitResults(2)
@@ -124,7 +125,7 @@
 		}
 		return nil
 	}
-	env.submit("j", 1, addItemNames(env, 1)...)
+	env.submit("j", 1, addSingleEventItems(env, 1)...)
 	env.coldStarts.admit(2)
 	env.startRunner()
 	testwait.Until(t, "three are refused and the next is denied", func() bool {
@@ -141,7 +142,7 @@
 func TestEngineIsNotPacedAfterRejectedOutput(t *testing.T) {
 	env := newColdEnv(t, time.Time{})
 	env.engines.version["e"] = 0
-	env.submit("j", 1, addItemNames(env, 1)...)
+	env.submit("j", 1, addSingleEventItems(env, 1)...)
 	env.startRunner()
 	testwait.Until(t, "the item is retried", func() bool {
 		_, denied, noted := env.coldStarts.counts()
@@ -157,7 +158,7 @@
 	env.engines.refuse = func(string, Call) *CallError {
 		return &CallError{Kind: InvalidResponse, ConnectionLost: true, Detail: "reset"}
 	}
-	env.submit("j", 1, addItemNames(env, 1)...)
+	env.submit("j", 1, addSingleEventItems(env, 1)...)
 	env.startRunner()
 	testwait.Until(t, "the next try is denied", func() bool {
 		_, denied, noted := env.coldStarts.counts()
@@ -179,7 +180,7 @@
 		}
 		return nil
 	}
-	env.submit("j", 1, addItemNames(env, 1)...)
+	env.submit("j", 1, addSingleEventItems(env, 1)...)
 	env.coldStarts.admit(2)
 	env.startRunner()
 	env.awaitResults(1)
@@ -196,7 +197,7 @@
 	draining := engineOf("leaving")
 	draining.ColdUntil, draining.Draining = time.Now().Add(time.Hour), true
 	env.fleet.Put(draining)
-	env.submit("j", 1, addItemNames(env, 1)...)
+	env.submit("j", 1, addSingleEventItems(env, 1)...)
 	env.startRunner()
 	testwait.Until(t, "permits are requested", func() bool {
 		env.coldStarts.mu.Lock()
--- a/internal/batchrun/engines.go
+++ b/internal/batchrun/dependencies.go
@@ -105,16 +105,17 @@
 
 // ColdStarts limits the rate at which items start on cold engines; see coldpermits.Granter.
 type ColdStarts interface {
-	// Room returns how many items may start on a cold engine now.
-	Room(to incarnation.ID, cold fleet.Coldness) int
-	// Want requests permits for a cold engine that has none left and could run waiting items.
-	Want(to incarnation.ID)
+	// Available returns how many items may start on a cold engine now.
+	Available(to incarnation.ID, cold fleet.Coldness) int
+	// Prefetch requests permits in the background for a cold engine that could run waiting items but has no permits
+	// left.
+	Prefetch(to incarnation.ID)
 	// Admit admits one item to a cold engine.
 	Admit(
 		sender coldpermits.Sender, to incarnation.ID, cold fleet.Coldness,
 	) (coldpermits.Permit, time.Duration, coldpermits.Outcome)
-	// Note counts an item on an engine that is not known to be cold.
-	Note(to incarnation.ID, ratePerSecond float64)
+	// RecordStart counts an item that starts on an engine that is not known to be cold.
+	RecordStart(to incarnation.ID, ratePerSecond float64)
 }
 
 // ScoringResult is the result of a scoring call.
@@ -135,7 +136,7 @@
 	// Score makes the scoring call for a tenant's item once, trying as many engines as its route allows.
 	Score(ctx context.Context, tenant string, call batch.ScoringCall) ScoringResult
 	// Capacity returns the service that would serve the call now and its capacity.
-	Capacity(call batch.ScoringCall) (service string, places admission.Capacity)
+	Capacity(call batch.ScoringCall) (service string, capacity admission.Capacity)
 }
 
 // Jobs stores batch jobs; see batchjobs.Service.
@@ -145,11 +146,12 @@
 	Observe(observer batch.Observer)
 	Unobserve(observer batch.Observer)
 	Payloads(ctx context.Context, job batch.JobRecord) ([]batch.Payload, error)
-	// Record and Keep return how many of the items were written, counted from the first.
+	// Record writes results, SaveProgress partial output of running items. Both return how many of the items, from
+	// the first on, were written.
 	Record(ctx context.Context, partition int, finished []batchjobs.ItemResult) (int, error)
-	Keep(ctx context.Context, partition int, running []batchjobs.ItemProgress) (int, error)
-	// KeptTexts returns the saved output by item. With an error, it returns what could be read.
-	KeptTexts(ctx context.Context, job batch.JobRecord, kept map[int]batch.Progress) (map[int][]byte, error)
+	SaveProgress(ctx context.Context, partition int, running []batchjobs.ItemProgress) (int, error)
+	// SavedTexts returns the saved output by item. On an error it also returns the output that could be read.
+	SavedTexts(ctx context.Context, job batch.JobRecord, saved map[int]batch.Progress) (map[int][]byte, error)
 	PartitionOf(jobID string) int
 }
 
--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -18,7 +18,7 @@
 // gatedEngines checks MaySend after connecting; connecting to zone za blocks until release.
 type gatedEngines struct {
 	*fakeEngines
-	dialling chan string
+	dialing  chan string
 	release  chan struct{}
 	mu       sync.Mutex
 	heldBack int
@@ -26,7 +26,7 @@
 
 func (e *gatedEngines) Stream(ctx context.Context, engine fleet.Engine, call Call) (Stream, error) {
 	if engine.Zone == "za" {
-		e.dialling <- engine.ID
+		e.dialing <- engine.ID
 		<-e.release
 	}
 	if !call.MaySend() {
@@ -54,14 +54,14 @@
 func TestItemAssignedBeforeEvacuationRunsElsewhere(t *testing.T) {
 	t.Parallel()
 	env := newZonedEnv(t)
-	engines := &gatedEngines{fakeEngines: env.engines, dialling: make(chan string, 16), release: make(chan struct{})}
+	engines := &gatedEngines{fakeEngines: env.engines, dialing: make(chan string, 16), release: make(chan struct{})}
 	items := []string{"i0", "i1", "i2", "i3", "i4", "i5", "i6", "i7"}
 	for _, item := range items {
 		env.engines.events[item] = 3
 	}
 	env.startRunnerWith(engines)
 	env.submit("job", 1, items...)
-	<-engines.dialling
+	<-engines.dialing
 	env.fleet.Evacuate("za", time.Now(), 1)
 	close(engines.release)
 	for _, result := range env.awaitResults(len(items)) {
@@ -69,8 +69,8 @@
 	}
 	assert.Assert(t, engines.heldBack > 0)
 	for _, item := range items {
-		_, at := env.engines.callsOf(item)
-		assert.DeepEqual(t, at, []string{"b"})
+		_, ranOn := env.engines.callsOf(item)
+		assert.DeepEqual(t, ranOn, []string{"b"})
 	}
 }
 
@@ -98,8 +98,8 @@
 	env.fleet.Evacuate("za", time.Now(), 1)
 	results := env.awaitResults(2)
 	assert.Equal(t, string(results["j/0"].Text), fullText("x", 100))
-	_, at := env.engines.callsOf("x")
-	assert.DeepEqual(t, at, []string{"a"})
+	_, ranOn := env.engines.callsOf("x")
+	assert.DeepEqual(t, ranOn, []string{"a"})
 }
 
 func TestItemsWaitWhileAllZonesAreEvacuated(t *testing.T) {
--- a/internal/batchrun/fakes_test.go
+++ b/internal/batchrun/fakes_test.go
@@ -28,7 +28,7 @@
 	mu       sync.Mutex
 	state    *batch.Partition
 	recorded []batchjobs.ItemResult
-	kept     []batchjobs.ItemProgress
+	saved    []batchjobs.ItemProgress
 	// texts holds saved texts by the offset of their span.
 	texts       map[int64][]byte
 	unavailable bool
@@ -37,8 +37,8 @@
 	// readers holds, by job, the homes of the calls that read its payloads; reading an unreadable job fails.
 	readers    map[string][]homes.Set
 	unreadable map[string]bool
-	// blockKeptTexts, if set, blocks reads of saved texts until it is closed.
-	blockKeptTexts chan struct{}
+	// blockSavedTexts, if set, blocks reads of saved texts until it is closed.
+	blockSavedTexts chan struct{}
 }
 
 func newFakeJobs() *fakeJobs {
@@ -99,24 +99,24 @@
 	return len(finished), nil
 }
 
-func (f *fakeJobs) Keep(_ context.Context, _ int, running []batchjobs.ItemProgress) (int, error) {
+func (f *fakeJobs) SaveProgress(_ context.Context, _ int, running []batchjobs.ItemProgress) (int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, item := range running {
 		item.Record.Text = batch.Span{First: int64(len(f.texts)), Count: 1}
 		f.texts[item.Record.Text.First] = item.Text
-		f.kept = append(f.kept, item)
+		f.saved = append(f.saved, item)
 		f.state.Apply(batch.Record{Progress: []batch.ProgressRecord{item.Record}}, time.Now())
 	}
 	return len(running), nil
 }
 
-func (f *fakeJobs) KeptTexts(
-	ctx context.Context, _ batch.JobRecord, kept map[int]batch.Progress,
+func (f *fakeJobs) SavedTexts(
+	ctx context.Context, _ batch.JobRecord, saved map[int]batch.Progress,
 ) (map[int][]byte, error) {
-	if f.blockKeptTexts != nil {
+	if f.blockSavedTexts != nil {
 		select {
-		case <-f.blockKeptTexts:
+		case <-f.blockSavedTexts:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -124,7 +124,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	texts := make(map[int][]byte)
-	for item, progress := range kept {
+	for item, progress := range saved {
 		for i, part := range progress.Parts {
 			if i > 0 {
 				texts[item] = append(texts[item], '\n')
@@ -159,14 +159,15 @@
 	version map[string]int64
 	// refuse, if set, returns the error of each call; nil to serve it.
 	refuse func(engine string, call Call) *CallError
-	calls  []Call
-	at     []string
+	// calls holds all calls, ranOn the engine of each.
+	calls []Call
+	ranOn []string
 }
 
 func (f *fakeEngines) Stream(ctx context.Context, engine fleet.Engine, call Call) (Stream, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.calls, f.at = append(f.calls, call), append(f.at, engine.ID)
+	f.calls, f.ranOn = append(f.calls, call), append(f.ranOn, engine.ID)
 	if f.refuse != nil {
 		if refused := f.refuse(engine.ID, call); refused != nil {
 			return nil, refused
@@ -175,15 +176,16 @@
 	return &fakeStream{ctx: ctx, engines: f, engine: engine.ID, item: call.ItemID, next: call.LastEvent + 1}, nil
 }
 
-func (f *fakeEngines) callsOf(item string) (calls []Call, at []string) {
+// callsOf returns the calls of an item and the engine of each.
+func (f *fakeEngines) callsOf(item string) (calls []Call, ranOn []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, call := range f.calls {
 		if call.ItemID == item {
-			calls, at = append(calls, call), append(at, f.at[i])
+			calls, ranOn = append(calls, call), append(ranOn, f.ranOn[i])
 		}
 	}
-	return calls, at
+	return calls, ranOn
 }
 
 func (f *fakeEngines) setVersion(engine string, version int64) {
@@ -233,21 +235,21 @@
 
 // fakeScorer returns a score derived from the call's ID.
 type fakeScorer struct {
-	mu     sync.Mutex
-	places admission.Capacity
+	mu       sync.Mutex
+	capacity admission.Capacity
 	// respond, if set, returns the result of each call.
 	respond func(call batch.ScoringCall) ScoringResult
 	// hold, if set, blocks calls until it is closed.
 	hold        chan struct{}
-	underWay    int
-	maxUnderWay int
+	inFlight    int
+	maxInFlight int
 	calls       []string
 }
 
 func (f *fakeScorer) Score(ctx context.Context, _ string, call batch.ScoringCall) ScoringResult {
 	f.mu.Lock()
-	f.underWay++
-	f.maxUnderWay = max(f.maxUnderWay, f.underWay)
+	f.inFlight++
+	f.maxInFlight = max(f.maxInFlight, f.inFlight)
 	f.calls = append(f.calls, call.ID)
 	hold, respond := f.hold, f.respond
 	f.mu.Unlock()
@@ -259,7 +261,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.underWay--
+	f.inFlight--
 	switch {
 	case ctx.Err() != nil:
 		return ScoringResult{Detail: "canceled"}
@@ -272,7 +274,7 @@
 func (f *fakeScorer) Capacity(batch.ScoringCall) (string, admission.Capacity) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return "scoring", admission.Capacity{Slots: f.places.Slots, Busy: f.places.Busy + f.underWay}
+	return "scoring", admission.Capacity{Slots: f.capacity.Slots, Busy: f.capacity.Busy + f.inFlight}
 }
 
 func (f *fakeScorer) callIDs() []string {
@@ -308,7 +310,7 @@
 
 func newTestEnv(t *testing.T, engineIDs ...string) *testEnv {
 	env := &testEnv{
-		t: t, jobs: newFakeJobs(), fleet: fleet.New(), scorer: &fakeScorer{places: admission.Capacity{Slots: 100}},
+		t: t, jobs: newFakeJobs(), fleet: fleet.New(), scorer: &fakeScorer{capacity: admission.Capacity{Slots: 100}},
 		engines: &fakeEngines{events: map[string]int{}, pause: map[string]time.Duration{}, version: map[string]int64{}},
 		guard:   noopGuard{}, homes: make(map[string]homes.Set),
 		route: Route{Service: "s", MaxAttempts: 2, Retention: time.Minute},
--- a/internal/batchrun/move.go
+++ b/internal/batchrun/move.go
@@ -37,26 +37,26 @@
 		return !known
 	}
 	r.plan.ForgetEngines(gone)
-	maps.DeleteFunc(r.overcommitted, func(engine incarnation.ID, _ overcommitCheck) bool { return gone(engine) })
+	maps.DeleteFunc(r.overcommitChecks, func(engine incarnation.ID, _ overcommitCheck) bool { return gone(engine) })
 	maps.DeleteFunc(r.pausedUntil, func(engine incarnation.ID, _ time.Time) bool { return gone(engine) })
-	room := r.fastFreeSlots(best)
+	free := r.fastFreeSlots(best)
 	now := time.Now()
-	for key, each := range r.runs {
+	for key, running := range r.runs {
 		job := r.jobs[key.Job]
-		if job == nil || each.reason != notStopped || room[job.record.Model] <= 0 {
+		if job == nil || running.reason != notStopped || free[job.record.Model] <= 0 {
 			continue
 		}
 		state := &job.items[key.Item]
-		minAge := minAgeToMove(float64(r.plan.Pace(each.engine)) / float64(best))
-		if engine, known := r.options.Fleet.Find(each.engine); known && engine.Draining {
+		minAge := minAgeToMove(float64(r.plan.Pace(running.engine)) / float64(best))
+		if engine, known := r.options.Fleet.Find(running.engine); known && engine.Draining {
 			minAge = 0
 		}
-		if state.Moves >= maxMoves || now.Sub(each.started) < minAge {
+		if state.Moves >= maxMoves || now.Sub(running.started) < minAge {
 			continue
 		}
 		state.Moves++
-		room[job.record.Model]--
-		each.stop(stopMoved)
+		free[job.record.Model]--
+		running.stop(stopMoved)
 	}
 }
 
@@ -76,7 +76,7 @@
 // fastFreeSlots returns the number of free slots per model on engines about as fast as the best. Must be called
 // with mu held.
 func (r *Runner) fastFreeSlots(best time.Duration) map[string]int {
-	room := make(map[string]int)
+	free := make(map[string]int)
 	for _, engine := range r.engineViews(time.Now()) {
 		pace := r.plan.Pace(engine.ID)
 		if !engine.Usable || pace == 0 || !batchplan.IsFast(pace, best) {
@@ -84,11 +84,11 @@
 		}
 		for model, version := range engine.Versions {
 			if engine.Loading != model && version >= r.minVersion(model) {
-				room[model] += freeSlots(engine, r.plan.Running(engine.ID))
+				free[model] += freeSlots(engine, r.plan.Running(engine.ID))
 			}
 		}
 	}
-	return room
+	return free
 }
 
 // minVersion returns the highest minimum weight version of the model's open jobs. Must be called with mu held.
@@ -102,10 +102,10 @@
 	return highest
 }
 
-// stopRunsAtRestarted stops the runs on engines that have restarted, so that their items continue elsewhere: the
+// stopRunsOnRestartedEngines stops the runs on engines that have restarted, so that their items continue elsewhere: the
 // new incarnation does not know them. The crash is not attributed to the items, which may have started after it;
 // reportOutcome handles those whose connection was lost.
-func (r *Runner) stopRunsAtRestarted() {
+func (r *Runner) stopRunsOnRestartedEngines() {
 	engineStarts := r.options.Fleet.Starts()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,9 +113,9 @@
 		return
 	}
 	r.engineStarts = engineStarts
-	for _, each := range r.runs {
-		if r.options.Fleet.IsReplaced(each.engine) {
-			each.stop(stopEngineEnded)
+	for _, running := range r.runs {
+		if r.options.Fleet.IsReplaced(running.engine) {
+			running.stop(stopEngineRestarted)
 		}
 	}
 }
--- a/internal/batchrun/observe.go
+++ b/internal/batchrun/observe.go
@@ -25,7 +25,7 @@
 		return
 	}
 	delete(r.otherJobs, job.ID)
-	loading, cancelLoad := context.WithCancel(r.ctx)
+	loadCtx, cancelLoad := context.WithCancel(r.ctx)
 	added := &openJob{
 		record:        job.JobRecord,
 		items:         make([]batchitem.Item, len(job.Items)),
@@ -50,7 +50,7 @@
 		r.pendingRestores++
 	}
 	r.wait.Go(func() {
-		r.load(loading, added)
+		r.load(loadCtx, added)
 		r.loadFinished(added)
 	})
 }
@@ -81,7 +81,7 @@
 func (r *Runner) load(ctx context.Context, job *openJob) {
 	for ctx.Err() == nil {
 		if r.routePending(&job.record) {
-			retry.Sleep(ctx, loadDelay)
+			retry.Sleep(ctx, loadRetryDelay)
 			continue
 		}
 		payloads, err := r.options.Jobs.Payloads(ctx, job.record)
@@ -91,7 +91,7 @@
 		}
 		r.options.Logger.Warn().Err(err).Str("job", job.record.ID).Int("payloads", len(payloads)).
 			Msg("failed to read job payloads; retrying")
-		retry.Sleep(ctx, loadDelay)
+		retry.Sleep(ctx, loadRetryDelay)
 	}
 }
 
@@ -100,23 +100,23 @@
 	if len(job.savedProgress) == 0 {
 		return nil
 	}
-	texts, err := r.options.Jobs.KeptTexts(ctx, job.record, job.savedProgress)
+	texts, err := r.options.Jobs.SavedTexts(ctx, job.record, job.savedProgress)
 	if err != nil {
 		r.options.Logger.Warn().Err(err).Str("job", job.record.ID).Int("items", len(job.savedProgress)).
 			Int("read", len(texts)).Msg("failed to read saved progress")
 	}
-	found := make(map[int]batchitem.Output, len(texts))
+	outputs := make(map[int]batchitem.Output, len(texts))
 	for item, text := range texts {
 		savedProgress := job.savedProgress[item]
-		found[item] = batchitem.Restore(batchitem.SavedOutput{
+		outputs[item] = batchitem.Restore(batchitem.SavedOutput{
 			Chain: savedProgress.Chain, Last: savedProgress.To, Versions: savedProgress.Versions,
 			Text: text, Complete: savedProgress.Complete,
 		})
 	}
-	return found
+	return outputs
 }
 
-func (r *Runner) queueJob(job *openJob, payloads []batch.Payload, kept map[int]batchitem.Output) {
+func (r *Runner) queueJob(job *openJob, payloads []batch.Payload, savedOutput map[int]batchitem.Output) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs[job.record.ID] != job {
@@ -132,7 +132,7 @@
 		if item.Ended() {
 			continue
 		}
-		if saved, found := kept[i]; found && saved.Satisfies(limits) {
+		if saved, found := savedOutput[i]; found && saved.Satisfies(limits) {
 			item.Output = saved
 			continued++
 		}
@@ -159,7 +159,7 @@
 	}
 	key := batchplan.Key{Job: job.record.ID, Item: index}
 	standing := r.options.Guard.Standing(job.call(index).fingerprint)
-	if r.quarantine(job, key, standing) {
+	if r.holdIfQuarantined(job, key, standing) {
 		return
 	}
 	record, state := job.record.Items[index], &job.items[index]
--- a/internal/batchrun/overcommit.go
+++ b/internal/batchrun/overcommit.go
@@ -32,11 +32,11 @@
 		return false
 	}
 	id := engine.Incarnation()
-	known, found := r.overcommitted[id]
+	known, found := r.overcommitChecks[id]
 	if !found || now.Sub(known.at) > streamLossWindow {
 		route, _ := r.options.RouteOf(job.record.Host, job.record.Path)
 		known = overcommitCheck{at: now, overcommitted: r.plan.MemoryOvercommitted(key, id, route.EngineTokens)}
-		r.overcommitted[id] = known
+		r.overcommitChecks[id] = known
 	}
 	if known.overcommitted {
 		r.overcommitLosses[key]++
--- a/internal/batchrun/scope_test.go
+++ b/internal/batchrun/ownership_test.go
@@ -75,23 +75,23 @@
 func TestRunnersRunOnlyTheirOwnJobs(t *testing.T) {
 	env := newRegionalEnv(t)
 	env.setHomes("bound", "north")
-	bound, free := env.addItems("bound", 40, 3), env.addItems("free", 40, 3)
+	bound, unbound := env.addItems("bound", 40, 3), env.addItems("unbound", 40, 3)
 	env.startBoundRunner()
 	env.startBoundRunner("north")
 	env.submit("bound", 1, bound...)
-	env.submit("free", 1, free...)
-	env.awaitResults(len(bound) + len(free))
+	env.submit("unbound", 1, unbound...)
+	env.awaitResults(len(bound) + len(unbound))
 	for _, item := range bound {
-		calls, at := env.engines.callsOf(item)
+		calls, ranOn := env.engines.callsOf(item)
 		assert.Equal(t, len(calls), 1, "run by one runner")
-		assert.Assert(t, strings.HasPrefix(at[0], "north"), at[0])
+		assert.Assert(t, strings.HasPrefix(ranOn[0], "north"), ranOn[0])
 	}
 	for _, within := range env.jobs.readersOf("bound") {
 		assert.Equal(t, within, homes.Of([]string{"north"}), "read by a runner that is not bound")
 	}
 	outside := 0
-	for _, item := range free {
-		if _, at := env.engines.callsOf(item); strings.HasPrefix(at[0], "south") {
+	for _, item := range unbound {
+		if _, ranOn := env.engines.callsOf(item); strings.HasPrefix(ranOn[0], "south") {
 			outside++
 		}
 	}
@@ -105,7 +105,7 @@
 	r, _ := env.startBoundRunner()
 	env.startBoundRunner("north")
 	env.submit("bound", 1, env.addItems("bound", 4, 3)...)
-	env.submit("free", 1, env.addItems("free", 4, 3)...)
+	env.submit("unbound", 1, env.addItems("unbound", 4, 3)...)
 	env.awaitResults(4)
 	assert.Equal(t, len(env.jobs.readersOf("bound")), 0)
 
@@ -147,7 +147,7 @@
 	testwait.Until(t, "progress is saved", func() bool {
 		env.jobs.mu.Lock()
 		defer env.jobs.mu.Unlock()
-		return len(env.jobs.kept) >= len(items)
+		return len(env.jobs.saved) >= len(items)
 	})
 	env.setHomes("j", "south")
 	testwait.Until(t, "the job is released", func() bool {
@@ -159,9 +159,9 @@
 	results := env.awaitResults(len(items))
 	for i, item := range items {
 		assert.Equal(t, string(results[fmt.Sprint("j/", i)].Text), fullText(item, events))
-		calls, at := env.engines.callsOf(item)
+		calls, ranOn := env.engines.callsOf(item)
 		assert.Equal(t, len(calls), 2)
-		assert.Assert(t, strings.HasPrefix(at[0], "north") && strings.HasPrefix(at[1], "south"), "%v", at)
+		assert.Assert(t, strings.HasPrefix(ranOn[0], "north") && strings.HasPrefix(ranOn[1], "south"), "%v", ranOn)
 		assert.Assert(t, calls[1].Continues && calls[1].LastEvent > 0, "restarted from the beginning")
 	}
 }
@@ -228,8 +228,8 @@
 	}
 	env.jobs.mu.Lock()
 	defer env.jobs.mu.Unlock()
-	assert.Assert(t, len(env.jobs.kept) > 0)
-	for _, part := range env.jobs.kept {
+	assert.Assert(t, len(env.jobs.saved) > 0)
+	for _, part := range env.jobs.saved {
 		assert.DeepEqual(t, part.Homes, []string{"north"})
 	}
 }
--- a/internal/batchrun/progress.go
+++ b/internal/batchrun/progress.go
@@ -32,14 +32,14 @@
 	for {
 		select {
 		case <-ctx.Done():
-			final, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalSaveTimeout)
+			finalCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalSaveTimeout)
 			defer cancel()
-			r.saveProgress(final, 0)
+			r.saveProgress(finalCtx, 0)
 			return
 		case <-ticker.C:
 		}
-		writing, cancel := context.WithTimeout(ctx, saveTimeout)
-		r.saveProgress(writing, minSaveAge)
+		saveCtx, cancel := context.WithTimeout(ctx, saveTimeout)
+		r.saveProgress(saveCtx, minSaveAge)
 		cancel()
 	}
 }
@@ -50,18 +50,18 @@
 	part batchitem.Part
 }
 
-// saveProgress writes the output that is not in the log yet, of items that have run for at least minAge.
+// saveProgress writes the output that has not been saved yet, of items that have run for at least minAge.
 func (r *Runner) saveProgress(ctx context.Context, minAge time.Duration) {
-	writes, marks := r.unsavedProgress(minAge)
+	writes, pending := r.unsavedProgress(minAge)
 	var group errgroup.Group
 	for partition, progress := range writes {
 		group.Go(func() error {
-			written, err := r.options.Jobs.Keep(ctx, partition, progress)
+			written, err := r.options.Jobs.SaveProgress(ctx, partition, progress)
 			if err != nil {
 				r.options.Logger.Warn().Err(err).Int("partition", partition).Int("items", len(progress)-written).
 					Msg("failed to save progress")
 			}
-			r.markSaved(marks[partition][:written])
+			r.markSaved(pending[partition][:written])
 			return nil
 		})
 	}
@@ -73,22 +73,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	writes := make(map[int][]batchjobs.ItemProgress)
-	marks := make(map[int][]pendingSave)
+	pending := make(map[int][]pendingSave)
 	now := time.Now()
 	for _, job := range r.jobs {
 		partition := r.options.Jobs.PartitionOf(job.record.ID)
 		for index := range job.items {
-			progress, mark, found := r.unsavedItemProgress(job, index, now, minAge)
+			progress, save, found := r.unsavedItemProgress(job, index, now, minAge)
 			if found {
 				writes[partition] = append(writes[partition], progress)
-				marks[partition] = append(marks[partition], mark)
+				pending[partition] = append(pending[partition], save)
 			}
 		}
 	}
-	return writes, marks
+	return writes, pending
 }
 
-// unsavedItemProgress returns the output of an item that is not in the log yet, unless the item has run for less
+// unsavedItemProgress returns the output of an item that has not been saved yet, unless the item has run for less
 // than minAge. Must be called with mu held.
 func (r *Runner) unsavedItemProgress(
 	job *openJob, index int, now time.Time, minAge time.Duration,
@@ -109,7 +109,7 @@
 	return batchjobs.ItemProgress{Homes: job.record.Homes, Record: record, Text: part.Text}, pendingSave{key, part}, true
 }
 
-// workingSince returns since when an item has been running or waiting for its score. Must be called with mu held.
+// workingSince returns the time at which an item started to run or to wait for its score. Must be called with mu held.
 func (r *Runner) workingSince(key batchplan.Key) (time.Time, bool) {
 	if running, runs := r.runs[key]; runs {
 		return running.started, true
@@ -125,15 +125,15 @@
 }
 
 // markSaved records that the parts have been written to the log.
-func (r *Runner) markSaved(marks []pendingSave) {
+func (r *Runner) markSaved(pending []pendingSave) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, mark := range marks {
-		job := r.jobs[mark.key.Job]
+	for _, save := range pending {
+		job := r.jobs[save.key.Job]
 		if job == nil {
 			continue
 		}
-		job.items[mark.key.Item].Output.MarkSaved(mark.part)
+		job.items[save.key.Item].Output.MarkSaved(save.part)
 	}
 }
 
@@ -146,23 +146,23 @@
 
 // carryOver keeps the output of an ended job's incomplete groups for later jobs. Must be called with mu held.
 func (r *Runner) carryOver(job *openJob) {
-	broken := make(map[string]bool)
+	incomplete := make(map[string]bool)
 	for i := range job.items {
 		if !job.items[i].Completed() {
-			broken[job.record.Items[i].Group] = true
+			incomplete[job.record.Items[i].Group] = true
 		}
 	}
 	now := time.Now()
 	for i := range job.items {
 		state, record := &job.items[i], job.record.Items[i]
-		if broken[record.Group] && !state.Output.Empty() {
+		if incomplete[record.Group] && !state.Output.Empty() {
 			r.carriedOver[batch.QualifiedID(job.record.Tenant, record.ID)] = carriedOutput{
 				output: state.Output.Detached(), at: now,
 			}
 		}
 	}
-	for id, each := range r.carriedOver {
-		if now.Sub(each.at) > carryOverRetention {
+	for id, carried := range r.carriedOver {
+		if now.Sub(carried.at) > carryOverRetention {
 			delete(r.carriedOver, id)
 		}
 	}
@@ -173,12 +173,12 @@
 func (r *Runner) reuseCarriedOver(job *openJob, index int) {
 	record, item := job.record.Items[index], &job.items[index]
 	id := batch.QualifiedID(job.record.Tenant, record.ID)
-	left, found := r.carriedOver[id]
+	carried, found := r.carriedOver[id]
 	if !found {
 		return
 	}
 	delete(r.carriedOver, id)
-	if item.Output.Empty() && left.output.Satisfies(job.limits()) {
-		item.Output = left.output
+	if item.Output.Empty() && carried.output.Satisfies(job.limits()) {
+		item.Output = carried.output
 	}
 }
--- a/internal/batchrun/quarantine.go
+++ b/internal/batchrun/quarantine.go
@@ -15,9 +15,9 @@
 	}
 }
 
-// quarantine keeps a quarantined item out of the plan until its hold ends, and reports whether it did. Must
-// be called with mu held.
-func (r *Runner) quarantine(job *openJob, key batchplan.Key, standing quarantine.Standing) bool {
+// holdIfQuarantined keeps an item out of the plan until its quarantine ends, and reports whether the item is
+// quarantined. Must be called with mu held.
+func (r *Runner) holdIfQuarantined(job *openJob, key batchplan.Key, standing quarantine.Standing) bool {
 	if !standing.ItemHeld(time.Now()) {
 		return false
 	}
--- a/internal/batchrun/quarantine_test.go
+++ b/internal/batchrun/quarantine_test.go
@@ -76,14 +76,14 @@
 }
 
 func TestCrashIsReportedAsIsolatedForSuspectItemsOnly(t *testing.T) {
-	for name, ended := range map[string]int{"suspect": quarantine.ItemLimit - 1, "not suspect": 1} {
+	for name, crashCount := range map[string]int{"suspect": quarantine.ItemLimit - 1, "not suspect": 1} {
 		t.Run(name, func(t *testing.T) {
 			env := newTestEnv(t, "a", "b")
 			env.engines.events["x"] = 2
-			guard := &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{itemFingerprint("x"): {Crashes: ended}}}
+			guard := &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{itemFingerprint("x"): {Crashes: crashCount}}}
 			env.guard = guard
 			env.engines.refuse = func(_ string, call Call) *CallError {
-				if calls := guard.lost(); len(calls) == 0 {
+				if losses := guard.lost(); len(losses) == 0 {
 					return &CallError{Kind: InvalidResponse, ConnectionLost: true, Detail: "EOF"}
 				}
 				return nil
@@ -92,7 +92,7 @@
 			env.submit("j", 1, "x")
 			env.awaitResults(1)
 			assert.Equal(t, len(guard.lost()), 1)
-			assert.Equal(t, guard.lost()[0].Isolated, ended >= quarantine.ItemLimit-1)
+			assert.Equal(t, guard.lost()[0].Isolated, crashCount >= quarantine.ItemLimit-1)
 		})
 	}
 }
--- a/internal/batchrun/restart_test.go
+++ b/internal/batchrun/restart_test.go
@@ -11,9 +11,9 @@
 )
 
 // engineStartedAt returns an engine that started at the given time.
-func engineStartedAt(id string, born int64) fleet.Engine {
+func engineStartedAt(id string, startMillis int64) fleet.Engine {
 	engine := engineOf(id)
-	engine.StartMillis = born
+	engine.StartMillis = startMillis
 	return engine
 }
 
@@ -93,9 +93,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.plan.ObservePace(first.Incarnation(), time.Second)
-	held := r.pausedUntil[first.Incarnation()].Add(-time.Millisecond)
-	assert.Assert(t, !r.engineViews(held)[0].Usable)
+	duringPause := r.pausedUntil[first.Incarnation()].Add(-time.Millisecond)
+	assert.Assert(t, !r.engineViews(duringPause)[0].Usable)
 	env.fleet.Put(second)
-	assert.Assert(t, r.engineViews(held)[0].Usable)
+	assert.Assert(t, r.engineViews(duringPause)[0].Usable)
 	assert.Equal(t, r.plan.Pace(second.Incarnation()), time.Duration(0))
 }
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -38,13 +38,13 @@
 	stopMoved
 	// stopStalled: the stream sent nothing for too long.
 	stopStalled
-	// stopEngineEnded: the engine has restarted.
-	stopEngineEnded
+	// stopEngineRestarted: the engine has restarted.
+	stopEngineRestarted
 )
 
 var stopReasonNames = [...]string{
 	notStopped: "", stopDropped: "dropped", stopMoved: "moved", stopStalled: "silent",
-	stopEngineEnded: "engine_ended",
+	stopEngineRestarted: "engine_ended",
 }
 
 // String returns the reason's name in logs; empty for none.
@@ -74,23 +74,23 @@
 
 // checkStall stops a run whose stream has stalled, or checks again later. After a pause of this process, streams
 // get time to deliver what has arrived meanwhile.
-func (r *Runner) checkStall(own *run) {
+func (r *Runner) checkStall(current *run) {
 	timeout := stallTimeout
-	if r.options.Loading(own.engine) != "" {
+	if r.options.Loading(current.engine) != "" {
 		timeout = loadingTimeout
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	left := timeout - now.Sub(time.Unix(0, own.lastEventAt.Load()))
+	left := timeout - now.Sub(time.Unix(0, current.lastEventAt.Load()))
 	if gap := now.Sub(r.lastTickAt); gap > maxTickGap {
 		left = max(left, maxTickGap)
 	}
 	if left <= 0 {
-		own.stop(stopStalled)
+		current.stop(stopStalled)
 		return
 	}
-	if timer := own.stallTimer.Load(); timer != nil {
+	if timer := current.stallTimer.Load(); timer != nil {
 		timer.Reset(left)
 	}
 }
@@ -147,7 +147,7 @@
 }
 
 // reportOutcome reports a completed run or a lost connection to the crash guard. Must be called without mu held.
-func (r *Runner) reportOutcome(key batchplan.Key, engine fleet.Engine, own *run, call Call, err error) {
+func (r *Runner) reportOutcome(key batchplan.Key, engine fleet.Engine, current *run, call Call, err error) {
 	if errors.Is(err, io.EOF) {
 		r.options.Guard.Answered(call.fingerprint)
 		return
@@ -163,17 +163,17 @@
 	}
 	r.options.Guard.ConnectionLost(r.ctx, crashes.LostConnection{
 		Engine: engine, RequestID: call.ItemID, Fingerprint: call.fingerprint(),
-		Isolated: own.isolated && time.Since(own.started) < batchplan.IsolationTime,
+		Isolated: current.isolated && time.Since(current.started) < batchplan.IsolationTime,
 	})
 }
 
 // readStream starts the stream and adds its events to the output until it ends.
 func (r *Runner) readStream(
-	ctx context.Context, job *openJob, key batchplan.Key, engine fleet.Engine, own *run, call Call,
+	ctx context.Context, job *openJob, key batchplan.Key, engine fleet.Engine, current *run, call Call,
 ) error {
-	own.lastEventAt.Store(time.Now().UnixNano())
-	stallTimer := time.AfterFunc(stallTimeout, func() { r.checkStall(own) })
-	own.stallTimer.Store(stallTimer)
+	current.lastEventAt.Store(time.Now().UnixNano())
+	stallTimer := time.AfterFunc(stallTimeout, func() { r.checkStall(current) })
+	current.stallTimer.Store(stallTimer)
 	defer stallTimer.Stop()
 	stream, err := r.options.Engines.Stream(ctx, engine, call)
 	if err != nil {
@@ -186,8 +186,8 @@
 			return err
 		}
 		now := time.Now()
-		own.lastEventAt.Store(now.UnixNano())
-		if err := r.addEvent(job, key, own, event, now); err != nil {
+		current.lastEventAt.Store(now.UnixNano())
+		if err := r.addEvent(job, key, current, event, now); err != nil {
 			return err
 		}
 	}
@@ -198,17 +198,17 @@
 
 // addEvent adds an event to the item's output.
 func (r *Runner) addEvent(
-	job *openJob, key batchplan.Key, own *run, event Event, now time.Time,
+	job *openJob, key batchplan.Key, current *run, event Event, now time.Time,
 ) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	item := &job.items[key.Item]
-	if item.Ended() || r.runs[key] != own || own.reason != notStopped {
+	if item.Ended() || r.runs[key] != current || current.reason != notStopped {
 		return errItemDone
 	}
-	if !own.hasEvents {
-		own.hasEvents = true
-		r.options.Fleet.RecordResponse(own.engine, now)
+	if !current.hasEvents {
+		current.hasEvents = true
+		r.options.Fleet.RecordResponse(current.engine, now)
 	}
 	switch item.Output.Add(event, job.limits()) {
 	case batchitem.OutOfOrder:
@@ -218,60 +218,60 @@
 	case batchitem.MixedVersions:
 		return &CallError{Kind: NotExecuted, Detail: "weight version changed, but the route requires a single version"}
 	}
-	r.observePace(own, now)
+	r.observePace(current, now)
 	return nil
 }
 
 // observePace measures the time between events over several of them, since events delayed within this process
 // arrive together. Must be called with mu held.
-func (r *Runner) observePace(own *run, now time.Time) {
-	if own.sampleStart.IsZero() {
-		own.sampleStart = now
+func (r *Runner) observePace(current *run, now time.Time) {
+	if current.sampleStart.IsZero() {
+		current.sampleStart = now
 		return
 	}
-	own.sampleEvents++
-	if own.sampleEvents < paceSampleEvents {
+	current.sampleEvents++
+	if current.sampleEvents < paceSampleEvents {
 		return
 	}
-	r.options.Fleet.RecordStreamProgress(own.engine, own.started, own.sampleStart)
-	if r.options.Loading(own.engine) == "" {
-		r.plan.ObservePace(own.engine, now.Sub(own.sampleStart)/paceSampleEvents)
+	r.options.Fleet.RecordStreamProgress(current.engine, current.started, current.sampleStart)
+	if r.options.Loading(current.engine) == "" {
+		r.plan.ObservePace(current.engine, now.Sub(current.sampleStart)/paceSampleEvents)
 	}
-	own.sampleStart, own.sampleEvents = now, 0
+	current.sampleStart, current.sampleEvents = now, 0
 }
 
 // runEnded handles the end of a run: it completes the item or queues it again.
-func (r *Runner) runEnded(job *openJob, key batchplan.Key, own *run, err error) {
+func (r *Runner) runEnded(job *openJob, key batchplan.Key, current *run, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	complete := errors.Is(err, io.EOF)
 	outcome := fleet.Outcome{At: time.Now()}
 	var callError *CallError
-	refusal := InvalidResponse
+	errorKind := InvalidResponse
 	if errors.As(err, &callError) {
-		refusal = callError.Kind
+		errorKind = callError.Kind
 	}
-	if own.reason == notStopped && !complete && r.ctx.Err() == nil {
-		outcome.Failed = refusal == InvalidResponse
-		outcome.Unreached = refusal == InvalidResponse
-		outcome.RefusedItem = refusal == NotExecuted && !own.hasEvents
-		outcome.AddressReused = refusal == WrongEngine
+	if current.reason == notStopped && !complete && r.ctx.Err() == nil {
+		outcome.Failed = errorKind == InvalidResponse
+		outcome.Unreached = errorKind == InvalidResponse
+		outcome.RefusedItem = errorKind == NotExecuted && !current.hasEvents
+		outcome.AddressReused = errorKind == WrongEngine
 	}
-	if own.reason == stopStalled {
+	if current.reason == stopStalled {
 		outcome.Failed, outcome.Unreached = true, true
 	}
-	r.options.Fleet.RequestEnded(own.engine, outcome)
-	if refusal == NotExecuted && own.reason == notStopped {
-		r.pausedUntil[own.engine] = outcome.At.Add(refusalPause)
+	r.options.Fleet.RequestEnded(current.engine, outcome)
+	if errorKind == NotExecuted && current.reason == notStopped {
+		r.pausedUntil[current.engine] = outcome.At.Add(refusalPause)
 	}
-	if r.runs[key] == own {
+	if r.runs[key] == current {
 		delete(r.runs, key)
 		r.plan.Ended(key)
 	}
 	if job.items[key.Item].Ended() || r.jobs[key.Job] != job {
 		return
 	}
-	complete = complete && own.reason == notStopped
+	complete = complete && current.reason == notStopped
 	switch {
 	case r.ctx.Err() != nil && complete:
 		// The output is marked as complete, so that the last write of progress, if it is still to come, records this
@@ -285,26 +285,26 @@
 		r.Wake()
 		return
 	}
-	r.retryOrExpire(job, key, own, refusal, err)
+	r.retryOrExpire(job, key, current, errorKind, err)
 }
 
 // retryOrExpire queues an item whose run did not complete, or expires it. Must be called with mu held.
-func (r *Runner) retryOrExpire(job *openJob, key batchplan.Key, own *run, refusal CallErrorKind, err error) {
+func (r *Runner) retryOrExpire(job *openJob, key batchplan.Key, current *run, errorKind CallErrorKind, err error) {
 	state := &job.items[key.Item]
 	route, _ := r.options.RouteOf(job.record.Host, job.record.Path)
 	r.options.Logger.Warn().Err(err).Str("job", key.Job).Str("item", job.record.Items[key.Item].ID).
-		Stringer("engine", own.engine).Stringer("refusal", refusal).Stringer("stop_reason", own.reason).
-		Stringer("held_back", own.sendCheck.Held()).
-		Int64("after_event", state.Output.Last()).Dur("ran_ms", time.Since(own.started)).Msg("run ended early")
+		Stringer("engine", current.engine).Stringer("refusal", errorKind).Stringer("stop_reason", current.reason).
+		Stringer("held_back", current.sendCheck.Held()).
+		Int64("after_event", state.Output.Last()).Dur("ran_ms", time.Since(current.started)).Msg("run ended early")
 	notBefore := time.Now().Add(retryDelay)
-	if own.reason != notStopped {
-		r.queueItem(job, key.Item, own.engine, time.Time{})
+	if current.reason != notStopped {
+		r.queueItem(job, key.Item, current.engine, time.Time{})
 		r.Wake()
 		return
 	}
-	switch refusal {
+	switch errorKind {
 	case HeldBack:
-		r.queueItem(job, key.Item, own.engine, time.Time{})
+		r.queueItem(job, key.Item, current.engine, time.Time{})
 		r.Wake()
 		return
 	case NotExecutable:
@@ -316,5 +316,5 @@
 			return
 		}
 	}
-	r.queueItem(job, key.Item, own.engine, notBefore)
+	r.queueItem(job, key.Item, current.engine, notBefore)
 }
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -33,8 +33,8 @@
 	assignShare = 0.25
 	scoreShare  = 0.1
 	moveShare   = 0.05
-	// loadDelay is the wait between two attempts to read a job's payloads.
-	loadDelay = 100 * time.Millisecond
+	// loadRetryDelay is the wait between two attempts to read a job's payloads.
+	loadRetryDelay = 100 * time.Millisecond
 	// restoreWait bounds how long after the start of a term no item is started while saved progress is being read,
 	// since interrupted items take precedence.
 	restoreWait = 400 * time.Millisecond
@@ -89,9 +89,9 @@
 	scoring *scoringQueue
 	// pausedUntil holds, by engine, the end of the pause after it refused an item.
 	pausedUntil map[incarnation.ID]time.Time
-	// overcommitted holds, for engines that lost a connection, whether they had been assigned more than their
+	// overcommitChecks holds, for engines that lost a connection, whether they had been assigned more than their
 	// memory holds.
-	overcommitted map[incarnation.ID]overcommitCheck
+	overcommitChecks map[incarnation.ID]overcommitCheck
 	// overcommitLosses counts the overcommitted engines that crashed while running an item.
 	overcommitLosses map[batchplan.Key]int
 	// engineStarts is the fleet's number of engine starts when the runs were last checked for restarts.
@@ -142,7 +142,7 @@
 		scoring:   newScoringQueue(),
 
 		pausedUntil:      make(map[incarnation.ID]time.Time),
-		overcommitted:    make(map[incarnation.ID]overcommitCheck),
+		overcommitChecks: make(map[incarnation.ID]overcommitCheck),
 		overcommitLosses: make(map[batchplan.Key]int),
 		quarantinedUntil: make(map[batchplan.Key]time.Time),
 		carriedOver:      make(map[string]carriedOutput),
@@ -178,8 +178,8 @@
 		case <-ctx.Done():
 		case <-r.wake:
 		case now := <-ticker.C:
-			r.tick(now)
-			r.stopRunsAtRestarted()
+			r.recordTick(now)
+			r.stopRunsOnRestartedEngines()
 			r.applyHomes()
 			r.expireOverdue()
 			r.expireOverdueOthers(now)
@@ -205,7 +205,7 @@
 	cycle.Ended(began, time.Now())
 }
 
-func (r *Runner) tick(now time.Time) {
+func (r *Runner) recordTick(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastTickAt = now
@@ -283,7 +283,7 @@
 		r.start(assignment)
 	}
 	if r.plan.Waiting() > 0 {
-		r.requestColdStarts(views)
+		r.prefetchPermits(views)
 	}
 }
 
--- a/internal/batchrun/runner_test.go
+++ b/internal/batchrun/runner_test.go
@@ -32,16 +32,16 @@
 	env.submit("j", 1, "x")
 	awaitEvents(t, r, "j", 2)
 	r.mu.Lock()
-	for _, each := range r.runs {
-		each.stop(stopStalled)
+	for _, running := range r.runs {
+		running.stop(stopStalled)
 	}
 	r.mu.Unlock()
 	result := env.awaitResults(1)["j/0"]
 	assert.Equal(t, string(result.Text), fullText("x", 6))
-	calls, at := env.engines.callsOf("x")
+	calls, ranOn := env.engines.callsOf("x")
 	assert.Equal(t, len(calls), 2)
 	assert.Assert(t, calls[1].Continues && calls[1].LastEvent >= 2)
-	assert.Assert(t, at[0] != at[1], "continued on the stalled engine")
+	assert.Assert(t, ranOn[0] != ranOn[1], "continued on the stalled engine")
 }
 
 func TestOutputOfTooOldWeightsIsDiscarded(t *testing.T) {
@@ -93,7 +93,7 @@
 	env.awaitResults(len(items))
 	sent := 0
 	env.engines.mu.Lock()
-	for _, engine := range env.engines.at {
+	for _, engine := range env.engines.ranOn {
 		if engine == "a" {
 			sent++
 		}
@@ -102,7 +102,7 @@
 	assert.Assert(t, sent <= 8, "%d items were sent to the refusing engine, more than its slots", sent)
 }
 
-func TestFailuresAndImpossibleItemsExpire(t *testing.T) {
+func TestFailedAndNotExecutableItemsExpire(t *testing.T) {
 	env := newTestEnv(t, "a", "b")
 	env.engines.refuse = func(_ string, call Call) *CallError {
 		switch call.ItemID {
@@ -156,8 +156,8 @@
 	env.submitStep("first", 0, "begun")
 	awaitEvents(t, r, "first", 5)
 	stop()
-	env.jobs.blockKeptTexts = make(chan struct{})
-	time.AfterFunc(restoreWait/4, func() { close(env.jobs.blockKeptTexts) })
+	env.jobs.blockSavedTexts = make(chan struct{})
+	time.AfterFunc(restoreWait/4, func() { close(env.jobs.blockSavedTexts) })
 	env.submitStep("second", 1, "fresh")
 	env.startRunner()
 	env.awaitResults(2)
@@ -232,8 +232,8 @@
 	env.submit("j2", 1, "y") // provides the pace of the fast engines
 	result := env.awaitResults(2)
 	assert.Equal(t, string(result["j/0"].Text), fullText("x", 200))
-	calls, at := env.engines.callsOf("x")
-	assert.Assert(t, len(calls) > 1 && at[0] == "slow" && at[len(at)-1] != "slow", "%v", at)
+	calls, ranOn := env.engines.callsOf("x")
+	assert.Assert(t, len(calls) > 1 && ranOn[0] == "slow" && ranOn[len(ranOn)-1] != "slow", "%v", ranOn)
 	assert.Assert(t, calls[len(calls)-1].LastEvent > 0)
 }
 
@@ -255,8 +255,8 @@
 	env.fleet.Put(fleet.Engine{ID: "a", Service: "s", Slots: 8, Draining: true, Versions: map[string]int64{"m": 1}})
 	results := env.awaitResults(2)
 	assert.Equal(t, string(results["j/0"].Text), fullText("x", 100))
-	calls, at := env.engines.callsOf("x")
-	assert.DeepEqual(t, at, []string{"a", "b"})
+	calls, ranOn := env.engines.callsOf("x")
+	assert.DeepEqual(t, ranOn, []string{"a", "b"})
 	assert.Assert(t, calls[1].LastEvent > 0)
 }
 
--- a/internal/batchrun/scoring.go
+++ b/internal/batchrun/scoring.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// since returns since when an item has been waiting for its score.
+// since returns the time at which an item started to wait for its score.
 func (q *scoringQueue) since(key batchplan.Key) (time.Time, bool) {
 	item, found := q.items[key]
 	if !found {
@@ -122,11 +122,11 @@
 	}
 	full := make(map[string]bool)
 	for _, item := range r.scoring.due(time.Now()) {
-		service, places := r.options.Scorer.Capacity(item.call)
+		service, capacity := r.options.Scorer.Capacity(item.call)
 		if full[service] {
 			continue
 		}
-		if !r.scoring.window(service).Admits(places) {
+		if !r.scoring.window(service).Admits(capacity) {
 			full[service] = true
 			continue
 		}
@@ -144,31 +144,31 @@
 	r.wait.Go(func() {
 		defer cancel()
 		began := time.Now()
-		scoring := r.options.Scorer.Score(ctx, item.tenant, item.call)
-		r.scored(item, scoring, time.Since(began), ctx.Err() != nil)
+		result := r.options.Scorer.Score(ctx, item.tenant, item.call)
+		r.scored(item, result, time.Since(began), ctx.Err() != nil)
 	})
 }
 
 // scored handles the end of a scoring call: it completes the item, expires it or schedules a retry.
-func (r *Runner) scored(item *scoringItem, scoring ScoringResult, took time.Duration, canceled bool) {
+func (r *Runner) scored(item *scoringItem, result ScoringResult, took time.Duration, canceled bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	window := r.scoring.window(item.service)
-	updateWindow(window, scoring, canceled)
+	updateWindow(window, result, canceled)
 	job := r.jobs[item.key.Job]
 	if r.scoring.items[item.key] != item || job == nil {
 		return
 	}
 	r.options.Logger.Info().Str("job", item.key.Job).Str("item", job.record.Items[item.key.Item].ID).
-		Str("call", item.call.ID).Str("score", scoring.Score).Int("tries", item.tries).Bool("refused", scoring.NoCapacity).
-		Int("failures", scoring.Failures).Str("detail", scoring.Detail).Int("under_way", window.InFlight()).
+		Str("call", item.call.ID).Str("score", result.Score).Int("tries", item.tries).Bool("refused", result.NoCapacity).
+		Int("failures", result.Failures).Str("detail", result.Detail).Int("under_way", window.InFlight()).
 		Dur("waited_ms", time.Since(item.since)-took).Dur("took_ms", took).Msg("scoring call ended")
 	item.cancel = nil
 	switch {
-	case scoring.Score != "":
+	case result.Score != "":
 		delete(r.scoring.items, item.key)
-		r.complete(job, item.key.Item, scoring.Score, "scored")
-	case scoring.Failures > 0 && job.items[item.key.Item].RecordScoringFailures(scoring.Failures, scoring.MaxAttempts):
+		r.complete(job, item.key.Item, result.Score, "scored")
+	case result.Failures > 0 && job.items[item.key.Item].RecordScoringFailures(result.Failures, result.MaxAttempts):
 		delete(r.scoring.items, item.key)
 		r.expire(job, item.key.Item, "scoring attempts used up")
 	default:
@@ -178,11 +178,11 @@
 }
 
 // updateWindow records the result of a call in the service's window.
-func updateWindow(window *admission.Window, scoring ScoringResult, canceled bool) {
+func updateWindow(window *admission.Window, result ScoringResult, canceled bool) {
 	switch {
-	case scoring.Score != "":
+	case result.Score != "":
 		window.Answered()
-	case scoring.NoCapacity && !canceled:
+	case result.NoCapacity && !canceled:
 		window.Refused()
 	default:
 		window.Failed()
--- a/internal/batchrun/scoring_test.go
+++ b/internal/batchrun/scoring_test.go
@@ -62,14 +62,14 @@
 		items = append(items, fmt.Sprint("x", i))
 	}
 	env := newScoringEnv(t, items...)
-	env.scorer.places = admission.Capacity{Slots: 6}
+	env.scorer.capacity = admission.Capacity{Slots: 6}
 	env.scorer.hold = make(chan struct{})
 	env.startRunner()
 	env.submit("j", 1, items...)
 	testwait.Until(t, "three calls", func() bool { return len(env.scorer.callIDs()) == 3 })
 	close(env.scorer.hold)
 	env.awaitResults(len(items))
-	assert.Assert(t, env.scorer.maxUnderWay <= 3, "%d concurrent calls with 6 slots", env.scorer.maxUnderWay)
+	assert.Assert(t, env.scorer.maxInFlight <= 3, "%d concurrent calls with 6 slots", env.scorer.maxInFlight)
 }
 
 func TestScoringPrefersOlderJobs(t *testing.T) {
@@ -125,7 +125,7 @@
 	testwait.Until(t, "the call is canceled", func() bool {
 		env.scorer.mu.Lock()
 		defer env.scorer.mu.Unlock()
-		return env.scorer.underWay == 0
+		return env.scorer.inFlight == 0
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/coldpermits/coldpermits_test.go
+++ b/internal/coldpermits/coldpermits_test.go
@@ -230,7 +230,7 @@
 		done <- denial
 	}()
 	testwait.Until(t, "the request is admitted", func() bool {
-		return c.granter.Room(cold("e").Incarnation(), fleet.Coldness{RatePerSecond: ratePerSecond}) < slowstart.Burst
+		return c.granter.Available(cold("e").Incarnation(), fleet.Coldness{RatePerSecond: ratePerSecond}) < slowstart.Burst
 	})
 	c.clock.advance(slowstart.PermitTTL)
 	close(hold)
@@ -264,7 +264,7 @@
 	valid = false
 	assert.Assert(t, !permit.Open())
 	assert.Assert(t, !granter.Leads())
-	assert.Equal(t, granter.Room(incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond}), 0)
+	assert.Equal(t, granter.Available(incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond}), 0)
 	_, _, outcome = granter.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond})
 	assert.Equal(t, outcome, NotLeading)
 	end()
--- a/internal/coldpermits/granter.go
+++ b/internal/coldpermits/granter.go
@@ -115,8 +115,8 @@
 	return Permit{Engine: to, until: now.Add(slowstart.PermitTTL), valid: current.valid, now: g.now}, 0, Granted
 }
 
-// Room returns the number of requests to a cold engine that would be admitted now.
-func (g *Granter) Room(to incarnation.ID, cold fleet.Coldness) int {
+// Available returns the number of requests to a cold engine that would be admitted now.
+func (g *Granter) Available(to incarnation.ID, cold fleet.Coldness) int {
 	current, leads := g.currentTerm()
 	if !leads {
 		return 0
@@ -124,11 +124,11 @@
 	return current.pacer.Room(to, cold.RatePerSecond, g.now())
 }
 
-// Want does nothing, since the leader needs no permits from other nodes.
-func (g *Granter) Want(incarnation.ID) {}
+// Prefetch does nothing, since the leader needs no permits from other nodes.
+func (g *Granter) Prefetch(incarnation.ID) {}
 
-// Note counts a request to an engine that is not known to be cold; see slowstart.Pacer.
-func (g *Granter) Note(to incarnation.ID, ratePerSecond float64) {
+// RecordStart counts a request to an engine that is not known to be cold; see slowstart.Pacer.
+func (g *Granter) RecordStart(to incarnation.ID, ratePerSecond float64) {
 	if current, leads := g.currentTerm(); leads {
 		current.pacer.Note(to, ratePerSecond, g.now())
 	}
--- a/internal/coldpermits/pool.go
+++ b/internal/coldpermits/pool.go
@@ -35,24 +35,24 @@
 	unused map[incarnation.ID][]Permit
 }
 
-// NewPool requests permits, on calls of Want, until ctx ends.
+// NewPool requests permits, on calls of Prefetch, until ctx ends.
 func NewPool(ctx context.Context, options PoolOptions) *Pool {
 	return &Pool{
 		ctx: ctx, options: options, wanted: make(map[incarnation.ID]bool), unused: make(map[incarnation.ID][]Permit),
 	}
 }
 
-// Room returns the number of items that may start on a cold engine now.
-func (s *Pool) Room(to incarnation.ID, _ fleet.Coldness) int {
+// Available returns the number of items that may start on a cold engine now.
+func (s *Pool) Available(to incarnation.ID, _ fleet.Coldness) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropExpired(to)
 	return len(s.unused[to])
 }
 
-// Want requests a permit for a cold engine in the background. A granted permit counts toward the engine's rate even
-// if it is not used, so Want must be called only while items wait that the engine can run.
-func (s *Pool) Want(to incarnation.ID) {
+// Prefetch requests a permit for a cold engine in the background. A granted permit counts toward the engine's rate even
+// if it is not used, so Prefetch must be called only while items wait that the engine can run.
+func (s *Pool) Prefetch(to incarnation.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wanted[to] = true
@@ -75,8 +75,8 @@
 	return permits[0], 0, Granted
 }
 
-// Note does nothing, since only the leader counts requests to engines that are not known to be cold.
-func (s *Pool) Note(incarnation.ID, float64) {}
+// RecordStart does nothing, since only the leader counts requests to engines that are not known to be cold.
+func (s *Pool) RecordStart(incarnation.ID, float64) {}
 
 // dropExpired drops the expired permits of an engine. Must be called with mu held.
 func (s *Pool) dropExpired(to incarnation.ID) {
--- a/internal/coldpermits/pool_test.go
+++ b/internal/coldpermits/pool_test.go
@@ -53,19 +53,19 @@
 	a, b := coldOne.Incarnation(), coldTwo.Incarnation()
 	_, _, outcome := stock.Admit(Items, a, fleet.Coldness{})
 	assert.Equal(t, outcome, RateLimited)
-	assert.Equal(t, stock.Room(a, fleet.Coldness{}), 0)
+	assert.Equal(t, stock.Available(a, fleet.Coldness{}), 0)
 	leader.mu.Lock()
-	assert.Equal(t, len(leader.granted), 0, "Admit and Room request no permits")
+	assert.Equal(t, len(leader.granted), 0, "Admit and Available request no permits")
 	leader.mu.Unlock()
-	stock.Want(a)
-	stock.Want(b)
+	stock.Prefetch(a)
+	stock.Prefetch(b)
 	testwait.Until(t, "both engines have permits", func() bool {
-		return stock.Room(a, fleet.Coldness{}) > 0 && stock.Room(b, fleet.Coldness{}) > 0
+		return stock.Available(a, fleet.Coldness{}) > 0 && stock.Available(b, fleet.Coldness{}) > 0
 	})
 	leader.mu.Lock()
 	leader.deny = true
 	leader.mu.Unlock()
-	for id, room := range map[incarnation.ID]int{a: stock.Room(a, fleet.Coldness{}), b: stock.Room(b, fleet.Coldness{})} {
+	for id, room := range map[incarnation.ID]int{a: stock.Available(a, fleet.Coldness{}), b: stock.Available(b, fleet.Coldness{})} {
 		for range room {
 			permit, _, outcome := stock.Admit(Items, id, fleet.Coldness{})
 			assert.Equal(t, outcome, Granted)
@@ -82,13 +82,13 @@
 	leader := &fakeLeader{granted: make(map[incarnation.ID]int), life: -time.Second}
 	stock := newTestStock(t, leader, coldOne)
 	id := coldOne.Incarnation()
-	stock.Want(id)
+	stock.Prefetch(id)
 	testwait.Until(t, "a permit was granted", func() bool {
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
 		return leader.granted[id] > 0
 	})
-	assert.Equal(t, stock.Room(id, fleet.Coldness{}), 0)
+	assert.Equal(t, stock.Available(id, fleet.Coldness{}), 0)
 	_, _, outcome := stock.Admit(Items, id, fleet.Coldness{})
 	assert.Equal(t, outcome, RateLimited)
 }
