--- a/internal/batchjobs/batches.go
+++ b/internal/batchjobs/batches.go
@@ -9,11 +9,11 @@
 // returns how many items were written. Results accumulate while the log is unavailable; a single append of
 // all of them may exceed the log's limit and would be rejected on every retry.
 func writeBatches[Item any](
-	items []Item, texts textAccessors[Item], callBytes int, write func([]Item) error,
+	items []Item, texts textAccessors[Item], maxAppendBytes int, write func([]Item) error,
 ) (int, error) {
 	written := 0
 	for written < len(items) {
-		count := firstBatchLen(items[written:], texts, callBytes)
+		count := firstBatchLen(items[written:], texts, maxAppendBytes)
 		if err := write(items[written : written+count]); err != nil {
 			return written, err
 		}
@@ -31,11 +31,12 @@
 
 // firstBatchLen returns how many of the items belong to the first batch, at least one. All texts of a batch
 // are written to the same partition.
-func firstBatchLen[Item any](items []Item, texts textAccessors[Item], callBytes int) int {
+func firstBatchLen[Item any](items []Item, texts textAccessors[Item], maxAppendBytes int) int {
 	size := 0
 	for i, item := range items {
 		size += texts.size(item) + recordOverheadBytes
-		if i > 0 && (size > callBytes || texts.dataPartition(item) != texts.dataPartition(items[0])) || i == maxBatchItems {
+		if i > 0 && (size > maxAppendBytes || texts.dataPartition(item) != texts.dataPartition(items[0])) ||
+			i == maxBatchItems {
 			return i
 		}
 	}
--- a/internal/batchjobs/batches_test.go
+++ b/internal/batchjobs/batches_test.go
@@ -14,11 +14,11 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// limitedLog rejects appends above callBytes, as the platform's log does, and all appends after callsLeft calls.
+// limitedLog rejects appends above maxAppendBytes, as the platform's log does, and all appends once appendsLeft is zero.
 type limitedLog struct {
 	*memlog.Log
-	callBytes int
-	callsLeft int
+	maxAppendBytes int
+	appendsLeft    int
 }
 
 func (l *limitedLog) Append(
@@ -28,17 +28,17 @@
 	for _, record := range records {
 		size += len(record) + 4
 	}
-	if size > l.callBytes {
+	if size > l.maxAppendBytes {
 		return 0, fmt.Errorf("append of %d bytes: %w", size, eventlog.ErrNotDone)
 	}
-	if l.callsLeft == 0 {
+	if l.appendsLeft == 0 {
 		return 0, eventlog.ErrNotDone
 	}
-	l.callsLeft--
+	l.appendsLeft--
 	return l.Log.Append(ctx, partition, records)
 }
 
-const callLimitBytes = 8192
+const appendLimitBytes = 8192
 
 // outageBacklog returns items that ended during a log outage, with ten times the bytes of one append.
 func outageBacklog(t *testing.T, service *Service) ([]ItemResult, []ItemProgress) {
@@ -60,13 +60,13 @@
 
 // Guards against a backlog that is written in one append, which the log would reject on every retry.
 func TestOutageBacklogIsWrittenInSeveralAppends(t *testing.T) {
-	service := newService(&limitedLog{Log: memlog.New(), callBytes: callLimitBytes, callsLeft: 1000})
+	service := newService(&limitedLog{Log: memlog.New(), maxAppendBytes: appendLimitBytes, appendsLeft: 1000})
 	ended, running := outageBacklog(t, service)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	kept, err := service.SaveProgress(ctx, service.PartitionOf("j"), running)
+	saved, err := service.SaveProgress(ctx, service.PartitionOf("j"), running)
 	assert.NilError(t, err)
-	assert.Equal(t, kept, len(running))
+	assert.Equal(t, saved, len(running))
 	record(t, service, ended)
 	results, err := service.Results(t.Context(), "j", 0, 0)
 	assert.NilError(t, err)
@@ -78,17 +78,17 @@
 
 // Guards against callers that write recorded items again after a partial failure.
 func TestRecordReturnsCountWrittenBeforeFailure(t *testing.T) {
-	log := &limitedLog{Log: memlog.New(), callBytes: callLimitBytes, callsLeft: 1000}
+	log := &limitedLog{Log: memlog.New(), maxAppendBytes: appendLimitBytes, appendsLeft: 1000}
 	service := newService(log)
 	ended, _ := outageBacklog(t, service)
 	// Two batches of two appends each, and the first append of the third.
-	log.callsLeft = 5
+	log.appendsLeft = 5
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	recorded, err := service.Record(ctx, service.PartitionOf("j"), ended)
 	assert.Assert(t, err != nil)
-	assert.Equal(t, recorded, 2*firstBatchLen(ended, finishedTexts, callLimitBytes))
-	log.callsLeft = 1000
+	assert.Equal(t, recorded, 2*firstBatchLen(ended, finishedTexts, appendLimitBytes))
+	log.appendsLeft = 1000
 	record(t, service, ended[recorded:])
 	results, err := service.Results(t.Context(), "j", 0, 0)
 	assert.NilError(t, err)
@@ -101,11 +101,11 @@
 		size:          func(size int) int { return size },
 		dataPartition: func(size int) eventlog.Partition { return eventlog.Partition{Number: size % 2} },
 	}
-	assert.Equal(t, firstBatchLen([]int{9000, 1}, sizes, callLimitBytes), 1)
-	assert.Equal(t, firstBatchLen([]int{4000, 4000, 4000}, sizes, callLimitBytes), 2)
+	assert.Equal(t, firstBatchLen([]int{9000, 1}, sizes, appendLimitBytes), 1)
+	assert.Equal(t, firstBatchLen([]int{4000, 4000, 4000}, sizes, appendLimitBytes), 2)
 	assert.Equal(t, firstBatchLen(make([]int, 5000), sizes, 1<<20), maxBatchItems)
-	assert.Equal(t, firstBatchLen([]int{1}, sizes, callLimitBytes), 1)
-	assert.Equal(t, firstBatchLen([]int{2, 4, 3}, sizes, callLimitBytes), 2, "the third item belongs to another partition")
+	assert.Equal(t, firstBatchLen([]int{1}, sizes, appendLimitBytes), 1)
+	assert.Equal(t, firstBatchLen([]int{2, 4, 3}, sizes, appendLimitBytes), 2, "the third item belongs to another partition")
 }
 
 // finishedTexts are accessors for texts of a single partition.
--- a/internal/batchjobs/batchjobs.go
+++ b/internal/batchjobs/batchjobs.go
@@ -165,7 +165,7 @@
 // writePayloads writes the payloads in as many appends as the log's limits require. They have no effect until
 // the job's record references them.
 func (s *Service) writePayloads(
-	ctx context.Context, data eventlog.Partition, payloads []batch.Payload,
+	ctx context.Context, dataPartition eventlog.Partition, payloads []batch.Payload,
 ) ([]batch.Span, error) {
 	var spans []batch.Span
 	var records [][]byte
@@ -174,7 +174,7 @@
 		if len(records) == 0 {
 			return nil
 		}
-		first, err := s.appendData(ctx, data, records)
+		first, err := s.appendData(ctx, dataPartition, records)
 		if err != nil {
 			return err
 		}
@@ -205,11 +205,11 @@
 // End ends a job. A nil error means that the end is durable.
 func (s *Service) End(ctx context.Context, jobID string) error {
 	target := s.partitionOf(jobID)
-	known, err := target.lookUp(ctx, jobID)
+	job, err := target.lookUp(ctx, jobID)
 	if err != nil {
 		return err
 	}
-	if known.Ended {
+	if job.Ended {
 		return nil
 	}
 	return s.appendIndex(ctx, target, batch.Record{End: jobID})
--- a/internal/batchjobs/batchjobs_test.go
+++ b/internal/batchjobs/batchjobs_test.go
@@ -211,18 +211,18 @@
 // Guards against notifying a new leader of ended jobs while it reads the index from the start.
 func TestObserverIsNotifiedOfOpenJobsOnly(t *testing.T) {
 	log := memlog.New()
-	ctx, before := t.Context(), newService(log)
+	ctx, writer := t.Context(), newService(log)
 	for _, job := range []string{"over-1", "over-2", "over-3", "over-4"} {
-		assert.NilError(t, before.Accept(ctx, submission(job, "a")))
-		assert.NilError(t, before.End(ctx, job))
+		assert.NilError(t, writer.Accept(ctx, submission(job, "a")))
+		assert.NilError(t, writer.End(ctx, job))
 	}
-	assert.NilError(t, before.Accept(ctx, submission("open", "a")))
+	assert.NilError(t, writer.Accept(ctx, submission("open", "a")))
 	service, seen := newService(log), &observer{}
 	startService(t, service)
 	service.Observe(seen)
 	testwait.Until(t, "the observer is notified of the open job", func() bool { return seen.hasSeen(1, 0) })
-	assert.NilError(t, before.Accept(ctx, submission("new", "a")))
-	assert.NilError(t, before.End(ctx, "open"))
+	assert.NilError(t, writer.Accept(ctx, submission("new", "a")))
+	assert.NilError(t, writer.End(ctx, "open"))
 	testwait.Until(t, "the observer is notified of the changes", func() bool { return seen.hasSeen(2, 1) })
 	assert.DeepEqual(t, seen.added, []string{"open", "new"})
 	assert.DeepEqual(t, seen.ended, []string{"open"})
--- a/internal/batchjobs/gap_test.go
+++ b/internal/batchjobs/gap_test.go
@@ -21,18 +21,18 @@
 	gate sync.Mutex
 }
 
-func (s *gatedLog) awaitGate() {
-	s.gate.Lock()
-	defer s.gate.Unlock()
+func (l *gatedLog) awaitGate() {
+	l.gate.Lock()
+	defer l.gate.Unlock()
 }
 
-func (s *gatedLog) Read(
+func (l *gatedLog) Read(
 	ctx context.Context, partition eventlog.Partition, from int64, limit int, wait time.Duration,
 ) (eventlog.Batch, error) {
 	if partition.Topic == indexTopic {
-		s.awaitGate()
+		l.awaitGate()
 	}
-	return s.Log.Read(ctx, partition, from, limit, wait)
+	return l.Log.Read(ctx, partition, from, limit, wait)
 }
 
 // Guards against another result at a known position after the log trimmed the record of the first result
@@ -71,7 +71,8 @@
 	}
 }
 
-// trimIndex trims the index partition of a job.
+// trimIndex trims the index partition of a job. This leaves a gap for services that have not read it: records that
+// were trimmed before they were read.
 func trimIndex(log *memlog.Log, service *Service, jobID string) {
 	index := eventlog.Partition{Topic: indexTopic, Number: service.PartitionOf(jobID)}
 	log.Trim(index, log.End(index))
@@ -107,8 +108,7 @@
 	assert.Equal(t, string(results.Results[0].Text), "text")
 }
 
-// A gap, which is records that the log trimmed before this node read them, makes only the positions of a known job's
-// results uncertain.
+// A gap makes only the positions of a known job's results uncertain.
 func TestKnownJobAcrossGapCanBeEndedAndItsBodiesRead(t *testing.T) {
 	t.Parallel()
 	log := memlog.New()
--- a/internal/batchjobs/homes_test.go
+++ b/internal/batchjobs/homes_test.go
@@ -47,25 +47,25 @@
 	startService(t, service)
 	bound := submission("bound", "secret")
 	bound.Job.Homes = []string{"north"}
-	free := submission("free", "a")
-	for service.PartitionOf("bound") != service.PartitionOf(free.Job.ID) {
-		free.Job.ID += "e"
+	unbound := submission("unbound", "a")
+	for service.PartitionOf("bound") != service.PartitionOf(unbound.Job.ID) {
+		unbound.Job.ID += "e"
 	}
-	assert.NilError(t, service.Accept(t.Context(), free))
+	assert.NilError(t, service.Accept(t.Context(), unbound))
 	assert.NilError(t, service.Accept(t.Context(), bound))
-	_, err := service.Results(t.Context(), free.Job.ID, 0, 0)
+	_, err := service.Results(t.Context(), unbound.Job.ID, 0, 0)
 	assert.NilError(t, err)
 	_, err = service.Results(t.Context(), "bound", 0, 0)
 	assert.NilError(t, err)
-	both := append(finished(free.Job.ID, 0, "open text"), finished("bound", 0, "hidden text")...)
+	both := append(finished(unbound.Job.ID, 0, "open text"), finished("bound", 0, "hidden text")...)
 	both[1].Homes = bound.Job.Homes
 	recorded, err := service.Record(t.Context(), service.PartitionOf("bound"), both)
 	assert.NilError(t, err)
 	assert.Equal(t, recorded, 2)
 
-	_, err = service.Body(t.Context(), free.Job.ID, "a")
+	_, err = service.Body(t.Context(), unbound.Job.ID, "a")
 	assert.NilError(t, err)
-	assert.Equal(t, firstResultText(t, service, free.Job.ID), "open text")
+	assert.Equal(t, firstResultText(t, service, unbound.Job.ID), "open text")
 	assert.Assert(t, !log.hasRead("body of secret") && !log.hasRead("hidden text"))
 
 	body, err := service.Body(t.Context(), "bound", "secret")
@@ -107,11 +107,11 @@
 	late[0].Homes = bound.Job.Homes
 	_, err := service.Record(t.Context(), service.PartitionOf("bound"), late)
 	assert.NilError(t, err)
-	kept := ItemProgress{Homes: bound.Job.Homes, Text: []byte("hidden part")}
-	kept.Record.Job, kept.Record.To = "bound", 1
-	_, err = service.SaveProgress(t.Context(), service.PartitionOf("bound"), []ItemProgress{kept})
+	progress := ItemProgress{Homes: bound.Job.Homes, Text: []byte("hidden part")}
+	progress.Record.Job, progress.Record.To = "bound", 1
+	_, err = service.SaveProgress(t.Context(), service.PartitionOf("bound"), []ItemProgress{progress})
 	assert.NilError(t, err)
-	open, err := log.Read(t.Context(), target.dataPartition(nil), 0, readLimitBytes, 0)
+	read, err := log.Read(t.Context(), target.dataPartition(nil), 0, readLimitBytes, 0)
 	assert.NilError(t, err)
-	assert.Equal(t, len(open.Records), 0, "%q", open.Records)
+	assert.Equal(t, len(read.Records), 0, "%q", read.Records)
 }
--- a/internal/batchjobs/lookup.go
+++ b/internal/batchjobs/lookup.go
@@ -59,7 +59,7 @@
 func (p *partition) mayHaveMissed(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.historyLostAt.IsZero() && now.Sub(p.historyLostAt) < p.keepJobs
+	return !p.historyLostAt.IsZero() && now.Sub(p.historyLostAt) < p.jobRetention
 }
 
 // activate starts the reads of the partition.
--- a/internal/batchjobs/partition.go
+++ b/internal/batchjobs/partition.go
@@ -41,11 +41,11 @@
 
 // partition holds the state of one index partition and reads it from the log.
 type partition struct {
-	log      eventlog.Log
-	index    eventlog.Partition
-	budget   pacing.Budget
-	logger   zerolog.Logger
-	keepJobs time.Duration
+	log          eventlog.Log
+	index        eventlog.Partition
+	budget       pacing.Budget
+	logger       zerolog.Logger
+	jobRetention time.Duration
 	// wake ends the wait for the next idle read.
 	wake chan struct{}
 	// active is closed by the first query or observer. The partition is not read before that, so that a node
@@ -75,15 +75,15 @@
 
 func newPartition(log eventlog.Log, number int, options Options) *partition {
 	return &partition{
-		log:      log,
-		index:    eventlog.Partition{Topic: indexTopic, Number: number},
-		logger:   options.Logger.With().Int("partition", number).Logger(),
-		budget:   options.Budget,
-		keepJobs: options.JobRetention,
-		wake:     make(chan struct{}, 1),
-		active:   make(chan struct{}),
-		state:    batch.NewPartition(),
-		changed:  make(chan struct{}),
+		log:          log,
+		index:        eventlog.Partition{Topic: indexTopic, Number: number},
+		logger:       options.Logger.With().Int("partition", number).Logger(),
+		budget:       options.Budget,
+		jobRetention: options.JobRetention,
+		wake:         make(chan struct{}, 1),
+		active:       make(chan struct{}),
+		state:        batch.NewPartition(),
+		changed:      make(chan struct{}),
 	}
 }
 
@@ -172,19 +172,19 @@
 	p.mu.Lock()
 	from := p.state.Next
 	p.mu.Unlock()
-	sent := boottime.Now()
+	sentAt := boottime.Now()
 	read, err := p.log.Read(ctx, p.index, from, indexReadLimitBytes, wait)
-	var gone *eventlog.TrimmedError
-	if errors.As(err, &gone) {
-		p.skipTo(gone.First)
+	var trimmed *eventlog.TrimmedError
+	if errors.As(err, &trimmed) {
+		p.skipTo(trimmed.First)
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	currentAt := sent
+	currentAt := sentAt
 	if len(read.Records) == 0 {
-		currentAt = longpoll.AsOf(sent, wait, boottime.Now())
+		currentAt = longpoll.AsOf(sentAt, wait, boottime.Now())
 	}
 	p.apply(read, currentAt)
 	return read.First+int64(len(read.Records)) >= read.End, nil
--- a/internal/batchjobs/progress.go
+++ b/internal/batchjobs/progress.go
@@ -19,8 +19,8 @@
 	maxReadGapRecords = 4
 )
 
-// SavedTexts returns the saved partial texts by item. A leader appends the new parts of all running items in
-// one call, so adjacent parts are read together. On an error it also returns the texts that could be read.
+// SavedTexts returns the saved partial texts by item. A leader saves the new parts of all running items in one
+// append, so adjacent parts are read together. On an error it also returns the texts that could be read.
 func (s *Service) SavedTexts(
 	ctx context.Context, job batch.JobRecord, saved map[int]batch.Progress,
 ) (map[int][]byte, error) {
@@ -75,17 +75,17 @@
 // mergeParts sorts parts by offset and merges those with at most gap records between them.
 func mergeParts(parts []progressPart, gap int64) []progressPart {
 	slices.SortFunc(parts, func(a, b progressPart) int { return int(a.span.First - b.span.First) })
-	var joined []progressPart
+	var merged []progressPart
 	for _, part := range parts {
-		if len(joined) == 0 || part.span.First-spanEnd(joined[len(joined)-1].span) > gap {
-			joined = append(joined, part)
+		if len(merged) == 0 || part.span.First-spanEnd(merged[len(merged)-1].span) > gap {
+			merged = append(merged, part)
 			continue
 		}
-		last := &joined[len(joined)-1]
+		last := &merged[len(merged)-1]
 		last.span.Count = int(max(spanEnd(last.span), spanEnd(part.span)) - last.span.First)
 		last.bytes += part.bytes
 	}
-	return joined
+	return merged
 }
 
 // spanEnd returns the offset after a span's last record.
--- a/internal/batchjobs/progress_test.go
+++ b/internal/batchjobs/progress_test.go
@@ -88,10 +88,10 @@
 	part := func(first int64, count int) progressPart {
 		return progressPart{batch.Span{First: first, Count: count}, 10}
 	}
-	joined := mergeParts([]progressPart{part(20, 2), part(1, 3), part(6, 1), part(5, 4)}, 2)
-	assert.Equal(t, len(joined), 2)
-	assert.Equal(t, joined[0], progressPart{batch.Span{First: 1, Count: 8}, 30})
-	assert.Equal(t, joined[1], progressPart{batch.Span{First: 20, Count: 2}, 10})
+	merged := mergeParts([]progressPart{part(20, 2), part(1, 3), part(6, 1), part(5, 4)}, 2)
+	assert.Equal(t, len(merged), 2)
+	assert.Equal(t, merged[0], progressPart{batch.Span{First: 1, Count: 8}, 30})
+	assert.Equal(t, merged[1], progressPart{batch.Span{First: 20, Count: 2}, 10})
 }
 
 // Guards against reads that return many records after the needed ones.
--- a/internal/batchjobs/results.go
+++ b/internal/batchjobs/results.go
@@ -43,9 +43,9 @@
 			return Results{}, err
 		}
 	}
-	answer := Results{Total: len(job.Items)}
+	response := Results{Total: len(job.Items)}
 	if from >= len(job.Results) {
-		return answer, nil
+		return response, nil
 	}
 	selected := selectResults(job.Results[from:])
 	release, err := s.options.ReserveMemory(copiesPerRead * textBytes(selected))
@@ -58,7 +58,7 @@
 		return Results{}, err
 	}
 	for i, result := range selected {
-		answer.Results = append(answer.Results, ResultText{
+		response.Results = append(response.Results, ResultText{
 			ItemID:   job.Items[result.Item].ID,
 			Outcome:  result.Outcome,
 			Text:     texts[i],
@@ -66,7 +66,7 @@
 			Score:    result.Score,
 		})
 	}
-	return answer, nil
+	return response, nil
 }
 
 // copiesPerRead is the number of copies of a text in memory during a read: its records and the joined text.
@@ -135,11 +135,11 @@
 }
 
 func (s *Service) readPayloads(
-	ctx context.Context, data eventlog.Partition, spans []batch.Span, limit int,
+	ctx context.Context, dataPartition eventlog.Partition, spans []batch.Span, limit int,
 ) ([]batch.Payload, error) {
 	var payloads []batch.Payload
 	for _, span := range spans {
-		records, err := s.readData(ctx, data, span, limit)
+		records, err := s.readData(ctx, dataPartition, span, limit)
 		if err != nil {
 			return nil, err
 		}
@@ -155,15 +155,17 @@
 }
 
 // readData returns the records of a span, in reads of about limit bytes.
-func (s *Service) readData(ctx context.Context, data eventlog.Partition, span batch.Span, limit int) ([][]byte, error) {
+func (s *Service) readData(
+	ctx context.Context, dataPartition eventlog.Partition, span batch.Span, limit int,
+) ([][]byte, error) {
 	var records [][]byte
 	for next := span.First; len(records) < span.Count; {
-		read, err := s.log.Read(ctx, data, next, limit, 0)
+		read, err := s.log.Read(ctx, dataPartition, next, limit, 0)
 		if err != nil {
 			return nil, unavailable(err)
 		}
 		if len(read.Records) == 0 {
-			return nil, errkind.New(errkind.LogUnavailable, "%s has no record at offset %d", data, next)
+			return nil, errkind.New(errkind.LogUnavailable, "%s has no record at offset %d", dataPartition, next)
 		}
 		wanted := min(len(read.Records), span.Count-len(records))
 		records = append(records, read.Records[:wanted]...)
@@ -177,7 +179,9 @@
 
 // readTexts returns the texts of results. Texts that are adjacent in the log are read in one call; calls run
 // concurrently.
-func (s *Service) readTexts(ctx context.Context, data eventlog.Partition, results []batch.Result) ([][]byte, error) {
+func (s *Service) readTexts(
+	ctx context.Context, dataPartition eventlog.Partition, results []batch.Result,
+) ([][]byte, error) {
 	texts := make([][]byte, len(results))
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(maxTextReads)
@@ -189,15 +193,15 @@
 			size += results[end].TextBytes
 			end++
 		}
-		adjacent, into := results[start:end], texts[start:end]
+		adjacent, adjacentTexts := results[start:end], texts[start:end]
 		group.Go(func() error {
-			records, err := s.readData(ctx, data, span, min(size+recordOverheadBytes*span.Count, readLimitBytes))
+			records, err := s.readData(ctx, dataPartition, span, min(size+recordOverheadBytes*span.Count, readLimitBytes))
 			if err != nil {
 				return err
 			}
 			for i := range adjacent {
 				for range adjacent[i].Text.Count {
-					into[i] = append(into[i], records[0]...)
+					adjacentTexts[i] = append(adjacentTexts[i], records[0]...)
 					records = records[1:]
 				}
 			}
--- a/internal/batchjobs/staleread_test.go
+++ b/internal/batchjobs/staleread_test.go
@@ -76,8 +76,8 @@
 	assert.NilError(t, err)
 	recorded := time.Now()
 	time.Sleep(delay) // until the response arrives
-	const settled = 500 * time.Millisecond
-	for time.Since(recorded) < delay+settled {
+	const margin = 500 * time.Millisecond
+	for time.Since(recorded) < delay+margin {
 		elapsed := time.Since(recorded)
 		results, err := reader.Results(t.Context(), "j1", 0, 0)
 		if err == nil {
--- a/internal/batchjobs/write.go
+++ b/internal/batchjobs/write.go
@@ -32,8 +32,8 @@
 
 // appendData writes records to a data partition and returns the offset of the first. Duplicates left by
 // retries are never referenced.
-func (s *Service) appendData(ctx context.Context, data eventlog.Partition, records [][]byte) (int64, error) {
-	first, err := s.appendWithRetries(ctx, data, records)
+func (s *Service) appendData(ctx context.Context, dataPartition eventlog.Partition, records [][]byte) (int64, error) {
+	first, err := s.appendWithRetries(ctx, dataPartition, records)
 	if err != nil {
 		// No index record references these records, so they have no effect.
 		return 0, errkind.New(errkind.LogUnavailable, "%s", err.Error())
