--- a/internal/coldpermits/coldpermits_test.go
+++ b/internal/coldpermits/coldpermits_test.go
@@ -40,7 +40,7 @@
 	c.now = c.now.Add(by)
 }
 
-// fakeTransport counts requests and can refuse them or hold back their responses.
+// fakeTransport counts requests and can refuse them or delay their responses.
 type fakeTransport struct {
 	mu       sync.Mutex
 	requests int
@@ -118,7 +118,7 @@
 	return client, transport
 }
 
-func cold(id string) fleet.Engine { return fleet.Engine{ID: id, StartMillis: 7, Service: "s"} }
+func coldEngine(id string) fleet.Engine { return fleet.Engine{ID: id, StartMillis: 7, Service: "s"} }
 
 func ask(client *Client, engines ...fleet.Engine) (Permit, Denial) {
 	return client.Ask(context.Background(), "s", engines)
@@ -129,7 +129,7 @@
 	var sent []time.Time
 	for until := c.clock.read().Add(period); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
 		for _, client := range clients {
-			if permit, denial := ask(client, cold("e")); denial.Outcome == Granted && permit.Open() {
+			if permit, denial := ask(client, coldEngine("e")); denial.Outcome == Granted && permit.Open() {
 				sent = append(sent, c.clock.read())
 			}
 		}
@@ -159,9 +159,9 @@
 		client, _ := c.client()
 		clients = append(clients, client)
 	}
-	own, _ := c.client()
-	own.options.Granter = c.granter
-	sent := c.sendPermitted(append(clients, own), 4*time.Second)
+	leaderClient, _ := c.client()
+	leaderClient.options.Granter = c.granter
+	sent := c.sendPermitted(append(clients, leaderClient), 4*time.Second)
 	assert.Assert(t, maxPerSecond(sent) <= 8+slowstart.Burst, "%d", maxPerSecond(sent))
 	assert.Assert(t, len(sent) >= 4*7, "%d requests in four seconds, below the rate", len(sent))
 }
@@ -172,13 +172,13 @@
 	client, _ := c.client()
 	got := make(map[string]int)
 	for range 2 * slowstart.Burst {
-		permit, denial := ask(client, cold("a"), cold("b"))
+		permit, denial := ask(client, coldEngine("a"), coldEngine("b"))
 		assert.Equal(t, denial.Outcome, Granted)
 		assert.Equal(t, permit.Engine.StartMillis, int64(7))
 		got[permit.Engine.Engine]++
 	}
 	assert.DeepEqual(t, got, map[string]int{"a": slowstart.Burst, "b": slowstart.Burst})
-	_, denial := ask(client, cold("a"), cold("b"))
+	_, denial := ask(client, coldEngine("a"), coldEngine("b"))
 	assert.Equal(t, denial.Outcome, RateLimited)
 	assert.Assert(t, denial.Wait > 0 && denial.Wait <= time.Second/7*3/2, "%s", denial.Wait)
 }
@@ -189,14 +189,14 @@
 	defer c.lead()()
 	client, transport := c.client()
 	for range slowstart.Burst + 1 {
-		ask(client, cold("e"))
+		ask(client, coldEngine("e"))
 	}
 	asked := transport.count()
-	_, first := ask(client, cold("e"))
+	_, first := ask(client, coldEngine("e"))
 	assert.Equal(t, first.Outcome, Suppressed)
 	assert.Equal(t, transport.count(), asked)
 	c.clock.advance(first.Wait)
-	_, denial := ask(client, cold("e"))
+	_, denial := ask(client, coldEngine("e"))
 	assert.Equal(t, denial.Outcome, Granted, "a request after the wait is granted")
 }
 
@@ -204,14 +204,14 @@
 func TestPartitionedNodeGetsNoPermit(t *testing.T) {
 	c := newCluster(t)
 	defer c.lead()()
-	cut, transport := c.client()
+	partitioned, transport := c.client()
 	other, _ := c.client()
 	transport.set(func(f *fakeTransport) { f.refuse = true })
-	assert.Equal(t, len(c.sendPermitted([]*Client{cut}, 2*time.Second)), 0)
-	_, denial := ask(cut, cold("e"))
+	assert.Equal(t, len(c.sendPermitted([]*Client{partitioned}, 2*time.Second)), 0)
+	_, denial := ask(partitioned, coldEngine("e"))
 	assert.Assert(t, denial.Outcome == Unanswered || denial.Outcome == Suppressed)
 	assert.Assert(t, denial.Wait > 0)
-	assert.Assert(t, len(c.sendPermitted([]*Client{cut, other}, 2*time.Second)) >= 2*7)
+	assert.Assert(t, len(c.sendPermitted([]*Client{partitioned, other}, 2*time.Second)) >= 2*7)
 }
 
 // Guards against a lost or late response that lets an engine get more requests than its rate.
@@ -223,14 +223,14 @@
 	transport.set(func(f *fakeTransport) { f.hold = hold })
 	done := make(chan Denial)
 	go func() {
-		permit, denial := ask(client, cold("e"))
+		permit, denial := ask(client, coldEngine("e"))
 		if denial.Outcome == Granted && permit.Open() {
 			denial.Outcome = 99
 		}
 		done <- denial
 	}()
 	testwait.Until(t, "the request is admitted", func() bool {
-		return c.granter.Available(cold("e").Incarnation(), fleet.Coldness{RatePerSecond: ratePerSecond}) < slowstart.Burst
+		return c.granter.Available(coldEngine("e").Incarnation(), fleet.Coldness{RatePerSecond: ratePerSecond}) < slowstart.Burst
 	})
 	c.clock.advance(slowstart.PermitTTL)
 	close(hold)
@@ -244,7 +244,7 @@
 	c := newCluster(t)
 	defer c.lead()()
 	client, _ := c.client()
-	permit, denial := ask(client, cold("e"))
+	permit, denial := ask(client, coldEngine("e"))
 	assert.Equal(t, denial.Outcome, Granted)
 	assert.Assert(t, permit.Open())
 	c.clock.advance(slowstart.PermitTTL)
@@ -284,7 +284,7 @@
 	var outstanding []Permit
 	for until := c.clock.read().Add(2 * time.Second); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
 		for _, client := range clients {
-			if permit, denial := ask(client, cold("e")); denial.Outcome == Granted {
+			if permit, denial := ask(client, coldEngine("e")); denial.Outcome == Granted {
 				outstanding = append(outstanding, permit)
 			}
 		}
@@ -304,23 +304,23 @@
 	for range outstanding {
 		sent = append(sent, c.clock.read().Add(slowstart.PermitTTL))
 	}
-	takeover := len(sent)
+	sentBeforeTakeover := len(sent)
 	next := c.sendPermitted(clients, 4*time.Second)
 	sent = append(sent, next...)
 	slices.SortFunc(sent, time.Time.Compare)
 	assert.Assert(t, maxPerSecond(sent) <= 8+slowstart.Burst, "%d requests in a second", maxPerSecond(sent))
-	assert.Assert(t, len(next) > 0 && takeover > 0)
+	assert.Assert(t, len(next) > 0 && sentBeforeTakeover > 0)
 }
 
 func TestNotLeadingAndUnknownServiceOutcomes(t *testing.T) {
 	c := newCluster(t)
 	client, _ := c.client()
-	_, denial := ask(client, cold("e"))
+	_, denial := ask(client, coldEngine("e"))
 	assert.Equal(t, denial.Outcome, NotLeading)
 	defer c.lead()()
 	other, _ := c.client()
-	_, denial = other.Ask(context.Background(), "unknown", []fleet.Engine{cold("e")})
-	assert.Equal(t, denial.Outcome, Unknown)
+	_, denial = other.Ask(context.Background(), "unknown", []fleet.Engine{coldEngine("e")})
+	assert.Equal(t, denial.Outcome, UnknownService)
 }
 
 // Guards against an unbounded number of concurrent requests; further ones are denied locally.
@@ -332,10 +332,10 @@
 	transport.set(func(f *fakeTransport) { f.hold = hold })
 	var waiting sync.WaitGroup
 	for range maxConcurrentRequests {
-		waiting.Go(func() { ask(client, cold("e")) })
+		waiting.Go(func() { ask(client, coldEngine("e")) })
 	}
 	testwait.Until(t, "all slots are in use", func() bool { return transport.count() == maxConcurrentRequests })
-	_, denial := ask(client, cold("e"))
+	_, denial := ask(client, coldEngine("e"))
 	assert.Equal(t, denial.Outcome, Suppressed)
 	assert.Equal(t, transport.count(), maxConcurrentRequests)
 	close(hold)
--- a/internal/coldpermits/golden_test.go
+++ b/internal/coldpermits/golden_test.go
@@ -17,7 +17,7 @@
 // Guards against renumbered outcomes, which another build would take for different ones.
 func TestNumbersOfEarlierBuilds(t *testing.T) {
 	goldenrecord.CheckNumbers(t, "numbers", map[string]int64{
-		"granted": int64(Granted), "paced": int64(RateLimited), "not_leading": int64(NotLeading), "unknown": int64(Unknown),
-		"unanswered": int64(Unanswered), "withheld": int64(Suppressed),
+		"granted": int64(Granted), "paced": int64(RateLimited), "not_leading": int64(NotLeading),
+		"unknown": int64(UnknownService), "unanswered": int64(Unanswered), "withheld": int64(Suppressed),
 	})
 }
--- a/internal/coldpermits/granter.go
+++ b/internal/coldpermits/granter.go
@@ -36,15 +36,15 @@
 	Engine incarnation.ID
 	// until is the expiry by boottime, which advances while the machine is suspended.
 	until time.Time
-	// valid reports whether this node, which granted the permit, still leads as far as it knows. It is nil for
+	// stillLeads reports whether this node, which granted the permit, still leads as far as it knows. It is nil for
 	// permits from another node; the next leader waits until these have expired.
-	valid func() bool
-	now   func() time.Time
+	stillLeads func() bool
+	now        func() time.Time
 }
 
 // Open reports whether the request may be sent. It must be checked right before the bytes are written.
 func (p Permit) Open() bool {
-	return p.now().Before(p.until) && (p.valid == nil || p.valid())
+	return p.now().Before(p.until) && (p.stillLeads == nil || p.stillLeads())
 }
 
 // Granter grants permits while its node leads. It is safe for concurrent use.
@@ -60,25 +60,25 @@
 
 // term is a leadership term.
 type term struct {
-	pacer *slowstart.Pacer
-	valid func() bool
+	pacer      *slowstart.Pacer
+	stillLeads func() bool
 }
 
-// NewGranter starts without a leadership term. observe is called after each decision.
+// NewGranter returns a granter without a leadership term. observe is called after each decision.
 func NewGranter(observe func(sender Sender, outcome Outcome)) *Granter {
 	return &Granter{now: boottime.Now, observe: observe}
 }
 
-// Lead begins a term, which lasts as long as valid returns true, and returns a function that ends it.
-func (g *Granter) Lead(valid func() bool) (end func()) {
-	began := &term{pacer: slowstart.New(g.now()), valid: valid}
+// Lead begins a term, which lasts as long as stillLeads returns true, and returns a function that ends it.
+func (g *Granter) Lead(stillLeads func() bool) (end func()) {
+	started := &term{pacer: slowstart.New(g.now()), stillLeads: stillLeads}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.current = began
+	g.current = started
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.current == began {
+		if g.current == started {
 			g.current = nil
 		}
 	}
@@ -88,7 +88,7 @@
 func (g *Granter) currentTerm() (*term, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.current == nil || !g.current.valid() {
+	if g.current == nil || !g.current.stillLeads() {
 		return nil, false
 	}
 	return g.current, true
@@ -112,7 +112,9 @@
 	if wait := current.pacer.Admit(to, cold.RatePerSecond, now); wait > 0 {
 		return Permit{}, wait, RateLimited
 	}
-	return Permit{Engine: to, until: now.Add(slowstart.PermitTTL), valid: current.valid, now: g.now}, 0, Granted
+	return Permit{
+		Engine: to, until: now.Add(slowstart.PermitTTL), stillLeads: current.stillLeads, now: g.now,
+	}, 0, Granted
 }
 
 // Available returns the number of requests to a cold engine that would be admitted now.
@@ -124,7 +126,7 @@
 	return current.pacer.Room(to, cold.RatePerSecond, g.now())
 }
 
-// Prefetch does nothing, since the leader needs no permits from other nodes.
+// Prefetch does nothing, since the leader grants its own permits at once.
 func (g *Granter) Prefetch(incarnation.ID) {}
 
 // RecordStart counts a request to an engine that is not known to be cold; see slowstart.Pacer.
--- a/internal/coldpermits/message.go
+++ b/internal/coldpermits/message.go
@@ -23,8 +23,8 @@
 	RateLimited
 	// NotLeading: the receiving node does not lead.
 	NotLeading
-	// Unknown: the receiving node's configuration has no slow start for the service.
-	Unknown
+	// UnknownService: the receiving node's configuration has no slow start for the service.
+	UnknownService
 	// Unanswered: no leader is known, or it did not respond in time.
 	Unanswered
 	// Suppressed: the request was not sent, because of the backoff after a denial or too many concurrent requests.
@@ -32,7 +32,7 @@
 )
 
 var outcomeNames = [...]string{
-	Granted: "granted", RateLimited: "paced", NotLeading: "not_leading", Unknown: "unknown_service",
+	Granted: "granted", RateLimited: "paced", NotLeading: "not_leading", UnknownService: "unknown_service",
 	Unanswered: "unanswered", Suppressed: "withheld",
 }
 
@@ -84,16 +84,16 @@
 	return msgpackhttp.Handle(maxRequestBytes, func(_ context.Context, request permitRequest) permitResponse {
 		limits, bounded := slowStart(request.Service)
 		if !bounded {
-			g.observe(Peers, Unknown)
-			return permitResponse{Outcome: Unknown, Wait: notLeadingBackoff}
+			g.observe(Peers, UnknownService)
+			return permitResponse{Outcome: UnknownService, Wait: notLeadingBackoff}
 		}
-		denied := permitResponse{Outcome: Unknown, Wait: notLeadingBackoff}
+		denied := permitResponse{Outcome: UnknownService, Wait: notLeadingBackoff}
 		for _, each := range request.Engines[:min(len(request.Engines), MaxEngines)] {
 			_, wait, outcome := g.Admit(Peers, each.incarnation(), fleet.Coldness{RatePerSecond: limits.RatePerSecond})
 			if outcome == Granted {
 				return permitResponse{Outcome: Granted, Engine: each}
 			}
-			if denied.Outcome == Unknown || wait < denied.Wait {
+			if denied.Outcome == UnknownService || wait < denied.Wait {
 				denied = permitResponse{Outcome: outcome, Wait: wait}
 			}
 		}
--- a/internal/coldpermits/pool.go
+++ b/internal/coldpermits/pool.go
@@ -15,7 +15,7 @@
 	Ask func(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial)
 	// Find returns a listed engine, and false if it is not listed.
 	Find func(of incarnation.ID) (fleet.Engine, bool)
-	// Granted is called after each permit that was added.
+	// Granted is called after each permit that was added to the pool.
 	Granted func()
 }
 
@@ -35,7 +35,7 @@
 	unused map[incarnation.ID][]Permit
 }
 
-// NewPool requests permits, on calls of Prefetch, until ctx ends.
+// NewPool returns a pool that requests permits on calls of Prefetch until ctx ends.
 func NewPool(ctx context.Context, options PoolOptions) *Pool {
 	return &Pool{
 		ctx: ctx, options: options, wanted: make(map[incarnation.ID]bool), unused: make(map[incarnation.ID][]Permit),
@@ -43,82 +43,82 @@
 }
 
 // Available returns the number of items that may start on a cold engine now.
-func (s *Pool) Available(to incarnation.ID, _ fleet.Coldness) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.dropExpired(to)
-	return len(s.unused[to])
+func (p *Pool) Available(to incarnation.ID, _ fleet.Coldness) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.dropExpired(to)
+	return len(p.unused[to])
 }
 
 // Prefetch requests a permit for a cold engine in the background. A granted permit counts toward the engine's rate even
 // if it is not used, so Prefetch must be called only while items wait that the engine can run.
-func (s *Pool) Prefetch(to incarnation.ID) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.wanted[to] = true
-	if !s.filling {
-		s.filling = true
-		go s.fill()
+func (p *Pool) Prefetch(to incarnation.ID) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.wanted[to] = true
+	if !p.filling {
+		p.filling = true
+		go p.fill()
 	}
 }
 
 // Admit uses a permit for one item.
-func (s *Pool) Admit(_ Sender, to incarnation.ID, _ fleet.Coldness) (Permit, time.Duration, Outcome) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.dropExpired(to)
-	permits := s.unused[to]
+func (p *Pool) Admit(_ Sender, to incarnation.ID, _ fleet.Coldness) (Permit, time.Duration, Outcome) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.dropExpired(to)
+	permits := p.unused[to]
 	if len(permits) == 0 {
 		return Permit{}, 0, RateLimited
 	}
-	s.unused[to] = permits[1:]
+	p.unused[to] = permits[1:]
 	return permits[0], 0, Granted
 }
 
 // RecordStart does nothing, since only the leader counts requests to engines that are not known to be cold.
-func (s *Pool) RecordStart(incarnation.ID, float64) {}
+func (p *Pool) RecordStart(incarnation.ID, float64) {}
 
 // dropExpired drops the expired permits of an engine. Must be called with mu held.
-func (s *Pool) dropExpired(to incarnation.ID) {
+func (p *Pool) dropExpired(to incarnation.ID) {
 	var unused []Permit
-	for _, permit := range s.unused[to] {
+	for _, permit := range p.unused[to] {
 		if permit.Open() {
 			unused = append(unused, permit)
 		}
 	}
 	if len(unused) == 0 {
-		delete(s.unused, to)
+		delete(p.unused, to)
 		return
 	}
-	s.unused[to] = unused
+	p.unused[to] = unused
 }
 
 // fill requests permits until no engine is wanted.
-func (s *Pool) fill() {
+func (p *Pool) fill() {
 	for {
-		services := s.takeWanted()
+		services := p.takeWanted()
 		if len(services) == 0 {
 			return
 		}
 		for service, engines := range services {
-			s.fillService(service, engines)
+			p.fillService(service, engines)
 		}
 	}
 }
 
 // takeWanted returns the wanted engines by service and clears them. It resets filling if it returns none.
-func (s *Pool) takeWanted() map[string][]fleet.Engine {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (p *Pool) takeWanted() map[string][]fleet.Engine {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	services := make(map[string][]fleet.Engine)
-	for id := range s.wanted {
-		if engine, listed := s.options.Find(id); listed {
+	for id := range p.wanted {
+		if engine, listed := p.options.Find(id); listed {
 			services[engine.Service] = append(services[engine.Service], engine)
 		}
 	}
-	clear(s.wanted)
-	s.filling = len(services) > 0 && s.ctx.Err() == nil
-	if !s.filling {
+	clear(p.wanted)
+	p.filling = len(services) > 0 && p.ctx.Err() == nil
+	if !p.filling {
 		return nil
 	}
 	return services
@@ -126,16 +126,16 @@
 
 // fillService requests permits one after the other until one is denied, at most one per engine: more would expire
 // before the runner's next pass.
-func (s *Pool) fillService(service string, engines []fleet.Engine) {
+func (p *Pool) fillService(service string, engines []fleet.Engine) {
 	for len(engines) > 0 {
-		permit, denial := s.options.Ask(s.ctx, service, engines)
+		permit, denial := p.options.Ask(p.ctx, service, engines)
 		if denial.Outcome != Granted {
 			return
 		}
-		s.mu.Lock()
-		s.unused[permit.Engine] = append(s.unused[permit.Engine], permit)
-		s.mu.Unlock()
-		s.options.Granted()
+		p.mu.Lock()
+		p.unused[permit.Engine] = append(p.unused[permit.Engine], permit)
+		p.mu.Unlock()
+		p.options.Granted()
 		engines = withoutEngine(engines, permit.Engine)
 	}
 }
--- a/internal/coldpermits/pool_test.go
+++ b/internal/coldpermits/pool_test.go
@@ -16,24 +16,24 @@
 
 // fakeLeader grants permits with the given lifetime until deny is set.
 type fakeLeader struct {
-	mu      sync.Mutex
-	deny    bool
-	granted map[incarnation.ID]int
-	life    time.Duration
+	mu       sync.Mutex
+	deny     bool
+	granted  map[incarnation.ID]int
+	lifetime time.Duration
 }
 
-func (g *fakeLeader) ask(_ context.Context, _ string, engines []fleet.Engine) (Permit, Denial) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.deny {
+func (l *fakeLeader) ask(_ context.Context, _ string, engines []fleet.Engine) (Permit, Denial) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.deny {
 		return Permit{}, Denial{Outcome: RateLimited}
 	}
 	id := engines[0].Incarnation()
-	g.granted[id]++
-	return Permit{Engine: id, until: boottime.Now().Add(g.life), now: boottime.Now}, Denial{Outcome: Granted}
+	l.granted[id]++
+	return Permit{Engine: id, until: boottime.Now().Add(l.lifetime), now: boottime.Now}, Denial{Outcome: Granted}
 }
 
-func newTestStock(t *testing.T, leader *fakeLeader, engines ...fleet.Engine) *Pool {
+func newTestPool(t *testing.T, leader *fakeLeader, engines ...fleet.Engine) *Pool {
 	t.Helper()
 	known := fleet.New()
 	for _, engine := range engines {
@@ -48,47 +48,47 @@
 )
 
 func TestEachPermitAdmitsOneItem(t *testing.T) {
-	leader := &fakeLeader{granted: make(map[incarnation.ID]int), life: time.Hour}
-	stock := newTestStock(t, leader, coldOne, coldTwo)
+	leader := &fakeLeader{granted: make(map[incarnation.ID]int), lifetime: time.Hour}
+	pool := newTestPool(t, leader, coldOne, coldTwo)
 	a, b := coldOne.Incarnation(), coldTwo.Incarnation()
-	_, _, outcome := stock.Admit(Items, a, fleet.Coldness{})
+	_, _, outcome := pool.Admit(Items, a, fleet.Coldness{})
 	assert.Equal(t, outcome, RateLimited)
-	assert.Equal(t, stock.Available(a, fleet.Coldness{}), 0)
+	assert.Equal(t, pool.Available(a, fleet.Coldness{}), 0)
 	leader.mu.Lock()
 	assert.Equal(t, len(leader.granted), 0, "Admit and Available request no permits")
 	leader.mu.Unlock()
-	stock.Prefetch(a)
-	stock.Prefetch(b)
+	pool.Prefetch(a)
+	pool.Prefetch(b)
 	testwait.Until(t, "both engines have permits", func() bool {
-		return stock.Available(a, fleet.Coldness{}) > 0 && stock.Available(b, fleet.Coldness{}) > 0
+		return pool.Available(a, fleet.Coldness{}) > 0 && pool.Available(b, fleet.Coldness{}) > 0
 	})
 	leader.mu.Lock()
 	leader.deny = true
 	leader.mu.Unlock()
-	for id, room := range map[incarnation.ID]int{a: stock.Available(a, fleet.Coldness{}), b: stock.Available(b, fleet.Coldness{})} {
-		for range room {
-			permit, _, outcome := stock.Admit(Items, id, fleet.Coldness{})
+	for id, available := range map[incarnation.ID]int{a: pool.Available(a, fleet.Coldness{}), b: pool.Available(b, fleet.Coldness{})} {
+		for range available {
+			permit, _, outcome := pool.Admit(Items, id, fleet.Coldness{})
 			assert.Equal(t, outcome, Granted)
 			assert.Equal(t, permit.Engine, id)
 			assert.Assert(t, permit.Open())
 		}
-		_, _, outcome := stock.Admit(Items, id, fleet.Coldness{})
+		_, _, outcome := pool.Admit(Items, id, fleet.Coldness{})
 		assert.Equal(t, outcome, RateLimited, "a permit admits one item only")
 	}
 }
 
 // Guards against the use of a permit that expired before the runner's next pass.
 func TestExpiredPermitAdmitsNoItem(t *testing.T) {
-	leader := &fakeLeader{granted: make(map[incarnation.ID]int), life: -time.Second}
-	stock := newTestStock(t, leader, coldOne)
+	leader := &fakeLeader{granted: make(map[incarnation.ID]int), lifetime: -time.Second}
+	pool := newTestPool(t, leader, coldOne)
 	id := coldOne.Incarnation()
-	stock.Prefetch(id)
+	pool.Prefetch(id)
 	testwait.Until(t, "a permit was granted", func() bool {
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
 		return leader.granted[id] > 0
 	})
-	assert.Equal(t, stock.Available(id, fleet.Coldness{}), 0)
-	_, _, outcome := stock.Admit(Items, id, fleet.Coldness{})
+	assert.Equal(t, pool.Available(id, fleet.Coldness{}), 0)
+	_, _, outcome := pool.Admit(Items, id, fleet.Coldness{})
 	assert.Equal(t, outcome, RateLimited)
 }
