--- a/internal/jobrelay/homes_test.go
+++ b/internal/jobrelay/homes_test.go
@@ -63,8 +63,8 @@
 	}
 
 	// Without a replica in the home regions, the node answers locally.
-	nowhere := homes.NewContext(t.Context(), homes.Of([]string{"west"}))
-	body, err = relay.Body(nowhere, "job", "item")
+	boundElsewhere := homes.NewContext(t.Context(), homes.Of([]string{"west"}))
+	body, err = relay.Body(boundElsewhere, "job", "item")
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "own")
 	assert.Equal(t, outside.queries.Load(), int64(0))
--- a/internal/jobrelay/jobrelay.go
+++ b/internal/jobrelay/jobrelay.go
@@ -1,7 +1,6 @@
-// Package jobrelay forwards queries about batch jobs to the zone's replicas
-// (internal/core/replicaset) in a large cluster. A node that answers a query itself first
-// reads the job's whole index partition; after a restart of hundreds of nodes such reads
-// overload the log, time out and are retried, and no job can be read.
+// Package jobrelay forwards queries about batch jobs to the zone's replicas (internal/core/replicaset) in a large
+// cluster. A node that answers a query itself first reads the job's whole index partition. After a restart of hundreds
+// of nodes such reads would overload the log and time out, and no job could be read.
 package jobrelay
 
 import (
--- a/internal/jobrelay/jobrelay_test.go
+++ b/internal/jobrelay/jobrelay_test.go
@@ -52,9 +52,9 @@
 func always(homes.Set) bool { return true }
 
 // startServer starts a node with the jobs and returns its address.
-func startServer(t *testing.T, jobs Jobs, answers func(homes.Set) bool) string {
+func startServer(t *testing.T, jobs Jobs, isReplicaFor func(homes.Set) bool) string {
 	t.Helper()
-	server := httptest.NewServer(NewHandler(jobs, answers))
+	server := httptest.NewServer(NewHandler(jobs, isReplicaFor))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
--- a/internal/jobrelay/relay.go
+++ b/internal/jobrelay/relay.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// answerTimeout bounds how long a response may take beyond the requested wait. It is
-	// shorter than the margin that callers allow.
+	// answerTimeout bounds how long a response may take beyond the requested wait. It is shorter than the time that
+	// callers allow beyond the wait.
 	answerTimeout = 1300 * time.Millisecond
 	// unresponsivePause is how long a replica is skipped after it did not answer, notReplicaPause how long a peer
 	// that is not a replica.
@@ -69,7 +69,7 @@
 	if len(replicas) == 0 {
 		return r.local.Results(ctx, jobID, from, wait)
 	}
-	answer, err := r.ask(ctx, replicas, request{
+	answer, err := r.queryReplicas(ctx, replicas, request{
 		Operation: opResults, Job: jobID, From: from, Wait: wait, Homes: within.Regions(),
 	})
 	if err != nil {
@@ -88,7 +88,9 @@
 	if len(replicas) == 0 {
 		return r.local.Body(ctx, jobID, itemID)
 	}
-	answer, err := r.ask(ctx, replicas, request{Operation: opBody, Job: jobID, Item: itemID, Homes: within.Regions()})
+	answer, err := r.queryReplicas(ctx, replicas, request{
+		Operation: opBody, Job: jobID, Item: itemID, Homes: within.Regions(),
+	})
 	return answer.Body, err
 }
 
@@ -102,7 +104,7 @@
 	if len(replicas) == 0 {
 		return r.local.End(ctx, jobID)
 	}
-	_, err = r.ask(ctx, replicas, request{Operation: opEnd, Job: jobID})
+	_, err = r.queryReplicas(ctx, replicas, request{Operation: opEnd, Job: jobID})
 	return err
 }
 
@@ -126,8 +128,8 @@
 	return nil, errkind.New(errkind.LogUnavailable, "the node directory has not been read yet")
 }
 
-// ask queries the replicas in order until one gives a definite answer.
-func (r *Relay) ask(ctx context.Context, replicas []string, query request) (response, error) {
+// queryReplicas queries the replicas in order until one gives a definite answer.
+func (r *Relay) queryReplicas(ctx context.Context, replicas []string, query request) (response, error) {
 	unanswered := false
 	var historyLost error
 	for _, address := range replicas {
--- a/internal/jobrelay/server.go
+++ b/internal/jobrelay/server.go
@@ -17,12 +17,12 @@
 	maxWait = 5 * time.Second
 )
 
-// NewHandler serves queries by other nodes. answers reports whether this node is a replica for jobs bound to the
+// NewHandler serves queries by other nodes. isReplicaFor reports whether this node is a replica for jobs bound to the
 // regions.
-func NewHandler(jobs Jobs, answers func(within homes.Set) bool) http.Handler {
+func NewHandler(jobs Jobs, isReplicaFor func(within homes.Set) bool) http.Handler {
 	return msgpackhttp.Handle(maxRequestBytes, func(ctx context.Context, query request) response {
 		within := homes.Of(query.Homes)
-		if !answers(within) {
+		if !isReplicaFor(within) {
 			return response{NotReplica: true}
 		}
 		return serve(homes.NewContext(ctx, within), jobs, query)
@@ -49,6 +49,7 @@
 		}
 		return response{}
 	default:
+		// Only a newer build knows the operation, so the caller tries another replica.
 		return response{NotReplica: true}
 	}
 }
