--- a/internal/batchrun/demand.go
+++ b/internal/batchrun/demand.go
@@ -16,7 +16,7 @@
 	return r.plan.Running(engine)
 }
 
-// Demand is the work that open jobs have for a model.
+// Demand is the work of the open jobs of a model.
 type Demand struct {
 	// Tokens is the total size of the items of the model's open jobs.
 	Tokens int
--- a/internal/batchrun/dependencies.go
+++ b/internal/batchrun/dependencies.go
@@ -58,7 +58,7 @@
 	NotExecutable
 	// InvalidResponse: no response, an invalid one, or one that was cut off.
 	InvalidResponse
-	// HeldBack: sending the call was no longer permitted once it was connected.
+	// HeldBack: the call was not sent, since MaySend returned false after the connection was established.
 	HeldBack
 )
 
--- a/internal/batchrun/observe.go
+++ b/internal/batchrun/observe.go
@@ -55,7 +55,7 @@
 	})
 }
 
-// planJob returns the job as the plan needs it.
+// planJob converts a job record for the plan.
 func planJob(record *batch.JobRecord) batchplan.Job {
 	lengths := make([]int, len(record.Items))
 	for i := range record.Items {
