--- a/internal/hosted/heldbytes.go
+++ b/internal/hosted/bytebudget.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// memoryDivisor divides the node's memory into the share that may be buffered for callers and engines. Buffered
-	// data may exist twice, raw and decoded, and the node needs memory for other purposes.
+	// The node's memory divided by memoryDivisor may be buffered for callers and engines. Buffered data may exist
+	// twice, raw and decoded, and the node needs memory for other purposes.
 	memoryDivisor = 6
 	// defaultMemoryBytes is assumed if the node's memory is not configured.
 	defaultMemoryBytes = 384 << 20
@@ -37,7 +37,7 @@
 // newCallerLimits returns the limits for callers that read slowly.
 func (n *node) newCallerLimits() callerwrite.Limits {
 	return callerwrite.Limits{
-		Budget: n.bytes, StallTimeout: time.Duration(n.config.Hosted.CallerStall),
+		Budget: n.byteBudget, StallTimeout: time.Duration(n.config.Hosted.CallerStall),
 		OnStalled: func(left int) {
 			n.metrics.callersStalled.Inc()
 			n.logger.Warn().Int("bytes_left", left).Dur("stall_ms", time.Duration(n.config.Hosted.CallerStall)).
@@ -59,11 +59,11 @@
 
 // ReserveResult implements CallerService.
 func (n *node) ReserveResult(bytes int) (release func(), err error) {
-	held := int64(bytes)
-	if !n.bytes.Reserve(bytebudget.Results, held) {
-		return nil, n.refuseForMemory(bytebudget.Results, held)
+	size := int64(bytes)
+	if !n.byteBudget.Reserve(bytebudget.Results, size) {
+		return nil, n.refuseForMemory(bytebudget.Results, size)
 	}
-	return func() { n.bytes.Release(bytebudget.Results, held) }, nil
+	return func() { n.byteBudget.Release(bytebudget.Results, size) }, nil
 }
 
 // ReserveBody implements CallerService.
@@ -72,44 +72,44 @@
 // BodyReservation is the memory reserved for one request body. It is not safe for concurrent use.
 type BodyReservation struct {
 	node     *node
-	held     int64
+	reserved int64
 	read     int64
 	released bool
 }
 
 // Grow reserves more bytes. It returns an *errkind.Error if the budget is exhausted.
-func (h *BodyReservation) Grow(bytes int64) error {
-	if !h.node.bytes.Reserve(bytebudget.Bodies, bytes) {
-		return h.node.refuseForMemory(bytebudget.Bodies, bytes)
+func (r *BodyReservation) Grow(bytes int64) error {
+	if !r.node.byteBudget.Reserve(bytebudget.Bodies, bytes) {
+		return r.node.refuseForMemory(bytebudget.Bodies, bytes)
 	}
-	h.held += bytes
+	r.reserved += bytes
 	return nil
 }
 
 // Release returns the reserved memory to the budget. Further calls have no effect.
-func (h *BodyReservation) Release() {
-	if !h.released {
-		h.released = true
-		h.node.bytes.Release(bytebudget.Bodies, h.held)
+func (r *BodyReservation) Release() {
+	if !r.released {
+		r.released = true
+		r.node.byteBudget.Release(bytebudget.Bodies, r.reserved)
 	}
 }
 
 // Reader returns a reader of the body that reserves memory for bytes read beyond the reservation.
-func (h *BodyReservation) Reader(body io.Reader) io.Reader {
-	return &reservingReader{body: body, held: h}
+func (r *BodyReservation) Reader(body io.Reader) io.Reader {
+	return &reservingReader{body: body, reservation: r}
 }
 
 type reservingReader struct {
-	body io.Reader
-	held *BodyReservation
+	body        io.Reader
+	reservation *BodyReservation
 }
 
 // Read implements io.Reader.
 func (r *reservingReader) Read(into []byte) (int, error) {
 	count, err := r.body.Read(into)
-	r.held.read += int64(count)
-	if r.held.read > r.held.held {
-		if failure := r.held.Grow(bodyGrowBytes); failure != nil {
+	r.reservation.read += int64(count)
+	if r.reservation.read > r.reservation.reserved {
+		if failure := r.reservation.Grow(bodyGrowBytes); failure != nil {
 			return count, failure
 		}
 	}
@@ -125,7 +125,7 @@
 		Name: "corkpulley_hosted_memory_refused_total",
 		Help: "Calls refused since the node held too much for others, by what they asked to hold.",
 	}, []string{"kind"})
-	registry.MustRegister(m.callersStalled, m.memoryRefused, &heldBytesCollector{budget: &m.bytes})
+	registry.MustRegister(m.callersStalled, m.memoryRefused, &heldBytesCollector{budget: &m.byteBudget})
 }
 
 // heldBytesDesc describes the gauge of buffered bytes.
--- a/internal/hosted/callers.go
+++ b/internal/hosted/callers.go
@@ -31,7 +31,7 @@
 
 // Relay implements CallerService.
 func (n *node) Relay(w http.ResponseWriter, ctx context.Context, request *ingress.Request) *errkind.Error {
-	if !n.control.IsLoaded() {
+	if !n.controlFollower.IsLoaded() {
 		return errkind.New(errkind.NotReady, "it is not known yet which zones are evacuated")
 	}
 	if !n.crashesKnown() {
@@ -146,7 +146,7 @@
 }
 
 // isCurrent reports whether the configuration in force is the newest one, to within maxConfigurationAge.
-func (n *node) isCurrent() bool { return n.control.Age() < maxConfigurationAge }
+func (n *node) isCurrent() bool { return n.controlFollower.Age() < maxConfigurationAge }
 
 // Results implements CallerService.
 func (n *node) Results(ctx context.Context, job JobName, from int, wait time.Duration) (batchjobs.Results, error) {
@@ -218,7 +218,7 @@
 		return errkind.New(errkind.ShuttingDown, "this node is stopping")
 	case n.state.table() == nil:
 		return errkind.New(errkind.NotReady, "no configuration is known yet")
-	case !n.control.IsLoaded():
+	case !n.controlFollower.IsLoaded():
 		return errkind.New(errkind.NotReady, "it is not known yet which zones are evacuated")
 	case !n.hasUsableEngine(n.state.table()):
 		return errkind.New(errkind.NotReady, "no engine is known yet")
--- a/internal/hosted/callers_test.go
+++ b/internal/hosted/callers_test.go
@@ -12,8 +12,8 @@
 // any query failed so.
 func TestFirstFoundWithLostHistory(t *testing.T) {
 	answers := map[string]error{
-		"unsure": errkind.New(errkind.HistoryLost, "why"), "none": errkind.New(errkind.NotFound, "why"),
-		"out of reach": errkind.New(errkind.LogUnavailable, "why"), "job": nil,
+		"history lost": errkind.New(errkind.HistoryLost, "reason"), "absent": errkind.New(errkind.NotFound, "reason"),
+		"log unavailable": errkind.New(errkind.LogUnavailable, "reason"), "stored": nil,
 	}
 	run := func(id string) (string, error) { return id, answers[id] }
 	for _, each := range []struct {
@@ -21,11 +21,11 @@
 		found string
 		kind  errkind.Kind
 	}{
-		{names: []string{"none", "job"}, found: "job"},
-		{names: []string{"unsure", "none", "job"}, found: "job"},
-		{names: []string{"none", "none"}, kind: errkind.NotFound},
-		{names: []string{"unsure", "none"}, kind: errkind.HistoryLost},
-		{names: []string{"unsure", "out of reach", "job"}, kind: errkind.LogUnavailable},
+		{names: []string{"absent", "stored"}, found: "stored"},
+		{names: []string{"history lost", "absent", "stored"}, found: "stored"},
+		{names: []string{"absent", "absent"}, kind: errkind.NotFound},
+		{names: []string{"history lost", "absent"}, kind: errkind.HistoryLost},
+		{names: []string{"history lost", "log unavailable", "stored"}, kind: errkind.LogUnavailable},
 	} {
 		found, err := firstFound(each.names, run)
 		if each.found != "" {
--- a/internal/hosted/coverage.go
+++ b/internal/hosted/coverage.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// coverageCheckPeriod is the interval at which the set of required services is computed anew.
+	// coverageCheckPeriod is the interval at which the set of excluded services is recomputed.
 	coverageCheckPeriod = 100 * time.Millisecond
 	// configurationWait bounds how long a starting node waits for the configuration before it reads the engine
 	// list: the configuration determines which engines it needs.
@@ -125,7 +125,7 @@
 	n.awaitConfiguration(ctx)
 	n.coverage.setExcluded(n.unneededServices())
 	var group errgroup.Group
-	group.Go(func() error { return n.engines.Run(ctx) })
+	group.Go(func() error { return n.engineFollower.Run(ctx) })
 	group.Go(func() error { return n.watchCoverage(ctx) })
 	return group.Wait()
 }
@@ -136,13 +136,13 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-n.control.Loaded():
+	case <-n.controlFollower.Loaded():
 	}
 }
 
 // watchCoverage reloads the engine list when this node needs another part of it.
 func (n *node) watchCoverage(ctx context.Context) error {
-	loaded := n.engines.Loaded()
+	loaded := n.engineFollower.Loaded()
 	for ctx.Err() == nil {
 		excluded := n.coverage.excludedServices()
 		select {
@@ -155,7 +155,7 @@
 		for retry.Sleep(ctx, coverageCheckPeriod) && !n.coverage.setExcluded(n.unneededServices()) {
 			continue
 		}
-		loaded = n.engines.Reload()
+		loaded = n.engineFollower.Reload()
 	}
 	return nil
 }
--- a/internal/hosted/coverage_test.go
+++ b/internal/hosted/coverage_test.go
@@ -13,11 +13,12 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// errUnreadableLoad is any error of a load report.
-var errUnreadableLoad = errors.New("no number")
+// errUnreadableLoad stands for the error of an engine's load report.
+var errUnreadableLoad = errors.New("load is not a number")
 
-// batchAndLive is a configuration whose service "models" runs batch items only.
-func batchAndLive(version int64, liveServices ...string) *routes.Table {
+// batchAndLiveTable returns a configuration with a batch route to the service "models", and live routes to the given
+// services.
+func batchAndLiveTable(version int64, liveServices ...string) *routes.Table {
 	definition := routes.Definition{
 		Version:  version,
 		Services: []routes.Service{{Name: "models"}, {Name: "desk"}},
@@ -32,15 +33,15 @@
 }
 
 func TestBatchOnlyServices(t *testing.T) {
-	assert.DeepEqual(t, batchAndLive(1, "desk").BatchOnlyServices(), []string{"models"})
-	assert.Equal(t, len(batchAndLive(1, "desk", "models").BatchOnlyServices()), 0)
+	assert.DeepEqual(t, batchAndLiveTable(1, "desk").BatchOnlyServices(), []string{"models"})
+	assert.Equal(t, len(batchAndLiveTable(1, "desk", "models").BatchOnlyServices()), 0)
 }
 
-// Excluded engines must not be kept even though the log itself delivers their records, and must return once they
-// are needed.
+// Reads of the log return the records of excluded engines too, unlike reads of a replica. They must be dropped until
+// the service is no longer excluded.
 func TestExcludedEnginesAreDropped(t *testing.T) {
 	n, logs := newEngineListNode()
-	n.state.setTable(batchAndLive(2, "desk"))
+	n.state.setTable(batchAndLiveTable(2, "desk"))
 	n.applyEntry("m1", "models")
 	n.applyEntry("d1", "desk")
 	assert.Equal(t, len(n.fleet.Services()), 2)
@@ -65,8 +66,8 @@
 		"desk":   {Period: time.Hour, RatePerSecond: 4},
 		"models": {Period: time.Hour, RatePerSecond: 4},
 	})
-	runRole(t, n.engines.Run)
-	testwait.Until(t, "the engine list is read", n.engines.IsLoaded)
+	runTask(t, n.engineFollower.Run)
+	testwait.Until(t, "the engine list is read", n.engineFollower.IsLoaded)
 	n.coverage.setExcluded([]string{"models"})
 	n.coverage.recordRead([]string{"models"})
 	n.coverage.setExcluded(nil)
@@ -83,17 +84,17 @@
 
 // Guards against a replica or leader with a partial engine list.
 func TestCoverageIsComplete(t *testing.T) {
-	var held coverage
-	assert.Assert(t, !held.isComplete(), "nothing has been read")
-	held.recordRead(nil)
-	assert.Assert(t, held.isComplete())
-	held.setExcluded([]string{"models"})
-	assert.Assert(t, !held.isComplete(), "changes of the excluded engines are missing from now on")
-	held.recordRead([]string{"models"})
-	held.setExcluded(nil)
-	assert.Assert(t, !held.isComplete(), "the entries of the included engines have not been read")
-	held.recordRead(nil)
-	assert.Assert(t, held.isComplete())
+	var c coverage
+	assert.Assert(t, !c.isComplete(), "nothing has been read")
+	c.recordRead(nil)
+	assert.Assert(t, c.isComplete())
+	c.setExcluded([]string{"models"})
+	assert.Assert(t, !c.isComplete(), "changes of the excluded engines are missing from now on")
+	c.recordRead([]string{"models"})
+	c.setExcluded(nil)
+	assert.Assert(t, !c.isComplete(), "the entries of the included engines have not been read")
+	c.recordRead(nil)
+	assert.Assert(t, c.isComplete())
 }
 
 // Guards against unreadable entries that some nodes neither count nor log.
--- a/internal/hosted/duties.go
+++ b/internal/hosted/duties.go
@@ -21,7 +21,7 @@
 }
 
 // startDuties starts the configured tasks that the leader performs for the platform.
-func (n *node) startDuties(ctx context.Context, roles *sync.WaitGroup, term leadership.Term, runner *batchrun.Runner) {
+func (n *node) startDuties(ctx context.Context, tasks *sync.WaitGroup, term leadership.Term, runner *batchrun.Runner) {
 	hosted := n.config.Hosted
 	holder := duties.Holder{Node: n.config.Node.ID, Fence: term.Epoch}
 	if hosted.HasDuty(settings.DutyUsage) {
@@ -29,14 +29,14 @@
 			Log: n.log, Platform: n.platform.Duties(), Term: term, Holder: holder,
 			Span: time.Duration(hosted.UsageWindow), ReportDelay: time.Duration(hosted.UsageDue), Logger: n.logger,
 		})
-		roles.Go(func() { reporter.Run(ctx) })
+		tasks.Go(func() { reporter.Run(ctx) })
 	}
 	if hosted.HasDuty(settings.DutyScaler) {
 		scaler := duties.NewScaler(duties.ScalerOptions{
 			Platform: n.platform.Duties(), Term: term, Holder: holder, Logger: n.logger,
 			Services: func() []duties.ScaledService { return n.scaledServices(runner) },
 		})
-		roles.Go(func() { scaler.Run(ctx) })
+		tasks.Go(func() { scaler.Run(ctx) })
 	}
 }
 
--- a/internal/hosted/election.go
+++ b/internal/hosted/election.go
@@ -48,7 +48,7 @@
 // afterFirstRead returns an election that starts once the node has read the state that a leader needs.
 func (n *node) afterFirstRead(elect func(context.Context) error) func(context.Context) error {
 	return func(ctx context.Context) error {
-		for _, loaded := range []<-chan struct{}{n.control.Loaded(), n.engines.Loaded()} {
+		for _, loaded := range []<-chan struct{}{n.controlFollower.Loaded(), n.engineFollower.Loaded()} {
 			select {
 			case <-ctx.Done():
 				return nil
--- a/internal/hosted/enginelist.go
+++ b/internal/hosted/enginelist.go
@@ -15,8 +15,8 @@
 // deferredCheckPeriod is the interval between checks for deferred entries that have become due.
 const deferredCheckPeriod = 500 * time.Millisecond
 
-// unusableEntries holds the last fault of each unusable entry, so that a repeated entry is logged once. Only the
-// follower of the engine list uses it.
+// unusableEntries holds the last fault of each unusable entry by key, so that a repeated entry is logged once. It is not
+// safe for concurrent use.
 type unusableEntries map[string]EntryFault
 
 // isNew records the fault of an entry and reports whether it differs from the last one.
@@ -54,10 +54,10 @@
 	}
 	engine.ReadAt = time.Now()
 	engine.Region = n.regionOf(engine)
-	known, listed := n.fleet.Get(engine.ID)
-	n.markNewEngineCold(engine, listed && known.Incarnation() == engine.Incarnation())
+	previous, listed := n.fleet.Get(engine.ID)
+	n.markNewEngineCold(engine, listed && previous.Incarnation() == engine.Incarnation())
 	change := n.fleet.Put(engine)
-	n.logEngineChange(known, engine, change, record.Offset)
+	n.logEngineChange(previous, engine, change, record.Offset)
 }
 
 // removeEngine removes an engine from the fleet and returns it; known is false if it was not listed.
@@ -81,7 +81,7 @@
 	return &EntryError{Fault: UnknownService, Field: "service", Detail: engine.Service}
 }
 
-// reportUnusable counts an unusable entry, and logs it once for each fault.
+// reportUnusable counts an unusable entry. It logs the entry if its fault is new, or if it withdrew a listed engine.
 func (n *node) reportUnusable(record eventlog.KeyedRecord, err error, withdrawn bool) {
 	fault := Unreadable
 	var entry *EntryError
@@ -105,18 +105,18 @@
 	}
 }
 
-func (n *node) logEngineChange(known, engine fleet.Engine, change fleet.Change, offset int64) {
-	if !n.engines.IsLoaded() {
+func (n *node) logEngineChange(previous, engine fleet.Engine, change fleet.Change, offset int64) {
+	if !n.engineFollower.IsLoaded() {
 		// The follower logs the first read as a whole.
 		return
 	}
 	switch {
 	case change == fleet.Deferred:
-		n.logger.Info().Stringer("engine", engine.Incarnation()).Stringer("known", known.Incarnation()).
+		n.logger.Info().Stringer("engine", engine.Incarnation()).Stringer("known", previous.Incarnation()).
 			Int64("offset", offset).Msg("engine entry of an earlier start")
 	case change == fleet.Replaced:
-		n.reportRestart(known, engine)
-	case change == fleet.Renewed && known.Address == engine.Address && known.Draining == engine.Draining:
+		n.reportRestart(previous, engine)
+	case change == fleet.Renewed && previous.Address == engine.Address && previous.Draining == engine.Draining:
 		// Version changes are logged by the node that requests them.
 	default:
 		n.logger.Info().Stringer("engine", engine.Incarnation()).Str("service", engine.Service).Str("address", engine.Address).
@@ -137,7 +137,7 @@
 func (n *node) applyDeferred(ctx context.Context) error {
 	for retry.Sleep(ctx, deferredCheckPeriod) {
 		now := time.Now()
-		for _, settled := range n.fleet.ApplyDeferred(now.Add(-n.engines.Age()), now) {
+		for _, settled := range n.fleet.ApplyDeferred(now.Add(-n.engineFollower.Age()), now) {
 			n.reportRestart(settled.Ended, settled.Engine)
 		}
 	}
@@ -147,7 +147,7 @@
 // hasUsableEngine reports whether an engine of a configured service is listed. It is also true if this node
 // excludes some services, since those may have engines.
 func (n *node) hasUsableEngine(table *routes.Table) bool {
-	if n.engines.IsLoaded() && len(n.coverage.excludedServices()) > 0 {
+	if n.engineFollower.IsLoaded() && len(n.coverage.excludedServices()) > 0 {
 		return true
 	}
 	for _, service := range n.fleet.Services() {
--- a/internal/hosted/enginelist_test.go
+++ b/internal/hosted/enginelist_test.go
@@ -44,7 +44,7 @@
 		registry: prometheus.NewRegistry(), logger: zerolog.New(logs),
 	}
 	n.metrics = newMetrics(n.registry)
-	n.engines = follow.New(memlog.New(), "list", n.applyEngineRecord, pacing.Budget{}, zerolog.Nop())
+	n.engineFollower = follow.New(memlog.New(), "list", n.applyEngineRecord, pacing.Budget{}, zerolog.Nop())
 	n.state.setTable(routes.NewTable(routes.Definition{Version: 1, Services: []routes.Service{{Name: "s"}}}))
 	return n, logs
 }
--- a/internal/hosted/evacuation.go
+++ b/internal/hosted/evacuation.go
@@ -9,14 +9,14 @@
 // applyEvacuation applies an operator's record that starts or ends the evacuation of a zone.
 func (n *node) applyEvacuation(evacuation Evacuation, offset int64) {
 	now := time.Now()
-	change := n.fleet.EndEvacuation
+	update := n.fleet.EndEvacuation
 	if evacuation.InForce {
-		change = n.fleet.Evacuate
+		update = n.fleet.Evacuate
 	} else if n.fleet.IsEvacuated(evacuation.Zone) {
 		// The engines may have become cold during the evacuation. Mark them before any can be chosen as warm.
 		n.fleet.MarkZonePossiblyCold(evacuation.Zone, fleet.ZoneReturned, now)
 	}
-	if !change(evacuation.Zone, now, offset) {
+	if !update(evacuation.Zone, now, offset) {
 		return
 	}
 	n.metrics.evacuatedZones.Set(float64(len(n.fleet.EvacuatedZones())))
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -53,11 +53,11 @@
 	fleet *fleet.Fleet
 	// gate performs the final check before a request is sent to an engine.
 	gate *sendgate.Gate
-	// placement tracks whether the evacuations and the engine list are known.
-	placement  *placementKnowledge
-	suspension *suspension.Detector
-	// bytes bounds the bytes buffered for callers and engines; callerLimits bounds those for one slow caller.
-	bytes        *bytebudget.Budget
+	// resumeGuard holds requests back after a suspension until the evacuations and the engine list are up to date.
+	resumeGuard *resumeGuard
+	suspension  *suspension.Detector
+	// byteBudget bounds the bytes buffered for callers and engines; callerLimits bounds those for one slow caller.
+	byteBudget   *bytebudget.Budget
 	callerLimits callerwrite.Limits
 	// loggedUnreadableLoads holds the engines whose unreadable load reports have been logged.
 	loggedUnreadableLoads sync.Map
@@ -66,9 +66,9 @@
 	// itemRunners is the number of batch item runners on this node.
 	itemRunners atomic.Int32
 	// runner runs the items of batch jobs while this node leads; nil otherwise.
-	runner  atomic.Pointer[batchrun.Runner]
-	control *follow.Follower
-	engines *follow.Follower
+	runner          atomic.Pointer[batchrun.Runner]
+	controlFollower *follow.Follower
+	engineFollower  *follow.Follower
 	// loggedUnusable holds the unusable engine list entries that have been logged.
 	loggedUnusable unusableEntries
 	jobs           *batchjobs.Service
@@ -82,15 +82,15 @@
 	// leader.
 	coldGranter *coldpermits.Granter
 	coldPermits *coldpermits.Client
-	// regionRunners elects the runners of region-bound batch jobs.
-	regionRunners *regionRunners
-	topology      *topology.Map
+	// regionElections elects the runners of batch jobs that are bound to regions.
+	regionElections *regionElections
+	topology        *topology.Map
 	// loggedUnknownZones holds the zones without a known region that have been logged.
 	loggedUnknownZones sync.Map
 	// log is the platform's log, accessed directly or through another node.
-	log      eventlog.Log
-	logCalls *logCalls
-	counter  *duties.Counter
+	log          eventlog.Log
+	logCalls     *logCalls
+	usageCounter *duties.Counter
 	// engineCalls sends requests to engines and counts the traffic.
 	engineCalls Engines
 
@@ -137,8 +137,8 @@
 
 		topology: topology.NewMap(config.Topology.Zones, config.Node.Zone, config.Node.Region),
 	}
-	n.bytes = newByteBudget(config.Node)
-	metrics.bytes.Store(n.bytes)
+	n.byteBudget = newByteBudget(config.Node)
+	metrics.byteBudget.Store(n.byteBudget)
 	n.callerLimits = n.newCallerLimits()
 	n.engineCalls = &countedEngines{
 		platform.Engines(), metrics.traffic, topology.Place{Zone: config.Node.Zone, Region: config.Node.Region},
@@ -149,27 +149,29 @@
 		Node: config.Node.ID, Address: config.Listen.Peers, Zone: config.Node.Zone, Region: config.Node.Region,
 		Processors: config.Node.Processors, Version: clusterversion.Build,
 	}, logLimits(config.Hosted), logger)
-	log := logrelay.NewFallback(direct, n.directory.Others, n.countCalls(logrelay.NewClient(), logTraffic), logger)
+	log := logrelay.NewFallback(direct, n.directory.Others, n.countTraffic(logrelay.NewClient(), logTraffic), logger)
 	n.directory.SetLog(log)
 	replicas := logrelay.NewReplicaReader(log, logrelay.ReplicaOptions{
 		Sources: n.directory.Sources, AwaitSources: n.directory.AwaitSettled,
-		ExcludedClasses: n.excludedClasses, Client: n.countCalls(logrelay.NewClient(), replicaTraffic),
+		ExcludedClasses: n.excludedClasses, Client: n.countTraffic(logrelay.NewClient(), replicaTraffic),
+	})
+	n.controlFollower = follow.New(replicas, platform.ControlTopic(), n.applyControlRecord, n.directory.Budget(), logger)
+	n.engineFollower = follow.New(replicas, platform.EngineTopic(), n.applyEngineRecord, n.directory.Budget(), logger)
+	n.engineFollower.Classify(n.engineClass)
+	n.resumeGuard = newResumeGuard(n.suspension, n.controlFollower, n.engineFollower, logger)
+	n.gate = sendgate.New(sendgate.Options{
+		Fleet: n.fleet, Known: n.resumeGuard.allowsSending, OnHeldBack: metrics.requestHeldBack,
 	})
-	n.control = follow.New(replicas, platform.ControlTopic(), n.applyControlRecord, n.directory.Budget(), logger)
-	n.engines = follow.New(replicas, platform.EngineTopic(), n.applyEngineRecord, n.directory.Budget(), logger)
-	n.engines.Classify(n.engineClass)
-	n.placement = newPlacementKnowledge(n.suspension, n.control, n.engines, logger)
-	n.gate = sendgate.New(sendgate.Options{Fleet: n.fleet, Known: n.placement.isKnown, OnHeldBack: metrics.requestHeldBack})
 	n.jobs = batchjobs.New(log, batchjobs.Options{
 		Partitions:  config.Hosted.Partitions,
 		RecordBytes: config.Hosted.RecordBytes, CallBytes: config.Hosted.CallBytes,
 		JobRetention: time.Duration(config.Hosted.KeepJobs), Budget: n.directory.Budget(), ReserveMemory: n.ReserveResult, Logger: logger,
 	})
 	n.jobRelay = jobrelay.NewRelay(
-		n.jobs, n.directory.SourcesWithin, n.directory.Loaded(), n.countCalls(logrelay.NewClient(), jobTraffic), logger,
+		n.jobs, n.directory.SourcesWithin, n.directory.Loaded(), n.countTraffic(logrelay.NewClient(), jobTraffic), logger,
 	)
 	n.log = log
-	n.counter = duties.NewCounter(log, n.holder, usageWindow(config.Hosted), n.directory.Budget(), logger)
+	n.usageCounter = duties.NewCounter(log, n.holder, usageWindow(config.Hosted), n.directory.Budget(), logger)
 	n.crashGuard = n.newCrashGuard(log)
 	n.crashFollower = follow.New(replicas, platform.CrashTopic(), n.crashGuard.HandleRecord, n.directory.Budget(), logger)
 	n.coldGranter, n.coldPermits = n.newColdPermits()
@@ -179,10 +181,10 @@
 		Table: n.state.table, Current: n.isCurrent,
 		Zone: config.Node.Zone, Region: config.Node.Region, Seed: seedOf(n.holder), Logger: logger,
 		Observe: n.metrics.requestEnded,
-		OnStart: n.counter.CountRequest,
+		OnStart: n.usageCounter.CountRequest,
 	})
 	n.elector = leadership.New(log, n.leaseOptions(), n.lead)
-	n.regionRunners = newRegionRunners(n)
+	n.regionElections = newRegionElections(n)
 	n.clusterVersion = newClusterVersion(n.clusterVersionOptions())
 	if err := n.clusterVersion.checkBuild(ctx); err != nil {
 		return nil, err
@@ -214,9 +216,9 @@
 	}
 	switch topic {
 	case n.platform.ControlTopic():
-		return n.control.Replica(), true
+		return n.controlFollower.Replica(), true
 	case n.platform.EngineTopic():
-		return n.engines.Replica(), n.coverage.isComplete()
+		return n.engineFollower.Replica(), n.coverage.isComplete()
 	case n.platform.CrashTopic():
 		return n.crashFollower.Replica(), true
 	default:
@@ -238,18 +240,18 @@
 }
 
 func (n *node) run(ctx context.Context) error {
-	roles, stopRoles := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopRoles()
-	group, groupContext := errgroup.WithContext(roles)
+	taskContext, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopTasks()
+	group, groupContext := errgroup.WithContext(taskContext)
 	group.Go(n.callers.serve)
 	group.Go(n.operators.serve)
 	group.Go(n.peers.serve)
-	for _, role := range []func(context.Context) error{
-		n.control.Run, n.followEngines, n.crashFollower.Run, n.crashGuard.Run, n.jobs.Run, n.directory.Run, n.counter.Run,
-		n.applyDeferred, n.suspension.Run, n.watchColdEngines, n.logCalls.summary.Run, n.clusterVersion.Run,
-		n.afterFirstRead(n.elector.Run), n.afterFirstRead(n.regionRunners.Run),
+	for _, task := range []func(context.Context) error{
+		n.controlFollower.Run, n.followEngines, n.crashFollower.Run, n.crashGuard.Run, n.jobs.Run, n.directory.Run,
+		n.usageCounter.Run, n.applyDeferred, n.suspension.Run, n.watchColdEngines, n.logCalls.summary.Run, n.clusterVersion.Run,
+		n.afterFirstRead(n.elector.Run), n.afterFirstRead(n.regionElections.Run),
 	} {
-		group.Go(func() error { return role(groupContext) })
+		group.Go(func() error { return task(groupContext) })
 	}
 	n.logger.Info().Str("holder", n.holder).Str("callers", n.callers.address()).
 		Str("operators", n.operators.address()).Str("log", n.config.Hosted.Log).Msg("node started")
@@ -259,8 +261,8 @@
 	case <-groupContext.Done():
 	case tooOld = <-n.clusterVersion.tooOld:
 	}
-	remaining := n.stop(stopRoles)
-	err := waitForRoles(group.Wait, remaining)
+	remaining := n.stop(stopTasks)
+	err := waitForTasks(group.Wait, remaining)
 	if tooOld != nil {
 		err = tooOld
 	}
@@ -268,16 +270,16 @@
 	return err
 }
 
-var errRoleTimeout = errors.New("the roles of the node did not end within the grace period")
+var errTaskTimeout = errors.New("background tasks of the node did not end within the grace period")
 
-// waitForRoles waits for the node's roles to end, at most for limit.
-func waitForRoles(wait func() error, limit time.Duration) error {
+// waitForTasks waits for the node's background tasks to end, at most for limit.
+func waitForTasks(wait func() error, limit time.Duration) error {
 	ended := make(chan error, 1)
 	go func() { ended <- wait() }()
 	select {
 	case err := <-ended:
 		return err
 	case <-time.After(limit):
-		return errRoleTimeout
+		return errTaskTimeout
 	}
 }
--- a/internal/hosted/idle.go
+++ b/internal/hosted/idle.go
@@ -45,12 +45,12 @@
 // trackIdle records whether a connection is waiting for a request. http.Server clears the header deadline before it
 // reports a connection as active, so the idle deadline set in its place is cleared here.
 func trackIdle(connection net.Conn, state http.ConnState) {
-	known, ours := connection.(*idleConnection)
-	if !ours {
+	tracked, ok := connection.(*idleConnection)
+	if !ok {
 		return
 	}
-	known.idle.Store(state == http.StateIdle)
+	tracked.idle.Store(state == http.StateIdle)
 	if state == http.StateActive {
-		_ = known.Conn.SetReadDeadline(time.Time{})
+		_ = tracked.Conn.SetReadDeadline(time.Time{})
 	}
 }
--- a/internal/hosted/idle_test.go
+++ b/internal/hosted/idle_test.go
@@ -27,16 +27,16 @@
 	assert.NilError(t, err)
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
-	ask := func() {
+	request := func() {
 		_, err := io.WriteString(connection, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		assert.NilError(t, err)
 		response, err := http.ReadResponse(reader, nil)
 		assert.NilError(t, err)
 		assert.Equal(t, response.StatusCode, http.StatusOK)
 	}
-	ask()
+	request()
 	idle.Store(int64(50 * time.Millisecond))
-	ask() // takes longer than the idle timeout, but is not idle
+	request() // takes longer than the idle timeout, but is not idle
 	assert.NilError(t, connection.SetReadDeadline(time.Now().Add(20*time.Second)))
 	_, err = reader.ReadByte()
 	assert.Assert(t, errors.Is(err, io.EOF), "the idle connection was not closed: %v", err)
--- a/internal/hosted/lead.go
+++ b/internal/hosted/lead.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/weightorders"
 )
 
-// lead runs the leader's roles: the items of batch jobs that are not bound to regions, weight versions for all
+// lead performs the work of the leader: the items of batch jobs that are not bound to regions, weight versions for all
 // services, and the platform duties.
 func (n *node) lead(ctx context.Context, term leadership.Term) {
 	n.itemRunners.Add(1)
@@ -34,12 +34,12 @@
 	defer n.metrics.leading.Set(0)
 	n.runner.Store(runner)
 	defer n.runner.Store(nil)
-	var roles sync.WaitGroup
-	n.startDuties(ctx, &roles, term, runner)
-	roles.Go(func() { runner.Run(ctx) })
-	roles.Go(func() { orders.Run(ctx) })
-	roles.Go(func() { n.crashGuard.Sweep(ctx) })
-	roles.Wait()
+	var tasks sync.WaitGroup
+	n.startDuties(ctx, &tasks, term, runner)
+	tasks.Go(func() { runner.Run(ctx) })
+	tasks.Go(func() { orders.Run(ctx) })
+	tasks.Go(func() { n.crashGuard.Sweep(ctx) })
+	tasks.Wait()
 }
 
 // batchRoute returns how a job's items are run under the configuration in force.
--- a/internal/hosted/logger.go
+++ b/internal/hosted/logger.go
@@ -11,8 +11,8 @@
 	"github.com/corkpulley/corkpulley/internal/settings"
 )
 
-// logBufferLines is the number of lines buffered for a slow reader. Further lines overwrite the oldest, and are
-// counted.
+// logBufferLines is the number of lines buffered for a slow reader. Further lines overwrite the oldest
+// ones, which are counted as dropped.
 const logBufferLines = 2000
 
 // logOutput writes log lines without blocking the caller.
--- a/internal/hosted/metrics.go
+++ b/internal/hosted/metrics.go
@@ -42,8 +42,8 @@
 	versions *prometheus.GaugeVec
 	// loadsUnreadable counts responses whose load report cannot be parsed.
 	loadsUnreadable prometheus.Counter
-	// bytes is the budget of the node, which is set before the metrics are served.
-	bytes          atomic.Pointer[bytebudget.Budget]
+	// byteBudget is the budget of the node, which is set before the metrics are served.
+	byteBudget     atomic.Pointer[bytebudget.Budget]
 	callersStalled prometheus.Counter
 	memoryRefused  *prometheus.CounterVec
 	// traffic counts messages to other machines.
--- a/internal/hosted/platform.go
+++ b/internal/hosted/platform.go
@@ -18,7 +18,7 @@
 	"github.com/corkpulley/corkpulley/internal/weightorders"
 )
 
-// Engines sends requests to engines, for all roles of a node.
+// Engines sends all requests of a node to engines.
 type Engines interface {
 	ingress.Engines
 	batchrun.Engines
@@ -59,8 +59,11 @@
 	IsBatchRoute(host, path string) bool
 	// SubmitJob durably accepts a submitted job.
 	SubmitJob(ctx context.Context, credentials routes.Credentials, submission batchjobs.Submission) error
+	// Results returns the results of a job from a position on, and waits for new ones for at most the given time.
 	Results(ctx context.Context, job JobName, from int, wait time.Duration) (batchjobs.Results, error)
+	// Body returns the request body of an item.
 	Body(ctx context.Context, job JobName, itemID string) ([]byte, error)
+	// End durably ends a job.
 	End(ctx context.Context, job JobName) error
 	// IsStopping reports whether the node is performing a planned stop.
 	IsStopping() bool
@@ -68,7 +71,7 @@
 	MaxBodyBytes() int64
 	MaxHeaderBytes() int
 	// ReserveBody reserves memory for a request body while it is received, ReserveResult for a response about a batch job
-	// until its caller has read it. Without free memory the error has a retry delay.
+	// until its caller has read it. A refusal has a retry delay.
 	ReserveBody() *BodyReservation
 	ReserveResult(bytes int) (release func(), err error)
 	// CallerLimits returns the limits for callers that read slowly.
@@ -77,7 +80,7 @@
 	RecordRefusal(id string, failure *errkind.Error)
 }
 
-// Platform is the interface to the platform that hosts a node: names, formats and calls.
+// Platform is the interface to the platform that hosts a node: its log, engines, topics, record formats and HTTP handlers.
 type Platform interface {
 	Log() eventlog.Log
 	Engines() Engines
--- a/internal/hosted/regionrunners.go
+++ b/internal/hosted/regionelections.go
@@ -15,9 +15,9 @@
 // homeLeasePrefix is the prefix of the topics that hold the leases of region-bound job runners.
 const homeLeasePrefix = "corkpulley.lease."
 
-// regionRunners takes part in the elections among nodes of home regions: for each set of regions to which batch
+// regionElections takes part in the elections among nodes of home regions: for each set of regions to which batch
 // jobs are bound, the nodes in these regions elect one that runs the jobs, so that job data stays in them.
-type regionRunners struct {
+type regionElections struct {
 	node *node
 	// role is run while this node holds the lease of a set.
 	role func(ctx context.Context, term leadership.Term, set homes.Set)
@@ -28,21 +28,21 @@
 
 	mu       sync.Mutex
 	electors map[homes.Set]*leadership.Elector
-	// yielding and stopped are set during a planned stop.
-	yielding bool
-	stopped  bool
+	// claimsDeferred and stopped are set during a planned stop.
+	claimsDeferred bool
+	stopped        bool
 }
 
-func newRegionRunners(n *node) *regionRunners {
-	return &regionRunners{
+func newRegionElections(n *node) *regionElections {
+	return &regionElections{
 		node: n, role: n.runRegionBoundJobs, changed: make(chan struct{}, 1), electors: make(map[homes.Set]*leadership.Elector),
 	}
 }
 
 // NotifyTableChanged signals a new configuration. It never blocks.
-func (h *regionRunners) NotifyTableChanged() {
+func (r *regionElections) NotifyTableChanged() {
 	select {
-	case h.changed <- struct{}{}:
+	case r.changed <- struct{}{}:
 	default:
 	}
 }
@@ -55,11 +55,11 @@
 }
 
 // Run takes part in the elections until ctx ends.
-func (h *regionRunners) Run(ctx context.Context) error {
+func (r *regionElections) Run(ctx context.Context) error {
 	var elections sync.WaitGroup
 	joined, leaving := make(map[homes.Set]election), make(map[homes.Set]election)
 	for ctx.Err() == nil {
-		wanted := h.wanted()
+		wanted := r.wanted()
 		for set, each := range joined {
 			if !wanted[set] {
 				each.leave()
@@ -69,13 +69,13 @@
 		}
 		for set := range wanted {
 			if _, found := joined[set]; !found {
-				joined[set] = h.join(ctx, set, leaving[set].ended, &elections)
+				joined[set] = r.join(ctx, set, leaving[set].ended, &elections)
 				delete(leaving, set)
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-h.changed:
+		case <-r.changed:
 		}
 	}
 	elections.Wait()
@@ -83,111 +83,110 @@
 }
 
 // wanted returns the region sets in whose elections this node takes part under the current configuration.
-func (h *regionRunners) wanted() map[homes.Set]bool {
+func (r *regionElections) wanted() map[homes.Set]bool {
 	wanted := make(map[homes.Set]bool)
-	table := h.node.state.table()
+	table := r.node.state.table()
 	if table == nil {
 		return wanted
 	}
 	for _, set := range table.BatchHomes() {
-		if set.Allows(h.node.config.Node.Region) {
+		if set.Allows(r.node.config.Node.Region) {
 			wanted[set] = true
 		}
 	}
 	return wanted
 }
 
-// join joins the election for a set once the previous one for it has ended (before; nil for none). Each election
-// has its own holder ID: if a lease could not be released, the same holder would continue its term, and the records
-// of two runners in one term could not be told apart.
-func (h *regionRunners) join(
-	ctx context.Context, set homes.Set, before <-chan struct{}, elections *sync.WaitGroup,
+// join joins the election for a set once the previous one for it has ended; previousEnded is nil for none. Each
+// election has its own holder ID: if a lease could not be released, the same holder would continue its term, and the
+// records of two runners in one term could not be told apart.
+func (r *regionElections) join(
+	ctx context.Context, set homes.Set, previousEnded <-chan struct{}, elections *sync.WaitGroup,
 ) election {
-	n := h.node
-	h.electionCount++
+	n := r.node
+	r.electionCount++
 	options := n.leaseOptions()
 	options.Topic = homeLeasePrefix + set.ID()
-	options.Holder = fmt.Sprintf("%s.%d", n.holder, h.electionCount)
+	options.Holder = fmt.Sprintf("%s.%d", n.holder, r.electionCount)
 	options.Logger = n.logger.With().Stringer("homes", set).Logger()
 	elector := leadership.New(n.log, options, func(ctx context.Context, term leadership.Term) {
-		h.role(ctx, term, set)
+		r.role(ctx, term, set)
 	})
-	if !h.add(set, elector) {
-		return election{leave: func() {}, ended: before}
+	if !r.add(set, elector) {
+		return election{leave: func() {}, ended: previousEnded}
 	}
-	electing, cancel := context.WithCancel(ctx)
+	electionContext, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	elections.Go(func() {
 		defer close(ended)
 		defer cancel()
-		defer h.remove(set, elector)
-		if before != nil {
-			<-before
+		defer r.remove(set, elector)
+		if previousEnded != nil {
+			<-previousEnded
 		}
-		if err := elector.Run(electing); err != nil {
+		if err := elector.Run(electionContext); err != nil {
 			options.Logger.Error().Err(err).Msg("election of a runner ended")
 		}
-		releasing, released := context.WithTimeout(ctx, releaseTimeout)
-		defer released()
-		elector.Stop(releasing)
+		releaseContext, cancelRelease := context.WithTimeout(ctx, releaseTimeout)
+		defer cancelRelease()
+		elector.Stop(releaseContext)
 	})
 	leave := func() {
-		h.remove(set, elector)
+		r.remove(set, elector)
 		cancel()
 	}
 	return election{leave: leave, ended: ended}
 }
 
 // add registers an elector. It returns false if the node has stopped its elections.
-func (h *regionRunners) add(set homes.Set, elector *leadership.Elector) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.stopped {
+func (r *regionElections) add(set homes.Set, elector *leadership.Elector) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.stopped {
 		return false
 	}
-	if h.yielding {
+	if r.claimsDeferred {
 		elector.DeferClaims()
 	}
-	h.electors[set] = elector
+	r.electors[set] = elector
 	return true
 }
 
 // remove unregisters an elector unless a newer one has replaced it.
-func (h *regionRunners) remove(set homes.Set, elector *leadership.Elector) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.electors[set] == elector {
-		delete(h.electors, set)
+func (r *regionElections) remove(set homes.Set, elector *leadership.Elector) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.electors[set] == elector {
+		delete(r.electors, set)
 	}
 }
 
 // DeferClaims makes all electors delay their claims of free leases, since the node is about to stop.
-func (h *regionRunners) DeferClaims() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.yielding = true
-	for _, elector := range h.electors {
+func (r *regionElections) DeferClaims() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.claimsDeferred = true
+	for _, elector := range r.electors {
 		elector.DeferClaims()
 	}
 }
 
 // Stop releases all leases and prevents new claims.
-func (h *regionRunners) Stop(ctx context.Context) {
-	h.mu.Lock()
-	h.stopped = true
+func (r *regionElections) Stop(ctx context.Context) {
+	r.mu.Lock()
+	r.stopped = true
 	var stopping sync.WaitGroup
-	for _, elector := range h.electors {
+	for _, elector := range r.electors {
 		stopping.Go(func() { elector.Stop(ctx) })
 	}
-	h.mu.Unlock()
+	r.mu.Unlock()
 	stopping.Wait()
 }
 
 // runRegionBoundJobs runs the items of the jobs that are bound to a set of regions. It shares engines with other
 // runners, each of which counts only its own items; an engine without a free slot refuses.
 //
-// A cold engine accepts only requests that the leader has admitted, so this role asks for permits like any other
-// sender.
+// Requests to cold engines need the leader's permit here too, since the leader limits their rate over all senders.
 func (n *node) runRegionBoundJobs(ctx context.Context, term leadership.Term, set homes.Set) {
 	n.itemRunners.Add(1)
 	defer n.itemRunners.Add(-1)
--- a/internal/hosted/regionrunners_test.go
+++ b/internal/hosted/regionelections_test.go
@@ -66,28 +66,28 @@
 	n.config.Hosted.Lease = settings.Duration(600 * time.Millisecond)
 	n.directory = logrelay.NewDirectory(n.log, logrelay.NodeInfo{Node: "a", Region: "north"}, pacing.Limits{}, n.logger)
 	n.coverage.recordRead(nil)
-	ran := &roleRecorder{}
-	runners := newRegionRunners(n)
-	runners.role = ran.run
+	recorder := &roleRecorder{}
+	elections := newRegionElections(n)
+	elections.role = recorder.run
 	version := int64(0)
 	put := func(regions ...string) {
 		version++
 		n.state.setTable(routes.NewTable(routes.Definition{
 			Version: version, Routes: []routes.Route{{Name: "r", Host: "h", Prefix: "/x/", Kind: routes.Batch, Homes: regions}},
 		}))
-		runners.NotifyTableChanged()
+		elections.NotifyTableChanged()
 	}
 	put("north")
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- runners.Run(ctx) }()
-	testwait.Until(t, "the role runs", func() bool { began, _ := ran.counts(); return began == 1 })
+	go func() { ended <- elections.Run(ctx) }()
+	testwait.Until(t, "the role runs", func() bool { began, _ := recorder.counts(); return began == 1 })
 	put()
-	testwait.Until(t, "the role is canceled", func() bool { _, canceled := ran.counts(); return canceled == 1 })
+	testwait.Until(t, "the role is canceled", func() bool { _, canceled := recorder.counts(); return canceled == 1 })
 	put("north")
-	testwait.Until(t, "the role runs again", func() bool { began, _ := ran.counts(); return began == 2 })
+	testwait.Until(t, "the role runs again", func() bool { began, _ := recorder.counts(); return began == 2 })
 	cancel()
 	assert.NilError(t, <-ended)
-	assert.Equal(t, ran.maxRunning, 1, "two roles ran at the same time")
-	assert.Assert(t, ran.epochs[1] > ran.epochs[0], "epochs %v", ran.epochs)
+	assert.Equal(t, recorder.maxRunning, 1, "two roles ran at the same time")
+	assert.Assert(t, recorder.epochs[1] > recorder.epochs[0], "epochs %v", recorder.epochs)
 }
--- a/internal/hosted/placement_test.go
+++ b/internal/hosted/resumeguard_test.go
@@ -54,19 +54,19 @@
 		t.Cleanup(func() { _ = each.listener.Close() })
 	}
 	resumed := boottime.Now()
-	n.placement.resumedAt = func() time.Time { return resumed }
-	n.placement.now = func() time.Time { return resumed }
+	n.resumeGuard.resumedAt = func() time.Time { return resumed }
+	n.resumeGuard.now = func() time.Time { return resumed }
 	return n
 }
 
-// runRole runs a role of the node until the test ends.
-func runRole(t *testing.T, role func(context.Context) error) {
+// runTask runs a background task of the node until the test ends.
+func runTask(t *testing.T, task func(context.Context) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = role(ctx)
+		_ = task(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -78,19 +78,19 @@
 // and before the engine list has.
 func TestGateClosedUntilEngineListIsRead(t *testing.T) {
 	n := newResumedNode(t)
-	runRole(t, n.control.Run)
-	testwait.Until(t, "the control topic is read", n.control.IsLoaded)
+	runTask(t, n.controlFollower.Run)
+	testwait.Until(t, "the control topic is read", n.controlFollower.IsLoaded)
 	assert.Assert(t, !n.gate.Known(), "the gate is open with the engine list from before the suspension")
-	runRole(t, n.engines.Run)
+	runTask(t, n.engineFollower.Run)
 	testwait.Until(t, "the gate opens", n.gate.Known)
 }
 
 // Guards against sending before the evacuations have been read again.
 func TestGateClosedUntilControlTopicIsRead(t *testing.T) {
 	n := newResumedNode(t)
-	runRole(t, n.engines.Run)
-	testwait.Until(t, "the engine list is read", n.engines.IsLoaded)
+	runTask(t, n.engineFollower.Run)
+	testwait.Until(t, "the engine list is read", n.engineFollower.IsLoaded)
 	assert.Assert(t, !n.gate.Known())
-	runRole(t, n.control.Run)
+	runTask(t, n.controlFollower.Run)
 	testwait.Until(t, "the gate opens", n.gate.Known)
 }
--- a/internal/hosted/scorer.go
+++ b/internal/hosted/scorer.go
@@ -50,11 +50,11 @@
 	if route == nil || len(route.Parts) == 0 {
 		return "", admission.Capacity{}
 	}
-	var places admission.Capacity
+	var capacity admission.Capacity
 	for _, part := range route.Parts {
 		slots, busy := n.fleet.Capacity(part.Service, time.Now())
-		places.Slots += slots
-		places.Busy += busy
+		capacity.Slots += slots
+		capacity.Busy += busy
 	}
-	return route.Parts[0].Service, places
+	return route.Parts[0].Service, capacity
 }
--- a/internal/hosted/server.go
+++ b/internal/hosted/server.go
@@ -21,8 +21,8 @@
 	maxHeaderBytes = 64 << 10
 )
 
-// sendBufferBytes bounds the kernel memory used for a caller that does not read its response, to at most twice as
-// much. No budget of the process covers this memory.
+// sendBufferBytes is the socket send buffer size of accepted connections. It bounds the kernel memory used for a caller
+// that does not read its response, which no budget of the process covers. The kernel may use twice as much.
 const sendBufferBytes = 128 << 10
 
 // setSendBuffer sets the send buffer of a listener, which its connections inherit. Failure is ignored: the system's
@@ -65,7 +65,7 @@
 
 func (s *server) serve() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-		return errors.Wrap(err, "serve")
+		return errors.Wrap(err, "serve HTTP")
 	}
 	return nil
 }
--- a/internal/hosted/slowstart.go
+++ b/internal/hosted/slowstart.go
@@ -42,9 +42,9 @@
 }
 
 // markNewEngineCold marks an engine as cold if this process saw it start. Engines found by the first read of the
-// list, or of a service excluded until now, are as warm as their entries say.
+// list, or of a service excluded until now, are cold only if their entries say so.
 func (n *node) markNewEngineCold(engine fleet.Engine, known bool) {
-	if !known && n.engines.IsLoaded() && !n.coverage.wasExcluded(engine.Service) {
+	if !known && n.engineFollower.IsLoaded() && !n.coverage.wasExcluded(engine.Service) {
 		n.fleet.MarkPossiblyCold(engine.Incarnation(), fleet.FirstSeen, time.Now())
 	}
 }
@@ -73,10 +73,10 @@
 	if len(engines) == 0 && len(logged) == 0 {
 		return logged
 	}
-	now := make(map[incarnation.ID]fleet.ColdReason, len(engines))
+	reasons := make(map[incarnation.ID]fleet.ColdReason, len(engines))
 	for _, each := range engines {
 		id := each.Engine.Incarnation()
-		now[id] = each.Reason
+		reasons[id] = each.Reason
 		if logged[id] == each.Reason {
 			continue
 		}
@@ -84,7 +84,7 @@
 			Stringer("reason", each.Reason).Float64("rate_per_second", each.RatePerSecond).
 			Dur("told_left_ms", max(0, time.Until(each.Engine.ColdUntil))).Msg("engine counts as cold")
 	}
-	return now
+	return reasons
 }
 
 // addSlowStartMetrics creates the metrics of cold engines.
--- a/internal/hosted/state.go
+++ b/internal/hosted/state.go
@@ -109,7 +109,7 @@
 		n.metrics.tableVersion.Set(float64(change.Table.Version))
 		n.fleet.SetSlowStarts(change.Table.SlowStarts())
 		n.warnUnknownHomes(change.Table)
-		n.regionRunners.NotifyTableChanged()
+		n.regionElections.NotifyTableChanged()
 		n.logger.Info().Int64("config", change.Table.Version).Int64("offset", record.Offset).Msg("configuration in force")
 	}
 	if change.Model != "" && n.state.setVersion(change.Model, change.ModelVersion) {
--- a/internal/hosted/stop.go
+++ b/internal/hosted/stop.go
@@ -12,17 +12,18 @@
 	deregistrationTime = 2600 * time.Millisecond
 	// exitReserve is the part of the grace period reserved for the exit of the process.
 	exitReserve = 700 * time.Millisecond
-	// minRoleTime is the minimum time for the roles to end; the same time remains for the exit of the process.
-	minRoleTime = exitReserve / 2
+	// minTaskTime is the minimum time for the background tasks to end; the same time remains for the exit of the
+	// process.
+	minTaskTime = exitReserve / 2
 	// releaseTimeout bounds the release of leases, for which the end of the grace period is reserved.
 	releaseTimeout = 1500 * time.Millisecond
 )
 
 // stop performs the planned stop: it reports not ready, serves requests until there are none left or the grace
 // period is nearly over, and then releases leadership. Leadership is kept that long because in a rolling restart
-// all other nodes may be stopping or starting. It returns the time that the canceled roles have to write their
-// remaining records to a possibly slow log.
-func (n *node) stop(stopRoles context.CancelFunc) time.Duration {
+// all other nodes may be stopping or starting. It returns the time that the canceled background tasks have to
+// write their remaining records to a possibly slow log.
+func (n *node) stop(stopTasks context.CancelFunc) time.Duration {
 	began := time.Now()
 	n.state.beginStop()
 	n.logger.Info().Int64("in_flight", n.callers.inFlight.Load()).Msg("node stopping")
@@ -30,7 +31,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-exitReserve))
 	defer cancel()
 	n.elector.DeferClaims()
-	n.regionRunners.DeferClaims()
+	n.regionElections.DeferClaims()
 	timer := time.NewTimer(time.Until(began.Add(min(deregistrationTime, grace/2))))
 	defer timer.Stop()
 	select {
@@ -45,12 +46,12 @@
 	n.releaseWhenDrained(ctx, drained, began.Add(grace-exitReserve-releaseTimeout))
 	<-drained
 	_ = n.callers.http.Shutdown(ctx)
-	stopRoles()
+	stopTasks()
 	_ = n.operators.http.Close()
 	_ = n.peers.http.Close()
 	_ = n.callers.http.Close()
 	n.logger.Info().Dur("took_ms", time.Since(began)).Int64("in_flight", n.callers.inFlight.Load()).Msg("node drained")
-	return max(minRoleTime, time.Until(began.Add(grace-minRoleTime)))
+	return max(minTaskTime, time.Until(began.Add(grace-minTaskTime)))
 }
 
 // releaseWhenDrained releases leadership once drained is closed, or at the time given by latest, whichever comes first.
@@ -65,6 +66,6 @@
 	defer cancel()
 	var released sync.WaitGroup
 	released.Go(func() { n.elector.Stop(ctx) })
-	released.Go(func() { n.regionRunners.Stop(ctx) })
+	released.Go(func() { n.regionElections.Stop(ctx) })
 	released.Wait()
 }
--- a/internal/hosted/traffic.go
+++ b/internal/hosted/traffic.go
@@ -136,8 +136,8 @@
 	return response, err
 }
 
-// countCalls makes a client count its calls and returns it.
-func (n *node) countCalls(client *http.Client, kind trafficKind) *http.Client {
+// countTraffic makes a client count the traffic of its calls, and returns the client.
+func (n *node) countTraffic(client *http.Client, kind trafficKind) *http.Client {
 	client.Transport = &countedTransport{client.Transport, n.metrics.traffic, kind, n.directory.DistanceOf}
 	return client
 }
--- a/internal/hosted/zonesapi.go
+++ b/internal/hosted/zonesapi.go
@@ -35,7 +35,7 @@
 
 func (n *node) zones() api.Zones {
 	zones := api.Zones{
-		Node: n.config.Node.ID, AgeMS: n.control.Age().Milliseconds(), ExcludedServices: n.coverage.excludedServices(),
+		Node: n.config.Node.ID, AgeMS: n.controlFollower.Age().Milliseconds(), ExcludedServices: n.coverage.excludedServices(),
 		Zones: []api.ZoneStatus{},
 	}
 	runner := n.runner.Load()
@@ -79,7 +79,7 @@
 	if err := fleet.CheckZoneName(evacuation.Zone); err != nil {
 		return errkind.New(errkind.InvalidRequest, "%v", err)
 	}
-	if n.placement.callsMayBeLate() {
+	if n.resumeGuard.callsMayBeLate() {
 		return errkind.New(errkind.NotReady, "this node stood still, and the order may have lain here; repeat it")
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), evacuationTimeout)
