--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -177,7 +177,7 @@
 	n.coldGranter, n.coldPermits = n.newColdPermits()
 	n.relay = ingress.New(ingress.Options{
 		Engines: n.engineCalls, Fleet: n.fleet, Guard: n.crashGuard, Gate: n.gate, ColdPermits: n.coldPermits,
-		Callers: n.callerLimits, OnInvalidLoad: n.reportUnreadableLoad,
+		CallerLimits: n.callerLimits, OnInvalidLoad: n.reportUnreadableLoad,
 		Table: n.state.table, Current: n.isCurrent,
 		Zone: config.Node.Zone, Region: config.Node.Region, Seed: seedOf(n.holder), Logger: logger,
 		Observe: n.metrics.requestEnded,
--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -28,8 +28,8 @@
 	eventStream          = "text/event-stream"
 )
 
-// connectionHeaders are the hop-by-hop headers, which are not forwarded.
-var connectionHeaders = []string{
+// hopByHopHeaders concern a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
@@ -37,7 +37,7 @@
 // CopyHeader copies all headers except hop-by-hop ones.
 func CopyHeader(to, from http.Header) {
 	dropped := make(map[string]bool)
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		dropped[name] = true
 	}
 	for _, value := range from.Values("Connection") {
@@ -63,7 +63,7 @@
 	switch {
 	case errors.Is(err, io.EOF):
 		x.writeHeader(answer, strconv.Itoa(start.Len()))
-		_ = x.relay.options.Callers.Write(x.w, start.Bytes())
+		_ = x.relay.options.CallerLimits.Write(x.w, start.Bytes())
 		x.complete = true
 		return answered
 	case err != nil:
@@ -77,7 +77,7 @@
 // relayLarge forwards an answer that exceeds maxBufferedBytes. It is read at the engine's pace while the spool
 // has room, and at the caller's pace otherwise.
 func (x *exchange) relayLarge(source io.Reader, outcome *fleet.Outcome) verdict {
-	spool := callerwrite.NewSpool(x.w, x.relay.options.Callers)
+	spool := callerwrite.NewSpool(x.w, x.relay.options.CallerLimits)
 	waited, readErr, writeErr := x.copyTo(spool, source)
 	engineFailed := waited < callerStallThreshold
 	if err := spool.Close(); writeErr == nil {
@@ -144,7 +144,7 @@
 		x.streaming = true
 		x.lastEventID = x.request.After
 	}
-	spool := callerwrite.NewSpool(x.w, x.relay.options.Callers)
+	spool := callerwrite.NewSpool(x.w, x.relay.options.CallerLimits)
 	result := x.relayEvents(answer, spool, outcome)
 	if err := spool.Close(); err != nil && result == answered {
 		x.complete = false
--- a/internal/ingress/call.go
+++ b/internal/ingress/call.go
@@ -18,8 +18,8 @@
 	MaxAttempts int
 }
 
-// Call makes a request of this process itself, with the same routing, choice of engines and retries as a live one. The
-// body of the answer is read and discarded.
+// Call runs a request that this process makes itself, with the same routing, choice of engines and retries as a live
+// one. The body of the answer is read and discarded.
 func (r *Relay) Call(ctx context.Context, request *Request) (Reply, *errkind.Error) {
 	var answer discardWriter
 	x, cancel, failure := r.begin(&answer, ctx, request)
--- a/internal/ingress/call_test.go
+++ b/internal/ingress/call_test.go
@@ -51,16 +51,16 @@
 
 // newRelay returns a relay with one service that has the given engines.
 func newRelay(engines scriptedEngines, guard Guard, maxAttempts int) *Relay {
-	known := fleet.New()
+	engineFleet := fleet.New()
 	for id := range engines {
-		known.Put(fleet.Engine{ID: id, Service: "s", Slots: 1})
+		engineFleet.Put(fleet.Engine{ID: id, Service: "s", Slots: 1})
 	}
 	table := routes.NewTable(routes.Definition{Version: 1, Routes: []routes.Route{{
 		Name: "r", Host: "h", Prefix: "/x/", Kind: routes.Safe, Parts: []routes.Part{{Service: "s", Weight: 1}},
 		Timeout: time.Second, MaxAttempts: maxAttempts,
 	}}})
 	return New(Options{
-		Engines: engines, Fleet: known, Guard: guard, Table: func() *routes.Table { return table }, Current: func() bool { return true },
+		Engines: engines, Fleet: engineFleet, Guard: guard, Table: func() *routes.Table { return table }, Current: func() bool { return true },
 		OnStart: func(string, time.Time) {},
 		Logger:  zerolog.Nop(), Observe: func(string, string, time.Duration) {},
 	})
@@ -150,7 +150,7 @@
 type refusingGuard struct{ countingGuard }
 
 func (*refusingGuard) Admit(context.Context, func() quarantine.Fingerprint) *errkind.Error {
-	return errkind.New(errkind.Quarantined, "held")
+	return errkind.New(errkind.Quarantined, "the request is quarantined")
 }
 
 // TestOnlySuccessClearsRequest: an engine may fail a request that it has not started, for example at its deadline.
--- a/internal/ingress/cold_test.go
+++ b/internal/ingress/cold_test.go
@@ -38,10 +38,10 @@
 // withColdEngines configures a slow start for the relay's service and marks the given engines as cold.
 func withColdEngines(relay *Relay, permits *scriptedPermits, cold ...string) *Relay {
 	relay.options.ColdPermits = permits
-	known := relay.options.Fleet
-	known.SetSlowStarts(map[string]routes.SlowStart{"s": {Period: time.Hour, RatePerSecond: 5}})
+	engineFleet := relay.options.Fleet
+	engineFleet.SetSlowStarts(map[string]routes.SlowStart{"s": {Period: time.Hour, RatePerSecond: 5}})
 	for _, id := range cold {
-		known.MarkPossiblyCold(incarnation.ID{Engine: id}, fleet.FirstSeen, time.Now())
+		engineFleet.MarkPossiblyCold(incarnation.ID{Engine: id}, fleet.FirstSeen, time.Now())
 	}
 	return relay
 }
@@ -81,13 +81,13 @@
 // assigned to it while it was warm and whose dials ended later.
 func TestRequestIsNotSentToEngineThatTurnedCold(t *testing.T) {
 	engines := &slowDialEngines{}
-	relay, known := newZonedRelay(engines)
+	relay, engineFleet := newZonedRelay(engines)
 	withColdEngines(relay, &scriptedPermits{denials: 9})
 	turnedCold := ""
 	engines.dial = func(engine fleet.Engine) {
 		if turnedCold == "" {
 			turnedCold = engine.ID
-			known.MarkPossiblyCold(engine.Incarnation(), fleet.Unreached, time.Now())
+			engineFleet.MarkPossiblyCold(engine.Incarnation(), fleet.Unreached, time.Now())
 		}
 	}
 	reply, failure := callPath(relay, "/x/1")
@@ -95,7 +95,7 @@
 	assert.Equal(t, len(engines.sent), 1)
 	assert.Assert(t, engines.sent[0] != turnedCold)
 	assert.Equal(t, reply.Stamp, engines.sent[0])
-	assert.Assert(t, !known.Suspected(incarnation.ID{Engine: turnedCold}, time.Now()))
+	assert.Assert(t, !engineFleet.Suspected(incarnation.ID{Engine: turnedCold}, time.Now()))
 }
 
 // TestStartedRequestWaitsForPermit: a refusal would wrongly say that the request was not executed.
--- a/internal/ingress/evacuation_test.go
+++ b/internal/ingress/evacuation_test.go
@@ -42,16 +42,16 @@
 	return relay, relay.options.Fleet
 }
 
-// TestEvacuationDuringDialMovesRequest: the request goes to another engine, and the evacuated engine is neither
-// suspected nor charged with it.
+// TestEvacuationDuringDialMovesRequest: the request goes to another engine, and the evacuated engine is not
+// suspected and has no request in flight.
 func TestEvacuationDuringDialMovesRequest(t *testing.T) {
 	engines := &slowDialEngines{}
-	relay, known := newZonedRelay(engines)
+	relay, engineFleet := newZonedRelay(engines)
 	evacuated := ""
 	engines.dial = func(engine fleet.Engine) {
 		if evacuated == "" {
 			evacuated = engine.ID
-			known.Evacuate(engine.Zone, time.Now(), 1)
+			engineFleet.Evacuate(engine.Zone, time.Now(), 1)
 		}
 	}
 	reply, failure := callPath(relay, "/x/1")
@@ -59,17 +59,17 @@
 	assert.Equal(t, len(engines.sent), 1)
 	assert.Assert(t, engines.sent[0] != evacuated)
 	assert.Equal(t, reply.Stamp, engines.sent[0])
-	assert.Assert(t, !known.Suspected(incarnation.ID{Engine: evacuated}, time.Now()))
-	known.EndEvacuation(evacuated, time.Now(), 2)
-	zones := known.Zones()
+	assert.Assert(t, !engineFleet.Suspected(incarnation.ID{Engine: evacuated}, time.Now()))
+	engineFleet.EndEvacuation(evacuated, time.Now(), 2)
+	zones := engineFleet.Zones()
 	assert.Equal(t, zones[0].InFlight+zones[1].InFlight, 0)
 }
 
 func TestRequestIsRefusedWhenAllZonesAreEvacuated(t *testing.T) {
 	engines := &slowDialEngines{dial: func(fleet.Engine) {}}
-	relay, known := newZonedRelay(engines)
-	known.Evacuate("a", time.Now(), 1)
-	known.Evacuate("b", time.Now(), 2)
+	relay, engineFleet := newZonedRelay(engines)
+	engineFleet.Evacuate("a", time.Now(), 1)
+	engineFleet.Evacuate("b", time.Now(), 2)
 	_, failure := callPath(relay, "/x/1")
 	assert.Assert(t, failure != nil)
 	assert.Equal(t, failure.Kind, errkind.NoCapacity)
@@ -81,15 +81,15 @@
 // is refused if that takes too long.
 func TestRequestWaitsForCurrentEvacuations(t *testing.T) {
 	engines := &slowDialEngines{dial: func(fleet.Engine) {}}
-	relay, known := newZonedRelay(engines)
+	relay, engineFleet := newZonedRelay(engines)
 	asked := 0
-	relay.options.Gate = sendgate.New(sendgate.Options{Fleet: known, Known: func() bool {
+	relay.options.Gate = sendgate.New(sendgate.Options{Fleet: engineFleet, Known: func() bool {
 		asked++
 		return asked > 3
 	}})
 	_, failure := callPath(relay, "/x/1")
 	assert.Assert(t, failure == nil)
-	relay.options.Gate = sendgate.New(sendgate.Options{Fleet: known, Known: func() bool { return false }})
+	relay.options.Gate = sendgate.New(sendgate.Options{Fleet: engineFleet, Known: func() bool { return false }})
 	_, failure = callPath(relay, "/x/1")
 	assert.Equal(t, failure.Kind, errkind.NotReady)
 	assert.Equal(t, len(engines.sent), 1)
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -42,7 +42,7 @@
 	startReported bool
 	// serverErrors counts the engines that ran the request and answered with status 500.
 	serverErrors int
-	// status is the status written to the caller; zero before. stamp is the signature of the engine that answered.
+	// status is the status written to the caller; zero before. stamp is the engine's signature of that answer.
 	status int
 	stamp  string
 	// complete is true once an engine's complete answer was written to the caller.
@@ -150,8 +150,8 @@
 	return failure
 }
 
-// staleStateFailure is the error while this node, after a pause of its process, has not yet read the evacuations and
-// the engine list again. The caller may retry at another node, or here shortly after.
+// staleStateFailure is the error while this node, after a suspension of its process, has not yet read the evacuations
+// and the engine list again. The caller may retry at another node, or here shortly after.
 func (x *exchange) staleStateFailure() *errkind.Error {
 	if x.ctx.Err() != nil || x.executions > 0 || x.status != 0 {
 		return x.timeoutFailure()
--- a/internal/ingress/homes_test.go
+++ b/internal/ingress/homes_test.go
@@ -93,12 +93,12 @@
 }
 
 func TestRequestsAndRetriesStayInHomeRegions(t *testing.T) {
-	for name, named := range map[string]struct{ ofRoute, ofTenant []string }{
+	for name, test := range map[string]struct{ ofRoute, ofTenant []string }{
 		"route":  {[]string{"north"}, nil},
 		"tenant": {nil, []string{"north"}},
 		"both":   {[]string{"north", "south"}, []string{"west", "north"}},
 	} {
-		d := newHomedDeployment(named.ofRoute, named.ofTenant)
+		d := newHomedDeployment(test.ofRoute, test.ofTenant)
 		_, failure := d.request()
 		assert.Equal(t, failure.Kind, errkind.EngineFailed, name)
 		assert.DeepEqual(t, d.sentTo, []string{"north", "north"})
@@ -106,13 +106,13 @@
 }
 
 func TestRequestWithoutEngineInHomeRegionsIsRefused(t *testing.T) {
-	for name, named := range map[string]struct{ ofRoute, ofTenant []string }{
-		"no engine there":     {[]string{"east"}, nil},
-		"no region of both":   {[]string{"north"}, []string{"south"}},
-		"none of the tenant":  {nil, []string{"east"}},
-		"a region of no name": {[]string{""}, nil},
+	for name, test := range map[string]struct{ ofRoute, ofTenant []string }{
+		"no engine in region of route":  {[]string{"east"}, nil},
+		"disjoint regions":              {[]string{"north"}, []string{"south"}},
+		"no engine in region of tenant": {nil, []string{"east"}},
+		"empty region name":             {[]string{""}, nil},
 	} {
-		d := newHomedDeployment(named.ofRoute, named.ofTenant)
+		d := newHomedDeployment(test.ofRoute, test.ofTenant)
 		_, failure := d.request()
 		assert.Equal(t, failure.Kind, errkind.OutsideHomes, name)
 		assert.Equal(t, failure.Kind.Response().Execution, errkind.NotExecuted)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -45,7 +45,7 @@
 	// Sender is the sender of a request that this process makes itself, whose credentials were checked before; nil for
 	// requests of callers.
 	Sender *routes.Sender
-	// Budget is how long the caller waits; zero if it did not say.
+	// Budget is how long the caller waits for an answer; zero if not given.
 	Budget   time.Duration
 	Received time.Time
 	// After is the ID of the last event that the caller received. HasAfter is false if it requests the stream from
@@ -139,10 +139,11 @@
 	// Zone and Region are those of this node.
 	Zone   string
 	Region string
-	Seed   uint64
-	// Callers bounds the memory for answers to slow callers.
-	Callers callerwrite.Limits
-	Logger  zerolog.Logger
+	// Seed determines where the split of requests among the services of a route starts; see routes.NewSplitter.
+	Seed uint64
+	// CallerLimits bound the memory and the time spent on slow callers.
+	CallerLimits callerwrite.Limits
+	Logger       zerolog.Logger
 	// OnStart is called once for each caller's request that an engine may have started, with the time at which it was
 	// sent.
 	OnStart func(tenant string, at time.Time)
--- a/internal/ingress/slowcaller_test.go
+++ b/internal/ingress/slowcaller_test.go
@@ -51,7 +51,7 @@
 	relay := newRelay(scriptedEngines{"a": {Status: http.StatusOK}}, noCrashes{}, 1)
 	relay.options.Engines = truncatingEngine{}
 	budget := bytebudget.New(1 << 30)
-	relay.options.Callers = callerwrite.Limits{Budget: budget}
+	relay.options.CallerLimits = callerwrite.Limits{Budget: budget}
 	var passed atomic.Int64
 	began := time.Now()
 	relay.now = func() time.Time { return began.Add(time.Duration(passed.Load())) }
--- a/internal/ingress/try.go
+++ b/internal/ingress/try.go
@@ -14,8 +14,8 @@
 	"github.com/corkpulley/corkpulley/internal/crashes"
 )
 
-// try sends the request to an engine, if permitOpen still reports true right before; nil if the engine is not
-// known to be cold and needs no permit.
+// try sends the request to the chosen engine. permitOpen is called right before the first byte is sent and reports
+// whether the permit for a cold engine is still valid; nil if the engine is not known to be cold.
 func (x *exchange) try(choice fleet.Choice, permitOpen func() bool) verdict {
 	engine := choice.Engine
 	x.tried = append(x.tried, engine.ID)
@@ -92,7 +92,7 @@
 	x.relay.options.OnStart(x.sender.Tenant, sent)
 }
 
-// withTryTimeout bounds a try if another one may follow it.
+// withTryTimeout returns a context for one try. It has a shorter deadline than the request if another try may follow.
 func (x *exchange) withTryTimeout(remaining time.Duration) (context.Context, context.CancelFunc) {
 	last := x.executions+1 >= max(1, x.route.MaxAttempts)
 	if !x.route.Repeatable() || x.route.Kind != routes.Safe || last {
