--- a/internal/sendgate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -17,7 +17,7 @@
 
 const (
 	// maxKnownWait bounds how long a request waits until it is known which engines may get requests. It covers one
-	// read of the log and one retry; after that, another node answers sooner.
+	// read of the log and one retry; after that, a retry at another node is likely to be faster.
 	maxKnownWait = 300 * time.Millisecond
 	// knownPollInterval is the interval between two checks during that wait.
 	knownPollInterval = 10 * time.Millisecond
@@ -93,28 +93,28 @@
 }
 
 // MaySend reports whether the request may be sent now. It must be called right before the first byte is written.
-func (l *Check) MaySend() bool {
-	reason := l.reason()
+func (c *Check) MaySend() bool {
+	reason := c.reason()
 	if reason == fleet.NotHeld {
 		return true
 	}
-	if l.held.CompareAndSwap(uint32(fleet.NotHeld), uint32(reason)) && l.gate.options.OnHeldBack != nil {
-		l.gate.options.OnHeldBack(reason)
+	if c.held.CompareAndSwap(uint32(fleet.NotHeld), uint32(reason)) && c.gate.options.OnHeldBack != nil {
+		c.gate.options.OnHeldBack(reason)
 	}
 	return false
 }
 
 // Held returns why the request was held back, or fleet.NotHeld.
-func (l *Check) Held() fleet.Hold { return fleet.Hold(l.held.Load()) }
+func (c *Check) Held() fleet.Hold { return fleet.Hold(c.held.Load()) }
 
-func (l *Check) reason() fleet.Hold {
-	if !l.gate.Known() {
+func (c *Check) reason() fleet.Hold {
+	if !c.gate.Known() {
 		return fleet.HeldUnknown
 	}
-	if held := l.gate.options.Fleet.Hold(l.engine); held != fleet.NotHeld {
+	if held := c.gate.options.Fleet.Hold(c.engine); held != fleet.NotHeld {
 		return held
 	}
-	if !l.permit() {
+	if !c.permit() {
 		return fleet.HeldPaced
 	}
 	return fleet.NotHeld
--- a/internal/sendgate/sendgate_test.go
+++ b/internal/sendgate/sendgate_test.go
@@ -12,46 +12,47 @@
 	"github.com/corkpulley/corkpulley/internal/core/routes"
 )
 
-func engineInZone(zone string) (*fleet.Fleet, fleet.Engine) {
-	known := fleet.New()
+// newFleet returns a fleet with one engine in the zone.
+func newFleet(zone string) (*fleet.Fleet, fleet.Engine) {
+	engineFleet := fleet.New()
 	engine := fleet.Engine{ID: "e", Service: "s", Zone: zone, Slots: 1}
-	known.Put(engine)
-	return known, engine
+	engineFleet.Put(engine)
+	return engineFleet, engine
 }
 
 // OnHeldBack must be called once even if MaySend is called several times.
 func TestOnHeldBackIsCalledOnce(t *testing.T) {
-	known, engine := engineInZone("za")
+	engineFleet, engine := newFleet("za")
 	var reasons []fleet.Hold
-	gate := New(Options{Fleet: known, OnHeldBack: func(reason fleet.Hold) { reasons = append(reasons, reason) }})
-	look := gate.Check(engine.Incarnation(), nil)
-	assert.Assert(t, look.MaySend())
-	assert.Equal(t, look.Held(), fleet.NotHeld)
-	known.Evacuate("za", time.Now(), 1)
-	assert.Assert(t, !look.MaySend())
-	assert.Assert(t, !look.MaySend())
-	assert.Equal(t, look.Held(), fleet.HeldEvacuated)
+	gate := New(Options{Fleet: engineFleet, OnHeldBack: func(reason fleet.Hold) { reasons = append(reasons, reason) }})
+	check := gate.Check(engine.Incarnation(), nil)
+	assert.Assert(t, check.MaySend())
+	assert.Equal(t, check.Held(), fleet.NotHeld)
+	engineFleet.Evacuate("za", time.Now(), 1)
+	assert.Assert(t, !check.MaySend())
+	assert.Assert(t, !check.MaySend())
+	assert.Equal(t, check.Held(), fleet.HeldEvacuated)
 	assert.DeepEqual(t, reasons, []fleet.Hold{fleet.HeldEvacuated})
 }
 
 // Guards against sending while the engine's zone may be evacuated.
 func TestMaySendWhileEvacuationsAreUnknown(t *testing.T) {
-	known, engine := engineInZone("za")
-	var learned atomic.Bool
-	gate := New(Options{Fleet: known, Known: learned.Load})
-	look := gate.Check(engine.Incarnation(), nil)
-	assert.Assert(t, !look.MaySend())
-	assert.Equal(t, look.Held(), fleet.HeldUnknown)
+	engineFleet, engine := newFleet("za")
+	var known atomic.Bool
+	gate := New(Options{Fleet: engineFleet, Known: known.Load})
+	check := gate.Check(engine.Incarnation(), nil)
+	assert.Assert(t, !check.MaySend())
+	assert.Equal(t, check.Held(), fleet.HeldUnknown)
 	assert.Assert(t, !gate.AwaitKnown(t.Context()))
-	learned.Store(true)
+	known.Store(true)
 	assert.Assert(t, gate.AwaitKnown(t.Context()))
 	assert.Assert(t, gate.Check(engine.Incarnation(), nil).MaySend())
 }
 
 // Guards against a wait that outlasts the caller's context.
 func TestAwaitKnownWithCanceledContext(t *testing.T) {
-	known, _ := engineInZone("za")
-	gate := New(Options{Fleet: known, Known: func() bool { return false }})
+	engineFleet, _ := newFleet("za")
+	gate := New(Options{Fleet: engineFleet, Known: func() bool { return false }})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	assert.Assert(t, !gate.AwaitKnown(ctx))
@@ -59,30 +60,30 @@
 
 // Guards against requests to a cold engine that was warm when it was chosen.
 func TestMaySendWithoutPermitAfterEngineTurnedCold(t *testing.T) {
-	known, engine := engineInZone("za")
-	known.SetSlowStarts(map[string]routes.SlowStart{"s": {Period: time.Hour, RatePerSecond: 4}})
-	gate := New(Options{Fleet: known})
-	look, order := gate.Check(engine.Incarnation(), nil), gate.CheckWeightLoad(engine.Incarnation())
-	assert.Assert(t, look.MaySend() && order.MaySend())
-	known.MarkPossiblyCold(engine.Incarnation(), fleet.Unreached, time.Now())
-	assert.Assert(t, !look.MaySend())
-	assert.Equal(t, look.Held(), fleet.HeldPaced)
-	assert.Assert(t, order.MaySend())
+	engineFleet, engine := newFleet("za")
+	engineFleet.SetSlowStarts(map[string]routes.SlowStart{"s": {Period: time.Hour, RatePerSecond: 4}})
+	gate := New(Options{Fleet: engineFleet})
+	check, weightLoad := gate.Check(engine.Incarnation(), nil), gate.CheckWeightLoad(engine.Incarnation())
+	assert.Assert(t, check.MaySend() && weightLoad.MaySend())
+	engineFleet.MarkPossiblyCold(engine.Incarnation(), fleet.Unreached, time.Now())
+	assert.Assert(t, !check.MaySend())
+	assert.Equal(t, check.Held(), fleet.HeldPaced)
+	assert.Assert(t, weightLoad.MaySend())
 }
 
 // Guards against a permit that does not expire or that overrides an evacuation.
 func TestMaySendWithPermitForColdEngine(t *testing.T) {
-	known, engine := engineInZone("za")
+	engineFleet, engine := newFleet("za")
 	var open atomic.Bool
 	open.Store(true)
-	gate := New(Options{Fleet: known})
+	gate := New(Options{Fleet: engineFleet})
 	assert.Assert(t, gate.Check(engine.Incarnation(), open.Load).MaySend())
 	open.Store(false)
-	look := gate.Check(engine.Incarnation(), open.Load)
-	assert.Assert(t, !look.MaySend())
-	assert.Equal(t, look.Held(), fleet.HeldPaced)
-	known.Evacuate("za", time.Now(), 1)
-	look = gate.Check(engine.Incarnation(), open.Load)
-	assert.Assert(t, !look.MaySend())
-	assert.Equal(t, look.Held(), fleet.HeldEvacuated)
+	check := gate.Check(engine.Incarnation(), open.Load)
+	assert.Assert(t, !check.MaySend())
+	assert.Equal(t, check.Held(), fleet.HeldPaced)
+	engineFleet.Evacuate("za", time.Now(), 1)
+	check = gate.Check(engine.Incarnation(), open.Load)
+	assert.Assert(t, !check.MaySend())
+	assert.Equal(t, check.Held(), fleet.HeldEvacuated)
 }
