--- a/internal/callerwrite/callerwrite.go
+++ b/internal/callerwrite/callerwrite.go
@@ -30,22 +30,22 @@
 	// StallTimeout is how long a caller may read nothing before it is disconnected; zero for no limit.
 	StallTimeout time.Duration
 	// OnStalled, if set, is called for each disconnected caller with the number of unread bytes.
-	OnStalled func(left int)
+	OnStalled func(unread int)
 }
 
 // Write writes content to a caller in chunks. It returns when all of it has been written, or the error of the first
 // write that failed. Until then content counts against the budget.
 func (l Limits) Write(w http.ResponseWriter, content []byte) error {
-	left := content
+	unwritten := content
 	l.Budget.Take(bytebudget.Answers, int64(len(content)))
 	defer l.Budget.Release(bytebudget.Answers, int64(len(content)))
-	for len(left) > 0 {
-		chunk := left[:min(chunkBytes, len(left))]
+	for len(unwritten) > 0 {
+		chunk := unwritten[:min(chunkBytes, len(unwritten))]
 		if err := l.writeChunk(w, chunk); err != nil {
-			l.reportStall(err, len(left))
+			l.reportStall(err, len(unwritten))
 			return err
 		}
-		left = left[len(chunk):]
+		unwritten = unwritten[len(chunk):]
 	}
 	l.setDeadline(w, time.Time{})
 	return nil
@@ -66,8 +66,8 @@
 }
 
 // reportStall calls OnStalled if the write timed out. A caller that disconnected by itself is not reported.
-func (l Limits) reportStall(err error, left int) {
+func (l Limits) reportStall(err error, unread int) {
 	if l.OnStalled != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		l.OnStalled(left)
+		l.OnStalled(unread)
 	}
 }
--- a/internal/callerwrite/callerwrite_test.go
+++ b/internal/callerwrite/callerwrite_test.go
@@ -92,19 +92,19 @@
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusOK)
 		spool := NewSpool(w, Limits{Budget: budget, StallTimeout: stallTimeout})
-		taken, told := 0, false
-		for taken < 64<<20 {
+		accepted, reported := 0, false
+		for accepted < 64<<20 {
 			err := spool.Write(make([]byte, 8<<10))
 			switch {
 			case err == nil:
-				taken += 8 << 10
+				accepted += 8 << 10
 				continue
 			case !errors.Is(err, ErrFull):
 				ended <- spool.Close()
 				return
-			case !told:
-				told = true
-				full <- taken
+			case !reported:
+				reported = true
+				full <- accepted
 			}
 			spool.AwaitProgress(r.Context())
 		}
--- a/internal/callerwrite/spool.go
+++ b/internal/callerwrite/spool.go
@@ -11,18 +11,18 @@
 	"github.com/corkpulley/corkpulley/internal/core/bytebudget"
 )
 
-// ErrFull is returned while the caller has not read enough of the buffered bytes.
-var ErrFull = errors.New("the caller reads too slowly")
+// ErrFull is returned by Spool.Write while the buffer or the node's budget has no room.
+var ErrFull = errors.New("no buffer space for the slow caller")
 
 // Spool buffers a response until its caller reads it. It is not safe for concurrent use. The response header must
-// have been written before.
+// be written before the spool is created.
 type Spool struct {
 	limits Limits
 	w      http.ResponseWriter
 
-	mu    sync.Mutex
-	queue [][]byte
-	held  int
+	mu       sync.Mutex
+	queue    [][]byte
+	buffered int
 	// err is the error of the first write that failed.
 	err    error
 	closed bool
@@ -46,11 +46,11 @@
 	if s.err != nil {
 		return s.err
 	}
-	if s.held > 0 && (s.held+len(content) > MaxBufferedBytes || s.limits.Budget.IsShort()) {
+	if s.buffered > 0 && (s.buffered+len(content) > MaxBufferedBytes || s.limits.Budget.IsShort()) {
 		return ErrFull
 	}
 	s.queue = append(s.queue, append([]byte(nil), content...))
-	s.held += len(content)
+	s.buffered += len(content)
 	s.limits.Budget.Take(bytebudget.Answers, int64(len(content)))
 	s.notify()
 	return nil
@@ -60,9 +60,9 @@
 // nothing is buffered.
 func (s *Spool) AwaitProgress(ctx context.Context) {
 	s.mu.Lock()
-	held, changed, failed := s.held, s.changed, s.err != nil
+	buffered, changed, failed := s.buffered, s.changed, s.err != nil
 	s.mu.Unlock()
-	if held == 0 || failed {
+	if buffered == 0 || failed {
 		return
 	}
 	select {
@@ -148,10 +148,10 @@
 	released := bytes
 	if err != nil {
 		s.err = err
-		released, s.queue = s.held, nil
-		s.limits.reportStall(err, s.held)
+		released, s.queue = s.buffered, nil
+		s.limits.reportStall(err, s.buffered)
 	}
-	s.held -= released
+	s.buffered -= released
 	s.limits.Budget.Release(bytebudget.Answers, int64(released))
 	s.notify()
 }
