--- a/internal/leadership/answers_test.go
+++ b/internal/leadership/answers_test.go
@@ -32,7 +32,7 @@
 	raw, err := msgpack.Marshal(&lease.Record{Kind: lease.Order, Holder: "a1", Node: "a", Epoch: earlier, Engines: []string{"e"}})
 	assert.NilError(t, err)
 	var once sync.Once
-	connection.faults(func(ctx context.Context, record lease.Record, _ int64, call func() (int64, error)) (int64, error) {
+	connection.setFaults(func(ctx context.Context, record lease.Record, _ int64, call func() (int64, error)) (int64, error) {
 		if record.Kind == lease.Order {
 			once.Do(func() { _, _ = log.Append(ctx, eventlog.Partition{Topic: topic}, [][]byte{raw}) })
 		}
@@ -50,17 +50,17 @@
 	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	var count atomic.Int64
-	connection.faults(func(_ context.Context, _ lease.Record, at int64, _ func() (int64, error)) (int64, error) {
+	connection.setFaults(func(_ context.Context, _ lease.Record, at int64, _ func() (int64, error)) (int64, error) {
 		count.Add(1)
 		return 0, &eventlog.ConflictError{End: at}
 	}, nil)
 	time.Sleep(time.Second)
-	const most = 100
-	assert.Assert(t, count.Load() < most, "%d appends in a second", count.Load())
+	const maxAppends = 100
+	assert.Assert(t, count.Load() < maxAppends, "%d appends in a second", count.Load())
 }
 
-// TestHeldTimeEndsWhenRecordIsComposed: the machine may be suspended between two clock readings, so the time
-// held and the start of the permit must come from the same one.
+// TestHeldTimeEndsWhenRecordIsComposed: the machine may be suspended between two clock readings, so the end of the
+// held time and the start of the permit must be the same reading.
 func TestHeldTimeEndsWhenRecordIsComposed(t *testing.T) {
 	elector := New(memlog.New(), Options{Holder: "a1", Node: "a", TTL: testTTL}, nil)
 	clock := elector.now()
@@ -80,7 +80,7 @@
 	connection := newFaultyLog(memlog.New())
 	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
-	connection.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
+	connection.setFaults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
 		_, _ = call()
 		return 0, eventlog.ErrOutcomeUnknown
 	}, nil)
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
 	first.elector.Stop(ctx)
-	assert.NilError(t, ctx.Err(), "the stop waited for an answer until its time was over")
+	assert.NilError(t, ctx.Err(), "Stop waited for the answer until its context expired")
 }
 
 // TestStoppedNodeDoesNotClaim: the node stops during its claim delay.
@@ -103,7 +103,7 @@
 	})
 	first.elector.Stop(t.Context())
 	time.Sleep(2 * delay) // longer than the claim delay
-	assert.Equal(t, log.End(eventlog.Partition{Topic: topic}), int64(0), "it claimed after it had stopped")
+	assert.Equal(t, log.End(eventlog.Partition{Topic: topic}), int64(0), "the node claimed the lease after it had stopped")
 }
 
 // TestRenewalContinuesWhileReadHangs: a renewal's answer is lost, so the next one conflicts, and the tail's
@@ -117,7 +117,7 @@
 	var hung atomic.Bool
 	lost := make(chan struct{})
 	var once sync.Once
-	connection.faults(func(ctx context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
+	connection.setFaults(func(ctx context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
 		offset, err := call()
 		select {
 		case <-lost:
@@ -136,7 +136,7 @@
 	<-lost
 	epoch := first.lastTerm().Epoch
 	for until := time.Now().Add(2 * testTTL / 3); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		assert.Assert(t, first.elector.Valid(epoch), "the lease ended although the log takes its renewals")
+		assert.Assert(t, first.elector.Valid(epoch), "the lease ended although the log accepts its renewals")
 	}
 }
 
@@ -156,7 +156,7 @@
 	var all []*candidate
 	for _, node := range []string{"a", "b", "c"} {
 		connection := newFaultyLog(log)
-		connection.faults(claimsUnanswered, nil)
+		connection.setFaults(claimsUnanswered, nil)
 		all = append(all, join(t, connection, node, node+"1"))
 	}
 	var led time.Duration
--- a/internal/leadership/arrival_test.go
+++ b/internal/leadership/arrival_test.go
@@ -12,9 +12,9 @@
 )
 
 // latestArrival returns when an order that is sent at the end of its permit arrives at the latest.
-func latestArrival(given lease.Permit) time.Time {
-	last := given.(*permit)
-	left := last.until.Sub(last.term.elector.now())
+func latestArrival(granted lease.Permit) time.Time {
+	p := granted.(*permit)
+	left := p.until.Sub(p.term.elector.now())
 	return time.Now().Add(left + lease.MaxTransitTime)
 }
 
@@ -24,18 +24,18 @@
 	log := memlog.New()
 	const delay = 350 * time.Millisecond // below recordTimeout
 	connection := newFaultyLog(log)
-	connection.faults(appendsAnsweredAfter(delay), readsAnsweredAfter(delay)) // so that the record is not read back earlier
+	connection.setFaults(appendsAnsweredAfter(delay), readsAnsweredAfter(delay)) // so that the record is not read back earlier
 	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	second := join(t, log, "b", "b1")
 	second.awaitHolder(t, "a1")
-	given := first.permit(t, "ordered")
-	arrives := latestArrival(given)
+	granted := first.permit(t, "ordered")
+	arrives := latestArrival(granted)
 	first.cancel()
 	testwait.Until(t, "b leads", second.leads)
 	until := second.lastTerm().QuietUntil("ordered")
 	gap := until.Sub(arrives)
-	assert.Assert(t, gap >= testTTL, "b may send an order %s after the order of a arrives, the quiet period is %s", gap, testTTL)
+	assert.Assert(t, gap >= testTTL, "b may send an order %s after the order of a arrives, want at least the quiet period of %s", gap, testTTL)
 }
 
 // TestQuietPeriodCoversOrdersOfPreviousProcess: bytes sent by a process that has ended may arrive together with the
@@ -45,12 +45,12 @@
 	const address = "10.0.0.1:7000"
 	first := joinAt(t, log, "a", "a1", address)
 	testwait.Until(t, "a leads", first.leads)
-	given := first.permit(t, "ordered")
+	granted := first.permit(t, "ordered")
 	first.cancel()
 	second := joinAt(t, log, "a", "a2", address)
 	testwait.Until(t, "the next process leads", second.leads)
 	until := second.lastTerm().QuietUntil("ordered")
-	arrives := latestArrival(given)
+	arrives := latestArrival(granted)
 	assert.Assert(t, !until.Before(arrives), "an order is allowed %s before the order of the previous process has arrived",
 		time.Until(arrives))
 }
@@ -79,8 +79,8 @@
 	earlier := first.lastTerm().Epoch
 	second := join(t, log, "b", "b1")
 	second.awaitHolder(t, "a1")
-	given := first.permit(t, "ordered")
-	arrives := latestArrival(given)
+	granted := first.permit(t, "ordered")
+	arrives := latestArrival(granted)
 	connection.refuse(true)
 	testwait.Until(t, "b leads", second.leads)
 	connection.refuse(false)
--- a/internal/leadership/link_test.go
+++ b/internal/leadership/faultylog_test.go
@@ -28,14 +28,14 @@
 
 func newFaultyLog(log eventlog.Log) *faultyLog { return &faultyLog{Log: log} }
 
-// faults sets the faults of appends and reads; nil for none.
-func (l *faultyLog) faults(appends appendFault, reads readFault) {
+// setFaults sets the faults of appends and reads; nil for none.
+func (l *faultyLog) setFaults(appends appendFault, reads readFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.onAppend, l.onRead = appends, reads
 }
 
-func (l *faultyLog) current() (appendFault, readFault) {
+func (l *faultyLog) faults() (appendFault, readFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.onAppend, l.onRead
@@ -55,7 +55,7 @@
 }
 
 func (l *faultyLog) append(ctx context.Context, at int64, records [][]byte, call func() (int64, error)) (int64, error) {
-	fault, _ := l.current()
+	fault, _ := l.faults()
 	if fault == nil {
 		return call()
 	}
@@ -71,11 +71,11 @@
 	ctx context.Context, name eventlog.Partition, from int64, limit int, wait time.Duration,
 ) (eventlog.Batch, error) {
 	call := func() (eventlog.Batch, error) { return l.Log.Read(ctx, name, from, limit, wait) }
-	if _, fault := l.current(); fault != nil {
+	if _, fault := l.faults(); fault != nil {
 		return fault(ctx, call)
 	}
 	batch, err := call()
-	if _, fault := l.current(); fault != nil {
+	if _, fault := l.faults(); fault != nil {
 		return fault(ctx, func() (eventlog.Batch, error) { return batch, err })
 	}
 	return batch, err
@@ -133,8 +133,8 @@
 // refuse makes all calls fail, or none.
 func (l *faultyLog) refuse(all bool) {
 	if all {
-		l.faults(appendsRefused, readsRefused)
+		l.setFaults(appendsRefused, readsRefused)
 		return
 	}
-	l.faults(nil, nil)
+	l.setFaults(nil, nil)
 }
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -54,9 +54,9 @@
 // permit returns a permit for one order to an engine.
 func (c *candidate) permit(t *testing.T, engine string) lease.Permit {
 	t.Helper()
-	given, err := c.lastTerm().Permit(t.Context(), engine)
+	granted, err := c.lastTerm().Permit(t.Context(), engine)
 	assert.NilError(t, err)
-	return given
+	return granted
 }
 
 // join starts a candidate.
@@ -222,7 +222,7 @@
 }
 
 // suspend advances this clock without letting real time pass.
-func (c *suspendableClock) suspend(lasting time.Duration) { c.suspended.Add(int64(lasting)) }
+func (c *suspendableClock) suspend(duration time.Duration) { c.suspended.Add(int64(duration)) }
 
 // TestLeaseExpiresDuringSuspension: Go's monotonic clock stops during suspension, and reads fail after the resume.
 func TestLeaseExpiresDuringSuspension(t *testing.T) {
@@ -239,11 +239,11 @@
 	go func() { _ = first.elector.Run(ctx) }()
 	testwait.Until(t, "a leads", func() bool { return first.leads() && first.elector.Valid(first.lastTerm().Epoch) })
 	epoch := first.lastTerm().Epoch
-	connection.faults(nil, readsRefused)
+	connection.setFaults(nil, readsRefused)
 	clock.suspend(testTTL)
 	assert.Assert(t, !first.elector.Valid(epoch), "the lease is still valid after the suspension")
 	time.Sleep(testTTL) // long enough for a renewal without a read
 	assert.Assert(t, !first.elector.Valid(epoch), "the lease was renewed without a read")
-	connection.faults(nil, nil)
+	connection.setFaults(nil, nil)
 	testwait.Until(t, "the lease of a is valid again", func() bool { return first.elector.Valid(epoch) })
 }
--- a/internal/leadership/overlap_test.go
+++ b/internal/leadership/overlap_test.go
@@ -13,8 +13,8 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// readSince returns how long after the given time the last read was answered.
-func (e *Elector) readSince(moment time.Time) time.Duration {
+// lastReadAfter returns how long after the given time the last read was answered.
+func (e *Elector) lastReadAfter(moment time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return time.Since(moment) - e.now().Sub(e.readAt)
@@ -23,18 +23,18 @@
 // awaitHolder waits until the candidate has read the holder's claim.
 func (c *candidate) awaitHolder(t *testing.T, holder string) {
 	t.Helper()
-	testwait.Until(t, "it knows that "+holder+" leads", func() bool {
+	testwait.Until(t, "the candidate knows that "+holder+" leads", func() bool {
 		known, _ := c.elector.Leader()
 		return known == holder
 	})
 }
 
 // overlap polls both leases once a millisecond and returns how often both were valid.
-func overlap(one, other *candidate, first, second int64, lasting time.Duration) int {
+func overlap(older, newer *candidate, olderEpoch, newerEpoch int64, duration time.Duration) int {
 	count := 0
-	for until := time.Now().Add(lasting); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		// The older one is checked first: it must have ended before the newer one began.
-		if one.elector.Valid(first) && other.elector.Valid(second) {
+	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(time.Millisecond) {
+		// The older lease is checked first, since it must have ended before the newer one began.
+		if older.elector.Valid(olderEpoch) && newer.elector.Valid(newerEpoch) {
 			count++
 		}
 	}
@@ -53,19 +53,19 @@
 	second.awaitHolder(t, "a1")
 	released := make(chan struct{})
 	defer close(released)
-	connection.faults(appendsRefused, nil)
+	connection.setFaults(appendsRefused, nil)
 	refused := time.Now()
-	testwait.Until(t, "a still reads", func() bool { return first.elector.readSince(refused) > testTTL/2 })
-	connection.faults(appendsRefused, readsHangUntil(released))
+	testwait.Until(t, "a still reads", func() bool { return first.elector.lastReadAfter(refused) > testTTL/2 })
+	connection.setFaults(appendsRefused, readsHangUntil(released))
 	testwait.Until(t, "b leads", second.leads)
-	newer := second.lastTerm().Epoch
-	connection.faults(nil, readsHangUntil(released))
-	found := overlap(first, second, epoch, newer, testTTL)
+	newest := second.lastTerm().Epoch
+	connection.setFaults(nil, readsHangUntil(released))
+	overlaps := overlap(first, second, epoch, newest, testTTL)
 	ctx, cancel := context.WithTimeout(t.Context(), testTTL)
 	defer cancel()
-	_, recorded := first.lastTerm().Permit(ctx, "engine")
-	assert.Equal(t, found, 0, "two leases valid at the same time, for about this many milliseconds")
-	assert.Assert(t, recorded != nil, "an order of the earlier holder was recorded after the claim of the next one")
+	_, err := first.lastTerm().Permit(ctx, "engine")
+	assert.Equal(t, overlaps, 0, "two leases valid at the same time, for about this many milliseconds")
+	assert.Assert(t, err != nil, "an order of the earlier holder was recorded after the claim of the next one")
 }
 
 // TestNoPermitAfterSupersedingClaim: the next process on the machine takes over while the previous one considers its
@@ -78,7 +78,7 @@
 	testwait.Until(t, "a leads", first.leads)
 	released := make(chan struct{})
 	defer close(released)
-	connection.faults(nil, readsHangUntil(released))
+	connection.setFaults(nil, readsHangUntil(released))
 	second := joinAt(t, log, "a", "a2", address)
 	testwait.Until(t, "the next process leads", second.leads)
 	assert.Assert(t, first.elector.Valid(first.lastTerm().Epoch), "the earlier lease ended too soon for this test")
@@ -92,10 +92,10 @@
 	log := memlog.New()
 	connection := newFaultyLog(log)
 	released, claimed := make(chan struct{}), make(chan struct{})
-	connection.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
+	connection.setFaults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
 		_, err := call()
 		assert.Check(t, err)
-		connection.faults(nil, readsHangUntil(released))
+		connection.setFaults(nil, readsHangUntil(released))
 		close(claimed)
 		return 0, eventlog.ErrOutcomeUnknown
 	}, nil)
@@ -104,13 +104,13 @@
 	second := join(t, log, "b", "b1")
 	second.awaitHolder(t, "a1")
 	_, epoch := second.elector.Leader()
-	time.Sleep(testTTL - testTTL/10)       // just before b may claim
-	connection.faults(appendsRefused, nil) // so that a cannot renew
+	time.Sleep(testTTL - testTTL/10)          // just before b may claim
+	connection.setFaults(appendsRefused, nil) // so that a cannot renew
 	close(released)
 	first.awaitHolder(t, "a1")
 	never := make(chan struct{})
 	defer close(never)
-	connection.faults(appendsRefused, readsHangUntil(never))
+	connection.setFaults(appendsRefused, readsHangUntil(never))
 	testwait.Until(t, "b leads", second.leads)
 	assert.Equal(t, overlap(first, second, epoch, second.lastTerm().Epoch, testTTL), 0,
 		"two leases valid at the same time, for about this many milliseconds")
@@ -126,8 +126,8 @@
 	epoch := first.lastTerm().Epoch
 	second := join(t, log, "b", "b1")
 	const delay = 3 * testTTL
-	connection.faults(appendsRefused, readsAnsweredAfter(delay))
+	connection.setFaults(appendsRefused, readsAnsweredAfter(delay))
 	testwait.Until(t, "b leads", second.leads)
-	connection.faults(nil, readsAnsweredAfter(delay))
+	connection.setFaults(nil, readsAnsweredAfter(delay))
 	assert.Equal(t, overlap(first, second, epoch, second.lastTerm().Epoch, delay), 0, "both hold the lease")
 }
--- a/internal/leadership/permit_test.go
+++ b/internal/leadership/permit_test.go
@@ -21,15 +21,15 @@
 func TestPermitExpiresAfterSendWindow(t *testing.T) {
 	first := join(t, memlog.New(), "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
-	asked := time.Now()
-	given := first.permit(t, "engine")
-	assert.Assert(t, given.Open())
-	bound, cancel := given.WithDeadline(t.Context())
+	requestedAt := time.Now()
+	granted := first.permit(t, "engine")
+	assert.Assert(t, granted.Open())
+	ctx, cancel := granted.WithDeadline(t.Context())
 	defer cancel()
-	deadline, _ := bound.Deadline()
-	assert.Assert(t, deadline.Sub(asked) >= sendWindow)
-	testwait.Until(t, "the permit has ended", func() bool { return !given.Open() })
-	assert.Assert(t, time.Since(asked) >= sendWindow-time.Millisecond)
+	deadline, _ := ctx.Deadline()
+	assert.Assert(t, deadline.Sub(requestedAt) >= sendWindow)
+	testwait.Until(t, "the permit has ended", func() bool { return !granted.Open() })
+	assert.Assert(t, time.Since(requestedAt) >= sendWindow-time.Millisecond)
 	assert.Assert(t, first.elector.Valid(first.lastTerm().Epoch), "the lease must outlast the permit")
 	assert.Assert(t, deadline.Before(time.Now().Add(lease.MaxTransitTime+time.Millisecond)))
 }
@@ -42,19 +42,19 @@
 	first.elector.now = clock.now
 	go func() { _ = first.elector.Run(t.Context()) }()
 	testwait.Until(t, "a leads", first.leads)
-	given := first.permit(t, "engine")
-	assert.Assert(t, given.Open())
+	granted := first.permit(t, "engine")
+	assert.Assert(t, granted.Open())
 	clock.suspend(sendWindow)
-	assert.Assert(t, !given.Open(), "the permit is still open after the suspension")
+	assert.Assert(t, !granted.Open(), "the permit is still open after the suspension")
 }
 
 // TestPermitExpiresWithLease: the node releases the lease while an order is about to be sent.
 func TestPermitExpiresWithLease(t *testing.T) {
 	first := join(t, memlog.New(), "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
-	given := first.permit(t, "engine")
+	granted := first.permit(t, "engine")
 	first.elector.Stop(t.Context())
-	assert.Assert(t, !given.Open())
+	assert.Assert(t, !granted.Open())
 }
 
 // TestPermitRefusedDuringQuietPeriod: another machine has recently sent an order to the engine.
@@ -78,7 +78,7 @@
 	connection := newFaultyLog(log)
 	const pause = 50 * time.Millisecond
 	var appends atomic.Int64
-	connection.faults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
+	connection.setFaults(func(_ context.Context, _ lease.Record, _ int64, call func() (int64, error)) (int64, error) {
 		appends.Add(1)
 		time.Sleep(pause)
 		return call()
@@ -88,16 +88,16 @@
 	before := appends.Load()
 	const orders = 100
 	var wait sync.WaitGroup
-	failed := make([]error, orders)
+	errs := make([]error, orders)
 	for i := range orders {
-		wait.Go(func() { _, failed[i] = first.lastTerm().Permit(t.Context(), fmt.Sprint("e", i)) })
+		wait.Go(func() { _, errs[i] = first.lastTerm().Permit(t.Context(), fmt.Sprint("e", i)) })
 	}
 	wait.Wait()
 	for i := range orders {
-		assert.NilError(t, failed[i])
+		assert.NilError(t, errs[i])
 	}
-	const most = 12 // includes renewals
-	assert.Assert(t, appends.Load()-before <= most, "%d appends", appends.Load()-before)
+	const maxAppends = 12 // includes renewals
+	assert.Assert(t, appends.Load()-before <= maxAppends, "%d appends", appends.Load()-before)
 	second := join(t, log, "b", "b1")
 	second.awaitHolder(t, "a1")
 	first.cancel()
@@ -129,7 +129,7 @@
 	connection := newFaultyLog(memlog.New())
 	first := join(t, connection, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
-	connection.faults(appendsUnanswered, nil)
+	connection.setFaults(appendsUnanswered, nil)
 	began := time.Now()
 	first.permit(t, "engine")
 	assert.Assert(t, time.Since(began) < recordTimeout, "the order waited for a timeout: %s", time.Since(began))
--- a/internal/leadership/randomfaults_test.go
+++ b/internal/leadership/randomfaults_test.go
@@ -51,8 +51,8 @@
 // eventlog.Log.
 type faultyMachine struct {
 	log *memlog.Log
-	// rate is by how much the clock is fast, as a fraction of elapsed time; negative for a slow clock.
-	rate   float64
+	// drift is how much the clock gains, as a fraction of the elapsed time; negative if it loses.
+	drift  float64
 	origin time.Time
 	frozen sync.RWMutex
 
@@ -68,11 +68,11 @@
 	defer m.frozen.RUnlock()
 }
 
-// now is the machine's clock, which runs at its own rate.
+// now returns the time of the machine's clock.
 func (m *faultyMachine) now() time.Time {
 	m.waitWhileFrozen()
 	real := boottime.Now()
-	return m.origin.Add(time.Duration(float64(real.Sub(m.origin)) * (1 + m.rate)))
+	return m.origin.Add(time.Duration(float64(real.Sub(m.origin)) * (1 + m.drift)))
 }
 
 // callFaults returns the faults in force, a channel that is closed when they change, and a random number.
@@ -90,8 +90,8 @@
 	m.changed = make(chan struct{})
 }
 
-// Append implements eventlog.Log. The elector appends only conditionally; a faulty one that does not must fail the
-// test.
+// Append implements eventlog.Log. The elector must not use it; if it does, the unconditional append takes effect and the
+// invariants fail.
 func (m *faultyMachine) Append(ctx context.Context, name eventlog.Partition, records [][]byte) (int64, error) {
 	return m.AppendAt(ctx, name, unconditional, records)
 }
@@ -192,7 +192,7 @@
 // validPeriod is the period in which a lease was observed to be valid.
 type validPeriod struct{ first, last time.Time }
 
-// faultRun is one run: its machines, their orders, and their leases.
+// faultRun is one run of three machines with random faults. It records their orders and leases.
 type faultRun struct {
 	t     *testing.T
 	log   *memlog.Log
@@ -207,30 +207,32 @@
 	wait     sync.WaitGroup
 }
 
-// process starts a process on a machine. stop ends it, and releases its lease before if planned is true.
-func (h *faultRun) process(machine *faultyMachine, node string, number int, seed uint64) (stop func(planned bool)) {
+// startProcess starts a process on a machine. stop ends it; if planned is true, it releases the lease first.
+func (r *faultRun) startProcess(machine *faultyMachine, node string, number int, seed uint64) (stop func(planned bool)) {
 	random := rand.New(rand.NewPCG(seed, uint64(number)))
 	ctx, cancel := context.WithCancel(context.Background())
 	holder := fmt.Sprintf("%s-%d", node, number)
 	var ended atomic.Bool
 	var elector *Elector
 	elector = New(machine, Options{
-		Holder: holder, Node: node, Address: node + ":7000", TTL: h.ttl, Quiet: h.quiet, EnginesFence: h.fence, Logger: zerolog.Nop(),
+		Holder: holder, Node: node, Address: node + ":7000", TTL: r.ttl, Quiet: r.quiet, EnginesFence: r.fence, Logger: zerolog.Nop(),
 	}, func(ctx context.Context, term Term) {
 		var orders sync.WaitGroup
 		for i := range 4 {
 			seed := random.Uint64()
-			orders.Go(func() { h.order(ctx, &ended, term, node, holder, fmt.Sprint("e", i), rand.New(rand.NewPCG(seed, 1))) })
+			orders.Go(func() {
+				r.sendOrders(ctx, &ended, term, node, holder, fmt.Sprint("e", i), rand.New(rand.NewPCG(seed, 1)))
+			})
 		}
-		orders.Go(func() { h.sample(ctx, elector, term.Epoch) })
+		orders.Go(func() { r.recordValidity(ctx, elector, term.Epoch) })
 		orders.Wait()
 	})
 	elector.now = machine.now
-	h.wait.Go(func() { _ = elector.Run(ctx) })
+	r.wait.Go(func() { _ = elector.Run(ctx) })
 	return func(planned bool) {
 		if planned {
-			stopping, done := context.WithTimeout(ctx, 1500*time.Millisecond)
-			elector.Stop(stopping)
+			stopContext, done := context.WithTimeout(ctx, 1500*time.Millisecond)
+			elector.Stop(stopContext)
 			done()
 		}
 		ended.Store(true)
@@ -238,8 +240,8 @@
 	}
 }
 
-// order repeatedly sends orders to an engine while the term lasts.
-func (h *faultRun) order(ctx context.Context, ended *atomic.Bool, term Term, node, holder, engine string, random *rand.Rand) {
+// sendOrders sends orders to an engine until the term ends.
+func (r *faultRun) sendOrders(ctx context.Context, ended *atomic.Bool, term Term, node, holder, engine string, random *rand.Rand) {
 	for ctx.Err() == nil {
 		permit, err := term.Permit(ctx, engine)
 		if err == nil {
@@ -249,69 +251,71 @@
 			}
 			sentAt := boottime.Now()
 			if permit.Open() && !ended.Load() {
-				h.mu.Lock()
-				h.arrivals = append(h.arrivals, arrival{
+				r.mu.Lock()
+				r.arrivals = append(r.arrivals, arrival{
 					engine: engine, node: node, epoch: term.Epoch, sentAt: sentAt,
 					arrivedAt: sentAt.Add(time.Duration(random.IntN(2)*random.IntN(500)) * time.Millisecond),
 				})
-				if known := h.holders[term.Epoch]; known != "" && known != holder {
-					h.t.Errorf("token %d has two holders: %s and %s", term.Epoch, known, holder)
+				if known := r.holders[term.Epoch]; known != "" && known != holder {
+					r.t.Errorf("epoch %d has two holders: %s and %s", term.Epoch, known, holder)
 				}
-				h.holders[term.Epoch] = holder
-				h.mu.Unlock()
+				r.holders[term.Epoch] = holder
+				r.mu.Unlock()
 			}
 		}
 		time.Sleep(time.Duration(10+random.IntN(100)) * time.Millisecond)
 	}
 }
 
-// sample records when a lease was valid: at some time between the two clock readings.
-func (h *faultRun) sample(ctx context.Context, elector *Elector, epoch int64) {
+// recordValidity records the period in which a lease is observed to be valid. It was valid at some time between the two
+// clock readings, so the recorded period is not longer than the actual one.
+func (r *faultRun) recordValidity(ctx context.Context, elector *Elector, epoch int64) {
 	for ctx.Err() == nil {
 		before := boottime.Now()
 		valid := elector.Valid(epoch)
 		after := boottime.Now()
 		if valid {
-			h.mu.Lock()
-			s := h.valid[epoch]
-			if s == nil {
-				s = &validPeriod{first: after}
-				h.valid[epoch] = s
+			r.mu.Lock()
+			period := r.valid[epoch]
+			if period == nil {
+				period = &validPeriod{first: after}
+				r.valid[epoch] = period
 			}
-			s.last = before
-			h.mu.Unlock()
+			period.last = before
+			r.mu.Unlock()
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
 // check verifies the invariants and returns the shortest time between orders of two machines to one engine.
-func (h *faultRun) check(tolerance time.Duration) (shortest time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for a, one := range h.valid {
-		for b, other := range h.valid {
-			if a < b && one.last.After(other.first) {
-				h.t.Errorf("leases overlap: %d (%s) valid %s after %d (%s)", a, h.holders[a], one.last.Sub(other.first), b, h.holders[b])
+func (r *faultRun) check(tolerance time.Duration) (shortest time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for olderEpoch, older := range r.valid {
+		for newerEpoch, newer := range r.valid {
+			if olderEpoch < newerEpoch && older.last.After(newer.first) {
+				r.t.Errorf("leases overlap: epoch %d (%s) is still valid %s after the start of epoch %d (%s)",
+					olderEpoch, r.holders[olderEpoch], older.last.Sub(newer.first), newerEpoch, r.holders[newerEpoch])
 			}
 		}
 	}
 	shortest = time.Hour
-	sort.Slice(h.arrivals, func(i, j int) bool { return h.arrivals[i].arrivedAt.Before(h.arrivals[j].arrivedAt) })
+	sort.Slice(r.arrivals, func(i, j int) bool { return r.arrivals[i].arrivedAt.Before(r.arrivals[j].arrivedAt) })
 	latest := make(map[string]arrival)
-	for _, each := range h.arrivals {
+	for _, each := range r.arrivals {
 		before, found := latest[each.engine]
 		latest[each.engine] = each
 		if !found {
 			continue
 		}
 		if each.epoch < before.epoch {
-			h.t.Errorf("%s: token %d of %s arrives after %d of %s", each.engine, each.epoch, each.node, before.epoch, before.node)
+			r.t.Errorf("%s: order with epoch %d of %s arrives after one with epoch %d of %s", each.engine, each.epoch, each.node, before.epoch, before.node)
 		}
 		if gap := each.arrivedAt.Sub(before.arrivedAt); each.node != before.node {
 			shortest = min(shortest, gap)
-			if !h.fence && gap < h.quiet-tolerance {
-				h.t.Errorf("%s: order of %s (%d) arrives %s after that of %s (%d)", each.engine, each.node, each.epoch, gap, before.node, before.epoch)
+			if !r.fence && gap < r.quiet-tolerance {
+				r.t.Errorf("%s: order of %s (%d) arrives %s after that of %s (%d)", each.engine, each.node, each.epoch, gap, before.node, before.epoch)
 			}
 		}
 	}
@@ -319,44 +323,44 @@
 }
 
 // run starts three machines, injects faults into each independently, and waits for all to end.
-func (h *faultRun) run(seed uint64, lasting time.Duration, clockRate float64, trims bool) {
+func (r *faultRun) run(seed uint64, duration time.Duration, clockDrift float64, trims bool) {
 	random := rand.New(rand.NewPCG(seed, 99))
-	h.valid, h.holders, h.log = make(map[int64]*validPeriod), make(map[int64]string), memlog.New()
+	r.valid, r.holders, r.log = make(map[int64]*validPeriod), make(map[int64]string), memlog.New()
 	appends := []logFault{noFault, noFault, refused, answerLost, hanging, takesEffectLate, slow, anyFault, anyFault}
 	reads := []logFault{noFault, noFault, noFault, refused, hanging, takesEffectLate, hanging}
 	var machines sync.WaitGroup
-	end := time.Now().Add(lasting)
+	end := time.Now().Add(duration)
 	for i := range 3 {
 		node := fmt.Sprint("n", i)
 		seed := random.Uint64()
 		machine := &faultyMachine{
-			log: h.log, rate: clockRate * float64(i-1), origin: boottime.Now(), random: rand.New(rand.NewPCG(seed, 5)),
+			log: r.log, drift: clockDrift * float64(i-1), origin: boottime.Now(), random: rand.New(rand.NewPCG(seed, 5)),
 			appends: noFault, reads: noFault, changed: make(chan struct{}),
 		}
 		machines.Go(func() {
-			own := rand.New(rand.NewPCG(seed, 6))
+			machineRandom := rand.New(rand.NewPCG(seed, 6))
 			number := 1
-			stop := h.process(machine, node, number, seed)
+			stop := r.startProcess(machine, node, number, seed)
 			for time.Now().Before(end) {
-				time.Sleep(time.Duration(50+own.IntN(500)) * time.Millisecond)
-				switch own.IntN(14) {
+				time.Sleep(time.Duration(50+machineRandom.IntN(500)) * time.Millisecond)
+				switch machineRandom.IntN(14) {
 				case 0: // restart after a kill or a planned stop
-					stop(own.IntN(2) == 0)
+					stop(machineRandom.IntN(2) == 0)
 					number++
-					stop = h.process(machine, node, number, seed)
+					stop = r.startProcess(machine, node, number, seed)
 				case 1, 2: // freeze
 					machine.frozen.Lock()
-					time.Sleep(time.Duration(own.IntN(1500)) * time.Millisecond)
+					time.Sleep(time.Duration(machineRandom.IntN(1500)) * time.Millisecond)
 					machine.frozen.Unlock()
 				case 3, 4, 5, 6:
 					machine.setFaults(noFault, noFault)
 				case 7:
 					if trims {
 						name := eventlog.Partition{Topic: topic}
-						h.log.Trim(name, h.log.End(name)-int64(own.IntN(3)))
+						r.log.Trim(name, r.log.End(name)-int64(machineRandom.IntN(3)))
 					}
 				default:
-					machine.setFaults(appends[own.IntN(len(appends))], reads[own.IntN(len(reads))])
+					machine.setFaults(appends[machineRandom.IntN(len(appends))], reads[machineRandom.IntN(len(reads))])
 				}
 			}
 			machine.setFaults(noFault, noFault)
@@ -364,33 +368,33 @@
 		})
 	}
 	machines.Wait()
-	h.wait.Wait()
+	r.wait.Wait()
 }
 
-// TestRandomFaults checks that leases do not overlap, that each token has one holder, that tokens do not decrease, and
-// that orders of two machines are separated by the quiet period. Machines freeze, restart and have skewed clocks; the log
-// rejects, loses, delays and trims records.
+// TestRandomFaults checks that leases do not overlap, that each epoch has one holder, that an engine receives no order of
+// an earlier epoch after one of a later epoch, and that orders of two machines are separated by the quiet period. Machines
+// freeze, restart and have drifting clocks; the log rejects, loses, delays and trims records.
 func TestRandomFaults(t *testing.T) {
-	lasting := time.Duration(*faultSeconds) * time.Second
+	duration := time.Duration(*faultSeconds) * time.Second
 	for seed := *firstSeed; seed < *firstSeed+uint64(*faultSeeds); seed++ {
-		for _, c := range []struct {
+		for _, test := range []struct {
 			name       string
 			ttl, quiet time.Duration
-			rates      float64
+			clockDrift float64
 			trims      bool
 		}{
 			{"lease 0.5s", 500 * time.Millisecond, 300 * time.Millisecond, 0, true},
-			{"rates", 500 * time.Millisecond, 300 * time.Millisecond, 0.02, true},
+			{"clock drift", 500 * time.Millisecond, 300 * time.Millisecond, 0.02, true},
 			{"quiet 0", 500 * time.Millisecond, 0, 0, true},
 			{"no trims", 800 * time.Millisecond, 600 * time.Millisecond, 0, false},
 		} {
-			t.Run(fmt.Sprintf("%s/%d", c.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
 				t.Parallel()
-				h := &faultRun{t: t, ttl: c.ttl, quiet: c.quiet}
-				h.run(seed, lasting, c.rates, c.trims)
-				tolerance := time.Duration(2*c.rates*float64(c.quiet+arrivalTime)) + time.Millisecond
-				shortest := h.check(tolerance)
-				t.Logf("%d orders, %d terms with a lease, shortest time between orders of two machines %s", len(h.arrivals), len(h.valid), shortest)
+				r := &faultRun{t: t, ttl: test.ttl, quiet: test.quiet}
+				r.run(seed, duration, test.clockDrift, test.trims)
+				tolerance := time.Duration(2*test.clockDrift*float64(test.quiet+arrivalTime)) + time.Millisecond
+				shortest := r.check(tolerance)
+				t.Logf("%d orders, %d terms with a lease, shortest time between orders of two machines %s", len(r.arrivals), len(r.valid), shortest)
 			})
 		}
 	}
--- a/internal/leadership/renew.go
+++ b/internal/leadership/renew.go
@@ -103,7 +103,7 @@
 	e.extendLocked(epoch, sent)
 }
 
-// extendLocked is extend. Must be called with mu held.
+// extendLocked implements extend. Must be called with mu held.
 func (e *Elector) extendLocked(epoch int64, sent time.Time) {
 	if !e.holdsLocked(epoch) || e.stopping {
 		return
--- a/internal/leadership/tail.go
+++ b/internal/leadership/tail.go
@@ -28,9 +28,9 @@
 // read reads and applies the records from the next offset on, with a long poll. It may be called concurrently.
 func (e *Elector) read(ctx context.Context, wait time.Duration) error {
 	batch, err := e.log.Read(ctx, e.partition, e.next(), maxReadBytes, wait)
-	var gone *eventlog.TrimmedError
-	if errors.As(err, &gone) {
-		e.skipTo(gone.First)
+	var trimmed *eventlog.TrimmedError
+	if errors.As(err, &trimmed) {
+		e.skipTo(trimmed.First)
 		return nil
 	}
 	if err != nil {
@@ -65,14 +65,14 @@
 func (e *Elector) apply(batch eventlog.Batch) {
 	now := e.now()
 	e.mu.Lock()
-	known := min(max(0, e.state.Next-batch.First), int64(len(batch.Records)))
-	for _, raw := range batch.Records[known:] {
+	applied := min(max(0, e.state.Next-batch.First), int64(len(batch.Records)))
+	for _, raw := range batch.Records[applied:] {
 		var record lease.Record
 		if err := msgpack.Unmarshal(raw, &record); err != nil {
 			e.state.Skip(now)
 			continue
 		}
-		e.logUnknown(record.Kind)
+		e.logUnknownKind(record.Kind)
 		if e.state.IsStale(record) {
 			e.reportSuperseded(record)
 		}
@@ -93,9 +93,9 @@
 	}
 }
 
-// logUnknown logs a record kind that only a newer version knows, once for each kind. Such a record confirms its epoch
+// logUnknownKind logs a record kind that only a newer version knows, once for each kind. Such a record confirms its epoch
 // and has no other effect. Must be called with mu held.
-func (e *Elector) logUnknown(kind lease.RecordKind) {
+func (e *Elector) logUnknownKind(kind lease.RecordKind) {
 	if !kind.IsKnown() && e.unknownKinds.First(strconv.Itoa(int(kind))) {
 		e.options.Logger.Warn().Uint8("kind", uint8(kind)).Str("topic", e.partition.Topic).Int64("offset", e.state.Next).
 			Msg("records of unknown kind skipped")
--- a/internal/leadership/trim_test.go
+++ b/internal/leadership/trim_test.go
@@ -23,7 +23,7 @@
 	for first.elector.Valid(epoch) {
 		holder, newest := second.elector.Leader()
 		held := holder == "b1" && second.elector.Valid(newest)
-		assert.Assert(t, !held || !first.elector.Valid(epoch), "b holds the lease with %d beside a with %d", newest, epoch)
+		assert.Assert(t, !held || !first.elector.Valid(epoch), "b holds the lease with epoch %d while a holds it with epoch %d", newest, epoch)
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -46,16 +46,16 @@
 // before it is answered.
 func TestNodeThatMissedTrimmedRenewalsDoesNotClaim(t *testing.T) {
 	log := memlog.New()
-	leaders, others := newFaultyLog(log), newFaultyLog(log)
-	first := join(t, leaders, "a", "a1")
+	firstLog, secondLog := newFaultyLog(log), newFaultyLog(log)
+	first := join(t, firstLog, "a", "a1")
 	testwait.Until(t, "a leads", first.leads)
 	epoch := first.lastTerm().Epoch
-	second := join(t, others, "b", "b1")
+	second := join(t, secondLog, "b", "b1")
 	second.awaitHolder(t, "a1")
 	released := make(chan struct{})
-	others.faults(nil, readsHangUntil(released))
+	secondLog.setFaults(nil, readsHangUntil(released))
 	time.Sleep(testTTL + testTTL/2) // while b's read hangs
-	leaders.refuse(true)
+	firstLog.refuse(true)
 	trimAll(log)
 	close(released)
 	assertNoOverlap(t, first, second, epoch)
--- a/internal/leadership/unknownkind_test.go
+++ b/internal/leadership/unknownkind_test.go
@@ -34,8 +34,8 @@
 	return strings.Count(l.text.String(), message)
 }
 
-// TestUnknownRecordKindIsIgnored guards against a newer version's record that ends the lease, and against one warning
-// for each such record.
+// TestUnknownRecordKindIsIgnored guards against a newer version's record ending the lease, and against a warning for
+// each such record.
 func TestUnknownRecordKindIsIgnored(t *testing.T) {
 	log := memlog.New()
 	leader := join(t, log, "a", "a1")
--- a/internal/leadership/write.go
+++ b/internal/leadership/write.go
@@ -36,8 +36,8 @@
 	sent   time.Time
 }
 
-// maxPending is the number of pending records from which on expired ones are dropped.
-const maxPending = 32
+// pendingPruneThreshold is the number of pending records at which expired ones are dropped.
+const pendingPruneThreshold = 32
 
 // write appends a record of the epoch that this node holds, on the condition that the log ends at the offset up to
 // which this node has read. An acknowledgement therefore proves that the epoch is in force at the record's offset;
@@ -52,7 +52,7 @@
 	return e.writeWithSlot(ctx, epoch, kind, engines)
 }
 
-// writeWithSlot is write. Must be called with the write slot held: concurrent appends would conflict.
+// writeWithSlot implements write. Must be called with the write slot held, since concurrent appends would conflict.
 func (e *Elector) writeWithSlot(
 	ctx context.Context, epoch int64, kind lease.RecordKind, engines []string,
 ) (receipt, error) {
@@ -86,7 +86,8 @@
 	}
 	pending := e.trackLocked(&record)
 	if !e.termStart.IsZero() {
-		// Both times come from one clock reading, so that Held does not reach into the time of an open permit.
+		// Held ends at the clock reading from which the permit of this record is counted, since the machine may be
+		// suspended between two readings.
 		record.Held = pending.sent.Sub(e.termStart)
 	}
 	return draft{record: record, at: max(e.state.Next, e.knownEnd), pending: pending}, nil
@@ -95,7 +96,7 @@
 // trackLocked assigns a record its sequence number and adds it to the pending ones. Must be called with mu held.
 func (e *Elector) trackLocked(record *lease.Record) *pendingRecord {
 	now := e.now()
-	if len(e.pending) >= maxPending {
+	if len(e.pending) >= pendingPruneThreshold {
 		e.dropExpired(now)
 	}
 	e.sequence++
