--- a/internal/duties/arrival_test.go
+++ b/internal/duties/arrival_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	leaseTime = 600 * time.Millisecond
-	quietTime = 600 * time.Millisecond
+	leaseTTL    = 600 * time.Millisecond
+	quietPeriod = 600 * time.Millisecond
 )
 
 // latePlatform sends a call at the end of its permit and delays its arrival as long as possible.
@@ -67,9 +67,9 @@
 	t.Helper()
 	term = &latestTerm{}
 	elector := leadership.New(log, leadership.Options{
-		Holder: node + "1", Node: node, TTL: leaseTime, Quiet: quietTime, Logger: zerolog.Nop(),
+		Holder: node + "1", Node: node, TTL: leaseTTL, Quiet: quietPeriod, Logger: zerolog.Nop(),
 	}, term.lead)
-	return term, start(t, func(ctx context.Context) { _ = elector.Run(ctx) })
+	return term, runInBackground(t, func(ctx context.Context) { _ = elector.Run(ctx) })
 }
 
 // TestQuietPeriodCoversLatestArrivalOfCall guards against a quiet period that ends before a delayed call has arrived.
@@ -87,5 +87,5 @@
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	testwait.Until(t, "b leads", second.leads)
 	gap := second.term().QuietUntil(usageSubject).Sub(platform.arrived)
-	assert.Assert(t, gap >= quietTime, "b may call %s after the call of a arrives, quiet is %s", gap, quietTime)
+	assert.Assert(t, gap >= quietPeriod, "b may call %s after the call of a arrives, want at least the quiet period of %s", gap, quietPeriod)
 }
--- a/internal/duties/counter.go
+++ b/internal/duties/counter.go
@@ -17,7 +17,7 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// The log partitions of counts and reports.
+// The log partitions of usage counts and usage reports.
 var (
 	countPartition  = eventlog.Partition{Topic: "corkpulley.usage"}
 	reportPartition = eventlog.Partition{Topic: "corkpulley.usagereports"}
@@ -103,9 +103,9 @@
 		}
 		delays.Reset()
 	}
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalWriteTimeout)
+	finalContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalWriteTimeout)
 	defer cancel()
-	if err := c.write(last); err != nil {
+	if err := c.write(finalContext); err != nil {
 		c.logger.Warn().Err(err).Int("windows", c.unwrittenWindows()).Msg("counts of use not written")
 	}
 	return nil
@@ -125,7 +125,7 @@
 	}
 	if _, err := c.log.Append(ctx, countPartition, records); err != nil {
 		c.markUnwritten(windows)
-		return errors.Wrap(err, "append counts")
+		return errors.Wrap(err, "append usage counts")
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 	for _, window := range windows {
 		raw, err := msgpack.Marshal(&usage.CountRecord{Source: c.source, Window: window, Counts: c.counts[window]})
 		if err != nil {
-			return nil, nil, errors.Wrap(err, "encode counts")
+			return nil, nil, errors.Wrap(err, "encode usage counts")
 		}
 		records = append(records, raw)
 	}
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -82,7 +82,7 @@
 	}
 	holder := c.holder
 	holder.MaySend = permit.Open
-	calling, cancel := permit.WithDeadline(ctx)
+	callContext, cancel := permit.WithDeadline(ctx)
 	defer cancel()
-	return call(calling, holder)
+	return call(callContext, holder)
 }
--- a/internal/duties/fakes_test.go
+++ b/internal/duties/fakes_test.go
@@ -45,8 +45,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
-	answer, effect := p.accept(usageSubject, holder)
-	if effect {
+	answer, takesEffect := p.accept(usageSubject, holder)
+	if takesEffect {
 		if known, found := p.reports[window]; found && !maps.Equal(known, counts) {
 			p.changed++
 		}
@@ -58,8 +58,8 @@
 func (p *fakePlatform) OrderEngines(_ context.Context, holder Holder, order EngineOrder) (Answer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	answer, effect := p.accept(order.Service+"/"+order.Zone, holder)
-	if effect {
+	answer, takesEffect := p.accept(order.Service+"/"+order.Zone, holder)
+	if takesEffect {
 		p.orders = append(p.orders, order)
 	}
 	return answer, nil
--- a/internal/duties/reporter.go
+++ b/internal/duties/reporter.go
@@ -26,8 +26,8 @@
 	// maxReportAge is the age above which a window is skipped, since the log no longer holds its counts.
 	maxReportAge   = 4 * time.Minute
 	reportInterval = 150 * time.Millisecond
-	// conflictDelay is the pause after a conflict, which the holder of a valid lease does not get. After
-	// maxConflicts no more reports are sent in the term.
+	// conflictDelay is the pause after a conflict, which means that a later leader has called the platform. After
+	// maxConflicts, no more reports are sent in the term.
 	conflictDelay = 5 * time.Second
 	maxConflicts  = 2
 	maxReadBytes  = 512 << 10
@@ -67,11 +67,11 @@
 
 // Run reports windows in order as they become due, until ctx ends or after too many conflicts.
 func (r *Reporter) Run(ctx context.Context) {
-	began := usage.WindowOf(time.Now(), r.options.Span)
+	startWindow := usage.WindowOf(time.Now(), r.options.Span)
 	for ctx.Err() == nil && r.conflicts < maxConflicts {
-		if err := r.step(ctx, began); err != nil && ctx.Err() == nil {
+		if err := r.step(ctx, startWindow); err != nil && ctx.Err() == nil {
 			r.failedAt = time.Now()
-			r.options.Logger.Warn().Err(err).Int64("window", int64(r.ledger.Next(began))).Msg("use not reported yet")
+			r.options.Logger.Warn().Err(err).Int64("window", int64(r.ledger.Next(startWindow))).Msg("use not reported yet")
 		}
 		retry.Sleep(ctx, reportInterval)
 	}
@@ -79,7 +79,7 @@
 
 // step sends the latest decided report unless it was sent already. Otherwise, it decides the report of the next window
 // if that is due.
-func (r *Reporter) step(ctx context.Context, began usage.Window) error {
+func (r *Reporter) step(ctx context.Context, startWindow usage.Window) error {
 	if r.ledger.NextReport == 0 {
 		// The reports that earlier leaders decided must be known first.
 		if err := r.readReports(ctx); err != nil {
@@ -89,7 +89,7 @@
 	if newest, found := r.ledger.Newest(); found && newest.Window > r.lastReported {
 		return r.send(ctx, newest)
 	}
-	next := r.ledger.Next(began)
+	next := r.ledger.Next(startWindow)
 	ready := next.End(r.options.Span).Add(time.Duration(countWaitFraction * float64(r.options.ReportDelay)))
 	if now := time.Now(); now.Before(ready) || now.Sub(r.failedAt) < logRecoveryDelay || !r.options.Term.Valid() {
 		return nil
@@ -97,7 +97,7 @@
 	if err := r.readCounts(ctx); err != nil {
 		return err
 	}
-	return r.decide(ctx, max(r.ledger.Next(began), r.oldestWindow()))
+	return r.decide(ctx, max(r.ledger.Next(startWindow), r.oldestWindow()))
 }
 
 // oldestWindow returns the first window that is not too old to be reported.
@@ -109,12 +109,12 @@
 func (r *Reporter) decide(ctx context.Context, window usage.Window) error {
 	raw, err := msgpack.Marshal(r.ledger.Report(window))
 	if err != nil {
-		return errors.Wrap(err, "encode the report")
+		return errors.Wrap(err, "encode the usage report")
 	}
 	_, err = r.options.Log.AppendAt(ctx, reportPartition, r.ledger.NextReport, [][]byte{raw})
 	var conflict *eventlog.ConflictError
 	if err != nil && !errors.As(err, &conflict) {
-		return errors.Wrap(err, "append the report")
+		return errors.Wrap(err, "append the usage report")
 	}
 	return r.readReports(ctx)
 }
@@ -143,17 +143,17 @@
 }
 
 func (r *Reporter) readReports(ctx context.Context) error {
-	lost := func(first int64) {
+	onTrim := func(first int64) {
 		unreported := usage.WindowOf(time.Now(), r.options.Span)
 		r.options.Logger.Warn().Int64("offset", r.ledger.NextReport).Int64("first_kept", first).
 			Int64("window", int64(unreported)).Msg("usage reports were trimmed before they were read")
 		r.ledger.LoseReports(first, unreported)
 	}
-	return readToEnd(ctx, r.options.Log, reportPartition, &r.ledger.NextReport, lost, func(raw []byte) error {
+	return readToEnd(ctx, r.options.Log, reportPartition, &r.ledger.NextReport, onTrim, func(raw []byte) error {
 		var record usage.ReportRecord
 		if err := msgpack.Unmarshal(raw, &record); err != nil {
 			r.ledger.NextReport++
-			return errors.Wrap(err, "decode a report")
+			return errors.Wrap(err, "decode a usage report")
 		}
 		r.ledger.ApplyReport(record)
 		return nil
@@ -161,12 +161,12 @@
 }
 
 func (r *Reporter) readCounts(ctx context.Context) error {
-	lost := func(first int64) { r.ledger.NextCount = max(r.ledger.NextCount+1, first) }
-	return readToEnd(ctx, r.options.Log, countPartition, &r.ledger.NextCount, lost, func(raw []byte) error {
+	onTrim := func(first int64) { r.ledger.NextCount = max(r.ledger.NextCount+1, first) }
+	return readToEnd(ctx, r.options.Log, countPartition, &r.ledger.NextCount, onTrim, func(raw []byte) error {
 		var record usage.CountRecord
 		if err := msgpack.Unmarshal(raw, &record); err != nil {
 			r.ledger.NextCount++
-			return errors.Wrap(err, "decode counts")
+			return errors.Wrap(err, "decode usage counts")
 		}
 		if late := r.ledger.ApplyCount(record); late > 0 {
 			r.options.Logger.Warn().Int64("window", int64(record.Window)).Str("source", record.Source).
@@ -176,17 +176,17 @@
 	})
 }
 
-// readToEnd reads a partition from next to its end. handle must advance next by one for each record. lost is called
+// readToEnd reads a partition from next to its end. handle must advance next by one for each record. onTrim is called
 // when records were trimmed and must set next to the first offset that the log still holds.
 func readToEnd(
 	ctx context.Context, log eventlog.Log, partition eventlog.Partition, next *int64,
-	lost func(first int64), handle func(raw []byte) error,
+	onTrim func(first int64), handle func(raw []byte) error,
 ) error {
 	for {
 		batch, err := log.Read(ctx, partition, *next, maxReadBytes, 0)
-		var gone *eventlog.TrimmedError
-		if errors.As(err, &gone) {
-			lost(gone.First)
+		var trimmed *eventlog.TrimmedError
+		if errors.As(err, &trimmed) {
+			onTrim(trimmed.First)
 			continue
 		}
 		if err != nil {
--- a/internal/duties/reporter_test.go
+++ b/internal/duties/reporter_test.go
@@ -17,14 +17,13 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// span and due are the Span and ReportDelay of the reporters.
 const (
-	span = 400 * time.Millisecond
-	due  = 800 * time.Millisecond
+	span        = 400 * time.Millisecond
+	reportDelay = 800 * time.Millisecond
 )
 
-// start runs a function until the test ends or stop is called.
-func start(t *testing.T, run func(ctx context.Context)) (stop func()) {
+// runInBackground runs a function until the test ends or stop is called.
+func runInBackground(t *testing.T, run func(ctx context.Context)) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -43,16 +42,16 @@
 func startCounter(t *testing.T, log *memlog.Log, source string) (counter *Counter, stop func()) {
 	t.Helper()
 	counter = NewCounter(log, source, span, pacing.Budget{}, zerolog.Nop())
-	return counter, start(t, func(ctx context.Context) { _ = counter.Run(ctx) })
+	return counter, runInBackground(t, func(ctx context.Context) { _ = counter.Run(ctx) })
 }
 
 func startReporter(t *testing.T, log *memlog.Log, platform Platform, term *fakelease.Term, fence int64) (stop func()) {
 	t.Helper()
 	reporter := NewReporter(ReporterOptions{
 		Log: log, Platform: platform, Term: term, Holder: Holder{Node: "n", Fence: fence},
-		Span: span, ReportDelay: due, Logger: zerolog.Nop(),
+		Span: span, ReportDelay: reportDelay, Logger: zerolog.Nop(),
 	})
-	return start(t, reporter.Run)
+	return runInBackground(t, reporter.Run)
 }
 
 func awaitReport(t *testing.T, platform *fakePlatform, window usage.Window) usage.Counts {
@@ -142,7 +141,7 @@
 			})
 			counter, _ := startCounter(t, log, "one")
 			// The report of this window is decided after the faults have ended.
-			now := time.Now().Add(due)
+			now := time.Now().Add(reportDelay)
 			counter.CountRequest("a", now)
 			startReporter(t, log, platform, &fakelease.Term{}, 1)
 			time.Sleep(2 * countDelay)
@@ -192,10 +191,10 @@
 	log, platform := memlog.New(), newFakePlatform()
 	counter, _ := startCounter(t, log, "one")
 	stopped := make(chan struct{})
-	start(t, func(ctx context.Context) {
+	runInBackground(t, func(ctx context.Context) {
 		defer close(stopped)
 		for ctx.Err() == nil {
-			counter.CountRequest("a", time.Now().Add(-due))
+			counter.CountRequest("a", time.Now().Add(-reportDelay))
 			time.Sleep(time.Millisecond)
 		}
 	})
@@ -244,7 +243,7 @@
 func TestReporterWaitsForQuietPeriod(t *testing.T) {
 	t.Parallel()
 	log, platform := memlog.New(), newFakePlatform()
-	quietUntil := time.Now().Add(3 * due)
+	quietUntil := time.Now().Add(3 * reportDelay)
 	term := &fakelease.Term{QuietUntilFunc: func(string) time.Time { return quietUntil }}
 	now := time.Now()
 	startReporter(t, log, platform, term, 2)
--- a/internal/duties/scaler.go
+++ b/internal/duties/scaler.go
@@ -48,14 +48,14 @@
 	options  ScalerOptions
 	caller   caller
 	planners map[string]*scaling.Planner
-	orders   map[subject]*lastOrder
+	orders   map[scaleSubject]*lastOrder
 }
 
-// subject is a service in a zone.
-type subject struct{ service, zone string }
+// scaleSubject is the subject of the orders for a service in a zone.
+type scaleSubject struct{ service, zone string }
 
 // String returns the subject as named in permits.
-func (s subject) String() string { return "scale/" + s.service + "/" + s.zone }
+func (s scaleSubject) String() string { return "scale/" + s.service + "/" + s.zone }
 
 // lastOrder is the latest order for a subject in this term.
 type lastOrder struct {
@@ -68,7 +68,7 @@
 func NewScaler(options ScalerOptions) *Scaler {
 	return &Scaler{
 		options: options, caller: caller{term: options.Term, holder: options.Holder},
-		planners: make(map[string]*scaling.Planner), orders: make(map[subject]*lastOrder),
+		planners: make(map[string]*scaling.Planner), orders: make(map[scaleSubject]*lastOrder),
 	}
 }
 
@@ -98,8 +98,8 @@
 
 // order sends the order for one zone if it is due.
 func (s *Scaler) order(ctx context.Context, service ScaledService, zone string, count int) {
-	about := subject{service.Name, zone}
-	last, ordered := s.orders[about]
+	subject := scaleSubject{service.Name, zone}
+	last, ordered := s.orders[subject]
 	present := service.Engines[zone]
 	if !ordered && present == count {
 		return
@@ -108,7 +108,7 @@
 		return
 	}
 	order := EngineOrder{Service: service.Name, Zone: zone, Count: count}
-	answer, err := s.caller.call(ctx, about.String(), func(ctx context.Context, holder Holder) (Answer, error) {
+	answer, err := s.caller.call(ctx, subject.String(), func(ctx context.Context, holder Holder) (Answer, error) {
 		return s.options.Platform.OrderEngines(ctx, holder, order)
 	})
 	if answer == NotDone && err == nil {
@@ -122,5 +122,5 @@
 	if answer == Done || answer == Unanswered {
 		pause = service.BootTime + listingGracePeriod
 	}
-	s.orders[about] = &lastOrder{count: count, repeatAt: time.Now().Add(pause)}
+	s.orders[subject] = &lastOrder{count: count, repeatAt: time.Now().Add(pause)}
 }
--- a/internal/duties/scaler_test.go
+++ b/internal/duties/scaler_test.go
@@ -19,7 +19,7 @@
 	scaler := NewScaler(ScalerOptions{
 		Platform: platform, Term: term, Holder: Holder{Node: "n", Fence: 1}, Services: services, Logger: zerolog.Nop(),
 	})
-	start(t, scaler.Run)
+	runInBackground(t, scaler.Run)
 }
 
 func service(items int, engines map[string]int) ScaledService {
@@ -30,9 +30,9 @@
 }
 
 // awaitEvaluation waits until the scaler has completed its first evaluation, which is when the second begins.
-func awaitEvaluation(t *testing.T, begun *atomic.Int64) {
+func awaitEvaluation(t *testing.T, evaluations *atomic.Int64) {
 	t.Helper()
-	testwait.Until(t, "a completed evaluation", func() bool { return begun.Load() >= 2 })
+	testwait.Until(t, "a completed evaluation", func() bool { return evaluations.Load() >= 2 })
 }
 
 func (p *fakePlatform) ordered() []EngineOrder {
@@ -66,17 +66,17 @@
 func TestScalerReplacesReclaimedEngines(t *testing.T) {
 	t.Parallel()
 	platform := newFakePlatform()
-	var taken atomic.Bool
-	var begun atomic.Int64
+	var reclaimed atomic.Bool
+	var evaluations atomic.Int64
 	startScaler(t, platform, &fakelease.Term{}, func() []ScaledService {
-		begun.Add(1)
-		if taken.Load() {
+		evaluations.Add(1)
+		if reclaimed.Load() {
 			return []ScaledService{service(0, map[string]int{"a": 2})}
 		}
 		return []ScaledService{service(0, map[string]int{"a": 2, "b": 3})}
 	})
-	awaitEvaluation(t, &begun)
-	taken.Store(true)
+	awaitEvaluation(t, &evaluations)
+	reclaimed.Store(true)
 	testwait.Until(t, "an order", func() bool { return len(platform.ordered()) == 1 })
 	assert.DeepEqual(t, platform.ordered()[0], EngineOrder{Service: "s", Zone: "b", Count: 3})
 }
@@ -85,13 +85,13 @@
 func TestScalerRetriesAfterConflict(t *testing.T) {
 	t.Parallel()
 	platform := newFakePlatform()
-	var refused atomic.Int64
-	platform.answer = func() (Answer, bool) { return Conflict, refused.Add(1) <= 2 }
+	var calls atomic.Int64
+	platform.answer = func() (Answer, bool) { return Conflict, calls.Add(1) <= 2 }
 	began := time.Now()
 	startScaler(t, platform, &fakelease.Term{}, func() []ScaledService { return []ScaledService{service(30, map[string]int{"a": 2, "b": 2})} })
 	testwait.Until(t, "an order", func() bool { return len(platform.ordered()) == 1 })
 	assert.Assert(t, time.Since(began) >= 2*capacityRetryDelay)
-	assert.Equal(t, refused.Load(), int64(3))
+	assert.Equal(t, calls.Load(), int64(3))
 }
 
 func TestScalerSendsNoOrderAfterTerm(t *testing.T) {
@@ -109,19 +109,19 @@
 func TestScalerOrdersNoEnginesInEvacuatedZone(t *testing.T) {
 	t.Parallel()
 	platform := newFakePlatform()
-	var lost atomic.Bool
-	var begun atomic.Int64
+	var zoneEvacuated atomic.Bool
+	var evaluations atomic.Int64
 	startScaler(t, platform, &fakelease.Term{}, func() []ScaledService {
-		begun.Add(1)
-		if !lost.Load() {
+		evaluations.Add(1)
+		if !zoneEvacuated.Load() {
 			return []ScaledService{service(0, map[string]int{"a": 2, "b": 2})}
 		}
 		evacuated := service(0, map[string]int{"a": 2})
 		evacuated.Bounds.Evacuated = map[string]bool{"b": true}
 		return []ScaledService{evacuated}
 	})
-	awaitEvaluation(t, &begun)
-	lost.Store(true)
+	awaitEvaluation(t, &evaluations)
+	zoneEvacuated.Store(true)
 	testwait.Until(t, "an order", func() bool { return len(platform.ordered()) > 0 })
 	time.Sleep(3 * scaleInterval)
 	assert.DeepEqual(t, platform.ordered(), []EngineOrder{{Service: "s", Zone: "a", Count: 4}})
