--- a/internal/crashes/detector_test.go
+++ b/internal/crashes/detector_test.go
@@ -38,11 +38,11 @@
 }
 
 func newTestDetector(prober Prober, engines ...fleet.Engine) *Detector {
-	known := fleet.New()
+	testFleet := fleet.New()
 	for _, engine := range engines {
-		known.Put(engine)
+		testFleet.Put(engine)
 	}
-	return NewDetector(Options{Prober: prober, Fleet: known, Logger: zerolog.Nop(), Observe: func(string, string) {}})
+	return NewDetector(Options{Prober: prober, Fleet: testFleet, Logger: zerolog.Nop(), Observe: func(string, string) {}})
 }
 
 func TestOnlyRefusedConnectionsCountAsCrash(t *testing.T) {
@@ -54,11 +54,11 @@
 }
 
 func TestDrainingEngineHasNotCrashed(t *testing.T) {
-	leaving := engineAt("e", "a:1")
-	leaving.Draining = true
-	assert.Assert(t, !newTestDetector(&fakeProber{answer: Ended}, leaving).ConnectionLost(t.Context(), LostConnection{Engine: leaving}))
+	draining := engineAt("e", "a:1")
+	draining.Draining = true
+	assert.Assert(t, !newTestDetector(&fakeProber{answer: Ended}, draining).ConnectionLost(t.Context(), LostConnection{Engine: draining}))
 	// The engine is no longer listed.
-	assert.Assert(t, !newTestDetector(&fakeProber{answer: Ended}).ConnectionLost(t.Context(), LostConnection{Engine: leaving}))
+	assert.Assert(t, !newTestDetector(&fakeProber{answer: Ended}).ConnectionLost(t.Context(), LostConnection{Engine: draining}))
 }
 
 // TestReplacedEngineHasCrashed: a node that was suspended notices the lost connection when another engine has the
@@ -92,16 +92,16 @@
 	})
 }
 
-// incarnationOf returns an engine with the given start time.
-func incarnationOf(id, address string, born int64) fleet.Engine {
+// engineStartedAt returns an engine with the given start time.
+func engineStartedAt(id, address string, startMillis int64) fleet.Engine {
 	engine := engineAt(id, address)
-	engine.StartMillis = born
+	engine.StartMillis = startMillis
 	return engine
 }
 
 // TestRestartedEngineHasCrashed: the next incarnation listens at the address before the probe.
 func TestRestartedEngineHasCrashed(t *testing.T) {
-	first, second := incarnationOf("e", "a:1", 1000), incarnationOf("e", "a:1", 2000)
+	first, second := engineStartedAt("e", "a:1", 1000), engineStartedAt("e", "a:1", 2000)
 	prober := &fakeProber{answer: Listening}
 	detector := newTestDetector(prober, first, second)
 	assert.Assert(t, detector.ConnectionLost(t.Context(), LostConnection{Engine: first}))
@@ -111,16 +111,16 @@
 
 // TestDrainedAndRestartedEngineHasNotCrashed: the end of a draining engine is planned.
 func TestDrainedAndRestartedEngineHasNotCrashed(t *testing.T) {
-	first := incarnationOf("e", "a:1", 1000)
-	leaving := first
-	leaving.Draining = true
-	detector := newTestDetector(&fakeProber{answer: Ended}, first, leaving, incarnationOf("e", "a:1", 2000))
+	first := engineStartedAt("e", "a:1", 1000)
+	draining := first
+	draining.Draining = true
+	detector := newTestDetector(&fakeProber{answer: Ended}, first, draining, engineStartedAt("e", "a:1", 2000))
 	assert.Assert(t, !detector.ConnectionLost(t.Context(), LostConnection{Engine: first}))
 }
 
 // TestEngineWithReassignedAddressHasCrashed: an engine of another service is listed at the address.
 func TestEngineWithReassignedAddressHasCrashed(t *testing.T) {
-	first, next := incarnationOf("e", "a:1", 1000), incarnationOf("f", "a:1", 2000)
+	first, next := engineStartedAt("e", "a:1", 1000), engineStartedAt("f", "a:1", 2000)
 	next.Service = "other"
 	detector := newTestDetector(&fakeProber{answer: Listening}, first, next)
 	assert.Assert(t, detector.ConnectionLost(t.Context(), LostConnection{Engine: first}))
@@ -130,15 +130,15 @@
 // previous one.
 func TestIncarnationsAreProbedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second := incarnationOf("e", "a:1", 1000), incarnationOf("e", "a:1", 2000)
-		known := fleet.New()
-		known.Put(first)
+		first, second := engineStartedAt("e", "a:1", 1000), engineStartedAt("e", "a:1", 2000)
+		testFleet := fleet.New()
+		testFleet.Put(first)
 		prober := &fakeProber{answer: Ended, hold: make(chan struct{})}
-		detector := NewDetector(Options{Prober: prober, Fleet: known, Logger: zerolog.Nop(), Observe: func(string, string) {}})
+		detector := NewDetector(Options{Prober: prober, Fleet: testFleet, Logger: zerolog.Nop(), Observe: func(string, string) {}})
 		var group sync.WaitGroup
 		group.Go(func() { detector.ConnectionLost(t.Context(), LostConnection{Engine: first}) })
 		synctest.Wait()
-		known.Put(second)
+		testFleet.Put(second)
 		group.Go(func() { detector.ConnectionLost(t.Context(), LostConnection{Engine: second}) })
 		synctest.Wait()
 		assert.Equal(t, prober.probes.Load(), int64(2))
--- a/internal/crashes/guard.go
+++ b/internal/crashes/guard.go
@@ -18,10 +18,10 @@
 // Guard quarantines requests during which engines crashed. Nodes write the crashes that they observe to the log, which
 // all nodes follow; while the log is unavailable, they send them to each other. It is safe for concurrent use.
 type Guard struct {
-	watch   *Detector
-	writer  *writer
-	observe func(requests int)
-	logger  zerolog.Logger
+	detector *Detector
+	writer   *writer
+	observe  func(requests int)
+	logger   zerolog.Logger
 
 	// requestCount is the number of requests in the ledger. While it is zero, no fingerprints are computed.
 	requestCount atomic.Int64
@@ -54,9 +54,9 @@
 // NewGuard returns a guard; Run starts it.
 func NewGuard(options GuardOptions) *Guard {
 	return &Guard{
-		watch:   options.Watch,
-		writer:  newWriter(options.Log, options.Topic, options.Unwritten, options.Logger),
-		observe: options.Observe, logger: options.Logger, ledger: quarantine.NewLedger(), changed: make(chan struct{}),
+		detector: options.Watch,
+		writer:   newWriter(options.Log, options.Topic, options.Unwritten, options.Logger),
+		observe:  options.Observe, logger: options.Logger, ledger: quarantine.NewLedger(), changed: make(chan struct{}),
 		claiming: make(map[quarantine.Fingerprint]bool), peerRecords: make(map[string]peerRecord),
 		tombstones: make(map[string]tombstone),
 	}
@@ -66,7 +66,7 @@
 func (g *Guard) Run(ctx context.Context) error {
 	var group sync.WaitGroup
 	group.Go(func() { g.writer.run(ctx) })
-	ticker := time.NewTicker(adoptInterval)
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -93,7 +93,7 @@
 	switch {
 	case from.Deleted:
 		g.ledger.Drop(record.Fingerprint, record.Name())
-		g.clear(from.Key, false)
+		g.addTombstone(from.Key, false)
 	case g.isDeleted(from.Key):
 		g.deleteAgain(from)
 	default:
@@ -127,7 +127,7 @@
 
 // ConnectionLost reports whether the engine crashed during the request, and records the crash.
 func (g *Guard) ConnectionLost(ctx context.Context, loss LostConnection) bool {
-	if !g.watch.ConnectionLost(ctx, loss) {
+	if !g.detector.ConnectionLost(ctx, loss) {
 		return false
 	}
 	record := quarantine.Record{
@@ -135,12 +135,12 @@
 		At: time.Now(), Offset: quarantine.Unlogged,
 	}
 	g.mu.Lock()
-	cleared := g.isDeleted(keyOf(record))
-	if !cleared {
+	deleted := g.isDeleted(keyOf(record))
+	if !deleted {
 		g.put(record, "self")
 	}
 	g.mu.Unlock()
-	if !cleared {
+	if !deleted {
 		g.write(record)
 	}
 	return true
@@ -161,19 +161,19 @@
 	if g.requestCount.Load() == 0 {
 		return
 	}
-	of := fingerprint()
+	requestFingerprint := fingerprint()
 	g.mu.Lock()
-	records := g.ledger.Records(of)
+	records := g.ledger.Records(requestFingerprint)
 	for _, record := range records {
-		g.ledger.Drop(of, record.Name())
-		g.clear(keyOf(record), true)
+		g.ledger.Drop(requestFingerprint, record.Name())
+		g.addTombstone(keyOf(record), true)
 	}
 	g.updateCount()
 	g.mu.Unlock()
 	if len(records) == 0 {
 		return
 	}
-	g.logger.Info().Stringer("fingerprint", of).Int("records", len(records)).Msg("request cleared by its answer")
+	g.logger.Info().Stringer("fingerprint", requestFingerprint).Int("records", len(records)).Msg("request cleared by its answer")
 	g.writeDeletions(records)
 }
 
@@ -190,10 +190,10 @@
 	if g.requestCount.Load() == 0 {
 		return quarantine.Standing{}
 	}
-	of := fingerprint()
+	requestFingerprint := fingerprint()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ledger.Standing(of, time.Now())
+	return g.ledger.Standing(requestFingerprint, time.Now())
 }
 
 // Admit returns nil if a live request may be sent to an engine, and the reason otherwise. When a quarantine has ended,
@@ -232,7 +232,7 @@
 	expired := g.ledger.Expired(now)
 	for _, record := range expired {
 		g.ledger.Drop(record.Fingerprint, record.Name())
-		g.clear(keyOf(record), true)
+		g.addTombstone(keyOf(record), true)
 	}
 	g.updateCount()
 	g.mu.Unlock()
--- a/internal/crashes/guard_test.go
+++ b/internal/crashes/guard_test.go
@@ -37,7 +37,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		for range nodes {
-			guard, follower := c.node()
+			guard, follower := c.addNode()
 			group.Go(func() { _ = follower.Run(ctx) })
 			group.Go(func() { _ = guard.Run(ctx) })
 		}
@@ -48,8 +48,8 @@
 	})
 }
 
-// node adds a guard and returns it with the follower of its topic.
-func (c *cluster) node() (*Guard, *follow.Follower) {
+// addNode adds a guard and returns it with the follower of its topic.
+func (c *cluster) addNode() (*Guard, *follow.Follower) {
 	guard := NewGuard(GuardOptions{
 		Watch: newTestDetector(&fakeProber{answer: Ended}, engineAt("a", "a:1"), engineAt("b", "b:1"), engineAt("c", "c:1")),
 		Log:   c.log, Topic: topic, Logger: zerolog.Nop(), Observe: func(int) {},
@@ -112,7 +112,7 @@
 		c.observeCrash(0, "a")
 		c.observeCrash(0, "b")
 		c.settle()
-		guard, follower := c.node()
+		guard, follower := c.addNode()
 		ctx, cancel := context.WithCancel(c.t.Context())
 		defer cancel()
 		go func() { _ = follower.Run(ctx) }()
@@ -162,7 +162,7 @@
 			assert.NilError(c.t, err)
 			c.guards[0].applyFromPeer(record)
 		}
-		time.Sleep(adoptDelay + adoptJitter + adoptInterval)
+		time.Sleep(peerWriteDelay + peerWriteJitter + maintenanceInterval)
 		c.log.SetFault(nil)
 		c.settle()
 		c.assertQuarantined(true)
--- a/internal/crashes/incarnation_test.go
+++ b/internal/crashes/incarnation_test.go
@@ -10,10 +10,10 @@
 )
 
 // startIncarnation lists a new incarnation of the engine on all nodes.
-func (c *cluster) startIncarnation(engine string, born int64) fleet.Engine {
-	started := incarnationOf(engine, engine+":1", born)
+func (c *cluster) startIncarnation(engine string, startMillis int64) fleet.Engine {
+	started := engineStartedAt(engine, engine+":1", startMillis)
 	for _, guard := range c.guards {
-		guard.watch.options.Fleet.Put(started)
+		guard.detector.options.Fleet.Put(started)
 	}
 	return started
 }
@@ -67,7 +67,7 @@
 func TestRecordWithoutStartTime(t *testing.T) {
 	record := quarantine.Record{Fingerprint: crashingFingerprint, Engine: engineAt("a", "").Incarnation().String()}
 	assert.Equal(t, keyOf(record), crashingFingerprint.String()+"/engine/a")
-	record.Engine = incarnationOf("a", "", 1000).Incarnation().String()
+	record.Engine = engineStartedAt("a", "", 1000).Incarnation().String()
 	encoded, err := encode(record)
 	assert.NilError(t, err)
 	decoded, err := decode(encoded)
--- a/internal/crashes/adopt.go
+++ b/internal/crashes/peerrecords.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// A record received from a peer that is not in the log after adoptDelay plus a random part of adoptJitter is
-	// written by this node, since the peer may have ended. The jitter makes it likely that only one node does so.
-	adoptDelay    = 5 * time.Second
-	adoptJitter   = 10 * time.Second
-	adoptInterval = time.Second
+	// A record received from a peer is written by this node if it is not in the log after peerWriteDelay plus a random
+	// time below peerWriteJitter, since the peer may have ended. The jitter makes it likely that only one node writes it.
+	peerWriteDelay  = 5 * time.Second
+	peerWriteJitter = 10 * time.Second
+	// maintenanceInterval is the time between checks for due peer records and expired tombstones.
+	maintenanceInterval = time.Second
 )
 
 // peerRecord is a record received from a peer that is not known to be in the log.
@@ -36,14 +37,14 @@
 	if from.Deleted {
 		g.ledger.Drop(record.Fingerprint, record.Name())
 		g.updateCount()
-		g.clear(from.Key, false)
+		g.addTombstone(from.Key, false)
 		return
 	}
 	if g.isDeleted(from.Key) {
 		return
 	}
 	g.put(record, "peer")
-	g.peerRecords[from.Key] = peerRecord{record: from, due: time.Now().Add(adoptDelay + rand.N(adoptJitter))}
+	g.peerRecords[from.Key] = peerRecord{record: from, due: time.Now().Add(peerWriteDelay + rand.N(peerWriteJitter))}
 }
 
 // writePeerRecords writes the records of peers that are due and still not in the log.
--- a/internal/crashes/peers.go
+++ b/internal/crashes/peers.go
@@ -41,7 +41,7 @@
 	logger    zerolog.Logger
 }
 
-// NewPeers returns a sender to the nodes whose addresses the function returns.
+// NewPeers returns a Peers. addresses returns the peer addresses of the other nodes.
 func NewPeers(addresses func() []string, client *http.Client, logger zerolog.Logger) *Peers {
 	return &Peers{addresses: addresses, client: client, logger: logger}
 }
@@ -55,9 +55,9 @@
 	reached := 0
 	for _, address := range addresses {
 		group.Go(func() error {
-			sending, cancel := context.WithTimeout(ctx, sendTimeout)
+			sendContext, cancel := context.WithTimeout(ctx, sendTimeout)
 			defer cancel()
-			err := msgpackhttp.Call(sending, p.client, "http://"+address+Path, &message{Records: records}, &emptyAnswer{}, maxAnswerBytes)
+			err := msgpackhttp.Call(sendContext, p.client, "http://"+address+Path, &message{Records: records}, &emptyAnswer{}, maxAnswerBytes)
 			if err == nil {
 				mu.Lock()
 				reached++
--- a/internal/crashes/record.go
+++ b/internal/crashes/record.go
@@ -19,7 +19,7 @@
 	keySeparator = "/"
 	keyEngine    = "engine"
 	keyTrial     = "trial"
-	keyParts     = 3
+	keyPartCount = 3
 )
 
 // value is the value of a record, encoded as msgpack.
@@ -42,7 +42,7 @@
 func encode(record quarantine.Record) (eventlog.KeyedRecord, error) {
 	raw, err := msgpack.Marshal(&value{AtMs: record.At.UnixMilli(), Isolated: record.Isolated})
 	if err != nil {
-		return eventlog.KeyedRecord{}, errors.Wrap(err, "encode the record")
+		return eventlog.KeyedRecord{}, errors.Wrap(err, "encode the value of a crash record")
 	}
 	return eventlog.KeyedRecord{Key: keyOf(record), Value: raw}, nil
 }
@@ -52,10 +52,10 @@
 	return eventlog.KeyedRecord{Key: keyOf(record), Deleted: true}
 }
 
-// decode decodes a log record. Of a deletion, it returns only what the key holds and the offset.
+// decode decodes a log record. For a deletion, it sets only the offset and the fields that the key contains.
 func decode(from eventlog.KeyedRecord) (quarantine.Record, error) {
-	parts := strings.SplitN(from.Key, keySeparator, keyParts)
-	if len(parts) != keyParts || parts[2] == "" {
+	parts := strings.SplitN(from.Key, keySeparator, keyPartCount)
+	if len(parts) != keyPartCount || parts[2] == "" {
 		return quarantine.Record{}, errors.Errorf("malformed key %q", from.Key)
 	}
 	record := quarantine.Record{Offset: from.Offset}
@@ -70,17 +70,17 @@
 	case keyTrial:
 		record.Trial = parts[2]
 	default:
-		return quarantine.Record{}, errors.Errorf("unknown kind %q", parts[1])
+		return quarantine.Record{}, errors.Errorf("unknown record kind %q", parts[1])
 	}
 	if from.Deleted {
 		return record, nil
 	}
 	if err := msgpackguard.Check(from.Value); err != nil {
-		return quarantine.Record{}, errors.Wrap(err, "check the value")
+		return quarantine.Record{}, errors.Wrap(err, "validate the value of a crash record")
 	}
 	var decoded value
 	if err := msgpack.Unmarshal(from.Value, &decoded); err != nil {
-		return quarantine.Record{}, errors.Wrap(err, "decode the value")
+		return quarantine.Record{}, errors.Wrap(err, "decode the value of a crash record")
 	}
 	record.At, record.Isolated = time.UnixMilli(decoded.AtMs), decoded.Isolated
 	return record, nil
--- a/internal/crashes/tombstones.go
+++ b/internal/crashes/tombstones.go
@@ -12,16 +12,16 @@
 
 // tombstone marks a deleted record.
 type tombstone struct {
-	until time.Time
+	expiresAt time.Time
 	// own is true if this node deleted the record.
 	own bool
 }
 
-// clear adds a tombstone for the deleted record with the key. Keys are never reused, since an incarnation ends once and
-// a trial is claimed once, so a later record with the key is a late write. Must be called with mu held.
-func (g *Guard) clear(key string, own bool) {
+// addTombstone adds a tombstone for the deleted record with the key. Keys are never reused, since an incarnation ends
+// once and a trial is claimed once, so a later record with the key is a late write. Must be called with mu held.
+func (g *Guard) addTombstone(key string, own bool) {
 	own = own || g.tombstones[key].own
-	g.tombstones[key] = tombstone{until: time.Now().Add(tombstoneTTL), own: own}
+	g.tombstones[key] = tombstone{expiresAt: time.Now().Add(tombstoneTTL), own: own}
 	delete(g.peerRecords, key)
 }
 
@@ -37,7 +37,7 @@
 	g.logger.Info().Str("key", late.Key).Int64("offset", late.Offset).Bool("own", g.tombstones[late.Key].own).
 		Msg("crash record was written after its deletion")
 	if g.tombstones[late.Key].own {
-		g.clear(late.Key, true)
+		g.addTombstone(late.Key, true)
 		g.writer.add(eventlog.KeyedRecord{Key: late.Key, Deleted: true})
 	}
 }
@@ -47,7 +47,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for key, each := range g.tombstones {
-		if now.After(each.until) {
+		if now.After(each.expiresAt) {
 			delete(g.tombstones, key)
 		}
 	}
--- a/internal/crashes/writer.go
+++ b/internal/crashes/writer.go
@@ -78,9 +78,9 @@
 	for {
 		select {
 		case <-ctx.Done():
-			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalWriteTimeout)
+			finalContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalWriteTimeout)
 			defer cancel()
-			_ = w.write(last, w.batch())
+			_ = w.write(finalContext, w.batch())
 			return
 		case <-w.wake:
 		}
@@ -89,8 +89,8 @@
 			if len(batch) == 0 {
 				break
 			}
-			writing, cancel := context.WithTimeout(ctx, writeTimeout)
-			err := w.write(writing, batch)
+			writeContext, cancel := context.WithTimeout(ctx, writeTimeout)
+			err := w.write(writeContext, batch)
 			cancel()
 			if err == nil {
 				delays.Reset()
