--- a/internal/weightorders/evacuation_test.go
+++ b/internal/weightorders/evacuation_test.go
@@ -28,40 +28,40 @@
 	ended atomic.Int64
 }
 
-func (z *evacuationRecorder) record(engine fleet.Engine, what string) {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	if z.fleet.IsEvacuated(engine.Zone) {
-		z.calls = append(z.calls, engine.ID+": "+what)
+func (r *evacuationRecorder) record(engine fleet.Engine, request string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.fleet.IsEvacuated(engine.Zone) {
+		r.calls = append(r.calls, engine.ID+": "+request)
 	}
 }
 
-func (z *evacuationRecorder) Report(ctx context.Context, engine fleet.Engine, maySend func() bool) (Report, error) {
-	if z.blocked != nil && engine.Zone == "za" {
-		defer z.ended.Add(1)
-		z.blocked <- engine.ID
-		<-z.release
+func (r *evacuationRecorder) Report(ctx context.Context, engine fleet.Engine, maySend func() bool) (Report, error) {
+	if r.blocked != nil && engine.Zone == "za" {
+		defer r.ended.Add(1)
+		r.blocked <- engine.ID
+		<-r.release
 	}
 	if !maySend() {
 		return Report{}, errors.New("not permitted")
 	}
-	z.record(engine, "report")
-	return z.Engines.Report(ctx, engine, maySend)
+	r.record(engine, "report")
+	return r.Engines.Report(ctx, engine, maySend)
 }
 
 // Order checks whether the order may be sent, as a real client does.
-func (z *evacuationRecorder) Order(ctx context.Context, engine fleet.Engine, order Order) (Answer, error) {
+func (r *evacuationRecorder) Order(ctx context.Context, engine fleet.Engine, order Order) (Answer, error) {
 	if !order.MaySend() {
 		return Refused, nil
 	}
-	z.record(engine, "order")
-	return z.Engines.Order(ctx, engine, order)
+	r.record(engine, "order")
+	return r.Engines.Order(ctx, engine, order)
 }
 
-func (z *evacuationRecorder) recorded() []string {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	return append([]string(nil), z.calls...)
+func (r *evacuationRecorder) recorded() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]string(nil), r.calls...)
 }
 
 // Guards against requests to an evacuated zone, even with a load in progress there. Its engines load when the
@@ -69,7 +69,7 @@
 func TestEvacuatedZoneGetsNeitherOrdersNorReportRequests(t *testing.T) {
 	t.Parallel()
 	var recorder *evacuationRecorder
-	w := startManager(t, 2, func(options *Options) {
+	m := startManager(t, 2, func(options *Options) {
 		recorder = &evacuationRecorder{Engines: options.Engines, fleet: options.Fleet}
 		options.Engines = recorder
 		for id, zone := range map[string]string{"e0": "za", "e1": "zb"} {
@@ -78,25 +78,25 @@
 			})
 		}
 	})
-	testwait.Until(t, "both loads are ordered", func() bool { return w.engines.orderCount() == 2 })
-	w.fleet.Evacuate("za", time.Now(), 1)
+	testwait.Until(t, "both loads are ordered", func() bool { return m.engines.orderCount() == 2 })
+	m.fleet.Evacuate("za", time.Now(), 1)
 	testwait.Until(t, "the other zone's engine has loaded", func() bool {
-		engine, _ := w.fleet.Get("e1")
+		engine, _ := m.fleet.Get("e1")
 		return engine.Versions[model] == 2
 	})
-	w.version.Store(3)
-	testwait.Until(t, "the other zone's engine has loaded version 3", func() bool { return w.engines.versionOf("e1") == 3 })
+	m.version.Store(3)
+	testwait.Until(t, "the other zone's engine has loaded version 3", func() bool { return m.engines.versionOf("e1") == 3 })
 	assert.DeepEqual(t, recorder.recorded(), []string(nil))
-	assert.Equal(t, w.engines.versionOf("e0"), int64(2))
-	w.fleet.EndEvacuation("za", time.Now(), 2)
-	testwait.Until(t, "the engine loads after its zone is readmitted", func() bool { return w.engines.versionOf("e0") == 3 })
+	assert.Equal(t, m.engines.versionOf("e0"), int64(2))
+	m.fleet.EndEvacuation("za", time.Now(), 2)
+	testwait.Until(t, "the engine loads after its zone is readmitted", func() bool { return m.engines.versionOf("e0") == 3 })
 }
 
 // Guards against a request that is sent after the evacuation because it was permitted before.
 func TestBlockedReportRequestIsNotSentAfterEvacuation(t *testing.T) {
 	t.Parallel()
 	var recorder *evacuationRecorder
-	w := startManager(t, 2, func(options *Options) {
+	m := startManager(t, 2, func(options *Options) {
 		recorder = &evacuationRecorder{
 			Engines: options.Engines, fleet: options.Fleet, blocked: make(chan string, 64), release: make(chan struct{}),
 		}
@@ -104,10 +104,10 @@
 		options.Fleet.Put(fleet.Engine{ID: "e0", Service: service, Zone: "za", Slots: 4, Versions: map[string]int64{model: 1}})
 	})
 	<-recorder.blocked
-	w.fleet.Evacuate("za", time.Now(), 1)
+	m.fleet.Evacuate("za", time.Now(), 1)
 	close(recorder.release)
 	testwait.Until(t, "the blocked request ends", func() bool { return recorder.ended.Load() > 0 })
 	assert.DeepEqual(t, recorder.recorded(), []string(nil))
-	w.fleet.EndEvacuation("za", time.Now(), 2)
-	testwait.Until(t, "the engine loads after its zone is readmitted", func() bool { return w.engines.versionOf("e0") == 2 })
+	m.fleet.EndEvacuation("za", time.Now(), 2)
+	testwait.Until(t, "the engine loads after its zone is readmitted", func() bool { return m.engines.versionOf("e0") == 2 })
 }
--- a/internal/weightorders/incarnation_test.go
+++ b/internal/weightorders/incarnation_test.go
@@ -22,43 +22,43 @@
 )
 
 // incarnationEntry returns the list entry of an incarnation of engine e0, which starts with version 1.
-func incarnationEntry(born int64) fleet.Engine {
-	return fleet.Engine{ID: "e0", StartMillis: born, Service: service, Slots: 4, Versions: map[string]int64{model: 1}}
+func incarnationEntry(startMillis int64) fleet.Engine {
+	return fleet.Engine{ID: "e0", StartMillis: startMillis, Service: service, Slots: 4, Versions: map[string]int64{model: 1}}
 }
 
 // restart starts another incarnation of engine e0, without the state of the earlier one.
-func (f *fakeEngines) restart(born, version int64) {
+func (f *fakeEngines) restart(startMillis, version int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.restartLocked(born, version)
+	f.restartLocked(startMillis, version)
 }
 
 // restartLocked is restart. Must be called with mu held.
-func (f *fakeEngines) restartLocked(born, version int64) {
-	f.born["e0"], f.versions["e0"], f.counts["e0"], f.busy["e0"] = born, version, 0, false
+func (f *fakeEngines) restartLocked(startMillis, version int64) {
+	f.startMillis["e0"], f.versions["e0"], f.counts["e0"], f.busy["e0"] = startMillis, version, 0, false
 }
 
 // Guards against an order to a new incarnation with the order count of the earlier one.
 func TestRestartedEngineIsOrderedAgain(t *testing.T) {
 	var loaded atomic.Int64
-	w := startManager(t, 1, func(options *Options) {
-		options.Engines.(*fakeEngines).born["e0"] = firstStart
+	m := startManager(t, 1, func(options *Options) {
+		options.Engines.(*fakeEngines).startMillis["e0"] = firstStart
 		options.Fleet.Put(incarnationEntry(firstStart))
 		options.OnLoadEnd = func() { loaded.Add(1) }
 	})
 	testwait.Until(t, "the first incarnation has version 2", func() bool {
-		return w.engines.allAt(2) && loaded.Load() == 1
+		return m.engines.allAt(2) && loaded.Load() == 1
 	})
-	w.engines.restart(secondStart, 1)
-	w.fleet.Put(incarnationEntry(secondStart))
+	m.engines.restart(secondStart, 1)
+	m.fleet.Put(incarnationEntry(secondStart))
 	testwait.Until(t, "the second incarnation has version 2", func() bool {
-		return w.engines.allAt(2) && loaded.Load() == 2
+		return m.engines.allAt(2) && loaded.Load() == 2
 	})
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
-	assert.Equal(t, len(w.engines.orders), 2)
-	assert.Equal(t, w.engines.orders[1].Count, int64(0))
-	listed, _ := w.fleet.Get("e0")
+	m.engines.mu.Lock()
+	defer m.engines.mu.Unlock()
+	assert.Equal(t, len(m.engines.orders), 2)
+	assert.Equal(t, m.engines.orders[1].Count, int64(0))
+	listed, _ := m.fleet.Get("e0")
 	assert.Equal(t, listed.Versions[model], int64(2))
 }
 
@@ -66,13 +66,13 @@
 // after it has accepted an order and the list does not show it yet.
 func TestAnswerOfOtherIncarnationIsNotAttributed(t *testing.T) {
 	var loaded atomic.Int64
-	w := startManager(t, 1, func(options *Options) {
+	m := startManager(t, 1, func(options *Options) {
 		engines := options.Engines.(*fakeEngines)
-		engines.born["e0"] = firstStart
+		engines.startMillis["e0"] = firstStart
 		options.Fleet.Put(incarnationEntry(firstStart))
 		options.OnLoadEnd = func() { loaded.Add(1) }
 		engines.answer = func(string, Order) (Answer, bool) {
-			if engines.born["e0"] == secondStart {
+			if engines.startMillis["e0"] == secondStart {
 				return 0, false
 			}
 			engines.restartLocked(secondStart, 2)
@@ -80,65 +80,65 @@
 		}
 	})
 	testwait.Until(t, "the first load fails", func() bool { return loaded.Load() >= 1 })
-	listed, _ := w.fleet.Get("e0")
+	listed, _ := m.fleet.Get("e0")
 	assert.Equal(t, listed.Versions[model], int64(1))
 	testwait.Until(t, "the next order fails, since another incarnation reports", func() bool { return loaded.Load() >= 2 })
-	assert.Equal(t, w.engines.orderCount(), 1)
+	assert.Equal(t, m.engines.orderCount(), 1)
 
-	w.fleet.Put(incarnationEntry(secondStart))
+	m.fleet.Put(incarnationEntry(secondStart))
 	testwait.Until(t, "the second incarnation is listed with version 2", func() bool {
-		listed, _ := w.fleet.Get("e0")
+		listed, _ := m.fleet.Get("e0")
 		return listed.StartMillis == secondStart && listed.Versions[model] == 2
 	})
-	assert.Equal(t, w.engines.orderCount(), 1, "the second incarnation already has the version")
+	assert.Equal(t, m.engines.orderCount(), 1, "the second incarnation already has the version")
 }
 
 // An order of an earlier lease holder may still reach the next incarnation.
 func TestQuietPeriodAppliesToNextIncarnation(t *testing.T) {
-	var over atomic.Bool
-	w := startManager(t, 2, func(options *Options) {
-		options.Engines.(*fakeEngines).born["e0"] = secondStart
+	var quietPeriodOver atomic.Bool
+	m := startManager(t, 2, func(options *Options) {
+		options.Engines.(*fakeEngines).startMillis["e0"] = secondStart
 		options.Fleet.Put(incarnationEntry(firstStart))
 		options.Fleet.Put(incarnationEntry(secondStart))
 		options.Term = &fakelease.Term{QuietUntilFunc: func(engine string) time.Time {
-			if engine == "e0" && !over.Load() {
+			if engine == "e0" && !quietPeriodOver.Load() {
 				return time.Now().Add(time.Hour)
 			}
 			return time.Time{}
 		}}
 	})
-	testwait.Until(t, "the other engine has version 2", func() bool { return w.engines.versionOf("e1") == 2 })
+	testwait.Until(t, "the other engine has version 2", func() bool { return m.engines.versionOf("e1") == 2 })
 	time.Sleep(4 * tickPeriod) // enough for an order
-	assert.Equal(t, w.engines.orderCount(), 1)
-	over.Store(true)
-	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
+	assert.Equal(t, m.engines.orderCount(), 1)
+	quietPeriodOver.Store(true)
+	testwait.Until(t, "all engines have version 2", func() bool { return m.engines.allAt(2) })
 }
 
 func TestStateOfEndedIncarnationIsDropped(t *testing.T) {
-	known := fleet.New()
-	known.Put(incarnationEntry(firstStart))
-	manager := New(Options{Fleet: known})
+	testFleet := fleet.New()
+	testFleet.Put(incarnationEntry(firstStart))
+	manager := New(Options{Fleet: testFleet})
 	first := incarnationEntry(firstStart).Incarnation()
 	manager.counts[first], manager.retryAt[first] = 3, time.Now()
-	known.Put(incarnationEntry(secondStart))
+	testFleet.Put(incarnationEntry(secondStart))
 	manager.dropEnded()
 	assert.Equal(t, len(manager.counts), 0)
 	assert.Equal(t, len(manager.retryAt), 0)
 }
 
 func TestRetryDelayDoesNotApplyToNextIncarnation(t *testing.T) {
-	engines, known := newFakeEngines("e0"), fleet.New()
+	engines, testFleet := newFakeEngines("e0"), fleet.New()
 	engines.busy["e0"] = true
-	known.Put(incarnationEntry(firstStart))
+	testFleet.Put(incarnationEntry(firstStart))
 	manager := New(Options{
-		Engines: engines, Fleet: known, Term: &fakelease.Term{}, Logger: zerolog.Nop(), OnLoadEnd: func() {},
+		Engines: engines, Fleet: testFleet, Term: &fakelease.Term{}, Logger: zerolog.Nop(), OnLoadEnd: func() {},
 		Running: func() map[incarnation.ID]int { return nil },
 	})
 	first := incarnationEntry(firstStart)
 	manager.load(t.Context(), first, weightplan.Load{Engine: first.Incarnation(), Model: model, Version: 2}, Continue)
 	beforeRetry := manager.retryAt[first.Incarnation()].Add(-time.Millisecond)
 	assert.Assert(t, !isUsable(manager, beforeRetry))
-	known.Put(incarnationEntry(secondStart))
+	testFleet.Put(incarnationEntry(secondStart))
 	assert.Assert(t, isUsable(manager, beforeRetry))
 }
 
--- a/internal/weightorders/plan.go
+++ b/internal/weightorders/plan.go
@@ -128,11 +128,11 @@
 		}
 		demand := demands[model]
 		if demand.Tokens > 0 {
-			mean := m.demands[model]
+			mean := m.meanDemands[model]
 			if mean == 0 {
 				mean = float64(demand.Tokens)
 			}
-			m.demands[model] = mean + demandSmoothing*(float64(demand.Tokens)-mean)
+			m.meanDemands[model] = mean + demandSmoothing*(float64(demand.Tokens)-mean)
 		}
 		itemPeaks, found := m.itemPeaks[model]
 		if !found {
@@ -142,7 +142,7 @@
 		itemPeaks.Observe(now, demand.Unfinished, itemPeakPeriod)
 		targets = append(targets, weightplan.Target{
 			Model: model, Version: version, MinVersion: demand.MinVersion, Items: itemPeaks.Max(),
-			Demand: m.demands[model], Waiting: demand.Waiting, Interrupts: target.SingleVersion,
+			Demand: m.meanDemands[model], Waiting: demand.Waiting, Interrupts: target.SingleVersion,
 		})
 	}
 	sortTargets(targets)
--- a/internal/weightorders/scale_test.go
+++ b/internal/weightorders/scale_test.go
@@ -17,9 +17,9 @@
 // planOnce plans the loads of a fleet once and returns the number of lease queries and of started loads.
 func planOnce(t *testing.T, engineCount int) (queries, loads int) {
 	t.Helper()
-	known := fleet.New()
+	testFleet := fleet.New()
 	for i := range engineCount {
-		known.Put(fleet.Engine{ID: fmt.Sprint("e", i), Service: service, Slots: 6, Versions: map[string]int64{model: 1}})
+		testFleet.Put(fleet.Engine{ID: fmt.Sprint("e", i), Service: service, Slots: 6, Versions: map[string]int64{model: 1}})
 	}
 	engines := newFakeEngines()
 	for i := range engineCount {
@@ -27,7 +27,7 @@
 		engines.busy[fmt.Sprint("e", i)] = true
 	}
 	manager := New(Options{
-		Engines: engines, Fleet: known, Logger: zerolog.Nop(), OnLoadEnd: func() {},
+		Engines: engines, Fleet: testFleet, Logger: zerolog.Nop(), OnLoadEnd: func() {},
 		Running: func() map[incarnation.ID]int { return nil },
 		Demands: func() map[string]batchrun.Demand { return map[string]batchrun.Demand{model: {Unfinished: 200}} },
 		Term: &fakelease.Term{QuietUntilFunc: func(string) time.Time {
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -37,7 +37,7 @@
 	loadTimeSmoothing = 0.3
 	// loadTimeout bounds the wait for the end of a load. The load may be ordered again after that.
 	loadTimeout = 5 * time.Second
-	// retryDelay is the time without orders for an engine that did not execute one.
+	// retryDelay is how long an engine gets no order after a failed one.
 	retryDelay = 500 * time.Millisecond
 	// demandSmoothing is the weight of a new sample in the moving average of the demand.
 	demandSmoothing = 0.02
@@ -142,7 +142,7 @@
 	// model.
 	Running func() map[incarnation.ID]int
 	Demands func() map[string]batchrun.Demand
-	// OnLoadEnd is called after each order has ended, successfully or not.
+	// OnLoadEnd is called after each ordered load has ended, successfully or not.
 	OnLoadEnd func()
 	// Holder and Fence are sent with each order.
 	Holder string
@@ -167,7 +167,8 @@
 	// starts is the value of Fleet.Starts at the last cleanup of counts and retryAt.
 	starts     int64
 	allocators map[string]*weightplan.Allocator
-	demands    map[string]float64
+	// meanDemands holds the moving average of the demand in tokens by model.
+	meanDemands map[string]float64
 	// itemPeaks tracks the peak of open items by model.
 	itemPeaks map[string]*peak.Window
 	// loggedVersions holds the last logged target version by model.
@@ -193,7 +194,7 @@
 		counts:         make(map[incarnation.ID]int64),
 		retryAt:        make(map[incarnation.ID]time.Time),
 		allocators:     make(map[string]*weightplan.Allocator),
-		demands:        make(map[string]float64),
+		meanDemands:    make(map[string]float64),
 		itemPeaks:      make(map[string]*peak.Window),
 		loggedVersions: make(map[string]int64),
 	}
--- a/internal/weightorders/weightorders_test.go
+++ b/internal/weightorders/weightorders_test.go
@@ -31,9 +31,9 @@
 	versions map[string]int64
 	counts   map[string]int64
 	busy     map[string]bool
-	// born holds the start time by engine; zero if the engine reports none.
-	born   map[string]int64
-	orders []Order
+	// startMillis holds the start time by engine; zero if the engine reports none.
+	startMillis map[string]int64
+	orders      []Order
 	// loading is the number of concurrent loads, maxLoading its maximum.
 	loading, maxLoading int
 	// answer, if set, overrides the engine's answer to an order.
@@ -42,7 +42,7 @@
 
 func newFakeEngines(ids ...string) *fakeEngines {
 	f := &fakeEngines{
-		versions: map[string]int64{}, counts: map[string]int64{}, busy: map[string]bool{}, born: map[string]int64{},
+		versions: map[string]int64{}, counts: map[string]int64{}, busy: map[string]bool{}, startMillis: map[string]int64{},
 	}
 	for _, id := range ids {
 		f.versions[id] = 1
@@ -54,7 +54,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return Report{
-		Incarnation: incarnation.ID{Engine: engine.ID, StartMillis: f.born[engine.ID]},
+		Incarnation: incarnation.ID{Engine: engine.ID, StartMillis: f.startMillis[engine.ID]},
 		Versions:    map[string]int64{model: f.versions[engine.ID]}, Busy: f.busy[engine.ID], Count: f.counts[engine.ID],
 	}, nil
 }
@@ -120,19 +120,19 @@
 
 func startManager(t *testing.T, engineCount int, change func(*Options)) *testManager {
 	t.Helper()
-	w := &testManager{fleet: fleet.New(), term: &fakelease.Term{}}
-	w.version.Store(2)
+	m := &testManager{fleet: fleet.New(), term: &fakelease.Term{}}
+	m.version.Store(2)
 	var ids []string
 	for i := range engineCount {
 		id := fmt.Sprint("e", i)
 		ids = append(ids, id)
-		w.fleet.Put(fleet.Engine{ID: id, Service: service, Slots: 4, Versions: map[string]int64{model: 1}})
+		m.fleet.Put(fleet.Engine{ID: id, Service: service, Slots: 4, Versions: map[string]int64{model: 1}})
 	}
-	w.engines = newFakeEngines(ids...)
+	m.engines = newFakeEngines(ids...)
 	options := Options{
-		Engines: w.engines, Fleet: w.fleet, Term: w.term,
+		Engines: m.engines, Fleet: m.fleet, Term: m.term,
 		Targets: func() []Target {
-			return []Target{{Service: service, Versions: map[string]int64{model: w.version.Load()}}}
+			return []Target{{Service: service, Versions: map[string]int64{model: m.version.Load()}}}
 		},
 		Running:   func() map[incarnation.ID]int { return nil },
 		Demands:   func() map[string]batchrun.Demand { return nil },
@@ -151,18 +151,18 @@
 		cancel()
 		<-done
 	})
-	return w
+	return m
 }
 
-func TestAllEnginesLoadNamedVersion(t *testing.T) {
-	w := startManager(t, 5, nil)
-	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
-	w.version.Store(3)
-	testwait.Until(t, "all engines have version 3", func() bool { return w.engines.allAt(3) })
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
-	assert.Equal(t, len(w.engines.orders), 10, "an engine was ordered twice to load a version")
-	for _, order := range w.engines.orders {
+func TestAllEnginesLoadTargetVersion(t *testing.T) {
+	m := startManager(t, 5, nil)
+	testwait.Until(t, "all engines have version 2", func() bool { return m.engines.allAt(2) })
+	m.version.Store(3)
+	testwait.Until(t, "all engines have version 3", func() bool { return m.engines.allAt(3) })
+	m.engines.mu.Lock()
+	defer m.engines.mu.Unlock()
+	assert.Equal(t, len(m.engines.orders), 10, "an engine was ordered twice to load a version")
+	for _, order := range m.engines.orders {
 		assert.Equal(t, order.Fence, int64(7))
 		assert.Equal(t, order.Mode, Continue)
 	}
@@ -170,31 +170,31 @@
 
 // Guards against a concurrency limit that does not rise although concurrent loads do not slow each other down.
 func TestConcurrentLoadsIncreaseWhileLoadTimeIsStable(t *testing.T) {
-	w := startManager(t, 48, func(options *Options) {
+	m := startManager(t, 48, func(options *Options) {
 		options.Demands = func() map[string]batchrun.Demand { return map[string]batchrun.Demand{model: {Unfinished: 48 * 4}} }
 	})
-	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
-	assert.Assert(t, w.engines.maxLoading > 4, "%d concurrent loads", w.engines.maxLoading)
+	testwait.Until(t, "all engines have version 2", func() bool { return m.engines.allAt(2) })
+	m.engines.mu.Lock()
+	defer m.engines.mu.Unlock()
+	assert.Assert(t, m.engines.maxLoading > 4, "%d concurrent loads", m.engines.maxLoading)
 }
 
 // The quiet period of one engine must not delay orders to others.
 func TestEngineIsNotOrderedDuringQuietPeriod(t *testing.T) {
-	var over atomic.Bool
-	w := startManager(t, 2, func(options *Options) {
+	var quietPeriodOver atomic.Bool
+	m := startManager(t, 2, func(options *Options) {
 		options.Term = &fakelease.Term{QuietUntilFunc: func(engine string) time.Time {
-			if engine == "e0" && !over.Load() {
+			if engine == "e0" && !quietPeriodOver.Load() {
 				return time.Now().Add(time.Hour)
 			}
 			return time.Time{}
 		}}
 	})
-	testwait.Until(t, "the other engine has version 2", func() bool { return w.engines.versionOf("e1") == 2 })
+	testwait.Until(t, "the other engine has version 2", func() bool { return m.engines.versionOf("e1") == 2 })
 	time.Sleep(4 * tickPeriod) // enough for an order
-	assert.Equal(t, w.engines.orderCount(), 1)
-	over.Store(true)
-	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
+	assert.Equal(t, m.engines.orderCount(), 1)
+	quietPeriodOver.Store(true)
+	testwait.Until(t, "all engines have version 2", func() bool { return m.engines.allAt(2) })
 }
 
 // Guards against an order without a permit of its own.
@@ -202,7 +202,7 @@
 	var logDown atomic.Bool
 	var permits atomic.Int64
 	logDown.Store(true)
-	w := startManager(t, 3, func(options *Options) {
+	m := startManager(t, 3, func(options *Options) {
 		options.Term = &fakelease.Term{PermitError: func(string) error {
 			if logDown.Load() {
 				return errors.New("the log is unavailable")
@@ -212,38 +212,38 @@
 		}}
 	})
 	time.Sleep(4 * tickPeriod)
-	assert.Equal(t, w.engines.orderCount(), 0)
+	assert.Equal(t, m.engines.orderCount(), 0)
 	logDown.Store(false)
-	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
-	assert.Assert(t, int(permits.Load()) >= w.engines.orderCount())
+	testwait.Until(t, "all engines have version 2", func() bool { return m.engines.allAt(2) })
+	assert.Assert(t, int(permits.Load()) >= m.engines.orderCount())
 }
 
 func TestOnlyLeaseHolderOrders(t *testing.T) {
 	var loaded atomic.Int64
-	w := startManager(t, 2, func(options *Options) { options.OnLoadEnd = func() { loaded.Add(1) } })
+	m := startManager(t, 2, func(options *Options) { options.OnLoadEnd = func() { loaded.Add(1) } })
 	testwait.Until(t, "both loads have ended", func() bool { return loaded.Load() == 2 })
-	w.term.SetEnded(true)
-	before := w.engines.orderCount()
-	w.version.Store(3)
+	m.term.SetEnded(true)
+	before := m.engines.orderCount()
+	m.version.Store(3)
 	time.Sleep(4 * tickPeriod) // enough for an order
-	assert.Equal(t, w.engines.orderCount(), before)
-	w.term.SetEnded(false)
-	testwait.Until(t, "all engines have version 3", func() bool { return w.engines.allAt(3) })
+	assert.Equal(t, m.engines.orderCount(), before)
+	m.term.SetEnded(false)
+	testwait.Until(t, "all engines have version 3", func() bool { return m.engines.allAt(3) })
 }
 
 // A permit may expire before the order is sent, because its record took too long to write or the lease was lost.
 func TestOrderIsNotSentAfterPermitExpired(t *testing.T) {
 	term := &fakelease.Term{}
 	term.ClosePermits(true)
-	w := startManager(t, 2, func(options *Options) { options.Term = term })
+	m := startManager(t, 2, func(options *Options) { options.Term = term })
 	testwait.Until(t, "orders were permitted", func() bool { return len(term.Permitted()) >= 2 })
 	time.Sleep(4 * tickPeriod) // enough for an order
-	assert.Equal(t, w.engines.orderCount(), 0)
+	assert.Equal(t, m.engines.orderCount(), 0)
 	term.ClosePermits(false)
-	testwait.Until(t, "all engines have version 2", func() bool { return w.engines.allAt(2) })
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
-	for _, order := range w.engines.orders {
+	testwait.Until(t, "all engines have version 2", func() bool { return m.engines.allAt(2) })
+	m.engines.mu.Lock()
+	defer m.engines.mu.Unlock()
+	for _, order := range m.engines.orders {
 		assert.Assert(t, order.MaySend != nil && order.MaySend(),
 			"the client cannot check whether the order may still be sent")
 	}
@@ -251,18 +251,18 @@
 
 // An order of another lease holder may have changed the engine's order count.
 func TestOrderWithOutdatedCountIsRetried(t *testing.T) {
-	w := startManager(t, 1, nil)
-	testwait.Until(t, "the engine has version 2", func() bool { return w.engines.allAt(2) })
-	w.engines.mu.Lock()
-	w.engines.counts["e0"] += 3
-	w.engines.mu.Unlock()
-	w.version.Store(3)
-	testwait.Until(t, "the engine has version 3", func() bool { return w.engines.allAt(3) })
+	m := startManager(t, 1, nil)
+	testwait.Until(t, "the engine has version 2", func() bool { return m.engines.allAt(2) })
+	m.engines.mu.Lock()
+	m.engines.counts["e0"] += 3
+	m.engines.mu.Unlock()
+	m.version.Store(3)
+	testwait.Until(t, "the engine has version 3", func() bool { return m.engines.allAt(3) })
 }
 
 // Guards against a repeated order to an engine that loads although its response was lost.
 func TestUnansweredOrderIsNotTreatedAsRefused(t *testing.T) {
-	w := startManager(t, 1, func(options *Options) {
+	m := startManager(t, 1, func(options *Options) {
 		engines := options.Engines.(*fakeEngines)
 		var lost atomic.Bool
 		engines.answer = func(engine string, order Order) (Answer, bool) {
@@ -274,10 +274,10 @@
 			return Unanswered, true
 		}
 	})
-	testwait.Until(t, "the engine has version 2", func() bool { return w.engines.allAt(2) })
-	w.version.Store(3)
-	testwait.Until(t, "the engine has version 3", func() bool { return w.engines.allAt(3) })
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
-	assert.Equal(t, len(w.engines.orders), 2)
+	testwait.Until(t, "the engine has version 2", func() bool { return m.engines.allAt(2) })
+	m.version.Store(3)
+	testwait.Until(t, "the engine has version 3", func() bool { return m.engines.allAt(3) })
+	m.engines.mu.Lock()
+	defer m.engines.mu.Unlock()
+	assert.Equal(t, len(m.engines.orders), 2)
 }
