--- a/internal/core/lease/history.go
+++ b/internal/core/lease/history.go
@@ -40,10 +40,10 @@
 
 // order is the newest order that a machine may have sent to an engine.
 type order struct {
-	machine  machine
-	epoch    int64
-	when     logTime
-	released bool
+	machine     machine
+	epoch       int64
+	announcedAt logTime
+	released    bool
 }
 
 // machine identifies a machine. The node name alone does not: a replacement may have the same one.
@@ -62,19 +62,19 @@
 	orderTTL = MaxBetweenMachines + time.Minute
 )
 
-func (h *history) recordRead(at time.Time) { h.readAt = at }
+func (h *history) setReadAt(at time.Time) { h.readAt = at }
 
-// closeGap ends a gap before the newest record. proves is whether that record proves how long its
-// holder has held the current epoch.
-func (h *history) closeGap(proves bool) {
+// closeGap ends a gap before the newest record. provesEpoch is whether the record proves that its epoch
+// is current at its offset.
+func (h *history) closeGap(provesEpoch bool) {
 	if h.gap {
 		h.gap = false
-		h.completeSince = h.now(proves)
+		h.completeSince = h.now(provesEpoch)
 	}
 }
 
-func (h *history) now(proves bool) logTime {
-	return logTime{at: h.readAt, proven: h.proven, unproven: !proves}
+func (h *history) now(provesEpoch bool) logTime {
+	return logTime{at: h.readAt, proven: h.proven, unproven: !provesEpoch}
 }
 
 // beginEpoch starts a new epoch that has been held for the given time.
@@ -97,15 +97,15 @@
 	}
 }
 
-// addOrders adds the orders of an Order record; proves has the same meaning as in closeGap.
-func (h *history) addOrders(record Record, proves bool, at time.Time) {
+// addOrders adds the orders of an Order record; provesEpoch has the same meaning as in closeGap.
+func (h *history) addOrders(record Record, provesEpoch bool, at time.Time) {
 	if h.orders == nil {
 		h.orders = make(map[string][]order)
 	}
 	if len(h.orders) > max(h.pruneThreshold, minPruneThreshold) {
 		h.pruneExpired(at)
 	}
-	newest := order{machine: record.machine(), epoch: record.Epoch, when: h.now(proves)}
+	newest := order{machine: record.machine(), epoch: record.Epoch, announcedAt: h.now(provesEpoch)}
 	for _, engine := range record.Engines {
 		h.orders[engine] = append(h.retained(engine, newest, at), newest)
 	}
@@ -115,10 +115,10 @@
 // machines and of later epochs.
 func (h *history) retained(engine string, newest order, at time.Time) []order {
 	kept := h.orders[engine][:0]
-	for _, each := range h.orders[engine] {
-		replaced := each.machine == newest.machine && each.epoch <= newest.epoch
-		if !replaced && !h.endOfPeriod(each.when, orderTTL).Before(at) {
-			kept = append(kept, each)
+	for _, last := range h.orders[engine] {
+		replaced := last.machine == newest.machine && last.epoch <= newest.epoch
+		if !replaced && !h.endOfPeriod(last.announcedAt, orderTTL).Before(at) {
+			kept = append(kept, last)
 		}
 	}
 	return kept
@@ -128,8 +128,8 @@
 // their number has doubled.
 func (h *history) pruneExpired(at time.Time) {
 	maps.DeleteFunc(h.orders, func(_ string, orders []order) bool {
-		for _, each := range orders {
-			if !h.endOfPeriod(each.when, orderTTL).Before(at) {
+		for _, last := range orders {
+			if !h.endOfPeriod(last.announcedAt, orderTTL).Before(at) {
 				return false
 			}
 		}
@@ -157,12 +157,12 @@
 	if !h.completeSince.at.IsZero() {
 		until = h.endOfPeriod(h.completeSince, quiet.BetweenMachines+quiet.MaxTransit)
 	}
-	for _, each := range h.orders[engine] {
-		period, needed := quiet.periodAfter(each, epoch, own)
+	for _, last := range h.orders[engine] {
+		period, needed := quiet.periodAfter(last, epoch, own)
 		if !needed {
 			continue
 		}
-		if end := h.endOfPeriod(each.when, period); end.After(until) {
+		if end := h.endOfPeriod(last.announcedAt, period); end.After(until) {
 			until = end
 		}
 	}
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -86,10 +86,10 @@
 	// Next is the offset of the next record to read.
 	Next int64
 
-	// missed is true from a gap in the records, which may contain a claim, until a record proves
+	// epochUncertain is true from a gap in the records, which may contain a claim, until a record proves
 	// which epoch is current.
-	missed  bool
-	history history
+	epochUncertain bool
+	history        history
 }
 
 func (s *State) machine() machine { return machine{node: s.Node, address: s.Address} }
@@ -105,22 +105,22 @@
 func (s *State) Apply(record Record, at time.Time) bool {
 	offset := s.Next
 	s.Next++
-	s.history.recordRead(at)
-	changed, proves := s.update(record, offset, at)
-	if proves {
-		s.missed = false
+	s.history.setReadAt(at)
+	changed, provesEpoch := s.update(record, offset, at)
+	if provesEpoch {
+		s.epochUncertain = false
 	}
-	s.history.closeGap(proves)
+	s.history.closeGap(provesEpoch)
 	if record.Kind == Order {
 		// The order may have been sent even if the record's epoch has ended.
-		s.history.addOrders(record, proves, at)
+		s.history.addOrders(record, provesEpoch, at)
 	}
 	return changed
 }
 
-// update applies a record to the lease. It reports whether the epoch changed, and whether the record
-// proves that its epoch is current at its offset.
-func (s *State) update(record Record, offset int64, at time.Time) (changed, proves bool) {
+// update applies a record to the lease. It reports whether the epoch changed, and whether the record proves
+// that its epoch is current at its offset.
+func (s *State) update(record Record, offset int64, at time.Time) (changed, provesEpoch bool) {
 	if record.Kind == Claim {
 		if !s.takesEffect(record, offset) {
 			return false, false
@@ -168,7 +168,7 @@
 // HeldBy reports whether the epoch is current and held by the holder. It is false after a gap, which may
 // contain another claim.
 func (s *State) HeldBy(holder string, epoch int64) bool {
-	return epoch > 0 && s.Epoch == epoch && s.Holder == holder && !s.Released && !s.missed
+	return epoch > 0 && s.Epoch == epoch && s.Holder == holder && !s.Released && !s.epochUncertain
 }
 
 // IsStale reports whether the record, the next to apply, belongs to an epoch that has ended: its writer
@@ -188,7 +188,7 @@
 	}
 	s.Next = next
 	s.SeenAt = at
-	s.missed = true
+	s.epochUncertain = true
 	s.history.gap = true
 }
 
@@ -197,7 +197,7 @@
 // while the log was reachable. contactSince is the time since which the log has been reachable. After a
 // gap, which may contain another claim, only the last condition applies.
 func (s *State) Claimable(node, holder, address string, now, contactSince time.Time, ttl time.Duration) bool {
-	if !s.missed && (s.Epoch == 0 || s.Released || s.heldByTerminatedProcess(node, holder, address)) {
+	if !s.epochUncertain && (s.Epoch == 0 || s.Released || s.heldByTerminatedProcess(node, holder, address)) {
 		return true
 	}
 	from := s.SeenAt
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -16,8 +16,8 @@
 // addressOf returns the address that successive processes of a machine bind.
 func addressOf(node string) string { return "machine-" + node + ":7000" }
 
-func claim(node, holder string, follows int64) Record {
-	return Record{Kind: Claim, Node: node, Holder: holder, Address: addressOf(node), Epoch: follows}
+func claim(node, holder string, previousEpoch int64) Record {
+	return Record{Kind: Claim, Node: node, Holder: holder, Address: addressOf(node), Epoch: previousEpoch}
 }
 
 func TestApplyFirstOfConcurrentClaimsWins(t *testing.T) {
@@ -43,8 +43,8 @@
 	assert.Assert(t, !state.Claimable("b", "b1", "", start.Add(ttl), start, ttl))
 	assert.Assert(t, state.Claimable("b", "b1", "", start.Add(ttl+1), start, ttl))
 	// A reader that could not reach the log may have missed renewals.
-	backAt := start.Add(10 * ttl)
-	assert.Assert(t, !state.Claimable("b", "b1", "", backAt.Add(ttl/2), backAt, ttl))
+	reachableAt := start.Add(10 * ttl)
+	assert.Assert(t, !state.Claimable("b", "b1", "", reachableAt.Add(ttl/2), reachableAt, ttl))
 }
 
 // Guards against a claim while the holder still runs: only a process that binds the holder's address
@@ -220,41 +220,41 @@
 
 // Guards against a claim that takes effect only for readers that start after truncated records.
 func TestReaderAfterGapAgreesOnHolder(t *testing.T) {
-	var all, rest State
+	var complete, afterGap State
 	apply := func(record Record) {
-		all.Apply(record, start)
-		rest.Apply(record, start)
+		complete.Apply(record, start)
+		afterGap.Apply(record, start)
 	}
-	all.Apply(claim("a", "a1", 0), start)
-	all.Apply(renewal("a", "a1", 1, 0), start)
-	rest.SkipTo(all.Next, start)
+	complete.Apply(claim("a", "a1", 0), start)
+	complete.Apply(renewal("a", "a1", 1, 0), start)
+	afterGap.SkipTo(complete.Next, start)
 	// This reader knows of no holder.
-	if !rest.Claimable("c", "c1", "", start, start, ttl) {
+	if !afterGap.Claimable("c", "c1", "", start, start, ttl) {
 		return
 	}
-	apply(rest.NewClaim("c", "c1", ""))
-	assert.Equal(t, rest.Holder, all.Holder)
-	assert.Equal(t, rest.Epoch, all.Epoch)
+	apply(afterGap.NewClaim("c", "c1", ""))
+	assert.Equal(t, afterGap.Holder, complete.Holder)
+	assert.Equal(t, afterGap.Epoch, complete.Epoch)
 }
 
 // Guards against a reader that takes a stale epoch from the first renewal after a gap: the renewal may have been
 // appended after another holder's claim.
 func TestDelayedRenewalDoesNotRestoreEarlierEpoch(t *testing.T) {
-	var all, rest State
+	var complete, afterGap State
 	apply := func(record Record) {
-		all.Apply(record, start)
-		rest.Apply(record, start)
+		complete.Apply(record, start)
+		afterGap.Apply(record, start)
 	}
-	all.Apply(claim("a", "a1", 0), start)
-	all.Apply(claim("b", "b1", 1), start)
-	rest.SkipTo(all.Next, start)
+	complete.Apply(claim("a", "a1", 0), start)
+	complete.Apply(claim("b", "b1", 1), start)
+	afterGap.SkipTo(complete.Next, start)
 	apply(renewal("a", "a1", 1, ttl))
 	later := start.Add(2 * ttl)
-	if rest.Claimable("c", "c1", "", later, start, ttl) {
-		apply(rest.NewClaim("c", "c1", ""))
+	if afterGap.Claimable("c", "c1", "", later, start, ttl) {
+		apply(afterGap.NewClaim("c", "c1", ""))
 	}
-	assert.Equal(t, rest.Holder, all.Holder)
-	assert.Equal(t, rest.Epoch, all.Epoch)
+	assert.Equal(t, afterGap.Holder, complete.Holder)
+	assert.Equal(t, afterGap.Epoch, complete.Epoch)
 }
 
 // Guards against a shortened quiet period: a renewal proves the time since the previous one, not since an
@@ -275,13 +275,13 @@
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(renewal("a", "a1", 1, 0), start)
-	back := start.Add(10 * time.Second)
-	state.SkipTo(state.Next+50, back)
-	state.Apply(renewal("a", "a1", 1, 10*time.Second), back)
-	state.Apply(Record{Kind: Release, Holder: "a1", Node: "a", Epoch: 1}, back)
-	assert.Assert(t, state.Apply(claim("b", "b1", 1), back))
+	gapEnd := start.Add(10 * time.Second)
+	state.SkipTo(state.Next+50, gapEnd)
+	state.Apply(renewal("a", "a1", 1, 10*time.Second), gapEnd)
+	state.Apply(Record{Kind: Release, Holder: "a1", Node: "a", Epoch: 1}, gapEnd)
+	assert.Assert(t, state.Apply(claim("b", "b1", 1), gapEnd))
 	until := quietUntil(&state, "e1", false)
-	assert.Assert(t, !until.Before(back.Add(quiet)), "quiet until %s, the gap ended at %s", until, back)
+	assert.Assert(t, !until.Before(gapEnd.Add(quiet)), "quiet until %s, the gap ended at %s", until, gapEnd)
 }
 
 // Guards against a claim of a lease whose renewals were in a gap.
@@ -332,14 +332,14 @@
 }
 
 // Guards against a claim of a lease that another node may have claimed in the gap.
-func TestReleaseBeforeGapDoesNotFreeLease(t *testing.T) {
+func TestLeaseReleasedBeforeGapIsNotClaimable(t *testing.T) {
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(Record{Kind: Release, Holder: "a1", Node: "a", Epoch: 1}, start)
-	back := start.Add(10 * ttl)
-	state.SkipTo(state.Next+10, back)
-	assert.Assert(t, !state.Claimable("b", "b1", "", back, back, ttl))
-	assert.Assert(t, state.Claimable("b", "b1", "", back.Add(ttl+1), back, ttl))
+	gapEnd := start.Add(10 * ttl)
+	state.SkipTo(state.Next+10, gapEnd)
+	assert.Assert(t, !state.Claimable("b", "b1", "", gapEnd, gapEnd, ttl))
+	assert.Assert(t, state.Claimable("b", "b1", "", gapEnd.Add(ttl+1), gapEnd, ttl))
 }
 
 // Guards against a skipped quiet period: the replaced machine has the same name and may still run at another
@@ -352,8 +352,8 @@
 	s.Apply(Record{Kind: Order, Holder: "a1", Node: "a", Address: "10.0.0.1:7000", Epoch: s.Epoch, Engines: []string{"e"}}, at)
 	at = at.Add(quiet / 10)
 	s.Apply(s.NewClaim("a", "a2", "10.0.0.2:7000"), at)
-	left := s.QuietUntil("e", period).Sub(at)
-	assert.Assert(t, left > period.BetweenMachines, "another machine of the same name may send orders after %s", left)
+	remaining := s.QuietUntil("e", period).Sub(at)
+	assert.Assert(t, remaining > period.BetweenMachines, "another machine of the same name may send orders after %s", remaining)
 }
 
 // Runs several nodes with conditional appends on one log, some of which miss records. All that have since read
@@ -384,7 +384,7 @@
 					continue
 				}
 				if view.Epoch != claimed {
-					t.Fatalf("%s writes in epoch %d, the newest claim began %d", name, view.Epoch, claimed)
+					t.Fatalf("%s writes in epoch %d, the newest claim started epoch %d", name, view.Epoch, claimed)
 				}
 				kind := rapid.SampledFrom([]RecordKind{Renew, Order, Release}).Draw(t, "kind")
 				log = append(log, Record{Kind: kind, Node: name[:1], Holder: name, Epoch: view.Epoch})
@@ -395,7 +395,7 @@
 			for view.Next < int64(len(log)) {
 				view.Apply(log[view.Next], start)
 			}
-			if !view.missed && view.Epoch != claimed {
+			if !view.epochUncertain && view.Epoch != claimed {
 				t.Fatalf("current epoch of %s is %d, want %d", names[i], view.Epoch, claimed)
 			}
 		}
--- a/internal/core/lease/term.go
+++ b/internal/core/lease/term.go
@@ -19,12 +19,13 @@
 	WithDeadline(ctx context.Context) (context.Context, context.CancelFunc)
 }
 
-// Term is one term of leadership.
+// Term is one term of leadership. The subject of an order identifies its target, such as an engine ID. Quiet
+// periods are kept per subject.
 type Term interface {
 	// Valid reports whether this node is the leader, as far as it knows.
 	Valid() bool
-	// QuietUntil returns the time, by time.Now, before which no order about the subject may be sent, since
-	// another holder may recently have sent one.
+	// QuietUntil returns the time, on the clock of time.Now, before which no order about the subject may be
+	// sent, since another holder may recently have sent one.
 	QuietUntil(subject string) time.Time
 	// Permit announces an order about the subject in the log and returns the permission to send it. It fails
 	// if this node is not the leader or the quiet period is not over.
