--- a/internal/core/membership/apply.go
+++ b/internal/core/membership/apply.go
@@ -8,17 +8,17 @@
 		n.applySelf(update)
 		return
 	}
-	known := n.members[update.ID]
-	if known == nil {
+	m := n.members[update.ID]
+	if m == nil {
 		n.addMember(update)
 		return
 	}
-	if update.supersedes(known.update) {
-		n.replaceUpdate(known, update)
+	if update.supersedes(m.update) {
+		n.replaceUpdate(m, update)
 		return
 	}
-	if update.State == Suspect && known.suspicion != nil && sameIncarnation(update, known.update) {
-		n.confirmSuspicion(known, update)
+	if update.State == Suspect && m.suspicion != nil && sameIncarnation(update, m.update) {
+		n.confirmSuspicion(m, update)
 	}
 }
 
@@ -33,21 +33,21 @@
 	if update.State == Dead {
 		return
 	}
-	known := &member{}
-	n.members[update.ID] = known
+	m := &member{}
+	n.members[update.ID] = m
 	at, _ := slices.BinarySearch(n.ids, update.ID)
 	n.ids = slices.Insert(n.ids, at, update.ID)
 	n.probeOrder = slices.Insert(n.probeOrder, n.random.IntN(len(n.probeOrder)+1), update.ID)
-	n.replaceUpdate(known, update)
+	n.replaceUpdate(m, update)
 }
 
 // replaceUpdate replaces the update of a member and queues it for gossip.
-func (n *Node) replaceUpdate(known *member, update Update) {
-	known.update = update
-	known.since = n.ticks
-	known.suspicion = nil
+func (n *Node) replaceUpdate(m *member, update Update) {
+	m.update = update
+	m.since = n.ticks
+	m.suspicion = nil
 	if update.State == Suspect {
-		known.suspicion = newSuspicion(n.ticks, update.SuspectedBy)
+		m.suspicion = newSuspicion(n.ticks, update.SuspectedBy)
 	}
 	n.broadcast(update)
 	n.ready.Changes = append(n.ready.Changes, update)
@@ -90,9 +90,9 @@
 func (n *Node) removeExpired() {
 	kept := n.ids[:0]
 	for _, id := range n.ids {
-		known := n.members[id]
-		if known.update.State == Dead && n.ticks-known.since >= n.config.RetentionTicks {
-			n.ready.Changes = append(n.ready.Changes, known.update)
+		m := n.members[id]
+		if m.update.State == Dead && n.ticks-m.since >= n.config.RetentionTicks {
+			n.ready.Changes = append(n.ready.Changes, m.update)
 			delete(n.members, id)
 			continue
 		}
--- a/internal/core/membership/broadcast.go
+++ b/internal/core/membership/broadcast.go
@@ -27,9 +27,9 @@
 	slices.SortStableFunc(n.broadcasts, func(a, b broadcast) int { return cmp.Compare(a.sent, b.sent) })
 	updates := required
 	limit := n.config.RetransmitMultiplier * int(math.Ceil(n.scale()))
-	passed := 0
+	added := 0
 	for i := range n.broadcasts {
-		if passed == n.config.MaxUpdates {
+		if added == n.config.MaxUpdates {
 			break
 		}
 		b := &n.broadcasts[i]
@@ -38,7 +38,7 @@
 			continue
 		}
 		updates = append(updates, b.update)
-		passed++
+		added++
 	}
 	n.broadcasts = slices.DeleteFunc(n.broadcasts, func(b broadcast) bool { return b.sent >= limit })
 	return updates
--- a/internal/core/membership/config.go
+++ b/internal/core/membership/config.go
@@ -9,15 +9,15 @@
 	Self Update
 	// ProbeTicks is the protocol period: the time between two probes.
 	ProbeTicks int
-	// DirectTicks is the time to wait for the ack of a direct probe before indirect probes are sent. It is
+	// PingTimeoutTicks is the time to wait for the ack of a direct probe before indirect probes are sent. It is
 	// below ProbeTicks.
-	DirectTicks int
+	PingTimeoutTicks int
 	// IndirectProbes is the number of nodes that are asked to probe a node that did not answer.
 	IndirectProbes int
-	// SuspicionMinimum and SuspicionMaximum bound the suspicion timeout, in protocol periods times
+	// MinSuspicionPeriods and MaxSuspicionPeriods bound the suspicion timeout, in protocol periods times
 	// max(1, log10(n+1)).
-	SuspicionMinimum float64
-	SuspicionMaximum float64
+	MinSuspicionPeriods float64
+	MaxSuspicionPeriods float64
 	// SuspicionConfirmations is the number of independent confirmations that shorten the suspicion timeout
 	// to the minimum.
 	SuspicionConfirmations int
@@ -43,10 +43,10 @@
 	return Config{
 		Self:                   self,
 		ProbeTicks:             5,
-		DirectTicks:            2,
+		PingTimeoutTicks:       2,
 		IndirectProbes:         3,
-		SuspicionMinimum:       2.5,
-		SuspicionMaximum:       4,
+		MinSuspicionPeriods:    2.5,
+		MaxSuspicionPeriods:    4,
 		SuspicionConfirmations: 2,
 		RetransmitMultiplier:   4,
 		MaxUpdates:             8,
@@ -63,12 +63,12 @@
 	switch {
 	case c.Self.ID == "" || c.Self.Writer == "" || c.Self.Address == "":
 		return errors.New("membership: self needs an ID, a writer and an address")
-	case c.DirectTicks < 1 || c.ProbeTicks <= c.DirectTicks:
-		return errors.New("membership: DirectTicks must be at least 1 and less than ProbeTicks")
+	case c.PingTimeoutTicks < 1 || c.ProbeTicks <= c.PingTimeoutTicks:
+		return errors.New("membership: PingTimeoutTicks must be at least 1 and less than ProbeTicks")
 	case c.IndirectProbes < 0:
 		return errors.New("membership: IndirectProbes must not be negative")
-	case c.SuspicionMinimum <= 0 || c.SuspicionMaximum < c.SuspicionMinimum:
-		return errors.New("membership: SuspicionMinimum must be positive and at most SuspicionMaximum")
+	case c.MinSuspicionPeriods <= 0 || c.MaxSuspicionPeriods < c.MinSuspicionPeriods:
+		return errors.New("membership: MinSuspicionPeriods must be positive and at most MaxSuspicionPeriods")
 	case c.SuspicionConfirmations < 1:
 		return errors.New("membership: SuspicionConfirmations must be at least 1")
 	case c.RetransmitMultiplier < 1 || c.MaxUpdates < 1:
--- a/internal/core/membership/node.go
+++ b/internal/core/membership/node.go
@@ -142,8 +142,8 @@
 // pingAll sends this node's own update to all live nodes at once, by pings.
 func (n *Node) pingAll() {
 	for _, id := range n.ids {
-		if known := n.members[id]; known.update.State != Dead {
-			n.ping(known)
+		if m := n.members[id]; m.update.State != Dead {
+			n.ping(m)
 		}
 	}
 }
--- a/internal/core/membership/node_test.go
+++ b/internal/core/membership/node_test.go
@@ -56,8 +56,8 @@
 	leaver.Leave()
 	s.run(15)
 	for _, p := range s.processes {
-		known := p.node.members["node-02"]
-		assert.Assert(t, known == nil || known.update.Leaving && known.update.State == Alive)
+		m := p.node.members["node-02"]
+		assert.Assert(t, m == nil || m.update.Leaving && m.update.State == Alive)
 	}
 	leaver.Stop()
 	s.run(15)
@@ -160,7 +160,7 @@
 			s.crash(id)
 		}
 	case "restart":
-		s.start(id, s.highest[id]+1)
+		s.start(id, s.highestIncarnation[id]+1)
 	case "freeze":
 		if p != nil {
 			p.frozen = true
--- a/internal/core/membership/probe.go
+++ b/internal/core/membership/probe.go
@@ -26,7 +26,7 @@
 		n.startProbe()
 		return
 	}
-	if !n.probe.indirect && elapsed >= n.config.DirectTicks*factor {
+	if !n.probe.indirect && elapsed >= n.config.PingTimeoutTicks*factor {
 		n.probe.indirect = true
 		n.probeIndirectly()
 	}
@@ -70,8 +70,8 @@
 		for len(n.probeOrder) > 0 {
 			id := n.probeOrder[0]
 			n.probeOrder = n.probeOrder[1:]
-			if known := n.members[id]; known != nil && known.update.State != Dead {
-				return known
+			if m := n.members[id]; m != nil && m.update.State != Dead {
+				return m
 			}
 		}
 		n.probeOrder = slices.Clone(n.ids)
@@ -106,11 +106,11 @@
 // probeDead pings a random node that is considered dead and did not leave as planned. If it is live because a
 // partition has healed, it refutes its death.
 func (n *Node) probeDead() {
-	chosen := n.sample(1, func(m *member) bool {
+	targets := n.sample(1, func(m *member) bool {
 		return m.update.State == Dead && !m.update.Leaving
 	})
-	for _, known := range chosen {
-		n.ping(known)
+	for _, target := range targets {
+		n.ping(target)
 	}
 }
 
@@ -118,8 +118,8 @@
 func (n *Node) sample(count int, matches func(*member) bool) []*member {
 	var candidates []*member
 	for _, id := range n.ids {
-		if known := n.members[id]; matches(known) {
-			candidates = append(candidates, known)
+		if m := n.members[id]; matches(m) {
+			candidates = append(candidates, m)
 		}
 	}
 	n.random.Shuffle(len(candidates), func(i, j int) {
@@ -134,7 +134,7 @@
 	if message.To != n.self.ID || n.self.State == Dead {
 		return
 	}
-	answer := Message{
+	ack := Message{
 		Kind:     Ack,
 		To:       message.From,
 		Sequence: message.Sequence,
@@ -145,13 +145,13 @@
 	if n.mentionsSelf(message) {
 		required = append(required, n.self)
 	}
-	if known := n.members[message.From]; known != nil {
-		answer.ToAddress = known.update.Address
-		if !slices.Contains(message.Updates, known.update) {
-			required = append(required, known.update)
+	if sender := n.members[message.From]; sender != nil {
+		ack.ToAddress = sender.update.Address
+		if !slices.Contains(message.Updates, sender.update) {
+			required = append(required, sender.update)
 		}
 	}
-	n.send(answer, required...)
+	n.send(ack, required...)
 }
 
 // mentionsSelf reports whether the message contains an update about this node.
@@ -167,8 +167,8 @@
 	}
 	var required []Update
 	for _, id := range []string{message.From, message.Target} {
-		if known := n.members[id]; known != nil {
-			required = append(required, known.update)
+		if m := n.members[id]; m != nil {
+			required = append(required, m.update)
 		}
 	}
 	n.send(Message{
@@ -196,7 +196,7 @@
 // relayAck sends an ack on to the node that started the probe.
 func (n *Node) relayAck(message Message) {
 	origin := n.members[message.Origin]
-	answer := Message{
+	ack := Message{
 		Kind:     Ack,
 		To:       message.Origin,
 		Sequence: message.Sequence,
@@ -204,13 +204,13 @@
 		Target:   message.Target,
 	}
 	if origin != nil {
-		answer.ToAddress = origin.update.Address
+		ack.ToAddress = origin.update.Address
 	}
 	var required []Update
 	if target := n.members[message.Target]; target != nil {
 		required = append(required, target.update)
 	}
-	n.send(answer, required...)
+	n.send(ack, required...)
 }
 
 // send adds the sender and updates to the message and queues it for Ready.
--- a/internal/core/membership/simulation_test.go
+++ b/internal/core/membership/simulation_test.go
@@ -28,28 +28,28 @@
 
 // simulation runs nodes on a simulated network. It is deterministic for a seed.
 type simulation struct {
-	t          assert.TestingT
-	random     *rand.Rand
-	tick       int
-	ids        []string
-	processes  map[string]*process
-	partitions map[string]int // partition of each node
-	loss       float64
-	maxDelay   int
-	inFlight   []delivery
-	starts     int
-	highest    map[string]uint64            // highest incarnation that a process of the ID has announced itself
-	views      map[string]map[string]Update // last seen update by observing and observed node
+	t                  assert.TestingT
+	random             *rand.Rand
+	tick               int
+	ids                []string
+	processes          map[string]*process
+	partitions         map[string]int // partition of each node
+	loss               float64
+	maxDelay           int
+	inFlight           []delivery
+	starts             int
+	highestIncarnation map[string]uint64            // highest incarnation that a process with the ID has had
+	views              map[string]map[string]Update // last seen update by observing and observed node
 }
 
 func newSimulation(t assert.TestingT, seed uint64, size int) *simulation {
 	s := &simulation{
-		t:          t,
-		random:     rand.New(rand.NewPCG(seed, 1)),
-		processes:  make(map[string]*process),
-		partitions: make(map[string]int),
-		highest:    make(map[string]uint64),
-		views:      make(map[string]map[string]Update),
+		t:                  t,
+		random:             rand.New(rand.NewPCG(seed, 1)),
+		processes:          make(map[string]*process),
+		partitions:         make(map[string]int),
+		highestIncarnation: make(map[string]uint64),
+		views:              make(map[string]map[string]Update),
 	}
 	for i := range size {
 		s.ids = append(s.ids, fmt.Sprintf("node-%02d", i))
@@ -129,11 +129,11 @@
 
 func (s *simulation) deliver() {
 	// A message and its answer may be delivered in the same tick, as on a loopback interface.
-	for again := true; again; {
-		again = false
-		due := s.inFlight
+	for delivered := true; delivered; {
+		delivered = false
+		pending := s.inFlight
 		s.inFlight = nil
-		for _, d := range due {
+		for _, d := range pending {
 			p := s.processes[d.message.To]
 			switch {
 			case d.tick > s.tick || p != nil && p.frozen:
@@ -141,7 +141,7 @@
 			case p != nil && s.connected(d.message.From, d.message.To):
 				p.node.Step(d.message)
 				s.sendMessages(d.message.To, p.node)
-				again = true
+				delivered = true
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 // has an incarnation that none of its processes announced.
 func (s *simulation) checkInvariants() {
 	for id, p := range s.processes {
-		s.highest[id] = max(s.highest[id], p.node.Self().Incarnation)
+		s.highestIncarnation[id] = max(s.highestIncarnation[id], p.node.Self().Incarnation)
 	}
 	for id, p := range s.processes {
 		for _, member := range p.node.Members() {
@@ -159,7 +159,7 @@
 			if known && before != member && member.ID != id {
 				assert.Assert(s.t, member.supersedes(before), "%s: %v does not supersede %v", id, member, before)
 			}
-			assert.Assert(s.t, member.Incarnation <= s.highest[member.ID], "%s has member %v", id, member)
+			assert.Assert(s.t, member.Incarnation <= s.highestIncarnation[member.ID], "%s has member %v with an unannounced incarnation", id, member)
 			s.views[id][member.ID] = member
 		}
 	}
@@ -178,13 +178,13 @@
 				continue
 			}
 			seen++
-			real := s.processes[member.ID]
-			if real == nil || real.node.Self().Writer != member.Writer || member.State != Alive {
+			live := s.processes[member.ID]
+			if live == nil || live.node.Self().Writer != member.Writer || member.State != Alive {
 				return fmt.Sprintf("%s has member %+v", id, member)
 			}
 		}
 		if seen != len(s.processes) {
-			return fmt.Sprintf("%s sees %d of %d", id, seen, len(s.processes))
+			return fmt.Sprintf("%s sees %d of %d live processes", id, seen, len(s.processes))
 		}
 	}
 	return ""
@@ -204,7 +204,7 @@
 func (s *simulation) countDead(id string) int {
 	count := 0
 	for _, p := range s.processes {
-		if known := p.node.members[id]; known != nil && known.update.State == Dead {
+		if m := p.node.members[id]; m != nil && m.update.State == Dead {
 			count++
 		}
 	}
--- a/internal/core/membership/suspicion.go
+++ b/internal/core/membership/suspicion.go
@@ -21,8 +21,8 @@
 }
 
 // confirmSuspicion records an independent suspicion. Up to Config.SuspicionConfirmations of them are gossiped.
-func (n *Node) confirmSuspicion(known *member, update Update) {
-	current := known.suspicion
+func (n *Node) confirmSuspicion(m *member, update Update) {
+	current := m.suspicion
 	if _, counted := current.suspectedBy[update.SuspectedBy]; counted {
 		return
 	}
@@ -35,11 +35,11 @@
 
 // suspect starts or confirms the suspicion of a node that this node's probe did not reach.
 func (n *Node) suspect(id string) {
-	known := n.members[id]
-	if known == nil || known.update.State == Dead {
+	m := n.members[id]
+	if m == nil || m.update.State == Dead {
 		return
 	}
-	suspected := known.update
+	suspected := m.update
 	suspected.State = Suspect
 	suspected.SuspectedBy = n.self.ID
 	n.apply(suspected)
@@ -51,7 +51,7 @@
 	confirmations := float64(len(current.suspectedBy) - 1)
 	required := float64(n.config.SuspicionConfirmations)
 	share := min(1, math.Log(confirmations+1)/math.Log(required+1))
-	periods := n.config.SuspicionMaximum - share*(n.config.SuspicionMaximum-n.config.SuspicionMinimum)
+	periods := n.config.MaxSuspicionPeriods - share*(n.config.MaxSuspicionPeriods-n.config.MinSuspicionPeriods)
 	ticks := periods * float64(n.config.ProbeTicks) * max(1, n.scale())
 	return int(math.Ceil(ticks)) * (n.healthScore + 1)
 }
@@ -59,22 +59,22 @@
 // expireSuspicions pings suspected nodes, and declares those dead whose suspicion has timed out.
 func (n *Node) expireSuspicions() {
 	for _, id := range n.ids {
-		known := n.members[id]
-		if known.suspicion == nil {
+		m := n.members[id]
+		if m.suspicion == nil {
 			continue
 		}
-		elapsed := n.ticks - known.suspicion.started
-		limit := n.suspicionTicks(known.suspicion)
+		elapsed := n.ticks - m.suspicion.started
+		limit := n.suspicionTicks(m.suspicion)
 		if elapsed >= limit {
-			death := known.update
+			death := m.update
 			death.State = Dead
 			death.SuspectedBy = ""
-			n.replaceUpdate(known, death)
+			n.replaceUpdate(m, death)
 			continue
 		}
-		if elapsed*(suspectPings+1) >= limit*(known.suspicion.pings+1) {
-			known.suspicion.pings++
-			n.ping(known)
+		if elapsed*(suspectPings+1) >= limit*(m.suspicion.pings+1) {
+			m.suspicion.pings++
+			n.ping(m)
 		}
 	}
 }
