--- a/internal/core/routes/homes.go
+++ b/internal/core/routes/homes.go
@@ -12,11 +12,11 @@
 // set may then be too large.
 func (t *Table) HomesOf(host, path, tenant string) (set homes.Set, known bool) {
 	route := t.Match(host, path)
-	ofTenant, found := t.tenantHomes(tenant)
+	tenantSet, found := t.tenantHomes(tenant)
 	if route == nil {
-		return ofTenant, false
+		return tenantSet, false
 	}
-	return homes.Of(route.Homes).Intersect(ofTenant), found
+	return homes.Of(route.Homes).Intersect(tenantSet), found
 }
 
 // tenantHomes returns the homes of a tenant; false if the tenant is not in the table.
@@ -34,21 +34,21 @@
 // BatchHomes returns the distinct sets of regions to which batch jobs are restricted, over all pairs of batch route
 // and tenant. Empty sets are excluded, since no node may run such jobs.
 func (t *Table) BatchHomes() []homes.Set {
-	ofTenants := map[homes.Set]bool{{}: true}
+	tenantSets := map[homes.Set]bool{{}: true}
 	if t.tenants != nil {
 		for _, tenant := range t.tenants.byName {
-			ofTenants[homes.Of(tenant.Homes)] = true
+			tenantSets[homes.Of(tenant.Homes)] = true
 		}
 	}
-	ofRoutes := make(map[homes.Set]bool)
+	routeSets := make(map[homes.Set]bool)
 	for _, route := range t.BatchRoutes() {
-		ofRoutes[homes.Of(route.Homes)] = true
+		routeSets[homes.Of(route.Homes)] = true
 	}
 	seen := make(map[homes.Set]bool)
 	var sets []homes.Set
-	for ofRoute := range ofRoutes {
-		for ofTenant := range ofTenants {
-			set := ofRoute.Intersect(ofTenant)
+	for routeSet := range routeSets {
+		for tenantSet := range tenantSets {
+			set := routeSet.Intersect(tenantSet)
 			if set.IsRestricted() && !set.IsEmpty() && !seen[set] {
 				seen[set] = true
 				sets = append(sets, set)
@@ -86,8 +86,8 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-func addNames(to map[string]bool, names []string) {
+func addNames(set map[string]bool, names []string) {
 	for _, name := range names {
-		to[name] = true
+		set[name] = true
 	}
 }
--- a/internal/core/routes/routes.go
+++ b/internal/core/routes/routes.go
@@ -47,10 +47,12 @@
 	// ResultsDueAfter is the time from a job's submission until its results are due.
 	ResultsDueAfter time.Duration
 	// Retention is the time after which the items of a job may expire.
-	Retention     time.Duration
-	MaxAttempts   int
-	Priority      int
-	Resumable     bool
+	Retention   time.Duration
+	MaxAttempts int
+	Priority    int
+	// Resumable is true if engines can continue an interrupted response after its last event.
+	Resumable bool
+	// SingleVersion is true if a batch item must run with a single model version from start to end.
 	SingleVersion bool
 	// Open routes accept requests without an API key even if there are tenants.
 	Open bool
@@ -175,13 +177,13 @@
 
 // SlowStarts returns the configuration of the services with a rate limit for cold engines, by service name.
 func (t *Table) SlowStarts() map[string]SlowStart {
-	bounded := make(map[string]SlowStart)
+	limited := make(map[string]SlowStart)
 	for name, service := range t.services {
 		if service.SlowStart.RatePerSecond > 0 {
-			bounded[name] = service.SlowStart
+			limited[name] = service.SlowStart
 		}
 	}
-	return bounded
+	return limited
 }
 
 // BatchRoutes returns the batch routes, in no particular order.
@@ -203,12 +205,12 @@
 	live, batch := make(map[string]bool), make(map[string]bool)
 	for _, routes := range t.byHost {
 		for _, route := range routes {
-			uses := live
+			services := live
 			if route.Kind == Batch {
-				uses = batch
+				services = batch
 			}
 			for _, part := range route.Parts {
-				uses[part.Service] = true
+				services[part.Service] = true
 			}
 		}
 	}
--- a/internal/core/routes/split.go
+++ b/internal/core/routes/split.go
@@ -8,13 +8,13 @@
 	mu sync.Mutex
 	// scores holds the current score of each part by route name. Their sum is zero.
 	scores map[string][]int
-	start  uint64
+	seed   uint64
 }
 
-// NewSplitter returns a splitter. The seed determines its starting position, so that nodes with few requests do not
+// NewSplitter returns a splitter. The seed determines its initial scores, so that nodes with few requests do not
 // all start with the part of the greatest weight.
 func NewSplitter(seed uint64) *Splitter {
-	return &Splitter{scores: make(map[string][]int), start: seed}
+	return &Splitter{scores: make(map[string][]int), seed: seed}
 }
 
 // Pick returns the service for the next request of the route; empty if no part has a positive weight.
@@ -51,7 +51,7 @@
 	}
 	scores = make([]int, len(route.Parts))
 	// The shift keeps the sum of the scores at zero.
-	shift := int(s.start % uint64(total))
+	shift := int(s.seed % uint64(total))
 	scores[0] -= shift
 	scores[len(scores)-1] += shift
 	s.scores[route.Name] = scores
--- a/internal/core/routes/tenants_test.go
+++ b/internal/core/routes/tenants_test.go
@@ -68,7 +68,7 @@
 	assert.DeepEqual(t, owners, []string{"a", ""})
 }
 
-// Guards against an error that depends on the table's age for credentials other than unknown keys.
+// Guards against NotCurrent for credentials that are invalid whatever the table contains.
 func TestUnknownKeyIsNotCurrentIfTableMayBeOld(t *testing.T) {
 	table := tableWithTenants(Tenant{Name: "a", Keys: []string{"ka"}})
 	own := table.Match("h", "/own/x")
