--- a/internal/core/routing/avoid.go
+++ b/internal/core/routing/avoid.go
@@ -7,9 +7,9 @@
 )
 
 // AvoidList is a temporary deny list of cells per service, for refusals that
-// digests do not reveal, such as a cell's part of the service's cap. It is
-// advisory: avoided cells are tried if no other cell is left. It is not safe for
-// concurrent use.
+// digests cannot predict, such as one because the cell has used its share of the
+// service's cap. It is advisory: avoided cells are tried if no other cell is
+// left. It is not safe for concurrent use.
 type AvoidList struct {
 	until map[avoidKey]time.Time
 }
@@ -23,7 +23,7 @@
 	return &AvoidList{until: make(map[avoidKey]time.Time)}
 }
 
-// Add avoids the cell for the service's requests until the given time.
+// Add excludes the cell for the service's requests until the given time.
 func (a *AvoidList) Add(service string, cell message.CellID, until time.Time) {
 	a.until[avoidKey{service: service, cell: cell}] = until
 }
--- a/internal/core/routing/pick.go
+++ b/internal/core/routing/pick.go
@@ -16,8 +16,8 @@
 	StrategyLeastLoad Strategy = "least-load"
 	// StrategyRoundRobin cycles through the eligible cells regardless of distance.
 	StrategyRoundRobin Strategy = "round-robin"
-	// StrategyOneHop picks the cell with the highest score and sends to the local
-	// dispatcher for every cell of the node's zone.
+	// StrategyOneHop picks the cell with the highest score. Requests for cells of
+	// the node's own zone go to the local dispatcher instead of the cell's owner.
 	StrategyOneHop Strategy = "one-hop"
 )
 
--- a/internal/core/routing/query.go
+++ b/internal/core/routing/query.go
@@ -26,7 +26,8 @@
 	// PrefixKey is equal for prompts that share their first blocks; 0 if the
 	// prompt is too short for prefix affinity.
 	PrefixKey uint64
-	// Excluded holds the cells that already refused the request.
+	// Excluded holds the cells that must not be selected, such as those that
+	// refused the request.
 	Excluded map[message.CellID]struct{}
 }
 
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -41,11 +41,11 @@
 func TestEligibleFilters(t *testing.T) {
 	otherPool := testCell("a", 1, 8, 0, 5)
 	otherPool.Digest.Cell.Pool = "other"
-	late := testCell("a", 4, 8, 0, 5)
-	late.Age = time.Minute
+	stale := testCell("a", 4, 8, 0, 5)
+	stale.Age = time.Minute
 	empty := testCell("a", 5, 8, 0, 5)
 	empty.Digest.Models[0].Engines = 0
-	cells := []Cell{testCell("a", 0, 8, 0, 5), otherPool, testCell("c", 2, 8, 0, 5), testCell("b", 3, 8, 0, 4), late, empty}
+	cells := []Cell{testCell("a", 0, 8, 0, 5), otherPool, testCell("c", 2, 8, 0, 5), testCell("b", 3, 8, 0, 4), stale, empty}
 	query := Query{Pool: "pool", Model: "model", MinVersion: 5, Zones: []string{"a", "b"}}
 	assert.DeepEqual(t, indexes(Eligible(cells, query, time.Second)), []int{0})
 	query.MinVersion = 0
@@ -80,14 +80,14 @@
 	assert.Assert(t, PrefixKey("other", prompt) != key)
 	assert.Equal(t, PrefixKey("model", "short"), uint64(0))
 
-	home := AffinityIndex(pointers(cells), key)
-	cells[(home+1)%8].Digest.Running = 5
-	assert.Equal(t, AffinityIndex(pointers(cells), key), home)
-	cells[home].Digest.Running = 15
+	preferred := AffinityIndex(pointers(cells), key)
+	cells[(preferred+1)%8].Digest.Running = 5
+	assert.Equal(t, AffinityIndex(pointers(cells), key), preferred)
+	cells[preferred].Digest.Running = 15
 	next := AffinityIndex(pointers(cells), key)
-	assert.Assert(t, next != home)
-	cells[home].Digest.Running = 2
-	assert.Equal(t, AffinityIndex(pointers(cells), key), home)
+	assert.Assert(t, next != preferred)
+	cells[preferred].Digest.Running = 2
+	assert.Equal(t, AffinityIndex(pointers(cells), key), preferred)
 	for index := range cells {
 		cells[index].Digest.Running = 16
 	}
@@ -148,9 +148,9 @@
 }
 
 func TestTargetVersionAndMinVersion(t *testing.T) {
-	gone := testCell("a", 2, 8, 0, 40).Digest
-	gone.Models[0].Engines = 0
-	digests := []message.CellDigest{*testCell("a", 0, 8, 0, 7).Digest, *testCell("b", 1, 8, 0, 9).Digest, *gone}
+	unavailable := testCell("a", 2, 8, 0, 40).Digest
+	unavailable.Models[0].Engines = 0
+	digests := []message.CellDigest{*testCell("a", 0, 8, 0, 7).Digest, *testCell("b", 1, 8, 0, 9).Digest, *unavailable}
 	row := policy.Row{Pool: "pool", Model: "model", Staleness: 2}
 	assert.Equal(t, TargetVersion(row, digests), uint64(9))
 	assert.Equal(t, MinVersion(row, digests), uint64(7))
--- a/internal/core/routing/tracker.go
+++ b/internal/core/routing/tracker.go
@@ -79,7 +79,7 @@
 		present[digest.Cell] = struct{}{}
 	}
 	for cell := range t.cells {
-		if _, still := present[cell]; !still {
+		if _, found := present[cell]; !found {
 			delete(t.cells, cell)
 		}
 	}
--- a/internal/core/routing/version.go
+++ b/internal/core/routing/version.go
@@ -93,10 +93,10 @@
 	return counts
 }
 
-func (e *engineVersions) enginesAtLeast(version uint64) int {
+func (e *engineVersions) enginesAtLeast(minimum uint64) int {
 	engines := 0
-	for at, count := range e.byVersion {
-		if at >= version {
+	for version, count := range e.byVersion {
+		if version >= minimum {
 			engines += count
 		}
 	}
--- a/internal/core/routing/version_test.go
+++ b/internal/core/routing/version_test.go
@@ -14,8 +14,8 @@
 func poolDigest(zone, pool string, atVersion map[uint64]int) message.CellDigest {
 	digest := message.CellDigest{Cell: message.CellID{Zone: zone, Pool: pool}, Engines: 10}
 	for version, engines := range atVersion {
-		held := engine.ModelVersion{Model: "model", Version: version}
-		digest.Models = append(digest.Models, message.ModelCount{ModelVersion: held, Engines: engines})
+		model := engine.ModelVersion{Model: "model", Version: version}
+		digest.Models = append(digest.Models, message.ModelCount{ModelVersion: model, Engines: engines})
 	}
 	return digest
 }
