--- a/internal/core/policy/csv_parse.go
+++ b/internal/core/policy/csv_parse.go
@@ -15,8 +15,8 @@
 // MaxProblems bounds the problems that ParseCSV and Validate return.
 const MaxProblems = 1000
 
-// maxProblemValue bounds Problem.Value, in bytes.
-const maxProblemValue = 80
+// maxProblemValueBytes bounds Problem.Value.
+const maxProblemValueBytes = 80
 
 const (
 	byteOrderMark      = "\uFEFF"
@@ -221,13 +221,13 @@
 	}
 }
 
-// truncate shortens value to at most maxProblemValue bytes plus an ellipsis,
-// cutting at a rune boundary.
+// truncate shortens value to at most maxProblemValueBytes plus an ellipsis, cutting
+// at a rune boundary.
 func truncate(value string) string {
-	if len(value) <= maxProblemValue {
+	if len(value) <= maxProblemValueBytes {
 		return value
 	}
-	cut := maxProblemValue
+	cut := maxProblemValueBytes
 	for cut > 0 && !utf8.RuneStart(value[cut]) {
 		cut--
 	}
--- a/internal/core/policy/csv_test.go
+++ b/internal/core/policy/csv_test.go
@@ -49,6 +49,7 @@
 	var found []string
 	for _, problem := range problems {
 		assert.Assert(t, problem.Expected != "")
+		// The line number is written as a row of i's.
 		found = append(found, strings.Repeat("i", problem.Line)+":"+problem.Column+":"+problem.Value)
 	}
 	slices.Sort(found)
--- a/internal/core/policy/diff.go
+++ b/internal/core/policy/diff.go
@@ -19,11 +19,11 @@
 // Diff returns the row changes from before to after, sorted by service. Each
 // table must have at most one row per service.
 func Diff(before, after []Row) []RowChange {
-	old := rowsByService(before)
+	unmatched := rowsByService(before)
 	var changes []RowChange
 	for i := range after {
-		previous, found := old[after[i].Service]
-		delete(old, after[i].Service)
+		previous, found := unmatched[after[i].Service]
+		delete(unmatched, after[i].Service)
 		switch {
 		case !found:
 			changes = append(changes, RowChange{Service: after[i].Service, After: copyRow(&after[i])})
@@ -31,7 +31,7 @@
 			changes = append(changes, newChange(*previous, after[i]))
 		}
 	}
-	for service, row := range old {
+	for service, row := range unmatched {
 		changes = append(changes, RowChange{Service: service, Before: copyRow(row)})
 	}
 	sortChanges(changes)
@@ -88,10 +88,10 @@
 // Conflicts returns the changes between base and current that the proposed table
 // would revert or overwrite.
 func Conflicts(base, current, proposed []Row) []RowChange {
-	wanted := rowsByService(proposed)
+	proposedRows := rowsByService(proposed)
 	var conflicts []RowChange
 	for _, change := range Diff(base, current) {
-		if !sameRow(change.After, wanted[change.Service]) {
+		if !sameRow(change.After, proposedRows[change.Service]) {
 			conflicts = append(conflicts, change)
 		}
 	}
--- a/internal/core/policy/proposal.go
+++ b/internal/core/policy/proposal.go
@@ -11,10 +11,10 @@
 // KindProposal is the record kind of a Proposal in the config stream.
 const KindProposal logrecord.Kind = "proposal"
 
-// Length limits of a proposal's strings, in bytes.
+// Limits of a proposal's strings.
 const (
-	MaxProposalID = 128
-	MaxOperator   = 128
+	MaxProposalIDBytes = 128
+	MaxOperatorBytes   = 128
 )
 
 // ErrMalformedProposal is wrapped by every error of DecodeProposal.
@@ -22,8 +22,8 @@
 
 // Proposal is the body of KindProposal: an edit of the table.
 type Proposal struct {
-	// ProposalID identifies the edit, 1..MaxProposalID bytes. Of several records
-	// with the same ID only the first is evaluated.
+	// ProposalID identifies the edit; it is not empty. Of several records with the
+	// same ID only the first is evaluated.
 	ProposalID string `msgpack:"id"`
 	// BaseRevision is the revision that the edit is based on.
 	BaseRevision int64 `msgpack:"b"`
@@ -83,12 +83,12 @@
 // its limits; replicas reject such a proposal without evaluating it.
 func (p *Proposal) Check() error {
 	switch {
-	case p.ProposalID == "" || len(p.ProposalID) > MaxProposalID:
+	case p.ProposalID == "" || len(p.ProposalID) > MaxProposalIDBytes:
 		return errors.Wrapf(ErrMalformedProposal, "proposal ID has %d bytes, expected 1 to %d",
-			len(p.ProposalID), MaxProposalID)
-	case len(p.Operator) > MaxOperator:
+			len(p.ProposalID), MaxProposalIDBytes)
+	case len(p.Operator) > MaxOperatorBytes:
 		return errors.Wrapf(ErrMalformedProposal, "operator has %d bytes, expected at most %d",
-			len(p.Operator), MaxOperator)
+			len(p.Operator), MaxOperatorBytes)
 	case p.BaseRevision < 0:
 		return errors.Wrapf(ErrMalformedProposal, "base revision %d is negative", p.BaseRevision)
 	case len(p.Changes) > maxChanges:
--- a/internal/core/policy/validate.go
+++ b/internal/core/policy/validate.go
@@ -14,8 +14,8 @@
 	MaxRows = 2000
 	// MaxZones bounds the zones that one row lists.
 	MaxZones = 32
-	// MaxNameLength bounds pool, model and zone names, in bytes.
-	MaxNameLength = 63
+	// MaxNameBytes bounds the lengths of pool, model and zone names.
+	MaxNameBytes = 63
 )
 
 // Inclusive ranges of the numeric columns.
