--- a/internal/core/replicaset/replicaset.go
+++ b/internal/core/replicaset/replicaset.go
@@ -20,14 +20,14 @@
 const (
 	// MinNodes is the cluster size from which there are replicas.
 	MinNodes = 100
-	// readersPerReplica is the number of nodes of a zone per replica.
-	readersPerReplica = 16
+	// nodesPerReplica is the number of nodes of a zone per replica.
+	nodesPerReplica = 16
 	// maxReplicas bounds the replicas of a zone, and with them the readers of the log, whatever the cluster size.
 	maxReplicas = 3
-	// zoneSources bounds the replicas of its own zone that a node reads from, otherSources the
-	// subsequent ones of other zones: the replicas of one zone may fail together.
-	zoneSources  = 2
-	otherSources = 2
+	// maxZoneSources bounds the replicas of its own zone that a node reads from.
+	maxZoneSources = 2
+	// maxOtherSources bounds the replicas of other zones, since those of one zone may fail together.
+	maxOtherSources = 2
 )
 
 // Member is a node of the cluster.
@@ -57,29 +57,30 @@
 		return nil
 	}
 	var candidates []Member
-	size, best := 0, 0.0
+	zoneNodes, maxCapacity := 0, 0.0
 	for _, member := range members {
 		if member.Zone != zone {
 			continue
 		}
-		size++
+		zoneNodes++
 		switch {
-		case member.capacity() > best:
-			best, candidates = member.capacity(), []Member{member}
-		case member.capacity() == best:
+		case member.capacity() > maxCapacity:
+			maxCapacity, candidates = member.capacity(), []Member{member}
+		case member.capacity() == maxCapacity:
 			candidates = append(candidates, member)
 		}
 	}
 	slices.SortFunc(candidates, func(a, b Member) int { return compareHashes(a.Node, b.Node, "") })
-	return candidates[:min(len(candidates), maxReplicas, (size+readersPerReplica-1)/readersPerReplica)]
+	return candidates[:min(len(candidates), maxReplicas, (zoneNodes+nodesPerReplica-1)/nodesPerReplica)]
 }
 
-// Sources returns the replicas within the regions that a node reads from, in order of preference: its
-// zone, its region, other regions. It is empty if the node reads the log itself. A node outside
-// the regions does so only if no node inside them is known, since a read also returns records of other jobs.
+// Sources returns the replicas that a node reads from, in order of preference: those of its zone, of its
+// region, of other regions. All of them are within the given regions. The result is empty if the node
+// reads the log itself. A node outside the regions does so only if no node inside them is known, since a
+// read also returns records of other jobs.
 func Sources(members []Member, self Member, within homes.Set) []Member {
 	if !within.Allows(self.Region) {
-		return preferred(answeringNodes(members), self, otherSources, within)
+		return preferred(servingNodes(members), self, maxOtherSources, within)
 	}
 	sameZone := Replicas(members, self.Zone)
 	isSelf := func(member Member) bool { return member.Node == self.Node }
@@ -94,14 +95,14 @@
 		}
 	}
 	others := append(
-		preferred(byDistance[topology.SameRegion], self, otherSources, within),
-		preferred(byDistance[topology.OtherRegion], self, otherSources, within)...,
+		preferred(byDistance[topology.SameRegion], self, maxOtherSources, within),
+		preferred(byDistance[topology.OtherRegion], self, maxOtherSources, within)...,
 	)
-	return append(preferred(sameZone, self, zoneSources, within), others[:min(len(others), otherSources)]...)
+	return append(preferred(sameZone, self, maxZoneSources, within), others[:min(len(others), maxOtherSources)]...)
 }
 
-// answeringNodes returns the nodes that serve reads of other nodes: the replicas, or all nodes of a small cluster.
-func answeringNodes(members []Member) []Member {
+// servingNodes returns the nodes that serve reads of other nodes: the replicas, or all nodes of a small cluster.
+func servingNodes(members []Member) []Member {
 	if len(members) < MinNodes {
 		return slices.Clone(members)
 	}
@@ -112,7 +113,8 @@
 	return replicas
 }
 
-// ServesNodesOutside reports whether a node of a small cluster, which has no replicas, serves reads of nodes outside the regions.
+// ServesNodesOutside reports whether a node serves reads of nodes outside the regions although it is no replica:
+// in a small cluster, all nodes inside the regions do.
 func ServesNodesOutside(members []Member, self Member, within homes.Set) bool {
 	return within.IsRestricted() && within.Allows(self.Region) && len(members) < MinNodes
 }
--- a/internal/core/replicaset/replicaset_test.go
+++ b/internal/core/replicaset/replicaset_test.go
@@ -47,9 +47,9 @@
 			assert.Assert(t, slices.Contains(Replicas(members, member.Zone), member))
 			continue
 		}
-		assert.Equal(t, len(sources), zoneSources+otherSources)
+		assert.Equal(t, len(sources), maxZoneSources+maxOtherSources)
 		for position, source := range sources {
-			assert.Equal(t, source.Zone == member.Zone, position < zoneSources)
+			assert.Equal(t, source.Zone == member.Zone, position < maxZoneSources)
 		}
 		readers[sources[0].Node]++
 	}
@@ -101,8 +101,8 @@
 	assert.Equal(t, len(Sources(append(members, alone), alone, homes.Set{})), 0)
 }
 
-// regions returns nodes in two regions of two zones each.
-func regions(nodes int) []Member {
+// regionalCluster returns nodes in two regions of two zones each.
+func regionalCluster(nodes int) []Member {
 	members := make([]Member, nodes)
 	for i := range members {
 		zone := i % 4
@@ -114,18 +114,18 @@
 }
 
 func TestSourcesOfTheOwnRegionComeFirst(t *testing.T) {
-	members := regions(320)
+	members := regionalCluster(320)
 	for _, member := range members {
 		sources := Sources(members, member, homes.Set{})
 		for position, source := range sources {
-			assert.Equal(t, source.Zone == member.Zone, position < zoneSources)
+			assert.Equal(t, source.Zone == member.Zone, position < maxZoneSources)
 			assert.Equal(t, source.Region, member.Region)
 		}
 	}
 }
 
 func TestSourcesLieWithinTheRegions(t *testing.T) {
-	members := regions(320)
+	members := regionalCluster(320)
 	for _, member := range members {
 		inside := Sources(members, member, homes.Of([]string{member.Region}))
 		assert.Equal(t, len(inside), len(Sources(members, member, homes.Set{})))
@@ -137,7 +137,7 @@
 			other = "r1"
 		}
 		sources := Sources(members, member, homes.Of([]string{other}))
-		assert.Equal(t, len(sources), otherSources)
+		assert.Equal(t, len(sources), maxOtherSources)
 		for _, source := range sources {
 			assert.Equal(t, source.Region, other)
 		}
@@ -147,7 +147,7 @@
 
 // Guards against a node outside a job's regions that reads it from the log of a small cluster.
 func TestNodesOutsideTheRegionsReadFromNodesInsideInASmallCluster(t *testing.T) {
-	members := regions(MinNodes - 1)
+	members := regionalCluster(MinNodes - 1)
 	within := homes.Of([]string{"r0"})
 	for _, member := range members {
 		sources := Sources(members, member, within)
@@ -157,21 +157,21 @@
 			assert.Equal(t, len(sources), 0, "nodes inside the regions read the log")
 			continue
 		}
-		assert.Equal(t, len(sources), otherSources)
+		assert.Equal(t, len(sources), maxOtherSources)
 		for _, source := range sources {
 			assert.Equal(t, source.Region, "r0")
 		}
 	}
-	assert.Assert(t, !ServesNodesOutside(regions(MinNodes), members[0], within), "large clusters have replicas")
+	assert.Assert(t, !ServesNodesOutside(regionalCluster(MinNodes), members[0], within), "large clusters have replicas")
 }
 
 // Guards against a replica outside a job's regions that reads it from the log.
 func TestReplicasOutsideTheRegionsReadFromReplicasInside(t *testing.T) {
-	members := regions(320)
+	members := regionalCluster(320)
 	for _, zone := range otherZones(members, "") {
 		for _, replica := range Replicas(members, zone) {
 			if replica.Region != "r0" {
-				assert.Equal(t, len(Sources(members, replica, homes.Of([]string{"r0"}))), otherSources)
+				assert.Equal(t, len(Sources(members, replica, homes.Of([]string{"r0"}))), maxOtherSources)
 			}
 		}
 	}
