--- a/internal/core/clusterversion/clusterversion_test.go
+++ b/internal/core/clusterversion/clusterversion_test.go
@@ -140,15 +140,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Announced)
 		now, before := start, s.Cluster()
-		lowestHeard := map[time.Time]Version{}
+		lowestSeen := map[time.Time]Version{}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 8).Draw(t, "seconds")) * time.Second)
 			view := View{Highest: Announced, Current: rapid.IntRange(0, 20).Draw(t, "current") > 0}
 			view.Lowest = Version(rapid.SampledFrom([]uint32{0, 1, 1, 2, 2, 2, 2, 2, 2, 2}).Draw(t, "lowest"))
 			s.Observe(view, now)
-			lowestHeard[now] = view.Lowest
+			lowestSeen[now] = view.Lowest
 			if raised, due := s.PendingRaise(); due {
-				for at, lowest := range lowestHeard {
+				for at, lowest := range lowestSeen {
 					if now.Sub(at) < agreementPeriod && lowest < raised {
 						t.Fatalf("raised to %d, %s after a node of version %d was seen", raised, now.Sub(at), lowest)
 					}
--- a/internal/core/clusterversion/state.go
+++ b/internal/core/clusterversion/state.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// agreementPeriod is how long all live nodes must have announced a version before the cluster is raised to it. It
-	// exceeds the announcement interval, so that the announcements of all live nodes are read meanwhile.
+	// agreementPeriod is how long the lowest version of all live nodes must stay the same before the cluster is raised
+	// to it. It exceeds the announcement interval, so that each live node announces its version at least once within it.
 	agreementPeriod = 45 * time.Second
-	// maxObservationGap is the maximum time between two observations of one agreement. A process that was paused for
-	// longer may have missed nodes.
+	// maxObservationGap is the maximum time between two observations within an agreement period. A process that was
+	// paused for longer may have missed announcements.
 	maxObservationGap = 5 * time.Second
 )
 
@@ -30,7 +30,7 @@
 // New returns the state of a node with the build's version that has not read the log.
 func New(build Version) *State { return &State{build: build} }
 
-// Learn applies the cluster version as found by a complete read of the log. It returns a *TooOldError if the build
+// Learn applies the cluster version that a complete read of the log found. It returns a *TooOldError if the build
 // must not run.
 func (s *State) Learn(cluster Version) error {
 	s.known = true
@@ -51,14 +51,15 @@
 // may be written.
 func (s *State) Reached(version Version) bool { return s.known && s.cluster >= version }
 
-// Serves reports whether a feature of a version may be used that all live nodes must support: the cluster has reached
-// the version, or no known live node is older. A new cluster can therefore use it before the first raise.
+// Serves reports whether a feature that all live nodes must support, and that a version introduced, may be used: the
+// cluster has reached the version, or no known live node is older. A new cluster can therefore use the feature before
+// the first raise.
 func (s *State) Serves(version Version, view View) bool {
 	return s.Reached(version) || view.Known && view.Lowest >= version
 }
 
 // NeedsRead reports whether the log may contain a higher cluster version than is known: it has not been read yet, all
-// live nodes have agreed on a version, or nodes of later builds may have.
+// live nodes have agreed on a higher version, or a node of a later build is live.
 func (s *State) NeedsRead(view View) bool {
 	return !s.known || s.hasAgreement() || view.Highest > s.build
 }
