--- a/internal/core/homes/homes.go
+++ b/internal/core/homes/homes.go
@@ -56,8 +56,8 @@
 // IsEmpty reports whether the set is empty.
 func (s Set) IsEmpty() bool { return s.restricted && s.names == "" }
 
-// Allows reports whether a region is in the set. The empty region, which is that of machines in unknown places, is in
-// no restricted set.
+// Allows reports whether a region is in the set. The empty region, that of machines whose location is unknown, is in no
+// restricted set.
 func (s Set) Allows(region string) bool {
 	if !s.restricted {
 		return true
@@ -70,7 +70,7 @@
 	return false
 }
 
-// idBytes is the length of the truncated hash. It must be sufficient against intended collisions.
+// idBytes is the length of the truncated hash. It must be long enough to prevent deliberate collisions.
 const idBytes = 16
 
 // ID returns an identifier of the set for topic names. It has a fixed length and is the same on all nodes. It is a
