--- a/internal/core/topology/topology.go
+++ b/internal/core/topology/topology.go
@@ -1,4 +1,4 @@
-// Package topology maps zones to regions and defines the network distance of places.
+// Package topology maps zones to regions and defines the network distance between locations.
 package topology
 
 import "time"
@@ -38,7 +38,7 @@
 	Region string
 }
 
-// Distance is the network distance of two places, from SameZone to OtherRegion.
+// Distance is the network distance between two places, from SameZone to OtherRegion.
 type Distance uint8
 
 // Distances, from nearest to farthest.
@@ -48,17 +48,17 @@
 	// OtherRegion also applies to different zones if a region is unknown.
 	OtherRegion
 
-	distances
+	distanceCount
 )
 
-var distanceNames = [distances]string{
+var distanceNames = [distanceCount]string{
 	SameZone: "same_zone", SameRegion: "same_region", OtherRegion: "other_region",
 }
 
 // String returns the name of the distance, for logs and metrics.
 func (d Distance) String() string { return distanceNames[d] }
 
-// Between returns the distance of two places.
+// Between returns the distance between two places.
 func Between(a, b Place) Distance {
 	switch {
 	case a.Zone == b.Zone:
@@ -71,11 +71,11 @@
 }
 
 // roundTrips holds typical round-trip times; that of OtherRegion applies to regions on one continent.
-var roundTrips = [distances]time.Duration{
+var roundTrips = [distanceCount]time.Duration{
 	SameZone:    400 * time.Microsecond,
 	SameRegion:  time.Millisecond,
 	OtherRegion: 24 * time.Millisecond,
 }
 
-// RoundTrip returns the expected round-trip time.
+// RoundTrip returns the typical round-trip time.
 func (d Distance) RoundTrip() time.Duration { return roundTrips[d] }
