--- a/internal/core/incarnation/incarnation.go
+++ b/internal/core/incarnation/incarnation.go
@@ -4,8 +4,8 @@
 
 import "strconv"
 
-// ID identifies an engine from one start to its end. An engine may restart under the same engine ID, but without its
-// earlier state, so what others record about it must be kept per incarnation.
+// ID identifies an incarnation of an engine. An engine may restart under the same engine ID, but without its earlier
+// state, so what others record about it must be kept per incarnation.
 type ID struct {
 	// Engine is the engine's ID in the engine list.
 	Engine string
@@ -25,8 +25,8 @@
 	return i.Engine + "@" + strconv.FormatInt(i.StartMillis, 10)
 }
 
-// Contradicts reports whether two IDs cannot be of the same incarnation. Without a start time, an ID contradicts
-// none of the same engine.
+// Contradicts reports whether two IDs certainly identify different incarnations. An ID without a start time
+// contradicts only IDs of other engines.
 func (i ID) Contradicts(other ID) bool {
 	if i.Engine != other.Engine {
 		return true
