--- a/internal/core/idempotency/idempotency_test.go
+++ b/internal/core/idempotency/idempotency_test.go
@@ -45,7 +45,7 @@
 				want.accept(t, offset, next)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "snapshot") == 0 {
-				reducer = restored(t, reducer)
+				reducer = snapshotRoundTrip(t, reducer)
 			}
 			want.compare(t, reducer)
 		}
@@ -113,7 +113,7 @@
 	}
 }
 
-func restored(t assert.TestingT, reducer *Reducer) *Reducer {
+func snapshotRoundTrip(t assert.TestingT, reducer *Reducer) *Reducer {
 	data, err := reducer.Snapshot()
 	assert.NilError(t, err)
 	copied := NewReducer()
@@ -150,7 +150,7 @@
 	assert.Assert(t, !known)
 
 	// Contiguous offsets trigger a sweep, which removes the entry.
-	for offset := int64(RetentionRecords + 400); offset <= RetentionRecords+400+sweepEvery; offset++ {
+	for offset := int64(RetentionRecords + 400); offset <= RetentionRecords+400+sweepInterval; offset++ {
 		filler(offset, 1000*RetentionMS)
 	}
 	assert.Equal(t, reducer.Len(), 0)
@@ -180,6 +180,6 @@
 			entry, known := reducer.Lookup("k")
 			assert.Assert(t, known && entry.ResultOffset == NoResult)
 		}
-		restored(t, reducer)
+		snapshotRoundTrip(t, reducer)
 	})
 }
--- a/internal/core/idempotency/reducer.go
+++ b/internal/core/idempotency/reducer.go
@@ -4,8 +4,8 @@
 	"github.com/corkpulley/corkpulley/internal/core/logrecord"
 )
 
-// Retention of keys. A key expires only when both bounds have passed since its latest record. A
-// request that is repeated later runs again.
+// Limits of the retained keys. A key expires only after both retention periods since its latest
+// record. A request that is repeated later runs again.
 const (
 	// RetentionMS is the retention by the stream clock: 24 hours. There is no guarantee for a
 	// process that is paused for longer between its intent and the submission of its request.
@@ -18,14 +18,14 @@
 	maxClockStepMS = 5 * 60 * 1000
 	// MaxKeys bounds the number of keys; further intents are Invalid.
 	MaxKeys = 1 << 20
-	// sweepEvery is the number of offsets between removals of expired keys.
-	sweepEvery = 1 << 10
+	// sweepInterval is the number of offsets between removals of expired keys.
+	sweepInterval = 1 << 10
 )
 
 // NoResult is the value of Entry.ResultOffset until a result is recorded.
 const NoResult int64 = -1
 
-// Entry is the state of a key.
+// Entry is the state of a key: an intent that is open or has a result.
 type Entry struct {
 	Fingerprint string `msgpack:"f"`
 	// Writer is the writer of the intent, which alone may record a result or release it.
@@ -174,7 +174,7 @@
 
 // advanceOffset sets the next offset, and sweeps once every sweepEvery offsets.
 func (r *Reducer) advanceOffset(offset int64) {
-	if offset/sweepEvery != (r.next-1)/sweepEvery {
+	if offset/sweepInterval != (r.next-1)/sweepInterval {
 		r.sweep(offset)
 	}
 	r.next = offset + 1
