--- a/internal/core/logrecord/fence.go
+++ b/internal/core/logrecord/fence.go
@@ -29,7 +29,7 @@
 	case KindRelease:
 		return f.release(record)
 	default:
-		return f.fenced(record)
+		return f.checkOwner(record)
 	}
 }
 
@@ -59,14 +59,14 @@
 }
 
 func (f *Fence) release(record Record) Verdict {
-	verdict := f.fenced(record)
+	verdict := f.checkOwner(record)
 	if verdict == Accepted {
 		f.Released = true
 	}
 	return verdict
 }
 
-func (f *Fence) fenced(record Record) Verdict {
+func (f *Fence) checkOwner(record Record) Verdict {
 	if !f.OwnedBy(record.Writer, record.Epoch) {
 		return Fenced
 	}
--- a/internal/core/logrecord/logrecord.go
+++ b/internal/core/logrecord/logrecord.go
@@ -57,7 +57,8 @@
 	// Invalid means that the record is malformed or not allowed in the current state.
 	Invalid
 	// Expired means that the record's offset exceeds its Base by more than WriterRetentionOffsets, so that repeats
-	// cannot be detected. No copy after it takes effect either. The stream runtime appends the record again by itself.
+	// cannot be detected. No later copy takes effect either. The stream runtime appends the record again with a new
+	// Sequence.
 	Expired
 )
 
