--- a/internal/core/errkind/errkind.go
+++ b/internal/core/errkind/errkind.go
@@ -29,6 +29,7 @@
 	MethodNotAllowed
 	TableConflict
 	TableInvalid
+	// StepMismatch means that the step was submitted before with a different request.
 	StepMismatch
 	IdempotencyKeyReused
 	IdempotencyInProgress
@@ -37,9 +38,12 @@
 	QueueTimeout
 	NoCapacity
 	Draining
+	// NotCurrent means that the node's configuration may be out of date.
 	NotCurrent
+	// NotReady means that the node has not yet read the state that the request needs.
 	NotReady
 	LogUnavailable
+	// NotOwner means that the node does not own the stream or cell that the request needs.
 	NotOwner
 	EngineRefused
 	EngineFailed
@@ -77,7 +81,7 @@
 	Unknown     Execution = "unknown"
 )
 
-// Response describes the response to a caller for one Kind.
+// Response is the response to a caller for one Kind.
 type Response struct {
 	// Code is the stable machine-readable name of the kind.
 	Code string
@@ -93,7 +97,7 @@
 // statusClientClosedRequest is the de facto status for a caller that disconnected.
 const statusClientClosedRequest = 499
 
-var answers = [kindCount]Response{
+var responses = [kindCount]Response{
 	Internal:              {"internal", http.StatusInternalServerError, Unknown, false, 0},
 	InvalidRequest:        {"invalid_request", http.StatusBadRequest, NotExecuted, false, 0},
 	UnsupportedMediaType:  {"unsupported_media_type", http.StatusUnsupportedMediaType, NotExecuted, false, 0},
@@ -147,9 +151,9 @@
 // Response returns the response for the kind; undefined kinds are treated as Internal.
 func (k Kind) Response() Response {
 	if k >= kindCount {
-		return answers[Internal]
+		return responses[Internal]
 	}
-	return answers[k]
+	return responses[k]
 }
 
 // String returns the stable code of the kind.
--- a/internal/core/errkind/errkind_test.go
+++ b/internal/core/errkind/errkind_test.go
@@ -11,13 +11,13 @@
 func TestKindsHaveDistinctCodes(t *testing.T) {
 	codes := map[string]Kind{}
 	for _, kind := range All() {
-		answer := kind.Response()
-		assert.Assert(t, answer.Code != "", "kind %d has no code", kind)
-		assert.Assert(t, answer.Status >= 400, "%s: status %d", answer.Code, answer.Status)
-		other, taken := codes[answer.Code]
-		assert.Assert(t, !taken, "kinds %d and %d share code %s", kind, other, answer.Code)
-		codes[answer.Code] = kind
-		assert.Assert(t, answer.Execution == NotExecuted || answer.Execution == Executed || answer.Execution == Unknown)
+		response := kind.Response()
+		assert.Assert(t, response.Code != "", "kind %d has no code", kind)
+		assert.Assert(t, response.Status >= 400, "%s: status %d", response.Code, response.Status)
+		other, taken := codes[response.Code]
+		assert.Assert(t, !taken, "kinds %d and %d share code %s", kind, other, response.Code)
+		codes[response.Code] = kind
+		assert.Assert(t, response.Execution == NotExecuted || response.Execution == Executed || response.Execution == Unknown)
 	}
 }
 
