--- a/internal/core/msgpackguard/msgpackguard.go
+++ b/internal/core/msgpackguard/msgpackguard.go
@@ -17,11 +17,11 @@
 
 // Errors returned by Check.
 var (
-	// ErrLength: a value declares more elements or bytes than remain in the input.
+	// ErrLength means that a value declares more elements or bytes than remain in the input.
 	ErrLength = errors.New("msgpack: declared length exceeds the remaining input")
-	// ErrDepth: arrays and maps are nested deeper than MaxDepth.
+	// ErrDepth means that arrays and maps are nested deeper than MaxDepth.
 	ErrDepth = errors.New("msgpack: arrays or maps nested too deeply")
-	// ErrCode: a byte that is not a valid type code.
+	// ErrCode means that a type code is not valid.
 	ErrCode = errors.New("msgpack: invalid type code")
 )
 
@@ -29,7 +29,7 @@
 // the remaining bytes, with at least one byte per element. Bytes after the value are ignored.
 func Check(data []byte) error {
 	s := scanner{rest: data}
-	var open [MaxDepth]int // remaining elements of each enclosing container
+	var remaining [MaxDepth]int // remaining elements of each enclosing container
 	depth := 0
 	for {
 		elements, err := s.next()
@@ -40,13 +40,13 @@
 			if depth == MaxDepth {
 				return ErrDepth
 			}
-			open[depth] = elements
+			remaining[depth] = elements
 			depth++
 			continue
 		}
 		for depth > 0 {
-			open[depth-1]--
-			if open[depth-1] > 0 {
+			remaining[depth-1]--
+			if remaining[depth-1] > 0 {
 				break
 			}
 			depth--
@@ -72,9 +72,9 @@
 	case msgpcode.IsFixedNum(code):
 		return 0, nil
 	case msgpcode.IsFixedMap(code):
-		return s.elements(2 * uint64(code&msgpcode.FixedMapMask))
+		return s.checkedElements(2 * uint64(code&msgpcode.FixedMapMask))
 	case msgpcode.IsFixedArray(code):
-		return s.elements(uint64(code & msgpcode.FixedArrayMask))
+		return s.checkedElements(uint64(code & msgpcode.FixedArrayMask))
 	case msgpcode.IsFixedString(code):
 		return 0, s.skip(uint64(code & msgpcode.FixedStrMask))
 	default:
@@ -159,15 +159,17 @@
 	return s.skip(length + extra)
 }
 
-func (s *scanner) containerElements(width int, each uint64) (int, error) {
+// containerElements reads the length of an array or a map, which has perEntry elements per entry.
+func (s *scanner) containerElements(width int, perEntry uint64) (int, error) {
 	length, err := s.length(width)
 	if err != nil {
 		return 0, err
 	}
-	return s.elements(each * length)
+	return s.checkedElements(perEntry * length)
 }
 
-func (s *scanner) elements(count uint64) (int, error) {
+// checkedElements returns the number of elements; an error if fewer bytes remain.
+func (s *scanner) checkedElements(count uint64) (int, error) {
 	if count > uint64(len(s.rest)) {
 		return 0, ErrLength
 	}
