--- a/internal/core/fleet/choose.go
+++ b/internal/core/fleet/choose.go
@@ -20,8 +20,7 @@
 	// Regions restricts the engines to these regions.
 	Regions homes.Set
 	// Tried holds the IDs of engines that this request was already sent to.
-	Tried []string
-	// ExcludeCold excludes cold engines.
+	Tried       []string
 	ExcludeCold bool
 	Now         time.Time
 }
@@ -67,7 +66,7 @@
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
-	if _, bounded := f.cold.services[query.Service]; bounded {
+	if _, hasSlowStart := f.cold.services[query.Service]; hasSlowStart {
 		if warm, cold := f.splitByCold(candidates, query.Now); len(cold) > 0 {
 			return f.pickWarmFirst(warm, cold, query), true
 		}
@@ -139,14 +138,14 @@
 // including this request, plus the round trip. Distance therefore decides between engines of similar
 // occupancy, and weighs more the shorter the answers are.
 func expectedTime(candidate *member, query Query, answerTime time.Duration) time.Duration {
-	share := float64(candidate.occupied(query.Now)+1) / float64(max(1, candidate.engine.Slots))
-	// Engines of a service differ in speed: each second of an engine's mean latency adds its occupancy once more.
-	share *= 1 + candidate.latency.Seconds()
-	share *= candidate.slowdown(query.Now)
+	occupancy := float64(candidate.occupied(query.Now)+1) / float64(max(1, candidate.engine.Slots))
+	// Engines of a service differ in speed, so occupancy weighs more at an engine with a higher mean latency.
+	occupancy *= 1 + candidate.latency.Seconds()
+	occupancy *= candidate.slowdown(query.Now)
 	if query.Now.Before(candidate.engine.ColdUntil) {
-		share += coldPenalty
+		occupancy += coldPenalty
 	}
-	return time.Duration(share*float64(answerTime)) + distanceOf(candidate, query).RoundTrip()
+	return time.Duration(occupancy*float64(answerTime)) + distanceOf(candidate, query).RoundTrip()
 }
 
 func distanceOf(candidate *member, query Query) topology.Distance {
@@ -156,16 +155,16 @@
 
 // answerTime returns the service's mean response time. Must be called with mu held.
 func (f *Fleet) answerTime(service string) time.Duration {
-	if seen, found := f.answerTimes[service]; found {
-		return seen
+	if mean, found := f.answerTimes[service]; found {
+		return mean
 	}
 	return defaultAnswerTime
 }
 
 // observeAnswerTime adds the duration of a complete answer to the service's mean. Must be called with mu held.
 func (f *Fleet) observeAnswerTime(service string, took time.Duration) {
-	known := f.answerTime(service)
-	f.answerTimes[service] = known + time.Duration(latencyWeight*float64(took-known))
+	mean := f.answerTime(service)
+	f.answerTimes[service] = mean + time.Duration(latencyWeight*float64(took-mean))
 }
 
 // slowdown returns the engine's reported slowdown factor, or 1 if none was reported recently.
--- a/internal/core/fleet/choosecold.go
+++ b/internal/core/fleet/choosecold.go
@@ -7,21 +7,21 @@
 )
 
 // isCold reports whether a member is cold. Must be called with mu held.
-func (f *Fleet) isCold(of *member, now time.Time) bool {
-	_, cold := f.coldnessOf(of, now)
+func (f *Fleet) isCold(m *member, now time.Time) bool {
+	_, cold := f.coldnessOf(m, now)
 	return cold
 }
 
 // isDueForProbe reports whether an engine is cold only because it was unreachable, and has not responded for the
 // slow start period since. Without a probe it would stay cold while other engines have free slots. Must be called
 // with mu held.
-func (f *Fleet) isDueForProbe(of *member, now time.Time) bool {
-	if now.Before(of.engine.ColdUntil) {
+func (f *Fleet) isDueForProbe(m *member, now time.Time) bool {
+	if now.Before(m.engine.ColdUntil) {
 		return false
 	}
-	known := f.cold.marks[of.engine.Incarnation()]
-	period := f.cold.services[of.engine.Service].Period
-	return known.reason == Unreached && known.respondedAt.IsZero() && !now.Before(known.at.Add(period))
+	mark := f.cold.marks[m.engine.Incarnation()]
+	period := f.cold.services[m.engine.Service].Period
+	return mark.reason == Unreached && mark.respondedAt.IsZero() && !now.Before(mark.at.Add(period))
 }
 
 // splitByCold splits candidates into warm and cold ones. Must be called with mu held.
@@ -79,11 +79,11 @@
 func (f *Fleet) ChoiceOf(engine Engine, query Query, candidates int) (Choice, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.lookUp(engine.Incarnation())
-	if !found || !f.acceptsWork(known.engine) {
+	m, found := f.lookUp(engine.Incarnation())
+	if !found || !f.acceptsWork(m.engine) {
 		return Choice{}, false
 	}
-	choice := f.pick([]*member{known}, query)
+	choice := f.pick([]*member{m}, query)
 	choice.Candidates, choice.Cold = candidates, true
 	return choice, true
 }
--- a/internal/core/fleet/cold.go
+++ b/internal/core/fleet/cold.go
@@ -42,7 +42,7 @@
 	at     time.Time
 	// respondedAt is the time of the first response after the mark; set for Unreached only.
 	respondedAt time.Time
-	// other is a mark beside one with reason Unreached: one that ends by time only. It is nil for none.
+	// other is a mark kept alongside one with reason Unreached; it ends by time only. Nil for none.
 	other *coldMark
 }
 
@@ -64,7 +64,7 @@
 
 // coldTracker holds slow start settings and cold marks.
 type coldTracker struct {
-	// services holds the slow start of each service that has one.
+	// services holds the settings of each service that has a slow start.
 	services map[string]routes.SlowStart
 	marks    map[incarnation.ID]coldMark
 }
@@ -75,149 +75,149 @@
 
 // add records a mark. A mark with reason Unreached and one that ends by time only are kept side by side, since each
 // ends on its own.
-func (c *coldTracker) add(of incarnation.ID, added coldMark) {
-	known, found := c.marks[of]
+func (c *coldTracker) add(id incarnation.ID, mark coldMark) {
+	current, found := c.marks[id]
 	switch {
-	case found && known.reason == Unreached && added.reason != Unreached:
-		known.other = &added
-		c.marks[of] = known
+	case found && current.reason == Unreached && mark.reason != Unreached:
+		current.other = &mark
+		c.marks[id] = current
 		return
-	case found && known.reason == Unreached:
-		added.other = known.other
-	case found && added.reason == Unreached && !known.reason.clearedByResponse():
-		added.other = &known
+	case found && current.reason == Unreached:
+		mark.other = current.other
+	case found && mark.reason == Unreached && !current.reason.clearedByResponse():
+		mark.other = &current
 	}
-	c.marks[of] = added
+	c.marks[id] = mark
 }
 
-// end removes the current mark and restores the one beside it.
-func (c *coldTracker) end(of incarnation.ID) {
-	if other := c.marks[of].other; other != nil {
-		c.marks[of] = *other
+// end removes the current mark and restores the one kept alongside it.
+func (c *coldTracker) end(id incarnation.ID) {
+	if other := c.marks[id].other; other != nil {
+		c.marks[id] = *other
 		return
 	}
-	delete(c.marks, of)
+	delete(c.marks, id)
 }
 
-// SetSlowStarts sets the services whose cold engines are rate limited.
+// SetSlowStarts sets the services whose cold engines are rate limited, with their settings.
 func (f *Fleet) SetSlowStarts(services map[string]routes.SlowStart) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cold.services = services
 }
 
-// SlowStart returns the slow start of a service; bounded is false if it has none.
-func (f *Fleet) SlowStart(service string) (slowStart routes.SlowStart, bounded bool) {
+// SlowStart returns the slow start settings of a service; found is false if it has none.
+func (f *Fleet) SlowStart(service string) (slowStart routes.SlowStart, found bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	slowStart, bounded = f.cold.services[service]
-	return slowStart, bounded
+	slowStart, found = f.cold.services[service]
+	return slowStart, found
 }
 
 // MarkPossiblyCold records that an engine may be cold although its entry does not say so. It may be called
 // before Put, so that no request finds the engine unmarked.
-func (f *Fleet) MarkPossiblyCold(of incarnation.ID, reason ColdReason, at time.Time) {
+func (f *Fleet) MarkPossiblyCold(id incarnation.ID, reason ColdReason, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cold.add(of, coldMark{reason: reason, at: at})
+	f.cold.add(id, coldMark{reason: reason, at: at})
 }
 
 // MarkZonePossiblyCold records that all engines of a zone may be cold.
 func (f *Fleet) MarkZonePossiblyCold(zone string, reason ColdReason, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, each := range f.members {
-		if each.engine.Zone == zone {
-			f.cold.add(each.engine.Incarnation(), coldMark{reason: reason, at: at})
+	for _, m := range f.members {
+		if m.engine.Zone == zone {
+			f.cold.add(m.engine.Incarnation(), coldMark{reason: reason, at: at})
 		}
 	}
 }
 
 // RecordResponse records that an engine is working on a request or has answered one.
-func (f *Fleet) RecordResponse(of incarnation.ID, at time.Time) {
+func (f *Fleet) RecordResponse(id incarnation.ID, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.recordResponse(of, at)
+	f.recordResponse(id, at)
 }
 
-// sameIncarnationMargin bounds how long after the end of an engine the loss of a connection to it is detected, and
-// how long after that events are still read that the engine sent before its end.
+// sameIncarnationMargin bounds the time from an engine's exit until the loss of a connection to it is detected, and
+// the time from then on in which events that it sent before the exit are still read.
 const sameIncarnationMargin = 300 * time.Millisecond
 
-// RecordStreamProgress records that a stream opened at began delivered events made after eventsFrom. An engine loses
-// all streams when it ends, so an engine with a stream that was open before and after it was unreachable has not
-// restarted.
-func (f *Fleet) RecordStreamProgress(of incarnation.ID, began, eventsFrom time.Time) {
+// RecordStreamProgress records that a stream opened at openedAt delivered events generated after generatedAfter. All
+// streams of an engine break when it exits, so an engine with a stream that was open before and after it was
+// unreachable has not restarted.
+func (f *Fleet) RecordStreamProgress(id incarnation.ID, openedAt, generatedAfter time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.cold.marks[of]
-	if !found || known.reason != Unreached {
+	mark, found := f.cold.marks[id]
+	if !found || mark.reason != Unreached {
 		return
 	}
-	if began.Before(known.at.Add(-sameIncarnationMargin)) && eventsFrom.After(known.at.Add(sameIncarnationMargin)) {
-		f.cold.end(of)
+	if openedAt.Before(mark.at.Add(-sameIncarnationMargin)) && generatedAfter.After(mark.at.Add(sameIncarnationMargin)) {
+		f.cold.end(id)
 	}
 }
 
 // recordResponse records a response of an engine. Must be called with mu held.
-func (f *Fleet) recordResponse(of incarnation.ID, at time.Time) {
-	known, found := f.cold.marks[of]
-	if !found || !known.reason.clearedByResponse() || at.Before(known.at) {
+func (f *Fleet) recordResponse(id incarnation.ID, at time.Time) {
+	mark, found := f.cold.marks[id]
+	if !found || !mark.reason.clearedByResponse() || at.Before(mark.at) {
 		return
 	}
-	if known.reason == RefusedItem {
-		delete(f.cold.marks, of)
+	if mark.reason == RefusedItem {
+		delete(f.cold.marks, id)
 		return
 	}
-	if known.respondedAt.IsZero() {
-		known.respondedAt = at
-		f.cold.marks[of] = known
+	if mark.respondedAt.IsZero() {
+		mark.respondedAt = at
+		f.cold.marks[id] = mark
 	}
 }
 
 // updateColdMark applies the outcome of a request to the engine's cold mark. Must be called with mu held.
-func (f *Fleet) updateColdMark(of incarnation.ID, outcome Outcome) {
+func (f *Fleet) updateColdMark(id incarnation.ID, outcome Outcome) {
 	switch {
 	case outcome.Unreached:
-		f.cold.add(of, coldMark{reason: Unreached, at: outcome.At})
+		f.cold.add(id, coldMark{reason: Unreached, at: outcome.At})
 	case outcome.RefusedItem:
-		if _, marked := f.cold.marks[of]; !marked {
-			f.cold.marks[of] = coldMark{reason: RefusedItem, at: outcome.At}
+		if _, marked := f.cold.marks[id]; !marked {
+			f.cold.marks[id] = coldMark{reason: RefusedItem, at: outcome.At}
 		}
 	case outcome.Latency > 0:
-		f.recordResponse(of, outcome.At)
+		f.recordResponse(id, outcome.At)
 	}
 }
 
 // Cold reports whether an engine is cold, and its request rate limit. Engines of services without a slow
 // start never are.
-func (f *Fleet) Cold(of incarnation.ID, now time.Time) (Coldness, bool) {
+func (f *Fleet) Cold(id incarnation.ID, now time.Time) (Coldness, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.lookUp(of)
+	m, found := f.lookUp(id)
 	if !found {
 		return Coldness{}, false
 	}
-	return f.coldnessOf(known, now)
+	return f.coldnessOf(m, now)
 }
 
 // coldnessOf reports whether a member is cold, and its request rate limit. Must be called with mu held.
-func (f *Fleet) coldnessOf(of *member, now time.Time) (Coldness, bool) {
-	slowStart, bounded := f.cold.services[of.engine.Service]
-	if !bounded {
+func (f *Fleet) coldnessOf(m *member, now time.Time) (Coldness, bool) {
+	slowStart, hasSlowStart := f.cold.services[m.engine.Service]
+	if !hasSlowStart {
 		return Coldness{}, false
 	}
-	if now.Before(of.engine.ColdUntil) {
+	if now.Before(m.engine.ColdUntil) {
 		return Coldness{Reason: ReportedCold, RatePerSecond: slowStart.RatePerSecond}, true
 	}
-	id := of.engine.Incarnation()
+	id := m.engine.Incarnation()
 	for {
-		known, marked := f.cold.marks[id]
+		mark, marked := f.cold.marks[id]
 		if !marked {
 			return Coldness{}, false
 		}
-		if known.active(slowStart.Period, now) {
-			return Coldness{Reason: known.reason, RatePerSecond: slowStart.RatePerSecond}, true
+		if mark.active(slowStart.Period, now) {
+			return Coldness{Reason: mark.reason, RatePerSecond: slowStart.RatePerSecond}, true
 		}
 		f.cold.end(id)
 	}
@@ -229,14 +229,13 @@
 	Coldness
 }
 
-// ColdEngines returns all cold engines.
 func (f *Fleet) ColdEngines(now time.Time) []ColdEngine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var cold []ColdEngine
-	for _, each := range f.members {
-		if found, isCold := f.coldnessOf(each, now); isCold {
-			cold = append(cold, ColdEngine{Engine: each.engine, Coldness: found})
+	for _, m := range f.members {
+		if coldness, isCold := f.coldnessOf(m, now); isCold {
+			cold = append(cold, ColdEngine{Engine: m.engine, Coldness: coldness})
 		}
 	}
 	f.pruneColdMarks(now)
@@ -248,9 +247,9 @@
 
 // pruneColdMarks drops the marks of engines that are no longer listed. Must be called with mu held.
 func (f *Fleet) pruneColdMarks(now time.Time) {
-	for of, each := range f.cold.marks {
-		if _, listed := f.lookUp(of); !listed && now.Sub(each.at) > unlistedMarkTTL {
-			delete(f.cold.marks, of)
+	for id, mark := range f.cold.marks {
+		if _, listed := f.lookUp(id); !listed && now.Sub(mark.at) > unlistedMarkTTL {
+			delete(f.cold.marks, id)
 		}
 	}
 }
--- a/internal/core/fleet/evacuation.go
+++ b/internal/core/fleet/evacuation.go
@@ -39,13 +39,12 @@
 // String returns the reason's name in logs and metrics.
 func (h Hold) String() string { return holdNames[h] }
 
-// Holds returns every reason for a hold.
 func Holds() []Hold { return []Hold{HeldDraining, HeldEvacuated, HeldGone, HeldUnknown, HeldPaced} }
 
 // zoneState is the newest evacuation state of a zone.
 type zoneState struct {
 	evacuated bool
-	// since is when the state took effect in this process, offset that of its record in the log.
+	// since is when the state took effect in this process, offset the offset of its record in the log.
 	since  time.Time
 	offset int64
 }
@@ -64,11 +63,11 @@
 func (f *Fleet) setZone(zone string, state zoneState) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known := f.zones[zone]
-	if known.evacuated == state.evacuated {
-		if known.evacuated {
-			known.offset = state.offset
-			f.zones[zone] = known
+	current := f.zones[zone]
+	if current.evacuated == state.evacuated {
+		if current.evacuated {
+			current.offset = state.offset
+			f.zones[zone] = current
 		}
 		return false
 	}
@@ -76,7 +75,6 @@
 	return true
 }
 
-// IsEvacuated reports whether a zone is evacuated.
 func (f *Fleet) IsEvacuated(zone string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,14 +97,14 @@
 
 // Hold returns why an incarnation may not be sent new requests, or NotHeld. Callers check it when choosing an
 // engine and again right before sending.
-func (f *Fleet) Hold(of incarnation.ID) Hold {
+func (f *Fleet) Hold(id incarnation.ID) Hold {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.lookUp(of)
+	m, found := f.lookUp(id)
 	if !found {
 		return HeldGone
 	}
-	return f.hold(known.engine)
+	return f.hold(m.engine)
 }
 
 // hold returns the hold of a listed engine. Must be called with mu held.
@@ -138,14 +136,14 @@
 type Zone struct {
 	Name      string
 	Evacuated bool
-	// Since is when the newest evacuation state took effect in this process, and Offset that of its record in the
-	// log; both are zero if the zone was never evacuated.
+	// Since is when the newest evacuation state took effect in this process, and Offset the offset of its record in
+	// the log; both are zero if the zone was never evacuated.
 	Since  time.Time
 	Offset int64
 	// Engines is the number of engines listed in the zone, InFlight the number of this process's requests at them.
 	Engines  int
 	InFlight int
-	// Incarnations identifies these engines.
+	// Incarnations are the IDs of the engines listed in the zone.
 	Incarnations []incarnation.ID
 }
 
@@ -161,18 +159,18 @@
 		return byName[name]
 	}
 	for name, state := range f.zones {
-		known := zone(name)
-		known.Evacuated, known.Since, known.Offset = state.evacuated, state.since, state.offset
+		entry := zone(name)
+		entry.Evacuated, entry.Since, entry.Offset = state.evacuated, state.since, state.offset
 	}
-	for _, each := range f.members {
-		known := zone(each.engine.Zone)
-		known.Engines++
-		known.InFlight += each.inFlight
-		known.Incarnations = append(known.Incarnations, each.engine.Incarnation())
+	for _, m := range f.members {
+		entry := zone(m.engine.Zone)
+		entry.Engines++
+		entry.InFlight += m.inFlight
+		entry.Incarnations = append(entry.Incarnations, m.engine.Incarnation())
 	}
 	zones := make([]Zone, 0, len(byName))
-	for _, known := range byName {
-		zones = append(zones, *known)
+	for _, entry := range byName {
+		zones = append(zones, *entry)
 	}
 	slices.SortFunc(zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 	return zones
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -42,8 +42,8 @@
 	Running int
 	Waiting int
 	Slots   int
-	// Slowdown is the current duration of work relative to the engine's usual one, since engines share machines
-	// with other processes; zero if not reported.
+	// Slowdown is the ratio of the current duration of work to the engine's usual one. It exceeds 1 when other
+	// processes use the engine's machine; zero if not reported.
 	Slowdown float64
 }
 
@@ -62,8 +62,9 @@
 	predecessor Engine
 	// deferred is an entry of an earlier incarnation that was read after this one's; nil for none.
 	deferred *Engine
-	// claimed is the number of the claim to the engine's current address; later claims have higher numbers.
-	claimed int64
+	// addressClaim numbers the engine's claim to its current address. The highest claim to an address identifies
+	// the engine that was listed there last.
+	addressClaim int64
 }
 
 // Fleet is the set of known engines. It is safe for concurrent use.
@@ -79,11 +80,10 @@
 	cold  coldTracker
 	// answerTimes holds the moving mean of each service's response time.
 	answerTimes map[string]time.Duration
-	// lastClaim is the number of the newest claim to an address; see member.claimed.
+	// lastClaim is the highest member.addressClaim assigned so far.
 	lastClaim int64
 }
 
-// New returns an empty fleet.
 func New() *Fleet {
 	return &Fleet{
 		members: make(map[string]*member), byService: make(map[string][]string), zones: make(map[string]zoneState),
@@ -94,14 +94,14 @@
 
 // ObserveVersion records that an engine has at least the given version of a model. Versions of an incarnation never
 // decrease.
-func (f *Fleet) ObserveVersion(of incarnation.ID, model string, version int64) {
+func (f *Fleet) ObserveVersion(id incarnation.ID, model string, version int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.lookUp(of)
-	if !found || known.engine.Versions[model] >= version {
+	m, found := f.lookUp(id)
+	if !found || m.engine.Versions[model] >= version {
 		return
 	}
-	known.engine.Versions = mergeVersions(known.engine.Versions, map[string]int64{model: version})
+	m.engine.Versions = mergeVersions(m.engine.Versions, map[string]int64{model: version})
 }
 
 // mergeVersions returns a new map with the higher version of each model. Maps returned to callers are never
@@ -118,12 +118,12 @@
 }
 
 // lookUp returns the member if it is still of the given incarnation. Must be called with mu held.
-func (f *Fleet) lookUp(of incarnation.ID) (*member, bool) {
-	known, found := f.members[of.Engine]
-	if !found || known.engine.StartMillis != of.StartMillis {
+func (f *Fleet) lookUp(id incarnation.ID) (*member, bool) {
+	m, found := f.members[id.Engine]
+	if !found || m.engine.StartMillis != id.StartMillis {
 		return nil, false
 	}
-	return known, true
+	return m, true
 }
 
 // AcceptsWork reports whether an engine may be sent new requests: it is not draining and its zone is not
@@ -141,22 +141,22 @@
 func (f *Fleet) Get(id string) (Engine, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.members[id]
+	m, found := f.members[id]
 	if !found {
 		return Engine{}, false
 	}
-	return known.engine, true
+	return m.engine, true
 }
 
 // Find returns an incarnation of an engine; found is false if it is not listed or was replaced by another one.
-func (f *Fleet) Find(of incarnation.ID) (engine Engine, found bool) {
+func (f *Fleet) Find(id incarnation.ID) (engine Engine, found bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.lookUp(of)
+	m, found := f.lookUp(id)
 	if !found {
 		return Engine{}, false
 	}
-	return known.engine, true
+	return m.engine, true
 }
 
 // Engines returns the engines of a service sorted by ID.
@@ -175,7 +175,7 @@
 	Engine Engine
 	// AcceptsWork is false if the engine is draining or its zone is evacuated.
 	AcceptsWork bool
-	// Suspected: it is avoided because of recent failures.
+	// Suspected is true if the engine is avoided because of recent failures.
 	Suspected bool
 }
 
@@ -187,9 +187,9 @@
 	ids := f.byService[service]
 	listed := make([]Listed, 0, len(ids))
 	for _, id := range ids {
-		known := f.members[id]
+		m := f.members[id]
 		listed = append(listed, Listed{
-			Engine: known.engine, AcceptsWork: f.acceptsWork(known.engine), Suspected: now.Before(known.suspectUntil),
+			Engine: m.engine, AcceptsWork: f.acceptsWork(m.engine), Suspected: now.Before(m.suspectUntil),
 		})
 	}
 	return listed
@@ -214,29 +214,29 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range f.byService[service] {
-		each := f.members[id]
-		if !f.acceptsWork(each.engine) || now.Before(each.suspectUntil) {
+		m := f.members[id]
+		if !f.acceptsWork(m.engine) || now.Before(m.suspectUntil) {
 			continue
 		}
-		slots += each.engine.Slots
-		occupied += each.occupied(now)
+		slots += m.engine.Slots
+		occupied += m.occupied(now)
 	}
 	return slots, occupied
 }
 
 // RequestStarted records that a request was sent to the engine.
-func (f *Fleet) RequestStarted(of incarnation.ID) {
+func (f *Fleet) RequestStarted(id incarnation.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if known, found := f.lookUp(of); found {
-		known.inFlight++
+	if m, found := f.lookUp(id); found {
+		m.inFlight++
 	}
 }
 
 // Suspected reports whether the engine is avoided because of recent failures.
-func (f *Fleet) Suspected(of incarnation.ID, now time.Time) bool {
+func (f *Fleet) Suspected(id incarnation.ID, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.lookUp(of)
-	return found && now.Before(known.suspectUntil)
+	m, found := f.lookUp(id)
+	return found && now.Before(m.suspectUntil)
 }
--- a/internal/core/fleet/order_test.go
+++ b/internal/core/fleet/index_test.go
@@ -17,12 +17,12 @@
 		return strings.Compare(a, b)
 	}
 	var ids []string
-	for number := range engines {
+	for i := range engines {
 		// Entries arrive unsorted.
-		ids = insertSorted(ids, fmt.Sprintf("e%06d", number*7919%engines), compare)
+		ids = insertSorted(ids, fmt.Sprintf("e%06d", i*7919%engines), compare)
 	}
 	if !slices.IsSorted(ids) || len(ids) != engines {
-		panic("the list is not in order")
+		panic("insertSorted returned an unsorted or incomplete list")
 	}
 	return comparisons
 }
--- a/internal/core/fleet/list.go
+++ b/internal/core/fleet/list.go
@@ -69,7 +69,7 @@
 	var applied []Replacement
 	for _, known := range f.members {
 		if deferred := known.deferred; deferred != nil && asOf.Sub(deferred.ReadAt) >= deferPeriod {
-			// Marked first, so that no request finds it as a warm engine.
+			// Marked under the same lock, so that no request sees the replacement as a warm engine.
 			f.cold.add(deferred.Incarnation(), coldMark{reason: FirstSeen, at: now})
 			f.replace(known, *deferred)
 			applied = append(applied, Replacement{Ended: known.engine, Engine: *deferred})
@@ -78,21 +78,21 @@
 	return applied
 }
 
-// claimAddress records that a member is the newest one at its address. Must be called with mu held.
-func (f *Fleet) claimAddress(claimed *member) {
+// claimAddress records that a member is the last one listed at its address. Must be called with mu held.
+func (f *Fleet) claimAddress(m *member) {
 	f.lastClaim++
-	claimed.claimed = f.lastClaim
+	m.addressClaim = f.lastClaim
 }
 
 // insert adds a member to the indexes. Must be called with mu held.
-func (f *Fleet) insert(added *member) {
-	engine := added.engine
-	f.members[engine.ID] = added
+func (f *Fleet) insert(m *member) {
+	engine := m.engine
+	f.members[engine.ID] = m
 	f.byService[engine.Service] = insertSorted(f.byService[engine.Service], engine.ID, strings.Compare)
 }
 
-// insertSorted inserts an ID into a sorted slice unless present. A list of E engines is read with E log E
-// comparisons in total, while sorting for each engine takes seconds for 10,000 engines.
+// insertSorted inserts an ID into a sorted slice unless present. Sorting after each insertion instead would take
+// seconds for 10,000 engines.
 func insertSorted(ids []string, id string, compare func(a, b string) int) []string {
 	index, found := slices.BinarySearchFunc(ids, id, compare)
 	if found {
@@ -132,13 +132,12 @@
 }
 
 // addIncarnation adds a member for a newly listed incarnation. Must be called with mu held.
-func (f *Fleet) addIncarnation(started *member) {
+func (f *Fleet) addIncarnation(m *member) {
 	f.starts++
-	f.claimAddress(started)
-	f.insert(started)
+	f.claimAddress(m)
+	f.insert(m)
 }
 
-// Remove removes an engine.
 func (f *Fleet) Remove(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -179,39 +178,39 @@
 
 // Listing is the list state of one incarnation of an engine.
 type Listing struct {
-	// Listed: it has an entry.
+	// Listed is true if the list has an entry of the incarnation.
 	Listed bool
-	// Replaced: another incarnation uses its ID, or another engine its address.
+	// Replaced is true if another incarnation uses its ID, or another engine its address.
 	Replaced bool
-	// Draining: its newest entry said that it is draining.
+	// Draining is true if its newest entry said that it is draining.
 	Draining bool
 }
 
 // Listing returns the list state of an incarnation that requests were sent to.
-func (f *Fleet) Listing(of Engine) Listing {
+func (f *Fleet) Listing(engine Engine) Listing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.members[of.ID]
+	known, found := f.members[engine.ID]
 	switch {
 	case !found:
 		return Listing{}
-	case known.engine.StartMillis == of.StartMillis:
-		return Listing{Listed: true, Replaced: f.addressReused(of, known.claimed), Draining: known.engine.Draining}
+	case known.engine.StartMillis == engine.StartMillis:
+		return Listing{Listed: true, Replaced: f.addressReused(engine, known.addressClaim), Draining: known.engine.Draining}
 	case known.predecessor.ID == "":
 		// The earlier entry was removed before this one was added, so whether its engine has ended is unknown.
 		return Listing{}
 	default:
-		draining := known.predecessor.Incarnation() == of.Incarnation() && known.predecessor.Draining
+		draining := known.predecessor.Incarnation() == engine.Incarnation() && known.predecessor.Draining
 		return Listing{Replaced: true, Draining: draining}
 	}
 }
 
-// addressReused reports whether an engine with another ID, of any service, was listed at the address later than
-// this one. Older entries do not count: the entry of an ended engine stays for seconds. Must be called with mu
-// held.
-func (f *Fleet) addressReused(of Engine, since int64) bool {
+// addressReused reports whether an engine with another ID, of any service, claimed the engine's address after the
+// given claim. Earlier claims do not count: the entry of an engine that exited stays for seconds. Must be called
+// with mu held.
+func (f *Fleet) addressReused(engine Engine, claim int64) bool {
 	for id, each := range f.members {
-		if id != of.ID && each.engine.Address == of.Address && each.claimed > since {
+		if id != engine.ID && each.engine.Address == engine.Address && each.addressClaim > claim {
 			return true
 		}
 	}
@@ -219,9 +218,9 @@
 }
 
 // IsReplaced reports whether another incarnation has replaced this one.
-func (f *Fleet) IsReplaced(of incarnation.ID) bool {
+func (f *Fleet) IsReplaced(id incarnation.ID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.members[of.Engine]
-	return found && known.engine.StartMillis != of.StartMillis
+	known, found := f.members[id.Engine]
+	return found && known.engine.StartMillis != id.StartMillis
 }
--- a/internal/core/fleet/list_test.go
+++ b/internal/core/fleet/list_test.go
@@ -11,9 +11,9 @@
 )
 
 // startedAt returns an entry of an engine with the given start time.
-func startedAt(id string, born int64) Engine {
+func startedAt(id string, startMillis int64) Engine {
 	engine := testEngine(id, "z")
-	engine.StartMillis, engine.ReadAt = born, now
+	engine.StartMillis, engine.ReadAt = startMillis, now
 	return engine
 }
 
@@ -77,16 +77,16 @@
 	assert.Equal(t, engine.Address, "")
 }
 
-// Guards against an engine whose clock was set back and that is ignored permanently. Its entry takes effect once the
-// other incarnation has written none for deferPeriod, or at once if that one's entry was deleted.
+// Guards against permanently ignoring an engine whose clock was set back. Its entry takes effect once the other
+// incarnation has written none for deferPeriod, or at once if that incarnation's entry was deleted.
 func TestIncarnationWithEarlierClockIsAppliedAfterDeferral(t *testing.T) {
 	before, after := startedAt("a", 2000), startedAt("a", 1000)
 	f := fleetOf(before)
 	assert.Equal(t, f.Put(after), Deferred)
-	taken := f.ApplyDeferred(now.Add(deferPeriod), now)
-	assert.Equal(t, len(taken), 1)
-	assert.Equal(t, taken[0].Engine.Incarnation(), after.Incarnation())
-	assert.Equal(t, taken[0].Ended.Incarnation(), before.Incarnation())
+	replaced := f.ApplyDeferred(now.Add(deferPeriod), now)
+	assert.Equal(t, len(replaced), 1)
+	assert.Equal(t, replaced[0].Engine.Incarnation(), after.Incarnation())
+	assert.Equal(t, replaced[0].Ended.Incarnation(), before.Incarnation())
 	assert.Assert(t, f.IsReplaced(before.Incarnation()))
 	assert.Equal(t, f.Put(after), Renewed)
 
@@ -95,9 +95,9 @@
 	later := after
 	later.ReadAt, later.Slots = now.Add(deferPeriod-1), 7
 	assert.Equal(t, f.Put(later), Deferred)
-	taken = f.ApplyDeferred(now.Add(deferPeriod), now)
-	assert.Equal(t, len(taken), 1, "further entries of the earlier incarnation do not restart the period")
-	assert.Equal(t, taken[0].Engine.Slots, 7)
+	replaced = f.ApplyDeferred(now.Add(deferPeriod), now)
+	assert.Equal(t, len(replaced), 1, "further entries of the earlier incarnation do not restart the period")
+	assert.Equal(t, replaced[0].Engine.Slots, 7)
 
 	f = fleetOf(before)
 	f.Remove("a")
@@ -144,9 +144,9 @@
 	f.Put(startedAt("a", 4000))
 	assert.Equal(t, f.Listing(first), Listing{}, "entry removed, so it is unknown whether the engine was draining")
 
-	leaving := first
-	leaving.Draining = true
-	f = fleetOf(leaving)
+	draining := first
+	draining.Draining = true
+	f = fleetOf(draining)
 	assert.Equal(t, f.Listing(first), Listing{Listed: true, Draining: true})
 	f.Put(startedAt("a", 2000))
 	assert.Equal(t, f.Listing(first), Listing{Replaced: true, Draining: true})
--- a/internal/core/fleet/outcome.go
+++ b/internal/core/fleet/outcome.go
@@ -9,15 +9,15 @@
 // Outcome is the result of a request to an engine.
 type Outcome struct {
 	At time.Time
-	// Failed: no complete answer arrived, although the client was still connected.
+	// Failed is true if no complete answer arrived although the client was still connected.
 	Failed bool
-	// ConnectionLost: the engine closed the connection before its answer was complete.
+	// ConnectionLost is true if the engine closed the connection before its answer was complete.
 	ConnectionLost bool
-	// AddressReused: a different engine answers at the address.
+	// AddressReused is true if a different engine answers at the address.
 	AddressReused bool
-	// Unreached: a connection was refused, lost or timed out, so that the engine may have restarted.
+	// Unreached is true if a connection was refused, lost or timed out, so that the engine may have restarted.
 	Unreached bool
-	// RefusedItem: the engine rejected a batch item although it appeared to have a free slot.
+	// RefusedItem is true if the engine rejected a batch item although it appeared to have a free slot.
 	RefusedItem bool
 	// Load is the load that the engine reported; nil for none.
 	Load *Load
@@ -35,29 +35,29 @@
 )
 
 // RequestEnded records the result of a request to the engine.
-func (f *Fleet) RequestEnded(of incarnation.ID, outcome Outcome) {
+func (f *Fleet) RequestEnded(id incarnation.ID, outcome Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.lookUp(of)
+	m, found := f.lookUp(id)
 	if !found {
 		return
 	}
 	// The count restarts at zero if the entry was removed and listed again during the request.
-	known.inFlight = max(0, known.inFlight-1)
-	f.updateColdMark(of, outcome)
+	m.inFlight = max(0, m.inFlight-1)
+	f.updateColdMark(id, outcome)
 	if outcome.Load != nil {
-		known.load, known.loadAt = *outcome.Load, outcome.At
+		m.load, m.loadAt = *outcome.Load, outcome.At
 	}
 	switch {
 	case outcome.AddressReused:
-		known.suspect(outcome.At, maxSuspicion)
+		m.suspect(outcome.At, maxSuspicion)
 	case outcome.Failed:
-		known.failures++
-		known.suspect(outcome.At, min(firstSuspicion<<min(known.failures-1, 4), maxSuspicion))
+		m.failures++
+		m.suspect(outcome.At, min(firstSuspicion<<min(m.failures-1, 4), maxSuspicion))
 	case outcome.Latency > 0:
-		known.failures = 0
-		f.observeAnswerTime(known.engine.Service, outcome.Latency)
-		known.latency += time.Duration(latencyWeight * float64(outcome.Latency-known.latency))
+		m.failures = 0
+		f.observeAnswerTime(m.engine.Service, outcome.Latency)
+		m.latency += time.Duration(latencyWeight * float64(outcome.Latency-m.latency))
 	}
 }
 
