--- a/internal/core/batchplan/deferral.go
+++ b/internal/core/batchplan/deferral.go
@@ -5,7 +5,8 @@
 // fastFactor is the ratio to the best pace up to which an engine counts as fast.
 const fastFactor = 1.1
 
-// IsFast reports whether a pace is close to the best one. An unknown pace, zero, counts as fast.
+// IsFast reports whether a pace, an engine's mean time between events, is close to the best one. An unknown pace,
+// zero, counts as fast.
 func IsFast(pace, best time.Duration) bool {
 	return float64(pace) <= fastFactor*float64(best)
 }
@@ -24,14 +25,14 @@
 }
 
 // worthWaiting reports whether an item is expected to end sooner if it waits for a free slot at a
-// fast engine than if it starts at this slower one now. Fast engines free their slots at a steady
-// rate, and the items deferred before this one take the first.
-func (p *pass) worthWaiting(item Item, engine *Engine, of *candidates) bool {
-	if of.fastRunning == 0 || p.expectedRunTime == 0 || p.isFast(engine) {
+// fast engine than if it starts at the given slower one now. It assumes that slots of fast engines
+// become free at a steady rate, and that the items deferred earlier in the pass take the first ones.
+func (p *pass) worthWaiting(item Item, engine *Engine, candidates *candidateHeap) bool {
+	if candidates.fastRunning == 0 || p.expectedRunTime == 0 || p.isFast(engine) {
 		return false
 	}
-	slower := p.plan.paces[engine.ID] - p.bestPace
-	lost := time.Duration(p.plan.expectedEvents(item.Length) * float64(slower))
-	wait := p.expectedRunTime * time.Duration(of.deferred+1) / time.Duration(of.fastRunning)
-	return lost > wait
+	paceDifference := p.plan.paces[engine.ID] - p.bestPace
+	extraTime := time.Duration(p.plan.expectedEvents(item.Length) * float64(paceDifference))
+	wait := p.expectedRunTime * time.Duration(candidates.deferred+1) / time.Duration(candidates.fastRunning)
+	return extraTime > wait
 }
--- a/internal/core/batchplan/deferral_test.go
+++ b/internal/core/batchplan/deferral_test.go
@@ -23,7 +23,7 @@
 	return plan, []Engine{fast, engine("slow", 4, 3)}
 }
 
-func TestItemWaitsForAFastEngineWithASlotSoonFree(t *testing.T) {
+func TestItemWaitsForFastEngineThatSoonFreesASlot(t *testing.T) {
 	plan, engines := busyPlan(20, 30*time.Millisecond)
 	plan.Add(item("j", 0, 50))
 	assert.Equal(t, len(plan.Assign(now, engines)), 0, "the slow engine takes 200 ms longer, the expected wait is 50 ms")
--- a/internal/core/batchplan/order.go
+++ b/internal/core/batchplan/order.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// longestFraction is the fraction of a job's items of known length, its longest, that start before
-// those of unknown length. An item of unknown length may be one of the few that determine when the
-// job ends, so it starts before the items known to be shorter.
+// longestFraction is the fraction of a job's items of known length, the longest ones, that start
+// before those of unknown length. An item of unknown length may be one of the few that determine
+// when the job ends, so it starts before the items known to be shorter.
 const longestFraction = 0.25
 
 // Job holds the properties of a job that determine when its items start.
 type Job struct {
 	ID    string
 	Model string
-	// Priority is the job's priority; 0 is the highest.
+	// Priority determines which jobs start first; 0 is the highest.
 	Priority int
-	// Step is the submitter's increasing number of the job; zero if it has none.
+	// Step is the sequence number that the submitter gave the job; zero for none.
 	Step int64
 	// Lengths are the expected output lengths of all items in tokens; zero when unknown.
 	Lengths []int
--- a/internal/core/batchplan/pass.go
+++ b/internal/core/batchplan/pass.go
@@ -12,33 +12,34 @@
 	occupancyCost = 0.006
 	// groupBonus is subtracted from the score of the engine that runs the item's group.
 	groupBonus = 0.05
-	// memoryCost is the relative slowdown expected of an engine per unit of reserved share above
-	// memoryRoom: an engine that runs out of memory interrupts an item until others have ended.
-	memoryCost = 0.5
-	// memoryRoom is the share of an engine's memory that can be reserved without a slowdown.
-	memoryRoom = 0.75
+	// memoryPressureCost is the relative slowdown expected of an engine per unit of its reserved share of
+	// memory above memoryPressureThreshold: an engine that runs out of memory interrupts an item until
+	// others have ended.
+	memoryPressureCost = 0.5
+	// memoryPressureThreshold is the share of an engine's memory that can be reserved without a slowdown.
+	memoryPressureThreshold = 0.75
 	// memoryOvercommit is the multiple of an engine's memory that may be reserved: items grow
 	// into their reservations, end at different times, and their lengths are estimates.
 	memoryOvercommit = 2
 )
 
-// pass is one assignment pass over the queue. During a pass engines only fill up: their scores
-// only rise, and an item for which there is no engine will not get one later in the pass. The
+// pass is one assignment pass over the queue. During a pass the load of engines only grows, so their
+// scores only rise, and an item for which there is no engine will not get one later in the pass. The
 // engines of each class are therefore kept in a heap whose top is rescored before use.
 type pass struct {
 	plan    *Plan
 	now     time.Time
 	engines []Engine
-	// byID holds the indices of the engines in the slice.
+	// byID maps engines to their indices in engines.
 	byID map[incarnation.ID]int
-	// starts is the number of items that each engine may still be assigned in this pass.
-	starts     []int
+	// startsLeft is the number of items that each engine may still be assigned in this pass.
+	startsLeft []int
 	medianPace time.Duration
 	// bestPace is the pace of the fast engines, expectedRunTime the mean time that the running items
 	// are expected to take there; both are zero when unknown.
 	bestPace        time.Duration
 	expectedRunTime time.Duration
-	classes         map[class]*candidates
+	classes         map[class]*candidateHeap
 }
 
 // class holds the properties of an item that determine which engines are eligible for it.
@@ -48,16 +49,15 @@
 	minVersion int64
 }
 
-// candidates are the engines that may run items of a class, as a heap with the lowest score on
-// top. It implements heap.Interface.
-type candidates struct {
+// candidateHeap is a heap.Interface of the engines that may run items of a class, lowest score on top.
+type candidateHeap struct {
 	entries []candidate
 	// blocked is true once no engine could take an item without constraints of its own; freeTokens
 	// is then the largest free memory of an engine.
 	blocked    bool
 	freeTokens int
-	// fastRunning is the number of items that run at fast engines of the class when the class is first
-	// looked up, deferred the number of items that wait for one of them.
+	// fastRunning is the number of items that ran at fast engines of the class when the heap was built,
+	// deferred the number of items that were left to wait for one of these engines.
 	fastRunning int
 	deferred    int
 }
@@ -68,17 +68,17 @@
 	score  float64
 }
 
-func (c *candidates) Len() int { return len(c.entries) }
+func (c *candidateHeap) Len() int { return len(c.entries) }
 
-func (c *candidates) Less(i, j int) bool { return c.entries[i].before(c.entries[j]) }
+func (c *candidateHeap) Less(i, j int) bool { return c.entries[i].before(c.entries[j]) }
 
-func (c *candidates) Swap(i, j int) { c.entries[i], c.entries[j] = c.entries[j], c.entries[i] }
+func (c *candidateHeap) Swap(i, j int) { c.entries[i], c.entries[j] = c.entries[j], c.entries[i] }
 
 // Push implements heap.Interface.
-func (c *candidates) Push(entry any) { c.entries = append(c.entries, entry.(candidate)) }
+func (c *candidateHeap) Push(entry any) { c.entries = append(c.entries, entry.(candidate)) }
 
 // Pop implements heap.Interface.
-func (c *candidates) Pop() any {
+func (c *candidateHeap) Pop() any {
 	last := c.entries[len(c.entries)-1]
 	c.entries = c.entries[:len(c.entries)-1]
 	return last
@@ -96,42 +96,42 @@
 	p := &pass{
 		plan: plan, now: now, engines: engines, medianPace: medianPace, bestPace: best,
 		expectedRunTime: plan.expectedRunTime(best),
-		byID:            make(map[incarnation.ID]int, len(engines)), classes: make(map[class]*candidates),
-		starts: make([]int, len(engines)),
+		byID:            make(map[incarnation.ID]int, len(engines)), classes: make(map[class]*candidateHeap),
+		startsLeft: make([]int, len(engines)),
 	}
 	for i := range engines {
 		p.byID[engines[i].ID] = i
-		p.starts[i] = unbounded
+		p.startsLeft[i] = unbounded
 		if engines[i].Cold {
-			p.starts[i] = engines[i].MaxStarts
+			p.startsLeft[i] = engines[i].MaxStarts
 		}
 	}
 	return p
 }
 
 // candidatesFor returns the engines that may run items of the item's class.
-func (p *pass) candidatesFor(item Item) *candidates {
+func (p *pass) candidatesFor(item Item) *candidateHeap {
 	key := class{item.Service, item.Model, item.MinVersion}
-	known, found := p.classes[key]
+	candidates, found := p.classes[key]
 	if found {
-		return known
+		return candidates
 	}
-	known = &candidates{}
+	candidates = &candidateHeap{}
 	for i := range p.engines {
 		engine := &p.engines[i]
 		if !p.eligible(engine, key) {
 			continue
 		}
 		if p.expectedRunTime > 0 && p.isFast(engine) {
-			known.fastRunning += p.plan.runningCount[engine.ID]
+			candidates.fastRunning += p.plan.runningCount[engine.ID]
 		}
 		if p.hasSlot(engine) {
-			known.entries = append(known.entries, candidate{i, p.score(engine)})
+			candidates.entries = append(candidates.entries, candidate{i, p.score(engine)})
 		}
 	}
-	heap.Init(known)
-	p.classes[key] = known
-	return known
+	heap.Init(candidates)
+	p.classes[key] = candidates
+	return candidates
 }
 
 // canServe reports whether an engine can start items of a class now.
@@ -148,11 +148,11 @@
 }
 
 func (p *pass) hasSlot(engine *Engine) bool {
-	return p.plan.runningCount[engine.ID] < engine.Slots && p.starts[p.byID[engine.ID]] > 0 && !p.isolated(engine)
+	return p.plan.runningCount[engine.ID] < engine.Slots && p.startsLeft[p.byID[engine.ID]] > 0 && !p.isolated(engine)
 }
 
 // countStart counts an item that was assigned to an engine in this pass.
-func (p *pass) countStart(engine incarnation.ID) { p.starts[p.byID[engine]]-- }
+func (p *pass) countStart(engine incarnation.ID) { p.startsLeft[p.byID[engine]]-- }
 
 // isolated reports whether an engine takes no further items because of a suspect one.
 func (p *pass) isolated(engine *Engine) bool {
@@ -176,7 +176,7 @@
 		return 1
 	}
 	reserved := float64(p.plan.reservedTokens[engine.ID]) / float64(engine.Tokens)
-	return 1 + memoryCost*max(0, reserved-memoryRoom)
+	return 1 + memoryPressureCost*max(0, reserved-memoryPressureThreshold)
 }
 
 // choose returns the best engine for an item; false if none can take it or it should wait for a faster one.
@@ -184,22 +184,22 @@
 	if item.Suspect {
 		return p.chooseIsolated(item)
 	}
-	of := p.candidatesFor(item)
-	if of.blocked && item.Tokens > of.freeTokens {
+	candidates := p.candidatesFor(item)
+	if candidates.blocked && item.Tokens > candidates.freeTokens {
 		return incarnation.ID{}, false
 	}
-	best, found := p.best(item, of)
-	if groupEngine, isGroupEngine := p.groupEngine(item, of); isGroupEngine && (!found || groupEngine.before(best)) {
+	best, found := p.best(item, candidates)
+	if groupEngine, isGroupEngine := p.groupEngine(item, candidates); isGroupEngine && (!found || groupEngine.before(best)) {
 		best, found = groupEngine, true
 	}
 	if !found {
 		if item.Avoid.IsZero() && item.SameVersion == 0 {
-			p.markBlocked(of)
+			p.markBlocked(candidates)
 		}
 		return incarnation.ID{}, false
 	}
-	if p.worthWaiting(item, &p.engines[best.engine], of) {
-		of.deferred++
+	if p.worthWaiting(item, &p.engines[best.engine], candidates) {
+		candidates.deferred++
 		return incarnation.ID{}, false
 	}
 	return p.engines[best.engine].ID, true
@@ -226,36 +226,36 @@
 }
 
 // best returns the candidate with the lowest score that fits the item.
-func (p *pass) best(item Item, of *candidates) (candidate, bool) {
+func (p *pass) best(item Item, candidates *candidateHeap) (candidate, bool) {
 	var unfit []candidate
 	defer func() {
 		for _, each := range unfit {
-			heap.Push(of, each)
+			heap.Push(candidates, each)
 		}
 	}()
-	for of.Len() > 0 {
-		top := &of.entries[0]
+	for candidates.Len() > 0 {
+		top := &candidates.entries[0]
 		engine := &p.engines[top.engine]
 		if !p.hasSlot(engine) {
-			heap.Pop(of)
+			heap.Pop(candidates)
 			continue
 		}
 		if score := p.score(engine); score != top.score {
 			top.score = score
-			heap.Fix(of, 0)
+			heap.Fix(candidates, 0)
 			continue
 		}
 		if p.fits(item, engine) {
 			return *top, true
 		}
-		unfit = append(unfit, heap.Pop(of).(candidate))
+		unfit = append(unfit, heap.Pop(candidates).(candidate))
 	}
 	return candidate{}, false
 }
 
 // groupEngine returns the engine of the latest item of the item's group, with groupBonus applied,
 // if it can take the item.
-func (p *pass) groupEngine(item Item, of *candidates) (candidate, bool) {
+func (p *pass) groupEngine(item Item, candidates *candidateHeap) (candidate, bool) {
 	index, known := p.byID[p.plan.groupEngines[item.Group]]
 	if !known {
 		return candidate{}, false
@@ -278,7 +278,7 @@
 	return item.Tokens <= p.freeTokens(engine)
 }
 
-// unbounded stands for no limit: of the memory of an engine, or of the starts at one that is not cold.
+// unbounded is the free memory of an engine, or the number of permitted starts, if there is no limit.
 const unbounded = int(^uint(0) >> 1)
 
 // freeTokens returns the memory, in tokens, that can still be reserved at an engine. An idle
@@ -291,9 +291,9 @@
 }
 
 // markBlocked records that no engine of a class could take an item without constraints of its own.
-func (p *pass) markBlocked(of *candidates) {
-	of.blocked, of.freeTokens = true, -1
-	for _, entry := range of.entries {
-		of.freeTokens = max(of.freeTokens, p.freeTokens(&p.engines[entry.engine]))
+func (p *pass) markBlocked(candidates *candidateHeap) {
+	candidates.blocked, candidates.freeTokens = true, -1
+	for _, entry := range candidates.entries {
+		candidates.freeTokens = max(candidates.freeTokens, p.freeTokens(&p.engines[entry.engine]))
 	}
 }
--- a/internal/core/batchplan/plan.go
+++ b/internal/core/batchplan/plan.go
@@ -3,8 +3,8 @@
 //
 // Start order determines when the last group of a job is complete: jobs start by priority, then by
 // age; within a job, items expected to be long come first, then items of unknown length, then items
-// known to be short. An item is assigned to the engine that is expected to generate its tokens fastest. The items of a
-// group share a prompt, so they are preferably assigned to the same engine.
+// known to be short. An item is assigned to the engine that is expected to generate its tokens
+// fastest. The items of a group share a prompt, so they are preferably assigned to the same engine.
 package batchplan
 
 import (
@@ -54,9 +54,9 @@
 	Versions map[string]int64
 	// Loading is the model whose weights are being loaded; empty for none.
 	Loading string
-	// Usable is false for engines that leave or have recently failed.
+	// Usable is false for engines that accept no new work or have recently failed.
 	Usable bool
-	// Cold is true for an engine that started recently and may be assigned at most MaxStarts items now.
+	// Cold is true for an engine in its slow start, which may be assigned at most MaxStarts items now.
 	Cold      bool
 	MaxStarts int
 }
@@ -80,7 +80,7 @@
 
 // Plan holds the waiting and the running items.
 type Plan struct {
-	// jobs holds the jobs by ID, order in start order.
+	// jobs holds the jobs by ID, order the same jobs in start order.
 	jobs    map[string]*jobRank
 	order   []*jobRank
 	waiting map[Key]Item
@@ -126,7 +126,6 @@
 	return float64(length) * p.eventCount / p.lengthSum
 }
 
-// New returns an empty plan.
 func New() *Plan {
 	return &Plan{
 		jobs:           make(map[string]*jobRank),
@@ -186,8 +185,9 @@
 // Running returns the number of items that the engine runs.
 func (p *Plan) Running(engine incarnation.ID) int { return p.runningCount[engine] }
 
-// MemoryOvercommitted reports whether the items that an engine runs are together expected to exceed its memory, in tokens,
-// although the given one alone fits. The memory of items is estimated from their expected output lengths.
+// MemoryOvercommitted reports whether the items that an engine runs are together expected to exceed
+// its memory, in tokens, although the given one alone fits. The memory of items is estimated from
+// their expected output lengths.
 func (p *Plan) MemoryOvercommitted(key Key, engine incarnation.ID, memory int) bool {
 	placed, found := p.running[key]
 	return found && memory > 0 && placed.reservedTokens <= memory && p.reservedTokens[engine] > memory
--- a/internal/core/batchplan/plan_test.go
+++ b/internal/core/batchplan/plan_test.go
@@ -83,15 +83,15 @@
 	unusable.Usable = false
 	foreign := engine("foreign", 1, 3)
 	foreign.Service = "other"
-	for _, unfit := range []Engine{engine("old", 1, 2), engine("full", 0, 3), loading, unusable, foreign} {
+	for _, ineligible := range []Engine{engine("old", 1, 2), engine("full", 0, 3), loading, unusable, foreign} {
 		plan := New()
 		plan.Add(item("j", 0, 1))
-		assert.Equal(t, len(plan.Assign(now, []Engine{unfit})), 0, unfit.ID)
+		assert.Equal(t, len(plan.Assign(now, []Engine{ineligible})), 0, ineligible.ID)
 	}
 	plan := New()
-	held := item("j", 0, 1)
-	held.NotBefore = now.Add(time.Second)
-	plan.Add(held)
+	delayed := item("j", 0, 1)
+	delayed.NotBefore = now.Add(time.Second)
+	plan.Add(delayed)
 	assert.Equal(t, len(plan.Assign(now, []Engine{engine("e", 1, 3)})), 0)
 	assert.Equal(t, len(plan.Assign(now.Add(time.Second), []Engine{engine("e", 1, 3)})), 1)
 }
@@ -118,9 +118,9 @@
 
 func TestSameVersionRestrictsEngines(t *testing.T) {
 	plan := New()
-	single := item("j", 0, 1)
-	single.SameVersion = 3
-	plan.Add(single)
+	pinned := item("j", 0, 1)
+	pinned.SameVersion = 3
+	plan.Add(pinned)
 	assert.Equal(t, len(plan.Assign(now, []Engine{engine("newer", 1, 4)})), 0)
 	assert.Equal(t, len(plan.Assign(now, []Engine{engine("same", 1, 3)})), 1)
 }
@@ -258,33 +258,33 @@
 	assert.DeepEqual(t, startedKeys(assigned), []Key{{"urgent", 0}, {"earlier", 0}, {"plain", 0}, {"late", 0}})
 }
 
-// Guards against assigning items to an engine short of memory, which would interrupt one, while a slower one has
-// room.
+// Guards against assigning an item to an engine short of memory, which would have to interrupt one, while a slower
+// engine has free memory.
 func TestEnginesShortOfMemoryAreChosenLast(t *testing.T) {
 	plan := New()
 	plan.ObservePace(engineID("fast"), 50*time.Millisecond)
-	plan.ObservePace(engineID("slowish"), 54*time.Millisecond)
-	fast, slowish := engine("fast", 8, 3), engine("slowish", 8, 3)
-	fast.Tokens, slowish.Tokens = 100, 100
-	large := func(index int) {
+	plan.ObservePace(engineID("slower"), 54*time.Millisecond)
+	fast, slower := engine("fast", 8, 3), engine("slower", 8, 3)
+	fast.Tokens, slower.Tokens = 100, 100
+	addLarge := func(index int) {
 		added := item("j", index, 0)
 		added.Group, added.Tokens = fmt.Sprint(index), 55
 		plan.Add(added)
 	}
-	placed := func(engines ...Engine) []string {
-		var at []string
+	assign := func(engines ...Engine) []string {
+		var ids []string
 		for _, each := range plan.Assign(now, engines) {
-			at = append(at, each.Engine.Engine)
+			ids = append(ids, each.Engine.Engine)
 		}
-		return at
+		return ids
 	}
-	large(0)
-	large(1)
-	assert.DeepEqual(t, placed(fast, slowish), []string{"fast", "fast"})
-	large(2)
-	assert.DeepEqual(t, placed(fast, slowish), []string{"slowish"})
-	large(3)
-	assert.DeepEqual(t, placed(fast), []string{"fast"})
+	addLarge(0)
+	addLarge(1)
+	assert.DeepEqual(t, assign(fast, slower), []string{"fast", "fast"})
+	addLarge(2)
+	assert.DeepEqual(t, assign(fast, slower), []string{"slower"})
+	addLarge(3)
+	assert.DeepEqual(t, assign(fast), []string{"fast"})
 }
 
 // Guards against an item that starts next to a suspect one within IsolationTime.
--- a/internal/core/batchplan/slowstart_test.go
+++ b/internal/core/batchplan/slowstart_test.go
@@ -157,11 +157,11 @@
 		}
 		got := countByEngine(plan.Assign(now, engines))
 		for _, each := range engines {
-			most := each.Slots
+			limit := each.Slots
 			if each.Cold {
-				most = min(most, each.MaxStarts)
+				limit = min(limit, each.MaxStarts)
 			}
-			if got[each.ID.Engine] > most {
+			if got[each.ID.Engine] > limit {
 				t.Fatalf("%d items assigned to %+v", got[each.ID.Engine], each)
 			}
 		}
