--- a/internal/core/batch/groups.go
+++ b/internal/core/batch/groups.go
@@ -1,38 +1,38 @@
 package batch
 
 // groups determines when the submitter of a job may have all results that it waits for: the
-// wanted number of complete groups, and all groups that return from an earlier job, which also
-// had a group of that name. Returned groups are the first ones of the job and at most half of the
-// wanted number. If their number is unknown, each of these first groups that completes after the
-// wanted number may be the last one awaited.
+// wanted number of complete groups, and all groups that are carried over from an earlier job, which
+// had a group of the same name. Carried over groups are the first ones of the job and at most half
+// of the wanted number. If their number is unknown, each of these first groups that completes after
+// the wanted number may be the last one awaited.
 type groups struct {
 	wanted int
 	// missing is the number of items without a result, by group.
 	missing map[string]int
-	// awaited holds the incomplete groups that return from an earlier job; without returnedKnown,
-	// those that may.
-	awaited       map[string]bool
-	returnedKnown bool
+	// awaited holds the incomplete groups that are carried over from an earlier job; without
+	// carriedOverKnown, those that may be.
+	awaited          map[string]bool
+	carriedOverKnown bool
 	// complete is the number of groups without missing results.
 	complete int
-	// milestone is the number of results when the submitter last may have had all it waits for.
+	// milestone is the value of Job.Milestone.
 	milestone int
 }
 
-// maxReturnedDivisor bounds the groups that return from earlier jobs to wanted/maxReturnedDivisor.
-const maxReturnedDivisor = 2
+// maxCarriedOverDivisor bounds the groups carried over from earlier jobs to wanted/maxCarriedOverDivisor.
+const maxCarriedOverDivisor = 2
 
 func newGroups(record JobRecord) groups {
 	g := groups{
 		wanted: record.Wanted, missing: make(map[string]int), awaited: make(map[string]bool),
-		returnedKnown: record.ReturnedKnown,
+		carriedOverKnown: record.CarriedOverKnown,
 	}
-	returned := record.Wanted / maxReturnedDivisor
-	if record.ReturnedKnown {
-		returned = record.Returned
+	carriedOver := record.Wanted / maxCarriedOverDivisor
+	if record.CarriedOverKnown {
+		carriedOver = record.CarriedOver
 	}
 	for _, item := range record.Items {
-		if g.missing[item.Group] == 0 && len(g.awaited) < returned {
+		if g.missing[item.Group] == 0 && len(g.awaited) < carriedOver {
 			g.awaited[item.Group] = true
 		}
 		g.missing[item.Group]++
@@ -47,10 +47,10 @@
 		return
 	}
 	g.complete++
-	late := g.awaited[group]
+	wasAwaited := g.awaited[group]
 	delete(g.awaited, group)
-	enough := g.complete >= g.wanted && (!g.returnedKnown || len(g.awaited) == 0)
-	if enough && (g.complete == g.wanted || late || g.complete == len(g.missing)) {
+	enough := g.complete >= g.wanted && (!g.carriedOverKnown || len(g.awaited) == 0)
+	if enough && (g.complete == g.wanted || wasAwaited || g.complete == len(g.missing)) {
 		g.milestone = results
 	}
 }
@@ -58,13 +58,13 @@
 // leadingGroups returns the names of at most limit groups, in the order of their first items.
 func (j *JobRecord) leadingGroups(limit int) []string {
 	var names []string
-	seen := make(map[string]bool)
+	included := make(map[string]bool)
 	for _, item := range j.Items {
 		if len(names) == limit {
 			break
 		}
-		if !seen[item.Group] {
-			seen[item.Group] = true
+		if !included[item.Group] {
+			included[item.Group] = true
 			names = append(names, item.Group)
 		}
 	}
@@ -78,15 +78,16 @@
 }
 
 const (
-	// requiredSteps is the number of preceding steps whose jobs must be known to count returned
-	// groups: submitters run one step ahead, so groups return two steps later.
+	// requiredSteps is the number of preceding steps whose jobs must be known to count the groups
+	// carried over: submitters run one step ahead, so groups are carried over by two steps.
 	requiredSteps = 2
 	// comparedSteps is the number of preceding steps whose groups are compared.
 	comparedSteps = 4
 )
 
-// CountReturned sets ReturnedKnown and Returned: how many leading groups of the job return from the
-// given earlier jobs. They stay unset unless the jobs of the preceding requiredSteps are among these.
+// CountReturned sets CarriedOverKnown and CarriedOver: how many leading groups of the job are carried
+// over from the given earlier jobs. They stay unset unless the jobs of the preceding requiredSteps are
+// among these.
 func (j *JobRecord) CountReturned(earlier []EarlierJob) {
 	steps := make(map[int64]bool)
 	for _, job := range earlier {
@@ -97,12 +98,12 @@
 			return
 		}
 	}
-	j.ReturnedKnown = true
-	for _, name := range j.leadingGroups(j.Wanted / maxReturnedDivisor) {
+	j.CarriedOverKnown = true
+	for _, name := range j.leadingGroups(j.Wanted / maxCarriedOverDivisor) {
 		if !containsGroup(earlier, name) {
 			return
 		}
-		j.Returned++
+		j.CarriedOver++
 	}
 }
 
--- a/internal/core/batch/groups_test.go
+++ b/internal/core/batch/groups_test.go
@@ -19,8 +19,8 @@
 
 func TestMilestoneIsSetWhenTheAwaitedGroupsMayBeComplete(t *testing.T) {
 	p := NewPartition()
-	// Groups 0 and 1 may return from an earlier job.
-	p.Apply(groupedJob(6, 4), at)
+	// Groups 0 and 1 may be carried over from an earlier job.
+	p.Apply(groupedJob(6, 4), now)
 	for _, step := range []struct{ item, milestone int }{
 		{4, 0}, {5, 0}, // group 2 complete
 		{6, 0}, {7, 0}, // group 3
@@ -30,46 +30,46 @@
 		{2, 9}, {3, 11}, // group 1 may have been the last one awaited
 		{1, 12}, // group 0 may have been too, and all results are present
 	} {
-		p.Apply(result("j", step.item, Completed), at)
+		p.Apply(result("j", step.item, Completed), now)
 		assert.Equal(t, p.Job("j").Milestone(), step.milestone, "after item %d", step.item)
 	}
 }
 
 func TestMilestoneIgnoresTrailingGroupsOnceEnoughAreComplete(t *testing.T) {
 	p := NewPartition()
-	p.Apply(groupedJob(6, 2), at)
+	p.Apply(groupedJob(6, 2), now)
 	for _, item := range []int{0, 1, 2, 3} {
-		p.Apply(result("j", item, Completed), at)
+		p.Apply(result("j", item, Completed), now)
 	}
 	assert.Equal(t, p.Job("j").Milestone(), 4)
 	for _, item := range []int{8, 9} {
-		p.Apply(result("j", item, Expired), at)
+		p.Apply(result("j", item, Expired), now)
 	}
 	assert.Equal(t, p.Job("j").Milestone(), 4)
 }
 
-func TestMilestoneWaitsForAllKnownReturnedGroups(t *testing.T) {
+func TestMilestoneWaitsForAllKnownCarriedOverGroups(t *testing.T) {
 	p := NewPartition()
 	job := groupedJob(6, 4)
-	job.Job.ReturnedKnown, job.Job.Returned = true, 2
-	p.Apply(job, at)
+	job.Job.CarriedOverKnown, job.Job.CarriedOver = true, 2
+	p.Apply(job, now)
 	for _, step := range []struct{ item, milestone int }{
 		{4, 0}, {5, 0}, {6, 0}, {7, 0}, {8, 0}, {9, 0}, {10, 0}, {11, 0}, // groups 2 to 5; 0 and 1 are still awaited
 		{2, 0}, {3, 0},
 		{0, 0}, {1, 12},
 	} {
-		p.Apply(result("j", step.item, Completed), at)
+		p.Apply(result("j", step.item, Completed), now)
 		assert.Equal(t, p.Job("j").Milestone(), step.milestone, "after item %d", step.item)
 	}
 }
 
-func TestMilestoneIsSetByEnoughGroupsIfNoneReturned(t *testing.T) {
+func TestMilestoneIsSetByEnoughGroupsIfNoneAreCarriedOver(t *testing.T) {
 	p := NewPartition()
 	job := groupedJob(6, 2)
-	job.Job.ReturnedKnown = true
-	p.Apply(job, at)
+	job.Job.CarriedOverKnown = true
+	p.Apply(job, now)
 	for _, item := range []int{0, 1, 8, 9, 2, 3} {
-		p.Apply(result("j", item, Completed), at)
+		p.Apply(result("j", item, Completed), now)
 	}
 	assert.Equal(t, p.Job("j").Milestone(), 4)
 }
@@ -83,10 +83,10 @@
 	return record
 }
 
-func TestReturnedGroupsAreCountedIfPrecedingStepsAreKnown(t *testing.T) {
+func TestCarriedOverGroupsAreCountedIfPrecedingStepsAreKnown(t *testing.T) {
 	p := NewPartition()
 	for _, record := range []JobRecord{stepOf(4, "a", "b"), stepOf(5, "c")} {
-		p.Apply(Record{Job: &record}, at)
+		p.Apply(Record{Job: &record}, now)
 	}
 	for name, check := range map[string]struct {
 		job   JobRecord
@@ -100,11 +100,11 @@
 		"first step":                    {stepOf(0, "a"), true, 0},
 	} {
 		check.job.CountReturned(p.EarlierJobs(&check.job))
-		assert.Equal(t, check.job.ReturnedKnown, check.known, name)
-		assert.Equal(t, check.job.Returned, check.count, name)
+		assert.Equal(t, check.job.CarriedOverKnown, check.known, name)
+		assert.Equal(t, check.job.CarriedOver, check.count, name)
 	}
 	other := stepOf(6, "a")
 	other.Model = "another"
 	other.CountReturned(p.EarlierJobs(&other))
-	assert.Assert(t, !other.ReturnedKnown, "steps of another model")
+	assert.Assert(t, !other.CarriedOverKnown, "steps of another model")
 }
--- a/internal/core/batch/partition.go
+++ b/internal/core/batch/partition.go
@@ -55,7 +55,6 @@
 	return progress, found
 }
 
-// HasResult reports whether the item has a result.
 func (j *Job) HasResult(item int) bool { return j.hasResult[item] }
 
 // ItemIndex returns the index of the item with the given ID, and whether it exists.
@@ -67,8 +66,8 @@
 // Open reports whether the job has items to run.
 func (j *Job) Open() bool { return !j.Ended && len(j.Results) < len(j.Items) }
 
-// Milestone returns the number of results when the submitter last may have had everything
-// that it waits for; zero if that has not happened.
+// Milestone returns the number of results that the job had when the submitter most recently may
+// have received everything that it waits for, see groups; zero if that has not happened.
 func (j *Job) Milestone() int { return j.groups.milestone }
 
 // PayloadOffset returns the offset of the item's payload in the data topic; -1 if the item has none.
@@ -105,11 +104,11 @@
 
 // EarlierJobs returns the known jobs of the same model and host in the comparedSteps before
 // the job's step.
-func (p *Partition) EarlierJobs(than *JobRecord) []EarlierJob {
+func (p *Partition) EarlierJobs(record *JobRecord) []EarlierJob {
 	var earlier []EarlierJob
 	for _, job := range p.jobs {
-		same := job.Model == than.Model && job.Host == than.Host
-		if !same || job.Step >= than.Step || job.Step < than.Step-comparedSteps {
+		sameSeries := job.Model == record.Model && job.Host == record.Host
+		if !sameSeries || job.Step >= record.Step || job.Step < record.Step-comparedSteps {
 			continue
 		}
 		names := make(map[string]bool, len(job.groups.missing))
@@ -173,8 +172,8 @@
 	}
 }
 
-// addProgress adds a part to an item's saved output. A part from the first event begins a new
-// chain. Any other part must continue the saved chain; otherwise it comes from a run that
+// addProgress adds a part to an item's saved output. A part that starts at the first event begins
+// a new chain. Any other part must continue the saved chain; otherwise it comes from a run that
 // did not know the chain, and is dropped.
 func (p *Partition) addProgress(record ProgressRecord) {
 	job, found := p.jobs[record.Job]
@@ -188,8 +187,8 @@
 	case record.From != saved.To || record.Chain != saved.Chain && record.Continues != saved.Chain:
 		return
 	}
-	// Clipped, so that append copies the slices, which copies of the job share.
 	saved.Chain, saved.To, saved.Complete = record.Chain, record.To, record.Complete
+	// Copies of the job share the slices, so they are clipped to make append copy them.
 	if record.To > record.From {
 		saved.Parts = append(slices.Clip(saved.Parts), record.Text)
 		saved.TextBytes += record.TextBytes
--- a/internal/core/batch/partition_test.go
+++ b/internal/core/batch/partition_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var at = time.Unix(1000, 0)
+var now = time.Unix(1000, 0)
 
 func jobRecord(id string, items int) Record {
 	record := JobRecord{ID: id}
@@ -32,13 +32,13 @@
 
 func TestFirstRecordOfAJobAndOfAResultWins(t *testing.T) {
 	p := NewPartition()
-	p.Apply(jobRecord("j", 2), at)
-	p.Apply(result("j", 1, Completed), at)
-	p.Apply(jobRecord("j", 5), at)
-	p.Apply(result("j", 1, Expired), at)
-	p.Apply(result("j", 0, Expired), at)
-	p.Apply(result("j", 7, Completed), at)
-	p.Apply(result("other", 0, Completed), at)
+	p.Apply(jobRecord("j", 2), now)
+	p.Apply(result("j", 1, Completed), now)
+	p.Apply(jobRecord("j", 5), now)
+	p.Apply(result("j", 1, Expired), now)
+	p.Apply(result("j", 0, Expired), now)
+	p.Apply(result("j", 7, Completed), now)
+	p.Apply(result("other", 0, Completed), now)
 	job := p.Job("j")
 	assert.Equal(t, len(job.Items), 2)
 	assert.Equal(t, len(job.Results), 2)
@@ -50,7 +50,7 @@
 
 func TestProgressFormsOneChain(t *testing.T) {
 	p := NewPartition()
-	p.Apply(jobRecord("j", 1), at)
+	p.Apply(jobRecord("j", 1), now)
 	for _, step := range []struct {
 		record Record
 		chain  string
@@ -66,26 +66,26 @@
 		{progressOf("a", "", 9, 11), "c", 9}, // superseded run has reached the same event
 		{progressOf("d", "", 0, 2), "d", 2},  // restarts from the first event
 	} {
-		p.Apply(step.record, at)
+		p.Apply(step.record, now)
 		saved, _ := p.Job("j").Progress(0)
 		assert.Equal(t, saved.Chain, step.chain)
 		assert.Equal(t, saved.To, step.to)
 	}
 	saved, _ := p.Job("j").Progress(0)
 	assert.DeepEqual(t, saved.Versions, []int64{2})
-	p.Apply(result("j", 0, Completed), at)
+	p.Apply(result("j", 0, Completed), now)
 	_, found := p.Job("j").Progress(0)
 	assert.Assert(t, !found)
 }
 
 func TestPartWithoutEventsMarksOutputComplete(t *testing.T) {
 	p := NewPartition()
-	p.Apply(jobRecord("j", 1), at)
-	p.Apply(progressOf("a", "", 0, 3), at)
+	p.Apply(jobRecord("j", 1), now)
+	p.Apply(progressOf("a", "", 0, 3), now)
 	end := progressOf("a", "", 3, 3)
 	end.Progress[0].Complete = true
 	end.Progress[0].Text = Span{}
-	p.Apply(end, at)
+	p.Apply(end, now)
 	saved, _ := p.Job("j").Progress(0)
 	assert.Assert(t, saved.Complete)
 	assert.DeepEqual(t, saved.Parts, []Span{{First: 3, Count: 1}})
@@ -93,11 +93,11 @@
 
 func TestResultKeepsTheFirstScore(t *testing.T) {
 	p := NewPartition()
-	p.Apply(jobRecord("j", 1), at)
+	p.Apply(jobRecord("j", 1), now)
 	for _, score := range []string{"first", "second"} {
 		scored := result("j", 0, Completed)
 		scored.Results[0].Score = score
-		p.Apply(scored, at)
+		p.Apply(scored, now)
 	}
 	assert.Equal(t, p.Job("j").Results[0].Score, "first")
 }
@@ -111,38 +111,38 @@
 
 func TestForgetDropsOnlyOldJobsThatAreNotOpen(t *testing.T) {
 	p := NewPartition()
-	p.Apply(jobRecord("open", 1), at)
-	p.Apply(jobRecord("ended", 1), at)
-	p.Apply(jobRecord("young", 1), at.Add(time.Hour))
-	p.Apply(Record{End: "ended"}, at)
-	p.Apply(Record{End: "young"}, at)
-	assert.Equal(t, p.Forget(at.Add(time.Minute)), 1)
+	p.Apply(jobRecord("open", 1), now)
+	p.Apply(jobRecord("ended", 1), now)
+	p.Apply(jobRecord("young", 1), now.Add(time.Hour))
+	p.Apply(Record{End: "ended"}, now)
+	p.Apply(Record{End: "young"}, now)
+	assert.Equal(t, p.Forget(now.Add(time.Minute)), 1)
 	assert.Assert(t, p.Job("open") != nil && p.Job("young") != nil && p.Job("ended") == nil)
 }
 
 // recorder is an Observer that records its notifications.
-type recorder struct{ added, listed, ended []string }
+type recorder struct{ added, results, ended []string }
 
 func (r *recorder) JobAdded(job *Job)           { r.added = append(r.added, job.ID) }
-func (r *recorder) ResultAdded(job *Job, _ int) { r.listed = append(r.listed, job.ID) }
+func (r *recorder) ResultAdded(job *Job, _ int) { r.results = append(r.results, job.ID) }
 func (r *recorder) JobEnded(job *Job)           { r.ended = append(r.ended, job.ID) }
 
 func TestObserverIsNotifiedOfOpenJobsAndChanges(t *testing.T) {
 	p := NewPartition()
-	p.Apply(jobRecord("old", 1), at)
-	p.Apply(Record{End: "old"}, at)
-	p.Apply(jobRecord("open", 2), at)
-	var seen recorder
-	p.Observe(&seen)
-	p.Apply(jobRecord("new", 1), at)
-	p.Apply(result("open", 0, Completed), at)
-	p.Apply(Record{End: "new"}, at)
-	p.Apply(Record{End: "new"}, at)
-	p.Unobserve(&seen)
-	p.Apply(Record{End: "open"}, at)
-	assert.DeepEqual(t, seen.added, []string{"open", "new"})
-	assert.DeepEqual(t, seen.listed, []string{"open"})
-	assert.DeepEqual(t, seen.ended, []string{"new"})
+	p.Apply(jobRecord("old", 1), now)
+	p.Apply(Record{End: "old"}, now)
+	p.Apply(jobRecord("open", 2), now)
+	var notified recorder
+	p.Observe(&notified)
+	p.Apply(jobRecord("new", 1), now)
+	p.Apply(result("open", 0, Completed), now)
+	p.Apply(Record{End: "new"}, now)
+	p.Apply(Record{End: "new"}, now)
+	p.Unobserve(&notified)
+	p.Apply(Record{End: "open"}, now)
+	assert.DeepEqual(t, notified.added, []string{"open", "new"})
+	assert.DeepEqual(t, notified.results, []string{"open"})
+	assert.DeepEqual(t, notified.ended, []string{"new"})
 }
 
 // Guards against readers that disagree on the results, and against result positions that change.
@@ -160,8 +160,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			one.Apply(record, at)
-			two.Apply(decoded, at.Add(time.Hour))
+			one.Apply(record, now)
+			two.Apply(decoded, now.Add(time.Hour))
 			for id, job := range one.jobs {
 				for position, before := range seen[id] {
 					if job.Results[position].Item != before.Item || job.Results[position].Outcome != before.Outcome {
@@ -209,7 +209,7 @@
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(_ *testing.T, raw []byte) {
 		if record, err := Decode(raw); err == nil {
-			NewPartition().Apply(record, at)
+			NewPartition().Apply(record, now)
 		}
 	})
 }
@@ -237,7 +237,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			p.Apply(record, at)
+			p.Apply(record, now)
 		}
 	}
 }
@@ -245,18 +245,18 @@
 // Guards against a gap in the log that closes open jobs, or that marks jobs incomplete which it cannot have affected.
 func TestSkippedRecordsMakeOnlyJobsWithMissingResultsIncomplete(t *testing.T) {
 	p := NewPartition()
-	p.Apply(jobRecord("whole", 1), at)
-	p.Apply(result("whole", 0, Completed), at)
-	p.Apply(jobRecord("lacking", 2), at)
-	p.Apply(result("lacking", 1, Completed), at)
+	p.Apply(jobRecord("complete", 1), now)
+	p.Apply(result("complete", 0, Completed), now)
+	p.Apply(jobRecord("open", 2), now)
+	p.Apply(result("open", 1, Completed), now)
 	p.SkipTo(9)
 	assert.Equal(t, p.Next, int64(9))
-	p.Apply(jobRecord("behind", 1), at)
-	assert.Assert(t, !p.Job("whole").Incomplete)
-	assert.Assert(t, p.Job("lacking").Incomplete)
-	assert.Assert(t, !p.Job("behind").Incomplete)
-	assert.Assert(t, p.Job("lacking").Open())
-	p.Apply(result("lacking", 0, Completed), at)
-	assert.Assert(t, p.Job("lacking").Incomplete)
-	assert.Assert(t, !p.Job("lacking").Open())
+	p.Apply(jobRecord("later", 1), now)
+	assert.Assert(t, !p.Job("complete").Incomplete)
+	assert.Assert(t, p.Job("open").Incomplete)
+	assert.Assert(t, !p.Job("later").Incomplete)
+	assert.Assert(t, p.Job("open").Open())
+	p.Apply(result("open", 0, Completed), now)
+	assert.Assert(t, p.Job("open").Incomplete)
+	assert.Assert(t, !p.Job("open").Open())
 }
--- a/internal/core/batch/record.go
+++ b/internal/core/batch/record.go
@@ -18,7 +18,6 @@
 // Outcome is the outcome of an item.
 type Outcome uint8
 
-// The outcomes of items.
 const (
 	// Completed items have their complete output.
 	Completed Outcome = iota + 1
@@ -42,21 +41,22 @@
 	Priority int `msgpack:"pr,omitempty"`
 	// Host and Path are those of the submission. They select the job's route in each
 	// version of the configuration.
-	Host       string       `msgpack:"h"`
-	Path       string       `msgpack:"p"`
-	Model      string       `msgpack:"m"`
-	MinVersion int64        `msgpack:"v"`
-	Step       int64        `msgpack:"s"`
-	Wanted     int          `msgpack:"w"`
-	Items      []ItemRecord `msgpack:"t"`
+	Host       string `msgpack:"h"`
+	Path       string `msgpack:"p"`
+	Model      string `msgpack:"m"`
+	MinVersion int64  `msgpack:"v"`
+	Step       int64  `msgpack:"s"`
+	// Wanted is the number of complete groups that the submitter waits for; zero if not specified.
+	Wanted int          `msgpack:"w"`
+	Items  []ItemRecord `msgpack:"t"`
 	// Payloads hold one record for each item, in order.
 	Payloads []Span `msgpack:"d"`
-	// ReturnedKnown is true if the node that accepted the job knew the preceding jobs; Returned
-	// is then the number of leading groups that return from them.
-	ReturnedKnown bool `msgpack:"rk,omitempty"`
-	Returned      int  `msgpack:"rn,omitempty"`
-	// Homes are the only regions that may serve and store the job; empty for all. They come from the
-	// configuration version Config, which was in force at the accepting node.
+	// CarriedOverKnown is true if the node that accepted the job knew the preceding jobs; CarriedOver
+	// is then the number of leading groups that are carried over from them.
+	CarriedOverKnown bool `msgpack:"rk,omitempty"`
+	CarriedOver      int  `msgpack:"rn,omitempty"`
+	// Homes are the only regions that may serve and store the job; empty for all. They come from
+	// version Config of the configuration, which the accepting node used.
 	Homes  []string `msgpack:"hm,omitempty"`
 	Config int64    `msgpack:"cv,omitempty"`
 }
@@ -72,9 +72,10 @@
 
 // ItemRecord is one item of a job.
 type ItemRecord struct {
-	ID     string `msgpack:"i"`
-	Group  string `msgpack:"g"`
-	Tokens int    `msgpack:"t"`
+	ID    string `msgpack:"i"`
+	Group string `msgpack:"g"`
+	// Tokens is the maximum number of tokens of the prompt and the output together.
+	Tokens int `msgpack:"t"`
 	// Prompt is the number of tokens of the prompt; zero when unknown.
 	Prompt int `msgpack:"p"`
 	// Length is the expected output length in tokens; zero when unknown.
@@ -135,7 +136,6 @@
 	return raw, nil
 }
 
-// Decode decodes a record.
 func Decode(raw []byte) (Record, error) {
 	var record Record
 	if err := msgpack.Unmarshal(raw, &record); err != nil {
@@ -192,7 +192,6 @@
 	return raw, nil
 }
 
-// DecodePayload decodes a payload.
 func DecodePayload(raw []byte) (Payload, error) {
 	var payload Payload
 	if err := msgpack.Unmarshal(raw, &payload); err != nil {
