--- a/internal/core/batchitem/batchitem_test.go
+++ b/internal/core/batchitem/batchitem_test.go
@@ -24,16 +24,16 @@
 }
 
 func TestOutputIsResetByEventBeyondLimits(t *testing.T) {
-	var old, second Output
+	var old, mixed Output
 	old.Add(event(1, 3), Limits{MinVersion: 3})
 	assert.Equal(t, old.Add(event(2, 2), Limits{MinVersion: 3}), VersionTooOld)
 	assert.Assert(t, old.Empty() && old.Last() == 0)
-	second.Add(event(1, 3), Limits{Single: true})
-	assert.Equal(t, second.Add(event(2, 4), Limits{Single: true}), MixedVersions)
-	assert.Assert(t, second.Empty())
+	mixed.Add(event(1, 3), Limits{Single: true})
+	assert.Equal(t, mixed.Add(event(2, 4), Limits{Single: true}), MixedVersions)
+	assert.Assert(t, mixed.Empty())
 }
 
-func TestFits(t *testing.T) {
+func TestSatisfiesChecksVersionsOfAllEvents(t *testing.T) {
 	o := Restore(SavedOutput{Versions: []int64{3, 4}, Last: 2, Text: []byte("e1\ne2")})
 	assert.Assert(t, o.Satisfies(Limits{MinVersion: 3}))
 	assert.Assert(t, !o.Satisfies(Limits{MinVersion: 4}))
@@ -53,13 +53,13 @@
 	assert.Equal(t, item.Stage(), Ended)
 }
 
-func TestListedItemIsCompletedButDroppedOneIsNot(t *testing.T) {
-	var dropped, listed Item
+func TestMarkedItemIsCompletedButDroppedOneIsNot(t *testing.T) {
+	var dropped, marked Item
 	dropped.Drop()
-	listed.MarkCompleted()
+	marked.MarkCompleted()
 	assert.Assert(t, dropped.Ended() && !dropped.Completed())
-	assert.Assert(t, listed.Ended() && listed.Completed())
-	assert.Assert(t, !listed.Output.IsComplete(), "output of another node's result is unknown")
+	assert.Assert(t, marked.Ended() && marked.Completed())
+	assert.Assert(t, !marked.Output.IsComplete(), "output of another node's result is unknown")
 }
 
 func TestAttemptsAreLimitedPerKindOfFailure(t *testing.T) {
@@ -76,13 +76,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var o Output
 		var texts []string
-		var last, number int64
+		var savedTo, lastEvent int64
 		complete, chains := false, 0
 		newChain := func() string { chains++; return fmt.Sprint("chain", chains) }
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "event") {
-				number++
-				assert.Equal(t, o.Add(event(number, 1), Limits{}), Accepted)
+				lastEvent++
+				assert.Equal(t, o.Add(event(lastEvent, 1), Limits{}), Accepted)
 				continue
 			}
 			if !o.HasUnsaved() {
@@ -90,8 +90,8 @@
 			}
 			part := o.NextPart(newChain)
 			if rapid.Bool().Draw(t, "taken") {
-				assert.Equal(t, part.From, last)
-				texts, last, complete = append(texts, string(part.Text)), part.To, part.Complete
+				assert.Equal(t, part.From, savedTo)
+				texts, savedTo, complete = append(texts, string(part.Text)), part.To, part.Complete
 				o.MarkSaved(part)
 			}
 		}
@@ -101,17 +101,17 @@
 			if part.To > part.From {
 				texts = append(texts, string(part.Text))
 			}
-			last, complete = part.To, part.Complete
+			savedTo, complete = part.To, part.Complete
 			o.MarkSaved(part)
 		}
 		assert.Assert(t, complete && !o.HasUnsaved())
-		assert.Equal(t, last, number)
+		assert.Equal(t, savedTo, lastEvent)
 		assert.Equal(t, strings.Join(texts, "\n"), string(o.Text()))
 	})
 }
 
 // Guards against an output that is reset while a part is written, and then loses its first events.
-func TestMarkKeptIgnoresPartsFromBeforeAReset(t *testing.T) {
+func TestMarkSavedIgnoresPartsFromBeforeReset(t *testing.T) {
 	var o Output
 	o.Add(event(1, 1), Limits{})
 	part := o.NextPart(func() string { return "a" })
--- a/internal/core/batchitem/item.go
+++ b/internal/core/batchitem/item.go
@@ -28,19 +28,18 @@
 
 	stage     Stage
 	completed bool
-	// runFailures and scoreFailures count failures caused by the engine or the scoring service.
+	// runFailures counts failures caused by the engine, scoreFailures those caused by the scoring service.
 	runFailures   int
 	scoreFailures int
 }
 
-// Stage returns the stage that the item has reached.
 func (i *Item) Stage() Stage { return i.stage }
 
 // Ended reports whether the item has reached its last stage.
 func (i *Item) Ended() bool { return i.stage == Ended }
 
 // Completed reports whether the item has a result with its complete output: from this node, or
-// recorded in the log by another node, in which case Output is not complete.
+// recorded in the log by another node, in which case this node's Output may lack events.
 func (i *Item) Completed() bool { return i.completed }
 
 // StartScoring marks the output as complete and moves an open item to Scoring.
--- a/internal/core/batchitem/output.go
+++ b/internal/core/batchitem/output.go
@@ -25,7 +25,6 @@
 // Verdict is the outcome of Output.Add.
 type Verdict uint8
 
-// The verdicts.
 const (
 	// Accepted: the event was appended to the output.
 	Accepted Verdict = iota
@@ -48,12 +47,12 @@
 	// complete is true once no further events follow.
 	complete bool
 
-	// chain identifies this sequence of runs in the log; empty until the first part. continues is the
+	// chain identifies the parts of this output in the log; empty until the first part. continues is the
 	// chain from which the output was restored; empty if there is none or a part of this chain was saved.
 	chain     string
 	continues string
-	// savedTo is the last event that is in the log, savedChunks the number of chunks up to it;
-	// savedComplete is true once the log has the output marked as complete.
+	// savedTo is the number of the last event in the log, savedChunks the number of chunks up to it;
+	// savedComplete is true once the output is marked as complete in the log.
 	savedTo       int64
 	savedChunks   int
 	savedComplete bool
@@ -103,7 +102,6 @@
 // Empty reports whether there are no events.
 func (o *Output) Empty() bool { return len(o.chunks) == 0 }
 
-// IsComplete reports whether the output is complete.
 func (o *Output) IsComplete() bool { return o.complete }
 
 // Versions returns the weight versions of the events, in order of first use.
@@ -112,7 +110,7 @@
 // Text returns the data of all events, separated by line feeds.
 func (o *Output) Text() []byte { return bytes.Join(o.chunks, []byte{'\n'}) }
 
-// finish marks the output as complete, merges its chunks and returns the text. Parts must not be taken afterwards.
+// finish marks the output as complete, merges its chunks and returns the text. NextPart must not be called afterwards.
 func (o *Output) finish() []byte {
 	o.complete = true
 	text := o.Text()
