--- a/internal/core/weightplan/limiter.go
+++ b/internal/core/weightplan/limiter.go
@@ -8,7 +8,7 @@
 	// maxLoadingDivisor bounds concurrent loads above MinConcurrentLoads to engines/maxLoadingDivisor of
 	// a service, so that the other engines keep serving.
 	maxLoadingDivisor = 4
-	// initialLimitDivisor sets the initial limit of each leader to engines/initialLimitDivisor, which
+	// initialLimitDivisor sets the initial limit of a new leader to engines/initialLimitDivisor, which
 	// should be below what the source sustains.
 	initialLimitDivisor = 8
 	// maxInitialLimit bounds the initial limit. The duration of an unimpeded load is learned from the
@@ -23,8 +23,8 @@
 
 // Limiter learns how many concurrent loads the source of the weights sustains at full
 // speed. The limit starts at a share of the engines and doubles with each round of fast
-// loads until the first slow one. It then falls to the observed throughput: if n concurrent
-// loads take r times as long as one, the source sustains n/r of them.
+// loads until the first slow one. It then falls to the number that the source was observed
+// to sustain: if n concurrent loads take r times as long as one, that is n/r.
 type Limiter struct {
 	limit float64
 	// fastest is the shortest duration of a load.
--- a/internal/core/weightplan/weightplan.go
+++ b/internal/core/weightplan/weightplan.go
@@ -1,8 +1,8 @@
 // Package weightplan determines which engines follow which model, and which of them
 // load new weights next. It performs no I/O and reads no clock.
 //
-// Each engine holds a version of every model, but loads interrupt its service, so an
-// engine follows the versions of one model only. Engines are divided between models by
+// Each engine holds a version of every model, but loads interrupt serving, so an engine
+// follows the versions of one model only. Engines are divided between models by
 // demand; an engine is reassigned only when the shares have shifted by a full engine.
 // Engines beyond what the items of all models need follow no model and load nothing.
 package weightplan
@@ -17,8 +17,8 @@
 )
 
 const (
-	// slotsPerItem is the number of slots of a model's engines for each of its items at their peak. With a
-	// third of the engines lost and a third loading, each item still has a slot.
+	// slotsPerItem is the number of slots at a model's engines per item at the peak, so that each item still
+	// has a slot if a third of the engines is lost and a third is loading.
 	slotsPerItem = 3
 	// defaultEngines is the number of engines that follow a model whose number of items is unknown.
 	defaultEngines = 32
@@ -34,7 +34,7 @@
 	Running int
 	// Loading is true while a load is in progress.
 	Loading bool
-	// Usable is false for engines that leave or have recently failed.
+	// Usable is false for engines that accept no new work or have recently failed.
 	Usable bool
 }
 
@@ -50,8 +50,8 @@
 	Items int
 	// Waiting is the number of items that wait for an engine.
 	Waiting int
-	// Interrupts is true if a load delays or fails running items. It then waits for them, unless
-	// the engine is below MinVersion.
+	// Interrupts is true if a load delays or fails running items. Loads then wait until the engine runs
+	// none, unless its version is below MinVersion.
 	Interrupts bool
 }
 
@@ -194,28 +194,28 @@
 	return wanted
 }
 
-// Load orders an engine to load a version of a model.
+// Load is an order to an engine to load a version of a model.
 type Load struct {
 	Engine  incarnation.ID
 	Model   string
 	Version int64
 }
 
-// NextLoads returns the loads to order now, so that at most atOnce are in progress.
+// NextLoads returns the loads to order now, so that at most maxConcurrent are in progress.
 //
 // The source of the weights sustains a bounded number of loads, which all models share.
 // The next load is therefore that of the model with the smallest share of its engines at the
 // target version or loading it, so that each model has some engines for its next job.
 // Among the engines of a model, those too old for open jobs come first, then those with
 // the largest lag. Engines that could start waiting items do not load.
-func NextLoads(engines []Engine, models map[incarnation.ID]string, targets []Target, atOnce int) []Load {
+func NextLoads(engines []Engine, models map[incarnation.ID]string, targets []Target, maxConcurrent int) []Load {
 	byModel := make(map[string]Target, len(targets))
 	for _, target := range targets {
 		byModel[target.Model] = target
 	}
 	loading := 0
 	counts := make(map[string]int, len(targets))
-	current := make(map[string]int, len(targets))
+	upToDate := make(map[string]int, len(targets))
 	candidates := make(map[string][]candidate, len(targets))
 	for _, engine := range engines {
 		target, found := byModel[models[engine.ID]]
@@ -229,8 +229,8 @@
 		lag := target.Version - engine.Versions[target.Model]
 		switch {
 		case engine.Loading || lag <= 0:
-			current[target.Model]++
-		case engine.Usable && due(engine, target):
+			upToDate[target.Model]++
+		case engine.Usable && mayLoad(engine, target):
 			candidates[target.Model] = append(candidates[target.Model], candidate{engine, target, lag})
 		}
 	}
@@ -238,14 +238,14 @@
 		sort.SliceStable(each, func(i, j int) bool { return each[i].before(each[j]) })
 	}
 	var loads []Load
-	for loading+len(loads) < atOnce {
-		model, found := leastCovered(candidates, current, counts)
+	for loading+len(loads) < maxConcurrent {
+		model, found := leastCovered(candidates, upToDate, counts)
 		if !found {
 			break
 		}
 		next := candidates[model][0]
 		candidates[model] = candidates[model][1:]
-		current[model]++
+		upToDate[model]++
 		loads = append(loads, Load{Engine: next.engine.ID, Model: model, Version: next.target.Version})
 	}
 	return loads
@@ -254,11 +254,11 @@
 // leastCovered returns the model, among those with a candidate, with the smallest share of its
 // engines at the target version or loading it. Ties are broken by the order of the models' first
 // candidates, then by name.
-func leastCovered(candidates map[string][]candidate, current, counts map[string]int) (string, bool) {
+func leastCovered(candidates map[string][]candidate, upToDate, counts map[string]int) (string, bool) {
 	best, found := "", false
-	share := func(model string) float64 { return float64(current[model]) / float64(counts[model]) }
-	for model, of := range candidates {
-		if len(of) == 0 {
+	share := func(model string) float64 { return float64(upToDate[model]) / float64(counts[model]) }
+	for model, ofModel := range candidates {
+		if len(ofModel) == 0 {
 			continue
 		}
 		if !found {
@@ -270,9 +270,9 @@
 			if own < other {
 				best = model
 			}
-		case of[0].before(candidates[best][0]):
+		case ofModel[0].before(candidates[best][0]):
 			best = model
-		case !candidates[best][0].before(of[0]) && model < best:
+		case !candidates[best][0].before(ofModel[0]) && model < best:
 			best = model
 		}
 	}
@@ -302,8 +302,8 @@
 	return engine.Versions[target.Model] < target.MinVersion
 }
 
-// due reports whether the engine may start a load now.
-func due(engine Engine, target Target) bool {
+// mayLoad reports whether the engine may start a load now, see Target.
+func mayLoad(engine Engine, target Target) bool {
 	if tooOld(engine, target) {
 		return true
 	}
--- a/internal/core/weightplan/weightplan_test.go
+++ b/internal/core/weightplan/weightplan_test.go
@@ -80,10 +80,10 @@
 	all := engines(1, map[string]int64{"a": 1})
 	all[0].Running = 5
 	models := map[incarnation.ID]string{engineID("e0"): "a"}
-	calm := Target{Model: "a", Version: 2, MinVersion: 1, Interrupts: true}
-	assert.Equal(t, len(NextLoads(all, models, []Target{calm}, 2)), 0)
-	calm.Interrupts = false
-	assert.Equal(t, len(NextLoads(all, models, []Target{calm}, 2)), 1)
+	target := Target{Model: "a", Version: 2, MinVersion: 1, Interrupts: true}
+	assert.Equal(t, len(NextLoads(all, models, []Target{target}, 2)), 0)
+	target.Interrupts = false
+	assert.Equal(t, len(NextLoads(all, models, []Target{target}, 2)), 1)
 	needed := Target{Model: "a", Version: 2, MinVersion: 2, Interrupts: true}
 	assert.Equal(t, len(NextLoads(all, models, []Target{needed}, 2)), 1)
 }
@@ -109,7 +109,7 @@
 	assert.Equal(t, len(NextLoads(all, models, []Target{{Model: "a", Version: 2}}, 2)), 0)
 }
 
-// Guards against engines of one model that are too old for its open job and block all loads of another model.
+// Guards against loads of one model, whose engines are too old for its open job, that delay all loads of another.
 func TestModelWithFewestCurrentEnginesLoadsFirst(t *testing.T) {
 	var all []Engine
 	models := map[incarnation.ID]string{}
@@ -140,9 +140,9 @@
 // Guards against a restarted engine that inherits the model of its previous incarnation.
 func TestRestartedEngineFollowsTheModelItHolds(t *testing.T) {
 	targets := []Target{{Model: "a", Version: 9}, {Model: "b", Version: 9}}
-	start := func(engine string, born, a, b int64) Engine {
+	start := func(engine string, startMillis, a, b int64) Engine {
 		return Engine{
-			ID: incarnation.ID{Engine: engine, StartMillis: born}, Versions: map[string]int64{"a": a, "b": b}, Usable: true,
+			ID: incarnation.ID{Engine: engine, StartMillis: startMillis}, Versions: map[string]int64{"a": a, "b": b}, Usable: true,
 		}
 	}
 	allocator := NewAllocator()
@@ -195,19 +195,19 @@
 	all := fleetOf(1_000)
 	allocator := NewAllocator()
 	targets := []Target{{Model: "a", Version: 2, Items: 100}}
-	ended := make(map[incarnation.ID]bool)
+	lost := make(map[incarnation.ID]bool)
 	for id := range allocator.Allocate(all, targets) {
-		if len(ended) < 20 {
-			ended[id] = true
+		if len(lost) < 20 {
+			lost[id] = true
 		}
 	}
-	var left []Engine
+	var remaining []Engine
 	for _, engine := range all {
-		if !ended[engine.ID] {
-			left = append(left, engine)
+		if !lost[engine.ID] {
+			remaining = append(remaining, engine)
 		}
 	}
-	assert.Equal(t, len(allocator.Allocate(left, targets)), 50)
+	assert.Equal(t, len(allocator.Allocate(remaining, targets)), 50)
 }
 
 // Guards against a leader change that reassigns engines, although their versions tell which model they followed.
