--- a/internal/core/scaling/scaling.go
+++ b/internal/core/scaling/scaling.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/peak"
 )
 
-// Bounds are the limits of a service by the configuration.
+// Bounds limit the engines that may be requested for a service.
 type Bounds struct {
 	// Min and Max bound the number of engines in each zone.
 	Min int
@@ -32,26 +32,26 @@
 }
 
 const (
-	// headroom is the ratio of slots to the peak of items: engines leave, load weights or
-	// slow down, and their items need slots elsewhere.
+	// headroom is the ratio of slots to the peak of items. When engines are removed, load weights
+	// or slow down, their items need slots elsewhere.
 	headroom = 1.15
-	// peakPeriod is how long a peak counts. It spans the pauses of trainers between two steps
-	// and the boot time of engines.
+	// peakPeriod is how long a peak counts. It exceeds the pause of a trainer between two steps
+	// and the boot time of an engine.
 	peakPeriod = 2 * time.Minute
 	// settleTime is how long the number of engines must not have grown before it is used: a
-	// process that has just started learns of engines one after the other, and an order for
+	// process that has just started learns of engines one after the other, and a request for
 	// the known ones would remove the others. It must exceed the period of engine entries.
 	settleTime = 2500 * time.Millisecond
-	// unseenPeriod is how long a zone without engines is assumed not to be known yet.
+	// unseenPeriod is how long after the first observation a zone may have engines that were not seen yet.
 	unseenPeriod = 10 * time.Second
 )
 
 // Planner sizes one service by its demand.
 //
 // Invariant: it never requests fewer engines in a zone than it has seen there, since it knows the
-// demand of batch jobs only and not which engines live requests need. It requests nothing for a
-// zone above its bound, since an order for fewer removes engines, and nothing for an evacuated
-// zone; the engines that are unavailable there are requested in other zones.
+// demand of batch jobs but not that of live requests. It requests nothing for a zone above its
+// bound, since a request for fewer engines would remove some, and nothing for an evacuated zone;
+// substitutes for the engines there are requested in other zones.
 type Planner struct {
 	items peak.Window
 	// maxSeen is the highest number of engines seen in each zone.
@@ -59,9 +59,9 @@
 	// began is the time of the first observation, grownAt when maxSeen last grew.
 	began   time.Time
 	grownAt time.Time
-	// substituted is the highest number of engines requested in each zone to replace those of
-	// evacuated zones, substitutes the total of such engines. They are kept when an evacuation
-	// ends and count for the next evacuation.
+	// substituted is the highest number of engines requested in each zone during an evacuation of
+	// other zones, substitutes the total of the engines added for that. They are kept when an
+	// evacuation ends and count for the next one.
 	substituted map[string]int
 	substitutes int
 	// regular is the highest number of engines seen in all zones, excluding substitutes.
@@ -88,8 +88,8 @@
 	p.items.Observe(now, demand.Items, peakPeriod)
 }
 
-// Wanted returns the number of engines that each zone should have, without zones that are
-// evacuated, above their bound or not known well enough; nil while the number of engines grows.
+// Wanted returns the number of engines that each zone should have, without zones that are evacuated,
+// above their bound or not known yet, see unseenPeriod; nil while the number of engines grows.
 func (p *Planner) Wanted(now time.Time, bounds Bounds, slots int) map[string]int {
 	if now.Sub(p.grownAt) < settleTime {
 		return nil
@@ -106,8 +106,8 @@
 		p.substitute(zones, wanted, bounds)
 	}
 	maps.DeleteFunc(wanted, func(zone string, count int) bool {
-		// An order for the bound would remove engines above it, and one for fewer than were requested
-		// as substitutes would remove engines that are still starting.
+		// A request for the bound would remove engines above it, and one for fewer than were requested
+		// with substitutes would remove engines that are still starting.
 		return count > bounds.Max || count < p.substituted[zone]
 	})
 	return wanted
@@ -145,7 +145,7 @@
 func (p *Planner) seenInOtherZones(wanted map[string]int, evacuated map[string]bool) int {
 	total := 0
 	for zone, count := range p.maxSeen {
-		if _, ordered := wanted[zone]; !ordered && !evacuated[zone] {
+		if _, requested := wanted[zone]; !requested && !evacuated[zone] {
 			total += count
 		}
 	}
@@ -159,7 +159,7 @@
 		total += count
 	}
 	for ; total < need; total++ {
-		zone, found := leastFull(zones, wanted, limit)
+		zone, found := smallestZone(zones, wanted, limit)
 		if !found {
 			return
 		}
@@ -176,21 +176,21 @@
 	return total
 }
 
-// need returns the number of engines for the peak.
+// need returns the number of engines that the items at the peak need.
 func (p *Planner) need(slots int) int {
 	return int(math.Ceil(headroom * float64(p.items.Max()) / float64(max(1, slots))))
 }
 
-// leastFull returns the zone below the limit with the fewest engines, so that the loss of a zone
-// takes as few as possible; of equal zones the first one, which is the cheapest.
-func leastFull(zones []string, wanted map[string]int, limit int) (string, bool) {
-	best, found := "", false
+// smallestZone returns the zone below the limit with the fewest engines, so that the loss of a zone
+// affects as few as possible; of equal zones the first one, which is the cheapest.
+func smallestZone(zones []string, wanted map[string]int, limit int) (string, bool) {
+	smallest, found := "", false
 	for _, zone := range zones {
-		if wanted[zone] < limit && (!found || wanted[zone] < wanted[best]) {
-			best, found = zone, true
+		if wanted[zone] < limit && (!found || wanted[zone] < wanted[smallest]) {
+			smallest, found = zone, true
 		}
 	}
-	return best, found
+	return smallest, found
 }
 
 func zonesByPrice(prices map[string]float64) []string {
--- a/internal/core/scaling/scaling_test.go
+++ b/internal/core/scaling/scaling_test.go
@@ -26,7 +26,7 @@
 	assert.DeepEqual(t, planner.Wanted(ready, bounds, 8), map[string]int{"a": 15, "b": 15, "c": 15})
 }
 
-// Guards against a new leader that orders only the engines it knows so far, which would remove the others.
+// Guards against a new leader that requests only the engines it knows so far, which would remove the others.
 func TestWantedIsEmptyWhileEngineCountGrows(t *testing.T) {
 	planner := plannerWith(500, nil)
 	assert.Equal(t, len(planner.Wanted(now.Add(settleTime), bounds, 8)), 0)
@@ -48,7 +48,7 @@
 }
 
 func TestWantedStaysWithinBounds(t *testing.T) {
-	for _, try := range []struct {
+	for _, test := range []struct {
 		items   int
 		engines map[string]int
 		bounds  Bounds
@@ -60,7 +60,7 @@
 		{300, map[string]int{"a": 40}, bounds, map[string]int{"b": 2, "c": 2}},
 		{9, nil, Bounds{Max: 3}, map[string]int{}},
 	} {
-		assert.DeepEqual(t, plannerWith(try.items, try.engines).Wanted(ready, try.bounds, 8), try.want)
+		assert.DeepEqual(t, plannerWith(test.items, test.engines).Wanted(ready, test.bounds, 8), test.want)
 	}
 }
 
@@ -73,8 +73,8 @@
 	assert.DeepEqual(t, planner.Wanted(after, bounds, 8), map[string]int{"a": 1, "b": 1, "c": 1})
 }
 
-// evacuating returns the bounds while zones are evacuated.
-func evacuating(zones ...string) Bounds {
+// boundsWithEvacuated returns the bounds while the given zones are evacuated.
+func boundsWithEvacuated(zones ...string) Bounds {
 	changed := bounds
 	changed.Evacuated = make(map[string]bool)
 	for _, zone := range zones {
@@ -88,37 +88,37 @@
 func TestEvacuatedEnginesAreSubstitutedInOtherZones(t *testing.T) {
 	planner := plannerWith(0, map[string]int{"a": 4, "b": 4, "c": 4})
 	for range 3 {
-		assert.DeepEqual(t, planner.Wanted(ready, evacuating("a"), 8), map[string]int{"b": 6, "c": 6})
+		assert.DeepEqual(t, planner.Wanted(ready, boundsWithEvacuated("a"), 8), map[string]int{"b": 6, "c": 6})
 	}
 	planner.Observe(ready, Demand{}, map[string]int{"b": 4, "c": 4})
-	assert.DeepEqual(t, planner.Wanted(ready, evacuating("a"), 8), map[string]int{"b": 6, "c": 6})
+	assert.DeepEqual(t, planner.Wanted(ready, boundsWithEvacuated("a"), 8), map[string]int{"b": 6, "c": 6})
 }
 
 // The substitutes are kept, so that the next evacuation needs fewer of them.
 func TestSubstitutesRemainAfterEvacuationEnds(t *testing.T) {
 	planner := plannerWith(0, map[string]int{"a": 4, "b": 4, "c": 4})
-	planner.Wanted(ready, evacuating("a"), 8)
+	planner.Wanted(ready, boundsWithEvacuated("a"), 8)
 	// The substitutes have not started yet: nothing is requested and nothing removed.
 	assert.DeepEqual(t, planner.Wanted(ready, bounds, 8), map[string]int{"a": 4})
 	planner.Observe(ready, Demand{}, map[string]int{"a": 4, "b": 6, "c": 6})
 	later := ready.Add(settleTime)
 	assert.DeepEqual(t, planner.Wanted(later, bounds, 8), map[string]int{"a": 4, "b": 6, "c": 6})
-	assert.DeepEqual(t, planner.Wanted(later, evacuating("a"), 8), map[string]int{"b": 6, "c": 6})
-	assert.DeepEqual(t, planner.Wanted(later, evacuating("b"), 8), map[string]int{"a": 6, "c": 6})
+	assert.DeepEqual(t, planner.Wanted(later, boundsWithEvacuated("a"), 8), map[string]int{"b": 6, "c": 6})
+	assert.DeepEqual(t, planner.Wanted(later, boundsWithEvacuated("b"), 8), map[string]int{"a": 6, "c": 6})
 }
 
 // The remaining zone is filled; without a remaining zone nothing is requested.
 func TestOverlappingEvacuationsStayWithinBounds(t *testing.T) {
 	planner := plannerWith(0, map[string]int{"a": 12, "b": 12, "c": 12})
-	assert.DeepEqual(t, planner.Wanted(ready, evacuating("a", "b"), 8), map[string]int{"c": 30})
-	assert.DeepEqual(t, planner.Wanted(ready, evacuating("a", "b", "c"), 8), map[string]int{})
+	assert.DeepEqual(t, planner.Wanted(ready, boundsWithEvacuated("a", "b"), 8), map[string]int{"c": 30})
+	assert.DeepEqual(t, planner.Wanted(ready, boundsWithEvacuated("a", "b", "c"), 8), map[string]int{})
 }
 
 // Neither present engines nor substitutes are removed, and nothing is requested in a zone above its bound.
 func TestLoweredBoundRemovesNoEngines(t *testing.T) {
-	lowered := func(most int, zones ...string) Bounds {
-		changed := evacuating(zones...)
-		changed.Max = most
+	lowered := func(maxEngines int, zones ...string) Bounds {
+		changed := boundsWithEvacuated(zones...)
+		changed.Max = maxEngines
 		return changed
 	}
 	planner := plannerWith(0, map[string]int{"a": 4, "b": 4, "c": 4})
@@ -132,16 +132,16 @@
 // Engines of a zone that is not evacuated but offers no engines are not substituted.
 func TestOnlyEvacuatedEnginesAreSubstituted(t *testing.T) {
 	planner := plannerWith(0, map[string]int{"a": 4, "b": 4, "unpriced": 6})
-	assert.DeepEqual(t, planner.Wanted(ready, evacuating("nowhere"), 8), map[string]int{"a": 4, "b": 4, "c": 1})
-	assert.DeepEqual(t, planner.Wanted(ready, evacuating("a"), 8), map[string]int{"b": 4, "c": 4})
+	assert.DeepEqual(t, planner.Wanted(ready, boundsWithEvacuated("nowhere"), 8), map[string]int{"a": 4, "b": 4, "c": 1})
+	assert.DeepEqual(t, planner.Wanted(ready, boundsWithEvacuated("a"), 8), map[string]int{"b": 4, "c": 4})
 	planner = plannerWith(0, map[string]int{"a": 4, "b": 4, "unpriced": 6})
-	assert.DeepEqual(t, planner.Wanted(ready, evacuating("unpriced"), 8), map[string]int{"a": 5, "b": 5, "c": 4})
+	assert.DeepEqual(t, planner.Wanted(ready, boundsWithEvacuated("unpriced"), 8), map[string]int{"a": 5, "b": 5, "c": 4})
 }
 
-// Guards against relying on substitutes that the platform did not provide, once the zone returned.
+// Guards against relying on substitutes that the platform did not provide, after the end of the evacuation.
 func TestDemandRequestsUnfulfilledSubstitutesAgain(t *testing.T) {
 	planner := plannerWith(0, map[string]int{"a": 4, "b": 4, "c": 4})
-	planner.Wanted(ready, evacuating("a"), 8)
+	planner.Wanted(ready, boundsWithEvacuated("a"), 8)
 	// 97 items with 15 % headroom on 8 slots need 14 engines.
 	planner.Observe(ready, Demand{Items: 97, Slots: 8}, map[string]int{"a": 4, "b": 4, "c": 4})
 	assert.DeepEqual(t, planner.Wanted(ready, bounds, 8), map[string]int{"a": 5, "b": 6})
