--- a/internal/core/slowstart/pacer.go
+++ b/internal/core/slowstart/pacer.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// Burst is the number of admissions that are possible at once after a pause. Two let a sender that polls
-	// every few tens of milliseconds use the whole rate.
+	// Burst is the number of admissions that are possible at once after a pause. A burst of two lets a sender
+	// that polls every few tens of milliseconds use the whole rate.
 	Burst = 2
 	// window is how long an admission counts towards the rate, which is per second.
 	window = time.Second
-	// PermitTTL is how long after the request for it a permit may be used. Permits of that time may be used
-	// at once, so a second may see the admissions of one second plus PermitTTL.
+	// PermitTTL is how long a permit may be used after it was requested. All valid permits may be used at once,
+	// so an engine may receive the requests admitted in one second plus PermitTTL within a second.
 	PermitTTL = 250 * time.Millisecond
 	// maxTransit is the assumed maximum time that a sent request takes to arrive.
 	maxTransit = 250 * time.Millisecond
-	// TakeoverPause is how long a new leader admits nothing, since it does not know the admissions of its
-	// predecessor and which permits are still unused.
+	// TakeoverPause is how long a new leader admits nothing, since it knows neither the admissions of its
+	// predecessor nor which of its permits are still unused.
 	TakeoverPause = window + PermitTTL + maxTransit
 )
 
@@ -49,40 +49,40 @@
 
 // Admit admits one request to the engine at the given rate. It returns zero if the request may be sent now,
 // otherwise the time after which to try again.
-func (p *Pacer) Admit(to incarnation.ID, ratePerSecond float64, now time.Time) (wait time.Duration) {
+func (p *Pacer) Admit(engine incarnation.ID, ratePerSecond float64, now time.Time) (wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if wait := p.waitFor(to, ratePerSecond, now); wait > 0 {
+	if wait := p.waitFor(engine, ratePerSecond, now); wait > 0 {
 		return wait
 	}
-	p.due[to] = p.startOf(to, now).Add(interval(ratePerSecond))
+	p.due[engine] = p.arrivalTime(engine, now).Add(interval(ratePerSecond))
 	return 0
 }
 
 // Room returns how many requests to the engine would be admitted now.
-func (p *Pacer) Room(to incarnation.ID, ratePerSecond float64, now time.Time) int {
+func (p *Pacer) Room(engine incarnation.ID, ratePerSecond float64, now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.waitFor(to, ratePerSecond, now) > 0 {
+	if p.waitFor(engine, ratePerSecond, now) > 0 {
 		return 0
 	}
-	ahead := p.startOf(to, now).Sub(now)
+	ahead := p.arrivalTime(engine, now).Sub(now)
 	return int((interval(ratePerSecond)*(Burst-1)-ahead)/interval(ratePerSecond)) + 1
 }
 
-// Note counts a request to an engine that is not known to be cold, in case it turns out to be. Such requests
+// Note counts a request to an engine that is not known to be cold, in case it turns out to be cold. Such requests
 // delay the next admission by at most a second.
-func (p *Pacer) Note(to incarnation.ID, ratePerSecond float64, now time.Time) {
+func (p *Pacer) Note(engine incarnation.ID, ratePerSecond float64, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	due := p.startOf(to, now).Add(interval(ratePerSecond))
+	due := p.arrivalTime(engine, now).Add(interval(ratePerSecond))
 	if latest := now.Add(window + interval(ratePerSecond)*(Burst-1)); due.After(latest) {
 		due = latest
 	}
-	p.due[to] = due
+	p.due[engine] = due
 }
 
-// Forget drops the state of engines whose requests no longer count.
+// Forget drops the state of engines whose requests no longer count towards the rate.
 func (p *Pacer) Forget(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,9 +94,9 @@
 }
 
 // waitFor returns the time until the engine's next admission. Must be called with mu held.
-func (p *Pacer) waitFor(to incarnation.ID, ratePerSecond float64, now time.Time) time.Duration {
+func (p *Pacer) waitFor(engine incarnation.ID, ratePerSecond float64, now time.Time) time.Duration {
 	next := p.admitsFrom
-	if due, known := p.due[to]; known {
+	if due, known := p.due[engine]; known {
 		if allowed := due.Add(-interval(ratePerSecond) * (Burst - 1)); allowed.After(next) {
 			next = allowed
 		}
@@ -104,9 +104,10 @@
 	return max(0, next.Sub(now))
 }
 
-// startOf returns when the engine's next request starts to count. Must be called with mu held.
-func (p *Pacer) startOf(to incarnation.ID, now time.Time) time.Time {
-	if due, known := p.due[to]; known && due.After(now) {
+// arrivalTime returns the theoretical arrival time of the engine's next request, at least now. Must be called with
+// mu held.
+func (p *Pacer) arrivalTime(engine incarnation.ID, now time.Time) time.Time {
+	if due, known := p.due[engine]; known && due.After(now) {
 		return due
 	}
 	return now
--- a/internal/core/slowstart/pacer_test.go
+++ b/internal/core/slowstart/pacer_test.go
@@ -19,14 +19,14 @@
 
 // maxPerSecond returns the largest number of times within one second.
 func maxPerSecond(times []time.Time) int {
-	most, first := 0, 0
+	highest, first := 0, 0
 	for last := range times {
 		for times[last].Sub(times[first]) >= time.Second {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
 
 func TestAdmissionsPerSecondStayWithinRateAndBurst(t *testing.T) {
@@ -135,18 +135,18 @@
 	assert.Assert(t, maxPerSecond(times) <= 7+1+Burst, "%d", maxPerSecond(times))
 }
 
-// All permits that are still valid at one moment are used at that moment.
+// All permits that are valid at useAt are used then.
 func TestPermitsUsedTogetherStayWithinOneAndAHalfTimesTheRate(t *testing.T) {
 	for _, rate := range []float64{0.5, 2, 7.9, 20, 60} {
 		pacer := New(began)
-		together := firstAdmission.Add(2 * time.Second)
+		useAt := firstAdmission.Add(2 * time.Second)
 		var sent []time.Time
 		for now := firstAdmission; now.Before(firstAdmission.Add(4 * time.Second)); now = now.Add(time.Millisecond) {
 			if pacer.Admit(cold, rate, now) > 0 {
 				continue
 			}
-			if wait := together.Sub(now); wait > 0 && wait <= PermitTTL {
-				sent = append(sent, together)
+			if wait := useAt.Sub(now); wait > 0 && wait <= PermitTTL {
+				sent = append(sent, useAt)
 				continue
 			}
 			sent = append(sent, now)
