--- a/internal/core/quarantine/fingerprint.go
+++ b/internal/core/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine determines which requests are quarantined because engines ended
-// while they ran them. It has no input, output or clock; the time of each event is
+// Package quarantine determines which requests are quarantined because engines crashed
+// while running them. It has no input, output or clock; the time of each event is
 // passed in.
 package quarantine
 
@@ -9,8 +9,8 @@
 	"encoding/hex"
 )
 
-// fingerprintBytes is the size of a fingerprint. Requests are untrusted, so it must rule
-// out second preimages.
+// fingerprintBytes is the size of a fingerprint. Requests are untrusted, so finding a second
+// request with the fingerprint of a given one must be infeasible.
 const fingerprintBytes = 16
 
 // Fingerprint identifies all requests with the same content: it does not depend on the
@@ -31,7 +31,6 @@
 	Body   []byte
 }
 
-// Fingerprint returns the request's fingerprint.
 func (r Request) Fingerprint() Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{r.Tenant, r.Method, r.Host, r.Target} {
--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	// RequestLimit is the number of engines that end under a live request before it is
-	// quarantined. It is above one, since a single engine may have ended by a failure of its
-	// machine.
+	// RequestLimit is the number of engines that crash while running a live request before it is
+	// quarantined. It is above one, since a single engine may have crashed for another reason,
+	// such as a failure of its machine.
 	RequestLimit = 2
-	// ItemLimit is the same for items of batch jobs, if one of the ends was isolated. Items run
-	// concurrently with others that are lost with the same engine, so an end at which the item
-	// had started alone is needed to tell them apart. SharedItemLimit applies without one.
+	// ItemLimit is the limit for items of batch jobs if at least one of the crashes was isolated,
+	// SharedItemLimit the limit otherwise: an engine runs several items at a time, and a crash
+	// that is not isolated does not show which of them caused it.
 	ItemLimit       = 3
 	SharedItemLimit = 5
 
-	// firstHold is the duration of the quarantine at RequestLimit. Each further engine and each
+	// firstHold is the duration of the quarantine at RequestLimit. Each further crash and each
 	// trial multiplies it by holdFactor, up to longestHold.
 	firstHold   = time.Minute
 	holdFactor  = 4
 	longestHold = 24 * time.Hour
 
-	// suspicionTTL is how long records below RequestLimit are kept, holdTTL how long records
-	// are kept after the end of a quarantine.
+	// suspicionTTL is how long the records of a request below RequestLimit are kept, holdTTL how
+	// long those of a quarantined request are kept after its quarantine.
 	suspicionTTL = time.Hour
 	holdTTL      = 24 * time.Hour
 
 	// maxEntries bounds the number of requests. Above it the least recently seen ones are evicted.
 	maxEntries = 20_000
-	// evictedShare is the share of requests that is evicted at a time.
-	evictedShare = 0.1
+	// evictedFraction is the fraction of requests that is evicted at a time.
+	evictedFraction = 0.1
 )
 
 // Unlogged is the offset of a record that was not read from the log yet.
 const Unlogged = int64(1<<63 - 1)
 
-// Record is one observation of a request.
+// Record is either an engine crash while running a request or a claim to a trial of the request.
 type Record struct {
 	Fingerprint Fingerprint
-	// Engine is the incarnation of the engine that ended while it ran the request, in the form
-	// of incarnation.ID, so that the ends of several incarnations are counted; empty in a trial.
+	// Engine is the incarnation ID of the engine that crashed while running the request, so that
+	// crashes of several incarnations count separately; empty for a claim.
 	Engine string
-	// Isolated: no other request began at the engine shortly before.
+	// Isolated is true if no other request began at the engine shortly before.
 	Isolated bool
-	// Trial identifies a claim to send the quarantined request once; empty in an observed end.
+	// Trial identifies a claim to send the quarantined request once; empty for a crash.
 	Trial string
 	// At is the wall-clock time of the node that created the record.
 	At time.Time
@@ -53,20 +53,20 @@
 	Offset int64
 }
 
-// Name returns the record's key among those of its request.
-func (r Record) Name() Name { return Name{Engine: r.Engine, Trial: r.Trial} }
+// Name returns the key of the record.
+func (r Record) Name() RecordKey { return RecordKey{Engine: r.Engine, Trial: r.Trial} }
 
-// Name is the key of a record among those of its request: one of the two is empty.
-type Name struct {
+// RecordKey identifies a record among those of its request. Exactly one of its fields is set.
+type RecordKey struct {
 	Engine string
 	Trial  string
 }
 
 // Standing is the state of a request.
 type Standing struct {
-	// Crashes counts the engines that ended under it.
+	// Crashes counts the engines that crashed while running the request.
 	Crashes int
-	// Isolated counts the isolated ones among them.
+	// Isolated counts the isolated crashes among them.
 	Isolated int
 	// HeldUntil is the end of the quarantine once Crashes has reached its limit.
 	HeldUntil time.Time
@@ -88,22 +88,21 @@
 // ItemSuspect reports whether an item must be started in isolation.
 func (s Standing) ItemSuspect() bool { return s.Crashes >= ItemLimit-1 }
 
-// OnTrial reports whether a trial of the request may be granted.
+// OnTrial reports whether the quarantine has ended, so that a trial of the request may be granted.
 func (s Standing) OnTrial(limit int, now time.Time) bool {
 	return s.Crashes >= limit && !now.Before(s.HeldUntil)
 }
 
-// Ledger holds the records of all requests under which engines ended.
+// Ledger holds the crashes and trials of all requests.
 //
 // Invariant: the records of a request are a set, and its state depends on their offsets
 // and times only. Nodes with the same records agree regardless of the order of arrival, and
 // duplicates have no effect. It is not safe for concurrent use.
 type Ledger struct {
-	entries map[Fingerprint]map[Name]Record
+	entries map[Fingerprint]map[RecordKey]Record
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{entries: make(map[Fingerprint]map[Name]Record)} }
+func NewLedger() *Ledger { return &Ledger{entries: make(map[Fingerprint]map[RecordKey]Record)} }
 
 // Len returns the number of requests.
 func (l *Ledger) Len() int { return len(l.entries) }
@@ -116,7 +115,7 @@
 		if len(l.entries) >= maxEntries {
 			l.evict()
 		}
-		entry = make(map[Name]Record)
+		entry = make(map[RecordKey]Record)
 		l.entries[record.Fingerprint] = entry
 	}
 	known, repeated := entry[record.Name()]
@@ -127,16 +126,14 @@
 	return !repeated
 }
 
-// Drop removes a record.
-func (l *Ledger) Drop(fingerprint Fingerprint, name Name) {
+func (l *Ledger) Drop(fingerprint Fingerprint, key RecordKey) {
 	entry := l.entries[fingerprint]
-	delete(entry, name)
+	delete(entry, key)
 	if len(entry) == 0 {
 		delete(l.entries, fingerprint)
 	}
 }
 
-// Records returns the records of a request.
 func (l *Ledger) Records(fingerprint Fingerprint) []Record {
 	var records []Record
 	for _, record := range l.entries[fingerprint] {
@@ -164,9 +161,9 @@
 func (l *Ledger) Expired(now time.Time) []Record {
 	var records []Record
 	for fingerprint := range l.entries {
-		ofRequest := l.Records(fingerprint)
-		if standing, last := fold(ofRequest); expired(standing, last, now) {
-			records = append(records, ofRequest...)
+		requestRecords := l.Records(fingerprint)
+		if standing, last := fold(requestRecords); expired(standing, last, now) {
+			records = append(records, requestRecords...)
 		}
 	}
 	return records
@@ -209,7 +206,7 @@
 	return standing, last
 }
 
-// holdDuration returns the duration of the quarantine after the newest end or trial.
+// holdDuration returns the duration of the quarantine after the given number of crashes and trials.
 func holdDuration(count int) time.Duration {
 	hold := firstHold
 	for range count - RequestLimit {
@@ -222,17 +219,17 @@
 
 // evict drops the least recently seen requests.
 func (l *Ledger) evict() {
-	type seen struct {
+	type lastSeen struct {
 		fingerprint Fingerprint
 		last        time.Time
 	}
-	all := make([]seen, 0, len(l.entries))
+	all := make([]lastSeen, 0, len(l.entries))
 	for fingerprint := range l.entries {
 		_, last := fold(l.Records(fingerprint))
-		all = append(all, seen{fingerprint, last})
+		all = append(all, lastSeen{fingerprint, last})
 	}
-	slices.SortFunc(all, func(a, b seen) int { return a.last.Compare(b.last) })
-	for _, each := range all[:max(1, int(evictedShare*float64(len(all))))] {
+	slices.SortFunc(all, func(a, b lastSeen) int { return a.last.Compare(b.last) })
+	for _, each := range all[:max(1, int(evictedFraction*float64(len(all))))] {
 		delete(l.entries, each.fingerprint)
 	}
 }
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -15,7 +15,7 @@
 	began   = time.Unix(1_000_000, 0)
 )
 
-func end(engine string, at time.Duration, offset int64) Record {
+func crash(engine string, at time.Duration, offset int64) Record {
 	return Record{Fingerprint: request, Engine: engine, At: began.Add(at), Offset: offset}
 }
 
@@ -32,12 +32,12 @@
 }
 
 func TestRequestIsHeldAtRequestLimit(t *testing.T) {
-	ledger := ledgerOf(end("a", 0, 0))
+	ledger := ledgerOf(crash("a", 0, 0))
 	now := began.Add(time.Second)
 	assert.Equal(t, ledger.Standing(request, now).Crashes, 1)
 	assert.Assert(t, !ledger.Standing(request, now).Held(RequestLimit, now))
 
-	ledger.Put(end("b", time.Second, 1))
+	ledger.Put(crash("b", time.Second, 1))
 	standing := ledger.Standing(request, now)
 	assert.Assert(t, standing.Held(RequestLimit, now))
 	assert.Assert(t, !standing.Held(ItemLimit, now))
@@ -47,38 +47,38 @@
 	assert.Equal(t, ledger.Standing(other, now), Standing{})
 }
 
-func TestItemIsHeldAtLimitsForIsolatedAndSharedEnds(t *testing.T) {
+func TestItemIsHeldAtLimitsForIsolatedAndSharedCrashes(t *testing.T) {
 	isolated := func(record Record) Record {
 		record.Isolated = true
 		return record
 	}
-	shared := ledgerOf(end("a", 0, 0), end("b", 0, 1), end("c", 0, 2), end("d", 0, 3))
-	assert.Assert(t, !shared.Standing(request, began).ItemHeld(began), "no isolated end")
-	shared.Put(end("e", 0, 4))
+	shared := ledgerOf(crash("a", 0, 0), crash("b", 0, 1), crash("c", 0, 2), crash("d", 0, 3))
+	assert.Assert(t, !shared.Standing(request, began).ItemHeld(began), "no isolated crash")
+	shared.Put(crash("e", 0, 4))
 	assert.Assert(t, shared.Standing(request, began).ItemHeld(began), "at SharedItemLimit")
 
-	apart := ledgerOf(end("a", 0, 0))
-	assert.Assert(t, !apart.Standing(request, began).ItemSuspect())
-	apart.Put(end("b", 0, 1))
-	assert.Assert(t, apart.Standing(request, began).ItemSuspect())
-	assert.Assert(t, !apart.Standing(request, began).ItemHeld(began))
-	apart.Put(isolated(end("c", 0, 2)))
-	assert.Assert(t, apart.Standing(request, began).ItemHeld(began))
+	withIsolated := ledgerOf(crash("a", 0, 0))
+	assert.Assert(t, !withIsolated.Standing(request, began).ItemSuspect())
+	withIsolated.Put(crash("b", 0, 1))
+	assert.Assert(t, withIsolated.Standing(request, began).ItemSuspect())
+	assert.Assert(t, !withIsolated.Standing(request, began).ItemHeld(began))
+	withIsolated.Put(isolated(crash("c", 0, 2)))
+	assert.Assert(t, withIsolated.Standing(request, began).ItemHeld(began))
 }
 
-func TestPutCountsSameEndOnce(t *testing.T) {
+func TestPutCountsSameCrashOnce(t *testing.T) {
 	ledger := NewLedger()
-	assert.Assert(t, ledger.Put(end("a", 0, Unlogged)))
-	assert.Assert(t, !ledger.Put(end("a", time.Millisecond, 4)))
+	assert.Assert(t, ledger.Put(crash("a", 0, Unlogged)))
+	assert.Assert(t, !ledger.Put(crash("a", time.Millisecond, 4)))
 	assert.Equal(t, ledger.Standing(request, began).Crashes, 1)
-	assert.Assert(t, ledger.Logged(end("a", 0, 0)))
+	assert.Assert(t, ledger.Logged(crash("a", 0, 0)))
 }
 
 func TestHoldGrowsWithEachEngineUpToLongestHold(t *testing.T) {
 	ledger := NewLedger()
 	hold := firstHold
 	for i := range 12 {
-		ledger.Put(end(fmt.Sprint(i), 0, int64(i)))
+		ledger.Put(crash(fmt.Sprint(i), 0, int64(i)))
 		if i+1 < RequestLimit {
 			continue
 		}
@@ -88,22 +88,22 @@
 }
 
 func TestOnlyFirstClaimAfterHoldIsGranted(t *testing.T) {
-	over := firstHold
-	ledger := ledgerOf(end("a", 0, 0), end("b", 0, 1),
-		trial("early", over-time.Second, 2), trial("first", over, 3), trial("second", over, 4))
-	standing := ledger.Standing(request, began.Add(over))
+	holdEnd := firstHold
+	ledger := ledgerOf(crash("a", 0, 0), crash("b", 0, 1),
+		trial("early", holdEnd-time.Second, 2), trial("first", holdEnd, 3), trial("second", holdEnd, 4))
+	standing := ledger.Standing(request, began.Add(holdEnd))
 	assert.Equal(t, standing.Granted, "first")
-	assert.Assert(t, standing.Held(RequestLimit, began.Add(over)), "a granted trial starts a new hold")
-	assert.Equal(t, standing.HeldUntil, began.Add(over+holdFactor*firstHold))
+	assert.Assert(t, standing.Held(RequestLimit, began.Add(holdEnd)), "a granted trial starts a new hold")
+	assert.Equal(t, standing.HeldUntil, began.Add(holdEnd+holdFactor*firstHold))
 }
 
 func TestUnloggedClaimIsNotGranted(t *testing.T) {
-	ledger := ledgerOf(end("a", 0, 0), end("b", 0, 1), trial("claim", firstHold, Unlogged))
+	ledger := ledgerOf(crash("a", 0, 0), crash("b", 0, 1), trial("claim", firstHold, Unlogged))
 	assert.Equal(t, ledger.Standing(request, began.Add(firstHold)).Granted, "")
 }
 
 func TestDroppingAllRecordsClearsRequest(t *testing.T) {
-	ledger := ledgerOf(end("a", 0, 0), end("b", 0, 1), trial("claim", firstHold, 2))
+	ledger := ledgerOf(crash("a", 0, 0), crash("b", 0, 1), trial("claim", firstHold, 2))
 	for _, record := range ledger.Records(request) {
 		ledger.Drop(request, record.Name())
 	}
@@ -112,12 +112,12 @@
 }
 
 func TestExpiredRecordsAreIgnored(t *testing.T) {
-	single := ledgerOf(end("a", 0, 0))
-	assert.Equal(t, len(single.Expired(began.Add(suspicionTTL))), 0)
-	assert.Equal(t, len(single.Expired(began.Add(suspicionTTL+time.Second))), 1)
-	assert.Equal(t, single.Standing(request, began.Add(suspicionTTL+time.Second)), Standing{})
+	suspected := ledgerOf(crash("a", 0, 0))
+	assert.Equal(t, len(suspected.Expired(began.Add(suspicionTTL))), 0)
+	assert.Equal(t, len(suspected.Expired(began.Add(suspicionTTL+time.Second))), 1)
+	assert.Equal(t, suspected.Standing(request, began.Add(suspicionTTL+time.Second)), Standing{})
 
-	held := ledgerOf(end("a", 0, 0), end("b", 0, 1))
+	held := ledgerOf(crash("a", 0, 0), crash("b", 0, 1))
 	assert.Equal(t, len(held.Expired(began.Add(firstHold+holdTTL))), 0)
 	assert.Equal(t, len(held.Expired(began.Add(firstHold+holdTTL+time.Second))), 2)
 }
@@ -147,7 +147,7 @@
 			if rapid.Bool().Draw(t, "trial") {
 				records = append(records, trial(fmt.Sprint("t", i), at, int64(i)))
 			} else {
-				records = append(records, end(fmt.Sprint("e", i), at, int64(i)))
+				records = append(records, crash(fmt.Sprint("e", i), at, int64(i)))
 			}
 		}
 		now := began.Add(20 * time.Minute)
@@ -159,10 +159,10 @@
 	})
 }
 
-// Guards against a crashing request that is sent again before its hold ends, or on two claims.
+// Guards against sending a crashing request again before its quarantine ends, or for two claims.
 func TestGrantedTrialsAreSeparatedByHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ledger := ledgerOf(end("a", 0, 0), end("b", 0, 1))
+		ledger := ledgerOf(crash("a", 0, 0), crash("b", 0, 1))
 		var grantedAt []time.Duration
 		last := ""
 		for i := range rapid.IntRange(1, 20).Draw(t, "claims") {
@@ -173,14 +173,14 @@
 			}
 		}
 		for i, at := range grantedAt {
-			least := firstHold
+			earliest := firstHold
 			for range i {
-				least *= holdFactor
+				earliest *= holdFactor
 			}
 			if i > 0 {
-				least += grantedAt[i-1]
+				earliest += grantedAt[i-1]
 			}
-			assert.Assert(t, at >= least, "trial %d at %s, expected %s or later", i, at, least)
+			assert.Assert(t, at >= earliest, "trial %d at %s, expected %s or later", i, at, earliest)
 		}
 	})
 }
