--- a/internal/core/answer/answer.go
+++ b/internal/core/answer/answer.go
@@ -1,7 +1,7 @@
 // Package answer assembles the messages of a request's answer streams into one
-// ordered token stream. Streams break, are re-attached and are continued by a later
-// attempt; the same token may arrive more than once. The package has no input, output
-// or clock.
+// ordered token stream. A stream may break and be re-attached or be continued by a
+// later attempt, so the same token may arrive more than once. The package has no
+// input, output or clock.
 //
 // Invariant: an Assembler returns each token index exactly once, in order,
 // and only tokens of the current attempt, each with the weight version that
@@ -35,10 +35,10 @@
 	return fmt.Sprintf("answer: tokens %d to %d are missing", e.Want, e.Got-1)
 }
 
-// ShortError is returned when a stream finishes before a token that was already
-// returned.
+// ShortError is returned when a message finishes the answer at fewer tokens than were
+// already returned.
 type ShortError struct {
-	// Have is the number of tokens delivered, Finished the length claimed.
+	// Have is the number of tokens returned so far, Finished the length according to the message.
 	Have, Finished int
 }
 
@@ -47,8 +47,8 @@
 	return fmt.Sprintf("answer: finished at %d tokens after %d were delivered", e.Finished, e.Have)
 }
 
-// Run is a sequence of new tokens of one version. Tokens shares its memory with
-// the message.
+// Run is a sequence of new tokens that one weight version produced. Tokens shares its
+// memory with the message.
 type Run struct {
 	FirstToken int
 	Tokens     []string
@@ -66,15 +66,15 @@
 	cachedTokens int
 }
 
-// StartAttempt sets the current attempt: messages of others are dropped from now
-// on. Attempts only increase; a lower number is ignored.
+// StartAttempt sets the current attempt: messages of other attempts are dropped from
+// now on. Attempts only increase; a lower number is ignored.
 func (a *Assembler) StartAttempt(attempt uint32) {
 	a.attempt = max(a.attempt, attempt)
 }
 
 // Accept applies one message and returns its new tokens, which may be none. An
-// error leaves the assembler unchanged:
-// *GapError, *ShortError, ErrMissingVersion or ErrNegativeIndex.
+// error, which is a *GapError, *ShortError, ErrMissingVersion or ErrNegativeIndex,
+// leaves the assembler unchanged.
 func (a *Assembler) Accept(progress *message.Progress) (Run, error) {
 	if a.finished || progress.Attempt != a.attempt {
 		return Run{}, nil
@@ -97,7 +97,7 @@
 	return run, nil
 }
 
-// advance advances the answer to end and returns the tokens that it lacked.
+// advance appends the message's tokens up to end that are new, and returns them.
 func (a *Assembler) advance(progress *message.Progress, end int) Run {
 	if end <= a.next {
 		return Run{}
--- a/internal/core/answer/answer_test.go
+++ b/internal/core/answer/answer_test.go
@@ -39,8 +39,8 @@
 func TestAcceptRejectsInvalidMessagesAndIgnoresOtherAttempts(t *testing.T) {
 	var assembler Assembler
 	assembler.StartAttempt(2)
-	old := accept(t, &assembler, message.Progress{Attempt: 1, Tokens: []string{"x"}, Version: 1, Finished: true})
-	assert.Equal(t, len(old.Tokens), 0)
+	ignored := accept(t, &assembler, message.Progress{Attempt: 1, Tokens: []string{"x"}, Version: 1, Finished: true})
+	assert.Equal(t, len(ignored.Tokens), 0)
 	assert.Assert(t, !assembler.Finished())
 
 	_, err := assembler.Accept(&message.Progress{Attempt: 2, FirstToken: 1, Tokens: []string{"b"}, Version: 1})
@@ -62,7 +62,7 @@
 	assert.Equal(t, assembler.FinishReason(), FinishLength)
 }
 
-// sequence is the expected answer: token texts and the version of each.
+// sequence is a complete answer: token texts and the version of each.
 type sequence struct {
 	tokens   []string
 	versions []uint64
@@ -70,18 +70,18 @@
 
 func drawSequence(t *rapid.T) sequence {
 	length := rapid.IntRange(0, 60).Draw(t, "length")
-	var truth sequence
+	var want sequence
 	version := uint64(1)
 	for index := range length {
 		version += uint64(rapid.IntRange(0, 9).Draw(t, "step") / 9)
-		truth.tokens = append(truth.tokens, fmt.Sprintf("t%d", index))
-		truth.versions = append(truth.versions, version)
+		want.tokens = append(want.tokens, fmt.Sprintf("t%d", index))
+		want.versions = append(want.versions, version)
 	}
-	return truth
+	return want
 }
 
-// cut returns a message with tokens [from, to) of the sequence, truncated where the version changes.
-func (s sequence) cut(attempt uint32, from, to int) message.Progress {
+// messageOf returns a message with tokens [from, to) of the sequence, truncated where the version changes.
+func (s sequence) messageOf(attempt uint32, from, to int) message.Progress {
 	progress := message.Progress{Attempt: attempt, FirstToken: from}
 	for index := from; index < to && s.versions[index] == s.versions[from]; index++ {
 		progress.Version = s.versions[index]
@@ -94,7 +94,7 @@
 // Delivers random parts of the answer, duplicated, out of order and mixed with messages of other attempts.
 func TestAcceptReconstructsAnswerFromAnyDelivery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		truth := drawSequence(t)
+		want := drawSequence(t)
 		var assembler Assembler
 		attempt := uint32(1)
 		assembler.StartAttempt(attempt)
@@ -122,23 +122,23 @@
 				attempt++
 				assembler.StartAttempt(attempt)
 			case 1:
-				stray := truth.cut(attempt-1, 0, len(truth.tokens))
-				stray.Finished = true
-				deliver(stray)
+				outdated := want.messageOf(attempt-1, 0, len(want.tokens))
+				outdated.Finished = true
+				deliver(outdated)
 			default:
-				from := rapid.IntRange(0, len(truth.tokens)).Draw(t, "from")
-				to := rapid.IntRange(from, len(truth.tokens)).Draw(t, "to")
-				progress := truth.cut(attempt, from, to)
+				from := rapid.IntRange(0, len(want.tokens)).Draw(t, "from")
+				to := rapid.IntRange(from, len(want.tokens)).Draw(t, "to")
+				progress := want.messageOf(attempt, from, to)
 				deliver(progress)
 				deliver(progress)
 			}
 		}
 		for !assembler.Finished() {
-			deliver(truth.cut(attempt, assembler.Next(), len(truth.tokens)))
+			deliver(want.messageOf(attempt, assembler.Next(), len(want.tokens)))
 		}
-		assert.DeepEqual(t, tokens, truth.tokens)
-		assert.DeepEqual(t, versions, truth.versions)
-		checkSpans(t, assembler.Versions(), truth.versions)
+		assert.DeepEqual(t, tokens, want.tokens)
+		assert.DeepEqual(t, versions, want.versions)
+		checkSpans(t, assembler.Versions(), want.versions)
 	})
 }
 
