--- a/internal/core/bytebudget/bytebudget.go
+++ b/internal/core/bytebudget/bytebudget.go
@@ -1,6 +1,5 @@
-// Package bytebudget bounds the memory that a node holds for callers and engines. New work is rejected
-// above the budget; work in progress may exceed it, and new work is rejected while it does. It has no
-// input, output or clock.
+// Package bytebudget bounds the memory that a node holds for callers and engines. New work is rejected if it
+// would exceed the budget; work in progress may exceed it. It has no input, output or clock.
 package bytebudget
 
 import "sync"
@@ -13,7 +12,7 @@
 	Bodies Kind = iota
 	// Answers are engine responses that callers have not read yet.
 	Answers
-	// Results are results and bodies of batch jobs for callers.
+	// Results are responses about batch jobs, which hold results or bodies of jobs.
 	Results
 	kindCount
 )
@@ -23,11 +22,10 @@
 // String returns the kind's name in logs and metrics.
 func (k Kind) String() string { return kindNames[k] }
 
-// Kinds returns every kind.
 func Kinds() []Kind { return []Kind{Bodies, Answers, Results} }
 
-// kindDivisor: reservations of one kind are limited to limit/kindDivisor, so that submitting callers cannot
-// starve reading ones, nor the other way round.
+// kindDivisor limits the reservations of one kind to limit/kindDivisor, so that callers that submit work and
+// callers that read results cannot starve each other.
 const kindDivisor = 2
 
 // Budget bounds the held bytes. A nil Budget is unlimited. It is safe for concurrent use.
@@ -60,7 +58,7 @@
 	return true
 }
 
-// Take adds bytes of work in progress, which are held in any case.
+// Take adds bytes held by work in progress, even above the budget.
 func (b *Budget) Take(kind Kind, bytes int64) {
 	if b == nil {
 		return
