--- a/internal/core/usage/usage.go
+++ b/internal/core/usage/usage.go
@@ -19,7 +19,6 @@
 // WindowOf returns the window that contains a moment.
 func WindowOf(at time.Time, span time.Duration) Window { return Window(at.UnixNano() / int64(span)) }
 
-// End returns the end of the window.
 func (w Window) End(span time.Duration) time.Time { return time.Unix(0, int64(w+1)*int64(span)) }
 
 // Counts is the number of requests of each tenant.
@@ -46,7 +45,7 @@
 type ReportRecord struct {
 	Window Window `msgpack:"w"`
 	Counts Counts `msgpack:"c"`
-	// CountsFrom is an offset before which there are no counts of later windows.
+	// CountsFrom is a count offset before which there are no counts of later windows.
 	CountsFrom int64 `msgpack:"f"`
 }
 
@@ -75,7 +74,7 @@
 	return sum
 }
 
-// missingIn returns the number of requests that a report lacks.
+// missingIn returns the number of requests by which the reported counts are too low.
 func (c Counts) missingIn(reported Counts) int64 {
 	var missing int64
 	for tenant, count := range c {
@@ -91,12 +90,11 @@
 	NextReport int64
 	windows    map[Window]*window
 	// newest is the newest report, nil before the first; reported holds the counts of its
-	// window that were read, and late how many of them were returned as too late.
+	// window that were read, and late how many of its requests ApplyCount returned as too late.
 	newest   *ReportRecord
 	reported *window
 	late     int64
-	// unreported is a window that was certainly unreported when reports were lost, until another
-	// report is read; zero otherwise.
+	// unreported is the window given to LoseReports until another report is read; zero otherwise.
 	unreported Window
 }
 
@@ -153,9 +151,9 @@
 }
 
 // LoseReports skips reports that the log has dropped, up to the first offset that it holds. Their
-// windows are unknown. unreported is a window that no node can have reported yet; windows before it
-// are skipped until a later report is read, since a missing report is tolerable and two different
-// reports of a window are not.
+// windows are unknown, so Next skips all windows before unreported, which no node can have reported
+// yet, until a later report is read: a missing report is tolerable, two different reports of a window
+// are not.
 func (l *Ledger) LoseReports(first int64, unreported Window) {
 	l.NextReport = max(l.NextReport+1, first)
 	l.unreported = unreported
@@ -163,7 +161,7 @@
 
 // isReported reports whether a report of the window or of a later one was read. Reports are
 // appended in the order of their windows.
-func (l *Ledger) isReported(each Window) bool { return l.newest != nil && each <= l.newest.Window }
+func (l *Ledger) isReported(number Window) bool { return l.newest != nil && number <= l.newest.Window }
 
 // Newest returns the newest report, if any.
 func (l *Ledger) Newest() (ReportRecord, bool) {
@@ -181,20 +179,20 @@
 		return max(l.newest.Window+1, l.unreported)
 	}
 	next := fallback
-	for each := range l.windows {
-		next = min(next, each)
+	for number := range l.windows {
+		next = min(next, number)
 	}
 	return max(next, l.unreported)
 }
 
 // Report returns the report of a window from the counts read so far.
-func (l *Ledger) Report(of Window) ReportRecord {
-	report := ReportRecord{Window: of, Counts: make(Counts), CountsFrom: l.NextCount}
-	if known, found := l.windows[of]; found {
+func (l *Ledger) Report(number Window) ReportRecord {
+	report := ReportRecord{Window: number, Counts: make(Counts), CountsFrom: l.NextCount}
+	if known, found := l.windows[number]; found {
 		report.Counts = known.sum()
 	}
-	for each, known := range l.windows {
-		if each > of {
+	for other, known := range l.windows {
+		if other > number {
 			report.CountsFrom = min(report.CountsFrom, known.first)
 		}
 	}
--- a/internal/core/usage/usage_test.go
+++ b/internal/core/usage/usage_test.go
@@ -45,34 +45,34 @@
 	assert.Equal(t, ledger.NextReport, int64(2))
 }
 
-// A new leader skips all counts before CountsFrom.
+// A new leader reads the newest report and then only the counts from CountsFrom on.
 func TestLedgerStartedAtNewestReportProducesSameReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		window := rapid.Int64Range(1, 4)
+		windows := rapid.Int64Range(1, 4)
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) CountRecord {
 			return CountRecord{
 				Source: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "source"),
-				Window: Window(window.Draw(t, "window")), Counts: Counts{"x": rapid.Int64Range(1, 9).Draw(t, "count")},
+				Window: Window(windows.Draw(t, "window")), Counts: Counts{"x": rapid.Int64Range(1, 9).Draw(t, "count")},
 			}
 		}), 0, 30).Draw(t, "records")
-		cut := rapid.IntRange(0, len(records)).Draw(t, "cut")
-		of := Window(window.Draw(t, "reported"))
-		whole := NewLedger()
-		for _, record := range records[:cut] {
-			whole.ApplyCount(record)
+		readBefore := rapid.IntRange(0, len(records)).Draw(t, "cut")
+		reported := Window(windows.Draw(t, "reported"))
+		continuous := NewLedger()
+		for _, record := range records[:readBefore] {
+			continuous.ApplyCount(record)
 		}
-		report := whole.Report(of)
-		whole.ApplyReport(report)
-		for _, record := range records[cut:] {
-			whole.ApplyCount(record)
+		report := continuous.Report(reported)
+		continuous.ApplyReport(report)
+		for _, record := range records[readBefore:] {
+			continuous.ApplyCount(record)
 		}
-		late := NewLedger()
-		late.ApplyReport(report)
-		for int(late.NextCount) < len(records) {
-			late.ApplyCount(records[late.NextCount])
+		restarted := NewLedger()
+		restarted.ApplyReport(report)
+		for int(restarted.NextCount) < len(records) {
+			restarted.ApplyCount(records[restarted.NextCount])
 		}
-		for next := of + 1; next <= 5; next++ {
-			assert.DeepEqual(t, late.Report(next), whole.Report(next))
+		for next := reported + 1; next <= 5; next++ {
+			assert.DeepEqual(t, restarted.Report(next), continuous.Report(next))
 		}
 	})
 }
