--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission limits the concurrent calls of one sender to a service that others use as well. The limit
-// follows additive increase, multiplicative decrease. The package has no input, output or clock.
+// Package admission limits the concurrent calls of one sender to a service that others use as well, by additive
+// increase and multiplicative decrease (AIMD). The package has no input, output or clock.
 package admission
 
 const (
@@ -25,11 +25,10 @@
 	inFlight int
 }
 
-// NewWindow returns a window with the initial limit.
 func NewWindow() *Window { return &Window{limit: initialLimit} }
 
-// Admits reports whether another call may start. A single call always may, so that a service of unknown or
-// no free capacity is still probed.
+// Admits reports whether another call may start. If none is in flight, one always may, so that a service whose
+// capacity is unknown or used up is still probed.
 func (w *Window) Admits(capacity Capacity) bool {
 	if w.inFlight == 0 {
 		return true
@@ -41,7 +40,6 @@
 // Began records the start of a call.
 func (w *Window) Began() { w.inFlight++ }
 
-// InFlight returns the number of calls in flight.
 func (w *Window) InFlight() int { return w.inFlight }
 
 // Answered records a call with a complete answer.
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -7,9 +7,9 @@
 )
 
 // fill starts calls until the window admits no more and returns their number.
-func fill(w *Window, places Capacity) int {
+func fill(w *Window, capacity Capacity) int {
 	began := 0
-	for w.Admits(Capacity{Slots: places.Slots, Busy: places.Busy + began}) && began < 100 {
+	for w.Admits(Capacity{Slots: capacity.Slots, Busy: capacity.Busy + began}) && began < 100 {
 		w.Began()
 		began++
 	}
