--- a/internal/core/lengths/lengths.go
+++ b/internal/core/lengths/lengths.go
@@ -10,8 +10,8 @@
 	window = 64
 	// MaxGroups bounds the number of groups; the least recently observed one is evicted.
 	MaxGroups = 4096
-	// quantilePercent is the percentile of the kept lengths used as the estimate. It is
-	// above the median, since starting too late costs more than starting too early.
+	// quantilePercent is the percentile of the kept lengths used as the estimate. It is above
+	// the median, since starting a long answer too late costs more than starting it too early.
 	quantilePercent = 75
 )
 
@@ -19,19 +19,20 @@
 // concurrent use.
 type Estimator struct {
 	groups map[string]*samples
-	// overall is for groups that were never observed.
+	// overall holds the recent lengths of all groups, for the estimates of groups without observations.
 	overall samples
-	clock   uint64
+	// observations is the logical clock of samples.lastObserved.
+	observations uint64
 }
 
 // samples is a ring buffer of recent lengths.
 type samples struct {
-	lengths  []int
-	next     int
-	lastUsed uint64
+	lengths []int
+	next    int
+	// lastObserved is the value of Estimator.observations at the latest observation.
+	lastObserved uint64
 }
 
-// New returns an estimator without observations.
 func New() *Estimator {
 	return &Estimator{groups: make(map[string]*samples)}
 }
@@ -41,7 +42,7 @@
 	if tokens < 0 {
 		return
 	}
-	e.clock++
+	e.observations++
 	e.overall.add(tokens)
 	known, found := e.groups[group]
 	if !found {
@@ -50,7 +51,7 @@
 		e.groups[group] = known
 	}
 	known.add(tokens)
-	known.lastUsed = e.clock
+	known.lastObserved = e.observations
 }
 
 // Expect returns the estimate for a group, at most maxTokens: from the group's
@@ -71,7 +72,7 @@
 	}
 	oldest, found := "", false
 	for group, known := range e.groups {
-		if !found || known.lastUsed < e.groups[oldest].lastUsed {
+		if !found || known.lastObserved < e.groups[oldest].lastObserved {
 			oldest, found = group, true
 		}
 	}
