--- a/internal/core/pacing/pacing.go
+++ b/internal/core/pacing/pacing.go
@@ -1,5 +1,5 @@
-// Package pacing chooses the read periods of nodes, so that the reads of all nodes together stay within what
-// the log serves. It has no input, output or clock.
+// Package pacing chooses the periods at which nodes read the log, so that the reads of all nodes together stay
+// within the log's capacity. It has no input, output or clock.
 package pacing
 
 import "time"
@@ -7,7 +7,7 @@
 const (
 	// nodeReadsPerSecond estimates a node's read rate at its base periods.
 	nodeReadsPerSecond = 50
-	// pacedShare is the share of the log's capacity for paced reads; the rest is for reads that a caller waits for.
+	// pacedShare is the share of the log's capacity for periodic reads; the rest is for reads that a caller waits for.
 	pacedShare = 0.5
 )
 
--- a/internal/core/pacing/pacing_test.go
+++ b/internal/core/pacing/pacing_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Guards against large reads by all nodes within a period in which the log cannot serve them.
+// Guards against a period that is too short for the log to serve large reads of all nodes.
 func TestMinPeriodLimitsBytesOfAllNodes(t *testing.T) {
 	bounded := Budget{Limits: Limits{BytesPerSecond: 80_000_000}, Nodes: func() int { return 300 }}
 	assert.Equal(t, bounded.MinPeriod(1_000_000, time.Hour), 7500*time.Millisecond)
