--- a/internal/core/peak/peak.go
+++ b/internal/core/peak/peak.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Window tracks the maximum of the values observed within a time span. The zero value has observed none.
+// Window tracks the maximum of the values observed within a time span. The zero value is ready to use.
 //
 // Invariant: values are strictly decreasing from the oldest to the newest, since a value that is followed by
 // a larger one can never be the maximum again.
