--- a/internal/core/dutycycle/dutycycle.go
+++ b/internal/core/dutycycle/dutycycle.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// maxWait bounds the wait after a round. Longer rounds exceed their share (at a share of 1/20 from 105 ms on),
-// since a long round may also be one during which the process was paused.
+// maxWait bounds the wait after a round, since a long round may be one during which the process was paused. Rounds
+// that would require a longer wait exceed their share.
 const maxWait = 2 * time.Second
 
 // Cycle paces the rounds of repeated work. It is not safe for concurrent use.
