--- a/internal/core/prefixcache/index.go
+++ b/internal/core/prefixcache/index.go
@@ -14,8 +14,8 @@
 	DefaultCapacity = 16384
 	// gapTrustFactor is the factor applied to an engine's trust at each gap in its events.
 	gapTrustFactor = 0.5
-	// clearTrust is the trust below which an engine's entries are dropped: an empty index is only
-	// incomplete, an outdated one is misleading.
+	// clearTrust is the trust below which an engine's entries are dropped, since an outdated entry
+	// misdirects requests and a missing one does not.
 	clearTrust = 0.2
 	// trustRecovery is the fraction of the lost trust that each event in sequence restores.
 	trustRecovery = 0.05
@@ -54,8 +54,8 @@
 	return &Index{capacity: capacity, engines: make(map[string]*engineIndex)}
 }
 
-// RecordSent records that a prompt with these prefix hashes was sent to the engine, which will cache them
-// once it has processed the prompt.
+// RecordSent records that a prompt with these prefix hashes was sent to the engine, which caches the prefixes
+// when it processes the prompt.
 func (x *Index) RecordSent(engineID string, hashes []uint64) {
 	x.engine(engineID).add(hashes)
 }
@@ -141,11 +141,11 @@
 	case inOrder:
 		e.trust += (1 - e.trust) * trustRecovery
 	default:
-		e.distrust()
+		e.recordGap()
 	}
 }
 
-func (e *engineIndex) distrust() {
+func (e *engineIndex) recordGap() {
 	e.trust *= gapTrustFactor
 	if e.trust < clearTrust {
 		e.clear()
