--- a/internal/ingress/slowcaller_test.go
+++ b/internal/ingress/slowcaller_test.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"sync/atomic"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"gotest.tools/v3/assert"
@@ -15,7 +16,6 @@
 	"github.com/corkpulley/corkpulley/internal/core/bytebudget"
 	"github.com/corkpulley/corkpulley/internal/core/fleet"
 	"github.com/corkpulley/corkpulley/internal/core/incarnation"
-	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
 // truncatingEngine sends an answer that is cut off after twice the size of a spool.
@@ -45,7 +45,7 @@
 }
 
 // suspectedAfterTruncation relays a truncated answer, to a stalled caller if pause is true, and reports whether its
-// engine is suspected afterwards.
+// engine is suspected afterwards. A test with a stalled caller must run in a synctest bubble.
 func suspectedAfterTruncation(t *testing.T, pause bool) bool {
 	t.Helper()
 	relay := newRelay(scriptedEngines{"a": {Status: http.StatusOK}}, noCrashes{}, 1)
@@ -70,9 +70,10 @@
 		assert.Check(t, x.run() != nil, "a truncated answer was reported as complete")
 	}()
 	if pause {
-		testwait.Until(t, "an engine that waits for the caller", func() bool {
-			return budget.Held(bytebudget.Answers) > callerwrite.MaxBufferedBytes-copyBufferBytes
-		})
+		// Only the wait for the caller blocks the relay. The budget fills up before the relay reads the clock for it.
+		synctest.Wait()
+		assert.Check(t, budget.Held(bytebudget.Answers) > callerwrite.MaxBufferedBytes-copyBufferBytes,
+			"the engine does not wait for the caller")
 		passed.Add(int64(callerStallThreshold))
 		close(caller.resume)
 	}
@@ -83,7 +84,9 @@
 
 // TestEngineStalledByCallerIsNotSuspected: engines abort answers that the caller does not read.
 func TestEngineStalledByCallerIsNotSuspected(t *testing.T) {
-	assert.Assert(t, !suspectedAfterTruncation(t, true))
+	synctest.Test(t, func(t *testing.T) {
+		assert.Assert(t, !suspectedAfterTruncation(t, true))
+	})
 }
 
 // TestEngineThatTruncatesAnswerIsSuspected: the caller reads without delay.
