--- a/internal/logrelay/abandoned_test.go
+++ b/internal/logrelay/abandoned_test.go
@@ -20,20 +20,20 @@
 func TestRelayedWriteIsDroppedAfterSenderTimeout(t *testing.T) {
 	t.Parallel()
 	log := memlog.New()
-	inner := NewHandler(log, func() bool { return true }, nil)
+	handler := NewHandler(log, func() bool { return true }, nil)
 	resume, handled := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-resume
-		inner.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 		close(handled)
 	}))
 	defer server.Close()
-	other := &relayClient{client: NewClient(), address: server.Listener.Addr().String()}
+	sender := &relayClient{client: NewClient(), address: server.Listener.Addr().String()}
 	partition := eventlog.Partition{Topic: "t"}
-	_, err := other.Append(t.Context(), partition, [][]byte{{1}})
+	_, err := sender.Append(t.Context(), partition, [][]byte{{1}})
 	assert.ErrorIs(t, err, eventlog.ErrOutcomeUnknown)
-	const freeze = 500 * time.Millisecond
-	time.Sleep(freeze)
+	const suspension = 500 * time.Millisecond
+	time.Sleep(suspension)
 	close(resume)
 	<-handled
 	assert.Equal(t, log.End(partition), int64(0), "an abandoned call was made")
@@ -63,17 +63,17 @@
 func TestRelayedWriteIsDroppedAfterSuspension(t *testing.T) {
 	t.Parallel()
 	log := memlog.New()
-	inner := NewHandler(log, func() bool { return true }, nil)
+	handler := NewHandler(log, func() bool { return true }, nil)
 	resume, handled := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = &delayedBody{ReadCloser: r.Body, resume: resume}
-		inner.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 		close(handled)
 	}))
 	defer server.Close()
-	other := &relayClient{client: NewClient(), address: server.Listener.Addr().String()}
+	sender := &relayClient{client: NewClient(), address: server.Listener.Addr().String()}
 	partition := eventlog.Partition{Topic: "t"}
-	_, err := other.Append(t.Context(), partition, [][]byte{{1}})
+	_, err := sender.Append(t.Context(), partition, [][]byte{{1}})
 	assert.ErrorIs(t, err, eventlog.ErrOutcomeUnknown)
 	time.Sleep(100 * time.Millisecond)
 	close(resume)
--- a/internal/logrelay/announce_test.go
+++ b/internal/logrelay/announce_test.go
@@ -15,8 +15,8 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// TestAnnouncementStaysValidUntilTheNextOne guards against a node that expires at others after its start in a large
-// cluster, because its announcement period grows as it learns of them. The clock is virtual.
+// TestAnnouncementStaysValidUntilTheNextOne guards against a starting node of a large cluster whose first announcement
+// expires before the next one, because its announcement period grows as it learns of other nodes. The clock is virtual.
 func TestAnnouncementStaysValidUntilTheNextOne(t *testing.T) {
 	for _, nodes := range []int{3, 300, 600} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
@@ -33,7 +33,7 @@
 				for range 120 {
 					time.Sleep(time.Second)
 					assert.Assert(t, reader.read(ctx))
-					assert.Assert(t, reader.AddressOf("own") != "", "forgotten")
+					assert.Assert(t, reader.AddressOf("own") != "", "its announcement has expired")
 				}
 				cancel()
 				running.Wait()
--- a/internal/logrelay/bootstrap.go
+++ b/internal/logrelay/bootstrap.go
@@ -15,17 +15,17 @@
 	// approximate size.
 	backwardStepRecords = 128
 	backwardReadBytes   = 16 << 10
-	// endBytes limits the read that locates the end of the directory.
-	endBytes = 1 << 10
-	// newNodeDivisor: the bootstrap ends once at most one in so many announcements is of a node not seen before.
-	// Recently restarted nodes announce themselves more often than others, so that a few announcements of known
-	// nodes do not mean that all have been seen.
+	// endReadBytes is the size limit of the read that locates the end of the directory.
+	endReadBytes = 1 << 10
+	// newNodeDivisor sets when the bootstrap ends: once at most 1/newNodeDivisor of the announcements are of nodes
+	// not seen before. Recently restarted nodes announce themselves more often than others, so a few announcements
+	// of known nodes do not mean that all nodes have been seen.
 	newNodeDivisor = 16
-	// minRetryWait and maxRetryWait bound the wait of a read that follows a failed one; the first read has none.
-	// The records exist already, so the wait only extends the read's timeout: a reply that arrives too late costs
-	// the log another read.
-	minRetryWait = 500 * time.Millisecond
-	maxRetryWait = 4 * time.Second
+	// minRetryReadWait and maxRetryReadWait bound the wait that a retried read requests; the first attempt requests
+	// none. The records already exist, so the log replies at once, and the wait only extends the read's timeout: a
+	// reply that arrives after the timeout has to be read again.
+	minRetryReadWait = 500 * time.Millisecond
+	maxRetryReadWait = 4 * time.Second
 )
 
 // bootstrap reads the directory backwards from its end until it has an announcement of each node. Older records are
@@ -36,19 +36,18 @@
 	// end when it was located.
 	located   bool
 	low, high int64
-	// nodes holds the announced nodes read so far; steps counts the announcements and new nodes of each backward
-	// step.
+	// nodes holds the nodes whose announcements were read so far; steps has an entry for each backward step.
 	nodes map[string]bool
 	steps []bootstrapStep
-	// readWait is the wait of the next read; it doubles with each failed read.
+	// readWait is the wait that the next read requests; it doubles with each failed read.
 	readWait time.Duration
 }
 
 // bootstrapStep counts the announcements read in a backward step, and the nodes first seen in it.
 type bootstrapStep struct{ announcements, newNodes int }
 
-// isComplete reports whether the oldest announcements read, as many as there are nodes, contain almost no node that
-// later ones lack.
+// isComplete reports whether almost no new nodes were found in the most recent steps, which together have read at
+// least as many announcements as there are nodes.
 func (b *bootstrap) isComplete() bool {
 	announcements, newNodes := 0, 0
 	for _, step := range slices.Backward(b.steps) {
@@ -66,7 +65,7 @@
 	partition := eventlog.Partition{Topic: directoryTopic}
 	for !d.bootstrap.done {
 		if err := d.readOlder(ctx, partition); err != nil {
-			d.bootstrap.readWait = min(max(minRetryWait, 2*d.bootstrap.readWait), maxRetryWait)
+			d.bootstrap.readWait = min(max(minRetryReadWait, 2*d.bootstrap.readWait), maxRetryReadWait)
 			return false
 		}
 	}
@@ -102,10 +101,10 @@
 // locateEnd reads a few of the oldest records, because a read also reports the partition's end.
 func (d *Directory) locateEnd(ctx context.Context, partition eventlog.Partition) error {
 	state := &d.bootstrap
-	batch, err := d.log.Read(ctx, partition, 0, endBytes, state.readWait)
+	batch, err := d.log.Read(ctx, partition, 0, endReadBytes, state.readWait)
 	var trimmed *eventlog.TrimmedError
 	if errors.As(err, &trimmed) {
-		batch, err = d.log.Read(ctx, partition, trimmed.First, endBytes, state.readWait)
+		batch, err = d.log.Read(ctx, partition, trimmed.First, endReadBytes, state.readWait)
 	}
 	if err != nil {
 		return err
@@ -135,7 +134,7 @@
 		}
 		records := batch.Records[:min(len(batch.Records), int(to-next))]
 		if len(records) == 0 {
-			return nil, 0, errors.Errorf("the directory has no record %d", next)
+			return nil, 0, errors.Errorf("read of the node directory returned no record at offset %d", next)
 		}
 		members = append(members, decodeMembers(records, next, d.logger)...)
 		next += int64(len(records))
--- a/internal/logrelay/client.go
+++ b/internal/logrelay/client.go
@@ -35,7 +35,7 @@
 	}
 	var decoded response
 	if err := post(ctx, c.client, "http://"+c.address+Path, &call, &decoded, maxResponseBytes); err != nil {
-		return response{}, errors.Wrap(eventlog.ErrOutcomeUnknown, "through "+c.address+": "+err.Error())
+		return response{}, errors.Wrap(eventlog.ErrOutcomeUnknown, "call relayed by "+c.address+": "+err.Error())
 	}
 	return decoded, decoded.err()
 }
@@ -64,7 +64,7 @@
 ) (eventlog.Batch, error) {
 	answer, err := c.call(ctx, request{
 		Operation: opRead, Topic: partition.Topic, Number: partition.Number,
-		Offset: from, Limit: limit, Wait: min(wait, maxWait),
+		Offset: from, Limit: limit, Wait: min(wait, maxRelayedWait),
 	})
 	if err != nil {
 		return eventlog.Batch{}, err
@@ -88,6 +88,8 @@
 func (c *relayClient) ReadKeyed(
 	ctx context.Context, topic string, from int64, wait time.Duration,
 ) (eventlog.KeyedBatch, error) {
-	answer, err := c.call(ctx, request{Operation: opReadKeyed, Topic: topic, Offset: from, Wait: min(wait, maxWait)})
+	answer, err := c.call(ctx, request{
+		Operation: opReadKeyed, Topic: topic, Offset: from, Wait: min(wait, maxRelayedWait),
+	})
 	return eventlog.KeyedBatch{Records: answer.Keyed, Next: answer.Offset}, err
 }
--- a/internal/logrelay/directory.go
+++ b/internal/logrelay/directory.go
@@ -30,7 +30,7 @@
 	missedAnnouncements = 4
 	readPeriod          = time.Second
 	maxReadPeriod       = 5 * time.Second
-	readLimit           = 256 << 10
+	maxReadBytes        = 256 << 10
 )
 
 // directoryRetries are the delays between attempts while the node cannot announce itself or read the directory.
@@ -104,7 +104,7 @@
 	}
 }
 
-// SetLog sets the log that the directory is read from. Must be called before Run.
+// SetLog replaces the log that holds the directory. Must be called before Run.
 func (d *Directory) SetLog(log eventlog.Log) { d.log = log }
 
 // Peers returns the addresses of the other live nodes.
@@ -190,16 +190,16 @@
 
 // Run announces this node and reads the announcements of others until ctx ends.
 func (d *Directory) Run(ctx context.Context) error {
-	// announcedFor is the period for which the newest announcement is valid. The period grows as a starting node
-	// learns of others, but an announcement already made expires after the shorter one.
-	var announcedFor time.Duration
-	var announced time.Time
+	// announcedPeriod is the period that determined the TTL of the newest announcement. The period grows as a
+	// starting node learns of others, but the TTL of an announcement already made does not.
+	var announcedPeriod time.Duration
+	var announcedAt time.Time
 	failures := directoryRetries.Delays()
 	for {
 		period := d.Budget().ScalePeriod(announcePeriod, maxAnnouncePeriod)
-		isAnnounced := time.Since(announced) < min(period, announcedFor)
+		isAnnounced := time.Since(announcedAt) < min(period, announcedPeriod)
 		if !isAnnounced && d.announce(ctx, period) == nil {
-			announced, announcedFor, isAnnounced = time.Now(), period, true
+			announcedAt, announcedPeriod, isAnnounced = time.Now(), period, true
 		}
 		isRead := d.read(ctx)
 		if isRead {
@@ -315,7 +315,7 @@
 	if !d.bootstrap.done {
 		return d.readRecent(ctx)
 	}
-	batch, err := d.log.Read(ctx, eventlog.Partition{Topic: directoryTopic}, d.next, readLimit, 0)
+	batch, err := d.log.Read(ctx, eventlog.Partition{Topic: directoryTopic}, d.next, maxReadBytes, 0)
 	var trimmed *eventlog.TrimmedError
 	if errors.As(err, &trimmed) {
 		d.next = trimmed.First
@@ -357,7 +357,8 @@
 		d.members[each.Node], d.seenAt[each.Node] = each, now
 	}
 	if listed > 0 {
-		// One line for all nodes: a line each would add up to the square of their number across the cluster.
+		// One line for all nodes: with a line per node, the lines of all nodes would grow quadratically with the
+		// cluster.
 		d.logger.Info().Int("listed", listed).Int("known", len(d.members)).Msg("nodes listed")
 	}
 }
--- a/internal/logrelay/fallback.go
+++ b/internal/logrelay/fallback.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// failuresToSwitch is how many consecutive direct calls must fail before calls are relayed. A throttled call
-	// counts as a quarter of a failure: relaying helps only if this node alone is throttled.
+	// failuresToSwitch is how many consecutive direct calls must fail before calls are relayed. A failed call has the
+	// weight failureWeight, a throttled one only 1: relaying helps only if this node alone is throttled.
 	failuresToSwitch = 3
 	failureWeight    = 4
 	switchWeight     = failuresToSwitch * failureWeight
@@ -29,8 +29,8 @@
 	maxPeersTried = 6
 	// peerPause is how long a peer is skipped after a failed call.
 	peerPause = time.Second
-	// outagePause is how long calls stay direct after maxPeersTried peers could not reach the log. In such an
-	// outage of the log, every node of a large cluster would otherwise call every other one within seconds.
+	// outagePause is how long calls stay direct after maxPeersTried peers could not reach the log. Otherwise, in an
+	// outage that affects all nodes, each node of a large cluster would call all others within seconds.
 	outagePause = probePeriod
 
 	dialTimeout = 300 * time.Millisecond
@@ -57,7 +57,7 @@
 	failures int
 	// probing is true while probe runs.
 	probing bool
-	// current is the peer in use for calls of each home set; empty for a direct call.
+	// current is the peer in use for calls restricted to the regions of a set; empty for a direct call.
 	current     map[homes.Set]string
 	pausedUntil map[string]time.Time
 	// directUntil is the time until which peers are not tried, after they could not reach the log either.
@@ -70,8 +70,8 @@
 
 var _ eventlog.Log = (*Fallback)(nil)
 
-// NewFallback returns a log that calls direct, or one of the peers using client. A call whose context carries homes
-// is relayed only by peers in these regions.
+// NewFallback returns a log that calls direct, or one of the peers using client. A call whose context carries a
+// homes.Set is relayed only by peers in its regions.
 func NewFallback(direct eventlog.Log, peers func() []Peer, client *http.Client, logger zerolog.Logger) *Fallback {
 	return &Fallback{
 		direct: direct, peers: peers, logger: logger, client: client,
@@ -90,8 +90,8 @@
 	}}
 }
 
-// route selects the log for the next call of the given homes, and the address of the peer; the address is empty for
-// a direct call.
+// route selects the log for the next call, which may be relayed only within the given regions, and the address of the
+// peer; the address is empty for a direct call.
 func (f *Fallback) route(within homes.Set) (eventlog.Log, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,12 +171,12 @@
 	}
 }
 
-// call makes one call of the given log, direct or relayed.
-type call[Result any] func(ctx context.Context, log eventlog.Log) (Result, error)
+// callFunc makes one call of the given log, direct or relayed.
+type callFunc[Result any] func(ctx context.Context, log eventlog.Log) (Result, error)
 
 // callThrough makes a call directly or through a peer. It tries further peers while they reply that they cannot
 // reach the log.
-func callThrough[Result any](ctx context.Context, f *Fallback, call call[Result]) (Result, error) {
+func callThrough[Result any](ctx context.Context, f *Fallback, call callFunc[Result]) (Result, error) {
 	within := homes.FromContext(ctx)
 	for range maxPeersTried {
 		log, address := f.route(within)
@@ -195,21 +195,21 @@
 }
 
 // callDirect makes a direct call. The call is canceled when the direct connection is found to be stalled.
-func callDirect[Result any](ctx context.Context, f *Fallback, call call[Result]) (Result, error) {
+func callDirect[Result any](ctx context.Context, f *Fallback, call callFunc[Result]) (Result, error) {
 	direct, cancel := f.withStallCancel(ctx)
 	defer cancel()
 	result, err := call(direct, f.direct)
 	f.recordResult("", err)
 	if errors.Is(err, context.Canceled) && ctx.Err() == nil {
-		// Only the internal context was canceled: the caller may retry through a peer. A refusal or conflict is
-		// kept as is: the refused call that triggers the switch is canceled too.
-		err = errors.Wrap(eventlog.ErrOutcomeUnknown, "the direct connection to the log stalled: "+err.Error())
+		// The switch to peers canceled the call, not its caller, who may retry through a peer. A refusal or conflict
+		// is returned unchanged: it is a definite result, even if the call was canceled as well.
+		err = errors.Wrap(eventlog.ErrOutcomeUnknown, "direct call canceled by the switch to other nodes: "+err.Error())
 	}
 	return result, err
 }
 
 // callWrite is callThrough for a write, which is watched for a stall.
-func callWrite[Result any](ctx context.Context, f *Fallback, call call[Result]) (Result, error) {
+func callWrite[Result any](ctx context.Context, f *Fallback, call callFunc[Result]) (Result, error) {
 	defer f.watchForStall()()
 	return callThrough(ctx, f, call)
 }
--- a/internal/logrelay/golden_test.go
+++ b/internal/logrelay/golden_test.go
@@ -27,7 +27,7 @@
 		"append": int64(opAppend), "append_at": int64(opAppendAt), "read": int64(opRead), "newest": int64(opNewest),
 		"read_keyed": int64(opReadKeyed), "replica_newest": int64(opReplicaNewest), "replica_read": int64(opReplicaRead),
 		"put_keyed": int64(opPutKeyed),
-		"done":      int64(done), "not_done": int64(notDone), "unknown": int64(unknown), "conflict": int64(conflict),
-		"gone": int64(gone), "no_way": int64(cannotRelay),
+		"done":      int64(outcomeDone), "not_done": int64(outcomeNotDone), "unknown": int64(outcomeUnknown),
+		"conflict": int64(outcomeConflict), "gone": int64(outcomeTrimmed), "no_way": int64(outcomeCannotRelay),
 	})
 }
--- a/internal/logrelay/homes_test.go
+++ b/internal/logrelay/homes_test.go
@@ -101,10 +101,10 @@
 
 func TestChoosePeerPrefersNearPeersUnlessSeveralFail(t *testing.T) {
 	now := time.Now()
-	near, near2 := Peer{Address: "near1"}, Peer{Address: "near2"}
+	near1, near2 := Peer{Address: "near1"}, Peer{Address: "near2"}
 	near3 := Peer{Address: "near3"}
 	far := Peer{Address: "far", Distance: topology.OtherRegion}
-	peers := []Peer{far, near, near2, near3}
+	peers := []Peer{far, near1, near2, near3}
 	paused := map[string]time.Time{}
 	for range 20 {
 		assert.Assert(t, choosePeer(peers, homes.Set{}, paused, now) != "far")
--- a/internal/logrelay/logrelay.go
+++ b/internal/logrelay/logrelay.go
@@ -38,8 +38,8 @@
 	Wait      time.Duration          `msgpack:"w,omitempty"`
 	// SenderTimeout is how long the sender of a write waits for the result; zero if unknown.
 	SenderTimeout time.Duration `msgpack:"p,omitempty"`
-	// ExcludedClasses are the record classes that a reader of a replica does not need. Builds that predate the
-	// field send all records.
+	// ExcludedClasses are the record classes that a reader of a replica does not need. Earlier builds ignore the
+	// field and return all records.
 	ExcludedClasses []string `msgpack:"x,omitempty"`
 }
 
@@ -56,17 +56,17 @@
 type outcome uint8
 
 const (
-	done outcome = iota + 1
-	notDone
-	unknown
-	conflict
-	gone
-	// cannotRelay means that the node has no direct connection to the log, or no copy of the topic to read from;
+	outcomeDone outcome = iota + 1
+	outcomeNotDone
+	outcomeUnknown
+	outcomeConflict
+	outcomeTrimmed
+	// outcomeCannotRelay means that the node has no direct connection to the log, or no copy of the topic to read from;
 	// nothing was attempted.
-	cannotRelay
+	outcomeCannotRelay
 )
 
-// errCannotRelay is returned for a peer that replied cannotRelay; the call was not made.
+// errCannotRelay is returned if a peer replied outcomeCannotRelay; the call was not made.
 var errCannotRelay = errors.Wrap(eventlog.ErrNotDone, "the other node has no direct connection to the log")
 
 // response is the reply to a request, encoded as msgpack.
@@ -87,30 +87,30 @@
 	var trimmed *eventlog.TrimmedError
 	switch {
 	case errors.As(err, &conflicting):
-		return response{Outcome: conflict, Offset: conflicting.End}
+		return response{Outcome: outcomeConflict, Offset: conflicting.End}
 	case errors.As(err, &trimmed):
-		return response{Outcome: gone, Offset: trimmed.First}
+		return response{Outcome: outcomeTrimmed, Offset: trimmed.First}
 	case errors.Is(err, eventlog.ErrNotDone):
-		return response{Outcome: notDone, Detail: err.Error()}
+		return response{Outcome: outcomeNotDone, Detail: err.Error()}
 	default:
-		return response{Outcome: unknown, Detail: err.Error()}
+		return response{Outcome: outcomeUnknown, Detail: err.Error()}
 	}
 }
 
 // err returns the error that the response encodes; nil if the call succeeded.
 func (r response) err() error {
 	switch r.Outcome {
-	case done:
+	case outcomeDone:
 		return nil
-	case conflict:
+	case outcomeConflict:
 		return &eventlog.ConflictError{End: r.Offset}
-	case gone:
+	case outcomeTrimmed:
 		return &eventlog.TrimmedError{First: r.Offset}
-	case cannotRelay:
+	case outcomeCannotRelay:
 		return errCannotRelay
-	case notDone:
-		return errors.Wrap(eventlog.ErrNotDone, "through another node: "+r.Detail)
+	case outcomeNotDone:
+		return errors.Wrap(eventlog.ErrNotDone, "call relayed by another node: "+r.Detail)
 	default:
-		return errors.Wrap(eventlog.ErrOutcomeUnknown, "through another node: "+r.Detail)
+		return errors.Wrap(eventlog.ErrOutcomeUnknown, "call relayed by another node: "+r.Detail)
 	}
 }
--- a/internal/logrelay/logrelay_test.go
+++ b/internal/logrelay/logrelay_test.go
@@ -23,7 +23,7 @@
 
 var testPartition = eventlog.Partition{Topic: "t", Number: 2}
 
-// relayFixture is a log, and the fallback of a node that it refuses, with a peer that reaches the log.
+// relayFixture is a log that is reached through a peer only: the fallback's direct calls are refused.
 type relayFixture struct {
 	log      *memlog.Log
 	fallback *Fallback
@@ -48,47 +48,47 @@
 
 func newRelayFixture(t *testing.T) *relayFixture {
 	t.Helper()
-	n := &relayFixture{log: memlog.New()}
-	server := httptest.NewServer(NewHandler(n.log, canRelayAlways, noReplicas{}))
+	f := &relayFixture{log: memlog.New()}
+	server := httptest.NewServer(NewHandler(f.log, canRelayAlways, noReplicas{}))
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
-	n.fallback = NewFallback(newRefusingLog(), peersAt(address), NewClient(), zerolog.Nop())
+	f.fallback = NewFallback(newRefusingLog(), peersAt(address), NewClient(), zerolog.Nop())
 	for range failuresToSwitch {
-		_, err := n.fallback.Append(t.Context(), testPartition, nil)
+		_, err := f.fallback.Append(t.Context(), testPartition, nil)
 		assert.Assert(t, errors.Is(err, eventlog.ErrNotDone))
 	}
-	return n
+	return f
 }
 
 func TestRefusedNodeCallsTheLogThroughPeer(t *testing.T) {
-	n := newRelayFixture(t)
-	first, err := n.fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a"), []byte("b")})
+	f := newRelayFixture(t)
+	first, err := f.fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a"), []byte("b")})
 	assert.NilError(t, err)
 	assert.Equal(t, first, int64(0))
-	_, err = n.fallback.AppendAt(t.Context(), testPartition, 1, [][]byte{[]byte("c")})
+	_, err = f.fallback.AppendAt(t.Context(), testPartition, 1, [][]byte{[]byte("c")})
 	var conflict *eventlog.ConflictError
 	assert.Assert(t, errors.As(err, &conflict))
 	assert.Equal(t, conflict.End, int64(2))
-	batch, err := n.fallback.Read(t.Context(), testPartition, 1, 1024, time.Second)
+	batch, err := f.fallback.Read(t.Context(), testPartition, 1, 1024, time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, batch.First, int64(1))
 	assert.Equal(t, batch.End, int64(2))
 	assert.Equal(t, string(batch.Records[0]), "b")
-	n.log.Trim(testPartition, 1)
-	_, err = n.fallback.Read(t.Context(), testPartition, 0, 1024, 0)
+	f.log.Trim(testPartition, 1)
+	_, err = f.fallback.Read(t.Context(), testPartition, 0, 1024, 0)
 	var trimmed *eventlog.TrimmedError
 	assert.Assert(t, errors.As(err, &trimmed))
 	assert.Equal(t, trimmed.First, int64(1))
 }
 
 func TestKeyedTopicsAreReadThroughPeer(t *testing.T) {
-	n := newRelayFixture(t)
-	n.log.Put("keyed.x", "k", []byte("v1"))
-	newest, err := n.fallback.Newest(t.Context(), "keyed.x")
+	f := newRelayFixture(t)
+	f.log.Put("keyed.x", "k", []byte("v1"))
+	newest, err := f.fallback.Newest(t.Context(), "keyed.x")
 	assert.NilError(t, err)
 	assert.Equal(t, string(newest.Records[0].Value), "v1")
-	n.log.Put("keyed.x", "k", nil)
-	changes, err := n.fallback.ReadKeyed(t.Context(), "keyed.x", newest.Next, time.Second)
+	f.log.Put("keyed.x", "k", nil)
+	changes, err := f.fallback.ReadKeyed(t.Context(), "keyed.x", newest.Next, time.Second)
 	assert.NilError(t, err)
 	assert.Assert(t, changes.Records[0].Deleted)
 	assert.Equal(t, changes.Next, int64(2))
@@ -96,19 +96,19 @@
 
 // TestRelayedErrorsKeepTheirMeaning guards against an unknown outcome that is reported as not done, or the reverse.
 func TestRelayedErrorsKeepTheirMeaning(t *testing.T) {
-	n := newRelayFixture(t)
-	n.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.LostResponse })
-	_, err := n.fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
+	f := newRelayFixture(t)
+	f.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.LostResponse })
+	_, err := f.fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 	assert.Assert(t, errors.Is(err, eventlog.ErrOutcomeUnknown), "%v", err)
-	n.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
+	f.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		_, err := n.fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
+		_, err := f.fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
 		if errors.Is(err, eventlog.ErrNotDone) {
 			return poll.Success()
 		}
 		return poll.Continue("%v", err)
 	}, poll.WithTimeout(10*time.Second))
-	assert.Equal(t, n.log.End(testPartition), int64(1))
+	assert.Equal(t, f.log.End(testPartition), int64(1))
 }
 
 func TestCallsAreDirectAgainAfterRecovery(t *testing.T) {
--- a/internal/logrelay/peers.go
+++ b/internal/logrelay/peers.go
@@ -16,19 +16,19 @@
 	Distance topology.Distance
 }
 
-// maxPausedPeers is the number of paused peers at one distance from which on peers at other distances are
-// preferred: the whole zone or region may be cut off from the log.
+// maxPausedPeers is how many paused peers at one distance suffice to prefer peers at other distances: the whole zone
+// or region may have lost its connection to the log.
 const maxPausedPeers = 2
 
 // choosePeer returns the address of a random peer within the regions that is not paused, as near as possible; empty
 // if there is none.
-func choosePeer(peers []Peer, within homes.Set, pausedTo map[string]time.Time, now time.Time) string {
+func choosePeer(peers []Peer, within homes.Set, pausedUntil map[string]time.Time, now time.Time) string {
 	available := make(map[topology.Distance][]string)
 	paused := make(map[topology.Distance]int)
 	for _, peer := range peers {
 		switch {
 		case !within.Allows(peer.Region):
-		case now.Before(pausedTo[peer.Address]):
+		case now.Before(pausedUntil[peer.Address]):
 			paused[peer.Distance]++
 		default:
 			available[peer.Distance] = append(available[peer.Distance], peer.Address)
--- a/internal/logrelay/replicabackoff_test.go
+++ b/internal/logrelay/replicabackoff_test.go
@@ -25,41 +25,41 @@
 	return pacing.Budget{Limits: limits, Nodes: func() int { return nodes }}
 }
 
-// cuttableTransport connects to one replica, unless it is cut.
-type cuttableTransport struct {
+// disconnectableTransport connects to one replica, unless it is disconnected.
+type disconnectableTransport struct {
 	cluster
 	handler http.Handler
 }
 
-func (s *cuttableTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	s.mu.Lock()
-	isCut := s.isCut
-	s.mu.Unlock()
-	if isCut {
+func (t *disconnectableTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	t.mu.Lock()
+	isDisconnected := t.isDisconnected
+	t.mu.Unlock()
+	if isDisconnected {
 		return nil, errors.New("connection refused")
 	}
-	reached := cluster{handlers: map[string]http.Handler{request.URL.Host: s.handler}}
-	return reached.RoundTrip(request)
+	connected := cluster{handlers: map[string]http.Handler{request.URL.Host: t.handler}}
+	return connected.RoundTrip(request)
 }
 
-func (s *cuttableTransport) cut(isCut bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.isCut = isCut
+func (t *disconnectableTransport) setDisconnected(isDisconnected bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.isDisconnected = isDisconnected
 }
 
-// failingLog refuses the first few reads of compacted topics.
+// failingLog refuses the first remainingFailures reads of compacted topics.
 type failingLog struct {
 	*memlog.Log
-	mu   sync.Mutex
-	left int
+	mu                sync.Mutex
+	remainingFailures int
 }
 
 func (l *failingLog) fails() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.left--
-	return l.left >= 0
+	l.remainingFailures--
+	return l.remainingFailures >= 0
 }
 
 func (l *failingLog) Newest(ctx context.Context, topic string) (eventlog.KeyedBatch, error) {
@@ -79,7 +79,7 @@
 }
 
 // TestReaderWithoutReplicasLearnsOfChangesInTime guards against configurations that take effect too late on a node
-// that is cut off from the replicas and reads the log itself.
+// that cannot connect to the replicas and reads the log itself.
 func TestReaderWithoutReplicasLearnsOfChangesInTime(t *testing.T) {
 	for _, nodes := range []int{300, 2000} {
 		synctest.Test(t, func(t *testing.T) {
@@ -87,7 +87,7 @@
 			log.Put(followedTopic, "k", []byte("0"))
 			reader := NewReplicaReader(log, ReplicaOptions{
 				Sources: func() []string { return []string{"10.0.0.1:1", "10.0.0.2:1"} },
-				Client:  &http.Client{Transport: &cuttableTransport{cluster: cluster{isCut: true}}},
+				Client:  &http.Client{Transport: &disconnectableTransport{cluster: cluster{isDisconnected: true}}},
 			})
 			var mu sync.Mutex
 			seen := ""
@@ -125,7 +125,7 @@
 func TestFailedFullReadIsRetriedSoon(t *testing.T) {
 	for _, nodes := range []int{90, 300, 2000} {
 		synctest.Test(t, func(t *testing.T) {
-			log := &failingLog{Log: memlog.New(), left: 1}
+			log := &failingLog{Log: memlog.New(), remainingFailures: 1}
 			log.Put(followedTopic, "k", []byte("0"))
 			reader := NewReplicaReader(log, ReplicaOptions{Sources: func() []string { return nil }, Client: NewClient()})
 			follower := follow.New(reader, followedTopic, func(eventlog.KeyedRecord) {}, newBudget(nodes), zerolog.Nop())
@@ -153,20 +153,20 @@
 		var running sync.WaitGroup
 		running.Go(func() { _ = replica.Run(ctx) })
 		<-replica.Loaded()
-		link := &cuttableTransport{handler: NewHandler(log, canRelayAlways, oneReplica{replica})}
-		link.cut(true)
-		reader := NewReplicaReader(&failingLog{Log: log, left: 8}, ReplicaOptions{
+		link := &disconnectableTransport{handler: NewHandler(log, canRelayAlways, oneReplica{replica})}
+		link.setDisconnected(true)
+		reader := NewReplicaReader(&failingLog{Log: log, remainingFailures: 8}, ReplicaOptions{
 			Sources: func() []string { return []string{"10.0.0.1:1"} }, Client: &http.Client{Transport: link},
 		})
 		for range 8 {
 			_, err := reader.ReadKeyed(ctx, followedTopic, 0, 0)
 			assert.ErrorIs(t, err, eventlog.ErrNotDone)
 		}
-		link.cut(false)
+		link.setDisconnected(false)
 		time.Sleep(time.Minute)
 		_, err := reader.ReadKeyed(ctx, followedTopic, 0, 0)
 		assert.NilError(t, err)
-		link.cut(true)
+		link.setDisconnected(true)
 		started := time.Now()
 		_, err = reader.ReadKeyed(ctx, followedTopic, 0, 0)
 		assert.NilError(t, err)
@@ -176,9 +176,9 @@
 	})
 }
 
-// TestConfigurationIsReadWithoutDirectory guards against pacing that depends on knowing the other nodes: part of
-// the log may be unavailable.
+// TestConfigurationIsReadWithoutDirectory guards against nodes that read no configuration while only the directory
+// is unavailable.
 func TestConfigurationIsReadWithoutDirectory(t *testing.T) {
 	result := restart(t, 120, restartFaults{noDirectory: true})
-	assert.Assert(t, result.seconds < restartLimit, "%+v", result)
+	assert.Assert(t, result.seconds < maxRestartSeconds, "%+v", result)
 }
--- a/internal/logrelay/replicareader.go
+++ b/internal/logrelay/replicareader.go
@@ -25,18 +25,18 @@
 	// replicaReadGap is the time between two reads of a topic from a replica, so that a read returns several
 	// changes.
 	replicaReadGap = 100 * time.Millisecond
-	// newestTimeout limits a full read from a replica, which serves many readers at once.
-	newestTimeout = 2 * time.Second
+	// fullReadTimeout limits a full read from a replica, which serves many readers at once.
+	fullReadTimeout = 2 * time.Second
 	// unresponsivePause is how long a replica is skipped after it did not reply, stalePause after it replied that
 	// its data are missing or too old.
 	unresponsivePause = 3 * time.Second
 	stalePause        = 300 * time.Millisecond
-	// minTailWait and minNewestWait are the shortest times for which reads wait for replicas before they go to the
-	// log. A random part of up to the same length is added; it doubles with each failed read of the log. Reading
-	// directly too early would compete with the replicas' own reads.
-	minTailWait   = 300 * time.Millisecond
-	minNewestWait = 2 * time.Second
-	maxRandomWait = 30 * time.Second
+	// minChangesWait and minFullReadWait are the shortest times for which reads of changes and full reads wait for
+	// replicas before they go to the log. A random part of up to the same length is added; it doubles with each
+	// failed read of the log. Reading directly too early would compete with the replicas' own reads.
+	minChangesWait  = 300 * time.Millisecond
+	minFullReadWait = 2 * time.Second
+	maxRandomWait   = 30 * time.Second
 	// maxDoublings keeps the doubled wait from overflowing; maxRandomWait is reached earlier.
 	maxDoublings = 10
 	// queryInterval is the time between two attempts to find a replica that replies.
@@ -61,15 +61,15 @@
 // or if they do not reply or are out of date for a while. It implements eventlog.Log.
 type ReplicaReader struct {
 	eventlog.Log
-	options ReplicaOptions
-	paused  *cooldown.Set
-	awaited sync.Once
+	options          ReplicaOptions
+	paused           *cooldown.Set
+	awaitSourcesOnce sync.Once
 
 	mu sync.Mutex
 	// readAt is the time of the last read from a replica, by topic.
 	readAt map[string]time.Time
-	// failed counts the consecutive failed reads of the log in place of replicas, by topic.
-	failed map[string]int
+	// failedLogReads counts the consecutive failed reads of the log that replaced reads from replicas, by topic.
+	failedLogReads map[string]int
 }
 
 var _ eventlog.Log = (*ReplicaReader)(nil)
@@ -81,17 +81,17 @@
 	}
 	return &ReplicaReader{
 		Log: log, options: options, paused: cooldown.New(),
-		readAt: make(map[string]time.Time), failed: make(map[string]int),
+		readAt: make(map[string]time.Time), failedLogReads: make(map[string]int),
 	}
 }
 
 // Newest implements eventlog.Log.
 func (r *ReplicaReader) Newest(ctx context.Context, topic string) (eventlog.KeyedBatch, error) {
 	if r.options.AwaitSources != nil {
-		r.awaited.Do(func() { r.options.AwaitSources(ctx) })
+		r.awaitSourcesOnce.Do(func() { r.options.AwaitSources(ctx) })
 	}
 	call := request{Operation: opReplicaNewest, Topic: topic, ExcludedClasses: r.options.ExcludedClasses(topic)}
-	answer, answered, _ := r.queryUntil(ctx, call, newestTimeout, r.replicaWaitLimit(topic, minNewestWait))
+	answer, answered, _ := r.queryUntil(ctx, call, fullReadTimeout, r.replicaWaitLimit(topic, minFullReadWait))
 	if !answered {
 		batch, err := r.Log.Newest(ctx, topic)
 		r.recordLogRead(topic, err)
@@ -109,7 +109,7 @@
 		ExcludedClasses: r.options.ExcludedClasses(topic),
 	}
 	retry.Sleep(ctx, r.untilNextRead(topic))
-	answer, answered, err := r.queryUntil(ctx, call, call.Wait+replicaTimeout, r.replicaWaitLimit(topic, minTailWait))
+	answer, answered, err := r.queryUntil(ctx, call, call.Wait+replicaTimeout, r.replicaWaitLimit(topic, minChangesWait))
 	if !answered {
 		batch, err := r.Log.ReadKeyed(ctx, topic, from, wait)
 		r.recordLogRead(topic, err)
@@ -128,29 +128,28 @@
 	return max(0, replicaReadGap-time.Since(r.readAt[topic]))
 }
 
-// randomBelow returns a random duration below the limit.
 func randomBelow(limit time.Duration) time.Duration { return rand.N(max(limit, 1)) }
 
-// replicaWaitLimit returns how long a read of the topic may wait for replicas before it goes to the log, at least the
-// given time. The random part doubles with each failed read of the log: the records may be large, and all nodes may
-// be reading them.
-func (r *ReplicaReader) replicaWaitLimit(topic string, least time.Duration) time.Duration {
+// replicaWaitLimit returns how long a read of the topic may wait for replicas before it goes to the log, at least
+// minWait. The random part doubles with each failed read of the log: the records may be large, and all nodes may be
+// reading them.
+func (r *ReplicaReader) replicaWaitLimit(topic string, minWait time.Duration) time.Duration {
 	r.mu.Lock()
-	failed := r.failed[topic]
+	failedLogReads := r.failedLogReads[topic]
 	r.mu.Unlock()
-	return least + randomBelow(min(least<<failed, maxRandomWait))
+	return minWait + randomBelow(min(minWait<<failedLogReads, maxRandomWait))
 }
 
-// recordLogRead updates the count of failed reads of the log in place of replicas.
+// recordLogRead updates failedLogReads.
 func (r *ReplicaReader) recordLogRead(topic string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var trimmed *eventlog.TrimmedError
 	if err == nil || errors.As(err, &trimmed) {
-		delete(r.failed, topic)
+		delete(r.failedLogReads, topic)
 		return
 	}
-	r.failed[topic] = min(r.failed[topic]+1, maxDoublings)
+	r.failedLogReads[topic] = min(r.failedLogReads[topic]+1, maxDoublings)
 }
 
 // queryUntil queries replicas until one replies or the wait is over. It does not wait if the cluster has no
@@ -158,10 +157,10 @@
 func (r *ReplicaReader) queryUntil(
 	ctx context.Context, call request, timeout, wait time.Duration,
 ) (answer response, answered bool, err error) {
-	until := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
 		answer, answered, err = r.query(ctx, call, timeout)
-		if answered || len(r.options.Sources()) == 0 || time.Now().After(until) || !retry.Sleep(ctx, queryInterval) {
+		if answered || len(r.options.Sources()) == 0 || time.Now().After(deadline) || !retry.Sleep(ctx, queryInterval) {
 			return answer, answered, err
 		}
 		// The first attempt has used up the time for which a read may wait for changes.
@@ -195,7 +194,7 @@
 	}
 	r.mu.Lock()
 	r.readAt[call.Topic] = time.Now()
-	delete(r.failed, call.Topic)
+	delete(r.failedLogReads, call.Topic)
 	r.mu.Unlock()
 	return answer, true, nil
 }
--- a/internal/logrelay/replicareader_test.go
+++ b/internal/logrelay/replicareader_test.go
@@ -64,9 +64,9 @@
 // replicaChain is a log, a replica that follows it, and a reader that follows the replica.
 type replicaChain struct {
 	t *testing.T
-	// log is read by the replica, own by the reader when it bypasses the replica.
-	log *memlog.Log
-	own *countingLog
+	// log is read by the replica, readerLog by the reader when it bypasses the replica.
+	log       *memlog.Log
+	readerLog *countingLog
 	// hold, if set, blocks the replica's replies until it is closed.
 	hold atomic.Pointer[chan struct{}]
 
@@ -77,7 +77,7 @@
 func newReplicaChain(t *testing.T) *replicaChain {
 	t.Helper()
 	c := &replicaChain{t: t, log: memlog.New(), values: make(map[string]string)}
-	c.own = &countingLog{Log: c.log}
+	c.readerLog = &countingLog{Log: c.log}
 	c.log.Put(followedTopic, "first", []byte("1"))
 	replica := c.follow(c.log, func(eventlog.KeyedRecord) {})
 	<-replica.Loaded()
@@ -90,7 +90,7 @@
 	}))
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
-	c.follow(newReader(c.own, address), c.handle)
+	c.follow(newReader(c.readerLog, address), c.handle)
 	return c
 }
 
@@ -139,25 +139,25 @@
 	}
 	c.log.Put(followedTopic, "second", nil)
 	c.await("second", "")
-	assert.Equal(t, c.own.reads.Load(), int64(0))
+	assert.Equal(t, c.readerLog.reads.Load(), int64(0))
 }
 
-// TestReaderLeavesOutdatedReplica guards against stale data from a replica that lost the log while the reader can
+// TestReaderBypassesOutdatedReplica guards against stale data from a replica that lost the log while the reader can
 // reach it.
-func TestReaderLeavesOutdatedReplica(t *testing.T) {
+func TestReaderBypassesOutdatedReplica(t *testing.T) {
 	c := newReplicaChain(t)
 	c.await("first", "1")
 	c.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
-	// The reader's own log holds the same records and works.
+	// The reader's connection to the log still works.
 	healthy := memlog.New()
 	healthy.Put(followedTopic, "first", []byte("1"))
-	c.own.Log = healthy
+	c.readerLog.Log = healthy
 	healthy.Put(followedTopic, "second", []byte("2"))
 	c.await("second", "2")
 }
 
-// TestReaderLeavesUnresponsiveReplica covers a replica that accepts connections but does not reply.
-func TestReaderLeavesUnresponsiveReplica(t *testing.T) {
+// TestReaderBypassesUnresponsiveReplica covers a replica that accepts connections but does not reply.
+func TestReaderBypassesUnresponsiveReplica(t *testing.T) {
 	c := newReplicaChain(t)
 	c.await("first", "1")
 	hold := make(chan struct{})
@@ -166,8 +166,8 @@
 	c.log.Put(followedTopic, "second", []byte("2"))
 	started := time.Now()
 	c.await("second", "2")
-	assert.Assert(t, c.own.reads.Load() > 0)
-	t.Logf("learned after %v", time.Since(started))
+	assert.Assert(t, c.readerLog.reads.Load() > 0)
+	t.Logf("the change was read after %v", time.Since(started))
 }
 
 func TestReaderReadsTheLogIfPeerIsNoReplica(t *testing.T) {
@@ -217,17 +217,17 @@
 	}
 }
 
-// startingReplica serves no replica for the first calls.
+// startingReplica serves no replica for the first calls, as many as refused.
 type startingReplica struct {
 	oneReplica
 	refused atomic.Int64
 }
 
-func (l *startingReplica) Replica(topic string) (Replica, bool) {
-	if l.refused.Add(-1) >= 0 {
+func (r *startingReplica) Replica(topic string) (Replica, bool) {
+	if r.refused.Add(-1) >= 0 {
 		return nil, false
 	}
-	return l.oneReplica.Replica(topic)
+	return r.oneReplica.Replica(topic)
 }
 
 // TestReadersWaitForStartingReplicas guards against a restart in which all nodes read from the log at once.
@@ -237,12 +237,12 @@
 	follower := follow.New(log, followedTopic, func(eventlog.KeyedRecord) {}, pacing.Budget{}, zerolog.Nop())
 	go func() { _ = follower.Run(t.Context()) }()
 	<-follower.Loaded()
-	late := &startingReplica{oneReplica: oneReplica{follower}}
-	server := httptest.NewServer(NewHandler(log, canRelayAlways, late))
+	starting := &startingReplica{oneReplica: oneReplica{follower}}
+	server := httptest.NewServer(NewHandler(log, canRelayAlways, starting))
 	t.Cleanup(server.Close)
 	sources := func() []string { return []string{strings.TrimPrefix(server.URL, "http://")} }
 	for reader := range 5 {
-		late.refused.Store(3)
+		starting.refused.Store(3)
 		own := &countingLog{Log: log}
 		batch, err := NewReplicaReader(own, ReplicaOptions{Sources: sources, Client: NewClient()}).Newest(t.Context(), followedTopic)
 		assert.NilError(t, err)
--- a/internal/logrelay/restart_test.go
+++ b/internal/logrelay/restart_test.go
@@ -20,8 +20,8 @@
 	"github.com/corkpulley/corkpulley/internal/standin/throttledlog"
 )
 
-// narrowLimits is what the log serves to all nodes together.
-var narrowLimits = pacing.Limits{ReadsPerSecond: 16_000, BytesPerSecond: 32_000_000}
+// testLimits are the limits of the log for all nodes together.
+var testLimits = pacing.Limits{ReadsPerSecond: 16_000, BytesPerSecond: 32_000_000}
 
 // cluster is a set of nodes that follow one topic, through each other or from the log.
 type cluster struct {
@@ -31,16 +31,16 @@
 	handlers map[string]http.Handler
 	// loaded is the number of nodes that have completed a full read of the topic.
 	loaded int
-	// isCut is true if no node can connect to another.
-	isCut bool
+	// isDisconnected is true if no node can connect to another.
+	isDisconnected bool
 }
 
 // RoundTrip implements http.RoundTripper: it calls the handlers in memory.
 func (c *cluster) RoundTrip(request *http.Request) (*http.Response, error) {
 	c.mu.Lock()
-	handler, isCut := c.handlers[request.URL.Host], c.isCut
+	handler, isDisconnected := c.handlers[request.URL.Host], c.isDisconnected
 	c.mu.Unlock()
-	if handler == nil || isCut {
+	if handler == nil || isDisconnected {
 		return nil, fmt.Errorf("%s: connection refused", request.URL.Host)
 	}
 	recorder := httptest.NewRecorder()
@@ -57,12 +57,12 @@
 	follower  *follow.Follower
 }
 
-func (f directoryReplica) Replica(string) (Replica, bool) {
-	return f.follower.Replica(), f.directory.IsReplica()
+func (r directoryReplica) Replica(string) (Replica, bool) {
+	return r.follower.Replica(), r.directory.IsReplica()
 }
 
-// testSelf returns the node of a number, in one of six zones.
-func testSelf(number int) NodeInfo {
+// testNodeInfo returns the node of a number, in one of six zones.
+func testNodeInfo(number int) NodeInfo {
 	return NodeInfo{
 		Node: fmt.Sprintf("node-%04d", number), Address: fmt.Sprintf("10.0.%d.%d:7000", number/250, number%250),
 		Zone: fmt.Sprint("zone-", number%6), Region: "region", Processors: 1,
@@ -73,14 +73,14 @@
 func announceAll(t *testing.T, log eventlog.Log, nodes int) {
 	t.Helper()
 	for number := range nodes {
-		directory := NewDirectory(log, testSelf(number), narrowLimits, zerolog.Nop())
+		directory := NewDirectory(log, testNodeInfo(number), testLimits, zerolog.Nop())
 		assert.NilError(t, directory.announce(t.Context(), time.Minute))
 	}
 }
 
 func (c *cluster) start(ctx context.Context, number int, running *sync.WaitGroup) {
-	self := testSelf(number)
-	directory := NewDirectory(c.log, self, narrowLimits, zerolog.Nop())
+	self := testNodeInfo(number)
+	directory := NewDirectory(c.log, self, testLimits, zerolog.Nop())
 	reader := NewReplicaReader(c.log, ReplicaOptions{
 		Sources: directory.Sources, AwaitSources: directory.AwaitSettled,
 		Client: &http.Client{Transport: c},
@@ -120,16 +120,16 @@
 	bytes, fullReads int
 }
 
-// restartLimit is the simulated time in seconds after which a restart is given up.
-const restartLimit = 30
+// maxRestartSeconds is the simulated time after which restart stops waiting.
+const maxRestartSeconds = 30
 
-// configurationBytes is the size of a configuration that fills a page of the log.
+// configurationBytes is the size of the only record of followedTopic.
 const configurationBytes = 900_000
 
 // restartFaults selects the faults during a restart.
 type restartFaults struct {
-	// isCut: nodes cannot connect to each other. noDirectory: the log refuses reads of the directory.
-	isCut, noDirectory bool
+	// isDisconnected: nodes cannot connect to each other. noDirectory: the log refuses reads of the directory.
+	isDisconnected, noDirectory bool
 }
 
 // restart starts all nodes at once, with eight old announcements of each in the directory.
@@ -142,9 +142,9 @@
 			announceAll(t, backend, nodes)
 		}
 		c := &cluster{
-			log:      throttledlog.New(backend, narrowLimits.BytesPerSecond),
-			handlers: make(map[string]http.Handler),
-			isCut:    faults.isCut,
+			log:            throttledlog.New(backend, testLimits.BytesPerSecond),
+			handlers:       make(map[string]http.Handler),
+			isDisconnected: faults.isDisconnected,
 		}
 		if faults.noDirectory {
 			c.log.Refuse(directoryTopic)
@@ -155,7 +155,7 @@
 			c.start(ctx, number, &running)
 			time.Sleep(300 * time.Millisecond / time.Duration(nodes))
 		}
-		for !c.isLoaded(nodes) && result.seconds < restartLimit {
+		for !c.isLoaded(nodes) && result.seconds < maxRestartSeconds {
 			time.Sleep(time.Second)
 			result.seconds++
 			usage := c.log.Usage()
@@ -184,7 +184,7 @@
 }
 
 // TestSimultaneousRestartCompletes guards against a restart of all nodes that overloads the log permanently, so that
-// no node learns of the others, the routes or the jobs.
+// the nodes read neither the directory nor the followed topics.
 func TestSimultaneousRestartCompletes(t *testing.T) {
 	for _, nodes := range []int{120, 240} {
 		result := restartOnce(t, nodes)
@@ -205,10 +205,10 @@
 // where there are no replicas: in a smaller cluster, or if nodes cannot connect to each other.
 func TestDirectReadsOfManyNodesAreSpread(t *testing.T) {
 	for _, nodes := range []int{90, 240} {
-		result := restart(t, nodes, restartFaults{isCut: true})
+		result := restart(t, nodes, restartFaults{isDisconnected: true})
 		// Full reads may use half of what the log serves.
-		ideal := nodes * configurationBytes * 4 / 3 / (narrowLimits.BytesPerSecond / 2)
-		assert.Assert(t, result.seconds <= ideal+10, "%d nodes: %+v", nodes, result)
+		minSeconds := nodes * configurationBytes * 4 / 3 / (testLimits.BytesPerSecond / 2)
+		assert.Assert(t, result.seconds <= minSeconds+10, "%d nodes: %+v", nodes, result)
 	}
 }
 
@@ -218,11 +218,11 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		const others = 300
-		log := throttledlog.New(memlog.New(), narrowLimits.BytesPerSecond)
+		log := throttledlog.New(memlog.New(), testLimits.BytesPerSecond)
 		for range announcements {
 			announceAll(t, log.Log, others)
 		}
-		directory := NewDirectory(log, NodeInfo{Node: "own", Address: "10.1.0.1:7000", Zone: "z"}, narrowLimits, zerolog.Nop())
+		directory := NewDirectory(log, NodeInfo{Node: "own", Address: "10.1.0.1:7000", Zone: "z"}, testLimits, zerolog.Nop())
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { _ = directory.Run(ctx) })
--- a/internal/logrelay/server.go
+++ b/internal/logrelay/server.go
@@ -17,8 +17,8 @@
 	Path = "/log"
 	// maxRequestBytes limits a request; the records of one call may take 2 MiB.
 	maxRequestBytes = 4 << 20
-	// maxWait limits how long a relayed read may wait for records.
-	maxWait = 2 * time.Second
+	// maxRelayedWait limits how long a relayed read may wait for records.
+	maxRelayedWait = 2 * time.Second
 )
 
 // Replicas provides the followed topics that a node serves to others.
@@ -44,7 +44,7 @@
 		started := boottime.Now()
 		msgpackhttp.Handle(maxRequestBytes, func(ctx context.Context, call request) response {
 			if call.isWrite() && isAbandoned(ctx, call, boottime.Now().Sub(started)) {
-				return response{Outcome: notDone, Detail: "its sender has left"}
+				return response{Outcome: outcomeNotDone, Detail: "its sender has left"}
 			}
 			return handleRequest(ctx, direct, canRelay, replicas, call)
 		}).ServeHTTP(w, r)
@@ -65,7 +65,7 @@
 	case call.Operation == opReplicaNewest || call.Operation == opReplicaRead:
 		return serveReplica(ctx, replicas, call)
 	case !canRelay():
-		return response{Outcome: cannotRelay}
+		return response{Outcome: outcomeCannotRelay}
 	default:
 		return callLog(ctx, direct, call)
 	}
@@ -75,24 +75,24 @@
 func serveReplica(ctx context.Context, replicas Replicas, call request) response {
 	replica, found := replicas.Replica(call.Topic)
 	if !found {
-		return response{Outcome: cannotRelay}
+		return response{Outcome: outcomeCannotRelay}
 	}
 	if call.Operation == opReplicaNewest {
 		batch, age, known := replica.Newest(call.ExcludedClasses)
 		if !known {
-			return response{Outcome: cannotRelay}
+			return response{Outcome: outcomeCannotRelay}
 		}
-		return response{Outcome: done, Offset: batch.Next, Keyed: batch.Records, Age: age}
+		return response{Outcome: outcomeDone, Offset: batch.Next, Keyed: batch.Records, Age: age}
 	}
-	batch, age, err := replica.Read(ctx, call.Offset, min(call.Wait, maxWait), call.ExcludedClasses)
+	batch, age, err := replica.Read(ctx, call.Offset, min(call.Wait, maxRelayedWait), call.ExcludedClasses)
 	if err != nil {
 		return errorResponse(err)
 	}
-	return response{Outcome: done, Offset: batch.Next, Keyed: batch.Records, Age: age}
+	return response{Outcome: outcomeDone, Offset: batch.Next, Keyed: batch.Records, Age: age}
 }
 
 func callLog(ctx context.Context, direct eventlog.Log, call request) response {
-	wait := min(call.Wait, maxWait)
+	wait := min(call.Wait, maxRelayedWait)
 	switch call.Operation {
 	case opAppend:
 		// Writes continue after the sender disconnects, so that they are not interrupted with an unknown outcome.
@@ -107,13 +107,13 @@
 		if err != nil {
 			return errorResponse(err)
 		}
-		return response{Outcome: done, Offset: batch.First, End: batch.End, Records: batch.Records}
+		return response{Outcome: outcomeDone, Offset: batch.First, End: batch.End, Records: batch.Records}
 	case opNewest:
 		return keyedResponse(direct.Newest(ctx, call.Topic))
 	case opReadKeyed:
 		return keyedResponse(direct.ReadKeyed(ctx, call.Topic, call.Offset, wait))
 	default:
-		return response{Outcome: notDone, Detail: "unknown operation"}
+		return response{Outcome: outcomeNotDone, Detail: "unknown operation"}
 	}
 }
 
@@ -121,12 +121,12 @@
 	if err != nil {
 		return errorResponse(err)
 	}
-	return response{Outcome: done, Offset: offset}
+	return response{Outcome: outcomeDone, Offset: offset}
 }
 
 func keyedResponse(batch eventlog.KeyedBatch, err error) response {
 	if err != nil {
 		return errorResponse(err)
 	}
-	return response{Outcome: done, Offset: batch.Next, Keyed: batch.Records}
+	return response{Outcome: outcomeDone, Offset: batch.Next, Keyed: batch.Records}
 }
--- a/internal/logrelay/settle.go
+++ b/internal/logrelay/settle.go
@@ -28,8 +28,8 @@
 
 func (d *Directory) isSettled() bool { return isClosed(d.settled) }
 
-// AwaitSettled blocks until the directory has settled, settleLimit or maxSettleLimit expires, or ctx ends. Before
-// that a node of a large cluster may not know of the replicas that read large topics for it.
+// AwaitSettled blocks until the directory has settled, settleLimit or maxSettleLimit expires, or ctx ends. Until the
+// directory has settled, a node of a large cluster may not know the replicas from which it should read large topics.
 func (d *Directory) AwaitSettled(ctx context.Context) {
 	started := time.Now()
 	for {
@@ -50,14 +50,14 @@
 	}
 }
 
-// recordRead notes the time of a successful read of the directory.
+// recordRead records the time of a successful read of the directory.
 func (d *Directory) recordRead() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastReadAt = time.Now()
 }
 
-// lastProgress returns the time of the last successful read of the directory, but at least since.
+// lastProgress returns the time of the last successful read of the directory, or since if that is later.
 func (d *Directory) lastProgress(since time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/logrelay/stall.go
+++ b/internal/logrelay/stall.go
@@ -31,13 +31,13 @@
 }
 
 // withStallCancel returns a context for a direct call that is also canceled when the direct connection is found to
-// be stalled. The returned function releases it.
+// be stalled. The returned function releases the context.
 func (f *Fallback) withStallCancel(ctx context.Context) (context.Context, context.CancelFunc) {
 	f.mu.Lock()
-	direct := f.directCalls.ctx
+	group := f.directCalls.ctx
 	f.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
-	stop := context.AfterFunc(direct, cancel)
+	stop := context.AfterFunc(group, cancel)
 	return ctx, func() {
 		stop()
 		cancel()
--- a/internal/logrelay/stall_test.go
+++ b/internal/logrelay/stall_test.go
@@ -20,13 +20,13 @@
 type stallableLog struct {
 	*memlog.Log
 	stalled atomic.Bool
-	// slow is the duration of each call while the log is not stalled.
-	slow time.Duration
+	// callDuration is the duration of each call while the log is not stalled.
+	callDuration time.Duration
 }
 
 func (l *stallableLog) hang(ctx context.Context) error {
 	if !l.stalled.Load() {
-		time.Sleep(l.slow)
+		time.Sleep(l.callDuration)
 		return nil
 	}
 	<-ctx.Done()
@@ -80,7 +80,7 @@
 
 // TestSlowWriteKeepsCallsDirect guards against a slow write being taken for a stall.
 func TestSlowWriteKeepsCallsDirect(t *testing.T) {
-	direct := &stallableLog{Log: memlog.New(), slow: stallThreshold + 30*time.Millisecond}
+	direct := &stallableLog{Log: memlog.New(), callDuration: stallThreshold + 30*time.Millisecond}
 	fallback := newFallbackWithPeer(t, direct, memlog.New())
 	for range 2 {
 		_, err := fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
--- a/internal/logrelay/versions_test.go
+++ b/internal/logrelay/versions_test.go
@@ -44,7 +44,7 @@
 		assert.Equal(t, own.Versions().Lowest, clusterversion.Homes, "an expired node was counted")
 
 		log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
-		time.Sleep(ownRecordAge)
+		time.Sleep(maxOwnAnnouncementAge)
 		assert.Assert(t, !own.Versions().Current, "while reads fail")
 		assert.Assert(t, !own.Versions().Known, "while reads fail")
 		log.SetFault(nil)
