--- a/internal/follow/classes_test.go
+++ b/internal/follow/classes_test.go
@@ -64,14 +64,14 @@
 	log.Put(topic, "a", []byte("1"))
 	handled := 0
 	follower := New(log, topic, func(eventlog.KeyedRecord) { handled++ }, pacing.Budget{}, zerolog.Nop())
-	assert.NilError(t, follower.step(t.Context()))
-	assert.NilError(t, follower.step(t.Context()))
+	assert.NilError(t, follower.readOnce(t.Context()))
+	assert.NilError(t, follower.readOnce(t.Context()))
 	assert.Equal(t, handled, 1)
 	reloaded := follower.Reload()
 	log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
-	assert.Assert(t, follower.step(t.Context()) != nil)
+	assert.Assert(t, follower.readOnce(t.Context()) != nil)
 	log.SetFault(nil)
-	assert.NilError(t, follower.step(t.Context()))
+	assert.NilError(t, follower.readOnce(t.Context()))
 	<-reloaded
 	assert.Equal(t, handled, 2)
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// pollWait is how long a read waits for a change. It limits how long a log that no longer reports changes goes
-	// unnoticed.
+	// pollWait is how long a read waits for a change. The shorter it is, the sooner the follower detects that the log
+	// no longer reports changes.
 	pollWait = 500 * time.Millisecond
 	// maxPollWait limits the wait in large clusters, where nodes read less often. A read sent to an unresponsive
 	// log may hang for this long after the end of the outage.
@@ -31,9 +31,9 @@
 	// to maxReadGap.
 	readGap    = 20 * time.Millisecond
 	maxReadGap = 700 * time.Millisecond
-	// refreshPeriod is the time between two full reads of refreshRecords keys, which find what reads of changes
-	// have missed. It grows with the number of keys and nodes up to maxRefreshPeriod. A random part of it, up to
-	// refreshJitter, keeps nodes from reading at the same time.
+	// refreshPeriod is the time between two full reads of a topic with fewer than refreshRecords keys; they find what
+	// reads of changes have missed. It grows with the number of keys and nodes up to maxRefreshPeriod. It is shortened
+	// by a random part, up to the fraction refreshJitter, so that nodes do not read at the same time.
 	refreshPeriod    = 5 * time.Second
 	maxRefreshPeriod = 2 * time.Minute
 	refreshRecords   = 500
@@ -50,8 +50,8 @@
 	maxRefreshDelay = 10 * time.Second
 )
 
-// StaleAge exceeds the age of a followed topic's data while reads succeed. Reads of older data, such as the first
-// one after the machine was suspended, do not wait for changes.
+// StaleAge is an age that a followed topic's data do not reach while reads succeed. If they have reached it, for
+// example after a suspension of the machine, the next read does not wait for changes.
 const StaleAge = maxPollWait + maxReadGap + 300*time.Millisecond
 
 // maxReadRetry limits the delays of readRetries after they are scaled to the cluster.
@@ -73,7 +73,7 @@
 	budget  pacing.Budget
 	logger  zerolog.Logger
 
-	// The fields from here to classOf are used by Run's goroutine only, except for replica and loaded.
+	// The fields from offsets to classOf are used by Run's goroutine only, except for replica and loaded.
 
 	// offsets holds the offset of the newest handled record of each key.
 	offsets map[string]int64
@@ -89,7 +89,7 @@
 	now func() time.Time
 	// loaded is closed after the first full read.
 	loaded    chan struct{}
-	fullReads refreshSchedule
+	fullReads fullReadSchedule
 	// classOf returns the class of a record; nil if the topic has no classes.
 	classOf func(eventlog.KeyedRecord) string
 
@@ -108,7 +108,7 @@
 		logger:    logger.With().Str("topic", topic).Logger(),
 		offsets:   make(map[string]int64),
 		loaded:    make(chan struct{}),
-		fullReads: refreshSchedule{postponed: true},
+		fullReads: fullReadSchedule{postponed: true},
 		replica:   newReplica(),
 		now:       boottime.Now,
 	}
@@ -170,7 +170,7 @@
 func (f *Follower) Run(ctx context.Context) error {
 	delays := readRetries.Delays()
 	for ctx.Err() == nil {
-		err := f.step(ctx)
+		err := f.readOnce(ctx)
 		if err == nil {
 			delays.Reset()
 			f.logReachability(nil)
@@ -215,7 +215,8 @@
 	return f.budget.ScalePeriod(readGap, maxReadGap)
 }
 
-func (f *Follower) step(ctx context.Context) error {
+// readOnce makes a full read if one is due, then a read of changes.
+func (f *Follower) readOnce(ctx context.Context) error {
 	if err := f.refreshIfDue(ctx); err != nil {
 		return err
 	}
@@ -268,9 +269,9 @@
 }
 
 // refresh makes a full read. A known key that it lacks was deleted, unless the newest handled record of the key is
-// newer than the read; the empty key stands for undecodable records and is skipped. If all is true, records that were
-// handled before are passed to the handler again.
-func (f *Follower) refresh(ctx context.Context, all bool) error {
+// newer than the read; the empty key stands for undecodable records and is skipped. If redeliver is true, records that
+// were handled before are passed to the handler again.
+func (f *Follower) refresh(ctx context.Context, redeliver bool) error {
 	sent := f.now()
 	batch, err := f.log.Newest(ctx, f.topic)
 	if err != nil {
@@ -283,7 +284,7 @@
 		present[record.Key] = true
 		f.fullBytes += len(record.Key) + len(record.Value)
 		if !f.isDeletedSince(batch, record) {
-			f.handleIf(record, all)
+			f.deliver(record, redeliver)
 		}
 	}
 	for key, offset := range f.offsets {
@@ -308,11 +309,11 @@
 }
 
 // handle passes a record to the handler unless it, or a newer one of its key, was handled before.
-func (f *Follower) handle(record eventlog.KeyedRecord) { f.handleIf(record, false) }
+func (f *Follower) handle(record eventlog.KeyedRecord) { f.deliver(record, false) }
 
-// handleIf is handle, but passes the newest handled record on once more if again is true.
-func (f *Follower) handleIf(record eventlog.KeyedRecord, again bool) {
-	if known, found := f.offsets[record.Key]; found && (record.Offset < known || record.Offset == known && !again) {
+// deliver is like handle, but passes the newest handled record of a key to the handler again if redeliver is true.
+func (f *Follower) deliver(record eventlog.KeyedRecord, redeliver bool) {
+	if known, found := f.offsets[record.Key]; found && (record.Offset < known || record.Offset == known && !redeliver) {
 		return
 	}
 	if record.Deleted {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -39,13 +39,13 @@
 	v.values[record.Key] = string(record.Value)
 }
 
-func (v *view) is(key, value string) bool {
+func (v *view) has(key, value string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.values[key] == value
 }
 
-func start(t *testing.T, log eventlog.Log) *view {
+func startFollower(t *testing.T, log eventlog.Log) *view {
 	t.Helper()
 	v := &view{values: map[string]string{}, last: map[string]int64{}, t: t}
 	follower := New(log, topic, v.handle, pacing.Budget{}, zerolog.Nop())
@@ -61,13 +61,13 @@
 func TestFollowerHandlesChangesAndDeletions(t *testing.T) {
 	log := memlog.New()
 	log.Put(topic, "a", []byte("1"))
-	v := start(t, log)
-	testwait.Until(t, "the first value", func() bool { return v.is("a", "1") })
+	v := startFollower(t, log)
+	testwait.Until(t, "the first value", func() bool { return v.has("a", "1") })
 	log.Put(topic, "a", []byte("2"))
 	log.Put(topic, "b", []byte("3"))
-	testwait.Until(t, "the changes", func() bool { return v.is("a", "2") && v.is("b", "3") })
+	testwait.Until(t, "the changes", func() bool { return v.has("a", "2") && v.has("b", "3") })
 	log.Put(topic, "a", nil)
-	testwait.Until(t, "the deletion", func() bool { return v.is("a", "") })
+	testwait.Until(t, "the deletion", func() bool { return v.has("a", "") })
 }
 
 // TestFullReadIsHandledInOffsetOrder guards against handling records in the order of keys, in which the log returns
@@ -89,8 +89,8 @@
 	log := memlog.New()
 	log.Put(topic, "changed", []byte("1"))
 	log.Put(topic, "deleted", []byte("1"))
-	v := start(t, log)
-	testwait.Until(t, "the first values", func() bool { return v.is("changed", "1") && v.is("deleted", "1") })
+	v := startFollower(t, log)
+	testwait.Until(t, "the first values", func() bool { return v.has("changed", "1") && v.has("deleted", "1") })
 	log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
 	log.Put(topic, "changed", []byte("2"))
 	log.Put(topic, "deleted", nil)
@@ -98,7 +98,7 @@
 	log.Trim(eventlog.Partition{Topic: topic}, log.End(eventlog.Partition{Topic: topic}))
 	log.SetFault(nil)
 	testwait.Until(t, "the state after the outage", func() bool {
-		return v.is("changed", "2") && v.is("deleted", "") && v.is("added", "3")
+		return v.has("changed", "2") && v.has("deleted", "") && v.has("added", "3")
 	})
 	assert.Equal(t, len(v.last), 3)
 }
--- a/internal/follow/overload_test.go
+++ b/internal/follow/overload_test.go
@@ -16,25 +16,25 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// countingLog counts reads and throttles all of them while it is down.
+// countingLog counts reads, and refuses all of them while throttled is true.
 type countingLog struct {
 	*memlog.Log
-	mu    sync.Mutex
-	down  bool
-	reads int
+	mu        sync.Mutex
+	throttled bool
+	reads     int
 }
 
 func (l *countingLog) count() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reads++
-	return l.down
+	return l.throttled
 }
 
-func (l *countingLog) setDown(down bool) {
+func (l *countingLog) setThrottled(throttled bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.down = down
+	l.throttled = throttled
 }
 
 // takeCount returns the number of reads since the last call.
@@ -83,14 +83,14 @@
 			running.Go(func() { _ = follower.Run(ctx) })
 		}
 		time.Sleep(time.Second)
-		log.setDown(true)
+		log.setThrottled(true)
 		time.Sleep(2 * time.Second)
 		log.takeCount()
 		for range 3 {
 			time.Sleep(time.Second)
 			during = append(during, log.takeCount())
 		}
-		log.setDown(false)
+		log.setThrottled(false)
 		log.Put(topic, "k", []byte("2"))
 		allUpToDate := func() bool {
 			mu.Lock()
--- a/internal/follow/replica.go
+++ b/internal/follow/replica.go
@@ -26,14 +26,14 @@
 	// positions holds the offsets and keys of records in ascending order, possibly including replaced ones. It lets
 	// a reader find new records without scanning all.
 	positions []position
-	// deleted counts the deletions in records; those at offsets below droppedBefore are no longer kept.
-	deleted       int
+	// deletions counts the deletions in records; those at offsets below droppedBefore are no longer kept.
+	deletions     int
 	droppedBefore int64
 	next          int64
-	// contactAt is the latest time at which the replica was up to date, by the clock of package boottime, which
+	// upToDateAt is the latest time at which the replica was up to date, by the clock of package boottime, which
 	// advances while the machine is suspended.
-	contactAt time.Time
-	now       func() time.Time
+	upToDateAt time.Time
+	now        func() time.Time
 	// changed is closed and replaced whenever next advances.
 	changed chan struct{}
 }
@@ -63,8 +63,8 @@
 	return &Replica{records: make(map[string]entry), changed: make(chan struct{}), now: boottime.Now}
 }
 
-// put stores a record of a class that the follower has handled. A deletion takes the class of the deleted record. A
-// key whose class changes is included for all readers from then on: those that exclude the new class have the old
+// put stores a record that the follower has handled, and its class. A deletion takes the class of the deleted record.
+// A key whose class changes is included for all readers from then on: those that exclude the new class hold the old
 // record.
 func (r *Replica) put(record eventlog.KeyedRecord, class string) {
 	r.mu.Lock()
@@ -77,16 +77,16 @@
 		class = ""
 	}
 	if known.Deleted {
-		r.deleted--
+		r.deletions--
 	}
 	if record.Deleted {
-		r.deleted++
+		r.deletions++
 	}
 	if !found || known.Offset != record.Offset {
 		r.insertPosition(position{offset: record.Offset, key: record.Key})
 	}
 	r.records[record.Key] = entry{KeyedRecord: record, class: class}
-	if r.deleted > maxDeletions {
+	if r.deletions > maxDeletions {
 		r.dropDeletions()
 	}
 }
@@ -114,15 +114,15 @@
 			delete(r.records, key)
 		}
 	}
-	r.deleted = 0
+	r.deletions = 0
 }
 
-// advance records that the replica holds all records below next, and counts as up to date at the given time. A read
-// that reached its size limit left out newer records; the next read, readGap later, returns them.
+// advance records that the replica holds all records below next and was up to date at the given time. A read that
+// reached its size limit left out newer records; the next read, readGap later, returns them.
 func (r *Replica) advance(next int64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.contactAt = at
+	r.upToDateAt = at
 	if next > r.next {
 		r.next = next
 		close(r.changed)
@@ -134,7 +134,7 @@
 func (r *Replica) age() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.now().Sub(r.contactAt)
+	return r.now().Sub(r.upToDateAt)
 }
 
 // Newest returns the newest record of each key except for the excluded classes, and the age of the replica; false
@@ -148,7 +148,7 @@
 			batch.Records = append(batch.Records, record.KeyedRecord)
 		}
 	}
-	return batch, r.now().Sub(r.contactAt), !r.contactAt.IsZero()
+	return batch, r.now().Sub(r.upToDateAt), !r.upToDateAt.IsZero()
 }
 
 // Read returns the newest records at offsets from on except for the excluded classes, and the age of the replica.
@@ -161,7 +161,7 @@
 	for {
 		r.mu.Lock()
 		batch, err := r.readFrom(from, excluded)
-		age, changed := r.now().Sub(r.contactAt), r.changed
+		age, changed := r.now().Sub(r.upToDateAt), r.changed
 		r.mu.Unlock()
 		if err != nil || len(batch.Records) > 0 {
 			return batch, age, err
--- a/internal/follow/schedule_test.go
+++ b/internal/follow/schedule_test.go
@@ -10,7 +10,7 @@
 var now = time.Unix(1000, 0)
 
 func TestFullReadsFollowThePeriod(t *testing.T) {
-	schedule := refreshSchedule{postponed: true}
+	schedule := fullReadSchedule{postponed: true}
 	assert.Assert(t, schedule.isDue(now), "the first is due at once")
 	schedule.recordFullRead(now, time.Minute)
 	assert.Assert(t, !schedule.isDue(now.Add(time.Second)))
@@ -18,7 +18,7 @@
 }
 
 func TestFullReadDueInAnOutageIsPostponedOnce(t *testing.T) {
-	var schedule refreshSchedule
+	var schedule fullReadSchedule
 	schedule.recordFullRead(now, time.Second)
 	schedule.recordFailure()
 	now := now.Add(5 * time.Second)
@@ -33,7 +33,7 @@
 }
 
 func TestFailureDoesNotPostponeFullReadNotYetDue(t *testing.T) {
-	var schedule refreshSchedule
+	var schedule fullReadSchedule
 	schedule.recordFullRead(now, time.Second)
 	schedule.recordFailure()
 	schedule.recordSuccess(now, time.Minute)
@@ -41,7 +41,7 @@
 }
 
 func TestForceMakesFullReadDueAtOnce(t *testing.T) {
-	var schedule refreshSchedule
+	var schedule fullReadSchedule
 	schedule.recordFullRead(now, time.Minute)
 	schedule.force()
 	schedule.recordFailure()
--- a/internal/follow/stale_test.go
+++ b/internal/follow/stale_test.go
@@ -33,18 +33,18 @@
 	follower := New(log, topic, v.handle, pacing.Budget{}, zerolog.Nop())
 	log.Put(topic, "kept", []byte("1"))
 	log.Put(topic, "deleted", []byte("1"))
-	assert.NilError(t, follower.step(t.Context()))
+	assert.NilError(t, follower.readOnce(t.Context()))
 	stale, err := log.Newest(t.Context(), topic)
 	assert.NilError(t, err)
 	log.Put(topic, "deleted", nil)
 	log.Put(topic, "kept", []byte("2"))
-	assert.NilError(t, follower.step(t.Context()))
-	assert.Assert(t, v.is("deleted", "") && v.is("kept", "2"))
+	assert.NilError(t, follower.readOnce(t.Context()))
+	assert.Assert(t, v.has("deleted", "") && v.has("kept", "2"))
 	log.stale = &stale
 	follower.fullReads.force()
-	assert.NilError(t, follower.step(t.Context()))
-	assert.Assert(t, v.is("deleted", ""), "a deleted key was restored")
-	assert.Assert(t, v.is("kept", "2"))
+	assert.NilError(t, follower.readOnce(t.Context()))
+	assert.Assert(t, v.has("deleted", ""), "a deleted key was restored")
+	assert.Assert(t, v.has("kept", "2"))
 }
 
 // TestFirstReadAfterSuspensionDoesNotWait guards against stale data that stay in use while a read waits for
@@ -52,11 +52,11 @@
 func TestFirstReadAfterSuspensionDoesNotWait(t *testing.T) {
 	log := &waitRecordingLog{Log: memlog.New()}
 	follower := New(log, topic, func(eventlog.KeyedRecord) {}, pacing.Budget{}, zerolog.Nop())
-	assert.NilError(t, follower.step(t.Context()))
-	follower.replica.advance(0, follower.replica.contactAt.Add(-StaleAge))
+	assert.NilError(t, follower.readOnce(t.Context()))
+	follower.replica.advance(0, follower.replica.upToDateAt.Add(-StaleAge))
 	log.longest = 0
 	assert.Equal(t, follower.readDelay().String(), "0s")
-	assert.NilError(t, follower.step(t.Context()))
+	assert.NilError(t, follower.readOnce(t.Context()))
 	assert.Equal(t, log.longest.String(), "0s")
 	assert.Assert(t, follower.Age() < StaleAge)
 	assert.Equal(t, follower.readDelay(), readGap)
