--- a/internal/keyed/executor.go
+++ b/internal/keyed/executor.go
@@ -22,22 +22,22 @@
 	DefaultLogTimeout = 5 * time.Second
 	// DefaultSnapshotEvery is the default minimum number of records between snapshots.
 	DefaultSnapshotEvery = 4096
-	// snapshotLatestFactor is the maximum number of records between snapshots, as a multiple of the minimum. It
-	// limits both the share of snapshots of shards with many keys, and the records to replay when a shard is
-	// opened.
-	snapshotLatestFactor = 4
+	// maxSnapshotIntervalFactor is the maximum number of records between snapshots, as a multiple of the minimum. The
+	// greater it is, the smaller is the share of snapshots in the streams of shards with many keys, but the more
+	// records are replayed when a shard is opened.
+	maxSnapshotIntervalFactor = 4
 	// DefaultShardIdle is how long a shard without requests stays open by default. Opening it again replays the
 	// records after its latest snapshot.
 	DefaultShardIdle = 2 * time.Minute
 
-	// closingRecordTimeouts is for how many log timeouts Close waits for results to be recorded. The callers have
-	// their answers; a repeat of a key without a recorded result gets OutcomeUnknown.
+	// closingRecordTimeouts is how long Close waits for results to be recorded, as a multiple of Options.LogTimeout.
+	// The callers have their answers by then; a repeat of a key without a recorded result gets OutcomeUnknown.
 	closingRecordTimeouts = 3
-	// maxExecutions limits the requests of one shard in progress on this node.
-	maxExecutions = 4096
-	// tailFreshness is the time since the last contact with the log within which the tailed state is used without
-	// an extra read. An idle tail has contact once per poll.
-	tailFreshness = 2 * logstream.DefaultPollWait
+	// maxExecutionsPerShard limits the requests of a shard in progress on this node.
+	maxExecutionsPerShard = 4096
+	// maxTailAge is the time since the last contact with the log up to which the tailed state is used without an
+	// extra read. An idle tail contacts the log once per poll.
+	maxTailAge = 2 * logstream.DefaultPollWait
 )
 
 // Options configures an Executor.
@@ -137,7 +137,7 @@
 	if err := e.options.Tables.Current(); err != nil {
 		return router.Result{}, err
 	}
-	shard := e.shards[request.shard(e.options.Shards)]
+	shard := e.shards[request.shardIndex(e.options.Shards)]
 	execution, err := shard.join(request)
 	if err != nil {
 		return router.Result{}, err
--- a/internal/keyed/fixture_test.go
+++ b/internal/keyed/fixture_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// node starts a node whose view has the given members, itself first.
-func (f *fixture) node(t *testing.T, id string, others ...string) *Executor {
+// startNode starts a node whose view has the given members, itself first.
+func (f *fixture) startNode(t *testing.T, id string, others ...string) *Executor {
 	t.Helper()
 	transport := peer.New(peer.Options{NodeID: id, ListenAddress: "127.0.0.1:0", Logger: zerolog.Nop()})
 	manager := logstream.NewManager(logstream.Options{
@@ -100,11 +100,11 @@
 func (fakeTables) Table() *policy.Table { return &policy.Table{} }
 func (fakeTables) Current() error       { return nil }
 
-// fakeRouter counts the runs of each prompt. script, if set, returns the error of a run.
+// fakeRouter counts the runs of each prompt. runError, if set, returns the error of a run.
 type fakeRouter struct {
-	mu     sync.Mutex
-	runs   map[string]int
-	script func(request router.Request) error
+	mu       sync.Mutex
+	runs     map[string]int
+	runError func(request router.Request) error
 	// hold, if set, blocks each answer between its two pieces.
 	hold chan struct{}
 }
@@ -120,13 +120,13 @@
 ) (router.Result, error) {
 	r.mu.Lock()
 	r.runs[request.Prompt]++
-	script, hold := r.script, r.hold
+	runError, hold := r.runError, r.hold
 	r.mu.Unlock()
 	if request.Row.Repeatable {
 		return router.Result{}, errors.New("a keyed request is marked as repeatable")
 	}
-	if script != nil {
-		if err := script(request); err != nil {
+	if runError != nil {
+		if err := runError(request); err != nil {
 			return router.Result{}, err
 		}
 	}
--- a/internal/keyed/forward.go
+++ b/internal/keyed/forward.go
@@ -33,7 +33,7 @@
 	for i, member := range candidates {
 		ids[i] = member.ID
 	}
-	stream := streamName(request.shard(e.options.Shards))
+	stream := streamName(request.shardIndex(e.options.Shards))
 	picked := rendezvous.New(ids, xxhash.Sum64String).Lookup(stream)
 	return candidates[slices.Index(ids, picked)], true
 }
@@ -49,7 +49,7 @@
 	}
 	defer stream.Close()
 	for first := true; ; first = false {
-		var message progress
+		var message answerMessage
 		if err := stream.Receive(&message); err != nil {
 			return router.Result{}, !(first && isUndelivered(err)), forwardError(ctx, err)
 		}
@@ -93,10 +93,10 @@
 		return errkind.New(errkind.InvalidRequest, "keyed request: %v", err)
 	}
 	result, err := e.executeLocal(ctx, request, func(piece router.Piece) error {
-		return sender.Send(progress{Piece: &piece})
+		return sender.Send(answerMessage{Piece: &piece})
 	})
 	if err != nil {
 		return err
 	}
-	return sender.Send(progress{Result: &result})
+	return sender.Send(answerMessage{Result: &result})
 }
--- a/internal/keyed/idle.go
+++ b/internal/keyed/idle.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// startIdleTimer calls closeIdle after the idle time. Must be called with mu held.
+// startIdleTimer starts or restarts the timer that calls closeIdle. Must be called with mu held.
 func (s *shard) startIdleTimer() {
-	if s.idle == nil {
-		s.idle = time.AfterFunc(s.executor.options.ShardIdle, s.closeIdle)
+	if s.idleTimer == nil {
+		s.idleTimer = time.AfterFunc(s.executor.options.ShardIdle, s.closeIdle)
 		return
 	}
-	s.idle.Reset(s.executor.options.ShardIdle)
+	s.idleTimer.Reset(s.executor.options.ShardIdle)
 }
 
 // closeIdle closes the stream of a shard without executions, which frees the memory of its keys and ends its polls.
--- a/internal/keyed/idle_test.go
+++ b/internal/keyed/idle_test.go
@@ -13,7 +13,7 @@
 
 // isOpen reports whether the shard of a request has an open stream.
 func isOpen(executor *Executor, request Request) bool {
-	shard := executor.shards[request.shard(executor.options.Shards)]
+	shard := executor.shards[request.shardIndex(executor.options.Shards)]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	return shard.stream != nil
@@ -23,7 +23,7 @@
 	ctx := testContext(t)
 	fixture := newFixture(t)
 	fixture.shardIdle = time.Millisecond
-	node := fixture.node(t, "a")
+	node := fixture.startNode(t, "a")
 	request := newRequest("permit-1", "salmon")
 	for range 3 {
 		text, err := execute(ctx, node, request)
@@ -42,7 +42,7 @@
 func TestShardWithExecutionIsNotClosed(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
-	node := fixture.node(t, "a")
+	node := fixture.startNode(t, "a")
 	fixture.router.hold = make(chan struct{})
 	request := newRequest("permit-1", "salmon")
 	var caller sync.WaitGroup
@@ -57,7 +57,7 @@
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(testTimeout))
-	node.shards[request.shard(node.options.Shards)].closeIdle()
+	node.shards[request.shardIndex(node.options.Shards)].closeIdle()
 	assert.Check(t, isOpen(node, request))
 	close(fixture.router.hold)
 	caller.Wait()
@@ -70,7 +70,7 @@
 	fixture := newFixture(t)
 	fixture.shardIdle = time.Microsecond
 	fixture.log.SetControl(standin.Control{LoseAnswers: 0.3, LateMS: 3})
-	nodes := []*Executor{fixture.node(t, "a", "b"), fixture.node(t, "b", "a")}
+	nodes := []*Executor{fixture.startNode(t, "a", "b"), fixture.startNode(t, "b", "a")}
 	keys := []string{"key-0", "key-1", "key-2"}
 	var callers sync.WaitGroup
 	for i := range 6 {
--- a/internal/keyed/keyed_test.go
+++ b/internal/keyed/keyed_test.go
@@ -73,7 +73,7 @@
 	ctx := testContext(t)
 	fixture := newFixture(t)
 	fixture.log.SetControl(standin.Control{LoseAnswers: 0.3, LateMS: 3})
-	nodes := []*Executor{fixture.node(t, "a", "b"), fixture.node(t, "b", "a")}
+	nodes := []*Executor{fixture.startNode(t, "a", "b"), fixture.startNode(t, "b", "a")}
 	var callers sync.WaitGroup
 	for i := range 24 {
 		callers.Go(func() {
@@ -89,7 +89,7 @@
 	}
 
 	// A node that starts later finds the recorded answer.
-	text, err := executeWhile(t, fixture.node(t, "c"), newRequest("key-0", "key-0"), errkind.OutcomeUnknown)
+	text, err := executeWhile(t, fixture.startNode(t, "c"), newRequest("key-0", "key-0"), errkind.OutcomeUnknown)
 	assert.NilError(t, err)
 	assert.Equal(t, text, "answer to key-0")
 	_, err = execute(ctx, nodes[0], newRequest("key-0", "something else"))
@@ -102,7 +102,7 @@
 	ctx := testContext(t)
 	fixture := newFixture(t)
 	fixture.log.SetControl(standin.Control{LoseAnswers: 0.3, LateMS: 3})
-	nodes := []*Executor{fixture.node(t, "a"), fixture.node(t, "b"), fixture.node(t, "c")}
+	nodes := []*Executor{fixture.startNode(t, "a"), fixture.startNode(t, "b"), fixture.startNode(t, "c")}
 	for _, key := range []string{"k0", "k1", "k2", "k3", "k4", "k5"} {
 		var callers sync.WaitGroup
 		for _, node := range nodes {
@@ -125,7 +125,7 @@
 func TestLogOutageRefusesRequestsAndReleasesLateIntents(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
-	node := fixture.node(t, "a")
+	node := fixture.startNode(t, "a")
 	_, err := execute(ctx, node, newRequest("first", "first"))
 	assert.NilError(t, err)
 
@@ -150,11 +150,11 @@
 func TestRefusedRunReleasesTheKey(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
-	nodes := []*Executor{fixture.node(t, "a"), fixture.node(t, "b")}
-	fixture.router.script = func(router.Request) error { return errkind.New(errkind.NoCapacity, "no engine") }
+	nodes := []*Executor{fixture.startNode(t, "a"), fixture.startNode(t, "b")}
+	fixture.router.runError = func(router.Request) error { return errkind.New(errkind.NoCapacity, "no engine") }
 	_, err := execute(ctx, nodes[0], newRequest("k", "k"))
 	assert.Assert(t, errkind.Is(err, errkind.NoCapacity), "%v", err)
-	fixture.router.script = nil
+	fixture.router.runError = nil
 	text, err := execute(ctx, nodes[1], newRequest("k", "k"))
 	assert.NilError(t, err)
 	assert.Equal(t, text, "answer to k")
@@ -163,11 +163,11 @@
 func TestFailedRunIsNeverRepeated(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
-	nodes := []*Executor{fixture.node(t, "a"), fixture.node(t, "b")}
-	fixture.router.script = func(router.Request) error { return errkind.New(errkind.EngineFailed, "crashed") }
+	nodes := []*Executor{fixture.startNode(t, "a"), fixture.startNode(t, "b")}
+	fixture.router.runError = func(router.Request) error { return errkind.New(errkind.EngineFailed, "crashed") }
 	_, err := execute(ctx, nodes[0], newRequest("k", "k"))
 	assert.Assert(t, errkind.Is(err, errkind.EngineFailed), "%v", err)
-	fixture.router.script = nil
+	fixture.router.runError = nil
 	for _, node := range nodes {
 		_, err = execute(ctx, node, newRequest("k", "k"))
 		assert.Assert(t, errkind.Is(err, errkind.OutcomeUnknown), "%v", err)
@@ -177,7 +177,7 @@
 
 func TestRunContinuesAfterCallerDisconnects(t *testing.T) {
 	fixture := newFixture(t)
-	node := fixture.node(t, "a")
+	node := fixture.startNode(t, "a")
 	fixture.router.hold = make(chan struct{})
 	ctx, cancel := context.WithCancel(testContext(t))
 	_, err := node.Execute(ctx, newRequest("k", "k"), func(router.Piece) error {
@@ -199,7 +199,7 @@
 	ctx := testContext(t)
 	fixture := newFixture(t)
 	// The view contains only another node, so each request is forwarded.
-	node := fixture.node(t, "a")
+	node := fixture.startNode(t, "a")
 	node.options.View = otherNodeView{}
 	node.options.Caller = failingCaller{failure: &peer.DeliveryError{Sent: true, Err: errors.New("reset")}}
 	_, err := execute(ctx, node, newRequest("k", "k"))
@@ -222,7 +222,7 @@
 }
 
 func TestInvalidKeysAreRefused(t *testing.T) {
-	node := newFixture(t).node(t, "a")
+	node := newFixture(t).startNode(t, "a")
 	for _, key := range []string{"", strings.Repeat("k", idempotency.MaxKeyBytes)} {
 		_, err := execute(testContext(t), node, newRequest(key, "p"))
 		assert.Assert(t, errkind.Is(err, errkind.InvalidRequest), "%v", err)
@@ -243,7 +243,7 @@
 	fixture := newFixture(t)
 	hold := make(chan struct{})
 	fixture.router.hold = hold
-	node := fixture.node(t, "a")
+	node := fixture.startNode(t, "a")
 	answered := make(chan error, 1)
 	go func() {
 		text, err := execute(ctx, node, newRequest("key", "key"))
--- a/internal/keyed/message.go
+++ b/internal/keyed/message.go
@@ -95,8 +95,8 @@
 	return hex.EncodeToString(hash.Sum(nil)[:16])
 }
 
-// progress is a message of the answer stream of MethodKeyed: a piece, or the result as the last message.
-type progress struct {
+// answerMessage is a message of the answer stream of MethodKeyed: a piece, or the result as the last message.
+type answerMessage struct {
 	Piece  *router.Piece  `msgpack:"p,omitempty"`
 	Result *router.Result `msgpack:"r,omitempty"`
 }
@@ -136,8 +136,8 @@
 // scopedKey returns the key in the log, which is unique across services.
 func (r Request) scopedKey() string { return r.Service + "\x00" + r.Key }
 
-// shard returns the shard of the key, 0..shards-1.
-func (r Request) shard(shards int) int {
+// shardIndex returns the index of the shard of the key, in 0..shards-1.
+func (r Request) shardIndex(shards int) int {
 	return int(xxhash.Sum64String(r.scopedKey()) % uint64(shards))
 }
 
--- a/internal/keyed/shard.go
+++ b/internal/keyed/shard.go
@@ -23,11 +23,11 @@
 	mu      sync.Mutex
 	stream  *logstream.TailedStream
 	reducer *idempotency.Reducer
-	// executions holds a key from its first caller until its outcome or release is in the log, so that this node
-	// has at most one open intent per key.
+	// executions holds the execution of each key from its first caller until its result or release is in the log, so
+	// that this node has at most one open intent per key.
 	executions map[string]*execution
-	// idle calls closeIdle some time after the last execution; nil before the first.
-	idle *time.Timer
+	// idleTimer calls closeIdle after the last execution; nil before the first.
+	idleTimer *time.Timer
 }
 
 func newShard(executor *Executor, index int) *shard {
@@ -45,7 +45,7 @@
 	if current, ok := s.executions[key]; ok {
 		return current, checkSameRequest(current, request)
 	}
-	if len(s.executions) >= maxExecutions {
+	if len(s.executions) >= maxExecutionsPerShard {
 		return nil, errkind.New(errkind.QueueFull, "%d keyed requests active in shard %d", len(s.executions), s.index)
 	}
 	started := newExecution(request.Fingerprint)
@@ -79,7 +79,7 @@
 	s.reducer = idempotency.NewReducer()
 	s.stream = s.executor.options.Manager.Open(streamName(s.index), s.reducer, logstream.StreamOptions{
 		SnapshotEvery:       s.executor.options.SnapshotEvery,
-		MaxSnapshotInterval: snapshotLatestFactor * s.executor.options.SnapshotEvery,
+		MaxSnapshotInterval: maxSnapshotIntervalFactor * s.executor.options.SnapshotEvery,
 		SnapshotFormat:      idempotency.SnapshotFormat,
 	})
 }
@@ -89,8 +89,8 @@
 func (s *shard) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.idle != nil {
-		s.idle.Stop()
+	if s.idleTimer != nil {
+		s.idleTimer.Stop()
 	}
 	if s.stream != nil {
 		s.stream.Close()
@@ -143,7 +143,7 @@
 	contact := s.executor.options.Manager.LastContact(s.stream.Name())
 	entry, known := s.lookup(key)
 	open := known && entry.ResultOffset == idempotency.NoResult
-	if time.Since(contact) < tailFreshness && !open {
+	if time.Since(contact) < maxTailAge && !open {
 		return entry, known, nil
 	}
 	if err := s.catchUp(); err != nil {
