--- a/internal/logusage/logusage.go
+++ b/internal/logusage/logusage.go
@@ -24,11 +24,11 @@
 type Outcome string
 
 const (
-	// Answered means that the log made the call, or reported a conflict or records that it no longer keeps.
+	// Answered means that the log performed the call, or reported a conflict or records that it no longer keeps.
 	Answered Outcome = "answered"
-	// Refused means that the log refused the call or could not be reached; the call was not made.
+	// Refused means that the log refused the call or could not be reached; the call was not performed.
 	Refused Outcome = "refused"
-	// Unanswered means that it is unknown whether the log made the call, or its reply was incomplete.
+	// Unanswered means that it is unknown whether the log performed the call, or that its reply was incomplete.
 	Unanswered Outcome = "unanswered"
 	// Abandoned means that the caller canceled the call.
 	Abandoned Outcome = "abandoned"
--- a/internal/logusage/logusage_test.go
+++ b/internal/logusage/logusage_test.go
@@ -55,11 +55,11 @@
 func TestOutcomesOfFailedCallsDiffer(t *testing.T) {
 	partition := eventlog.Partition{Topic: "t"}
 	var calls []Call
-	count := func(call Call) { calls = append(calls, call) }
+	record := func(call Call) { calls = append(calls, call) }
 	refusing := memlog.New()
 	refusing.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
-	_, _ = New(refusing, count).Read(t.Context(), partition, 0, 1024, 0)
-	unresponsive := New(unresponsiveLog{memlog.New()}, count)
+	_, _ = New(refusing, record).Read(t.Context(), partition, 0, 1024, 0)
+	unresponsive := New(unresponsiveLog{memlog.New()}, record)
 	expiring, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	_, _ = unresponsive.Read(expiring, partition, 0, 1024, 0)
--- a/internal/logusage/summary.go
+++ b/internal/logusage/summary.go
@@ -73,12 +73,12 @@
 	s.topics = make(map[string]*topicUsage)
 	s.mu.Unlock()
 	names := make([]string, 0, len(topics))
-	failed := false
+	hasFailures := false
 	for name, usage := range topics {
 		names = append(names, name)
-		failed = failed || usage.refused+usage.unanswered > 0
+		hasFailures = hasFailures || usage.refused+usage.unanswered > 0
 	}
-	if !failed {
+	if !hasFailures {
 		return
 	}
 	slices.Sort(names)
