--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -44,16 +44,16 @@
 	Next int64
 }
 
-// Log is the platform's log. Each call returns when its context ends.
+// Log is a client of the log. Each call returns when its context ends.
 type Log interface {
 	// Append appends the records atomically and returns the offset of the first one.
 	Append(ctx context.Context, partition Partition, records [][]byte) (int64, error)
 	// AppendAt appends only if the partition ends at end; otherwise it returns a *ConflictError.
 	AppendAt(ctx context.Context, partition Partition, end int64, records [][]byte) (int64, error)
-	// Read returns about limit bytes of records starting at offset from. If there are none it waits for one up
-	// to the given time. It returns a *TrimmedError if the offset is no longer retained.
+	// Read returns about limit bytes of records starting at offset from. If there are none, it waits for one, at
+	// most for the given time. It returns a *TrimmedError if the offset is no longer retained.
 	Read(ctx context.Context, partition Partition, from int64, limit int, wait time.Duration) (Batch, error)
-	// PutKeyed appends records to a compacted topic atomically; it ignores their offsets.
+	// PutKeyed appends records to a compacted topic atomically; it ignores the Offset of each record.
 	PutKeyed(ctx context.Context, topic string, records []KeyedRecord) error
 	// Newest returns the latest record of each key of a compacted topic.
 	Newest(ctx context.Context, topic string) (KeyedBatch, error)
@@ -64,7 +64,7 @@
 // ErrNotDone means that the call was refused or never sent: it has no effect, now or later.
 var ErrNotDone = errors.New("log call not performed")
 
-// ErrThrottled is an ErrNotDone: the nodes together exceeded the log's call rate.
+// ErrThrottled means that all nodes together exceeded the call rate of the log. It wraps ErrNotDone.
 var ErrThrottled = errors.Wrap(ErrNotDone, "throttled")
 
 // ErrOutcomeUnknown means that the call may have taken effect, or may still do so.
