--- a/internal/common/boottime/boottime.go
+++ b/internal/common/boottime/boottime.go
@@ -12,10 +12,10 @@
 // Now returns the time since boot as a time.Time. It must only be compared with other values of this clock,
 // never with those of time.Now.
 func Now() time.Time {
-	var read unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &read); err != nil {
+	var sinceBoot unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &sinceBoot); err != nil {
 		// CLOCK_BOOTTIME is available since Linux 2.6.39.
-		panic("boottime: " + err.Error())
+		panic("boottime: read CLOCK_BOOTTIME: " + err.Error())
 	}
-	return time.Unix(read.Unix())
+	return time.Unix(sinceBoot.Unix())
 }
--- a/internal/common/connlost/connlost.go
+++ b/internal/common/connlost/connlost.go
@@ -1,5 +1,4 @@
-// Package connlost distinguishes connections closed by the peer from those that were canceled locally or
-// became unresponsive.
+// Package connlost distinguishes errors of connections that the peer closed from cancellations and timeouts.
 package connlost
 
 import (
--- a/internal/common/fixedseed/fixedseed.go
+++ b/internal/common/fixedseed/fixedseed.go
@@ -5,7 +5,7 @@
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // registers the flag that init sets
+	_ "pgregory.net/rapid" // registers the flag -rapid.seed
 )
 
 // seed is the default of -rapid.seed.
--- a/internal/common/msgpackhttp/msgpackhttp.go
+++ b/internal/common/msgpackhttp/msgpackhttp.go
@@ -23,8 +23,8 @@
 
 // CallExpectContinue is like Call with "Expect: 100-continue": the body is sent only when the peer requests it, at
 // the cost of a round trip. A peer that resumes after a suspension thus receives no request whose sender has
-// already given up. The client's transport needs an ExpectContinueTimeout longer than that of ctx, since it
-// sends the body unrequested afterwards.
+// already given up. The ExpectContinueTimeout of the client's transport must exceed the timeout of ctx, since the
+// transport sends the body without a request once it expires.
 func CallExpectContinue(ctx context.Context, client *http.Client, url string, request, response any, maxBytes int64) error {
 	return call(ctx, client, url, http.Header{"Expect": {"100-continue"}}, request, response, maxBytes)
 }
@@ -45,7 +45,7 @@
 	httpRequest.GetBody = nil
 	httpResponse, err := client.Do(httpRequest)
 	if err != nil {
-		return errors.Wrap(err, "ask")
+		return errors.Wrap(err, "send request")
 	}
 	defer httpResponse.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxBytes))
@@ -53,7 +53,7 @@
 		return errors.Wrap(err, "read response")
 	}
 	if httpResponse.StatusCode != http.StatusOK {
-		return errors.Errorf("status %d", httpResponse.StatusCode)
+		return errors.Errorf("unexpected HTTP status %d", httpResponse.StatusCode)
 	}
 	return decode(content, response)
 }
--- a/internal/common/suspension/suspension.go
+++ b/internal/common/suspension/suspension.go
@@ -1,4 +1,4 @@
-// Package suspension detects suspensions of this process or its machine, after which its state of other
+// Package suspension detects suspensions of this process or its machine, after which its information about other
 // nodes may be outdated.
 package suspension
 
@@ -15,7 +15,7 @@
 const (
 	tickInterval = 250 * time.Millisecond
 	// minSuspension is the minimum time without a tick that counts as a suspension. It must exceed the
-	// scheduling delays of a busy machine; calls of ResumedAt also tick if the ticker is late.
+	// scheduling delays of a busy machine; calls of ResumedAt also tick if Run is late.
 	minSuspension = time.Second
 )
 
