--- a/internal/cluster/announce.go
+++ b/internal/cluster/announce.go
@@ -14,10 +14,10 @@
 // loadChangeDivisor sets the minimum load change that is announced: slots / loadChangeDivisor.
 const loadChangeDivisor = 16
 
-// ownCell is a cell announced by this node.
+// ownCell is the last digest of a cell announced by this node.
 type ownCell struct {
-	digest message.CellDigest
-	at     time.Time
+	digest      message.CellDigest
+	announcedAt time.Time
 }
 
 // AnnounceOwned implements Announcer. Changes are pushed immediately to all members of the zone and to one
@@ -43,8 +43,8 @@
 	c.cells.add(digest, now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before, known := c.own[digest.Cell]
-	c.own[digest.Cell] = ownCell{digest: digest, at: now}
+	before, known := c.ownCells[digest.Cell]
+	c.ownCells[digest.Cell] = ownCell{digest: digest, announcedAt: now}
 	if !known || capacityChanged(before.digest, digest) {
 		c.setOwnCells(now)
 		c.requestPush(false)
@@ -56,19 +56,21 @@
 	return a.Engines != b.Engines || a.Slots != b.Slots || !slices.Equal(a.Models, b.Models)
 }
 
+// loadChanged reports whether the load differs by at least the announced minimum, or the queue became empty or
+// non-empty.
 func loadChanged(a cellState, b message.CellDigest) bool {
-	step := b.Slots/loadChangeDivisor + 1
-	runningChanged := max(a.Running-b.Running, b.Running-a.Running) >= step
-	return runningChanged || max(a.Queued-b.Queued, b.Queued-a.Queued) >= step || (a.Queued == 0) != (b.Queued == 0)
+	minChange := b.Slots/loadChangeDivisor + 1
+	runningChanged := max(a.Running-b.Running, b.Running-a.Running) >= minChange
+	return runningChanged || max(a.Queued-b.Queued, b.Queued-a.Queued) >= minChange || (a.Queued == 0) != (b.Queued == 0)
 }
 
-// refreshOwnCells updates the own record if cell loads have changed, and drops cells that were not announced
-// in time. Must be called with mu held.
+// refreshOwnCells updates this node's record if cell loads have changed, and drops cells whose announcement has
+// expired. Must be called with mu held.
 func (c *Cluster) refreshOwnCells(now time.Time) {
 	changed := false
-	for id, cell := range c.own {
-		if now.Sub(cell.at) > cellAnnounceTimeout {
-			delete(c.own, id)
+	for id, cell := range c.ownCells {
+		if now.Sub(cell.announcedAt) > cellAnnounceTimeout {
+			delete(c.ownCells, id)
 			changed = true
 			continue
 		}
@@ -88,10 +90,10 @@
 	return true
 }
 
-// setOwnCells updates the cells in the own record. Must be called with mu held.
+// setOwnCells updates the cells in this node's record. Must be called with mu held.
 func (c *Cluster) setOwnCells(now time.Time) {
-	cells := make([]cellState, 0, len(c.own))
-	for _, cell := range c.own {
+	cells := make([]cellState, 0, len(c.ownCells))
+	for _, cell := range c.ownCells {
 		cells = append(cells, newCellState(cell.digest, c.self.Zone))
 	}
 	c.self.Cells = cells
@@ -140,8 +142,8 @@
 	c.requestPush(true)
 }
 
-// requestPush schedules a push of the own record, optionally also to other zones. Must be called with mu
-// held.
+// requestPush schedules a push of this node's record to its zone, and to the other zones if remote is set. Must be
+// called with mu held.
 func (c *Cluster) requestPush(remote bool) {
 	c.pushSelf = true
 	c.pushSelfRemote = c.pushSelfRemote || remote
@@ -155,8 +157,9 @@
 	}
 }
 
-// pushAnnouncements sends queued membership messages, the own record and death notices to the zone and to
-// one contact of each other zone, and forwards records and notices of other zones within this one.
+// pushAnnouncements sends the queued membership messages, pushes this node's record to the zone and, if requested, to
+// one contact of each other zone, sends death notices to these contacts, and forwards records and death notices of
+// other zones within this one.
 func (c *Cluster) pushAnnouncements(ctx context.Context) {
 	c.mu.Lock()
 	messages, local := c.outbox, c.forwardRecords
--- a/internal/cluster/cells.go
+++ b/internal/cluster/cells.go
@@ -19,20 +19,20 @@
 // cellStore holds the digests of all known cells. It has a separate lock, since it is updated on the data
 // path.
 type cellStore struct {
-	mu    sync.RWMutex
-	cells map[message.CellID]*cellEntry
-	order []*cellEntry
-	// byNode indexes the cells by the nodes with a stored digest.
+	mu     sync.RWMutex
+	cells  map[message.CellID]*cellEntry
+	sorted []*cellEntry // by cell ID
+	// byNode holds the cells with a stored digest of each node.
 	byNode map[string]map[message.CellID]struct{}
 }
 
-// cellEntry holds the last digest of each dispatcher that announced the cell.
+// cellEntry holds the last digest received from each dispatcher of the cell.
 type cellEntry struct {
-	id         message.CellID
-	candidates []cellCandidate // most recent first
+	id       message.CellID
+	received []receivedDigest // most recent first
 }
 
-type cellCandidate struct {
+type receivedDigest struct {
 	digest message.CellDigest
 	at     time.Time
 }
@@ -54,30 +54,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry := s.entry(digest.Cell)
-	at := slices.IndexFunc(entry.candidates, func(c cellCandidate) bool { return c.digest.Node == digest.Node })
-	if at >= 0 {
-		if digest.Sequence <= entry.candidates[at].digest.Sequence {
+	index := slices.IndexFunc(entry.received, func(r receivedDigest) bool { return r.digest.Node == digest.Node })
+	if index >= 0 {
+		if digest.Sequence <= entry.received[index].digest.Sequence {
 			return
 		}
-		entry.candidates = slices.Delete(entry.candidates, at, at+1)
+		entry.received = slices.Delete(entry.received, index, index+1)
 	}
-	entry.candidates = slices.Insert(entry.candidates, 0, cellCandidate{digest: digest, at: now})
+	entry.received = slices.Insert(entry.received, 0, receivedDigest{digest: digest, at: now})
 	if s.byNode[digest.Node] == nil {
 		s.byNode[digest.Node] = make(map[message.CellID]struct{})
 	}
 	s.byNode[digest.Node][digest.Cell] = struct{}{}
 }
 
+// entry returns the entry of a cell, creating it if needed. Must be called with mu held.
 func (s *cellStore) entry(id message.CellID) *cellEntry {
 	if entry, known := s.cells[id]; known {
 		return entry
 	}
 	entry := &cellEntry{id: id}
 	s.cells[id] = entry
-	at, _ := slices.BinarySearchFunc(s.order, id, func(e *cellEntry, id message.CellID) int {
+	index, _ := slices.BinarySearchFunc(s.sorted, id, func(e *cellEntry, id message.CellID) int {
 		return compareCells(e.id, id)
 	})
-	s.order = slices.Insert(s.order, at, entry)
+	s.sorted = slices.Insert(s.sorted, index, entry)
 	return entry
 }
 
@@ -85,9 +86,9 @@
 func (s *cellStore) all() []message.CellDigest {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	digests := make([]message.CellDigest, 0, len(s.order))
-	for _, entry := range s.order {
-		digests = append(digests, entry.candidates[0].digest)
+	digests := make([]message.CellDigest, 0, len(s.sorted))
+	for _, entry := range s.sorted {
+		digests = append(digests, entry.received[0].digest)
 	}
 	return digests
 }
@@ -96,15 +97,15 @@
 func (s *cellStore) retain(keep func(digest message.CellDigest, at time.Time) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.order = slices.DeleteFunc(s.order, func(entry *cellEntry) bool {
-		entry.candidates = slices.DeleteFunc(entry.candidates, func(c cellCandidate) bool {
-			if keep(c.digest, c.at) {
+	s.sorted = slices.DeleteFunc(s.sorted, func(entry *cellEntry) bool {
+		entry.received = slices.DeleteFunc(entry.received, func(r receivedDigest) bool {
+			if keep(r.digest, r.at) {
 				return false
 			}
-			s.unindex(c.digest)
+			s.unindex(r.digest)
 			return true
 		})
-		if len(entry.candidates) > 0 {
+		if len(entry.received) > 0 {
 			return false
 		}
 		delete(s.cells, entry.id)
@@ -113,10 +114,10 @@
 }
 
 // unindex removes a digest from byNode.
-func (s *cellStore) unindex(dropped message.CellDigest) {
-	delete(s.byNode[dropped.Node], dropped.Cell)
-	if len(s.byNode[dropped.Node]) == 0 {
-		delete(s.byNode, dropped.Node)
+func (s *cellStore) unindex(removed message.CellDigest) {
+	delete(s.byNode[removed.Node], removed.Cell)
+	if len(s.byNode[removed.Node]) == 0 {
+		delete(s.byNode, removed.Node)
 	}
 }
 
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -31,14 +31,15 @@
 	// viewStale is set when the state from which the view is built has changed.
 	viewStale atomic.Bool
 	// wake triggers an immediate push of announcements by Run.
-	wake  chan struct{}
-	calls sync.WaitGroup
+	wake chan struct{}
+	// background counts the running tasks and calls to other nodes.
+	background sync.WaitGroup
 
 	mu             sync.Mutex
 	node           *membership.Node
 	random         *rand.Rand
 	self           record
-	own            map[message.CellID]ownCell
+	ownCells       map[message.CellID]ownCell
 	zones          map[string]*zoneRecords
 	writers        map[string]string              // last known writer by member ID, this zone only
 	contacts       map[string]map[string]struct{} // addresses by zone
@@ -47,8 +48,8 @@
 	logContact     time.Time
 	engines        engineListState
 	schedule       schedule
-	pushSelf       bool // push the own record to all members of the zone
-	pushSelfRemote bool // also push it to the other zones
+	pushSelf       bool // push this node's record to all members of the zone
+	pushSelfRemote bool // push it to the other zones
 	// outbox and forwardRecords are sent to the zone by the next pushAnnouncements.
 	outbox         []membership.Message
 	forwardRecords []record
@@ -88,7 +89,7 @@
 		wake:          make(chan struct{}, 1),
 		node:          node,
 		random:        rand.New(rand.NewPCG(seed, uint64(now.UnixNano()))),
-		own:           make(map[message.CellID]ownCell),
+		ownCells:      make(map[message.CellID]ownCell),
 		zones:         map[string]*zoneRecords{options.Self.Zone: newZoneRecords()},
 		writers:       make(map[string]string),
 		contacts:      make(map[string]map[string]struct{}),
@@ -117,7 +118,7 @@
 
 // Run maintains the membership until ctx ends, then returns nil.
 func (c *Cluster) Run(ctx context.Context) error {
-	defer c.calls.Wait()
+	defer c.background.Wait()
 	c.startSchedule(time.Now())
 	ticker := time.NewTicker(c.tick)
 	defer ticker.Stop()
@@ -149,7 +150,7 @@
 	messages := c.drainReady(now)
 	c.mu.Unlock()
 	c.dispatch(ctx, messages)
-	c.runDue(ctx, now)
+	c.startDueTasks(ctx, now)
 }
 
 // drainReady applies the pending changes of the membership node and returns the messages to send. It must be
@@ -165,8 +166,8 @@
 	return ready.Messages
 }
 
-// handleMemberChange updates the state for a changed member; it removes the records and cells of dead or
-// replaced processes. Must be called with mu held.
+// handleMemberChange records the member's current process and removes the records and cells of dead or replaced
+// processes. Must be called with mu held.
 func (c *Cluster) handleMemberChange(change membership.Update, now time.Time) {
 	if change.ID == c.self.ID {
 		c.checkSuperseded()
@@ -199,20 +200,19 @@
 	}
 }
 
-// Superseded returns a channel that is closed when another process has taken over this node's ID. The
-// process must then stop without announcing it: other nodes would apply its leave message to the new
-// process.
+// Superseded returns a channel that is closed when another process has taken over this node's ID. This process must
+// then stop without a leave message, since other nodes would apply the message to the new process.
 func (c *Cluster) Superseded() <-chan struct{} { return c.superseded }
 
-// StartedRecently reports whether this process started recently enough to supersede another process with the same ID.
-// Later it is superseded instead.
+// StartedRecently reports whether this process started recently enough to supersede another process with the same ID;
+// after that, the other process supersedes it.
 func (c *Cluster) StartedRecently() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.node.CanTakeOver()
 }
 
-// bumpSelfVersion gives the own record a version above all earlier ones, including those of a previous
+// bumpSelfVersion gives this node's record a version above all earlier ones, including those of a previous
 // process unless the clock was set back.
 func (c *Cluster) bumpSelfVersion(now time.Time) {
 	c.self.Version = max(c.self.Version+1, uint32(now.Unix()))
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -22,10 +22,10 @@
 		reachable, known := n.Reachability()
 		return reachable == 6 && known == 7
 	}))
-	fresh := startNode(t, testSettings{
+	restarted := startNode(t, testSettings{
 		id: "a-n3", zone: "a", writer: "w2-", address: address, seeds: []string{nodes[0].Self().Address},
 	})
-	nodes[3] = fresh
+	nodes[3] = restarted
 	eventually(t, "restart is seen", allSeeAlive(nodes, 7))
 	eventually(t, "new process supersedes", allSatisfy(nodes, func(n *testNode) bool {
 		for _, member := range n.Members() {
@@ -46,7 +46,7 @@
 	eventually(t, "leaving is seen", allSatisfy(rest, func(n *testNode) bool {
 		return n.stateOf("a-n4") == StateLeaving && len(n.Candidates("a")) == 4
 	}))
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	assert.NilError(t, leaver.Leave(ctx))
 	for _, node := range rest {
@@ -67,8 +67,8 @@
 	eventually(t, "resumed node is alive", allSeeAlive(nodes, 5))
 }
 
-// Guards against split groups: nodes seeded only from another zone may at first know only some nodes of
-// their own.
+// Guards against separate memberships within a zone: nodes seeded only from another zone may at first know only
+// some nodes of their own.
 func TestNodesSeededFromOtherZoneFormOneZone(t *testing.T) {
 	seed := startNode(t, testSettings{id: "s", zone: "s"})
 	nodes := []*testNode{seed}
@@ -160,21 +160,21 @@
 	}))
 }
 
-func engine(id, zone string, state machines.State) machines.Machine {
+func newEngine(id, zone string, state machines.State) machines.Machine {
 	return machines.Machine{ID: id, Role: machines.RoleEngine, Address: id + ":80", Zone: zone, Pool: "p", State: state}
 }
 
 func TestEngineListPollingAndOutage(t *testing.T) {
 	source := &fakeMachines{}
-	live := engine("e1", "a", machines.StateLive)
-	source.set(false, live, engine("e2", "a", machines.StateLive), engine("e3", "b", machines.StateLive))
+	live := newEngine("e1", "a", machines.StateLive)
+	source.set(false, live, newEngine("e2", "a", machines.StateLive), newEngine("e3", "b", machines.StateLive))
 	nodes := startZone(t, "a", 5, source)
 	eventually(t, "all have joined", allSeeAlive(nodes, 5))
 	eventually(t, "list is known", allSatisfy(nodes, func(n *testNode) bool { return len(n.Engines("a")) == 2 }))
 	assert.Equal(t, len(nodes[0].Engines("b")), 0)
 
-	source.set(false, live, engine("e2", "a", machines.StateLeaving))
-	eventually(t, "leaving mark is known", allSatisfy(nodes, func(n *testNode) bool { return n.Engines("")[1].Leaving }))
+	source.set(false, live, newEngine("e2", "a", machines.StateLeaving))
+	eventually(t, "leaving state is known", allSatisfy(nodes, func(n *testNode) bool { return n.Engines("")[1].Leaving }))
 	eventually(t, "two nodes read the list", func() bool {
 		pollers := 0
 		for _, node := range nodes {
@@ -191,7 +191,7 @@
 	source.mu.Lock()
 	before := source.reads
 	source.mu.Unlock()
-	eventually(t, "list was tried while down", func() bool {
+	eventually(t, "list was requested during the outage", func() bool {
 		source.mu.Lock()
 		defer source.mu.Unlock()
 		return source.reads > before+5
--- a/internal/cluster/death.go
+++ b/internal/cluster/death.go
@@ -15,15 +15,15 @@
 // reporter fails too.
 const reportersPerDeath = 2
 
-// deathNotice reports to other zones that a process is dead, ahead of their next pull. The next pull also
-// corrects lost or wrong notices.
+// deathNotice tells other zones that a process is dead before their next pull. That pull corrects lost or wrong
+// notices.
 type deathNotice struct {
 	Zone string
 	Key  recordKey
 }
 
-// queueDeathNotice queues a notice if this node is designated to report the death. Must be called with mu
-// held.
+// queueDeathNotice queues a notice unless the node left by a planned shutdown or other nodes are designated to report
+// its death. Must be called with mu held.
 func (c *Cluster) queueDeathNotice(dead membership.Update) {
 	if dead.Leaving || !c.isDesignated(dead.ID, reportersPerDeath) {
 		return
@@ -42,7 +42,7 @@
 		}
 	}
 	for range min(count, len(ids)) {
-		// A new ranking for each round: Rendezvous.Remove corrupts the indexes of the library.
+		// The ranking is rebuilt in each round, since Rendezvous.Remove corrupts the library's node indexes.
 		preferred := rendezvous.New(ids, xxhash.Sum64String).Lookup(key)
 		if preferred == c.self.ID {
 			return true
--- a/internal/cluster/death_test.go
+++ b/internal/cluster/death_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Disables pulls, so that only a death notice can remove the node in the other zone.
+// Guards against lost death notices. Pulls are disabled, so that only a notice can remove the node in the other zone.
 func TestDeathNoticeReachesOtherZones(t *testing.T) {
 	local := startZone(t, "near", 3, nil)
 	remote := startZone(t, "far", 3, nil, local[0].Self().Address)
@@ -15,7 +15,7 @@
 	eventually(t, "all have joined", allSeeAlive(all, len(all)))
 	for _, node := range local {
 		node.mu.Lock()
-		node.schedule.remote = time.Now().Add(2 * testLimit)
+		node.schedule.remote = time.Now().Add(2 * testTimeout)
 		node.mu.Unlock()
 	}
 	dead := remote[2].Self().ID
--- a/internal/cluster/enginelist.go
+++ b/internal/cluster/enginelist.go
@@ -17,7 +17,7 @@
 	// pollFallbackPeriods is the number of protocol periods without a successful read in the zone after
 	// which every node reads the list.
 	pollFallbackPeriods = 16
-	// pollersKey and pollersPerZone select the nodes that read the list.
+	// pollersPerZone nodes, designated by pollersKey, read the list.
 	pollersKey     = "machine-list"
 	pollersPerZone = 2
 )
@@ -30,8 +30,8 @@
 	// list is known.
 	confirmedAt time.Time
 	failing     bool
-	// wanted is set when another node is known to have a newer list.
-	wanted bool
+	// outdated is set when another node is known to have a newer list.
+	outdated bool
 }
 
 // engineStamp identifies a list and its age.
@@ -72,6 +72,7 @@
 	return engineStamp{Hash: e.hash, Age: max(0, now.Sub(e.confirmedAt).Milliseconds())}
 }
 
+// pollPeriods returns the interval between reads of the machine list in protocol periods.
 func (e *engineListState) pollPeriods() int {
 	if e.failing {
 		return pollPeriodsFailing
@@ -79,18 +80,18 @@
 	return pollPeriods
 }
 
-// replace sets the list that was current at the given time.
+// replace stores a list that was read from the platform at the given time.
 func (e *engineListState) replace(list []EngineMachine, hash uint64, at time.Time) {
 	e.list, e.hash, e.confirmedAt = list, hash, at
-	e.wanted = false
+	e.outdated = false
 }
 
 // diff returns the changes that lead to the next list.
 func (e *engineListState) diff(next []EngineMachine) *engineDelta {
 	delta := &engineDelta{Base: e.hash}
 	for _, engine := range next {
-		at, known := slices.BinarySearchFunc(e.list, engine, compareEngines)
-		if !known || e.list[at] != engine {
+		index, known := slices.BinarySearchFunc(e.list, engine, compareEngines)
+		if !known || e.list[index] != engine {
 			delta.Changed = append(delta.Changed, engine)
 		}
 	}
@@ -113,8 +114,8 @@
 	return next
 }
 
-// applyEngineDelta applies a pushed delta if its base is the current list. Otherwise the response carries
-// this node's stamp, and the sender pushes the complete list. Must be called with mu held.
+// applyEngineDelta applies a pushed delta if it is newer and its base is the current list. If the base differs, the
+// sender sees this from the stamp in the response and pushes the complete list. Must be called with mu held.
 func (c *Cluster) applyEngineDelta(delta *engineDelta, now time.Time) {
 	if delta == nil || delta.Stamp.Age < 0 {
 		return
@@ -148,16 +149,16 @@
 	switch {
 	case !c.engines.confirmedAt.IsZero() && stamp.Hash == c.engines.hash:
 		c.engines.confirmedAt = at
-		c.engines.wanted = false
+		c.engines.outdated = false
 	case stamp.Hash == hashEngines(list):
 		c.engines.replace(list, stamp.Hash, at)
 	default:
-		c.engines.wanted = true
+		c.engines.outdated = true
 	}
 }
 
-// shouldPoll reports whether this node should read the machine list: the designated nodes of the zone do,
-// and every node once their reads are overdue. Must be called with mu held.
+// shouldPoll reports whether this node should read the machine list: it is designated to, or the list was not
+// confirmed for pollFallbackPeriods. Must be called with mu held.
 func (c *Cluster) shouldPoll(now time.Time) bool {
 	if c.options.Machines == nil {
 		return false
@@ -185,12 +186,12 @@
 		return
 	}
 	for _, address := range members {
-		c.calls.Go(func() { c.pushEngines(ctx, address, delta) })
+		c.background.Go(func() { c.pushEngines(ctx, address, delta) })
 	}
 }
 
-// applyMachineList sets a list read from the platform. It returns the delta and the members to push it to,
-// or nil if nothing changed.
+// applyMachineList stores a list read from the platform. It returns the delta and the addresses of the members to push
+// it to, or nil if nothing changed.
 func (c *Cluster) applyMachineList(list machines.List, requestedAt time.Time) (*engineDelta, []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/handle.go
+++ b/internal/cluster/gossiphandler.go
@@ -68,7 +68,8 @@
 	return response, reply
 }
 
-// addLocalZoneResponse adds the parts that are only exchanged within a zone.
+// addLocalZoneResponse sets the parts that are only exchanged within a zone. Gone is cleared, since within a
+// zone failure detection decides which processes are dead. Must be called with mu held.
 func (c *Cluster) addLocalZoneResponse(incoming gossipRequest, response *gossipResponse, reply *payload, now time.Time) {
 	response.Gone = nil
 	response.Engines = c.engines.stamp(now)
--- a/internal/cluster/harness_test.go
+++ b/internal/cluster/harness_test.go
@@ -19,7 +19,7 @@
 const (
 	// testProbeInterval is short, but tolerates delays on a busy machine.
 	testProbeInterval = 100 * time.Millisecond
-	testLimit         = 30 * time.Second
+	testTimeout       = 30 * time.Second
 )
 
 // faults is a Caller that simulates partitions and pauses of its node.
@@ -177,14 +177,14 @@
 	return nodes
 }
 
-func eventually(t testing.TB, what string, holds func() bool) {
+func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if holds() {
+		if condition() {
 			return poll.Success()
 		}
 		return poll.Continue("%s", what)
-	}, poll.WithTimeout(testLimit), poll.WithDelay(10*time.Millisecond))
+	}, poll.WithTimeout(testTimeout), poll.WithDelay(10*time.Millisecond))
 }
 
 // stateOf returns the state of a member as seen by the node; dead if unknown.
@@ -214,10 +214,10 @@
 	}
 }
 
-func allSatisfy(nodes []*testNode, holds func(node *testNode) bool) func() bool {
+func allSatisfy(nodes []*testNode, condition func(node *testNode) bool) func() bool {
 	return func() bool {
 		for _, node := range nodes {
-			if !holds(node) {
+			if !condition(node) {
 				return false
 			}
 		}
--- a/internal/cluster/lost_zone_test.go
+++ b/internal/cluster/lost_zone_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// All nodes of a zone fail at once, so that none is left to send death notices.
+// Guards against listing the nodes of a zone that failed as a whole, which leaves no node to send death notices.
 func TestLostZoneHasNoCandidatesOrOwners(t *testing.T) {
 	local := startZone(t, "near", 2, nil)
 	remote := startZone(t, "far", 3, nil, local[0].Self().Address)
@@ -37,7 +37,7 @@
 	remote := startZone(t, "far", 2, nil, local[0].Self().Address)
 	all := append(append([]*testNode{}, local...), remote...)
 	eventually(t, "all have joined", allSeeAlive(all, len(all)))
-	cut := func(from, to []*testNode) {
+	blockCalls := func(from, to []*testNode) {
 		var addresses []string
 		for _, node := range to {
 			addresses = append(addresses, node.Self().Address)
@@ -46,18 +46,19 @@
 			node.faults.block(addresses...)
 		}
 	}
-	cut(local, remote)
-	cut(remote, local)
-	alone := func(nodes []*testNode) func() bool {
+	blockCalls(local, remote)
+	blockCalls(remote, local)
+	seesOnlyItself := func(nodes []*testNode) func() bool {
 		return allSatisfy(nodes, func(node *testNode) bool { return len(node.Candidates("")) == len(nodes) })
 	}
-	eventually(t, "each zone sees only itself", func() bool { return alone(local)() && alone(remote)() })
-	cut(local, nil)
-	cut(remote, nil)
+	eventually(t, "each zone sees only itself", func() bool { return seesOnlyItself(local)() && seesOnlyItself(remote)() })
+	blockCalls(local, nil)
+	blockCalls(remote, nil)
 	eventually(t, "all nodes see each other", allSeeAlive(all, len(all)))
 }
 
-// Disables remote pulls, so that only the zone check can detect the partition.
+// Guards against detecting a partition too late to reject new work. Remote pulls are disabled, so that only the zone
+// check can detect it.
 func TestStaleLogContactTriggersZoneCheck(t *testing.T) {
 	// With this interval a zone counts as reachable for 45 s after its last contact.
 	const interval = 1500 * time.Millisecond
@@ -77,7 +78,7 @@
 	}
 	node.faults.block(addresses...)
 	node.mu.Lock()
-	node.schedule.remote = time.Now().Add(2 * testLimit)
+	node.schedule.remote = time.Now().Add(2 * testTimeout)
 	node.mu.Unlock()
 	node.AnnounceLogContact(time.Now())
 	eventually(t, "the node sees only itself as reachable", func() bool {
--- a/internal/cluster/ownershipannouncer_test.go
+++ b/internal/cluster/ownershipannouncer_test.go
@@ -18,13 +18,13 @@
 
 func TestOwnershipAnnouncerMergesSources(t *testing.T) {
 	recorder := &ownedRecorder{}
-	joined := cluster.NewOwnershipAnnouncer(recorder)
-	trainers, orders := joined.Source(), joined.Source()
-	steps := cluster.Ownership{Stream: "steps/a", Epoch: 1}
-	weights := cluster.Ownership{Stream: "orders/b", Epoch: 2}
-	trainers.AnnounceOwned([]cluster.Ownership{steps})
-	orders.AnnounceOwned([]cluster.Ownership{weights})
-	assert.DeepEqual(t, recorder.owned, []cluster.Ownership{steps, weights})
-	trainers.AnnounceOwned(nil)
-	assert.DeepEqual(t, recorder.owned, []cluster.Ownership{weights})
+	announcer := cluster.NewOwnershipAnnouncer(recorder)
+	first, second := announcer.Source(), announcer.Source()
+	stepsOwned := cluster.Ownership{Stream: "steps/a", Epoch: 1}
+	ordersOwned := cluster.Ownership{Stream: "orders/b", Epoch: 2}
+	first.AnnounceOwned([]cluster.Ownership{stepsOwned})
+	second.AnnounceOwned([]cluster.Ownership{ordersOwned})
+	assert.DeepEqual(t, recorder.owned, []cluster.Ownership{stepsOwned, ordersOwned})
+	first.AnnounceOwned(nil)
+	assert.DeepEqual(t, recorder.owned, []cluster.Ownership{ordersOwned})
 }
--- a/internal/cluster/pack.go
+++ b/internal/cluster/pack.go
@@ -22,12 +22,13 @@
 	// compressMinSize is the size in bytes from which a payload is compressed.
 	compressMinSize = 256
 	// maxPayloadSize limits a decompressed payload in bytes.
-	maxPayloadSize      = 8 << 20
-	packedPlain    byte = 0
-	packedFlate    byte = 1
+	maxPayloadSize = 8 << 20
+	// The first byte of a packed payload is its encoding.
+	packedPlain byte = 0
+	packedFlate byte = 1
 )
 
-var errMalformedPayload = errors.New("gossip payload is malformed")
+var errMalformedPayload = errors.New("gossip payload has an unknown encoding or exceeds the size limit")
 
 // pack encodes a payload, compressed if large; an empty one is encoded as nil.
 func pack(content payload) ([]byte, error) {
--- a/internal/cluster/probe.go
+++ b/internal/cluster/probe.go
@@ -19,7 +19,7 @@
 		if outgoing.Kind == membership.Ack {
 			continue // acks are returned as call responses
 		}
-		c.calls.Go(func() { c.sendProbe(ctx, outgoing) })
+		c.background.Go(func() { c.sendProbe(ctx, outgoing) })
 	}
 }
 
@@ -73,7 +73,7 @@
 			return encode(c.probeResponse(outgoing))
 		}
 	}
-	return nil, errkind.New(errkind.NotFound, "node %q does not answer for %q", c.options.Self.ID, incoming.To)
+	return nil, errkind.New(errkind.NotFound, "node %q did not acknowledge a probe of %q", c.options.Self.ID, incoming.To)
 }
 
 // handleProbeIndirect pings the target on behalf of the sender.
@@ -90,9 +90,9 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, back := range c.step(ack) {
-			if back.Kind == membership.Ack && back.To == incoming.From {
-				return encode(c.probeResponse(back))
+		for _, reply := range c.step(ack) {
+			if reply.Kind == membership.Ack && reply.To == incoming.From {
+				return encode(c.probeResponse(reply))
 			}
 		}
 	}
@@ -138,9 +138,9 @@
 	}
 }
 
-// observeLogAge records the log contact of a response. The age is counted from the time of the request, so
-// that a response read late, after a pause of this process, never dates the contact too late. Must be called
-// with mu held.
+// observeLogAge records the log contact of a response. The age is counted from the time of the request: if this
+// process is paused before it reads the response, counting from the time of reading would make the contact too
+// recent. Must be called with mu held.
 func (c *Cluster) observeLogAge(age logAge, requestedAt time.Time) {
 	if age < 0 {
 		return
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -89,9 +89,9 @@
 
 // equalMember reports whether the update leaves the Member unchanged. Most updates only change loads, which
 // are not part of the view.
-func (r record) equalMember(other record) bool {
-	return r.Address == other.Address && r.Leaving == other.Leaving && r.Revision >= other.Revision &&
-		slices.Equal(r.Owned, other.Owned)
+func (r record) equalMember(update record) bool {
+	return r.Address == update.Address && r.Leaving == update.Leaving && r.Revision >= update.Revision &&
+		slices.Equal(r.Owned, update.Owned)
 }
 
 // remove deletes a record and returns it.
@@ -116,8 +116,8 @@
 	}
 }
 
-// newer compares the stored records with a version vector. It returns the records that are newer than the
-// vector, the keys with a higher version in the vector, and the keys that no longer exist here.
+// newer compares the stored records with a version vector. It returns the live records that are newer than the
+// vector, the keys with a higher version in the vector, and the keys in the vector without a live record.
 func (z *zoneRecords) newer(versions map[recordKey]uint32, live func(record) bool) (newer []record, want, gone []recordKey) {
 	for key, held := range z.records {
 		if held.Version > versions[key] && live(held) {
--- a/internal/cluster/remote.go
+++ b/internal/cluster/remote.go
@@ -12,7 +12,7 @@
 const zoneUnreachableFailures = 2
 
 // zoneLostFailures is the number of consecutive failed contacts after which the nodes of a zone are no
-// longer listed as members. It is higher, since work is then moved to other zones.
+// longer listed as members. It exceeds zoneUnreachableFailures, since the work of a lost zone moves to other zones.
 const zoneLostFailures = 6
 
 // confirmationContacts is the number of other nodes of a zone that are contacted after one failed to
@@ -28,7 +28,7 @@
 const minReachablePeriods = 30
 
 // pullNextRemoteZone pulls from one node of the next zone in turn, or of a zone whose last contact failed.
-// It reuses the last contact, since a new connection costs more than a pull, and periodically picks another.
+// It reuses the last contact, since a new connection costs more than a pull, and periodically picks a random one.
 // If the contact fails, further nodes are contacted before the zone can count as lost.
 func (c *Cluster) pullNextRemoteZone(ctx context.Context) {
 	c.mu.Lock()
@@ -49,7 +49,7 @@
 	pulls.Wait()
 }
 
-// pullRemote pulls from one address. It returns false if no node of the zone responded there.
+// pullRemote pulls from one address. It returns false if the call failed or a node of another zone responded.
 func (c *Cluster) pullRemote(ctx context.Context, zone, address string, request gossipRequest) bool {
 	response, err := c.gossip(ctx, address, outgoing{request: request})
 	if err == nil && (zone == "" || response.From.Zone == zone) {
@@ -99,8 +99,8 @@
 
 // lastContactFirst moves the last contact of the zone to the front.
 func (c *Cluster) lastContactFirst(zone string, addresses []string) []string {
-	if at := slices.Index(addresses, c.lastContact[zone]); at > 0 {
-		addresses[0], addresses[at] = addresses[at], addresses[0]
+	if index := slices.Index(addresses, c.lastContact[zone]); index > 0 {
+		addresses[0], addresses[index] = addresses[index], addresses[0]
 	}
 	return addresses
 }
@@ -151,7 +151,7 @@
 	return address == c.self.Address || slices.Contains(c.liveMembers(), address)
 }
 
-// oneContactPerZone returns a random address of each other zone.
+// oneContactPerZone returns a random address of each other zone. Must be called with mu held.
 func (c *Cluster) oneContactPerZone() []string {
 	var addresses []string
 	for _, name := range c.remoteZones() {
@@ -160,7 +160,7 @@
 	return addresses
 }
 
-// addContact stores an address of a zone. Must be called with mu held.
+// addContact stores an address of a zone, up to maxContacts. Must be called with mu held.
 func (c *Cluster) addContact(zone, address string) {
 	if zone == "" || address == "" || address == c.self.Address {
 		return
--- a/internal/cluster/schedule.go
+++ b/internal/cluster/schedule.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// The following periods are in protocol periods (500 ms by default).
+	// Intervals of the periodic tasks, in protocol periods (500 ms by default).
 	syncPeriods                = 3 // sync with one member of the zone
 	remotePullPeriods          = 2 // pull from one other zone
-	remotePullPeriodsManyZones = 4 // same, with more than fewZones other zones
-	fewZones                   = 4
+	remotePullPeriodsManyZones = 4 // same, with more than manyZonesThreshold other zones
+	manyZonesThreshold         = 4
 	joinPeriods                = 2  // join attempts
 	pollPeriods                = 2  // machine list reads
 	pollPeriodsFailing         = 6  // machine list, after a failed read
 	refreshPeriods             = 12 // announcement of cell loads
-	sweepPeriods               = 2
-	// wantContactsEvery is the number of remote pulls per request for contacts.
+	sweepPeriods               = 2  // removal of expired state
+	// wantContactsEvery: one in this many remote pulls requests contacts.
 	wantContactsEvery = 16
 )
 
@@ -27,6 +27,7 @@
 	polling, joining, syncing, pullingRemote, checkingZones bool
 }
 
+// periods converts protocol periods to a duration.
 func (c *Cluster) periods(count int) time.Duration {
 	return time.Duration(count) * c.options.ProbeInterval
 }
@@ -45,7 +46,7 @@
 	c.schedule.refresh = now.Add(c.jittered(c.periods(refreshPeriods)))
 }
 
-// due reports whether the task is due and, if so, sets its next due time.
+// due reports whether the task is due and, if so, schedules it again. Must be called with mu held.
 func (c *Cluster) due(next *time.Time, now time.Time, periods int) bool {
 	if now.Before(*next) {
 		return false
@@ -54,8 +55,8 @@
 	return true
 }
 
-// runDue starts the tasks that are due and not already running.
-func (c *Cluster) runDue(ctx context.Context, now time.Time) {
+// startDueTasks starts the tasks that are due and not already running.
+func (c *Cluster) startDueTasks(ctx context.Context, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := &c.schedule
@@ -91,7 +92,7 @@
 		return
 	}
 	*running = true
-	c.calls.Go(func() {
+	c.background.Go(func() {
 		task()
 		c.mu.Lock()
 		*running = false
@@ -100,7 +101,7 @@
 }
 
 func (c *Cluster) remotePullPeriods() int {
-	if len(c.zones)-1 > fewZones {
+	if len(c.zones)-1 > manyZonesThreshold {
 		return remotePullPeriodsManyZones
 	}
 	return remotePullPeriods
--- a/internal/cluster/snapshot.go
+++ b/internal/cluster/snapshot.go
@@ -153,6 +153,7 @@
 	}
 }
 
+// addCandidate adds the member to the candidates if it may accept new work.
 func (v *view) addCandidate(member Member) {
 	if member.State != StateAlive && member.State != StateSuspect {
 		return
@@ -189,7 +190,8 @@
 	})
 }
 
-// removeNonMemberRecords removes the records of this zone whose process is not a live member.
+// removeNonMemberRecords removes the records of this zone whose process is not a live member. Must be called with mu
+// held.
 func (c *Cluster) removeNonMemberRecords() {
 	live := c.liveWriters()
 	zone := c.zones[c.self.Zone]
--- a/internal/cluster/sync.go
+++ b/internal/cluster/sync.go
@@ -24,8 +24,7 @@
 	content payload
 }
 
-// gossip sends a request and merges the payload of the response. The remaining fields are handled by the
-// caller.
+// gossip sends a request and merges the response, except for Want and WantMembers, which the caller must handle.
 func (c *Cluster) gossip(ctx context.Context, address string, out outgoing) (gossipResponse, error) {
 	var response gossipResponse
 	packed, err := pack(out.content)
@@ -136,7 +135,8 @@
 	return accepted
 }
 
-// removeGone removes processes that are no longer known to a node of their own zone. Must be called with mu held.
+// removeGone removes the records of processes that a node of their own zone reported as gone. Must be called with mu
+// held.
 func (c *Cluster) removeGone(zone string, gone []recordKey, now time.Time) {
 	for _, key := range gone {
 		if held, known := c.zone(zone).remove(key, now); known {
@@ -162,8 +162,8 @@
 	}
 }
 
-// takeUnknownContact removes and returns a contact of this zone that is not a member. Must be called with mu
-// held.
+// takeUnknownContact removes and returns a contact of this zone that is not a member, or "" if there is none. Contacts
+// that are members are removed too. Must be called with mu held.
 func (c *Cluster) takeUnknownContact(members []string) string {
 	for address := range c.contacts[c.self.Zone] {
 		delete(c.contacts[c.self.Zone], address)
@@ -205,7 +205,7 @@
 	if response.WantMembers {
 		content.Updates = c.node.Members()
 	}
-	wantEngines := c.engines.wanted
+	wantEngines := c.engines.outdated
 	c.mu.Unlock()
 	if content.empty() && !wantEngines {
 		return
@@ -225,7 +225,7 @@
 		return
 	}
 	for _, address := range addresses {
-		c.calls.Go(func() {
+		c.background.Go(func() {
 			_, _ = c.gossip(ctx, address, outgoing{request: gossipRequest{Forward: forward}, content: content})
 		})
 	}
--- a/internal/cluster/traffic_test.go
+++ b/internal/cluster/traffic_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	platform "github.com/corkpulley/corkpulley/internal/engine"
+	"github.com/corkpulley/corkpulley/internal/engine"
 	"github.com/corkpulley/corkpulley/internal/message"
 	"github.com/corkpulley/corkpulley/internal/peer"
 	"github.com/corkpulley/corkpulley/internal/platform/machines"
@@ -28,7 +28,7 @@
 	source := &fakeMachines{}
 	var list []machines.Machine
 	for i := range 360 {
-		list = append(list, engine(fmt.Sprintf("engine-%03d", i), "z00", machines.StateLive))
+		list = append(list, newEngine(fmt.Sprintf("engine-%03d", i), "z00", machines.StateLive))
 	}
 	source.set(false, list...)
 	var nodes []*testNode
@@ -85,8 +85,8 @@
 		Cell:     message.CellID{Zone: zone, Pool: "pool-a", Index: index},
 		Sequence: uint64(second + 1), Engines: 16, Slots: 256, Running: 64 + 128*(second%2), Queued: second,
 		Models: []message.ModelCount{
-			{ModelVersion: platform.ModelVersion{Model: "model-large", Version: 7}, Engines: 16},
-			{ModelVersion: platform.ModelVersion{Model: "adapter-12", Version: 3}, Engines: 8},
+			{ModelVersion: engine.ModelVersion{Model: "model-large", Version: 7}, Engines: 16},
+			{ModelVersion: engine.ModelVersion{Model: "adapter-12", Version: 3}, Engines: 8},
 		},
 	}
 }
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -21,7 +21,7 @@
 
 // Member describes a node as seen by the local node.
 type Member struct {
-	// ID is the node's configured name; Writer identifies its process start.
+	// ID is the node's configured name; Writer is unique for each start of its process.
 	ID      string      `json:"id"`
 	Writer  string      `json:"writer"`
 	Address string      `json:"address"` // peer address
@@ -55,8 +55,8 @@
 	// Cells returns the most recent digest of each known cell in all zones.
 	Cells() []message.CellDigest
 	// Reachability counts the nodes currently reachable, including the local node, and the nodes known
-	// within the last ten minutes that did not leave by a planned shutdown. Nodes of other zones are counted
-	// from the digests of their zones.
+	// within the last ten minutes that did not leave by a planned shutdown. The nodes of another zone count as
+	// reachable if the zone responded recently.
 	Reachability() (reachable, known int)
 	// LogContact returns the most recent time, by the local clock, at which a reachable node (including the
 	// local one) read the config stream to its end.
@@ -65,6 +65,7 @@
 
 // Announcer publishes the local state to the cluster.
 type Announcer interface {
+	// AnnounceOwned replaces the announced list of streams owned by this node.
 	AnnounceOwned(owned []Ownership)
 	// AnnounceCell publishes the state of a cell dispatched by this node, with an increased Sequence. Each
 	// cell must be announced at least every 10 s, even if unchanged; after 15 s without an announcement it
@@ -72,6 +73,7 @@
 	AnnounceCell(digest message.CellDigest)
 	// ObserveCell records a digest received on the data path.
 	ObserveCell(digest message.CellDigest)
+	// AnnounceTableRevision publishes the active table revision of this node.
 	AnnounceTableRevision(revision int64)
 	// AnnounceLogContact publishes the time at which this node last read the config stream to its end.
 	AnnounceLogContact(at time.Time)
@@ -91,5 +93,6 @@
 // EngineList provides the engines known from the machine list. While the platform's list is unavailable, the
 // last list read successfully stays in use.
 type EngineList interface {
+	// Engines returns the engines of a zone, as far as they are known.
 	Engines(zone string) []EngineMachine
 }
--- a/internal/cluster/wire.go
+++ b/internal/cluster/wire.go
@@ -106,11 +106,11 @@
 type gossipResponse struct {
 	From   sender
 	LogAge logAge
-	// Want lists the records that the responder lacks.
+	// Want lists the records of which the requester has a newer version.
 	Want []recordKey
-	// Gone lists the requested records that no longer exist in the responder's zone.
+	// Gone lists the records in Vector whose processes are no longer live members of the responder's zone.
 	Gone []recordKey
-	// WantMembers is set when the membership digests differ.
+	// WantMembers requests the requester's member list, since the membership digests differ.
 	WantMembers bool
 	Engines     engineStamp
 	Payload     []byte // packed payload
@@ -168,6 +168,7 @@
 	Engines int
 }
 
+// newCellState returns the cell state of a digest for a record of the given zone.
 func newCellState(digest message.CellDigest, zone string) cellState {
 	state := cellState{
 		Pool: digest.Cell.Pool, Index: digest.Cell.Index, Sequence: digest.Sequence,
@@ -182,6 +183,7 @@
 	return state
 }
 
+// digest returns the digest of a cell in the given record.
 func (s cellState) digest(of record) message.CellDigest {
 	digest := message.CellDigest{
 		Cell: message.CellID{Zone: s.Zone, Pool: s.Pool, Index: s.Index},
@@ -199,7 +201,7 @@
 	return digest
 }
 
-// ageOf returns the age of a log contact, rounded up so that the receiver never dates the contact too late.
+// ageOf returns the age of a log contact, rounded up so that the receiver never takes it for more recent than it is.
 func ageOf(contactAt, now time.Time) logAge {
 	if contactAt.IsZero() {
 		return noLogContact
--- a/internal/cluster/zonecheck.go
+++ b/internal/cluster/zonecheck.go
@@ -7,13 +7,12 @@
 )
 
 const (
-	// zoneCheckAfter is the age of the most recent log contact from which all zones are contacted
-	// concurrently, zoneCheckInterval the time between such rounds. A node without contact to the log or to
-	// a majority must reject new work within seconds; the regular remote pulls over many zones take up to a
-	// minute.
+	// zoneCheckAfter is the age of the most recent log contact from which all zones are checked concurrently;
+	// zoneCheckInterval is the time between checks. A node that reaches neither the log nor a majority must
+	// reject new work within seconds, but the regular remote pulls take up to a minute to visit many zones.
 	zoneCheckAfter    = 4 * time.Second
 	zoneCheckInterval = 8 * time.Second
-	// zoneCheckContacts is the number of nodes contacted in each zone, sufficient to count it as
+	// zoneCheckContacts is the number of nodes contacted in each zone. If all fail, the zone counts as
 	// unreachable.
 	zoneCheckContacts = zoneUnreachableFailures
 )
