--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -18,10 +18,11 @@
 	responseStream
 	session  *clientSession
 	streamID uint32
+	// unary is set for a call: its first message ends the stream.
 	unary    bool
 	counters *methodCounters
-	// start is the offset of the request in the connection's output; guarded by the session's lock.
-	start uint64
+	// requestOffset is the offset of the request in the connection's output; guarded by the session's mu.
+	requestOffset uint64
 }
 
 // clientSession is the dialing end of a connection.
@@ -64,7 +65,7 @@
 	}
 	outgoing.streamID = stream.streamID
 	data := outgoing.bytes()
-	start, err := s.connection.enqueue(ctx, data, false)
+	offset, err := s.connection.enqueue(ctx, data, false)
 	if err != nil {
 		s.remove(stream.streamID)
 		if ctx.Err() == nil {
@@ -73,16 +74,16 @@
 		return nil, err
 	}
 	stream.counters.addSent(len(data))
-	s.setStart(stream, start)
+	s.setRequestOffset(stream, offset)
 	return stream, nil
 }
 
 func (s *clientSession) newStream(kind frameKind, method Method) *remoteStream {
 	stream := &remoteStream{
-		session:  s,
-		unary:    kind == frameCall,
-		counters: s.connection.stats.method(method),
-		start:    notQueued,
+		session:       s,
+		unary:         kind == frameCall,
+		counters:      s.connection.stats.method(method),
+		requestOffset: notQueued,
 	}
 	stream.receiveQueue.init()
 	stream.onCancel = stream.sendCancelFrame
@@ -90,9 +91,10 @@
 	return stream
 }
 
-// notQueued is the start of a request that is not queued yet.
+// notQueued is the requestOffset of a request that is not queued yet.
 const notQueued = ^uint64(0)
 
+// register assigns an unused stream ID other than 0.
 func (s *clientSession) register(stream *remoteStream) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,12 +112,12 @@
 	return nil
 }
 
-// setStart records the offset of the request. If the connection failed in the meantime, closed has already
+// setRequestOffset records the offset of the request. If the connection failed in the meantime, closed has already
 // ended the stream.
-func (s *clientSession) setStart(stream *remoteStream, start uint64) {
+func (s *clientSession) setRequestOffset(stream *remoteStream, offset uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stream.start = start
+	stream.requestOffset = offset
 }
 
 func (s *clientSession) remove(streamID uint32) *remoteStream {
@@ -210,9 +212,9 @@
 // as sent.
 func (s *clientSession) maybeSent(stream *remoteStream) bool {
 	s.mu.Lock()
-	start := stream.start
+	offset := stream.requestOffset
 	s.mu.Unlock()
-	return start == notQueued || s.connection.wasWritten(start)
+	return offset == notQueued || s.connection.wasWritten(offset)
 }
 
 // activeStreams implements session.
--- a/internal/peer/close.go
+++ b/internal/peer/close.go
@@ -57,8 +57,8 @@
 
 // flushConnections writes the remaining responses and closes the connections, within flushTimeout.
 func (t *Transport) flushConnections() {
-	limit := time.NewTimer(flushTimeout)
-	defer limit.Stop()
+	timeout := time.NewTimer(flushTimeout)
+	defer timeout.Stop()
 	open := t.openConnections()
 	for _, c := range open {
 		c.closeAfterFlush()
@@ -66,7 +66,7 @@
 	for _, c := range open {
 		select {
 		case <-c.done:
-		case <-limit.C:
+		case <-timeout.C:
 			return
 		}
 	}
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -72,11 +72,12 @@
 	return data
 }
 
+// copyBody returns a copy of the body in a buffer of its own.
 func (f *encodedFrame) copyBody() *body {
 	content := f.buffer.Bytes()[frameHeaderSize:]
-	duplicate := newBody(len(content))
-	copy(duplicate.data, content)
-	return duplicate
+	copied := newBody(len(content))
+	copy(copied.data, content)
+	return copied
 }
 
 // release returns the buffer to the pool; the frame must not be used afterwards.
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -17,13 +17,13 @@
 	// readBufferSize is the size of a connection's read buffer in bytes.
 	readBufferSize    = 64 << 10
 	keepaliveInterval = time.Second
-	// pingAfterTicks and silentLimitTicks are the number of keepalive intervals without a received frame,
-	// while streams are open, after which a ping is sent and the connection is failed.
+	// pingAfterTicks and silentLimitTicks are the numbers of keepalive intervals without a received frame,
+	// while streams are open, after which a ping is sent and after which the connection is closed.
 	pingAfterTicks   = 1
 	silentLimitTicks = 4
-	// dialerIdleTicks and listenerIdleTicks are the number of keepalive intervals without streams after which
-	// either end closes the connection. The dialer closes first, so that a request cannot be lost to a concurrent
-	// close by the listener.
+	// dialerIdleTicks and listenerIdleTicks are the numbers of keepalive intervals without streams after which
+	// the dialer or the listener closes the connection. The dialer closes first, so that a request cannot be
+	// lost to a concurrent close by the listener.
 	dialerIdleTicks   = 60
 	listenerIdleTicks = 300
 )
@@ -31,7 +31,7 @@
 // Reasons for which the transport closes a connection.
 var (
 	errConnectionSilent = errors.New("connection is unresponsive: no frame received within the keepalive limit")
-	errConnectionIdle   = errors.New("connection was idle")
+	errConnectionIdle   = errors.New("connection closed after being idle")
 	errTransportClosed  = errors.New("transport is closed")
 	errProtocol         = errors.New("peer violated the protocol")
 )
@@ -40,7 +40,7 @@
 type session interface {
 	// handleFrame takes ownership of the frame's body. An error closes the connection.
 	handleFrame(received frame) error
-	// closed is called once, when the connection has failed or was closed.
+	// closed is called once, after the connection has failed or was closed.
 	closed(cause error)
 	// activeStreams returns the number of open calls and streams.
 	activeStreams() int
@@ -59,23 +59,23 @@
 	session session
 	stats   *trafficStats
 
-	mu      sync.Mutex
-	pending []byte
-	spare   []byte
-	queued  uint64 // total bytes queued
-	written uint64 // total bytes passed to the socket, including a write in progress
-	space   chan struct{}
-	failed  error
-	closing bool
+	mu         sync.Mutex
+	pending    []byte        // queued output that the writer has not taken
+	spare      []byte        // buffer of the last batch, for the next one
+	queued     uint64        // total bytes queued
+	written    uint64        // total bytes passed to the socket, including a write in progress
+	spaceFreed chan struct{} // closed when the writer takes the output; nil while no sender waits
+	failed     error
+	closing    bool
 
-	writeReady chan struct{}
-	done       chan struct{}
-	received   atomic.Uint64
+	writeReady     chan struct{}
+	done           chan struct{}
+	receivedFrames atomic.Uint64
 
 	// Used only by the keepalive loop.
-	lastReceived uint64
-	silentTicks  int
-	idleTicks    int
+	lastReceivedFrames uint64
+	silentTicks        int
+	idleTicks          int
 }
 
 func newConnection(socket net.Conn, stats *trafficStats) *connection {
@@ -119,10 +119,10 @@
 // waitForSpace blocks until output space is available or the connection has failed. Must be called with mu
 // held; it releases mu while waiting.
 func (c *connection) waitForSpace(ctx context.Context) error {
-	if c.space == nil {
-		c.space = make(chan struct{})
+	if c.spaceFreed == nil {
+		c.spaceFreed = make(chan struct{})
 	}
-	space := c.space
+	space := c.spaceFreed
 	c.mu.Unlock()
 	defer c.mu.Lock()
 	select {
@@ -191,9 +191,9 @@
 		c.spare = nil
 	}
 	c.written = c.queued
-	if c.space != nil {
-		close(c.space)
-		c.space = nil
+	if c.spaceFreed != nil {
+		close(c.spaceFreed)
+		c.spaceFreed = nil
 	}
 	return batch, false
 }
@@ -205,7 +205,7 @@
 			c.fail(err)
 			return
 		}
-		c.received.Add(1)
+		c.receivedFrames.Add(1)
 		if err := c.handle(received); err != nil {
 			c.fail(err)
 			return
@@ -263,9 +263,9 @@
 // tick runs one keepalive check. It counts ticks instead of reading the clock, so that a pause of this
 // process is not taken for a failure of its peers.
 func (c *connection) tick() {
-	received := c.received.Load()
-	active := received != c.lastReceived
-	c.lastReceived = received
+	received := c.receivedFrames.Load()
+	active := received != c.lastReceivedFrames
+	c.lastReceivedFrames = received
 	if c.session.activeStreams() == 0 {
 		c.tickIdle(active)
 		return
--- a/internal/peer/exchange.go
+++ b/internal/peer/exchange.go
@@ -27,16 +27,17 @@
 
 // responseSink delivers the response of an exchange to its caller.
 type responseSink interface {
-	// message sends a message and returns its encoded size in bytes.
-	message(ctx context.Context, message any) (int, error)
+	// send sends a message and returns its encoded size in bytes.
+	send(ctx context.Context, message any) (int, error)
 	// end ends the response, successfully if failure is nil.
 	end(failure *errkind.Error)
 }
 
 // sendWindow holds the flow-control credit of a response stream. One message may reduce it below zero.
 type sendWindow struct {
-	mu      sync.Mutex
-	credit  int
+	mu     sync.Mutex
+	credit int // in bytes
+	// changed is signaled when add leaves a positive credit.
 	changed chan struct{}
 }
 
@@ -48,9 +49,9 @@
 func (w *sendWindow) wait(ctx context.Context) error {
 	for {
 		w.mu.Lock()
-		open := w.credit > 0
+		available := w.credit > 0
 		w.mu.Unlock()
-		if open {
+		if available {
 			return ctx.Err()
 		}
 		select {
@@ -64,9 +65,9 @@
 func (w *sendWindow) add(bytes int) {
 	w.mu.Lock()
 	w.credit += bytes
-	open := w.credit > 0
+	available := w.credit > 0
 	w.mu.Unlock()
-	if !open {
+	if !available {
 		return
 	}
 	select {
@@ -75,7 +76,7 @@
 	}
 }
 
-// exchange is a running handler with its response.
+// exchange is a running handler and the response that it sends.
 type exchange struct {
 	transport  *Transport
 	ctx        context.Context
@@ -98,7 +99,7 @@
 	if err := e.sendWindow.wait(e.ctx); err != nil {
 		return err
 	}
-	size, err := e.sink.message(e.ctx, message)
+	size, err := e.sink.send(e.ctx, message)
 	if err != nil {
 		return err
 	}
@@ -106,9 +107,9 @@
 	return nil
 }
 
-// run runs the handler and ends the response. The handler must have been counted by Transport.begin.
+// run runs the handler and ends the response. The handler must have been counted by Transport.beginHandler.
 func (e *exchange) run(kind frameKind, method Method, incoming *request) {
-	defer e.transport.end()
+	defer e.transport.endHandler()
 	defer e.cancel()
 	e.sink.end(e.invoke(kind, method, incoming))
 }
@@ -137,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := e.sink.message(e.ctx, response); err != nil {
+	if _, err := e.sink.send(e.ctx, response); err != nil {
 		return errors.Wrap(err, "send response")
 	}
 	return nil
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -32,7 +32,7 @@
 	frameHeaderSize = 9
 	// maxFrameBody limits the body of a frame in bytes.
 	maxFrameBody = 16 << 20
-	// maxPooledBody limits the size of pooled buffers in bytes.
+	// maxPooledBody limits the size in bytes of buffers that are returned to a pool.
 	maxPooledBody = 64 << 10
 	// maxMethodLength limits a method name in bytes: its length is encoded in one byte.
 	maxMethodLength = 255
@@ -126,7 +126,7 @@
 	return frame{kind: kind, streamID: streamID, body: content}, nil
 }
 
-// splitRequest separates the method from the encoded request of a call or open frame.
+// splitRequest splits the body of a call or open frame into the method and the encoded request.
 func splitRequest(data []byte) (Method, []byte, error) {
 	if len(data) == 0 {
 		return "", nil, errFrameBody
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// Guards against frames that are read differently than they were written, and against parsers that panic.
 func FuzzReadFrame(f *testing.F) {
 	seed := newFrame(frameCall, 7)
 	assert.NilError(f, seed.setMethod(MethodProbe))
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -19,8 +19,7 @@
 	linkExpiry = time.Minute
 )
 
-// dialRetries sets the backoff between dials of an address. Until the next dial is due, calls fail
-// immediately.
+// dialRetries is the backoff between failed dials of an address. Calls fail immediately until the next dial is due.
 var dialRetries = retry.Policy{First: 50 * time.Millisecond, Longest: time.Second}
 
 // link manages the single outgoing connection to a peer address.
@@ -28,17 +27,17 @@
 	transport *Transport
 	address   string
 
-	mu       sync.Mutex
-	session  *clientSession
-	dialing  chan struct{} // closed when the dial in progress ends
-	dialErr  error
-	retryAt  time.Time
-	interval *backoff.ExponentialBackOff
-	lastUsed time.Time
+	mu          sync.Mutex
+	session     *clientSession
+	dialing     chan struct{} // closed when the dial in progress ends
+	dialErr     error         // error of the last dial; errSessionClosing if it succeeded
+	retryAt     time.Time     // earliest time of the next dial
+	dialBackoff *backoff.ExponentialBackOff
+	lastUsed    time.Time
 }
 
 func newLink(transport *Transport, address string) *link {
-	return &link{transport: transport, address: address, interval: dialRetries.Delays()}
+	return &link{transport: transport, address: address, dialBackoff: dialRetries.Delays()}
 }
 
 // get returns the open session, dialing if necessary.
@@ -72,7 +71,7 @@
 	return l.session, nil
 }
 
-// dial makes one connection attempt and stores its result.
+// dial makes one connection attempt, stores its result and closes finished.
 func (l *link) dial(finished chan struct{}) {
 	session, err := l.connect()
 	l.mu.Lock()
@@ -80,12 +79,12 @@
 	l.dialing = nil
 	if err != nil {
 		l.dialErr = err
-		l.retryAt = time.Now().Add(l.interval.NextBackOff())
+		l.retryAt = time.Now().Add(l.dialBackoff.NextBackOff())
 	} else {
 		l.session = session
 		l.dialErr = errSessionClosing
 		l.retryAt = time.Time{}
-		l.interval.Reset()
+		l.dialBackoff.Reset()
 		session.connection.start(bufio.NewReaderSize(session.connection.socket, readBufferSize))
 	}
 	close(finished)
--- a/internal/peer/local.go
+++ b/internal/peer/local.go
@@ -13,7 +13,7 @@
 // handler share no memory.
 type localSink struct{ responseStream *responseStream }
 
-func (l *localSink) message(_ context.Context, message any) (int, error) {
+func (l *localSink) send(_ context.Context, message any) (int, error) {
 	encoded := newFrame(frameMessage, 0)
 	defer encoded.release()
 	if err := encoded.encode(message); err != nil {
@@ -29,8 +29,8 @@
 		l.responseStream.receiveQueue.finish(io.EOF)
 		return
 	}
-	duplicate := *failure
-	l.responseStream.receiveQueue.finish(&duplicate)
+	copied := *failure
+	l.responseStream.receiveQueue.finish(&copied)
 }
 
 // openLocal runs a handler of this process.
@@ -40,7 +40,7 @@
 	if err := encoded.encode(message); err != nil {
 		return nil, &DeliveryError{Err: errors.Wrap(err, "encode request")}
 	}
-	if !t.begin() {
+	if !t.beginHandler() {
 		return nil, errkind.New(errkind.ShuttingDown, "node is shutting down and accepts no new work")
 	}
 	e := &exchange{transport: t, sendWindow: newSendWindow()}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -13,11 +13,11 @@
 const (
 	MethodProbe         Method = "probe"          // cluster: direct probe, call
 	MethodProbeIndirect Method = "probe-indirect" // cluster: indirect probe through another node, call
-	MethodGossip        Method = "gossip"         // cluster: exchange of digests, call
+	MethodGossip        Method = "gossip"         // cluster: exchange of members, node records and engine lists, call
 	MethodTable         Method = "table"          // tables: rows changed since a revision, call
 	MethodSubmit        Method = "submit"         // dispatcher: message.Submit, stream of message.Progress
 	MethodDirective     Method = "directive"      // dispatcher: message.Directive, call
-	MethodKeyed         Method = "keyed"          // gateway: keyed request to the owner of its shard, stream
+	MethodKeyed         Method = "keyed"          // keyed: request with an idempotency key, to its owner, stream
 	MethodTrainer       Method = "trainer"        // coordinator: trainer API call to the owner of the ledger, call
 	MethodCellStatus    Method = "cell-status"    // dispatcher: status of its cells and engines, call
 	MethodStepStatus    Method = "step-status"    // coordinator: status of its ledgers, call
@@ -58,7 +58,7 @@
 	HandleStream(method Method, handler StreamHandler)
 }
 
-// Caller sends calls and streams to the peer address ("ip:port") of a node. Requests to the local address
+// Caller makes calls and opens streams to the peer address ("ip:port") of a node. Requests to the local address
 // are handled in-process. Errors are *errkind.Error from the handler or *DeliveryError from the transport.
 type Caller interface {
 	Call(ctx context.Context, address string, method Method, request, response any) error
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -146,7 +146,7 @@
 		unary:    received.kind == frameCall,
 		counters: counters,
 	}
-	if !s.transport.begin() {
+	if !s.transport.beginHandler() {
 		sink.end(errkind.New(errkind.ShuttingDown, "node is shutting down and accepts no new work"))
 		return nil
 	}
@@ -154,7 +154,7 @@
 	e.ctx, e.cancel = context.WithCancel(s.ctx)
 	if err := s.add(received.streamID, e); err != nil {
 		e.cancel()
-		s.transport.end()
+		s.transport.endHandler()
 		return err
 	}
 	go e.run(received.kind, method, &request{from: s.from, data: data})
@@ -206,7 +206,7 @@
 	counters *methodCounters
 }
 
-func (r *remoteSink) message(ctx context.Context, message any) (int, error) {
+func (r *remoteSink) send(ctx context.Context, message any) (int, error) {
 	outgoing := newFrame(frameMessage, r.streamID)
 	defer outgoing.release()
 	if err := outgoing.encode(message); err != nil {
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// finish ends the response after the buffered messages. Only the first call has an effect.
+// finish ends the response with the given error (io.EOF on success) after the buffered messages. Only the first call
+// has an effect.
 func (q *receiveQueue) finish(end error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -85,7 +86,7 @@
 	return true
 }
 
-// pop blocks until a message or the end of the response is available. It returns errStopped when stop is
+// pop blocks until a message or the end of the response is available. It returns errWaitCanceled when stop is
 // closed.
 func (q *receiveQueue) pop(stop <-chan struct{}) (*body, error) {
 	for {
@@ -96,12 +97,12 @@
 		select {
 		case <-q.ready:
 		case <-stop:
-			return nil, errStopped
+			return nil, errWaitCanceled
 		}
 	}
 }
 
-var errStopped = errors.New("wait was canceled")
+var errWaitCanceled = errors.New("wait for a message was canceled")
 
 func (q *receiveQueue) tryPop() (*body, error) {
 	q.mu.Lock()
@@ -127,7 +128,7 @@
 	onCancel func()
 	// onConsumed notifies the server of consumed bytes.
 	onConsumed       func(bytes int)
-	consumed         int
+	consumed         int // bytes since onConsumed was last called
 	stopCancelOnDone func() bool
 }
 
@@ -181,7 +182,7 @@
 // receiveOne waits for the single message of a call. response may be nil.
 func (s *responseStream) receiveOne(ctx context.Context, response any) error {
 	content, err := s.receiveQueue.pop(ctx.Done())
-	if errors.Is(err, errStopped) {
+	if errors.Is(err, errWaitCanceled) {
 		failure := &DeliveryError{Sent: true, Err: ctx.Err()}
 		s.cancel(failure)
 		return failure
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -35,8 +35,8 @@
 	runningHandlers int
 	draining        bool
 	closed          bool
-	drained         chan struct{} // closed when draining and no handler is running
-	loops           sync.WaitGroup
+	drained         chan struct{}  // closed when draining and no handler is running
+	loops           sync.WaitGroup // accept and keepalive loops
 }
 
 // New returns a transport that does not listen yet but can already make calls. It panics if the metrics are
@@ -223,8 +223,8 @@
 	return l, nil
 }
 
-// begin counts a handler that is about to run. It returns false while the transport is draining.
-func (t *Transport) begin() bool {
+// beginHandler counts a handler that is about to run. It returns false if the transport is draining.
+func (t *Transport) beginHandler() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.draining {
@@ -234,7 +234,7 @@
 	return true
 }
 
-func (t *Transport) end() {
+func (t *Transport) endHandler() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.runningHandlers--
@@ -243,6 +243,7 @@
 	}
 }
 
+// addConnection registers a connection. It returns false if the transport is closed.
 func (t *Transport) addConnection(c *connection) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -17,7 +17,7 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-const testLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 type echo struct {
 	Text  string   `msgpack:"t"`
@@ -38,7 +38,7 @@
 }
 
 func testContext(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -136,11 +136,11 @@
 	first, err := session.open(testContext(t), frameCall, MethodProbe, "first")
 	assert.NilError(t, err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if c.wasWritten(first.start) {
+		if c.wasWritten(first.requestOffset) {
 			return poll.Success()
 		}
 		return poll.Continue("first request is not written to the socket")
-	}, poll.WithTimeout(testLimit))
+	}, poll.WithTimeout(testTimeout))
 	second, err := session.open(testContext(t), frameCall, MethodProbe, "second")
 	assert.NilError(t, err)
 	c.fail(errors.New("cut"))
@@ -148,7 +148,7 @@
 	assert.Assert(t, !deliveryError(t, second.receiveOne(testContext(t), nil)).Sent)
 }
 
-// The peer accepts the connection but never responds, as a paused process does.
+// Guards against calls that hang when the peer accepts the connection but never responds, like a paused process.
 func TestUnresponsiveConnectionFails(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -163,7 +163,7 @@
 			}
 		}
 		return poll.Continue("call is not open")
-	}, poll.WithTimeout(testLimit))
+	}, poll.WithTimeout(testTimeout))
 	assert.Assert(t, deliveryError(t, <-result).Sent)
 }
 
@@ -265,7 +265,7 @@
 			return poll.Success()
 		}
 		return poll.Continue("server still accepts calls")
-	}, poll.WithTimeout(testLimit))
+	}, poll.WithTimeout(testTimeout))
 	close(release)
 	assert.NilError(t, <-result)
 	assert.Equal(t, response, "done")
@@ -277,7 +277,7 @@
 			return poll.Success()
 		}
 		return poll.Continue("client still uses the closed connection")
-	}, poll.WithTimeout(testLimit))
+	}, poll.WithTimeout(testTimeout))
 }
 
 func TestIdleConnectionIsReplaced(t *testing.T) {
