--- a/internal/tables/contact.go
+++ b/internal/tables/contact.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// probeAfter is the age of the last log contact from which this node probes
-	// the log: the stream's long poll may wait for a record for longer than
-	// ContactLimit.
+	// probeAfter is the age of the last log contact from which this node reads
+	// to the log's end itself: the stream's long poll may wait for a record for
+	// longer than ContactLimit.
 	probeAfter = 3 * time.Second
-	// probeTimeout bounds one probe.
+	// probeTimeout bounds one such read.
 	probeTimeout = 4 * time.Second
 )
 
@@ -56,11 +56,11 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	// Records appended during the read may be missed, so the contact dates from its start.
-	began := time.Now()
+	startedAt := time.Now()
 	if t.options.Stream.CatchUp(ctx) != nil {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.lastProbe = began
+	t.lastProbe = startedAt
 }
--- a/internal/tables/decision.go
+++ b/internal/tables/decision.go
@@ -9,13 +9,13 @@
 // proposalState is a snapshot of the reducer's state for one proposal.
 type proposalState struct {
 	current  *policy.Table
-	base     *policy.Table // nil when it is older than the history
+	base     *policy.Table // nil when the base revision is unknown or no longer retained
 	decided  bool
 	decision policy.Decision
 	accepted policy.AcceptedRevision // set when the proposal was accepted
 }
 
-// readState returns the proposal's state and, when its base is known, sets the edit's changes.
+// readState returns the state of the edit's proposal and, when its base is known, sets the proposal's changes.
 func (t *Tables) readState(edit *edit) *proposalState {
 	state := &proposalState{}
 	t.options.Stream.View(func() {
--- a/internal/tables/fake_test.go
+++ b/internal/tables/fake_test.go
@@ -51,7 +51,8 @@
 	return &testNetwork{nodes: make(map[string]*testNode), reachable: 1, known: 1}
 }
 
-func (n *testNetwork) set(change func()) {
+// withLock calls change with the mutex held.
+func (n *testNetwork) withLock(change func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	change()
@@ -141,7 +142,7 @@
 		LastLogContact: node.lastContact,
 		Logger:         zerolog.Nop(),
 	})
-	network.set(func() { network.nodes[id] = node })
+	network.withLock(func() { network.nodes[id] = node })
 	return node
 }
 
@@ -150,16 +151,16 @@
 func (n *testNode) AnnounceLogContact(time.Time)                       {}
 
 func (n *testNode) AnnounceTableRevision(revision int64) {
-	n.network.set(func() { n.member.TableRevision = revision })
+	n.network.withLock(func() { n.member.TableRevision = revision })
 }
 
 func (n *testNode) Self() (self cluster.Member) {
-	n.network.set(func() { self = n.member })
+	n.network.withLock(func() { self = n.member })
 	return self
 }
 
 func (n *testNode) Members() (members []cluster.Member) {
-	n.network.set(func() {
+	n.network.withLock(func() {
 		for _, node := range n.network.nodes {
 			members = append(members, node.member)
 		}
@@ -168,17 +169,17 @@
 }
 
 func (n *testNode) Reachability() (reachable, known int) {
-	n.network.set(func() { reachable, known = n.network.reachable, n.network.known })
+	n.network.withLock(func() { reachable, known = n.network.reachable, n.network.known })
 	return reachable, known
 }
 
 func (n *testNode) LogContact() (contact time.Time) {
-	n.network.set(func() { contact = n.network.contact })
+	n.network.withLock(func() { contact = n.network.contact })
 	return contact
 }
 
 func (n *testNode) lastContact() (contact time.Time) {
-	n.network.set(func() { contact = n.contact })
+	n.network.withLock(func() { contact = n.contact })
 	return contact
 }
 
@@ -191,7 +192,7 @@
 // awaitRevision waits on Changed and checks that revisions only increase.
 func (n *testNode) awaitRevision(t *testing.T, revision int64) {
 	t.Helper()
-	limit := time.After(testTimeout)
+	timeout := time.After(testTimeout)
 	for last := int64(-1); last < revision; {
 		table := n.tables.Table()
 		assert.Assert(t, table.Revision >= last)
@@ -201,7 +202,7 @@
 		}
 		select {
 		case <-n.tables.Changed(last):
-		case <-limit:
+		case <-timeout:
 			t.Fatalf("revision %d is not active, revision %d is", revision, last)
 		}
 	}
@@ -213,7 +214,7 @@
 		if condition() {
 			return poll.Success()
 		}
-		return poll.Continue("not yet")
+		return poll.Continue("condition is not met")
 	}, poll.WithTimeout(testTimeout), poll.WithDelay(5*time.Millisecond))
 }
 
--- a/internal/tables/peers.go
+++ b/internal/tables/peers.go
@@ -17,9 +17,9 @@
 const (
 	// fetchTimeout bounds one MethodTable call.
 	fetchTimeout = 2 * time.Second
-	// fetchRetryInterval is the delay after fetching from all members with a higher revision failed.
+	// fetchRetryInterval is the delay after no member with a higher revision could be fetched from.
 	fetchRetryInterval = time.Second
-	// fullTable is sent in place of a revision to request all rows.
+	// fullTable in place of a revision requests all rows.
 	fullTable int64 = -1
 )
 
@@ -63,7 +63,7 @@
 	return response, nil
 }
 
-// watchPeers fetches a revision as soon as a member announces a higher one.
+// watchPeers fetches the table from members that announce a higher revision than this node's.
 func (t *Tables) watchPeers(ctx context.Context) error {
 	for {
 		delay := peerPollInterval
@@ -91,9 +91,10 @@
 	return len(ahead) == 0 || ahead[0].TableRevision <= t.Table().Revision
 }
 
+// membersAhead returns the members that announce a higher revision than this node's, highest first.
 func (t *Tables) membersAhead() []cluster.Member {
 	revision := t.Table().Revision
-	ahead := slices.DeleteFunc(t.others(), func(member cluster.Member) bool {
+	ahead := slices.DeleteFunc(t.otherMembers(), func(member cluster.Member) bool {
 		return member.TableRevision <= revision
 	})
 	// Spread the load: many nodes may notice a new revision at the same time.
@@ -104,8 +105,8 @@
 	return ahead
 }
 
-// others returns the known members except this node.
-func (t *Tables) others() []cluster.Member {
+// otherMembers returns the known members except this node.
+func (t *Tables) otherMembers() []cluster.Member {
 	self := t.options.View.Self().ID
 	var others []cluster.Member
 	for _, member := range t.options.View.Members() {
--- a/internal/tables/propose.go
+++ b/internal/tables/propose.go
@@ -21,7 +21,8 @@
 // ProposalError explains why a proposal was rejected. It wraps an *errkind.Error.
 type ProposalError struct {
 	Err *errkind.Error
-	// Conflicts are the rows changed concurrently since the base (TableConflict).
+	// Conflicts are the changes since the base that the edit would revert or
+	// overwrite (TableConflict).
 	Conflicts []policy.RowChange
 	// Problems are all validation errors of the table (TableInvalid).
 	Problems []policy.Problem
@@ -167,7 +168,7 @@
 	return t.pending[proposalID]
 }
 
-// markPending reports false when an append of the proposal is already in progress.
+// markPending marks the proposal as being appended. It returns false when it already was.
 func (t *Tables) markPending(proposalID string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/tables/readiness.go
+++ b/internal/tables/readiness.go
@@ -11,14 +11,16 @@
 
 const (
 	// ContactLimit is the age of the most recent log contact in the cluster from
-	// which a node that cannot reach a majority of its peers refuses new work.
+	// which a node that does not reach a majority of the known nodes rejects new
+	// work.
 	ContactLimit = 8 * time.Second
 	// peerFallbackDelay is how long a starting node tries the log alone before it
 	// also loads the table from peers.
 	peerFallbackDelay = 3 * time.Second
 	// catchUpTimeout bounds one attempt to read to the log's end.
 	catchUpTimeout = 10 * time.Second
-	// catchUpRetryInterval is the delay between attempts of a starting node.
+	// catchUpRetryInterval is the delay between the attempts of a starting node to
+	// catch up.
 	catchUpRetryInterval = 200 * time.Millisecond
 )
 
@@ -41,6 +43,7 @@
 		"no contact with the log for %s, and %d of %d known nodes reachable", ContactLimit, reachable, known)
 }
 
+// isFresh reports whether the log contact is more recent than ContactLimit.
 func isFresh(contact time.Time) bool {
 	return !contact.IsZero() && time.Since(contact) < ContactLimit
 }
@@ -103,7 +106,7 @@
 func (t *Tables) fetchFromZone(ctx context.Context) bool {
 	zone := t.options.View.Self().Zone
 	anyReady := false
-	for _, member := range t.others() {
+	for _, member := range t.otherMembers() {
 		if member.Zone != zone || member.State != cluster.StateAlive {
 			continue
 		}
--- a/internal/tables/tables.go
+++ b/internal/tables/tables.go
@@ -27,7 +27,7 @@
 	peerPollInterval = 250 * time.Millisecond
 	// contactPollInterval is how often the time of the last log contact is checked.
 	contactPollInterval = 500 * time.Millisecond
-	// maxRecentTables bounds the revisions kept for sending peers changed rows only.
+	// maxRecentTables bounds the tables retained to send only the changed rows to peers.
 	maxRecentTables = 64
 )
 
@@ -51,7 +51,7 @@
 type Tables struct {
 	options Options
 
-	// table is the active table; it is written with mutex held only.
+	// table is the active table; it is only written with mutex held.
 	table atomic.Pointer[policy.Table]
 	// caughtUp is set once this node has loaded the latest revision.
 	caughtUp atomic.Bool
@@ -60,7 +60,7 @@
 	changed   chan struct{}   // closed and replaced at each new revision
 	recent    []*policy.Table // up to maxRecentTables, in ascending order of revision
 	pending   map[string]bool // proposal IDs with an append in progress
-	lastProbe time.Time       // start of the last successful probe of the log
+	lastProbe time.Time       // start of the last successful read by probeLog
 }
 
 // New returns Tables with the empty table; call Run to fill it.
@@ -150,6 +150,7 @@
 	}
 }
 
+// adoptFromStream adopts the table of the config stream's reducer.
 func (t *Tables) adoptFromStream() {
 	var table *policy.Table
 	t.options.Stream.View(func() { table = t.options.Reducer.Table() })
--- a/internal/tables/tables_test.go
+++ b/internal/tables/tables_test.go
@@ -115,15 +115,15 @@
 		})
 	}
 	running.Wait()
-	won := 0
+	acceptedCount := 0
 	for _, err := range results {
 		if err == nil {
-			won++
+			acceptedCount++
 			continue
 		}
 		requireKind(t, err, errkind.TableConflict)
 	}
-	assert.Equal(t, won, 1)
+	assert.Equal(t, acceptedCount, 1)
 	assert.Equal(t, len(nodes[0].tables.History(operators)), 1)
 }
 
@@ -131,14 +131,14 @@
 	log := newTestLog(t)
 	node := startNode(t, newTestNetwork(), log, "one")
 	node.awaitCurrent(t)
-	short := func() context.Context {
+	shortContext := func() context.Context {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		t.Cleanup(cancel)
 		return ctx
 	}
 
 	log.SetControl(standin.Control{Down: true})
-	_, err := node.tables.Propose(short(), proposal("never", 0, liveTableCSV(1, "a")))
+	_, err := node.tables.Propose(shortContext(), proposal("never", 0, liveTableCSV(1, "a")))
 	requireKind(t, err, errkind.LogUnavailable)
 
 	// Canceling the call does not withdraw a proposal whose append is in progress.
@@ -154,7 +154,7 @@
 	cancelPropose()
 	requireKind(t, <-result, errkind.OutcomeUnknown)
 	log.SetControl(standin.Control{Down: true})
-	_, err = node.tables.Propose(short(), edit)
+	_, err = node.tables.Propose(shortContext(), edit)
 	requireKind(t, err, errkind.OutcomeUnknown)
 
 	log.SetControl(standin.Control{})
@@ -195,17 +195,17 @@
 	first := mustPropose(t, node, "first", liveTableCSV(1, "a", "b", "c"))
 	second := mustPropose(t, node, "second", liveTableCSV(1, "a", "b", "d"))
 
-	ask := func(revision int64) tableResponse {
+	fetch := func(revision int64) tableResponse {
 		response, err := node.tables.call(context.Background(), "one", revision)
 		assert.NilError(t, err)
 		assert.Equal(t, response.Revision, second)
 		return response
 	}
-	assert.Equal(t, len(ask(first).Changes), 2)
-	assert.Assert(t, !ask(first).Full)
-	assert.Equal(t, len(ask(fullTable).Rows), 3)
-	assert.Equal(t, len(ask(second).Changes), 0)
-	assert.Assert(t, !ask(second).Full)
+	assert.Equal(t, len(fetch(first).Changes), 2)
+	assert.Assert(t, !fetch(first).Full)
+	assert.Equal(t, len(fetch(fullTable).Rows), 3)
+	assert.Equal(t, len(fetch(second).Changes), 0)
+	assert.Assert(t, !fetch(second).Full)
 }
 
 func TestFetchFromZoneNeedsReadyPeer(t *testing.T) {
@@ -221,13 +221,13 @@
 
 	// An alive member that does not respond may have a higher revision.
 	three := startNode(t, network, downLog, "three")
-	network.set(func() { three.unreachable = true })
+	network.withLock(func() { three.unreachable = true })
 	assert.Assert(t, !one.tables.fetchFromZone(ctx))
-	network.set(func() { three.member.Zone = "elsewhere" })
+	network.withLock(func() { three.member.Zone = "elsewhere" })
 	assert.Assert(t, one.tables.fetchFromZone(ctx))
 
 	// No other member of the zone is alive.
-	network.set(func() { two.member.State = cluster.StateSuspect })
+	network.withLock(func() { two.member.State = cluster.StateSuspect })
 	assert.Assert(t, !one.tables.fetchFromZone(ctx))
 }
 
@@ -237,21 +237,21 @@
 	node.tables.markCaughtUp("test")
 	old := time.Now().Add(-2 * ContactLimit)
 	for name, test := range map[string]struct {
-		own, inReach     time.Time
-		reachable, known int
-		current          bool
+		ownContact, clusterContact time.Time
+		reachable, known           int
+		current                    bool
 	}{
-		"own contact":      {own: time.Now(), inReach: old, reachable: 1, known: 9, current: true},
-		"another's":        {own: old, inReach: time.Now(), reachable: 2, known: 9, current: true},
-		"majority":         {own: old, inReach: old, reachable: 5, known: 9, current: true},
-		"exactly half":     {own: old, inReach: old, reachable: 4, known: 8},
-		"no contact ever":  {reachable: 1, known: 2},
-		"minority reached": {own: old, inReach: old, reachable: 2, known: 9},
+		"own contact":            {ownContact: time.Now(), clusterContact: old, reachable: 1, known: 9, current: true},
+		"another node's contact": {ownContact: old, clusterContact: time.Now(), reachable: 2, known: 9, current: true},
+		"majority":               {ownContact: old, clusterContact: old, reachable: 5, known: 9, current: true},
+		"exactly half":           {ownContact: old, clusterContact: old, reachable: 4, known: 8},
+		"no contact ever":        {reachable: 1, known: 2},
+		"minority reached":       {ownContact: old, clusterContact: old, reachable: 2, known: 9},
 	} {
 		t.Run(name, func(t *testing.T) {
-			network.set(func() {
-				node.contact = test.own
-				network.contact, network.reachable, network.known = test.inReach, test.reachable, test.known
+			network.withLock(func() {
+				node.contact = test.ownContact
+				network.contact, network.reachable, network.known = test.clusterContact, test.reachable, test.known
 			})
 			err := node.tables.Current()
 			if test.current {
