--- a/internal/message/progress.go
+++ b/internal/message/progress.go
@@ -2,11 +2,11 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// EncodeMsgpack encodes the message like its msgpack tags, but without reflection,
-// because it runs for each relayed chunk.
+// EncodeMsgpack encodes the message as its msgpack tags specify. It avoids reflection,
+// since it runs for each relayed chunk.
 func (p Progress) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	e := fieldEncoder{encoder: encoder}
-	e.count(p.fieldCount())
+	e.mapHeader(p.fieldCount())
 	e.unsigned("a", uint64(p.Attempt))
 	e.unsigned("ea", uint64(p.EngineAttempt))
 	if p.Engine != "" {
@@ -47,7 +47,7 @@
 	return count
 }
 
-// fieldEncoder encodes the fields of one message and keeps the first error.
+// fieldEncoder encodes the fields of one message as a msgpack map and keeps the first error.
 type fieldEncoder struct {
 	encoder *msgpack.Encoder
 	err     error
@@ -59,7 +59,7 @@
 	}
 }
 
-func (e *fieldEncoder) count(fields int) { e.setError(e.encoder.EncodeMapLen(fields)) }
+func (e *fieldEncoder) mapHeader(fields int) { e.setError(e.encoder.EncodeMapLen(fields)) }
 
 func (e *fieldEncoder) key(name string) { e.setError(e.encoder.EncodeString(name)) }
 
--- a/internal/message/progress_test.go
+++ b/internal/message/progress_test.go
@@ -11,7 +11,7 @@
 	_ "github.com/corkpulley/corkpulley/internal/common/fixedseed"
 )
 
-// taggedProgress is a Progress without EncodeMsgpack, which msgpack encodes by its tags.
+// taggedProgress is a Progress without EncodeMsgpack, so that msgpack encodes it by its tags.
 type taggedProgress Progress
 
 func encodeCompactly(t *rapid.T, value any) []byte {
