--- a/internal/logstream/contact_test.go
+++ b/internal/logstream/contact_test.go
@@ -18,31 +18,31 @@
 	delay time.Duration
 
 	mu sync.Mutex
-	// answered is when the latest delivered result was produced.
-	answered time.Time
+	// producedAt is when the service produced the latest delivered result.
+	producedAt time.Time
 }
 
 func (s *delayedService) Read(
 	ctx context.Context, stream string, from int64, limit int, wait time.Duration,
 ) (logservice.Batch, error) {
 	batch, err := s.Service.Read(ctx, stream, from, limit, wait)
-	answered := time.Now()
+	producedAt := time.Now()
 	time.Sleep(s.delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answered = answered
+	s.producedAt = producedAt
 	return batch, err
 }
 
-func (s *delayedService) answeredAt() time.Time {
+func (s *delayedService) lastProducedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answered
+	return s.producedAt
 }
 
 // Guards against a contact time that is newer than the data: a delayed result is current as of when it was
 // produced, not of when it arrived.
-func TestLastContactIsTimeOfAnswerNotArrival(t *testing.T) {
+func TestLastContactIsNotNewerThanReadResult(t *testing.T) {
 	fixture := newFixture(t)
 	const delay = 500 * time.Millisecond
 	service := &delayedService{Service: fixture.service(), delay: delay}
@@ -57,9 +57,9 @@
 		_ = manager.Close(ctx)
 	})
 	assert.NilError(t, stream.CatchUp(t.Context()))
-	for began := time.Now(); time.Since(began) < 4*delay; time.Sleep(10 * time.Millisecond) {
+	for startedAt := time.Now(); time.Since(startedAt) < 4*delay; time.Sleep(10 * time.Millisecond) {
 		contact := manager.LastContact("notes/a")
-		answered := service.answeredAt()
-		assert.Assert(t, !contact.After(answered.Add(delay/2)), "contact at %s, result produced at %s", contact, answered)
+		producedAt := service.lastProducedAt()
+		assert.Assert(t, !contact.After(producedAt.Add(delay/2)), "contact at %s, result produced at %s", contact, producedAt)
 	}
 }
--- a/internal/logstream/failurelog.go
+++ b/internal/logstream/failurelog.go
@@ -23,7 +23,7 @@
 
 var operationNames = [operationCount]string{"read", "append", "load_snapshot"}
 
-// failureWindow rate-limits the reports of one operation's failures. Its zero value is ready to use.
+// failureWindow rate-limits the reports of one operation's failures and recoveries. Its zero value is ready to use.
 type failureWindow struct {
 	reportedAt time.Time // zero before the first report
 	suppressed int       // failures since the last report that were not reported
--- a/internal/logstream/failurelog_test.go
+++ b/internal/logstream/failurelog_test.go
@@ -20,13 +20,13 @@
 // unavailableService fails and counts every call.
 type unavailableService struct{ calls atomic.Int64 }
 
-func (d *unavailableService) Append(context.Context, string, [][]byte) (int64, error) {
-	d.calls.Add(1)
+func (s *unavailableService) Append(context.Context, string, [][]byte) (int64, error) {
+	s.calls.Add(1)
 	return 0, logservice.ErrUnavailable
 }
 
-func (d *unavailableService) Read(context.Context, string, int64, int, time.Duration) (logservice.Batch, error) {
-	d.calls.Add(1)
+func (s *unavailableService) Read(context.Context, string, int64, int, time.Duration) (logservice.Batch, error) {
+	s.calls.Add(1)
 	return logservice.Batch{}, logservice.ErrUnavailable
 }
 
--- a/internal/logstream/logstream_test.go
+++ b/internal/logstream/logstream_test.go
@@ -33,25 +33,25 @@
 
 const kindNote logrecord.Kind = "note"
 
-func (h *recordingReducer) Apply(offset int64, record logrecord.Record) logrecord.Verdict {
-	verdict := h.Sequences.Admit(offset, record)
+func (r *recordingReducer) Apply(offset int64, record logrecord.Record) logrecord.Verdict {
+	verdict := r.Sequences.Admit(offset, record)
 	if verdict == logrecord.Accepted && record.Kind != kindNote {
-		verdict = h.Fence.Check(offset, record)
+		verdict = r.Fence.Check(offset, record)
 	}
 	if verdict == logrecord.Accepted {
-		h.Accepted = append(h.Accepted, fmt.Sprintf("%d %s %d %s", offset, record.Writer, record.Sequence, record.Kind))
+		r.Accepted = append(r.Accepted, fmt.Sprintf("%d %s %d %s", offset, record.Writer, record.Sequence, record.Kind))
 	}
 	return verdict
 }
 
-func (h *recordingReducer) Snapshot() ([]byte, error) { return msgpack.Marshal(h) }
+func (r *recordingReducer) Snapshot() ([]byte, error) { return msgpack.Marshal(r) }
 
-func (h *recordingReducer) Restore(data []byte) error {
+func (r *recordingReducer) Restore(data []byte) error {
 	var restored recordingReducer
 	if err := msgpack.Unmarshal(data, &restored); err != nil {
 		return err
 	}
-	*h = restored
+	*r = restored
 	return nil
 }
 
@@ -112,9 +112,9 @@
 		AppendTimeout: time.Second,
 	})
 	t.Cleanup(func() {
-		ended, cancel := context.WithCancel(context.Background())
+		canceled, cancel := context.WithCancel(context.Background())
 		cancel()
-		_ = manager.Close(ended)
+		_ = manager.Close(canceled)
 	})
 	return manager
 }
@@ -306,8 +306,8 @@
 	assert.ErrorIs(t, err, ErrNotProposed)
 }
 
-// Guards against losing a proposal that lands after more records than readers track for deduplication: its
-// writer must propose it again with a new sequence number.
+// Guards against losing a proposal that is appended after more records than readers track for deduplication: its
+// writer must append it again with a new sequence number.
 func TestExpiredProposalIsRequeued(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
--- a/internal/logstream/manager.go
+++ b/internal/logstream/manager.go
@@ -108,12 +108,12 @@
 func (m *Manager) remove(stream *TailedStream) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	left := slices.DeleteFunc(m.streams[stream.name], func(open *TailedStream) bool {
+	remaining := slices.DeleteFunc(m.streams[stream.name], func(open *TailedStream) bool {
 		return open == stream
 	})
-	if len(left) == 0 {
+	if len(remaining) == 0 {
 		delete(m.streams, stream.name)
 		return
 	}
-	m.streams[stream.name] = left
+	m.streams[stream.name] = remaining
 }
--- a/internal/logstream/options.go
+++ b/internal/logstream/options.go
@@ -44,7 +44,7 @@
 	maxBatchBytes   = 1 << 20
 	// readLimit is the maximum number of records requested by one read.
 	readLimit = 512
-	// snapshotPartBytes bounds the state carried by one snapshot record.
+	// snapshotPartBytes bounds the part of the state in one snapshot record.
 	snapshotPartBytes = 1 << 20
 	// initialScanWindow is the number of trailing records first searched for a snapshot. The window doubles
 	// until one is found.
@@ -62,7 +62,7 @@
 	Logger zerolog.Logger
 	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
-	// Zero values select the defaults.
+	// Zero durations select the defaults above.
 	CommitDelay   time.Duration
 	PollWait      time.Duration
 	AppendTimeout time.Duration
@@ -91,7 +91,7 @@
 	// many records. 0 disables deferral.
 	MaxSnapshotInterval int64
 	// ShouldSnapshot reports whether this process should write the snapshot that is due. It is called with the
-	// reducer's lock held. If nil, a process writes it if it had a record accepted since the previous one.
+	// reducer's lock held. If nil, a process writes it if one of its records was accepted since the previous one.
 	ShouldSnapshot func() bool
 	// SnapshotFormat is the version of the reducer's snapshot encoding; other versions are ignored.
 	SnapshotFormat int
--- a/internal/logstream/propose.go
+++ b/internal/logstream/propose.go
@@ -23,19 +23,19 @@
 }
 
 // Propose implements Stream.
-func (s *TailedStream) Propose(ctx context.Context, wanted Proposal) (Outcome, error) {
-	return s.ProposeWithCallback(ctx, wanted, nil)
+func (s *TailedStream) Propose(ctx context.Context, requested Proposal) (Outcome, error) {
+	return s.ProposeWithCallback(ctx, requested, nil)
 }
 
 // ProposeWithCallback implements Stream. onLate runs in its own goroutine. If the error wraps ErrNotProposed, the
 // proposal has no effect and onLate is not called; nor is it called after the Manager was stopped.
 func (s *TailedStream) ProposeWithCallback(
-	ctx context.Context, wanted Proposal, onLate func(Outcome),
+	ctx context.Context, requested Proposal, onLate func(Outcome),
 ) (Outcome, error) {
 	if err := ctx.Err(); err != nil {
 		return Outcome{}, errors.Wrapf(ErrNotProposed, "%v", err)
 	}
-	proposed, err := s.newProposal(wanted, onLate)
+	proposed, err := s.newProposal(requested, onLate)
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -52,8 +52,8 @@
 	}
 }
 
-func (s *TailedStream) newProposal(wanted Proposal, onLate func(Outcome)) (*proposal, error) {
-	body, err := logrecord.EncodeBody(wanted.Body)
+func (s *TailedStream) newProposal(requested Proposal, onLate func(Outcome)) (*proposal, error) {
+	body, err := logrecord.EncodeBody(requested.Body)
 	if err != nil {
 		return nil, errors.Wrapf(ErrBadProposal, "%v", err)
 	}
@@ -62,9 +62,9 @@
 	}
 	record := logrecord.Record{
 		Writer:   s.writer,
-		Sequence: 1, // a placeholder until the record is batched
-		Epoch:    wanted.Epoch,
-		Kind:     wanted.Kind,
+		Sequence: 1, // placeholder; nextBatch assigns the sequence number
+		Epoch:    requested.Epoch,
+		Kind:     requested.Kind,
 		Body:     body,
 	}
 	if _, err := logrecord.Encode(record); err != nil {
@@ -83,12 +83,12 @@
 		return ErrBacklogFull
 	}
 	s.queue = append(s.queue, proposed)
-	s.signal()
+	s.wakeAppender()
 	return nil
 }
 
-// signal wakes appendLoop.
-func (s *TailedStream) signal() {
+// wakeAppender wakes appendLoop.
+func (s *TailedStream) wakeAppender() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -120,7 +120,7 @@
 		return
 	}
 	if verdict == logrecord.Accepted {
-		s.acceptedSince = true
+		s.acceptedSinceSnapshot = true
 	}
 	s.manager.metrics.readBackLag.WithLabelValues(s.class).Observe(time.Since(proposed.proposedAt).Seconds())
 	outcome := Outcome{Offset: offset, Verdict: verdict}
@@ -131,9 +131,10 @@
 	}
 }
 
-// requeue queues an expired proposal for a new sequence number. This is safe: no copy of the expired record has
-// an effect at any offset, as an earlier copy would have been read first. Must be called with mu held.
+// requeue queues an expired proposal again, to be appended with a new sequence number. It cannot take effect twice:
+// copies of the expired record have no effect, and an earlier copy would have been read first. Must be called with mu
+// held.
 func (s *TailedStream) requeue(proposed *proposal) {
 	s.queue = append([]*proposal{proposed}, s.queue...)
-	s.signal()
+	s.wakeAppender()
 }
--- a/internal/logstream/snapshot.go
+++ b/internal/logstream/snapshot.go
@@ -38,32 +38,32 @@
 	return body, usable
 }
 
-// observeSnapshot records the position of the latest snapshot in the stream, so that the next one is not written
-// too soon. Must be called with mu held.
+// observeSnapshot records the offset and size of a snapshot read from the stream, which determine when the next one
+// is due. Must be called with mu held.
 func (s *TailedStream) observeSnapshot(offset int64, record logrecord.Record) {
 	body, usable := s.decodeSnapshot(offset, record)
-	if usable && body.Part == body.Parts-1 && body.AsOf > s.lastSnapshot {
+	if usable && body.Part == body.Parts-1 && body.AsOf > s.lastSnapshotOffset {
 		s.resetSnapshotCounters(body.AsOf, (body.Parts-1)*snapshotPartBytes+len(body.State))
 	}
 }
 
 // resetSnapshotCounters restarts the counters for the next snapshot. Must be called with mu held.
 func (s *TailedStream) resetSnapshotCounters(asOf int64, size int) {
-	s.lastSnapshot = asOf
-	s.snapshotBytes = size
-	s.bytesSince = 0
-	s.acceptedSince = false
+	s.lastSnapshotOffset = asOf
+	s.lastSnapshotBytes = size
+	s.bytesSinceSnapshot = 0
+	s.acceptedSinceSnapshot = false
 }
 
 // snapshotDue reports whether enough records were applied since the latest snapshot. Must be called with mu
 // held.
 func (s *TailedStream) snapshotDue() bool {
 	every := s.options.SnapshotEvery
-	records := s.applied - s.lastSnapshot
+	records := s.applied - s.lastSnapshotOffset
 	if every <= 0 || records < every {
 		return false
 	}
-	return s.bytesSince >= s.snapshotBytes || records >= s.options.MaxSnapshotInterval
+	return s.bytesSinceSnapshot >= s.lastSnapshotBytes || records >= s.options.MaxSnapshotInterval
 }
 
 // queueSnapshot queues a snapshot for appendLoop if one is due. Must be called with mu held.
@@ -71,7 +71,7 @@
 	if !s.snapshotDue() || !s.shouldWriteSnapshot() {
 		return
 	}
-	s.resetSnapshotCounters(s.applied, s.snapshotBytes)
+	s.resetSnapshotCounters(s.applied, s.lastSnapshotBytes)
 	state, err := s.reducer.Snapshot()
 	if err != nil {
 		s.logger.Error().Err(err).Msg("encode snapshot failed")
@@ -85,9 +85,9 @@
 		s.logger.Error().Err(err).Msg("encode snapshot failed")
 		return
 	}
-	s.snapshotBytes = len(state)
-	s.pendingSnapshots = records
-	s.signal()
+	s.lastSnapshotBytes = len(state)
+	s.queuedSnapshot = records
+	s.wakeAppender()
 }
 
 func (s *TailedStream) shouldWriteSnapshot() bool {
@@ -97,7 +97,7 @@
 	if s.options.ShouldSnapshot != nil {
 		return s.options.ShouldSnapshot()
 	}
-	return s.acceptedSince
+	return s.acceptedSinceSnapshot
 }
 
 func (s *TailedStream) encodeSnapshot(asOf int64, state []byte) ([][]byte, error) {
@@ -130,8 +130,8 @@
 // and another one follows.
 func (s *TailedStream) appendSnapshot() {
 	s.mu.Lock()
-	records := s.pendingSnapshots
-	s.pendingSnapshots = nil
+	records := s.queuedSnapshot
+	s.queuedSnapshot = nil
 	s.mu.Unlock()
 	if len(records) == 0 {
 		return
@@ -181,12 +181,13 @@
 	return false
 }
 
-// completeSnapshot is a snapshot with all its parts.
+// completeSnapshot is a snapshot joined from all its parts.
 type completeSnapshot struct {
 	asOf  int64
 	state []byte
 }
 
+// snapshotKey identifies the parts of one snapshot.
 type snapshotKey struct {
 	writer string
 	asOf   int64
@@ -217,6 +218,7 @@
 	return joinSnapshots(parts), nil
 }
 
+// joinSnapshots joins the parts of the complete snapshots, newest first.
 func joinSnapshots(parts map[snapshotKey]map[int][]byte) []completeSnapshot {
 	var complete []completeSnapshot
 	for key, found := range parts {
--- a/internal/logstream/snapshotdue_test.go
+++ b/internal/logstream/snapshotdue_test.go
@@ -12,10 +12,10 @@
 func TestMaxSnapshotIntervalDefersLargeSnapshots(t *testing.T) {
 	const records = 120
 	for _, test := range []struct {
-		name      string
-		state     int
-		atLatest  int64
-		snapshots []int64
+		name        string
+		stateBytes  int
+		maxInterval int64
+		snapshots   []int64
 	}{
 		{"by records", snapshotPartBytes, 0, []int64{10, 20, 30}},
 		{"small state", 1, 30, []int64{10, 20, 30}},
@@ -24,8 +24,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			stream := &TailedStream{
 				manager:    newFixture(t).manager(t, "a"),
-				reducer:    &recordingReducer{Accepted: []string{strings.Repeat("x", test.state)}},
-				options:    StreamOptions{SnapshotEvery: 10, MaxSnapshotInterval: test.atLatest},
+				reducer:    &recordingReducer{Accepted: []string{strings.Repeat("x", test.stateBytes)}},
+				options:    StreamOptions{SnapshotEvery: 10, MaxSnapshotInterval: test.maxInterval},
 				writer:     "a",
 				references: 1,
 				wake:       make(chan struct{}, 1),
@@ -33,12 +33,12 @@
 			var written []int64
 			for range records {
 				stream.applied++
-				stream.bytesSince += 100
-				stream.acceptedSince = true
-				before := stream.lastSnapshot
+				stream.bytesSinceSnapshot += 100
+				stream.acceptedSinceSnapshot = true
+				before := stream.lastSnapshotOffset
 				stream.queueSnapshot()
-				if stream.lastSnapshot != before {
-					written = append(written, stream.lastSnapshot)
+				if stream.lastSnapshotOffset != before {
+					written = append(written, stream.lastSnapshotOffset)
 				}
 			}
 			assert.DeepEqual(t, written[:len(test.snapshots)], test.snapshots)
--- a/internal/logstream/stream.go
+++ b/internal/logstream/stream.go
@@ -29,27 +29,29 @@
 	loaded chan struct{}
 	// stopped is closed once both goroutines have returned.
 	stopped chan struct{}
-	// wake wakes appendLoop when the queue is not empty.
+	// wake signals appendLoop that a proposal or a snapshot is queued.
 	wake chan struct{}
 
 	mu          sync.Mutex
 	references  int
-	applied     int64
+	applied     int64 // offset after the last applied record
 	lastContact time.Time
-	waiters     map[int64]chan struct{}
+	waiters     map[int64]chan struct{} // channels returned by Changed, by offset
 
 	// queue holds proposals without a sequence number, pending those with one that have not been read back.
 	queue        []*proposal
 	pending      map[uint64]*proposal
 	nextSequence uint64
 
-	lastSnapshot int64
-	// snapshotBytes is the size of the latest known snapshot; bytesSince is the size of the records applied
-	// since this reader learned of it.
-	snapshotBytes    int
-	bytesSince       int
-	acceptedSince    bool
-	pendingSnapshots [][]byte
+	// lastSnapshotOffset is the offset after the last record included in the latest known or attempted snapshot.
+	lastSnapshotOffset int64
+	// lastSnapshotBytes is the size of that snapshot; bytesSinceSnapshot is the size of the records applied since
+	// this reader learned of it.
+	lastSnapshotBytes  int
+	bytesSinceSnapshot int
+	// acceptedSinceSnapshot is set when a proposal of this TailedStream was accepted since then.
+	acceptedSinceSnapshot bool
+	queuedSnapshot        [][]byte // encoded records that appendLoop has not taken
 }
 
 var _ Stream = (*TailedStream)(nil)
--- a/internal/logstream/tail.go
+++ b/internal/logstream/tail.go
@@ -33,6 +33,7 @@
 	s.follow()
 }
 
+// follow reads and applies records until the stream stops.
 func (s *TailedStream) follow() {
 	delays := logRetries.Delays()
 	limit := readLimit
@@ -68,7 +69,8 @@
 	}
 	if batch.End < from {
 		// An append-only log cannot shrink; continuing would mix two histories.
-		return logservice.Batch{}, errors.Wrapf(logservice.ErrUnavailable, "stream ends at %d, but %d was read", batch.End, from)
+		return logservice.Batch{}, errors.Wrapf(logservice.ErrUnavailable,
+			"stream ends at offset %d, but records before offset %d were read", batch.End, from)
 	}
 	return batch, nil
 }
@@ -109,7 +111,7 @@
 		s.observeSnapshot(entry.Offset, record)
 		return
 	}
-	s.bytesSince += len(entry.Data)
+	s.bytesSinceSnapshot += len(entry.Data)
 	verdict := s.reducer.Apply(entry.Offset, record)
 	s.resolve(entry.Offset, record, verdict)
 }
