--- a/internal/platform/enginehttp/http.go
+++ b/internal/platform/enginehttp/http.go
@@ -62,17 +62,17 @@
 
 var _ engine.Client = (*HTTPClient)(nil)
 
-// NewHTTP returns a client that sends through client; nil selects one on NewTransport. It never follows
-// redirects, as a request must not be sent twice.
+// NewHTTP returns a client that sends its requests with client; nil selects an http.Client with a transport of
+// NewTransport. It never follows redirects, as a request must not be sent twice.
 func NewHTTP(client *http.Client) *HTTPClient {
 	if client == nil {
 		client = &http.Client{Transport: NewTransport()}
 	}
-	adapter := &HTTPClient{client: *client}
-	adapter.client.CheckRedirect = func(*http.Request, []*http.Request) error {
+	engines := &HTTPClient{client: *client}
+	engines.client.CheckRedirect = func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse
 	}
-	return adapter
+	return engines
 }
 
 // NewTransport returns a pooled transport for hundreds of streams to each of many engines. It uses HTTP/1.1
@@ -195,7 +195,7 @@
 		return nil, &engine.SendError{Err: errors.Wrap(err, "encode engine request")}
 	}
 	var delivery deliveryTrace
-	request, err := http.NewRequestWithContext(delivery.attach(ctx), http.MethodPost, "http://"+address+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(delivery.withTrace(ctx), http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, &engine.SendError{Err: errors.Wrap(err, "build engine request")}
 	}
@@ -236,7 +236,7 @@
 	sent atomic.Bool
 }
 
-func (d *deliveryTrace) attach(ctx context.Context) context.Context {
+func (d *deliveryTrace) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GetConn: func(string) { d.sent.Store(false) },
 		GotConn: func(httptrace.GotConnInfo) { d.sent.Store(true) },
--- a/internal/platform/enginehttp/http_test.go
+++ b/internal/platform/enginehttp/http_test.go
@@ -76,13 +76,13 @@
 func TestReceiveReportsBrokenStreams(t *testing.T) {
 	bodies := map[string]string{
 		"no chunk":          "",
-		"inside a line":     `{"request_id":"r1","atte`,
+		"truncated line":    `{"request_id":"r1","atte`,
 		"not JSON":          "oops\n",
 		"another request":   `{"request_id":"r2","attempt":2,"finished":true}` + "\n",
 		"another attempt":   `{"request_id":"r1","attempt":1,"finished":true}` + "\n",
 		"no version":        `{"request_id":"r1","attempt":2,"tokens":["a"]}` + "\n",
 		"negative position": `{"request_id":"r1","attempt":2,"first_token":-1,"tokens":["a"],"version":1}` + "\n",
-		"endless line":      strings.Repeat("x", 5<<20),
+		"line too long":     strings.Repeat("x", 5<<20),
 	}
 	for name, body := range bodies {
 		t.Run(name, func(t *testing.T) {
@@ -120,9 +120,9 @@
 	}{
 		{"not run", `{"code":"draining","message":"m","ran":false}`, true},
 		{"ran", `{"code":"broken","message":"m","ran":true}`, false},
-		{"says nothing", `{"code":"draining","message":"m"}`, false},
-		{"no refusal", `gateway error`, false},
-		{"other JSON", `{"ran":false}`, false},
+		{"no ran field", `{"code":"draining","message":"m"}`, false},
+		{"not JSON", `gateway error`, false},
+		{"no code", `{"ran":false}`, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/platform/enginehttp/scan.go
+++ b/internal/platform/enginehttp/scan.go
@@ -16,7 +16,7 @@
 type chunkScanner struct {
 	line     []byte
 	position int
-	// requestID is the expected ID; it saves a copy if the line has the same.
+	// requestID is the expected ID; if the line has the same ID, the chunk shares this string instead of a copy.
 	requestID string
 }
 
--- a/internal/platform/enginehttp/stream.go
+++ b/internal/platform/enginehttp/stream.go
@@ -62,7 +62,7 @@
 		return line, nil
 	}
 	if !errors.Is(err, bufio.ErrBufferFull) {
-		return nil, endOfLine(len(line), err)
+		return nil, lineReadError(len(line), err)
 	}
 	l.long = append(l.long[:0], line...)
 	for errors.Is(err, bufio.ErrBufferFull) {
@@ -73,13 +73,14 @@
 		}
 	}
 	if err != nil {
-		return nil, endOfLine(len(l.long), err)
+		return nil, lineReadError(len(l.long), err)
 	}
 	return l.long, nil
 }
 
-// endOfLine converts io.EOF within a line to io.ErrUnexpectedEOF.
-func endOfLine(partial int, err error) error {
+// lineReadError returns the error of a read that ended after partial bytes of a line: io.ErrUnexpectedEOF instead of
+// io.EOF within a line.
+func lineReadError(partial int, err error) error {
 	if errors.Is(err, io.EOF) && partial > 0 {
 		return io.ErrUnexpectedEOF
 	}
@@ -170,9 +171,9 @@
 
 func (s *httpStream) closeOnce() error {
 	if s.finished.Load() {
-		grace := time.AfterFunc(drainTimeout, s.cancel)
+		timer := time.AfterFunc(drainTimeout, s.cancel)
 		_, _ = s.lines.next()
-		grace.Stop()
+		timer.Stop()
 		s.lines.release()
 	}
 	s.cancel()
--- a/internal/platform/httpjson/httpjson.go
+++ b/internal/platform/httpjson/httpjson.go
@@ -84,7 +84,7 @@
 	if message != nil {
 		encoded, err := json.Marshal(message)
 		if err != nil {
-			return nil, errors.Wrap(err, "encode")
+			return nil, errors.Wrap(err, "encode request")
 		}
 		body = bytes.NewReader(encoded)
 	}
--- a/internal/platform/logservice/http_test.go
+++ b/internal/platform/logservice/http_test.go
@@ -76,8 +76,8 @@
 		_, err := serve(t, answer(200, body)).Read(t.Context(), "s", 3, 2, 0)
 		assert.ErrorIs(t, err, ErrUnavailable, name)
 	}
-	good := `{"entries":[{"offset":3,"data":"AQ=="},{"offset":4,"data":"Ag=="}],"end":9}`
-	batch, err := serve(t, answer(200, good)).Read(t.Context(), "s", 3, 2, 0)
+	valid := `{"entries":[{"offset":3,"data":"AQ=="},{"offset":4,"data":"Ag=="}],"end":9}`
+	batch, err := serve(t, answer(200, valid)).Read(t.Context(), "s", 3, 2, 0)
 	assert.NilError(t, err)
 	want := Batch{Entries: []Entry{{Offset: 3, Data: []byte{1}}, {Offset: 4, Data: []byte{2}}}, End: 9}
 	assert.DeepEqual(t, batch, want)
--- a/internal/platform/logservice/logservice.go
+++ b/internal/platform/logservice/logservice.go
@@ -30,8 +30,7 @@
 	End int64 `json:"end"`
 }
 
-// Service is the log service. Callers rely on neither conditional appends, nor transactions, nor operations on
-// several streams.
+// Service is the log service. It need not support conditional appends, transactions or operations on several streams.
 type Service interface {
 	// Append appends the records in order and returns the offset of the first one. Errors wrap ErrRefused or
 	// ErrOutcomeUnknown.
