--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -31,11 +31,11 @@
 	MaxProbeInterval   = 10 * time.Second
 	MinGrace           = time.Second
 	MaxGrace           = time.Hour
-	MinLoads           = 1
-	MaxLoads           = 10_000
+	MinConcurrentLoads = 1
+	MaxConcurrentLoads = 10_000
 	MinLease           = 500 * time.Millisecond
 	MaxLease           = time.Minute
-	MaxOrderQuiet      = lease.MaxBetweenMachines // orders are retained for longer than this
+	MaxOrderQuiet      = lease.MaxBetweenMachines // the lease retains orders for longer than this
 	MaxPartitions      = 1024
 	MaxProcessors      = 1024
 	MaxMemoryMB        = 1 << 20
@@ -216,7 +216,7 @@
 }
 
 func (c *checker) concurrentLoads(value int) {
-	c.number("weights.max_concurrent_loads", value, MinLoads, MaxLoads)
+	c.number("weights.max_concurrent_loads", value, MinConcurrentLoads, MaxConcurrentLoads)
 }
 
 func (c *checker) number(key string, value, low, high int) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -81,8 +81,8 @@
 	Log string `toml:"log"`
 	// Lease is how long leadership lasts after its last renewal, 500 ms..1 min.
 	Lease Duration `toml:"lease"`
-	// OrderQuiet is the minimum time between orders to engines from different
-	// machines, 0..10 min.
+	// OrderQuiet is the minimum time between orders that different machines send to
+	// the same engine, 0..10 min.
 	OrderQuiet Duration `toml:"order_quiet"`
 	// EnginesFence is true when engines reject orders with lower fencing tokens.
 	EnginesFence bool `toml:"engines_fence"`
@@ -125,7 +125,8 @@
 	return h.Duties != "" && slices.Contains(strings.Split(h.DutyKinds, ","), kind)
 }
 
-// Scheduling configures the choice of cells and engines.
+// Scheduling configures which cell (a group of engines of one pool and zone that share a queue) and which engine
+// runs a request.
 type Scheduling struct {
 	// Policy is "default", or one of the baselines for benchmarks: "round-robin",
 	// "least-load" or "one-hop".
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -81,11 +81,11 @@
 		assert.Equal(t, len(problems), 1, "%s: %v", test.text, problems)
 		assert.Equal(t, problems[0].Key, test.key)
 	}
-	any, free := "0.0.0.0:7070", "127.0.0.1:0"
+	unspecified, anyPort := "0.0.0.0:7070", "127.0.0.1:0"
 	reachable := "10.0.0.1:7070"
-	_, problems := Load(Flags{File: writeFile(t, completeFile), Peers: &any, AdvertisePeers: &reachable})
+	_, problems := Load(Flags{File: writeFile(t, completeFile), Peers: &unspecified, AdvertisePeers: &reachable})
 	assert.Equal(t, len(problems), 0, "%v", problems)
-	_, problems = Load(Flags{File: writeFile(t, completeFile), Peers: &free, Callers: &free, Operators: &free})
+	_, problems = Load(Flags{File: writeFile(t, completeFile), Peers: &anyPort, Callers: &anyPort, Operators: &anyPort})
 	assert.Equal(t, len(problems), 0, "listeners on port 0 do not conflict: %v", problems)
 	_, problems = Load(Flags{File: writeFile(t, completeFile), Seeds: []string{"127.0.0.1:0"}})
 	assert.Equal(t, problems[0].Key, "cluster.seeds[0]")
@@ -101,8 +101,8 @@
 }
 
 func TestLoadChecksTopology(t *testing.T) {
-	good := "[topology.zones]\ntumwater = \"pnw\"\nhillsboro = \"pnw\"\nomaha = \"plains\"\n"
-	loaded, problems := Load(Flags{File: writeFile(t, completeFile+good)})
+	valid := "[topology.zones]\ntumwater = \"pnw\"\nhillsboro = \"pnw\"\nomaha = \"plains\"\n"
+	loaded, problems := Load(Flags{File: writeFile(t, completeFile+valid)})
 	assert.Equal(t, len(problems), 0, "%v", problems)
 	assert.Equal(t, loaded.Topology.Zones["omaha"], "plains")
 	for _, test := range []struct{ text, key, expected string }{
