--- a/internal/operatorapi/operatorapi_test.go
+++ b/internal/operatorapi/operatorapi_test.go
@@ -97,13 +97,13 @@
 
 func TestStatusAnswersWhenSourcesFail(t *testing.T) {
 	system := &fakeSystem{
-		notReady: errkind.New(errkind.NotCurrent, "alone"),
+		notReady: errkind.New(errkind.NotCurrent, "no contact with the log"),
 		stepsErr: errors.New("owner unreachable"),
 	}
 	var status api.Status
 	assert.Equal(t, system.do(t, http.MethodGet, PathStatus, "", &status), http.StatusOK)
 	assert.Equal(t, status.Ready, false)
-	assert.Equal(t, status.NotReadyCause, "not_current: alone")
+	assert.Equal(t, status.NotReadyCause, "not_current: no contact with the log")
 	assert.Equal(t, status.Node.TableRevision, int64(4))
 	assert.Equal(t, status.LogReachable, true)
 	assert.Equal(t, status.Cells[0].Queued, 1)
@@ -148,7 +148,7 @@
 	}
 
 	// A node that caught up once keeps serving its table without contact to the log.
-	system.notCurrent = errkind.New(errkind.NotCurrent, "alone")
+	system.notCurrent = errkind.New(errkind.NotCurrent, "no contact with the log")
 	var document api.TableDocument
 	assert.Equal(t, system.do(t, http.MethodGet, PathTable, "", &document), http.StatusOK)
 	assert.Equal(t, document.Revision, int64(4))
--- a/internal/operatorapi/status.go
+++ b/internal/operatorapi/status.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// logReachableWithin is the maximum age of the last log contact at which the
+	// maxLogContactAge is the maximum age of the last log contact at which the
 	// status reports the log as reachable.
-	logReachableWithin = 5 * time.Second
+	maxLogContactAge = 5 * time.Second
 	// peerQueryTimeout bounds the queries to other nodes for one response.
 	peerQueryTimeout = 5 * time.Second
 )
@@ -47,7 +47,7 @@
 		Node:          nodeStatus(a.options.View.Self()),
 		Ready:         true,
 		TableRevision: a.revision(),
-		LogReachable:  time.Since(a.options.LastLogContact()) < logReachableWithin,
+		LogReachable:  time.Since(a.options.LastLogContact()) < maxLogContactAge,
 		Members:       a.members(),
 		Cells:         a.cells(),
 		Steps:         []api.StepStatus{},
