--- a/internal/trainerapi/validate.go
+++ b/internal/trainerapi/validate.go
@@ -9,13 +9,13 @@
 
 // Limits of request fields.
 const (
-	maxPromptBytes = 256 << 10
-	maxGroupBytes  = 256
-	maxTokens      = 32768
-	maxTemperature = 10.0
-	maxFetchMax    = 1024
-	maxWaitMS      = 60_000
-	maxSamples     = 65536
+	maxPromptBytes  = 256 << 10
+	maxGroupBytes   = 256
+	maxTokens       = 32768
+	maxTemperature  = 10.0
+	maxFetchSamples = 1024
+	maxWaitMS       = 60_000
+	maxSampleIDs    = 65536
 )
 
 func checkTrainer(table *policy.Table, trainer string) error {
@@ -96,8 +96,8 @@
 		}
 	}
 	switch {
-	case request.Max < 1 || request.Max > maxFetchMax:
-		return outOfRange("max", int64(request.Max), 1, maxFetchMax)
+	case request.Max < 1 || request.Max > maxFetchSamples:
+		return outOfRange("max", int64(request.Max), 1, maxFetchSamples)
 	case request.WaitMS < 1 || request.WaitMS > maxWaitMS:
 		return outOfRange("wait_ms", request.WaitMS, 1, maxWaitMS)
 	}
@@ -121,8 +121,8 @@
 }
 
 func checkSampleIDs(field string, ids []string) error {
-	if len(ids) > maxSamples {
-		return errkind.New(errkind.InvalidRequest, "%s has %d IDs, at most %d allowed", field, len(ids), maxSamples)
+	if len(ids) > maxSampleIDs {
+		return errkind.New(errkind.InvalidRequest, "%s has %d IDs, at most %d allowed", field, len(ids), maxSampleIDs)
 	}
 	for i, id := range ids {
 		if _, err := ledger.ParseSampleKey(id); err != nil {
