--- a/internal/httpapi/router.go
+++ b/internal/httpapi/router.go
@@ -16,8 +16,8 @@
 	http.MethodDelete, http.MethodGet, http.MethodPatch, http.MethodPost, http.MethodPut,
 }
 
-// NewRouter returns a router that responds to unknown paths and methods with the
-// error body of errkind. It does not redirect to cleaned paths, because clients
+// NewRouter returns a router that responds to unknown paths and methods with an
+// api.ErrorBody. It does not redirect to cleaned paths, because clients
 // repeat a redirected POST as a GET.
 func NewRouter() *mux.Router {
 	router := mux.NewRouter().SkipClean(true)
