--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -98,21 +98,24 @@
 	Text  string `json:"text"`
 }
 
-// StepStatus is the response to PUT, GET and DELETE of a step.
+// StepStatus is the response to PUT, GET and DELETE of a step. Unless the step
+// is abandoned, Wanted is the sum of Open, Filled and Acknowledged.
 type StepStatus struct {
 	Trainer      string `json:"trainer"`
 	Step         string `json:"step"`
-	Wanted       int    `json:"wanted"`
-	Open         int    `json:"open"`   // not yet filled
-	Filled       int    `json:"filled"` // recorded, not yet acknowledged
+	Wanted       int    `json:"wanted"` // samples requested
+	Open         int    `json:"open"`   // samples still to be generated and recorded
+	Filled       int    `json:"filled"` // samples recorded, not yet acknowledged
 	Acknowledged int    `json:"acknowledged"`
 	Discarded    int    `json:"discarded"` // samples discarded as stale so far
 	Done         bool   `json:"done"`      // all wanted samples acknowledged
 	// Abandoned is true once the trainer canceled the step; its samples are no
 	// longer generated or delivered.
-	Abandoned bool   `json:"abandoned,omitempty"`
-	Owner     string `json:"owner,omitempty"`
-	Epoch     int64  `json:"epoch,omitempty"`
+	Abandoned bool `json:"abandoned,omitempty"`
+	// Owner is the ID of the node that coordinates the trainer's steps; Epoch
+	// identifies its term of ownership.
+	Owner string `json:"owner,omitempty"`
+	Epoch int64  `json:"epoch,omitempty"`
 }
 
 // FetchRequest is the body of POST /v1/trainers/{trainer}/fetch (long poll).
@@ -220,7 +223,8 @@
 	Epoch  int64  `json:"epoch"`
 }
 
-// CellStatus is one cell in the response to GET /v1/status.
+// CellStatus is one cell, a group of engines of one pool and zone that share a
+// queue, in the response to GET /v1/status.
 type CellStatus struct {
 	Zone    string `json:"zone"`
 	Pool    string `json:"pool"`
@@ -242,7 +246,7 @@
 	State    string            `json:"state"` // serving, draining, broken, leaving, unreachable
 	Models   map[string]uint64 `json:"models"`
 	InFlight int               `json:"in_flight"`
-	Node     string            `json:"node"`
+	Node     string            `json:"node"` // node that dispatches to the engine
 }
 
 // Status is the response to GET /v1/status.
