--- a/internal/engine/codes.go
+++ b/internal/engine/codes.go
@@ -5,12 +5,11 @@
 	CodeDraining      = "draining"
 	CodeOverloaded    = "overloaded"
 	CodeBroken        = "broken"
-	CodeVersion       = "version"
+	CodeVersion       = "version" // the engine's version of the model is below MinVersion
 	CodeUnknownStream = "unknown_stream"
 	CodeStaleFence    = "stale_fence"
 	CodeInvalid       = "invalid"
-	// CodeUnknownModel means that the engine does not serve the model.
-	CodeUnknownModel = "unknown_model"
+	CodeUnknownModel  = "unknown_model"
 )
 
 // Values of Order.Kind.
