--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -73,12 +73,13 @@
 	}
 }
 
-func (r *Reader) readLine(before int) ([]byte, error) {
+// readLine reads the next line of an event of which eventBytes have been read.
+func (r *Reader) readLine(eventBytes int) ([]byte, error) {
 	var line []byte
 	for {
 		piece, err := r.source.ReadSlice('\n')
 		line = append(line, piece...)
-		if before+len(line) > maxEventBytes {
+		if eventBytes+len(line) > maxEventBytes {
 			return nil, errors.Errorf("event has more than %d bytes", maxEventBytes)
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
