--- a/internal/goldenrecord/fields.go
+++ b/internal/goldenrecord/fields.go
@@ -40,13 +40,13 @@
 	switch value := value.(type) {
 	case map[string]any:
 		fields[path] = object
-		for name, each := range value {
-			collect(fields, strings.TrimPrefix(path+pathSeparator+name, pathSeparator), each)
+		for name, element := range value {
+			collect(fields, strings.TrimPrefix(path+pathSeparator+name, pathSeparator), element)
 		}
 	case []any:
 		fields[path] = list
-		for _, each := range value {
-			collect(fields, path+elementSuffix, each)
+		for _, element := range value {
+			collect(fields, path+elementSuffix, element)
 		}
 	default:
 		fields[path] = value
--- a/internal/goldenrecord/goldenrecord.go
+++ b/internal/goldenrecord/goldenrecord.go
@@ -138,10 +138,10 @@
 	var added []string
 	for _, path := range slices.Sorted(maps.Keys(current)) {
 		_, known := earlier[path]
-		below := slices.ContainsFunc(added, func(above string) bool {
-			return strings.HasPrefix(path, above+pathSeparator) || strings.HasPrefix(path, above+elementSuffix)
+		nested := slices.ContainsFunc(added, func(parent string) bool {
+			return strings.HasPrefix(path, parent+pathSeparator) || strings.HasPrefix(path, parent+elementSuffix)
 		})
-		if !known && !below {
+		if !known && !nested {
 			added = append(added, path)
 		}
 	}
--- a/internal/goldenrecord/goldenrecord_test.go
+++ b/internal/goldenrecord/goldenrecord_test.go
@@ -28,11 +28,11 @@
 	raw, err := msgpack.Marshal(&filled)
 	assert.NilError(t, err)
 	fields := fieldsOf(t, raw)
-	classes := make(map[string]string)
+	types := make(map[string]string)
 	for path, value := range fields {
-		classes[path] = wireType(value)
+		types[path] = wireType(value)
 	}
-	assert.DeepEqual(t, classes, map[string]string{
+	assert.DeepEqual(t, types, map[string]string{
 		"": "map", "i": "integer", "r": "[]uint8", "f": "float64", "l": "bool",
 		"p": "list", "p[]": "map", "p[].n": "list", "p[].n[]": "string", "p[].s": "map", "p[].s.key": "integer",
 		"x": "map", "x.n": "list", "x.n[]": "string", "x.s": "map", "x.s.key": "integer",
