--- a/internal/docscheck/boundary_test.go
+++ b/internal/docscheck/boundary_test.go
@@ -63,8 +63,8 @@
 	parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join("..", "..", file), nil, parser.ImportsOnly)
 	assert.NilError(t, err)
 	var imports []string
-	for _, each := range parsed.Imports {
-		imports = append(imports, strings.TrimPrefix(strings.Trim(each.Path.Value, `"`), module))
+	for _, spec := range parsed.Imports {
+		imports = append(imports, strings.TrimPrefix(strings.Trim(spec.Path.Value, `"`), module))
 	}
 	return imports
 }
@@ -88,7 +88,7 @@
 	}
 }
 
-// Guards against I/O in the core: its packages must not import net or an adapter, directly or indirectly.
+// Guards against network I/O in the core: its packages must not import net or an adapter, directly or indirectly.
 func TestCoreImportsNoNetworkOrAdapter(t *testing.T) {
 	seen := make(map[string]bool)
 	var visit func(folder, chain string)
@@ -108,10 +108,10 @@
 			}
 		}
 	}
-	cores, err := os.ReadDir(filepath.Join("..", "core"))
+	corePackages, err := os.ReadDir(filepath.Join("..", "core"))
 	assert.NilError(t, err)
-	for _, core := range cores {
-		visit("internal/core/"+core.Name(), "core")
+	for _, corePackage := range corePackages {
+		visit("internal/core/"+corePackage.Name(), "core")
 	}
 	assert.Assert(t, len(seen) > 10, "only %d packages visited", len(seen))
 }
--- a/internal/docscheck/doc.go
+++ b/internal/docscheck/doc.go
@@ -1,4 +1,4 @@
 // Package docscheck tests that the documentation for operators matches the settings, flags, table columns and error
-// codes of the code, and that packages respect the boundary of the platform. Metrics are checked in package node, which
-// registers them.
+// codes of the code, that only the platform adapter depends on the platform's protocol, and that core packages do no
+// network I/O. Metrics are checked in package node, which registers them.
 package docscheck
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -108,7 +108,7 @@
 	actual := defaults(reflect.ValueOf(settings.Default()), "")
 	for _, row := range tableRows(t, readPage(t, "CONFIG.md"), "key", "flag", "range", "default") {
 		if _, known := actual[row[0]]; !known {
-			continue // the page describes in words what applies without a default
+			continue // the cell explains what applies if the key is not set
 		}
 		documented[row[0]] = row[defaultCell]
 		if duration, err := time.ParseDuration(row[defaultCell]); err == nil {
@@ -137,14 +137,14 @@
 	for _, row := range tableRows(t, readPage(t, "OPERATIONS.md"), "code", "status", "ran") {
 		documented = append(documented, strings.Join(row[:3], " "))
 	}
-	var answered []string
+	var actual []string
 	for _, kind := range errkind.All() {
 		answer := kind.Response()
-		answered = append(answered, fmt.Sprintf("%s %d %s", answer.Code, answer.Status, answer.Execution))
+		actual = append(actual, fmt.Sprintf("%s %d %s", answer.Code, answer.Status, answer.Execution))
 	}
 	slices.Sort(documented)
-	slices.Sort(answered)
-	assert.DeepEqual(t, documented, answered)
+	slices.Sort(actual)
+	assert.DeepEqual(t, documented, actual)
 }
 
 func TestSampleTableIsValid(t *testing.T) {
