--- a/internal/bench/soak/build.go
+++ b/internal/bench/soak/build.go
@@ -21,13 +21,13 @@
 // them.
 func newBuild(ctx context.Context, daemon, file, text, optional string) (build, error) {
 	created := build{path: daemon, settings: file}
-	if err := writeFile(file, text+optional); err != nil {
+	if err := writeSettings(file, text+optional); err != nil {
 		return build{}, err
 	}
 	if created.check(ctx) == nil {
 		return created, nil
 	}
-	if err := writeFile(file, text); err != nil {
+	if err := writeSettings(file, text); err != nil {
 		return build{}, err
 	}
 	return created, created.check(ctx)
--- a/internal/bench/soak/check.go
+++ b/internal/bench/soak/check.go
@@ -7,7 +7,7 @@
 	standin "github.com/corkpulley/corkpulley/internal/standin/platform"
 )
 
-// Violation is an invariant that the recorded history breaks.
+// Violation describes one violation of an invariant by the recorded history.
 type Violation struct {
 	Rule   string `json:"rule"`
 	Detail string `json:"detail"`
@@ -27,9 +27,9 @@
 	// ResumeGrace is how long after its sender resumed from a freeze, or the sender's network path was
 	// restored, an order is exempt.
 	ResumeGrace time.Duration
-	// Evacuate limits how long an evacuation takes to apply, ColdNotice how long until the nodes learn
-	// that a running engine turned cold, and Reorder how long until an engine that lost its weights is
-	// ordered to load them.
+	// Evacuate limits how long an evacuation takes to apply, ColdNotice how long it takes until the nodes learn
+	// that a running engine turned cold, and Reorder how long it takes until an engine that lost its weights
+	// is ordered to load them.
 	Evacuate   time.Duration
 	ColdNotice time.Duration
 	Reorder    time.Duration
@@ -96,20 +96,20 @@
 }
 
 func expectedByID(h *History) map[string]expectedRequest {
-	known := make(map[string]expectedRequest)
+	expected := make(map[string]expectedRequest)
 	for i := range h.Calls {
 		call := &h.Calls[i]
-		known[call.ID] = expectedRequest{path: call.Path, body: call.Body, call: call}
+		expected[call.ID] = expectedRequest{path: call.Path, body: call.Body, call: call}
 	}
 	for _, job := range h.Jobs {
 		for _, item := range job.Job.Items {
-			known[item.ID] = expectedRequest{path: standin.ItemPath(item.ID), body: item.Body, job: job}
+			expected[item.ID] = expectedRequest{path: standin.ItemPath(item.ID), body: item.Body, job: job}
 			if item.ScoringID != "" {
-				known[item.ScoringID] = expectedRequest{path: standin.ScoringPath(item.ScoringID), body: item.ScoringBody(), job: job}
+				expected[item.ScoringID] = expectedRequest{path: standin.ScoringPath(item.ScoringID), body: item.ScoringBody(), job: job}
 			}
 		}
 	}
-	return known
+	return expected
 }
 
 // forEachRun calls visit for every run on every engine.
@@ -124,12 +124,12 @@
 // checkUnrequestedRuns reports runs that no caller or job requested, or whose path or body was altered.
 func checkUnrequestedRuns(h *History, _ Bounds) []string {
 	var found []string
-	known := expectedByID(h)
+	expected := expectedByID(h)
 	forEachRun(h, func(engine *EngineRecord, run standin.Run) {
-		want, isKnown := known[run.ID]
-		if !isKnown || want.path != run.Path || want.body != run.Body {
+		want, isExpected := expected[run.ID]
+		if !isExpected || want.path != run.Path || want.body != run.Body {
 			found = append(found, fmt.Sprintf("engine %s ran %s %s with body %q; requested: %t %s %q",
-				engine.ID, run.ID, run.Path, run.Body, isKnown, want.path, want.body))
+				engine.ID, run.ID, run.Path, run.Body, isExpected, want.path, want.body))
 		}
 	})
 	return found
@@ -138,9 +138,9 @@
 // checkRejectedNotRun reports runs of requests and jobs whose rejection guaranteed that they had not run.
 func checkRejectedNotRun(h *History, _ Bounds) []string {
 	var found []string
-	known := expectedByID(h)
+	expected := expectedByID(h)
 	forEachRun(h, func(engine *EngineRecord, run standin.Run) {
-		want := known[run.ID]
+		want := expected[run.ID]
 		if call := want.call; call != nil && call.Intact && call.Kind != standin.RouteSafe && standin.GuaranteesNotExecuted(call.Answer.Status) {
 			found = append(found, fmt.Sprintf("engine %s ran %s, which was rejected with status %d", engine.ID, run.ID, call.Answer.Status))
 		}
--- a/internal/bench/soak/check_batch.go
+++ b/internal/bench/soak/check_batch.go
@@ -13,12 +13,12 @@
 func checkResultPositions(h *History, _ Bounds) []string {
 	found := slices.Clone(h.ChangedPositions)
 	for _, job := range h.Jobs {
-		at := make(map[string]int)
+		positions := make(map[string]int)
 		for position, result := range job.Positions {
-			if first, twice := at[result.ID]; twice {
+			if first, repeated := positions[result.ID]; repeated {
 				found = append(found, fmt.Sprintf("job %s lists %s at positions %d and %d", job.Job.ID, result.ID, first, position))
 			}
-			at[result.ID] = position
+			positions[result.ID] = position
 		}
 	}
 	return found
@@ -28,30 +28,30 @@
 // bound had passed.
 func checkRunsAfterCancel(h *History, bounds Bounds) []string {
 	var found []string
-	known := expectedByID(h)
+	expected := expectedByID(h)
 	forEachRun(h, func(engine *EngineRecord, run standin.Run) {
-		job := known[run.ID].job
+		job := expected[run.ID].job
 		if job == nil || job.EndedAt.IsZero() {
 			return
 		}
-		late := run.At.Sub(job.EndedAt)
-		if late > bounds.Cancel && h.undisturbed(anyNode, job.EndedAt, run.At, bounds.Settle) {
-			found = append(found, fmt.Sprintf("engine %s ran item %s %s after the cancellation of job %s", engine.ID, run.ID, late, job.Job.ID))
+		delay := run.At.Sub(job.EndedAt)
+		if delay > bounds.Cancel && h.undisturbed(anyNode, job.EndedAt, run.At, bounds.Settle) {
+			found = append(found, fmt.Sprintf("engine %s ran item %s %s after the cancellation of job %s", engine.ID, run.ID, delay, job.Job.ID))
 		}
 	})
 	return found
 }
 
-// checkNoLostItems reports accepted jobs that were not cancelled and lack results, and jobs that some node
-// cannot read at the end.
+// checkNoLostItems reports accepted jobs that were not cancelled and lack results, and jobs that could not
+// be read completely from some node at the end of the soak.
 func checkNoLostItems(h *History, _ Bounds) []string {
 	var found []string
 	for _, job := range h.Jobs {
 		if job.Accepted && job.CancelSentAt.IsZero() && !job.Complete {
 			found = append(found, fmt.Sprintf("job %s lists %d of %d items at the end of the soak", job.Job.ID, len(job.Positions), len(job.Job.Items)))
 		}
-		for node, status := range job.FinalStatus {
-			found = append(found, fmt.Sprintf("job %s cannot be read at the end of the soak: %s, status %d", job.Job.ID, node, status))
+		for read, status := range job.FailedReads {
+			found = append(found, fmt.Sprintf("job %s cannot be read at the end of the soak: %s, status %d", job.Job.ID, read, status))
 		}
 	}
 	return found
@@ -92,13 +92,13 @@
 	return found
 }
 
-func checkSample(seen *JobRecord, result standin.ItemResult) string {
-	job := seen.Job
+func checkSample(record *JobRecord, result standin.ItemResult) string {
+	job := record.Job
 	if !slices.ContainsFunc(job.Items, func(item standin.JobItem) bool { return item.ID == result.ID }) {
 		return "does not belong to this job"
 	}
 	if result.State != standin.StateCompleted {
-		if seen.CancelSentAt.IsZero() && !failsAlways(result.ID) && !isImpossible(result.ID) && !crashesEngine(result.ID) {
+		if record.CancelSentAt.IsZero() && !failsAlways(result.ID) && !isImpossible(result.ID) && !crashesEngine(result.ID) {
 			return "was not completed although its job was not cancelled"
 		}
 		return ""
@@ -107,7 +107,7 @@
 	if len(lines) != eventsOf(result.ID) {
 		return fmt.Sprintf("has %d of %d events", len(lines), eventsOf(result.ID))
 	}
-	var made []int64
+	var produced []int64
 	for i, line := range lines {
 		data, version := splitEvent(line)
 		if data != standin.EventData(result.ID, i+1) {
@@ -116,15 +116,15 @@
 		if version < job.MinVersion {
 			return fmt.Sprintf("event %d was produced by version %d, minimum is %d", i+1, version, job.MinVersion)
 		}
-		if !slices.Contains(made, version) {
-			made = append(made, version)
+		if !slices.Contains(produced, version) {
+			produced = append(produced, version)
 		}
 	}
-	named := slices.Clone(result.Versions)
-	slices.Sort(named)
-	slices.Sort(made)
-	if !slices.Equal(named, made) {
-		return fmt.Sprintf("lists versions %v but was produced by %v", result.Versions, made)
+	listed := slices.Clone(result.Versions)
+	slices.Sort(listed)
+	slices.Sort(produced)
+	if !slices.Equal(listed, produced) {
+		return fmt.Sprintf("lists versions %v but was produced by %v", result.Versions, produced)
 	}
 	return ""
 }
@@ -133,14 +133,14 @@
 // their item, and scores of items that have no scoring call.
 func checkScores(h *History, _ Bounds) []string {
 	var found []string
-	began := firstRunTimes(h)
+	firstRuns := firstRunTimes(h)
 	for _, job := range h.Jobs {
-		calls := make(map[string]string)
+		scoringIDs := make(map[string]string)
 		for _, item := range job.Job.Items {
-			calls[item.ID] = item.ScoringID
+			scoringIDs[item.ID] = item.ScoringID
 		}
 		for _, result := range job.Positions {
-			if problem := checkScore(result, calls[result.ID], began); problem != "" {
+			if problem := checkScore(result, scoringIDs[result.ID], firstRuns); problem != "" {
 				found = append(found, fmt.Sprintf("job %s item %s: %s", job.Job.ID, result.ID, problem))
 			}
 		}
@@ -159,26 +159,26 @@
 	return first
 }
 
-// checkScore describes what is wrong with the score of a result, or returns "". call is the ID of its
+// checkScore describes what is wrong with the score of a result, or returns "". scoringID is the ID of its
 // scoring call, empty if it has none.
-func checkScore(result standin.ItemResult, call string, began map[string]time.Time) string {
+func checkScore(result standin.ItemResult, scoringID string, firstRuns map[string]time.Time) string {
 	if result.State != standin.StateCompleted {
 		return ""
 	}
-	if call == "" {
+	if scoringID == "" {
 		if result.Score != "" {
 			return fmt.Sprintf("has the score %q but no scoring call", result.Score)
 		}
 		return ""
 	}
-	at, made := began[call]
+	startedAt, started := firstRuns[scoringID]
 	switch {
-	case result.Score != standin.Stamp(call):
-		return fmt.Sprintf("has the score %q, not that of scoring call %s", result.Score, call)
-	case !made:
-		return fmt.Sprintf("scoring call %s reached no engine", call)
-	case at.Before(began[result.ID]):
-		return fmt.Sprintf("scoring call %s began before the item", call)
+	case result.Score != standin.Stamp(scoringID):
+		return fmt.Sprintf("has the score %q, not that of scoring call %s", result.Score, scoringID)
+	case !started:
+		return fmt.Sprintf("scoring call %s reached no engine", scoringID)
+	case startedAt.Before(firstRuns[result.ID]):
+		return fmt.Sprintf("scoring call %s began before the item", scoringID)
 	default:
 		return ""
 	}
--- a/internal/bench/soak/check_crash.go
+++ b/internal/bench/soak/check_crash.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// crashesAllowed is how many engines a request may crash before it is withheld. Once every undisturbed
-	// node has had time to learn of that, it may be sent sendsAfterCrashes more times.
+	// crashesAllowed is how many engines a request may crash before the nodes stop sending it. Once every
+	// undisturbed node has had time to learn of the last crash, it may be sent sendsAfterCrashes more times.
 	crashesAllowed    = 3
 	sendsAfterCrashes = 3
 )
@@ -28,20 +28,20 @@
 		key := requestKey{crash.Path, crash.Body}
 		crashes[key] = append(crashes[key], crash.At)
 	}
-	after := make(map[requestKey]int)
+	sendsAfter := make(map[requestKey]int)
 	forEachRun(h, func(_ *EngineRecord, run standin.Run) {
 		key := requestKey{run.Path, run.Body}
 		if len(crashes[key]) < crashesAllowed {
 			return
 		}
 		slices.SortFunc(crashes[key], time.Time.Compare)
-		third := crashes[key][crashesAllowed-1]
-		if run.At.Sub(third) > bounds.Settle && h.undisturbed(anyNode, run.At, run.At, bounds.Settle) {
-			after[key]++
+		limitReachedAt := crashes[key][crashesAllowed-1]
+		if run.At.Sub(limitReachedAt) > bounds.Settle && h.undisturbed(anyNode, run.At, run.At, bounds.Settle) {
+			sendsAfter[key]++
 		}
 	})
 	var found []string
-	for key, sends := range after {
+	for key, sends := range sendsAfter {
 		if sends > sendsAfterCrashes {
 			found = append(found, fmt.Sprintf("%s, which crashed %d engines, was sent %d times after the third crash was known",
 				key.path, len(crashes[key]), sends))
--- a/internal/bench/soak/check_homes.go
+++ b/internal/bench/soak/check_homes.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// pinnedBody is the body of an item that is pinned to regions. It contains the ID, so that the body is
-// recognized in what nodes read from the store.
+// pinnedBody returns the body of an item that is pinned to regions. It contains the ID, so that recordBodyReads
+// recognizes the body in what nodes read from the store.
 func pinnedBody(id string) string { return "homed(" + id + ")" }
 
 var pinnedBodyPattern = regexp.MustCompile(`homed\(([^()]+)\)`)
@@ -22,16 +22,16 @@
 
 // recordBodyReads records the bodies of pinned items in an answer that a node read from the store.
 func (h *History) recordBodyReads(node int, answer []byte) {
-	marks := pinnedBodyPattern.FindAllSubmatch(answer, -1)
-	if len(marks) == 0 {
+	matches := pinnedBodyPattern.FindAllSubmatch(answer, -1)
+	if len(matches) == 0 {
 		return
 	}
 	h.update(func() {
 		if h.BodyReads == nil {
 			h.BodyReads = make(map[bodyRead]time.Time)
 		}
-		for _, mark := range marks {
-			read := bodyRead{node, string(mark[1])}
+		for _, match := range matches {
+			read := bodyRead{node, string(match[1])}
 			if h.BodyReads[read].IsZero() {
 				h.BodyReads[read] = time.Now()
 			}
@@ -40,28 +40,28 @@
 }
 
 // regionSets lists the sets of regions that homes pin a request to.
-func (want expectedRequest) regionSets(homes Homes) [][]string {
+func (r expectedRequest) regionSets(homes Homes) [][]string {
 	var sets [][]string
-	if want.job != nil {
-		if want.job.Tenant == tenantOf(pinnedTrainer) {
+	if r.job != nil {
+		if r.job.Tenant == tenantOf(pinnedTrainer) {
 			sets = append(sets, homes.Trainer)
 		}
 		return sets
 	}
-	if want.call != nil && strings.HasPrefix(want.path, prefixPinned) {
+	if r.call != nil && strings.HasPrefix(r.path, prefixPinned) {
 		sets = append(sets, homes.Route)
 	}
-	if want.call != nil && want.call.Tenant == tenantPinned {
+	if r.call != nil && r.call.Tenant == tenantPinned {
 		sets = append(sets, homes.Tenant)
 	}
 	return sets
 }
 
-func (want expectedRequest) sentAt() time.Time {
-	if want.job != nil {
-		return want.job.SentAt
+func (r expectedRequest) sentAt() time.Time {
+	if r.job != nil {
+		return r.job.SentAt
 	}
-	return want.call.SentAt
+	return r.call.SentAt
 }
 
 // allows reports whether homes permit a region to serve a request.
@@ -74,8 +74,8 @@
 	return true
 }
 
-// regionAllowed reports whether a region may serve a request at the given time under a configuration that
-// the node may have applied since the request was sent. A disturbed node may still have any older one.
+// regionAllowed reports whether a region may serve a request at the given time under any configuration that
+// may have been active on the node since the request was sent. A disturbed node may still have any older one.
 func (h *History) regionAllowed(want expectedRequest, region string, node int, at time.Time, bounds Bounds) bool {
 	since := want.sentAt().Add(-bounds.Apply)
 	if !h.undisturbed(node, since, at, bounds.Settle) {
@@ -93,12 +93,12 @@
 // checkHomes reports requests that reached an engine outside the regions that they are pinned to.
 func checkHomes(h *History, bounds Bounds) []string {
 	var found []string
-	known := expectedByID(h)
+	expected := expectedByID(h)
 	for i := range h.Engines {
 		engine := &h.Engines[i]
 		for _, arrival := range engine.Arrivals {
-			want, isKnown := known[arrival.ID]
-			if isKnown && !h.regionAllowed(want, engine.Region, arrivalSender(arrival), arrival.At, bounds) {
+			want, isExpected := expected[arrival.ID]
+			if isExpected && !h.regionAllowed(want, engine.Region, arrivalSender(arrival), arrival.At, bounds) {
 				found = append(found, fmt.Sprintf("%s %s reached engine %s in region %s, to which it is not pinned", arrival.ID, want.path, engine.ID, engine.Region))
 			}
 		}
@@ -106,36 +106,36 @@
 	return found
 }
 
-// checkBodyReads reports nodes that read bodies of pinned items outside their regions, except nodes that
-// the trainer asked about the job.
+// checkBodyReads reports nodes that read bodies of items that are pinned to other regions, except nodes to
+// which the trainer had sent a request about the job.
 func checkBodyReads(h *History, bounds Bounds) []string {
-	known := expectedByID(h)
+	expected := expectedByID(h)
 	type reader struct {
 		node int
 		job  string
 	}
-	items := make(map[reader]int)
-	first := make(map[reader]time.Time)
+	itemCounts := make(map[reader]int)
+	firstReads := make(map[reader]time.Time)
 	for read, at := range h.BodyReads {
-		want, isKnown := known[read.item]
-		if !isKnown || want.job == nil {
+		want, isExpected := expected[read.item]
+		if !isExpected || want.job == nil {
 			continue
 		}
-		if firstAsked := want.job.FirstAskedAt[read.node]; !firstAsked.IsZero() && !at.Before(firstAsked) {
+		if firstRequest := want.job.FirstRequestAt[read.node]; !firstRequest.IsZero() && !at.Before(firstRequest) {
 			continue
 		}
 		if !h.regionAllowed(want, regionOf(read.node), read.node, at, bounds) {
-			by := reader{read.node, want.job.Job.ID}
-			items[by]++
-			if first[by].IsZero() || at.Before(first[by]) {
-				first[by] = at
+			key := reader{read.node, want.job.Job.ID}
+			itemCounts[key]++
+			if firstReads[key].IsZero() || at.Before(firstReads[key]) {
+				firstReads[key] = at
 			}
 		}
 	}
 	var found []string
-	for reader, count := range items {
+	for reader, count := range itemCounts {
 		found = append(found, fmt.Sprintf("node %d in region %s read the bodies of %d items of job %s, the first at %s",
-			reader.node, regionOf(reader.node), count, reader.job, first[reader].Format(clockFormat)))
+			reader.node, regionOf(reader.node), count, reader.job, firstReads[reader].Format(clockFormat)))
 	}
 	slices.Sort(found)
 	return found
--- a/internal/bench/soak/check_incarnation.go
+++ b/internal/bench/soak/check_incarnation.go
@@ -18,8 +18,8 @@
 		}
 		for _, order := range engine.Orders {
 			node, _ := commandSender(order.Holder, order.From)
-			known := order.At.Sub(engine.StartedAt) > bounds.Settle && h.undisturbed(node, engine.StartedAt, order.At, bounds.Settle)
-			if known && order.Expected > order.Taken {
+			knowsRestart := order.At.Sub(engine.StartedAt) > bounds.Settle && h.undisturbed(node, engine.StartedAt, order.At, bounds.Settle)
+			if knowsRestart && order.Expected > order.Taken {
 				found = append(found, fmt.Sprintf("engine %s, restarted %s before, got an order that expects %d accepted orders; it has accepted %d",
 					engine.ID, order.At.Sub(engine.StartedAt), order.Expected, order.Taken))
 			}
@@ -37,10 +37,10 @@
 		if !engine.Restarted || engine.Service != standin.ServiceDrafts {
 			continue
 		}
-		due := engine.StartedAt.Add(bounds.Reorder)
-		lasted := engine.EndedAt.IsZero() || engine.EndedAt.After(due)
+		deadline := engine.StartedAt.Add(bounds.Reorder)
+		stillRunning := engine.EndedAt.IsZero() || engine.EndedAt.After(deadline)
 		newest := newestOrderedVersion(h, engine.StartedAt)
-		if len(engine.Orders) == 0 && engine.Version < newest && lasted && h.anyRunAfter(due) && h.zoneUndisturbed(engine.Zone, engine.StartedAt, due, bounds) {
+		if len(engine.Orders) == 0 && engine.Version < newest && stillRunning && h.anyRunAfter(deadline) && h.zoneUndisturbed(engine.Zone, engine.StartedAt, deadline, bounds) {
 			found = append(found, fmt.Sprintf("engine %s restarted with version %d while others had been ordered to load %d, and got no order within %s",
 				engine.ID, engine.Version, newest, bounds.Reorder))
 		}
@@ -78,8 +78,8 @@
 // times.
 func (h *History) zoneUndisturbed(zone string, from, to time.Time, bounds Bounds) bool {
 	for _, evacuation := range h.Evacuations {
-		over := !evacuation.LiftedAt.IsZero() && evacuation.LiftedAt.Before(from)
-		if evacuation.Zone == zone && evacuation.AckedAt.Before(to) && !over {
+		endedBefore := !evacuation.LiftedAt.IsZero() && evacuation.LiftedAt.Before(from)
+		if evacuation.Zone == zone && evacuation.AckedAt.Before(to) && !endedBefore {
 			return false
 		}
 	}
--- a/internal/bench/soak/check_lease.go
+++ b/internal/bench/soak/check_lease.go
@@ -11,10 +11,10 @@
 // alternate. Arguments.Slack does not apply to it, since a slow machine does not excuse a violation.
 const leaseWindow = 3 * time.Second
 
-// command is an order to an engine or a usage report: what only the lease holder may send.
+// command is an order to an engine or a usage report. Only the lease holder may send commands.
 type command struct {
-	// subject is the engine or the receiver of reports, holder the process that sent the command, node its
-	// machine.
+	// subject is the engine, or the receiver of usage reports. holder is the process that sent the command,
+	// node the number of its node.
 	subject string
 	holder  string
 	node    int
@@ -44,13 +44,13 @@
 		engine := &h.Engines[i]
 		var sent []command
 		for _, order := range engine.Orders {
-			node, sound := commandSender(order.Holder, order.From)
-			if !sound {
+			node, consistent := commandSender(order.Holder, order.From)
+			if !consistent {
 				found = append(found, fmt.Sprintf("engine %s got an order in the name of %q from node %d", engine.ID, order.Holder, node))
 			}
 			sent = append(sent, command{engine.ID, order.Holder, node, order.Fence, order.At})
 		}
-		if index, restarted := indexes[engine.ID]; restarted {
+		if index, grouped := indexes[engine.ID]; grouped {
 			commands[index] = append(commands[index], sent...)
 			continue
 		}
@@ -59,8 +59,8 @@
 	}
 	var reports []command
 	for _, call := range h.Usage {
-		node, sound := commandSender(call.Holder, call.From)
-		if !sound {
+		node, consistent := commandSender(call.Holder, call.From)
+		if !consistent {
 			found = append(found, fmt.Sprintf("usage report in the name of %q from node %d", call.Holder, node))
 		}
 		reports = append(reports, command{"usage reports", call.Holder, node, call.Fence, call.At})
@@ -69,8 +69,8 @@
 }
 
 // commandSender returns the node that sent a command: by source address if that is known, else by holder
-// name. sound is false if the two disagree or the holder is not a node.
-func commandSender(holder, from string) (node int, sound bool) {
+// name. consistent is false if the two disagree or the holder is not a node.
+func commandSender(holder, from string) (node int, consistent bool) {
 	named, known := nodeOf(holder)
 	sender, resolved := nodeAtAddress(from)
 	if !resolved {
@@ -94,15 +94,15 @@
 	return false
 }
 
-// countedCommands returns the commands that are not exempt.
-func (h *History) countedCommands(sent []command, grace time.Duration) []command {
-	var countedCommands []command
+// nonExemptCommands returns the commands that inResumeGrace does not exempt.
+func (h *History) nonExemptCommands(sent []command, grace time.Duration) []command {
+	var counted []command
 	for _, each := range sent {
 		if !h.inResumeGrace(each, grace) {
-			countedCommands = append(countedCommands, each)
+			counted = append(counted, each)
 		}
 	}
-	return countedCommands
+	return counted
 }
 
 // checkTokenOrder reports, where engines do not check fencing tokens, tokens lower than one that the
@@ -114,7 +114,7 @@
 	}
 	for _, sent := range commands {
 		var highest command
-		for _, each := range h.countedCommands(sent, bounds.ResumeGrace) {
+		for _, each := range h.nonExemptCommands(sent, bounds.ResumeGrace) {
 			if each.fence < highest.fence {
 				found = append(found, fmt.Sprintf("%s: %s after %s", each.subject, each, highest))
 				continue
@@ -131,13 +131,13 @@
 	var found []string
 	commands, _ := groupCommands(h)
 	for _, sent := range commands {
-		var countedCommands []command
-		for _, each := range h.countedCommands(sent, bounds.ResumeGrace) {
+		var counted []command
+		for _, each := range h.nonExemptCommands(sent, bounds.ResumeGrace) {
 			if !h.EnginesFence || h.undisturbed(each.node, each.at, each.at, bounds.Settle) {
-				countedCommands = append(countedCommands, each)
+				counted = append(counted, each)
 			}
 		}
-		found = append(found, findAlternations(countedCommands)...)
+		found = append(found, findAlternations(counted)...)
 	}
 	return found
 }
@@ -148,9 +148,9 @@
 	count := 0
 	commands, _ := groupCommands(h)
 	for _, sent := range commands {
-		countedCommands := h.countedCommands(sent, bounds.ResumeGrace)
-		for i, each := range countedCommands {
-			if i > 0 && countedCommands[i-1].node != each.node && each.at.Sub(countedCommands[i-1].at) < leaseWindow {
+		counted := h.nonExemptCommands(sent, bounds.ResumeGrace)
+		for i, each := range counted {
+			if i > 0 && counted[i-1].node != each.node && each.at.Sub(counted[i-1].at) < leaseWindow {
 				count++
 			}
 		}
@@ -164,12 +164,12 @@
 	var found []string
 	last := make(map[int]command)
 	for i, each := range sent {
-		before, again := last[each.node]
+		previous, hasPrevious := last[each.node]
 		last[each.node] = each
-		if !again || sent[i-1].node == each.node || each.at.Sub(before.at) > leaseWindow {
+		if !hasPrevious || sent[i-1].node == each.node || each.at.Sub(previous.at) > leaseWindow {
 			continue
 		}
-		found = append(found, fmt.Sprintf("%s: nodes alternate: %s, %s, %s", each.subject, before, sent[i-1], each))
+		found = append(found, fmt.Sprintf("%s: nodes alternate: %s, %s, %s", each.subject, previous, sent[i-1], each))
 	}
 	return found
 }
--- a/internal/bench/soak/check_operator.go
+++ b/internal/bench/soak/check_operator.go
@@ -60,15 +60,15 @@
 	for _, config := range h.Configs {
 		acked[config.Version] = config.AckedAt
 	}
-	var overdueProbes []overdueProbe
+	var overdue []overdueProbe
 	for _, probe := range probes {
 		at, known := acked[probe.Version]
 		after := probe.SentAt.Sub(at)
 		if known && after > bounds.Apply && h.undisturbed(probe.Node, probe.SentAt.Add(-bounds.Apply), probe.EndedAt, bounds.Settle) {
-			overdueProbes = append(overdueProbes, overdueProbe{probe, after})
+			overdue = append(overdue, overdueProbe{probe, after})
 		}
 	}
-	return overdueProbes
+	return overdue
 }
 
 // checkConfigNoRollback reports processes that served the route of a configuration and later denied it.
@@ -86,8 +86,8 @@
 		}
 	}
 	for _, probe := range h.Probes {
-		first, was := served[incarnation{probe.Node, probe.Incarnation}][probe.Version]
-		if isDenied(probe.Status) && was && probe.SentAt.After(first) {
+		first, wasServed := served[incarnation{probe.Node, probe.Incarnation}][probe.Version]
+		if isDenied(probe.Status) && wasServed && probe.SentAt.After(first) {
 			found = append(found, fmt.Sprintf("node %d denies the route of configuration %d, which it served %s before",
 				probe.Node, probe.Version, probe.SentAt.Sub(first)))
 		}
@@ -117,11 +117,11 @@
 			}
 			holders[order.Fence] = order.Holder
 			key := token{order.Holder, order.Fence}
-			if refused, was := fencedAt[key]; was && order.At.Sub(refused) > bounds.FencedStop {
-				found = append(found, fmt.Sprintf("engine %s: %s sent an order %s after it was fenced", engine.ID, order.Holder, order.At.Sub(refused)))
+			if firstFenced, wasFenced := fencedAt[key]; wasFenced && order.At.Sub(firstFenced) > bounds.FencedStop {
+				found = append(found, fmt.Sprintf("engine %s: %s sent an order %s after it was fenced", engine.ID, order.Holder, order.At.Sub(firstFenced)))
 			}
 			if order.Status == statusFenced {
-				if _, was := fencedAt[key]; !was {
+				if _, wasFenced := fencedAt[key]; !wasFenced {
 					fencedAt[key] = order.At
 				}
 			}
--- a/internal/bench/soak/check_placement.go
+++ b/internal/bench/soak/check_placement.go
@@ -19,14 +19,14 @@
 func checkEvacuations(h *History, bounds Bounds) []string {
 	var found []string
 	for _, evacuation := range h.Evacuations {
-		inForce := evacuation.AckedAt.Add(bounds.Evacuate)
+		deadline := evacuation.AckedAt.Add(bounds.Evacuate)
 		for i := range h.Engines {
 			engine := &h.Engines[i]
 			if engine.Zone != evacuation.Zone {
 				continue
 			}
 			for _, arrival := range engine.Arrivals {
-				if !arrival.At.After(inForce) || !evacuation.LiftedAt.IsZero() && !arrival.At.Before(evacuation.LiftedAt) {
+				if !arrival.At.After(deadline) || !evacuation.LiftedAt.IsZero() && !arrival.At.Before(evacuation.LiftedAt) {
 					continue
 				}
 				node := arrivalSender(arrival)
@@ -52,15 +52,15 @@
 	var found []string
 	for i := range h.Engines {
 		engine := &h.Engines[i]
-		most := int(coldPerSecond[engine.Service]*coldFactor) + coldExtra
+		limit := int(coldPerSecond[engine.Service]*coldFactor) + coldExtra
 		for _, cold := range engine.Cold {
 			from := cold.From
 			if cold.Announced {
 				from = from.Add(bounds.ColdNotice)
 			}
-			if got, at := peakArrivals(engine.Arrivals, from, cold.To); got > most {
+			if peak, at := peakArrivals(engine.Arrivals, from, cold.To); peak > limit {
 				found = append(found, fmt.Sprintf("engine %s, cold for %s, got %d requests in the second from %s, limit %d",
-					engine.ID, cold.To.Sub(cold.From), got, at.Format(clockFormat), most))
+					engine.ID, cold.To.Sub(cold.From), peak, at.Format(clockFormat), limit))
 			}
 		}
 	}
@@ -69,19 +69,19 @@
 
 // peakArrivals returns the highest number of arrivals in any coldWindow between two times, and when that
 // window begins.
-func peakArrivals(arrivals []standin.Arrival, from, to time.Time) (most int, begins time.Time) {
-	var within []time.Time
+func peakArrivals(arrivals []standin.Arrival, from, to time.Time) (peak int, begins time.Time) {
+	var window []time.Time
 	for _, arrival := range arrivals {
 		if arrival.At.Before(from) || arrival.At.After(to) {
 			continue
 		}
-		within = append(within, arrival.At)
-		for arrival.At.Sub(within[0]) >= coldWindow {
-			within = within[1:]
+		window = append(window, arrival.At)
+		for arrival.At.Sub(window[0]) >= coldWindow {
+			window = window[1:]
 		}
-		if len(within) > most {
-			most, begins = len(within), within[0]
+		if len(window) > peak {
+			peak, begins = len(window), window[0]
 		}
 	}
-	return most, begins
+	return peak, begins
 }
--- a/internal/bench/soak/check_placement_test.go
+++ b/internal/bench/soak/check_placement_test.go
@@ -37,7 +37,7 @@
 	}
 	h.Jobs = append(h.Jobs, &JobRecord{
 		Job:    standin.Job{ID: "bound", Items: []standin.JobItem{{ID: "item-h", Body: pinnedBody("item-h"), ScoringID: "score-h"}}},
-		Tenant: tenantOf(pinnedTrainer), SentAt: at(50), FirstAskedAt: map[int]time.Time{4: at(50)}, FinalStatus: map[string]int{},
+		Tenant: tenantOf(pinnedTrainer), SentAt: at(50), FirstRequestAt: map[int]time.Time{4: at(50)}, FailedReads: map[string]int{},
 	})
 	h.recordBodyReads(0, []byte("a record with "+pinnedBody("item-h")))
 	h.recordBodyReads(4, []byte(pinnedBody("item-h")))
@@ -126,7 +126,7 @@
 		disturb(h, 0, 30, 70)
 	}},
 	{"node in another region reads a body", "HOME", func(h *History) { h.BodyReads[bodyRead{1, "item-h"}] = at(51) }},
-	{"node in another region reads a body before it is asked", "HOME", func(h *History) { h.Jobs[len(h.Jobs)-1].FirstAskedAt[4] = at(52) }},
+	{"node in another region reads a body before it is asked", "HOME", func(h *History) { h.Jobs[len(h.Jobs)-1].FirstRequestAt[4] = at(52) }},
 	{"order that counts those of the previous incarnation", "LIFE", func(h *History) { h.Engines[engineRestarted].Orders[1].Expected = 3 }},
 	{"engine that lost its weights gets no order", "LIFE", func(h *History) { h.Engines[engineRestarted].Orders = nil }},
 	{"engine with an invalid entry gets work", "ENTRY", func(h *History) { addArrival(h, engineRestarted, "tenant", 0, 125) }},
@@ -198,8 +198,8 @@
 		drawn[fault.Kind] = true
 		assert.Equal(t, fault.Number, i+1)
 		assert.Assert(t, fault.At >= faultFreeStart && fault.At+fault.Duration <= length-faultFreeEnd)
-		_, ours := placementDurations[fault.Kind]
-		assert.Assert(t, ours || fault.At%disturbedPeriod < disturbedLength+maxSeriesStep, "%s", fault)
+		_, isPlacementFault := placementDurations[fault.Kind]
+		assert.Assert(t, isPlacementFault || fault.At%disturbedPeriod < disturbedLength+maxSeriesStep, "%s", fault)
 	}
 	for _, each := range append(slices.Clone(placementWeights), concurrentWeights...) {
 		assert.Assert(t, drawn[each.kind], "%s is never drawn", each.kind)
--- a/internal/bench/soak/check_test.go
+++ b/internal/bench/soak/check_test.go
@@ -31,7 +31,7 @@
 	return text
 }
 
-func streamOf(id string) standin.LiveResponse {
+func streamResponse(id string) standin.LiveResponse {
 	answer := standin.LiveResponse{Status: statusOK, ID: id, Stamped: true}
 	for number := 1; number <= eventsOf(id); number++ {
 		answer.Events = append(answer.Events, eventData(id, number, 3))
@@ -40,7 +40,7 @@
 	return answer
 }
 
-func plainOf(id string) standin.LiveResponse {
+func plainResponse(id string) standin.LiveResponse {
 	return standin.LiveResponse{Status: statusOK, ID: id, Stamped: true, Body: standin.Answer(id)}
 }
 
@@ -66,7 +66,7 @@
 		Job: standin.Job{ID: "job", MinVersion: 3, Items: []standin.JobItem{
 			{ID: "item-1", Body: "b1", ScoringID: "score-1"}, {ID: "item-2", Body: "b2"}, {ID: failPrefix + "3", Body: "b3"},
 		}},
-		Tenant: tenantOf(0), Accepted: true, Complete: true, CancelSentAt: at(20), EndedAt: at(20.1), FinalStatus: map[string]int{},
+		Tenant: tenantOf(0), Accepted: true, Complete: true, CancelSentAt: at(20), EndedAt: at(20.1), FailedReads: map[string]int{},
 		Positions: []standin.ItemResult{
 			{ID: "item-2", State: standin.StateCompleted, Text: textOf("item-2", 4), Versions: []int64{4}},
 			{ID: failPrefix + "3", State: "expired"},
@@ -75,11 +75,11 @@
 	}
 	refused := &JobRecord{
 		Job:    standin.Job{ID: "refused", Items: []standin.JobItem{{ID: "item-9", Body: "b9"}}},
-		Tenant: tenantOf(0), AllRejected: true, FinalStatus: map[string]int{},
+		Tenant: tenantOf(0), AllRejected: true, FailedReads: map[string]int{},
 	}
 	open := &JobRecord{
 		Job:    standin.Job{ID: "open", Items: []standin.JobItem{{ID: "item-5", Body: "b5"}}},
-		Tenant: tenantOf(0), Accepted: true, Complete: true, FinalStatus: map[string]int{},
+		Tenant: tenantOf(0), Accepted: true, Complete: true, FailedReads: map[string]int{},
 		Positions: []standin.ItemResult{
 			{ID: "item-5", State: standin.StateCompleted, Text: textOf("item-5", 1), Versions: []int64{1}},
 		},
@@ -87,9 +87,9 @@
 	h := &History{
 		EnginesFence: true,
 		Calls: []LiveCall{
-			{ID: "safe", Path: "/lookup/safe", Body: "s", Kind: standin.RouteSafe, SentAt: at(1), Answer: plainOf("safe"), Intact: true},
-			{ID: "unsafe", Path: "/permit/unsafe", Body: "u", Kind: standin.RouteUnsafe, SentAt: at(1), Answer: plainOf("unsafe"), Intact: true},
-			{ID: "stream", Path: "/stream/stream", Body: "t", Kind: standin.RouteStream, SentAt: at(1), Answer: streamOf("stream"), Intact: true},
+			{ID: "safe", Path: "/lookup/safe", Body: "s", Kind: standin.RouteSafe, SentAt: at(1), Answer: plainResponse("safe"), Intact: true},
+			{ID: "unsafe", Path: "/permit/unsafe", Body: "u", Kind: standin.RouteUnsafe, SentAt: at(1), Answer: plainResponse("unsafe"), Intact: true},
+			{ID: "stream", Path: "/stream/stream", Body: "t", Kind: standin.RouteStream, SentAt: at(1), Answer: streamResponse("stream"), Intact: true},
 			{ID: "refused-call", Path: "/permit/r", Kind: standin.RouteUnsafe, SentAt: at(1), Answer: standin.LiveResponse{Status: 503}, Intact: true},
 		},
 		Jobs:    []*JobRecord{job, refused, open},
@@ -149,9 +149,9 @@
 	return standin.ReceivedOrder{Holder: holder, Fence: fence, At: at(seconds), Status: 202}
 }
 
-// unfenced replaces the orders of the first engine and the usage reports, and makes the engines ignore
+// setUnfencedOrders replaces the orders of the first engine and the usage reports, and makes the engines ignore
 // fencing tokens.
-func unfenced(h *History, orders ...standin.ReceivedOrder) {
+func setUnfencedOrders(h *History, orders ...standin.ReceivedOrder) {
 	h.EnginesFence, h.Engines[0].Orders, h.Usage = false, orders, nil
 }
 
@@ -212,7 +212,7 @@
 		h.Probes = append(h.Probes, Probe{Node: 0, Incarnation: 1, Version: 7, SentAt: at(12), EndedAt: at(12.1), Status: statusNotFound})
 	}},
 	{"item never listed", "LOST", func(h *History) { h.Jobs[2].Positions, h.Jobs[2].Complete = nil, false }},
-	{"job cannot be read", "LOST", func(h *History) { h.Jobs[0].FinalStatus["node 1"] = statusNotFound }},
+	{"job cannot be read", "LOST", func(h *History) { h.Jobs[0].FailedReads["node 1"] = statusNotFound }},
 	{"failing item is retried without limit", "BUDGET", func(h *History) {
 		for range 9 {
 			addRun(h, 1, runOf(failPrefix+"3", standin.ItemPath(failPrefix+"3"), "b3", 3))
@@ -243,36 +243,36 @@
 		}
 	}},
 	{"two holders of one token", "ONE", func(h *History) { h.Engines[0].Orders[1].Fence = 1 }},
-	{"lower token after a higher one", "ONE", func(h *History) { unfenced(h, order("node-0-a", 5, 50), order("node-1-b", 4, 54)) }},
+	{"lower token after a higher one", "ONE", func(h *History) { setUnfencedOrders(h, order("node-0-a", 5, 50), order("node-1-b", 4, 54)) }},
 	{"lower token of a process of the same node", "ONE", func(h *History) {
-		unfenced(h, order("node-0-b", 5, 50), order("node-0-a", 4, 50.1))
+		setUnfencedOrders(h, order("node-0-b", 5, 50), order("node-0-a", 4, 50.1))
 	}},
 	{"lower token between two higher ones", "ONE", func(h *History) {
-		unfenced(h, order("node-0-a", 5, 50), order("node-1-b", 4, 60), order("node-0-a", 5, 70))
+		setUnfencedOrders(h, order("node-0-a", 5, 50), order("node-1-b", 4, 60), order("node-0-a", 5, 70))
 	}},
 	{"nodes alternate", "ONE", func(h *History) {
-		unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-c", 3, 52.9))
+		setUnfencedOrders(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-c", 3, 52.9))
 	}},
 	{"disturbed nodes alternate where engines do not check", "ONE", func(h *History) {
-		unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52))
+		setUnfencedOrders(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52))
 		h.Disturbances = append(h.Disturbances, &Disturbance{Node: anyNode, From: at(40), To: at(60)})
 	}},
 	{"three nodes alternate", "ONE", func(h *History) {
-		unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-2-c", 3, 52), order("node-0-a", 4, 52.5))
+		setUnfencedOrders(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-2-c", 3, 52), order("node-0-a", 4, 52.5))
 	}},
 	{"undisturbed nodes alternate", "ONE", func(h *History) {
 		h.Engines[0].Orders = []standin.ReceivedOrder{order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52)}
 	}},
 	{"nodes alternate after a freeze", "ONE", func(h *History) {
-		unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52.5))
+		setUnfencedOrders(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52.5))
 		h.Resumptions = []Resumption{{Node: 0, At: at(52)}}
 	}},
 	{"lower token just after another node resumed", "ONE", func(h *History) {
-		unfenced(h, order("node-0-a", 5, 50), order("node-1-b", 4, 54))
+		setUnfencedOrders(h, order("node-0-a", 5, 50), order("node-1-b", 4, 54))
 		h.Resumptions = []Resumption{{Node: 0, At: at(53.9)}}
 	}},
 	{"lower token just before its sender resumes", "ONE", func(h *History) {
-		unfenced(h, order("node-0-a", 5, 50), order("node-1-b", 4, 54))
+		setUnfencedOrders(h, order("node-0-a", 5, 50), order("node-1-b", 4, 54))
 		h.Resumptions = []Resumption{{Node: 1, At: at(54.1)}}
 	}},
 	{"order in the name of another node", "ONE", func(h *History) { h.Engines[0].Orders[0].From = "127.7.0.2" }},
@@ -309,7 +309,7 @@
 	}
 }
 
-// Requests in flight and trials are sent even after the crash limit was reached.
+// Requests in flight, and trial requests after a quarantine, are sent even after the crash limit was reached.
 func TestCheckCrashLimitAllowsSomeSends(t *testing.T) {
 	h := validHistory()
 	addCrashes(h, sendsAfterCrashes)
@@ -338,34 +338,34 @@
 
 // Guards against false positives of the lease checks.
 func TestCheckLeaseAllowedOrders(t *testing.T) {
-	turns := []standin.ReceivedOrder{order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52)}
+	alternating := []standin.ReceivedOrder{order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-0-a", 3, 52)}
 	for _, allowed := range []struct {
 		name   string
 		change func(h *History)
 	}{
 		{"a process of the same node follows", func(h *History) {
-			unfenced(h, order("node-0-a", 1, 50), order("node-0-b", 2, 50.1), order("node-0-c", 3, 50.2))
+			setUnfencedOrders(h, order("node-0-a", 1, 50), order("node-0-b", 2, 50.1), order("node-0-c", 3, 50.2))
 		}},
 		{"nodes follow each other without returning", func(h *History) {
-			unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-2-a", 3, 52))
+			setUnfencedOrders(h, order("node-0-a", 1, 50), order("node-1-b", 2, 51), order("node-2-a", 3, 52))
 		}},
 		{"a node returns after the lease time", func(h *History) {
-			unfenced(h, order("node-0-a", 1, 50), order("node-1-b", 2, 52), order("node-0-a", 3, 53.1))
+			setUnfencedOrders(h, order("node-0-a", 1, 50), order("node-1-b", 2, 52), order("node-0-a", 3, 53.1))
 		}},
 		{"the engines differ", func(h *History) {
-			unfenced(h, order("node-0-a", 1, 50), order("node-0-a", 3, 52))
+			setUnfencedOrders(h, order("node-0-a", 1, 50), order("node-0-a", 3, 52))
 			h.Engines[1].Orders = []standin.ReceivedOrder{order("node-1-b", 2, 51)}
 		}},
 		{"an order of a node that just resumed", func(h *History) {
-			unfenced(h, order("node-0-a", 5, 50), order("node-1-b", 4, 51), order("node-0-a", 5, 52))
+			setUnfencedOrders(h, order("node-0-a", 5, 50), order("node-1-b", 4, 51), order("node-0-a", 5, 52))
 			h.Resumptions = []Resumption{{Node: 1, At: at(50.8)}}
 		}},
 		{"an order on a path that was just restored", func(h *History) {
-			unfenced(h, turns...)
+			setUnfencedOrders(h, alternating...)
 			h.Resumptions = []Resumption{{Node: anyNode, At: at(51.9)}}
 		}},
 		{"disturbed nodes where engines check", func(h *History) {
-			h.Engines[0].Orders = turns
+			h.Engines[0].Orders = alternating
 			h.Disturbances = append(h.Disturbances, &Disturbance{Node: 0, From: at(49), To: at(49.5)})
 		}},
 		{"a lower token where engines check", func(h *History) {
@@ -383,7 +383,7 @@
 // Only orders of different nodes to one engine within the lease time count.
 func TestCountCloseChanges(t *testing.T) {
 	h := validHistory()
-	unfenced(h, order("node-0-a", 1, 50), order("node-0-b", 2, 51), order("node-1-b", 3, 52), order("node-2-c", 4, 55.1))
+	setUnfencedOrders(h, order("node-0-a", 1, 50), order("node-0-b", 2, 51), order("node-1-b", 3, 52), order("node-2-c", 4, 55.1))
 	assert.Equal(t, countCloseChanges(h, bounds), 1)
 }
 
@@ -399,16 +399,16 @@
 
 func TestDrawGeneralDeterministic(t *testing.T) {
 	const length = 3 * time.Minute
-	one := DrawGeneral(7, length)
-	assert.DeepEqual(t, DrawGeneral(7, length), one)
-	assert.Assert(t, len(one) > 20, "%d faults", len(one))
-	for i, fault := range one {
+	faults := DrawGeneral(7, length)
+	assert.DeepEqual(t, DrawGeneral(7, length), faults)
+	assert.Assert(t, len(faults) > 20, "%d faults", len(faults))
+	for i, fault := range faults {
 		assert.Equal(t, fault.Number, i+1)
 		assert.Assert(t, fault.At >= faultFreeStart && fault.At+fault.Duration <= length-faultFreeEnd)
 	}
-	shorter := Without(one, []int{2, 3})
-	assert.Equal(t, len(shorter), len(one)-2)
-	assert.DeepEqual(t, shorter[1:], one[3:])
+	shorter := Without(faults, []int{2, 3})
+	assert.Equal(t, len(shorter), len(faults)-2)
+	assert.DeepEqual(t, shorter[1:], faults[3:])
 }
 
 // Kept seeds must replay the faults under which they failed.
@@ -432,20 +432,20 @@
 	faults := DrawLeader(7, length)
 	assert.DeepEqual(t, DrawLeader(7, length), faults)
 	drawn := make(map[Kind]bool)
-	aimed, near := 0, 0
+	leaderFaults, sameNode := 0, 0
 	for i, fault := range faults {
 		drawn[fault.Kind] = true
 		assert.Equal(t, fault.Number, i+1)
 		assert.Assert(t, fault.At >= faultFreeStart && fault.At+fault.Duration <= length-faultFreeEnd)
 		if fault.Aim != AimTarget {
-			aimed++
+			leaderFaults++
 		}
 		if fault.Aim == AimSameNode {
-			near++
+			sameNode++
 		}
 	}
-	assert.Assert(t, aimed*3 > len(faults)*2, "%d of %d faults affect the leader", aimed, len(faults))
-	assert.Assert(t, near*5 > len(faults), "%d of %d faults affect the same node again", near, len(faults))
+	assert.Assert(t, leaderFaults*3 > len(faults)*2, "%d of %d faults affect the leader", leaderFaults, len(faults))
+	assert.Assert(t, sameNode*5 > len(faults), "%d of %d faults affect the same node again", sameNode, len(faults))
 	for _, each := range leaderWeights {
 		assert.Assert(t, drawn[each.kind], "%s is never drawn", each.kind)
 	}
@@ -502,12 +502,12 @@
 }
 
 func TestRunRejectsInvalidArguments(t *testing.T) {
-	for _, wrong := range []Arguments{
+	for _, invalid := range []Arguments{
 		{Minutes: 0, Nodes: 3, Slack: 1}, {Minutes: 500, Nodes: 3, Slack: 1}, {Minutes: 1, Nodes: 0, Slack: 1},
 		{Minutes: 1, Nodes: maxNodes + 1, Slack: 1}, {Minutes: 1, Nodes: 3}, {Minutes: 1, Nodes: 3, Slack: 1, Seeds: "none.toml"},
 		{Minutes: 1, Nodes: 3, Slack: 1, EnginesFence: "perhaps"}, {Minutes: 1, Nodes: 3, Slack: 1, Schedule: "none"},
 		{Minutes: 1, Nodes: 3, Slack: 1, LeaveOut: []Family{"none"}},
 	} {
-		assert.Assert(t, Run(t.Context(), &wrong, nil) != nil)
+		assert.Assert(t, Run(t.Context(), &invalid, nil) != nil)
 	}
 }
--- a/internal/bench/soak/crash.go
+++ b/internal/bench/soak/crash.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// crashGap is the interval between two requests that crash engines. The set of distinct requests
-	// starts with one and grows by one each crashingRequestInterval.
-	crashGap                = 350 * time.Millisecond
-	crashingRequestInterval = 15 * time.Second
+	// crashRequestInterval is the interval between two requests that crash engines. The set of distinct
+	// requests starts with one and grows by one each crashSetGrowthInterval.
+	crashRequestInterval   = 350 * time.Millisecond
+	crashSetGrowthInterval = 15 * time.Second
 	// One in crashingJobOneIn jobs has an item that crashes engines.
 	crashingJobOneIn = 3
 )
@@ -23,9 +23,9 @@
 // node.
 func (d *driver) crashEngines(ctx context.Context) {
 	began := time.Now()
-	for retry.Sleep(ctx, crashGap) {
-		known := 1 + int(time.Since(began)/crashingRequestInterval)
-		number := rand.IntN(known)
+	for retry.Sleep(ctx, crashRequestInterval) {
+		distinct := 1 + int(time.Since(began)/crashSetGrowthInterval)
+		number := rand.IntN(distinct)
 		kind, prefix := standin.RouteSafe, standin.PrefixLookup
 		if number%2 == 1 {
 			kind, prefix = standin.RouteUnsafe, prefixPermit
--- a/internal/bench/soak/deployment.go
+++ b/internal/bench/soak/deployment.go
@@ -21,10 +21,11 @@
 const (
 	lookupEngines = 2
 	draftEngines  = 4
-	// orderedEngines is so many that the leader, which lets only a few load at a time, leaves some engines
-	// without an order for longer than the quiet time.
-	orderedEngines = 10
-	startTimeout   = 30 * time.Second
+	// leaderFaultDraftEngines is the number of draft engines under leader faults. The leader lets only a few
+	// engines load at a time, so that with this number some get no order for longer than the quiet period
+	// between orders of two leaders.
+	leaderFaultDraftEngines = 10
+	startTimeout            = 30 * time.Second
 )
 
 // deployment is the system under test: real nodes, each behind a proxy to the store, and a simulated
@@ -34,7 +35,8 @@
 	network *faultproxy.Network
 	store   *storeFaults
 	duties  *standin.Duties
-	// dutiesProxy is the nodes' address of the platform's duties service.
+	// dutiesProxy is the proxy between the nodes and the platform's duties service, which receives usage
+	// reports.
 	dutiesProxy *senderProxy
 	nodes       []*node
 	slots       []*engineSlot
@@ -45,9 +47,9 @@
 	evacuationCounts *evacuationCounts
 	// invalidEntryAddress is the address in invalid entries.
 	invalidEntryAddress string
-	// placement is set for schedules of placement faults, restartsWithSameID if engines that a request
+	// placementFaults is set for schedules of placement faults, restartsWithSameID if engines that a request
 	// crashed restart under the same ID.
-	placement          bool
+	placementFaults    bool
 	restartsWithSameID bool
 	// enginesFence is set if the engines and the duties service reject fencing tokens lower than one that
 	// they saw.
@@ -57,8 +59,8 @@
 	wait    sync.WaitGroup
 }
 
-// deploy starts the simulated services and the nodes. It returns the deployment, if there is one to close,
-// also with an error.
+// deploy starts the simulated services and the nodes. If the deployment is not nil, it must be closed, even
+// if an error is returned.
 func deploy(ctx context.Context, plan plan, directory string, history *History) (*deployment, error) {
 	binaries, err := topology.FindBinaries(ctx, directory)
 	if err != nil {
@@ -67,7 +69,7 @@
 	d := &deployment{
 		history: history, network: faultproxy.NewNetwork(), store: newStoreFaults(), duties: standin.NewDuties(),
 		leader: newLeaderTracker(), enginesFence: plan.enginesFence, pathResolver: &pathResolver{unknown: newNodePath(anyNode)},
-		evacuationCounts: newEvacuationCounts(), placement: plan.placement(), restartsWithSameID: plan.placement() && plan.includes(Incarnations),
+		evacuationCounts: newEvacuationCounts(), placementFaults: plan.hasPlacementFaults(), restartsWithSameID: plan.hasPlacementFaults() && plan.includes(Incarnations),
 	}
 	if !plan.enginesFence {
 		d.duties.IgnoreFences()
@@ -114,16 +116,17 @@
 	if err != nil {
 		return "", err
 	}
-	listed, err := process.FreeAddress()
+	proxyAddress, err := process.FreeAddress()
 	if err != nil {
 		return "", err
 	}
-	d.dutiesProxy = newSenderProxy(listed, upstream, d.pathResolver.pathOf)
+	d.dutiesProxy = newSenderProxy(proxyAddress, upstream, d.pathResolver.pathOf)
 	d.closers = append(d.closers, d.dutiesProxy.cut)
-	return listed, nil
+	return proxyAddress, nil
 }
 
-// openProxies makes all proxies accept connections. All nodes must have been added.
+// openProxies makes all proxies accept connections. All nodes must have been added, since pathResolver reads
+// them without a lock.
 func (d *deployment) openProxies() error {
 	proxies := []*senderProxy{d.dutiesProxy}
 	for _, each := range d.slots {
@@ -150,36 +153,36 @@
 }
 
 func (d *deployment) addSlot(ctx context.Context, number int, service string) error {
-	listen, err := process.FreeAddress()
+	engineAddress, err := process.FreeAddress()
 	if err != nil {
 		return err
 	}
-	listed, err := process.FreeAddress()
+	proxyAddress, err := process.FreeAddress()
 	if err != nil {
 		return err
 	}
-	p := &engineSlot{
-		number: number, service: service, store: d.store.store, history: d.history, listen: listen, checkFences: d.enginesFence,
-		senderProxy: newSenderProxy(listed, listen, d.pathResolver.pathOf),
+	slot := &engineSlot{
+		number: number, service: service, store: d.store.store, history: d.history, listenAddress: engineAddress, checkFences: d.enginesFence,
+		senderProxy: newSenderProxy(proxyAddress, engineAddress, d.pathResolver.pathOf),
 	}
-	if d.placement {
-		p.coldFor = coldStart
+	if d.placementFaults {
+		slot.coldFor = coldStart
 	}
-	p.onCrash = func(run standin.Run) { d.crashDuringRun(ctx, p, run) }
-	if err := p.start(); err != nil {
+	slot.onCrash = func(run standin.Run) { d.crashDuringRun(ctx, slot, run) }
+	if err := slot.start(); err != nil {
 		return err
 	}
-	d.slots = append(d.slots, p)
-	if d.placement {
-		d.wait.Go(func() { p.writeEntryPeriodically(ctx) })
+	d.slots = append(d.slots, slot)
+	if d.placementFaults {
+		d.wait.Go(func() { slot.writeEntryPeriodically(ctx) })
 	}
-	d.closers = append(d.closers, p.stop, p.senderProxy.cut)
+	d.closers = append(d.closers, slot.stop, slot.senderProxy.cut)
 	return nil
 }
 
 func (d *deployment) addNode(ctx context.Context, number int, daemons []string, directory, dutiesAddress string) error {
 	store := newNodeStore(d.store, d.leader.observe)
-	if d.placement {
+	if d.placementFaults {
 		store.onRead = func(answer []byte) { d.history.recordBodyReads(number, answer) }
 	}
 	storeAddress, err := d.serve(store)
@@ -197,7 +200,7 @@
 		}
 	}
 	n := &node{
-		number: number, callers: addresses[0], operators: addresses[1], directory: directory, link: link, store: store,
+		number: number, callerAddress: addresses[0], operatorAddress: addresses[1], directory: directory, link: link, store: store,
 		enginesFence: d.enginesFence,
 	}
 	text := n.settingsText(link.Address(), dutiesAddress, addresses[2])
@@ -242,8 +245,8 @@
 	return all
 }
 
-// unplannedExits returns node exits that the soak did not cause, and other problems that were recorded.
-func (d *deployment) unplannedExits() []string {
+// recordedProblems returns the unplanned exits and other failures that were recorded.
+func (d *deployment) recordedProblems() []string {
 	var all []string
 	for _, each := range d.nodes {
 		each.mu.Lock()
--- a/internal/bench/soak/drive.go
+++ b/internal/bench/soak/driver.go
@@ -19,7 +19,7 @@
 	callDeadline = 4 * time.Second
 	callTimeout  = 8 * time.Second
 	// probeGap is the interval between two probes of one node, configGap that between two configurations
-	// and longer than Bounds.Apply. A configuration holds the routes of the last keptProbeRoutes
+	// and longer than Bounds.Apply. A configuration holds the probe routes of the last keptProbeRoutes
 	// configurations.
 	probeGap        = 150 * time.Millisecond
 	configGap       = 7 * time.Second
@@ -60,11 +60,11 @@
 
 	// sendsCrashing is set if requests that crash engines are sent.
 	sendsCrashing bool
-	// placement is set for schedules of placement faults, changesHomes if configurations change the homes
-	// of routes and tenants.
-	placement    bool
-	changesHomes bool
-	// version is the newest announced weight version, config the newest configuration.
+	// placementFaults is set for schedules of placement faults, changesHomes if configurations change the home
+	// regions of routes and tenants.
+	placementFaults bool
+	changesHomes    bool
+	// version is the newest announced weight version, config the version of the newest configuration.
 	version atomic.Int64
 	config  atomic.Int64
 	ids     atomic.Int64
@@ -81,7 +81,7 @@
 	return driver
 }
 
-func (d *driver) anyNode() *node { return d.deployment.nodes[rand.IntN(len(d.deployment.nodes))] }
+func (d *driver) randomNode() *node { return d.deployment.nodes[rand.IntN(len(d.deployment.nodes))] }
 
 func (d *driver) newID(prefix string) string {
 	return fmt.Sprintf("%s%d", prefix, d.ids.Add(1))
@@ -104,7 +104,7 @@
 	}
 	configuration := standin.Configuration{Version: version, Routes: routes, Tenants: tenantsOf(version)}
 	config := ConfigRecord{Version: version, SentAt: time.Now()}
-	if d.placement {
+	if d.placementFaults {
 		config.Homes = d.homesOf(version)
 		addPinnedRequests(&configuration, config.Homes)
 	}
@@ -130,7 +130,7 @@
 		_, incarnation := target.current()
 		path, sent := probePrefix(version)+"x", time.Now()
 		id := d.newID("probe-")
-		answer, err := d.client.WithKey(settledKey(version)).Live(ctx, target.callers, path, id, "", callDeadline)
+		answer, err := d.client.WithKey(settledKey(version)).Live(ctx, target.callerAddress, path, id, "", callDeadline)
 		d.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Intact: err == nil})
 		_, after := target.current()
 		newest := d.config.Load()
@@ -149,7 +149,7 @@
 	}
 }
 
-// traffic is what one live caller sends.
+// traffic describes the requests of one live caller.
 type traffic struct {
 	kind   string
 	prefix string
@@ -159,10 +159,10 @@
 }
 
 // sendTraffic sends live requests of one kind until ctx ends.
-func (d *driver) sendTraffic(ctx context.Context, sent traffic) {
-	for retry.Sleep(ctx, sent.gap) {
-		id := d.newID(sent.kind + "-")
-		d.send(ctx, LiveCall{ID: id, Path: sent.prefix + id, Body: "body of " + id, Kind: sent.kind, Tenant: sent.tenant})
+func (d *driver) sendTraffic(ctx context.Context, load traffic) {
+	for retry.Sleep(ctx, load.gap) {
+		id := d.newID(load.kind + "-")
+		d.send(ctx, LiveCall{ID: id, Path: load.prefix + id, Body: "body of " + id, Kind: load.kind, Tenant: load.tenant})
 	}
 }
 
@@ -175,20 +175,20 @@
 	}
 	client := d.client.WithKey(key)
 	var err error
-	call.Answer, err = client.Live(ctx, d.anyNode().callers, call.Path, call.ID, call.Body, callDeadline)
+	call.Answer, err = client.Live(ctx, d.randomNode().callerAddress, call.Path, call.ID, call.Body, callDeadline)
 	call.Intact = err == nil
 	d.history.addCall(call)
 }
 
-// runTrainer submits one job after the other until ctx ends; the last job continues until jobCtx ends.
+// runTrainer submits one job after the other until ctx ends; the last job may continue until jobCtx ends.
 func (d *driver) runTrainer(ctx, jobCtx context.Context, trainer int) {
 	for step := int64(0); ctx.Err() == nil; step++ {
 		job := d.newJob(trainer, step)
-		seen := d.history.addJob(job, trainer)
-		if !d.submit(jobCtx, seen) {
+		record := d.history.addJob(job, trainer)
+		if !d.submit(jobCtx, record) {
 			continue
 		}
-		d.readUntilDone(jobCtx, seen)
+		d.readUntilDone(jobCtx, record)
 		d.announceVersion()
 	}
 }
@@ -197,8 +197,8 @@
 	d.deployment.store.store.NameVersion(standin.ModelDrafts, d.version.Add(1))
 }
 
-// announceVersions announces weight versions in bursts until ctx ends. The pauses leave a leader without
-// orders for longer than the quiet time, so that the next leader may send orders at once.
+// announceVersions announces weight versions in bursts until ctx ends. In the pauses, no order is sent for
+// longer than the quiet period between orders of two leaders, so that a new leader may send orders at once.
 func (d *driver) announceVersions(ctx context.Context) {
 	for {
 		gap := versionGap + rand.N(versionGap)
@@ -241,56 +241,56 @@
 
 // submit submits a job to one node after the other until one accepts it. It gives up after submitTries
 // attempts if all of them were rejected.
-func (d *driver) submit(ctx context.Context, seen *JobRecord) bool {
+func (d *driver) submit(ctx context.Context, record *JobRecord) bool {
 	refusals, tries := 0, 0
 	for ; ctx.Err() == nil && (tries < submitTries || refusals < tries); tries++ {
-		target := d.nodeFor(seen)
-		status, err := d.client.WithKey(seen.Key).Submit(ctx, target.callers, seen.Job)
+		target := d.nodeFor(record)
+		status, err := d.client.WithKey(record.Key).Submit(ctx, target.callerAddress, record.Job)
 		switch {
 		case err == nil && status == http.StatusAccepted:
-			d.history.update(func() { seen.Accepted = true })
+			d.history.update(func() { record.Accepted = true })
 			return true
 		case err == nil && standin.GuaranteesNotExecuted(status):
 			refusals++
 		}
 		retry.Sleep(ctx, retryGap)
 	}
-	d.history.update(func() { seen.AllRejected = tries > 0 && refusals == tries })
+	d.history.update(func() { record.AllRejected = tries > 0 && refusals == tries })
 	return false
 }
 
 // readUntilDone reads a job at one node after the other until all expected results are listed or the
 // trainer cancels it early.
-func (d *driver) readUntilDone(ctx context.Context, seen *JobRecord) {
-	early := rand.IntN(earlyCancelOneIn) == 0
+func (d *driver) readUntilDone(ctx context.Context, record *JobRecord) {
+	cancelsEarly := rand.IntN(earlyCancelOneIn) == 0
 	for ctx.Err() == nil {
 		from := 0
-		d.history.update(func() { from = len(seen.Positions) })
+		d.history.update(func() { from = len(record.Positions) })
 		if rand.IntN(earlyCancelOneIn) == 0 {
 			from = rand.IntN(from + 1) // rereads some positions
 		}
-		results, status, err := d.client.WithKey(seen.Key).Results(ctx, d.nodeFor(seen).callers, seen.Job.ID, from, readWait)
+		results, status, err := d.client.WithKey(record.Key).Results(ctx, d.nodeFor(record).callerAddress, record.Job.ID, from, readWait)
 		if err != nil || status != http.StatusOK {
 			retry.Sleep(ctx, retryGap)
 			continue
 		}
-		d.history.recordResults(seen, from, results.Results)
-		done, some := false, false
-		d.history.update(func() { done, some = seen.Complete, len(seen.Positions) > 0 })
-		if early && some || done {
-			d.cancelJob(ctx, seen)
+		d.history.recordResults(record, from, results.Results)
+		complete, hasResults := false, false
+		d.history.update(func() { complete, hasResults = record.Complete, len(record.Positions) > 0 })
+		if cancelsEarly && hasResults || complete {
+			d.cancelJob(ctx, record)
 			return
 		}
 	}
 }
 
 // cancelJob cancels a job at one node after the other until one acknowledges it.
-func (d *driver) cancelJob(ctx context.Context, seen *JobRecord) {
-	d.history.update(func() { seen.CancelSentAt = time.Now() })
+func (d *driver) cancelJob(ctx context.Context, record *JobRecord) {
+	d.history.update(func() { record.CancelSentAt = time.Now() })
 	for ctx.Err() == nil {
-		status, err := d.client.WithKey(seen.Key).End(ctx, d.nodeFor(seen).callers, seen.Job.ID)
+		status, err := d.client.WithKey(record.Key).End(ctx, d.nodeFor(record).callerAddress, record.Job.ID)
 		if err == nil && status == http.StatusOK {
-			d.history.update(func() { seen.EndedAt = time.Now() })
+			d.history.update(func() { record.EndedAt = time.Now() })
 			return
 		}
 		retry.Sleep(ctx, retryGap)
@@ -299,29 +299,29 @@
 
 // readAllJobs reads every accepted job that nodes must still retain, at every node.
 func (d *driver) readAllJobs(ctx context.Context) {
-	for _, seen := range d.history.Jobs {
-		if !seen.Accepted || time.Since(seen.SentAt) > jobRetention {
+	for _, record := range d.history.Jobs {
+		if !record.Accepted || time.Since(record.SentAt) > jobRetention {
 			continue
 		}
 		for _, each := range d.deployment.nodes {
-			d.history.recordAsked(seen, each.number)
-			d.readAllPositions(ctx, seen, each)
+			d.history.recordJobRequest(record, each.number)
+			d.readAllPositions(ctx, record, each)
 		}
 	}
 }
 
 // readAllPositions reads all positions of a job at a node. It retries after failures, and while positions
 // that were read elsewhere are missing for no longer than resultSettleTime.
-func (d *driver) readAllPositions(ctx context.Context, seen *JobRecord, target *node) {
+func (d *driver) readAllPositions(ctx context.Context, record *JobRecord, target *node) {
 	problem, status := "", 0
 	for began := time.Now(); ctx.Err() == nil && time.Since(began) < resultSettleTime+callTimeout; retry.Sleep(ctx, retryGap) {
-		results, got, err := d.client.WithKey(seen.Key).Results(ctx, target.callers, seen.Job.ID, 0, 0)
+		results, got, err := d.client.WithKey(record.Key).Results(ctx, target.callerAddress, record.Job.ID, 0, 0)
 		if err != nil || got != http.StatusOK {
 			problem, status = fmt.Sprintf("node %d", target.number), got
 			continue
 		}
-		d.history.recordResults(seen, 0, results.Results)
-		missing := len(seen.Positions) - len(results.Results)
+		d.history.recordResults(record, 0, results.Results)
+		missing := len(record.Positions) - len(results.Results)
 		if missing == 0 {
 			return
 		}
@@ -330,7 +330,7 @@
 			break
 		}
 	}
-	seen.FinalStatus[problem] = status
+	record.FailedReads[problem] = status
 }
 
 // run generates the load until ctx ends. Open jobs continue until jobCtx ends.
--- a/internal/bench/soak/engines.go
+++ b/internal/bench/soak/engines.go
@@ -16,11 +16,12 @@
 )
 
 const (
+	// lookupSlots and draftSlots are how many requests an engine runs at once. draftSlots is small, so that
+	// items of a cancelled job still wait for an engine.
 	lookupSlots = 8
-	// draftSlots is small, so that items of a cancelled job still wait for an engine.
-	draftSlots = 2
-	eventTime  = 20 * time.Millisecond
-	loadTime   = 700 * time.Millisecond
+	draftSlots  = 2
+	eventTime   = 20 * time.Millisecond
+	loadTime    = 700 * time.Millisecond
 	// drainTime is how long an engine keeps serving after it was listed as draining: well beyond
 	// Bounds.Drain.
 	drainTime = 8 * time.Second
@@ -46,8 +47,8 @@
 	entryInvalid []TimeSpan
 }
 
-// engineSlot runs engines of one service, one after the other, behind the same proxy. Each start is a new
-// engine with a new ID, or the next incarnation of the same engine.
+// engineSlot runs engines of one service, one after the other, behind the same proxy. Each start creates a new
+// engine with a new ID, or the next incarnation of the previous engine.
 type engineSlot struct {
 	number  int
 	service string
@@ -60,7 +61,8 @@
 	coldFor time.Duration
 	// onCrash is called with the run that crashes the engine.
 	onCrash func(run standin.Run)
-	listen  string
+	// listenAddress is the address that engines listen on, behind the proxy.
+	listenAddress string
 
 	// replacing is held while the engine is replaced.
 	replacing sync.Mutex
@@ -141,7 +143,7 @@
 func (s *engineSlot) startIncarnation(id string, version int64) error {
 	var listener net.Listener
 	err := retryUntilFree(func() (err error) {
-		listener, err = net.Listen("tcp", s.listen)
+		listener, err = net.Listen("tcp", s.listenAddress)
 		return err
 	})
 	if err != nil {
--- a/internal/bench/soak/engines_test.go
+++ b/internal/bench/soak/engines_test.go
@@ -21,10 +21,10 @@
 	} `json:"models"`
 }
 
-func entryOf(t *testing.T, p *engineSlot) engineEntry {
+func entryOf(t *testing.T, slot *engineSlot) engineEntry {
 	t.Helper()
 	var entry engineEntry
-	assert.NilError(t, json.Unmarshal(p.engine().Entry("", ""), &entry))
+	assert.NilError(t, json.Unmarshal(slot.engine().Entry("", ""), &entry))
 	return entry
 }
 
@@ -33,26 +33,26 @@
 func TestEngineSlotRestartWithSameID(t *testing.T) {
 	address, err := process.FreeAddress()
 	assert.NilError(t, err)
-	p := &engineSlot{
+	slot := &engineSlot{
 		number: 1, service: standin.ServiceDrafts, store: standin.NewStore(standin.DefaultLimits()), history: &History{},
-		listen: address, coldFor: time.Minute, senderProxy: newSenderProxy("127.0.0.1:0", address, nil),
+		listenAddress: address, coldFor: time.Minute, senderProxy: newSenderProxy("127.0.0.1:0", address, nil),
 	}
-	assert.NilError(t, p.start())
-	defer func() { p.stop() }()
-	first, id := entryOf(t, p), p.id()
+	assert.NilError(t, slot.start())
+	defer func() { slot.stop() }()
+	first, id := entryOf(t, slot), slot.id()
 	assert.Assert(t, first.Born > 0 && first.ColdLeftMs == 0)
 	for range 3 {
-		p.stop()
-		assert.NilError(t, p.restartWithSameID(true))
-		next := entryOf(t, p)
-		assert.Assert(t, p.id() == id && next.Born > first.Born && next.ColdLeftMs > 0)
+		slot.stop()
+		assert.NilError(t, slot.restartWithSameID(true))
+		next := entryOf(t, slot)
+		assert.Assert(t, slot.id() == id && next.Born > first.Born && next.ColdLeftMs > 0)
 		assert.Equal(t, next.Models[0].Version, int64(firstVersion))
 		first = next
 	}
-	p.stop()
-	assert.NilError(t, p.start())
-	assert.Assert(t, p.id() != id)
-	records := p.records()
+	slot.stop()
+	assert.NilError(t, slot.start())
+	assert.Assert(t, slot.id() != id)
+	records := slot.records()
 	assert.Equal(t, len(records), 5)
 	assert.Assert(t, !records[0].Restarted && records[1].Restarted && records[3].Restarted && !records[4].Restarted)
 	assert.Assert(t, len(records[0].Cold) == 0 && len(records[1].Cold) == 1)
--- a/internal/bench/soak/forwarding.go
+++ b/internal/bench/soak/forwarding.go
@@ -14,13 +14,13 @@
 	"github.com/corkpulley/corkpulley/internal/common/retry"
 )
 
-// maxResolvedNodes is the most nodes for which the process behind each connection is looked up, since that
-// scans the open files of all node processes.
+// maxResolvedNodes is the maximum number of nodes for which the process behind each connection is looked up,
+// since the lookup scans the open files of all node processes.
 const maxResolvedNodes = 24
 
-// senderProxy listens at the address at which an engine is listed. It identifies the node process behind
-// each connection, regardless of what the process claims, and forwards the bytes from an address that
-// stands for that node, unless the node's path holds them.
+// senderProxy listens at the address at which nodes reach an engine or the duties service. It identifies the
+// node process behind each connection, regardless of what the process claims, and forwards the bytes from the
+// source address assigned to that node, subject to the faults of the node's path.
 type senderProxy struct {
 	address  string
 	upstream string
@@ -36,16 +36,16 @@
 	return &senderProxy{address: address, upstream: upstream, pathOf: pathOf, open: make(map[net.Conn]bool)}
 }
 
-// listenBackoff and listenTimeout govern attempts to listen. A process that is being started briefly holds
-// a copy of each socket, so the address may still be in use.
+// listenBackoff and listenTimeout control the retries while an address is in use: a child process inherits
+// open sockets between fork and exec, so the address of a closed listener may stay in use briefly.
 var listenBackoff = retry.Policy{First: time.Millisecond, Longest: 50 * time.Millisecond}
 
 const listenTimeout = 2 * time.Second
 
-// listen starts to accept connections; it does nothing if that is already so.
+// listen starts to accept connections. It does nothing if the proxy already listens.
 func (p *senderProxy) listen() error {
 	if err := retryUntilFree(p.tryListen); err != nil {
-		return errors.Wrap(err, "listen for connections to an engine")
+		return errors.Wrap(err, "listen at the address of a sender proxy")
 	}
 	return nil
 }
@@ -128,15 +128,15 @@
 	defer p.closeConnection(accepted)
 	path := p.pathOf(accepted)
 	dialer := &net.Dialer{LocalAddr: path.address()}
-	engine, err := dialer.Dial("tcp", p.upstream)
-	if err != nil || !p.track(listener, engine) {
+	upstream, err := dialer.Dial("tcp", p.upstream)
+	if err != nil || !p.track(listener, upstream) {
 		return
 	}
-	defer p.closeConnection(engine)
-	var both sync.WaitGroup
-	both.Go(func() { path.copy(engine, accepted) })
-	both.Go(func() { path.copy(accepted, engine) })
-	both.Wait()
+	defer p.closeConnection(upstream)
+	var directions sync.WaitGroup
+	directions.Go(func() { path.copy(upstream, accepted) })
+	directions.Go(func() { path.copy(accepted, upstream) })
+	directions.Wait()
 }
 
 // nodePath is one node's network path to all engines and to the duties service.
@@ -145,7 +145,7 @@
 	node int
 
 	mu sync.Mutex
-	// held counts the callers of hold in effect; changed is closed at each change.
+	// held counts the calls of hold that have not been undone; changed is closed at each change.
 	held    int
 	changed chan struct{}
 	// latency is the delay of each chunk.
@@ -154,7 +154,7 @@
 
 func newNodePath(node int) *nodePath { return &nodePath{node: node, changed: make(chan struct{})} }
 
-// nodeAddressFormat makes the source address that stands for a node.
+// nodeAddressFormat is the format of the source address assigned to a node.
 const nodeAddressFormat = "127.7.0.%d"
 
 // address returns the source address that engines see; nil for any.
@@ -165,7 +165,7 @@
 	return &net.TCPAddr{IP: net.ParseIP(fmt.Sprintf(nodeAddressFormat, p.node+1))}
 }
 
-// nodeAtAddress returns the node that a source address stands for; false if there is none.
+// nodeAtAddress returns the node that a source address is assigned to; false if there is none.
 func nodeAtAddress(address string) (int, bool) {
 	var number int
 	if _, err := fmt.Sscanf(address, nodeAddressFormat, &number); err != nil {
@@ -214,7 +214,8 @@
 	}
 }
 
-// copy forwards bytes. Bytes sent before the sender closed its connection are still delivered.
+// copy forwards bytes in one direction. Bytes sent before the sender closed its connection are still
+// delivered.
 func (p *nodePath) copy(to, from net.Conn) {
 	const chunk = 16 << 10
 	buffer := make([]byte, chunk)
@@ -222,16 +223,16 @@
 		length, err := from.Read(buffer)
 		if length > 0 {
 			p.awaitDelivery()
-			if _, failed := to.Write(buffer[:length]); failed != nil {
-				err = failed
+			if _, writeErr := to.Write(buffer[:length]); writeErr != nil {
+				err = writeErr
 			}
 		}
 		if err == nil {
 			continue
 		}
 		p.awaitDelivery()
-		if half, can := to.(*net.TCPConn); can && errors.Is(err, io.EOF) {
-			_ = half.CloseWrite()
+		if tcp, isTCP := to.(*net.TCPConn); isTCP && errors.Is(err, io.EOF) {
+			_ = tcp.CloseWrite()
 			return
 		}
 		_, _ = to.Close(), from.Close()
@@ -247,18 +248,18 @@
 }
 
 // pathOf returns the path of the node whose process holds the other end of a connection.
-func (s *pathResolver) pathOf(accepted net.Conn) *nodePath {
-	if len(s.nodes) > maxResolvedNodes {
-		return s.unknown
+func (r *pathResolver) pathOf(accepted net.Conn) *nodePath {
+	if len(r.nodes) > maxResolvedNodes {
+		return r.unknown
 	}
 	socket, err := peerSocketInode(accepted)
 	if err != nil {
-		return s.unknown
+		return r.unknown
 	}
-	for i, each := range s.nodes {
+	for i, each := range r.nodes {
 		if running, _ := each.current(); running != nil && processHasSocket(running.ID(), socket) {
-			return s.paths[i]
+			return r.paths[i]
 		}
 	}
-	return s.unknown
+	return r.unknown
 }
--- a/internal/bench/soak/history.go
+++ b/internal/bench/soak/history.go
@@ -31,8 +31,8 @@
 	Tenant string
 	Key    string
 	SentAt time.Time
-	// FirstAskedAt is when each node was first sent a request about the job: to submit, read or cancel it.
-	FirstAskedAt map[int]time.Time
+	// FirstRequestAt is when the trainer first sent each node a request to submit, read or cancel the job.
+	FirstRequestAt map[int]time.Time
 	// Accepted is set if a node answered 202, AllRejected if every attempt was answered with a status that
 	// guarantees that nothing runs.
 	Accepted    bool
@@ -45,8 +45,9 @@
 	Positions []standin.ItemResult
 	// Complete is set once every expected item was read as listed.
 	Complete bool
-	// FinalStatus holds the status of each failed read at the end of the soak, by node and problem.
-	FinalStatus map[string]int
+	// FailedReads holds the status of each failed read at the end of the soak, by a description that names
+	// the node.
+	FailedReads map[string]int
 }
 
 // Probe is a request to one node for a route that one configuration added.
@@ -66,7 +67,7 @@
 	Version int64
 	SentAt  time.Time
 	AckedAt time.Time
-	// Homes are its home regions.
+	// Homes are the home regions that it sets.
 	Homes Homes
 }
 
@@ -179,19 +180,19 @@
 func (h *History) addJob(job standin.Job, trainer int) *JobRecord {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	seen := &JobRecord{
+	record := &JobRecord{
 		Job: job, Tenant: tenantOf(trainer), Key: trainerKey(trainer), SentAt: time.Now(),
-		FirstAskedAt: make(map[int]time.Time), FinalStatus: make(map[string]int),
+		FirstRequestAt: make(map[int]time.Time), FailedReads: make(map[string]int),
 	}
-	h.Jobs = append(h.Jobs, seen)
-	return seen
+	h.Jobs = append(h.Jobs, record)
+	return record
 }
 
-// recordAsked records that a trainer is about to send a request about a job to a node.
-func (h *History) recordAsked(job *JobRecord, node int) {
+// recordJobRequest records that a trainer is about to send a request about a job to a node.
+func (h *History) recordJobRequest(job *JobRecord, node int) {
 	h.update(func() {
-		if job.FirstAskedAt[node].IsZero() {
-			job.FirstAskedAt[node] = time.Now()
+		if job.FirstRequestAt[node].IsZero() {
+			job.FirstRequestAt[node] = time.Now()
 		}
 	})
 }
@@ -224,24 +225,24 @@
 // expectedResults is the number of items that must be listed. Items that crash engines may wait until
 // their job is cancelled.
 func (j *JobRecord) expectedResults() int {
-	expectedResults := 0
+	count := 0
 	for _, item := range j.Job.Items {
 		if !crashesEngine(item.Body) {
-			expectedResults++
+			count++
 		}
 	}
-	return expectedResults
+	return count
 }
 
 // listedResults is the number of expected items that were read as listed.
 func (j *JobRecord) listedResults() int {
-	listedResults := 0
+	count := 0
 	for _, result := range j.Positions {
 		if !crashesEngine(result.ID) {
-			listedResults++
+			count++
 		}
 	}
-	return listedResults
+	return count
 }
 
 func sameResult(one, other standin.ItemResult) bool {
--- a/internal/bench/soak/inject.go
+++ b/internal/bench/soak/inject.go
@@ -20,7 +20,7 @@
 	standin.RefusesFull, standin.RespondsError, standin.TruncatesResponse, standin.DropsResponse, standin.DuplicatesResponse, standin.RespondsWrongID,
 }
 
-// inject begins each fault at its time. It returns once all have begun or ctx ends; d.wait covers their
+// inject begins each fault at its time. It returns once all have begun or ctx ends; d.wait waits for their
 // ends.
 func (d *deployment) inject(ctx context.Context, faults []Fault, report func(Fault)) {
 	began := time.Now()
@@ -81,11 +81,11 @@
 	case EngineLeaves:
 		d.replace(slot, func() { slot.drain(ctx) })
 	case EngineAnswersWrongly, EngineSilent:
-		wrong := standin.NeverResponds
+		answerFault := standin.NeverResponds
 		if fault.Kind == EngineAnswersWrongly {
-			wrong = wrongAnswers[fault.Target%len(wrongAnswers)]
+			answerFault = wrongAnswers[fault.Target%len(wrongAnswers)]
 		}
-		slot.setAnswerFault(wrong)
+		slot.setAnswerFault(answerFault)
 		retry.Sleep(ctx, fault.Duration)
 		slot.setAnswerFault(standin.NoFault)
 	}
--- a/internal/bench/soak/inject_leader.go
+++ b/internal/bench/soak/inject_leader.go
@@ -32,7 +32,7 @@
 	claimHangSpread = 1700 * time.Millisecond
 )
 
-// random returns a source for the fault's details, seeded by its target and time.
+// random returns a random source seeded by the fault's target and time.
 func (f Fault) random() *rand.Rand { return rand.New(rand.NewPCG(uint64(f.Target), uint64(f.At))) }
 
 // readEffects are the effects on a node's reads, selected by the fault's target: only lease reads hang,
@@ -41,7 +41,7 @@
 
 func (f Fault) readEffect() effect { return readEffects[f.Target%len(readEffects)] }
 
-// slowsWrites reports whether writes are slow once they are admitted again: for half of the targets.
+// slowsWrites reports whether writes are slow once they are accepted again: for half of the targets.
 func (f Fault) slowsWrites() bool {
 	return f.Target/len(readEffects)%2 == 1
 }
@@ -61,7 +61,7 @@
 	case NodeCallsLate:
 		run = func() { target.store.applyFor(ctx, fault.Duration, lateWrites) }
 	case NodeWritesThenReads:
-		run = func() { target.store.writesThenReads(ctx, fault) }
+		run = func() { target.store.refuseWritesThenHangReads(ctx, fault) }
 	case NodeEnginesSilent:
 		run = func() { d.stallEngineTraffic(ctx, target.number, fault.Duration) }
 	case NodeEnginesLate:
@@ -78,28 +78,28 @@
 }
 
 // applyFor keeps effects active for the given time.
-func (s *nodeStore) applyFor(ctx context.Context, duration time.Duration, kinds ...effect) {
-	for _, kind := range kinds {
+func (s *nodeStore) applyFor(ctx context.Context, duration time.Duration, effects ...effect) {
+	for _, kind := range effects {
 		defer s.begin(kind)()
 	}
 	retry.Sleep(ctx, duration)
 }
 
-// writesThenReads refuses writes for slightly longer than a lease. Reads hang from before the end of the
-// refusal until fault.Duration after it.
-func (s *nodeStore) writesThenReads(ctx context.Context, fault Fault) {
+// refuseWritesThenHangReads refuses writes for slightly longer than a lease. Reads hang from before the end of
+// the refusal until fault.Duration after it.
+func (s *nodeStore) refuseWritesThenHangReads(ctx context.Context, fault Fault) {
 	random := fault.random()
 	hangAfter := uniformDuration(random, minHangDelay, maxHangDelay)
 	refusal := uniformDuration(random, minWriteRefusal, maxWriteRefusal)
-	admit := s.begin(refuseWrites)
-	defer admit()
+	endRefusal := s.begin(refuseWrites)
+	defer endRefusal()
 	retry.Sleep(ctx, hangAfter)
 	defer s.begin(fault.readEffect())()
 	if fault.slowsWrites() {
 		defer s.begin(slowWrites)()
 	}
 	retry.Sleep(ctx, refusal-hangAfter)
-	admit()
+	endRefusal()
 	retry.Sleep(ctx, fault.Duration)
 }
 
@@ -127,15 +127,16 @@
 	d.pathResolver.paths[node].delay(0)
 }
 
-// freezeBeforeOrder stops a node's process when it has recorded an order and is about to send it.
+// freezeBeforeOrder stops a node's process after it recorded an order and before it sends it. If the node
+// records none within orderWait, its process is stopped then.
 func (d *deployment) freezeBeforeOrder(ctx context.Context, target *node, duration time.Duration) {
-	ordering := make(chan struct{})
+	recorded := make(chan struct{})
 	target.store.setOnOrder(func() {
 		target.signal(syscall.SIGSTOP)
-		close(ordering)
+		close(recorded)
 	})
 	select {
-	case <-ordering:
+	case <-recorded:
 	case <-ctx.Done():
 	case <-time.After(orderWait):
 	}
--- a/internal/bench/soak/inject_placement.go
+++ b/internal/bench/soak/inject_placement.go
@@ -19,11 +19,11 @@
 func newEvacuationCounts() *evacuationCounts { return &evacuationCounts{counts: make(map[string]int)} }
 
 // add changes the count of a zone and calls change if its first evacuation begins or its last one ends.
-func (e *evacuationCounts) add(zone string, by int, change func()) {
+func (e *evacuationCounts) add(zone string, delta int, change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	before := e.counts[zone]
-	e.counts[zone] += by
+	e.counts[zone] += delta
 	if before == 0 || e.counts[zone] == 0 {
 		change()
 	}
@@ -50,10 +50,10 @@
 	return true
 }
 
-// variant reports whether the fault takes its second form, as for half of the targets: the restarted
-// engine has lost its weights, the evacuated zone is cold at the end, or an invalid entry replaces a valid
-// one.
-func (f Fault) variant() bool { return f.Target/zones%2 == 0 }
+// hasExtraEffect reports whether the fault has an additional effect, as for half of the targets: the restarted
+// engine has lost its weights, the engines of the evacuated zone are cold at the end, or an invalid entry
+// replaces a valid one.
+func (f Fault) hasExtraEffect() bool { return f.Target/zones%2 == 0 }
 
 // restartEngine ends the engine of a slot and restarts it under the same ID.
 func (d *deployment) restartEngine(ctx context.Context, slot *engineSlot, fault Fault) {
@@ -68,18 +68,18 @@
 		slot.unlist()
 	}
 	retry.Sleep(ctx, fault.Duration)
-	d.restartWithSameID(slot, fault.variant())
+	d.restartWithSameID(slot, fault.hasExtraEffect())
 	if fault.rewritesOldEntry() {
 		retry.Sleep(ctx, oldEntryDelay)
 		d.store.store.PutEngineEntry(slot.id(), before)
 	}
 }
 
-// oldEntryDelay is how long after an engine's restart the last entry of its previous incarnation may be
-// written.
+// oldEntryDelay is how long after an engine's restart the last entry of its previous incarnation is written.
 const oldEntryDelay = 100 * time.Millisecond
 
-// rewritesOldEntry reports whether that entry is written: for half of the targets.
+// rewritesOldEntry reports whether the last entry of the previous incarnation is written after the restart:
+// for half of the targets.
 func (f Fault) rewritesOldEntry() bool { return f.Target/(2*zones)%2 == 0 }
 
 // maxRestartDelay is the longest downtime of an engine that crashed during a request and restarts under
@@ -99,7 +99,7 @@
 	}
 }
 
-// evacuate evacuates a zone for the fault's duration. In one variant its engines are cold at the end.
+// evacuate evacuates a zone for the fault's duration. With the extra effect, its engines are cold at the end.
 func (d *deployment) evacuate(ctx context.Context, fault Fault) {
 	zone, store := zoneOf(fault.Target), d.store.store
 	d.evacuationCounts.add(zone, 1, func() {
@@ -107,7 +107,7 @@
 		d.history.addEvacuation(zone)
 	})
 	retry.Sleep(ctx, fault.Duration)
-	if fault.variant() {
+	if fault.hasExtraEffect() {
 		d.markZoneCold(zone, coldStart)
 	}
 	d.evacuationCounts.add(zone, -1, func() {
@@ -125,20 +125,20 @@
 	}
 }
 
-// writeInvalidEntries adds invalid entries to the engine list. In one variant, one of them replaces the
-// entry of an engine until the fault ends.
+// writeInvalidEntries adds invalid entries to the engine list. With the extra effect, one of them also replaces
+// the entry of an engine until the fault ends.
 func (d *deployment) writeInvalidEntries(ctx context.Context, slot *engineSlot, fault Fault) {
 	store := d.store.store
-	bad := invalidEntries(slot.service, d.invalidEntryAddress)
-	for i, content := range bad {
+	invalid := invalidEntries(slot.service, d.invalidEntryAddress)
+	for i, content := range invalid {
 		store.PutEngineEntry(invalidEntryID(i), content)
 	}
-	if fault.variant() && slot.replacing.TryLock() {
+	if fault.hasExtraEffect() && slot.replacing.TryLock() {
 		defer slot.replacing.Unlock()
-		defer slot.overwriteEntry(bad[fault.Target%len(bad)])()
+		defer slot.overwriteEntry(invalid[fault.Target%len(invalid)])()
 	}
 	retry.Sleep(ctx, fault.Duration)
-	for i := range bad {
+	for i := range invalid {
 		store.UnlistEngine(invalidEntryID(i))
 	}
 }
--- a/internal/bench/soak/invalid_entries.go
+++ b/internal/bench/soak/invalid_entries.go
@@ -11,27 +11,27 @@
 // invalidEntryID returns the key of an invalid entry in the engine list.
 func invalidEntryID(number int) string { return fmt.Sprintf("stray-%d", number) }
 
-// invalidEntries returns entries of the engine list that nodes must ignore. All that are readable in part
-// point to address, where no engine listens.
+// invalidEntries returns entries of the engine list that nodes must ignore. Those that hold an address point
+// to the given one, where no engine listens.
 func invalidEntries(service, address string) [][]byte {
 	entry := func(fields string) []byte {
 		return fmt.Appendf(nil, `{"address":%q,%s}`, address, fields)
 	}
-	rest := `"zone":"z1","version":"v1","slots":4,"coldLeftMs":0,"models":[],"seqNo":1`
+	otherFields := `"zone":"z1","version":"v1","slots":4,"coldLeftMs":0,"models":[],"seqNo":1`
 	return [][]byte{
 		[]byte("\xff\xfe\x00 unreadable"),
-		entry(fmt.Sprintf(`"service":%q,"state":"ready",%s`, service, rest))[1:],
+		entry(fmt.Sprintf(`"service":%q,"state":"ready",%s`, service, otherFields))[1:],
 		[]byte(`[]`),
 		[]byte(`null`),
 		[]byte(`7`),
-		entry(`"state":"ready",` + rest),
-		entry(fmt.Sprintf(`"service":%q,%s`, service, rest)),
-		entry(`"service":"no-such-service","state":"ready",` + rest),
-		entry(fmt.Sprintf(`"service":%q,"state":"resting",%s`, service, rest)),
-		entry(`"service":7,"state":"ready",` + rest),
-		entry(fmt.Sprintf(`"service":%q,"state":["ready"],%s`, service, rest)),
-		entry(fmt.Sprintf(`"service":%q,"service":%q,"state":"ready",%s`, service, service, rest)),
-		entry(fmt.Sprintf(`"service":%q,"state":"ready","born":"today",%s`, service, rest)),
+		entry(`"state":"ready",` + otherFields),
+		entry(fmt.Sprintf(`"service":%q,%s`, service, otherFields)),
+		entry(`"service":"no-such-service","state":"ready",` + otherFields),
+		entry(fmt.Sprintf(`"service":%q,"state":"resting",%s`, service, otherFields)),
+		entry(`"service":7,"state":"ready",` + otherFields),
+		entry(fmt.Sprintf(`"service":%q,"state":["ready"],%s`, service, otherFields)),
+		entry(fmt.Sprintf(`"service":%q,"service":%q,"state":"ready",%s`, service, service, otherFields)),
+		entry(fmt.Sprintf(`"service":%q,"state":"ready","born":"today",%s`, service, otherFields)),
 		entry(fmt.Sprintf(`"service":%q,"state":"ready","zone":"z1","version":"v1","slots":"many","seqNo":1`, service)),
 		entry(fmt.Sprintf(`"service":%q,"state":"ready","zone":"z1","version":"v1","slots":-4,"seqNo":1`, service)),
 		entry(fmt.Sprintf(`"service":%q,"state":"ready","zone":"z1","version":"v1","slots":4,"seqNo":1e300`, service)),
@@ -62,11 +62,11 @@
 		engine := &h.Engines[i]
 		for _, period := range engine.EntryInvalid {
 			for _, arrival := range engine.Arrivals {
-				late := arrival.At.Sub(period.From)
+				delay := arrival.At.Sub(period.From)
 				node := arrivalSender(arrival)
-				if late > bounds.Drain && arrival.At.Before(period.To) && h.undisturbed(node, arrival.At, arrival.At, bounds.Settle) {
+				if delay > bounds.Drain && arrival.At.Before(period.To) && h.undisturbed(node, arrival.At, arrival.At, bounds.Settle) {
 					found = append(found, fmt.Sprintf("engine %s got %s from node %d, %s after an invalid entry replaced its own",
-						engine.ID, arrival.ID, node, late))
+						engine.ID, arrival.ID, node, delay))
 				}
 			}
 		}
--- a/internal/bench/soak/items.go
+++ b/internal/bench/soak/items.go
@@ -15,19 +15,19 @@
 	crashPrefix = "crash-"
 
 	minEvents = 3
-	// One in longShare outputs has longEvents events, the others have minEvents plus up to shortEvents-1.
-	longShare   = 12
-	longEvents  = 60
-	shortEvents = 16
+	// One in longOneIn outputs has longEvents events, the others have minEvents plus 0 to shortEventsSpread-1.
+	longOneIn         = 12
+	longEvents        = 60
+	shortEventsSpread = 16
 )
 
 // eventsOf returns the number of events in the output of a request, derived from its ID.
 func eventsOf(id string) int {
 	draw := xxhash.Sum64String(id)
-	if draw%longShare == 0 {
+	if draw%longOneIn == 0 {
 		return longEvents
 	}
-	return minEvents + int(draw/longShare%shortEvents)
+	return minEvents + int(draw/longOneIn%shortEventsSpread)
 }
 
 func failsAlways(id string) bool { return strings.HasPrefix(id, failPrefix) }
@@ -37,12 +37,12 @@
 // crashesEngine reports whether an engine crashes when it starts a request with the body.
 func crashesEngine(body string) bool { return strings.Contains(body, crashPrefix) }
 
-// One in unscoredShare items has no scoring call.
-const unscoredShare = 4
+// One in unscoredOneIn items has no scoring call.
+const unscoredOneIn = 4
 
 // scoringIDOf returns the ID of an item's scoring call, or "" if it has none.
 func scoringIDOf(id string) string {
-	if xxhash.Sum64String("scoring of "+id)%unscoredShare == 0 {
+	if xxhash.Sum64String("scoring of "+id)%unscoredOneIn == 0 {
 		return ""
 	}
 	return "score-" + id
--- a/internal/bench/soak/node.go
+++ b/internal/bench/soak/node.go
@@ -28,15 +28,16 @@
 
 // node is a corkpulleyd process that is restarted whenever it exits.
 type node struct {
-	number    int
-	callers   string
-	operators string
+	number int
+	// callerAddress and operatorAddress are the addresses that the node listens on for callers and operators.
+	callerAddress   string
+	operatorAddress string
 	// builds are the builds that consecutive incarnations start from in turn.
 	builds    []build
 	directory string
-	// enginesFence is the setting of the same name.
+	// enginesFence is the value of the setting engines_fence.
 	enginesFence bool
-	// link is the only connection to the store and ends at store.
+	// link is the proxy for all connections to the store; its upstream is store.
 	link  *faultproxy.Link
 	store *nodeStore
 
@@ -72,7 +73,7 @@
 
 [shutdown]
 grace = "%ds"
-`, nodePrefix, n.number, zoneOf(n.number), regionOf(n.number), n.callers, n.operators, peers, store, n.enginesFence, duties,
+`, nodePrefix, n.number, zoneOf(n.number), regionOf(n.number), n.callerAddress, n.operatorAddress, peers, store, n.enginesFence, duties,
 		usageWindow, usageDue, graceSeconds)
 }
 
@@ -130,7 +131,7 @@
 	}
 }
 
-// current returns the process and the number of its incarnation.
+// current returns the newest process, nil if there is none, and the number of its incarnation.
 func (n *node) current() (*process.Process, int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -179,7 +180,7 @@
 func (n *node) ready(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.operators+"/readyz", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.operatorAddress+"/readyz", nil)
 	if err != nil {
 		return false
 	}
@@ -191,7 +192,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func writeFile(path, text string) error {
+func writeSettings(path, text string) error {
 	const mode = 0o600
 	if err := os.WriteFile(path, []byte(text), mode); err != nil {
 		return errors.Wrap(err, "write settings")
--- a/internal/bench/soak/node_store.go
+++ b/internal/bench/soak/node_store.go
@@ -39,8 +39,8 @@
 	// slowWriteDelay is the delay of the answer to a slow write: shorter than the 400 ms for which a node
 	// waits for a renewal.
 	slowWriteDelay = 300 * time.Millisecond
-	// lateReadDelay is the delay of the answer to a late read: shorter than the node's timeout, 0.9 s
-	// beyond the wait that it grants the store.
+	// lateReadDelay is the delay of the answer to a late read: shorter than the node's timeout, which is
+	// 0.9 s longer than the wait of its long poll.
 	lateReadDelay = 800 * time.Millisecond
 	// maxLateWrite is the longest delay of a late write; it exceeds the caller's timeout.
 	maxLateWrite = 3 * time.Second
@@ -63,7 +63,7 @@
 	changed chan struct{}
 	// onOrder, if set, is called once after the next order record was answered.
 	onOrder func()
-	// onClaimLost, if set, is called once at the next lease claim, whose answer is lost.
+	// onClaimLost, if set, is called once when the answer to the next lease claim is lost.
 	onClaimLost func()
 }
 
@@ -95,8 +95,8 @@
 // awaitEnd waits until an effect is inactive. It returns false if ctx ends first.
 func (s *nodeStore) awaitEnd(ctx context.Context, kind effect) bool {
 	for {
-		lasts, changed := s.isActive(kind)
-		if !lasts {
+		active, changed := s.isActive(kind)
+		if !active {
 			return true
 		}
 		select {
@@ -116,15 +116,15 @@
 	s.write(w, r)
 }
 
-// read answers a read once reads no longer hang; that includes reads that began before they did.
+// read answers a read once reads do not hang. Reads that arrived before they began to hang are held back too.
 func (s *nodeStore) read(w http.ResponseWriter, r *http.Request) {
 	answer := newBufferedResponse()
 	s.store.ServeHTTP(answer, r)
 	if late, _ := s.isActive(lateReads); late && !retry.Sleep(r.Context(), lateReadDelay) {
 		return
 	}
-	aboutLease := r.URL.Query().Get("topic") == leaseTopic
-	if aboutLease && !s.awaitEnd(r.Context(), hangLeaseReads) || !s.awaitEnd(r.Context(), hangReads) {
+	isLeaseRead := r.URL.Query().Get("topic") == leaseTopic
+	if isLeaseRead && !s.awaitEnd(r.Context(), hangLeaseReads) || !s.awaitEnd(r.Context(), hangReads) {
 		return
 	}
 	if s.onRead != nil {
@@ -168,21 +168,22 @@
 func (s *nodeStore) losesAnswer(write leaseWrite) bool {
 	s.mu.Lock()
 	lost, onClaimLost := s.active[loseAnswers] > 0, s.onClaimLost
-	claimed := write.claim && write.applied && onClaimLost != nil
-	if claimed {
+	claimLost := write.claim && write.applied && onClaimLost != nil
+	if claimLost {
 		s.onClaimLost = nil
 	}
 	s.mu.Unlock()
-	if claimed {
+	if claimLost {
 		onClaimLost()
 	}
-	return lost || claimed
+	return lost || claimLost
 }
 
-// dropAnswer aborts a call without an answer, at once or when loseAnswers ends or the caller gives up.
+// dropAnswer aborts a call without an answer: one in abortAtOnceOneIn at once, the others when loseAnswers ends
+// or the caller gives up.
 func (s *nodeStore) dropAnswer(ctx context.Context) {
-	const atOnce = 2 // one in how many
-	if rand.IntN(atOnce) != 0 {
+	const abortAtOnceOneIn = 2
+	if rand.IntN(abortAtOnceOneIn) != 0 {
 		s.awaitEnd(ctx, loseAnswers)
 	}
 	panic(http.ErrAbortHandler)
@@ -211,8 +212,8 @@
 	s.onOrder = onOrder
 }
 
-// loseNextClaim loses the answer to the next lease claim, at which onLoss is called. The returned function
-// cancels that.
+// loseNextClaim loses the answer to the next lease claim and calls onLoss then. The returned function cancels
+// this if no claim has come yet.
 func (s *nodeStore) loseNextClaim(onLoss func()) func() {
 	set := func(onClaimLost func()) {
 		s.mu.Lock()
--- a/internal/bench/soak/placement.go
+++ b/internal/bench/soak/placement.go
@@ -14,8 +14,8 @@
 	tenantPinned  = "homed"
 	keyPinned     = "key-homed"
 	pinnedTrainer = 1
-	// denseGap is the interval between two requests of a dense caller: about ten times the rate of cold
-	// engines.
+	// denseGap is the interval between two requests of each of the denseCallers: about ten times the rate
+	// that a cold engine can serve.
 	denseGap     = 25 * time.Millisecond
 	denseCallers = 3
 	// coldStart is how long an engine is cold after its start.
@@ -34,8 +34,8 @@
 	Trainer []string
 }
 
-// homesCycle are the homes of consecutive configurations. Neighbors have a region in common, no route is
-// pinned to r3, and no job to r1 alone.
+// homesCycle holds the homes of consecutive configurations. Consecutive ones have a region in common, no route
+// is pinned to r3, and no job to r1 alone.
 var homesCycle = []Homes{
 	{Route: []string{"r1", "r2"}, Tenant: []string{"r2", "r3"}, Trainer: []string{"r1", "r2"}},
 	{Route: []string{"r2"}, Tenant: []string{"r2"}, Trainer: []string{"r2"}},
@@ -69,14 +69,14 @@
 	}
 }
 
-// traffic returns what each live caller sends.
+// traffic returns the requests of each live caller.
 func (d *driver) traffic() []traffic {
 	all := []traffic{
 		{kind: standin.RouteSafe, prefix: standin.PrefixLookup, gap: callGap},
 		{kind: standin.RouteUnsafe, prefix: prefixPermit, gap: callGap},
 		{kind: standin.RouteStream, prefix: prefixStream, gap: callGap},
 	}
-	if !d.placement {
+	if !d.placementFaults {
 		return all
 	}
 	for range denseCallers {
@@ -89,24 +89,24 @@
 	)
 }
 
-// pinnedJobNodes is how many nodes the pinned trainer contacts about a job. The other nodes must not read
-// it.
+// pinnedJobNodes is how many nodes the pinned trainer sends requests about a job to. The other nodes must not
+// read the job's bodies outside its regions.
 const pinnedJobNodes = 2
 
 // nodeFor selects the node for the next request about a job.
 func (d *driver) nodeFor(job *JobRecord) *node {
-	target := d.anyNode()
-	if d.placement && job.Tenant == tenantOf(pinnedTrainer) {
+	target := d.randomNode()
+	if d.placementFaults && job.Tenant == tenantOf(pinnedTrainer) {
 		nodes := d.deployment.nodes
 		target = nodes[(int(job.Job.Step)+rand.IntN(pinnedJobNodes))%len(nodes)]
 	}
-	d.history.recordAsked(job, target.number)
+	d.history.recordJobRequest(job, target.number)
 	return target
 }
 
 // bodyOf returns the body of a trainer's item.
 func (d *driver) bodyOf(trainer int, id string) string {
-	if d.placement && trainer == pinnedTrainer {
+	if d.placementFaults && trainer == pinnedTrainer {
 		return pinnedBody(id)
 	}
 	return "body of " + id
--- a/internal/bench/soak/schedule_leader.go
+++ b/internal/bench/soak/schedule_leader.go
@@ -74,7 +74,7 @@
 )
 
 // DrawLeader returns the leader faults of a seed for a run of the given length, in order of time: series
-// of two or three faults of the leader, with a general fault beside some of them.
+// of two or three faults of the leader, some with a concurrent general fault.
 func DrawLeader(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, leaderStream))
 	var faults []Fault
--- a/internal/bench/soak/schedule_placement.go
+++ b/internal/bench/soak/schedule_placement.go
@@ -40,7 +40,7 @@
 	EngineCold: SlowStarts, ZoneCold: SlowStarts,
 }
 
-// placementWeights are the weights of placement faults, concurrentWeights those of the faults beside them.
+// placementWeights are the weights of placement faults, concurrentWeights those of concurrent faults.
 var (
 	placementWeights = []weightedKind{
 		{EngineRestarted, 5}, {EngineRestartedLate, 3}, {EntriesInvalid, 3}, {ZoneEvacuated, 5}, {EngineCold, 3}, {ZoneCold, 3},
@@ -89,8 +89,8 @@
 	for at := faultFreeStart; at <= length; {
 		at += time.Duration(random.ExpFloat64() * float64(meanPlacementGap))
 		drawn := []Fault{drawPlacementFault(random, at)}
-		if beside := drawConcurrent(random, at); at%disturbedPeriod < disturbedLength && random.Float64() < concurrentPlacementShare {
-			drawn = append(drawn, beside)
+		if concurrent := drawConcurrent(random, at); at%disturbedPeriod < disturbedLength && random.Float64() < concurrentPlacementShare {
+			drawn = append(drawn, concurrent)
 		}
 		for _, fault := range drawn {
 			if fault.At+fault.Duration <= length-faultFreeEnd {
@@ -113,7 +113,7 @@
 	}
 }
 
-// drawConcurrent draws a fault to run beside a placement fault.
+// drawConcurrent draws a fault that is concurrent with a placement fault.
 func drawConcurrent(random *rand.Rand, at time.Duration) Fault {
 	fault := Fault{
 		At:       at + time.Duration(random.Float64()*float64(maxSeriesStep)),
@@ -128,7 +128,7 @@
 // withoutFamilies returns the faults except those of the given families.
 func withoutFamilies(faults []Fault, excluded []Family) []Fault {
 	return slices.DeleteFunc(faults, func(fault Fault) bool {
-		family, has := familyOf[fault.Kind]
-		return has && slices.Contains(excluded, family)
+		family, inFamily := familyOf[fault.Kind]
+		return inFamily && slices.Contains(excluded, family)
 	})
 }
--- a/internal/bench/soak/seeds.go
+++ b/internal/bench/soak/seeds.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
-// SeedNumber is a seed. In TOML, one beyond int64 is written as a string.
+// SeedNumber is a seed. In TOML, a seed that exceeds int64 is written as a string.
 type SeedNumber uint64
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -28,11 +28,11 @@
 	// EnginesFence and Schedule are the flags under which it failed.
 	EnginesFence string `toml:"engines_fence"`
 	Schedule     string `toml:"schedule"`
-	// Found is the date, Rule the violated rule, Cause the cause, and Mended the fix.
-	Found  string `toml:"found"`
-	Rule   string `toml:"rule"`
-	Cause  string `toml:"cause"`
-	Mended string `toml:"mended"`
+	// FoundOn is the date of the failure, Rule the violated rule.
+	FoundOn string `toml:"found"`
+	Rule    string `toml:"rule"`
+	Cause   string `toml:"cause"`
+	Fix     string `toml:"mended"`
 }
 
 func (k KeptSeed) check() error {
@@ -41,7 +41,7 @@
 		return errors.New("kept seed without a number")
 	case k.Minutes < minMinutes || k.Minutes > maxMinutes:
 		return errors.Errorf("seed %d: minutes is %g, expected %g..%d", k.Number, k.Minutes, minMinutes, maxMinutes)
-	case k.Found == "" || k.Rule == "" || k.Cause == "" || k.Mended == "":
+	case k.FoundOn == "" || k.Rule == "" || k.Cause == "" || k.Fix == "":
 		return errors.Errorf("seed %d: found, rule, cause and mended must be set", k.Number)
 	}
 	if k.EnginesFence != EnginesFenceYes && k.EnginesFence != EnginesFenceNo {
--- a/internal/bench/soak/seeds_test.go
+++ b/internal/bench/soak/seeds_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// keptFile writes a file with one kept seed; number is a TOML value.
-func keptFile(t *testing.T, number string) string {
+// writeSeedsFile writes a file with one kept seed; number is a TOML value.
+func writeSeedsFile(t *testing.T, number string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "seeds.toml")
 	text := "[[seed]]\nnumber = " + number + `
@@ -29,12 +29,12 @@
 // Guards against drawn seeds that cannot be kept: half of them exceed TOML's integers.
 func TestReadSeedsNumberRange(t *testing.T) {
 	for number, want := range map[string]SeedNumber{"7": 7, `"18446744073709551615"`: math.MaxUint64} {
-		kept, err := ReadSeeds(keptFile(t, number))
+		kept, err := ReadSeeds(writeSeedsFile(t, number))
 		assert.NilError(t, err)
 		assert.Equal(t, kept[0].Number, want)
 	}
 	for _, number := range []string{`"18446744073709551616"`, `"x"`, "-1", "0"} {
-		_, err := ReadSeeds(keptFile(t, number))
+		_, err := ReadSeeds(writeSeedsFile(t, number))
 		assert.Assert(t, err != nil, number)
 	}
 }
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -23,16 +23,16 @@
 	Seed         uint64   `arg:"--seed" help:"seed of the schedule of faults; 0 draws one"`
 	Minutes      float64  `arg:"--minutes" default:"1" help:"length of the load (0.1..120)"`
 	Nodes        int      `arg:"--nodes" default:"4" help:"nodes, each a process (1..100)"`
-	Without      []int    `arg:"--without,separate" placeholder:"NUMBER" help:"leave out the fault with this number; may stand several times"`
-	Seeds        string   `arg:"--seeds" placeholder:"FILE" help:"play each kept seed of this file, for its length"`
-	Slack        float64  `arg:"--slack" default:"1" help:"factor for the times within which promises are to hold (1..100), for a slow machine"`
+	Without      []int    `arg:"--without,separate" placeholder:"NUMBER" help:"leave out the fault with this number; repeatable"`
+	Seeds        string   `arg:"--seeds" placeholder:"FILE" help:"run a soak for each kept seed of this file, with its length"`
+	Slack        float64  `arg:"--slack" default:"1" help:"factor for the time limits of invariants (1..100), for a slow machine"`
 	Print        bool     `arg:"--print" help:"print the schedule and do not run it"`
 	EnginesFence string   `arg:"--engines-fence" default:"drawn" placeholder:"WHETHER" help:"whether engines refuse lower fencing tokens: yes, no, or drawn from the seed"`
 	Schedule     string   `arg:"--schedule" default:"drawn" placeholder:"KIND" help:"general faults, faults of the leader in series, placement faults, or drawn from the seed"`
-	LeaveOut     []Family `arg:"--leave-out,separate" placeholder:"FAMILY" help:"leave out a family of placement faults: incarnations, entries, evacuations, slow-starts, home-changes; may stand several times"`
-	OtherDaemon  string   `arg:"--other-daemon" placeholder:"FILE" help:"daemon of another build: half of the nodes start from it, and each node changes its build whenever it starts again"`
-	JSON         bool     `arg:"--json" help:"end with one JSON object, the summary"`
-	Keep         string   `arg:"--keep" placeholder:"DIR" help:"directory for the logs of the nodes; they are kept there"`
+	LeaveOut     []Family `arg:"--leave-out,separate" placeholder:"FAMILY" help:"leave out a family of placement faults: incarnations, entries, evacuations, slow-starts, home-changes; repeatable"`
+	OtherDaemon  string   `arg:"--other-daemon" placeholder:"FILE" help:"daemon of another build: half of the nodes start from it, and each node switches builds at each restart"`
+	JSON         bool     `arg:"--json" help:"print the summary as one JSON object at the end"`
+	Keep         string   `arg:"--keep" placeholder:"DIR" help:"directory in which to keep the logs of the nodes"`
 }
 
 // Limits of the arguments.
@@ -50,7 +50,7 @@
 	clockFormat = "15:04:05.000"
 )
 
-// DefaultBounds returns the documented time limits, with some margin for a loaded machine.
+// DefaultBounds returns the documented time limits plus a margin for a loaded machine.
 func DefaultBounds() Bounds {
 	return Bounds{
 		Settle: 4 * time.Second, Apply: 3 * time.Second, Drain: 4 * time.Second,
@@ -127,10 +127,10 @@
 	}
 	var failed error
 	for _, seed := range kept {
-		one := *arguments
-		one.Seed, one.Minutes = uint64(seed.Number), seed.Minutes
-		one.EnginesFence, one.Schedule = seed.EnginesFence, seed.Schedule
-		if err := runSeed(ctx, &one, output); err != nil {
+		replay := *arguments
+		replay.Seed, replay.Minutes = uint64(seed.Number), seed.Minutes
+		replay.EnginesFence, replay.Schedule = seed.EnginesFence, seed.Schedule
+		if err := runSeed(ctx, &replay, output); err != nil {
 			failed = errors.Wrapf(err, "seed %d", seed.Number)
 		}
 	}
@@ -155,11 +155,11 @@
 	if err != nil {
 		return err
 	}
-	run := plan{
+	planned := plan{
 		seed: seed, nodes: arguments.Nodes, length: length, faults: faults, bounds: DefaultBounds().scale(arguments.Slack),
 		enginesFence: enginesFence, schedule: schedule, leftOut: arguments.LeaveOut, otherDaemon: arguments.OtherDaemon,
 	}
-	summary, err := run.play(ctx, directory, output)
+	summary, err := planned.execute(ctx, directory, output)
 	if err != nil {
 		cleanUp()
 		return err
@@ -220,15 +220,15 @@
 	otherDaemon string
 }
 
-// placement reports whether the schedule is of placement faults.
-func (p plan) placement() bool { return p.schedule == PlacementFaults }
+// hasPlacementFaults reports whether the schedule is of placement faults.
+func (p plan) hasPlacementFaults() bool { return p.schedule == PlacementFaults }
 
 // includes reports whether a family of placement faults is included.
 func (p plan) includes(family Family) bool { return !slices.Contains(p.leftOut, family) }
 
 // lookupEngineCount is the number of engines that get no orders, one in each zone under placement faults.
 func (p plan) lookupEngineCount() int {
-	if p.placement() {
+	if p.hasPlacementFaults() {
 		return zones
 	}
 	return lookupEngines
@@ -238,7 +238,7 @@
 func (p plan) draftEngineCount() int {
 	switch p.schedule {
 	case LeaderFaults:
-		return orderedEngines
+		return leaderFaultDraftEngines
 	case PlacementFaults:
 		return zones
 	default:
@@ -246,8 +246,8 @@
 	}
 }
 
-// play runs the load and the faults, waits until open jobs are done, and checks the invariants.
-func (p plan) play(ctx context.Context, directory string, output io.Writer) (Summary, error) {
+// execute runs the load and the faults, waits until open jobs are done, and checks the invariants.
+func (p plan) execute(ctx context.Context, directory string, output io.Writer) (Summary, error) {
 	history := &History{EnginesFence: p.enginesFence}
 	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -263,7 +263,7 @@
 	}
 	driver := newDriver(d)
 	driver.sendsCrashing = p.schedule != LeaderFaults
-	driver.placement, driver.changesHomes = p.placement(), p.includes(HomeChanges)
+	driver.placementFaults, driver.changesHomes = p.hasPlacementFaults(), p.includes(HomeChanges)
 	driver.configure()
 	if err := d.awaitReady(ctx); err != nil {
 		return Summary{}, err
@@ -276,11 +276,11 @@
 	if p.schedule == LeaderFaults {
 		driver.callers.Go(func() { driver.announceVersions(loadCtx) })
 	}
-	var progress sync.Mutex
-	go reportProgress(loadCtx, history, &progress, output)
+	var outputMu sync.Mutex
+	go reportProgress(loadCtx, history, &outputMu, output)
 	d.inject(loadCtx, p.faults, func(fault Fault) {
-		progress.Lock()
-		defer progress.Unlock()
+		outputMu.Lock()
+		defer outputMu.Unlock()
 		_, _ = fmt.Fprintln(output, fault)
 	})
 	<-loadCtx.Done()
@@ -313,30 +313,30 @@
 	}
 }
 
-func reportProgress(ctx context.Context, history *History, progress *sync.Mutex, output io.Writer) {
+func reportProgress(ctx context.Context, history *History, outputMu *sync.Mutex, output io.Writer) {
 	for retry.Sleep(ctx, progressPeriod) {
-		progress.Lock()
+		outputMu.Lock()
 		history.update(func() {
 			_, _ = fmt.Fprintf(output, "     %d calls, %d jobs, %d configurations, %d probes\n",
 				len(history.Calls), len(history.Jobs), len(history.Configs), len(history.Probes))
 		})
-		progress.Unlock()
+		outputMu.Unlock()
 	}
 }
 
 // summarize checks the history and computes the statistics.
-func (p plan) summarize(took time.Duration, d *deployment) Summary {
+func (p plan) summarize(elapsed time.Duration, d *deployment) Summary {
 	history := d.history
 	history.mu.Lock()
 	defer history.mu.Unlock()
 	history.Engines = d.engineRecords()
 	history.Usage = d.duties.Usage()
 	summary := Summary{
-		Seed: p.seed, Seconds: took.Seconds(), Faults: len(p.faults), Calls: len(history.Calls), Jobs: len(history.Jobs),
+		Seed: p.seed, Seconds: elapsed.Seconds(), Faults: len(p.faults), Calls: len(history.Calls), Jobs: len(history.Jobs),
 		Probes: len(history.Probes), Violations: Check(history, p.bounds),
 	}
-	for _, end := range d.unplannedExits() {
-		summary.Violations = append(summary.Violations, Violation{Rule: "FAULT", Detail: end})
+	for _, problem := range d.recordedProblems() {
+		summary.Violations = append(summary.Violations, Violation{Rule: "FAULT", Detail: problem})
 	}
 	for _, call := range history.Calls {
 		if call.Intact && call.Answer.Status == statusOK {
--- a/internal/bench/soak/socket_linux.go
+++ b/internal/bench/soak/socket_linux.go
@@ -19,7 +19,7 @@
 	socketIDOffset   = unix.SizeofNlMsghdr + 8
 	noCookie         = 0xffffffff
 	allStates        = 0xffffffff
-	answerSize       = 4096
+	maxResponseSize  = 4096
 )
 
 // peerSocketInode returns the inode of the socket at the other end of a connection from this machine.
@@ -37,34 +37,34 @@
 	if err := unix.Sendto(descriptor, newDiagRequest(remote, local), 0, &unix.SockaddrNetlink{Family: unix.AF_NETLINK}); err != nil {
 		return 0, errors.Wrap(err, "request a socket's diagnosis")
 	}
-	answer := make([]byte, answerSize)
-	length, _, err := unix.Recvfrom(descriptor, answer, 0)
+	response := make([]byte, maxResponseSize)
+	length, _, err := unix.Recvfrom(descriptor, response, 0)
 	if err != nil {
 		return 0, errors.Wrap(err, "read a socket's diagnosis")
 	}
-	if length < inodeOffset+4 || binary.NativeEndian.Uint16(answer[4:]) != sockDiagByFamily {
+	if length < inodeOffset+4 || binary.NativeEndian.Uint16(response[4:]) != sockDiagByFamily {
 		return 0, errors.New("the kernel found no such socket")
 	}
-	return binary.NativeEndian.Uint32(answer[inodeOffset:]), nil
+	return binary.NativeEndian.Uint32(response[inodeOffset:]), nil
 }
 
 // newDiagRequest returns a request for the one socket between two addresses.
 func newDiagRequest(from, to *net.TCPAddr) []byte {
-	question := make([]byte, unix.SizeofNlMsghdr+inetDiagReqSize)
-	binary.NativeEndian.PutUint32(question, uint32(len(question)))
-	binary.NativeEndian.PutUint16(question[4:], sockDiagByFamily)
-	binary.NativeEndian.PutUint16(question[6:], unix.NLM_F_REQUEST)
-	question[unix.SizeofNlMsghdr] = unix.AF_INET
-	question[unix.SizeofNlMsghdr+1] = unix.IPPROTO_TCP
-	binary.NativeEndian.PutUint32(question[unix.SizeofNlMsghdr+4:], allStates)
-	socket := question[socketIDOffset:]
+	request := make([]byte, unix.SizeofNlMsghdr+inetDiagReqSize)
+	binary.NativeEndian.PutUint32(request, uint32(len(request)))
+	binary.NativeEndian.PutUint16(request[4:], sockDiagByFamily)
+	binary.NativeEndian.PutUint16(request[6:], unix.NLM_F_REQUEST)
+	request[unix.SizeofNlMsghdr] = unix.AF_INET
+	request[unix.SizeofNlMsghdr+1] = unix.IPPROTO_TCP
+	binary.NativeEndian.PutUint32(request[unix.SizeofNlMsghdr+4:], allStates)
+	socket := request[socketIDOffset:]
 	binary.BigEndian.PutUint16(socket, uint16(from.Port))
 	binary.BigEndian.PutUint16(socket[2:], uint16(to.Port))
 	copy(socket[4:], from.IP.To4())
 	copy(socket[20:], to.IP.To4())
 	binary.NativeEndian.PutUint32(socket[40:], noCookie)
 	binary.NativeEndian.PutUint32(socket[44:], noCookie)
-	return question
+	return request
 }
 
 // processHasSocket reports whether a process has a socket with the given inode open.
--- a/internal/bench/soak/tenants.go
+++ b/internal/bench/soak/tenants.go
@@ -25,7 +25,8 @@
 // liveKey is the key that a configuration adds for tenantLive.
 func liveKey(version int64) string { return fmt.Sprintf("key-live-%d", version) }
 
-// settledKey is a key of tenantLive that the previous configuration had as well.
+// settledKey returns a key of tenantLive that the previous configuration already had, so that a node that has
+// not applied the new configuration accepts it.
 func settledKey(version int64) string { return liveKey(max(1, version-liveKeys+1)) }
 
 func tenantOf(trainer int) string { return fmt.Sprintf("trainer-%d", trainer) }
@@ -54,7 +55,7 @@
 		id, sent := d.newID("revoked-"), time.Now()
 		path := standin.PrefixLookup + id
 		client := d.client.WithKey(liveKey(version - liveKeys))
-		answer, err := client.Live(ctx, target.callers, path, id, "", callDeadline)
+		answer, err := client.Live(ctx, target.callerAddress, path, id, "", callDeadline)
 		d.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Intact: err == nil})
 		if err != nil {
 			continue
@@ -83,13 +84,13 @@
 // engines.
 func checkTenants(h *History, _ Bounds) []string {
 	var found []string
-	known := expectedByID(h)
+	expected := expectedByID(h)
 	forEachRun(h, func(engine *EngineRecord, run standin.Run) {
 		want := tenantLive
-		if call := known[run.ID].call; call != nil && call.Tenant != "" {
+		if call := expected[run.ID].call; call != nil && call.Tenant != "" {
 			want = call.Tenant
 		}
-		if job := known[run.ID].job; job != nil {
+		if job := expected[run.ID].job; job != nil {
 			want = job.Tenant
 		}
 		if run.Tenant != want || run.Credentials != "" {
@@ -115,7 +116,7 @@
 		if call.Status != http.StatusOK {
 			continue
 		}
-		if known, again := windows[call.Window]; again {
+		if known, repeated := windows[call.Window]; repeated {
 			if fmt.Sprint(known.Counts) != fmt.Sprint(call.Counts) {
 				found = append(found, fmt.Sprintf("window %d was reported as %v and as %v", call.Window, known.Counts, call.Counts))
 			}
@@ -133,12 +134,12 @@
 			found = append(found, fmt.Sprintf("window %d of %d..%d was not reported", window, first, last))
 		}
 	}
-	if began := liveRequests(h); reported > began {
-		found = append(found, fmt.Sprintf("%d live requests were reported, %d were sent", reported, began))
+	if sent := liveRequests(h); reported > sent {
+		found = append(found, fmt.Sprintf("%d live requests were reported, %d were sent", reported, sent))
 	}
 	return found
 }
 
-// liveRequests is the most live requests that engines may have run: each counts once, even if its
-// connection broke.
+// liveRequests returns the maximum number of live requests that engines may have run: each counts once, even
+// if its connection broke.
 func liveRequests(h *History) int64 { return int64(len(h.Calls)) }
