--- a/internal/bench/process/process.go
+++ b/internal/bench/process/process.go
@@ -38,8 +38,9 @@
 	exitError error
 }
 
-// ErrExited is returned when the process exited before the condition was met.
-var ErrExited = errors.New("process ended")
+// ErrExited is returned when the process exited before the condition was met, or when its group was killed
+// before it could start.
+var ErrExited = errors.New("process exited")
 
 // outputDrainTimeout bounds the wait for a child's remaining output after its exit.
 const outputDrainTimeout = 5 * time.Second
@@ -128,7 +129,7 @@
 		if lines, _, _ := p.output.since(next); len(lines) > 0 {
 			return nil
 		}
-		return errors.Wrapf(ErrExited, "%s with code %d, last lines %q", p.name, p.ExitCode(), tail(p.Logs()))
+		return errors.Wrapf(ErrExited, "%s exited with code %d, last lines %q", p.name, p.ExitCode(), tail(p.Logs()))
 	}
 }
 
@@ -157,7 +158,7 @@
 	case <-p.exited:
 		return p.ExitCode(), nil
 	case <-ctx.Done():
-		return -1, errors.Wrapf(ctx.Err(), "wait for the end of %s", p.name)
+		return -1, errors.Wrapf(ctx.Err(), "wait for %s to exit", p.name)
 	}
 }
 
@@ -182,7 +183,7 @@
 	<-p.exited
 }
 
-// quotedLogLines is the number of log lines included in errors.
+// quotedLogLines is the maximum number of log lines included in an error.
 const quotedLogLines = 5
 
 func tail(lines []string) []string {
