--- a/internal/bench/faultproxy/faultproxy.go
+++ b/internal/bench/faultproxy/faultproxy.go
@@ -94,36 +94,37 @@
 // Stall discards all bytes in both directions and leaves the connections open
 // until Restore, which closes them.
 func (l *Link) Stall() error {
-	l.set(func(set *faults) { set.stalled = [directions]bool{toUpstream: true, toCaller: true} })
+	l.updateFaults(func(f *faults) { f.stalled = [directions]bool{toUpstream: true, toCaller: true} })
 	return nil
 }
 
 // StallOneWay discards all bytes sent to the caller and leaves the connections
 // open until Restore. Requests reach the upstream, responses are lost.
 func (l *Link) StallOneWay() error {
-	l.set(func(set *faults) { set.stalled[toCaller] = true })
+	l.updateFaults(func(f *faults) { f.stalled[toCaller] = true })
 	return nil
 }
 
 // SetLatency delays each direction by oneWay; zero removes the delay.
 func (l *Link) SetLatency(oneWay time.Duration) error {
-	l.set(func(set *faults) { set.latency = max(0, oneWay) })
+	l.updateFaults(func(f *faults) { f.latency = max(0, oneWay) })
 	return nil
 }
 
 // SetBandwidth limits each direction of each connection to kibPerSecond KiB/s.
 func (l *Link) SetBandwidth(kibPerSecond int64) error {
-	l.set(func(set *faults) { set.bytesPerSecond = kibPerSecond << 10 })
+	l.updateFaults(func(f *faults) { f.bytesPerSecond = kibPerSecond << 10 })
 	return nil
 }
 
 // Slice splits the byte stream into writes of at most bytesEach bytes, with a delay after each.
 func (l *Link) Slice(bytesEach int64, delay time.Duration) error {
-	l.set(func(set *faults) { set.sliceBytes, set.sliceDelay = int(bytesEach), delay })
+	l.updateFaults(func(f *faults) { f.sliceBytes, f.sliceDelay = int(bytesEach), delay })
 	return nil
 }
 
-// Restore removes all faults of the link, including its latency, and accepts connections again.
+// Restore removes all faults of the link, including its latency, and accepts connections again. It closes the
+// connections of a stalled link.
 func (l *Link) Restore() error {
 	l.mu.Lock()
 	if l.faults.stalled != [directions]bool{} {
@@ -139,7 +140,7 @@
 	return l.restart()
 }
 
-func (l *Link) set(change func(*faults)) {
+func (l *Link) updateFaults(change func(*faults)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.faults)
@@ -162,7 +163,7 @@
 
 func (l *Link) restart() error {
 	if err := l.listen(); err != nil {
-		return errors.Wrapf(err, "restore link %s", l.name)
+		return errors.Wrapf(err, "reopen link %s", l.name)
 	}
 	return nil
 }
