--- a/internal/bench/topology/deployment.go
+++ b/internal/bench/topology/deployment.go
@@ -110,13 +110,13 @@
 }
 
 func forEachParallel(ids []string, do func(id string) error) error {
-	failures := make([]error, len(ids))
+	errs := make([]error, len(ids))
 	var group sync.WaitGroup
 	for i, id := range ids {
-		group.Go(func() { failures[i] = do(id) })
+		group.Go(func() { errs[i] = do(id) })
 	}
 	group.Wait()
-	for _, err := range failures {
+	for _, err := range errs {
 		if err != nil {
 			return err
 		}
--- a/internal/bench/topology/engine.go
+++ b/internal/bench/topology/engine.go
@@ -105,11 +105,11 @@
 func (d *Deployment) Histories() ([]standin.History, error) {
 	var histories []standin.History
 	for _, engine := range d.Engines() {
-		ofEngine, err := standin.ReadHistoryFile(engine.historyPath())
+		engineHistories, err := standin.ReadHistoryFile(engine.historyPath())
 		if err != nil {
 			return nil, errors.Wrapf(err, "history of engine %s", engine.ID)
 		}
-		histories = append(histories, ofEngine...)
+		histories = append(histories, engineHistories...)
 	}
 	return histories, nil
 }
--- a/internal/bench/topology/http.go
+++ b/internal/bench/topology/http.go
@@ -50,26 +50,26 @@
 		return errors.Wrapf(err, "%s %s", method, path)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
 		return errors.Wrapf(err, "read response of %s %s", method, path)
 	}
-	return decodeAnswer(response.StatusCode, answer, into)
+	return decodeResponse(response.StatusCode, responseBody, into)
 }
 
-func decodeAnswer(status int, answer []byte, into any) error {
+func decodeResponse(status int, body []byte, into any) error {
 	if status < http.StatusOK || status >= http.StatusMultipleChoices {
-		failure := &StatusError{Status: status, Body: string(answer)}
+		statusError := &StatusError{Status: status, Body: string(body)}
 		var document api.ErrorBody
-		if json.Unmarshal(answer, &document) == nil && document.Error.Code != "" {
-			failure.Detail = &document.Error
+		if json.Unmarshal(body, &document) == nil && document.Error.Code != "" {
+			statusError.Detail = &document.Error
 		}
-		return failure
+		return statusError
 	}
 	if into == nil {
 		return nil
 	}
-	if err := json.Unmarshal(answer, into); err != nil {
+	if err := json.Unmarshal(body, into); err != nil {
 		return errors.Wrap(err, "decode response")
 	}
 	return nil
--- a/internal/bench/topology/platform.go
+++ b/internal/bench/topology/platform.go
@@ -29,7 +29,7 @@
 }
 
 func (d *Deployment) startPlatform(ctx context.Context) error {
-	parts := []struct {
+	standins := []struct {
 		kind    string
 		address *string
 	}{
@@ -38,14 +38,14 @@
 		{KindMachines, &d.Platform.Machines},
 		{KindScorer, &d.Platform.Scorer},
 	}
-	for _, part := range parts {
+	for _, spec := range standins {
 		address, err := process.FreeAddress()
 		if err != nil {
 			return err
 		}
-		*part.address = address
-		standin := &machine{ID: part.kind, deployment: d}
-		arguments := append([]string{"standin", part.kind, "--listen", address}, d.config.PlatformArguments[part.kind]...)
+		*spec.address = address
+		standin := &machine{ID: spec.kind, deployment: d}
+		arguments := append([]string{"standin", spec.kind, "--listen", address}, d.config.PlatformArguments[spec.kind]...)
 		if err := standin.launch(ctx, d.config.Binaries.Bench, arguments, isListeningLine); err != nil {
 			return err
 		}
@@ -78,7 +78,7 @@
 
 // addLink starts a proxy on a free address for the upstream address.
 func (d *Deployment) addLink(name, upstream string, latency time.Duration) (*faultproxy.Link, error) {
-	var failure error
+	var lastErr error
 	for range maxLinkAttempts {
 		listen, err := process.FreeAddress()
 		if err != nil {
@@ -88,7 +88,7 @@
 		if err == nil {
 			return link, link.SetLatency(latency)
 		}
-		failure = err
+		lastErr = err
 	}
-	return nil, failure
+	return nil, lastErr
 }
--- a/internal/bench/topology/table.go
+++ b/internal/bench/topology/table.go
@@ -49,11 +49,11 @@
 // markRejectionPermanent marks a rejection of the proposal as permanent, since
 // a retry would be rejected again.
 func markRejectionPermanent(err error) error {
-	var failure *StatusError
-	if !errors.As(err, &failure) {
+	var statusError *StatusError
+	if !errors.As(err, &statusError) {
 		return err
 	}
-	switch failure.Status {
+	switch statusError.Status {
 	case http.StatusConflict, http.StatusUnprocessableEntity, http.StatusBadRequest:
 		return permanent(err)
 	default:
