--- a/internal/bench/live/client.go
+++ b/internal/bench/live/client.go
@@ -123,8 +123,8 @@
 	}
 	setError(document.Error, outcome)
 	if executed := header.Get(api.HeaderExecuted); executed != outcome.Executed {
-		fault := "error header and body disagree on whether the request was executed"
-		outcome.Violations = append(outcome.Violations, fault)
+		violation := "error header and body disagree on whether the request was executed"
+		outcome.Violations = append(outcome.Violations, violation)
 	}
 	return nil
 }
