--- a/internal/bench/workload/cascadia.go
+++ b/internal/bench/workload/cascadia.go
@@ -8,8 +8,8 @@
 // in production publishes one every four seconds.
 const timeScale = 60
 
-// groupShortest is the minimum completion length in tokens of each group of trainer prompts.
-var groupShortest = []int{10, 12, 14, 16, 20, 32}
+// groupMinTokens is the minimum completion length in tokens of each group of trainer prompts.
+var groupMinTokens = []int{10, 12, 14, 16, 20, 32}
 
 // cascadia returns a workload with three zones, nine valuation engines shared by
 // two trainers and a live service, and three engines for another live service.
@@ -52,13 +52,13 @@
 
 func newLiveService(service, pool, model string, rate float64) LiveService {
 	return LiveService{
-		Service:     service,
-		Pool:        pool,
-		Model:       model,
-		Rate:        rate,
-		MaxTokens:   24,
-		Groups:      6,
-		PrefixBytes: 512,
+		Service:      service,
+		Pool:         pool,
+		Model:        model,
+		Rate:         rate,
+		MaxTokens:    24,
+		PrefixGroups: 6,
+		PrefixBytes:  512,
 	}
 }
 
@@ -73,7 +73,7 @@
 		Prompts:          16,
 		SamplesPerPrompt: 8,
 		MaxTokens:        320,
-		GroupShortest:    groupShortest,
+		GroupMinTokens:   groupMinTokens,
 		PrefixBytes:      512,
 		TrainTime:        time.Second,
 	}
--- a/internal/bench/workload/deploy.go
+++ b/internal/bench/workload/deploy.go
@@ -14,9 +14,9 @@
 	weightBytes   = 1 << 20
 	livePriority  = 9
 	trainPriority = 3
-	// floor is the percentage of a pool's engines that keeps serving while
+	// minServingPercent is the percentage of a pool's engines that keeps serving while
 	// weights are updated.
-	floor = 50
+	minServingPercent = 50
 )
 
 const tableHeader = "service,kind,pool,model,version,priority,share,staleness,cap,repeatable,zones,floor\n"
@@ -74,11 +74,11 @@
 			repeatable = "no"
 		}
 		fmt.Fprintf(&table, "%s,live,%s,%s,latest,%d,100,-,-,%s,*,%d\n",
-			service.Service, service.Pool, service.Model, livePriority, repeatable, floor)
+			service.Service, service.Pool, service.Model, livePriority, repeatable, minServingPercent)
 	}
 	for _, service := range w.Trainers {
 		fmt.Fprintf(&table, "%s,trainer,%s,%s,latest,%d,100,%d,-,yes,*,%d\n",
-			service.Service, service.Pool, service.Model, trainPriority, service.Bound, floor)
+			service.Service, service.Pool, service.Model, trainPriority, service.Bound, minServingPercent)
 	}
 	return table.String()
 }
@@ -94,7 +94,7 @@
 			Rate:                service.Rate,
 			Seed:                seed*uint64(len(w.Live)) + uint64(index),
 			MaxTokens:           service.MaxTokens,
-			PrefixGroups:        service.Groups,
+			PrefixGroups:        service.PrefixGroups,
 			PrefixBytes:         service.PrefixBytes,
 			StreamShare:         1,
 			WithIdempotencyKeys: service.Keyed,
@@ -116,8 +116,8 @@
 			Prompts:          service.Prompts,
 			SamplesPerPrompt: service.SamplesPerPrompt,
 			MaxTokens:        service.MaxTokens,
-			Groups:           len(service.GroupShortest),
-			GroupShortest:    service.GroupShortest,
+			Groups:           len(service.GroupMinTokens),
+			GroupShortest:    service.GroupMinTokens,
 			PrefixBytes:      service.PrefixBytes,
 			Seed:             int64(seed)*int64(len(w.Trainers)) + int64(index),
 			TrainTime:        service.TrainTime,
--- a/internal/bench/workload/workload.go
+++ b/internal/bench/workload/workload.go
@@ -1,5 +1,5 @@
-// Package workload defines the deployments and loads of experiments: zones,
-// engines, live services and trainers in production numbers, with time scaled.
+// Package workload defines the deployments and loads of experiments. Zones,
+// engines, live services and trainers are as many as in production; time is scaled.
 package workload
 
 import (
@@ -13,7 +13,7 @@
 type Workload struct {
 	Name   string
 	Region string
-	// Zones have one node each; the engines of a pool are assigned to them round-robin.
+	// Zones have one node each; the engines of each pool are assigned to zones round-robin.
 	Zones []string
 	// ZoneLatency and ClientLatency are the one-way latencies between nodes and
 	// between callers and nodes. They are not scaled.
@@ -50,10 +50,10 @@
 	Pool    string
 	Model   string
 	// Rate is the mean number of arrivals per second.
-	Rate        float64
-	MaxTokens   int
-	Groups      int
-	PrefixBytes int
+	Rate         float64
+	MaxTokens    int
+	PrefixGroups int
+	PrefixBytes  int
 	// Keyed marks a service that is not repeatable: each call has an idempotency key.
 	Keyed bool
 }
@@ -71,11 +71,11 @@
 	Prompts          int
 	SamplesPerPrompt int
 	MaxTokens        int
-	// GroupShortest is the minimum completion length in tokens of each prompt
+	// GroupMinTokens is the minimum completion length in tokens of each prompt
 	// group; lengths follow a Pareto distribution with this minimum.
-	GroupShortest []int
-	PrefixBytes   int
-	TrainTime     time.Duration
+	GroupMinTokens []int
+	PrefixBytes    int
+	TrainTime      time.Duration
 }
 
 // Names lists the names accepted by ByName.
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// SharesPool reports whether a live service shares its pool with a trainer.
+// SharesPool reports whether the named live service shares its pool with a trainer.
 func (w *Workload) SharesPool(service string) bool {
 	for _, live := range w.Live {
 		if live.Service != service {
