--- a/internal/bench/command/command.go
+++ b/internal/bench/command/command.go
@@ -30,12 +30,12 @@
 
 type arguments struct {
 	Standin *standins.Arguments `arg:"subcommand:standin" help:"run one of the platform's stand-ins until SIGTERM"`
-	Demo    *demo.Arguments     `arg:"subcommand:demo" help:"start a small deployment, run live requests and a trainer, and check every answer"`
+	Demo    *demo.Arguments     `arg:"subcommand:demo" help:"start a small deployment, run live requests and a trainer, and check every response"`
 	Load    *loadArguments      `arg:"subcommand:load" help:"send live load to running nodes"`
-	Soak    *soak.Arguments     `arg:"subcommand:soak" help:"strike real nodes with faults drawn from a seed and check every promise"`
+	Soak    *soak.Arguments     `arg:"subcommand:soak" help:"run real nodes under faults drawn from a seed and check invariants"`
 	Run     *runArguments       `arg:"subcommand:run" help:"measure a deployment's trainers and live calls, and compare scheduling policies"`
 
-	PathCost *pathcost.Arguments `arg:"subcommand:path-cost" help:"measure what a request and a relayed chunk cost, against the standard library's reverse proxy"`
+	PathCost *pathcost.Arguments `arg:"subcommand:path-cost" help:"measure the cost of a request and of a relayed chunk, compared with the standard library's reverse proxy"`
 }
 
 // Description implements arg.Described.
@@ -64,10 +64,10 @@
 		return fail(errorOutput, ExitFailed, err)
 	}
 	if err := parser.Parse(commandLine); err != nil {
-		return usage(parser, err, output, errorOutput)
+		return printUsage(parser, err, output, errorOutput)
 	}
 	if problem := missingSubcommand(parser); problem != nil {
-		return usage(parser, problem, output, errorOutput)
+		return printUsage(parser, problem, output, errorOutput)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -105,7 +105,7 @@
 	}
 }
 
-func usage(parser *arg.Parser, err error, output, errorOutput io.Writer) int {
+func printUsage(parser *arg.Parser, err error, output, errorOutput io.Writer) int {
 	if errors.Is(err, arg.ErrHelp) {
 		_ = parser.WriteHelpForSubcommand(output, parser.SubcommandNames()...)
 		return ExitOK
--- a/internal/bench/command/command_test.go
+++ b/internal/bench/command/command_test.go
@@ -13,7 +13,7 @@
 	"github.com/corkpulley/corkpulley/internal/httpapi"
 )
 
-func runMain(commandLine ...string) (code int, output, problems string) {
+func runMain(commandLine ...string) (code int, output, errorOutput string) {
 	var standardOutput, standardError bytes.Buffer
 	code = Main(commandLine, &standardOutput, &standardError)
 	return code, standardOutput.String(), standardError.String()
@@ -27,29 +27,29 @@
 	assert.Equal(t, code, ExitOK)
 	assert.Assert(t, strings.Contains(output, "--token-interval"))
 	for _, commandLine := range [][]string{nil, {"standin"}, {"dance"}, {"load", "--rate", "fast"}, {"demo", "--bogus"}} {
-		code, _, problems := runMain(commandLine...)
+		code, _, errorOutput := runMain(commandLine...)
 		assert.Equal(t, code, ExitUsage, "%v", commandLine)
-		assert.Assert(t, problems != "")
+		assert.Assert(t, errorOutput != "")
 	}
 }
 
 func TestMainRejectsArgumentsOutOfRange(t *testing.T) {
-	code, _, problems := runMain("demo", "--seconds", "0")
+	code, _, errorOutput := runMain("demo", "--seconds", "0")
 	assert.Equal(t, code, ExitFailed)
-	assert.Assert(t, strings.Contains(problems, "1..600"))
-	for _, wrong := range [][]string{
+	assert.Assert(t, strings.Contains(errorOutput, "1..600"))
+	for _, invalid := range [][]string{
 		{"run", "--workload", "nowhere"},
 		{"run", "--workload", "cascadia", "--seeds", "0"},
 		{"run", "--workload", "cascadia", "--compare", "best"},
 		{"run", "--workload", "cascadia", "--compare", "round-robin", "--baseline", "least-load"},
 	} {
-		code, _, problems = runMain(wrong...)
-		assert.Equal(t, code, ExitFailed, "%v", wrong)
-		assert.Assert(t, problems != "")
+		code, _, errorOutput = runMain(invalid...)
+		assert.Equal(t, code, ExitFailed, "%v", invalid)
+		assert.Assert(t, errorOutput != "")
 	}
-	code, _, problems = runMain("load", "--address", "127.0.0.1:1", "--service", "s", "--rate", "1e9")
+	code, _, errorOutput = runMain("load", "--address", "127.0.0.1:1", "--service", "s", "--rate", "1e9")
 	assert.Equal(t, code, ExitFailed)
-	assert.Assert(t, strings.Contains(problems, "20000"))
+	assert.Assert(t, strings.Contains(errorOutput, "20000"))
 }
 
 func TestLoadFailsOnInconsistentErrorResponse(t *testing.T) {
@@ -61,7 +61,7 @@
 	}))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	code, output, problems := runMain("load", "--address", address, "--service", "s", "--rate", "100", "--seconds", "0.2", "--json")
+	code, output, errorOutput := runMain("load", "--address", address, "--service", "s", "--rate", "100", "--seconds", "0.2", "--json")
 	assert.Equal(t, code, ExitFailed, output)
-	assert.Assert(t, strings.Contains(problems, "violated an invariant"))
+	assert.Assert(t, strings.Contains(errorOutput, "violated an invariant"))
 }
--- a/internal/bench/command/load.go
+++ b/internal/bench/command/load.go
@@ -19,17 +19,17 @@
 )
 
 type loadArguments struct {
-	Addresses []string `arg:"--address,separate,required" help:"callers' address of a node, ip:port (repeat for more, taken in turn)"`
-	Service   string   `arg:"--service,required" help:"live service to call"`
-	Rate      float64  `arg:"--rate" default:"10" help:"mean arrivals a second, open loop (up to 20000)"`
-	Seconds   float64  `arg:"--seconds" default:"10" help:"how long requests arrive (up to 3600)"`
-	Seed      uint64   `arg:"--seed" default:"1" help:"seed of arrivals and prompts"`
-	MaxTokens int      `arg:"--max-tokens" default:"64" help:"longest answer"`
-	Groups    int      `arg:"--groups" default:"8" help:"shared prompt prefixes"`
-	Prefix    int      `arg:"--prefix-bytes" default:"512" help:"length of a shared prefix"`
-	Streamed  float64  `arg:"--streamed" default:"0.5" help:"share of streamed calls, 0..1"`
-	Keyed     bool     `arg:"--keyed" help:"give each call an idempotency key"`
-	JSON      bool     `arg:"--json" help:"print the summary as one JSON object"`
+	Addresses    []string `arg:"--address,separate,required" help:"caller address of a node, ip:port; repeatable, used round-robin"`
+	Service      string   `arg:"--service,required" help:"live service to call"`
+	Rate         float64  `arg:"--rate" default:"10" help:"mean arrivals per second, open loop (up to 20000)"`
+	Seconds      float64  `arg:"--seconds" default:"10" help:"duration of the arrivals (up to 3600)"`
+	Seed         uint64   `arg:"--seed" default:"1" help:"seed of arrivals and prompts"`
+	MaxTokens    int      `arg:"--max-tokens" default:"64" help:"maximum number of tokens of a completion"`
+	PrefixGroups int      `arg:"--groups" default:"8" help:"number of shared prompt prefixes"`
+	PrefixBytes  int      `arg:"--prefix-bytes" default:"512" help:"length of a shared prefix in bytes"`
+	StreamShare  float64  `arg:"--streamed" default:"0.5" help:"share of streamed calls, 0..1"`
+	Keyed        bool     `arg:"--keyed" help:"give each call an idempotency key"`
+	JSON         bool     `arg:"--json" help:"print the summary as one JSON object"`
 }
 
 func runLoad(ctx context.Context, arguments *loadArguments, output io.Writer) error {
@@ -43,9 +43,9 @@
 		Duration:            time.Duration(arguments.Seconds * float64(time.Second)),
 		Seed:                arguments.Seed,
 		MaxTokens:           arguments.MaxTokens,
-		PrefixGroups:        arguments.Groups,
-		PrefixBytes:         arguments.Prefix,
-		StreamShare:         arguments.Streamed,
+		PrefixGroups:        arguments.PrefixGroups,
+		PrefixBytes:         arguments.PrefixBytes,
+		StreamShare:         arguments.StreamShare,
 		WithIdempotencyKeys: arguments.Keyed,
 	}
 	client, recorder := live.NewClient(), live.NewRecorder()
--- a/internal/bench/command/run.go
+++ b/internal/bench/command/run.go
@@ -22,11 +22,11 @@
 
 type runArguments struct {
 	Workload string `arg:"--workload,required" help:"cascadia or odalaigh"`
-	Seed     uint64 `arg:"--seed" default:"1" help:"first seed of arrivals, prompts and answers"`
+	Seed     uint64 `arg:"--seed" default:"1" help:"first seed of arrivals, prompts and completions"`
 	Seeds    int    `arg:"--seeds" default:"1" help:"number of seeds (1..20)"`
 	Baseline string `arg:"--baseline" help:"run this scheduling policy alone: round-robin, least-load or one-hop"`
-	Compare  string `arg:"--compare" help:"run the default policy and this one in alternation"`
-	JSON     bool   `arg:"--json" help:"end with one JSON object, the comparison"`
+	Compare  string `arg:"--compare" help:"run the default policy and this one alternately"`
+	JSON     bool   `arg:"--json" help:"print the comparison as one JSON object at the end"`
 	Runs     bool   `arg:"--runs" help:"with --json: print each run as a JSON object too"`
 }
 
