--- a/internal/bench/standins/standins.go
+++ b/internal/bench/standins/standins.go
@@ -26,9 +26,9 @@
 	Log         *logservice.Config  `arg:"subcommand:log" help:"append-only log service"`
 	Engine      *engine.Config      `arg:"subcommand:engine" help:"model engine"`
 	WeightStore *weightstore.Config `arg:"subcommand:weightstore" help:"rate-limited weight store"`
-	Machines    *machines.Config    `arg:"subcommand:machines" help:"lagging list of machines"`
+	Machines    *machines.Config    `arg:"subcommand:machines" help:"machine list whose reads lag behind writes"`
 	Scorer      *scorer.Config      `arg:"subcommand:scorer" help:"scoring service"`
-	Platform    *platform.Config    `arg:"subcommand:platform" help:"a whole platform for hosted nodes: store, configuration and engines"`
+	Platform    *platform.Config    `arg:"subcommand:platform" help:"complete platform for hosted nodes: store, configuration and engines"`
 	Trainer     *trainer.Config     `arg:"subcommand:trainer" help:"trainer; prints its report when it is done"`
 }
 
