--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -83,14 +83,14 @@
 	var rows []string
 	for _, result := range results {
 		for _, service := range result.Live {
-			for _, part := range []struct {
+			for _, load := range []struct {
 				name    string
 				figures experiment.LiveFigures
 			}{{"alone", service.Alone}, {"with trainers", service.Beside}} {
 				rows = append(rows, fmt.Sprintf("%s|%d|%s|%s|%d/%d|%.1f|%.1f|%.1f|%.1f|%.1f %%",
-					result.Policy, result.Seed, service.Service, part.name, part.figures.OK, part.figures.Requests,
-					part.figures.FirstToken.P50, part.figures.FirstToken.P99, part.figures.Latency.P50, part.figures.Latency.P99,
-					percent*part.figures.PrefixHitShare))
+					result.Policy, result.Seed, service.Service, load.name, load.figures.OK, load.figures.Requests,
+					load.figures.FirstToken.P50, load.figures.FirstToken.P99, load.figures.Latency.P50, load.figures.Latency.P99,
+					percent*load.figures.PrefixHitShare))
 			}
 		}
 	}
