--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -68,7 +68,7 @@
 func (c *Client) do(ctx context.Context, method, address, path string, body []byte, headers map[string]string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "build the call")
+		return nil, errors.Wrap(err, "build request")
 	}
 	request.Host = RouteHost
 	for name, value := range headers {
@@ -89,17 +89,17 @@
 		return LiveResponse{}, err
 	}
 	defer response.Body.Close()
-	answer := LiveResponse{
+	result := LiveResponse{
 		Status: response.StatusCode, ID: response.Header.Get(headerRequestID),
 		Stamped: response.Header.Get(headerStamp) != "",
 	}
 	if response.Header.Get("Content-Type") == "text/event-stream" {
-		err := answer.readEvents(response.Body)
-		return answer, err
+		err := result.readEvents(response.Body)
+		return result, err
 	}
 	raw, err := io.ReadAll(response.Body)
-	answer.Body = string(raw)
-	return answer, err
+	result.Body = string(raw)
+	return result, err
 }
 
 // readEvents reads events until the stream is complete.
@@ -184,7 +184,7 @@
 		"step": j.Step, "model": ModelDrafts, "minVersion": j.MinVersion, "desiredCount": len(items), "requests": items,
 	})
 	if err != nil {
-		return nil, errors.Wrap(err, "encode the job")
+		return nil, errors.Wrap(err, "encode job")
 	}
 	return raw, nil
 }
@@ -251,7 +251,7 @@
 	}
 	var results JobResults
 	if err := json.NewDecoder(response.Body).Decode(&results); err != nil {
-		return JobResults{}, 0, errors.Wrap(err, "read the results")
+		return JobResults{}, 0, errors.Wrap(err, "decode job results")
 	}
 	return results, response.StatusCode, nil
 }
--- a/internal/standin/platform/duties.go
+++ b/internal/standin/platform/duties.go
@@ -35,14 +35,15 @@
 	Status  int       `json:"-"`
 }
 
-// Duties receives usage reports and scaling requests, which one node at a time sends. It is an http.Handler.
+// Duties receives usage reports and scaling requests, the calls that only one node at a time may make.
+// It is an http.Handler.
 type Duties struct {
 	router *mux.Router
 
 	mu sync.Mutex
 	// ignoreFences accepts calls whose fencing token is lower than one already seen.
 	ignoreFences bool
-	// fences is the highest fencing token seen for each subject.
+	// fences is the highest fencing token seen for usage reports and for the scaling of each service and zone.
 	fences map[string]int64
 	usage  []UsageCall
 	scale  []ScaleCall
@@ -115,38 +116,38 @@
 
 func (d *Duties) handleUsage(w http.ResponseWriter, r *http.Request) {
 	call := UsageCall{At: time.Now(), From: hostOf(r.RemoteAddr)}
-	holder, fence, read := decodeCall(r, &call)
+	holder, fence, valid := decodeCall(r, &call)
 	call.Holder, call.Fence = holder, fence
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	call.Status = d.status("usage", fence, read, false)
+	call.Status = d.status("usage", fence, valid, false)
 	d.usage = append(d.usage, call)
 	d.respond(w, call.Status)
 }
 
 func (d *Duties) handleScale(w http.ResponseWriter, r *http.Request) {
 	call := ScaleCall{At: time.Now()}
-	holder, fence, read := decodeCall(r, &call)
+	holder, fence, valid := decodeCall(r, &call)
 	call.Holder, call.Fence = holder, fence
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	call.Status = d.status("scale/"+call.Service+"/"+call.Zone, fence, read, d.noCapacity)
+	call.Status = d.status("scale/"+call.Service+"/"+call.Zone, fence, valid, d.noCapacity)
 	d.scale = append(d.scale, call)
 	d.respond(w, call.Status)
 }
 
-// decodeCall decodes the caller's headers and the body; read is false if one of them is missing or malformed.
-func decodeCall(r *http.Request, into any) (holder string, fence int64, read bool) {
+// decodeCall decodes the caller's headers and the body; valid is false if one of them is missing or malformed.
+func decodeCall(r *http.Request, into any) (holder string, fence int64, valid bool) {
 	holder = r.Header.Get("X-Corkpulley-Duty-Holder")
 	fence, err := strconv.ParseInt(r.Header.Get("X-Corkpulley-Fencing-Token"), 10, 64)
-	read = err == nil && holder != "" && json.NewDecoder(r.Body).Decode(into) == nil
-	return holder, fence, read
+	valid = err == nil && holder != "" && json.NewDecoder(r.Body).Decode(into) == nil
+	return holder, fence, valid
 }
 
 // status returns the response status of a call. Must be called with mu held.
-func (d *Duties) status(subject string, fence int64, read, noCapacity bool) int {
+func (d *Duties) status(subject string, fence int64, valid, noCapacity bool) int {
 	switch {
-	case !read:
+	case !valid:
 		return http.StatusBadRequest
 	case fence < d.fences[subject] && !d.ignoreFences:
 		return http.StatusConflict
--- a/internal/standin/platform/engine.go
+++ b/internal/standin/platform/engine.go
@@ -13,18 +13,18 @@
 
 // Headers of the engine protocol.
 const (
-	headerRequestID   = "X-Corkpulley-Attempt-Id"
-	headerExpect      = "X-Corkpulley-Expect-Instance"
-	headerInstance    = "X-Corkpulley-Instance-Id"
-	headerNotExecuted = "X-Corkpulley-Not-Executed"
-	headerStamp       = "X-Corkpulley-Server-Stamp"
-	headerLoad        = "X-Corkpulley-Server-Load"
-	headerVersions    = "X-Corkpulley-Weight-Versions"
-	headerModel       = "X-Corkpulley-Model"
-	headerLastEvent   = "Last-Event-Id"
-	headerColdMs      = "X-Corkpulley-Cold-Ms"
-	headerTenant      = "X-Corkpulley-Tenant"
-	headerCredentials = "Authorization"
+	headerRequestID        = "X-Corkpulley-Attempt-Id"
+	headerExpectedInstance = "X-Corkpulley-Expect-Instance"
+	headerInstance         = "X-Corkpulley-Instance-Id"
+	headerNotExecuted      = "X-Corkpulley-Not-Executed"
+	headerStamp            = "X-Corkpulley-Server-Stamp"
+	headerLoad             = "X-Corkpulley-Server-Load"
+	headerVersions         = "X-Corkpulley-Weight-Versions"
+	headerModel            = "X-Corkpulley-Model"
+	headerLastEvent        = "Last-Event-Id"
+	headerColdMs           = "X-Corkpulley-Cold-Ms"
+	headerTenant           = "X-Corkpulley-Tenant"
+	headerCredentials      = "Authorization"
 )
 
 // EngineFault is the fault that an engine injects into a request.
@@ -33,7 +33,7 @@
 const (
 	// NoFault injects no fault.
 	NoFault EngineFault = iota
-	// RefusesFull refuses the request as not executed.
+	// RefusesFull refuses the request for lack of slots, marked as not executed.
 	RefusesFull
 	// RespondsError responds with 500.
 	RespondsError
@@ -57,6 +57,7 @@
 	Path  string
 	Query string
 	Body  string
+	// After is the ID of the last event that the sender already has, from the Last-Event-Id header; 0 for none.
 	After int64
 	Host  string
 	At    time.Time
@@ -65,7 +66,7 @@
 	Credentials string
 }
 
-// ReceivedOrder is an order as received by the engine.
+// ReceivedOrder is an order to change a weight version, as received by the engine.
 type ReceivedOrder struct {
 	Holder  string
 	Fence   int64
@@ -73,8 +74,8 @@
 	At      time.Time
 	// From is the sender's IP address.
 	From string
-	// Expected is the number of accepted orders that the sender assumed, or countUnknown if it sent none.
-	// Taken is the number that the engine had accepted.
+	// Expected is the number of accepted orders that the sender assumed, or countUnknown if it stated none.
+	// Taken is the number of orders that the engine had accepted by then.
 	Expected int64
 	Taken    int64
 	// Status is the response status.
@@ -124,7 +125,7 @@
 	fence    int64
 	received []ReceivedOrder
 	arrivals []Arrival
-	// coldUntil is the time at which the engine is warm.
+	// coldUntil is the time until which the engine reports that it is cold.
 	coldUntil time.Time
 }
 
@@ -147,7 +148,7 @@
 
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if expected := r.Header.Get(headerExpect); expected != "" && expected != e.options.ID {
+	if expected := r.Header.Get(headerExpectedInstance); expected != "" && expected != e.options.ID {
 		w.Header().Set(headerInstance, e.options.ID)
 		w.Header().Set(headerRequestID, r.Header.Get(headerRequestID))
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -177,7 +178,7 @@
 	return e.versions[model]
 }
 
-// Holders returns the holders of the accepted orders, in order.
+// Holders returns the lease holder that sent each accepted order, in order of arrival.
 func (e *Engine) Holders() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -239,7 +240,9 @@
 	return e.options.CrashesOn != nil && e.options.CrashesOn(run)
 }
 
-func (e *Engine) begin(r *http.Request, body string) (Run, EngineFault, bool) {
+// beginRun records a run and returns the fault injected into it, or returns false if the request is refused.
+// The caller must call endRun after each run.
+func (e *Engine) beginRun(r *http.Request, body string) (Run, EngineFault, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	fault := NoFault
@@ -260,7 +263,7 @@
 	return run, fault, true
 }
 
-func (e *Engine) end() {
+func (e *Engine) endRun() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
--- a/internal/standin/platform/engine_arrivals.go
+++ b/internal/standin/platform/engine_arrivals.go
@@ -15,7 +15,7 @@
 }
 
 // ExpectedEngine returns the ID of the engine that a request is addressed to, or "".
-func ExpectedEngine(r *http.Request) string { return r.Header.Get(headerExpect) }
+func ExpectedEngine(r *http.Request) string { return r.Header.Get(headerExpectedInstance) }
 
 func (e *Engine) recordArrival(r *http.Request) {
 	e.mu.Lock()
@@ -33,17 +33,18 @@
 // ArrivalTimes returns the arrival times of the requests that reached the engine.
 func (e *Engine) ArrivalTimes() []time.Time {
 	var times []time.Time
-	for _, each := range e.Arrivals() {
-		times = append(times, each.At)
+	for _, arrival := range e.Arrivals() {
+		times = append(times, arrival.At)
 	}
 	return times
 }
 
-// SetCold makes the engine cold for at least a duration from now on. The caller must list its entry again.
-func (e *Engine) SetCold(lasting time.Duration) {
+// SetCold makes the engine cold for at least a duration from now on. The caller must list the
+// engine again to publish the change.
+func (e *Engine) SetCold(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if until := time.Now().Add(lasting); until.After(e.coldUntil) {
+	if until := time.Now().Add(duration); until.After(e.coldUntil) {
 		e.coldUntil = until
 	}
 }
--- a/internal/standin/platform/engine_host.go
+++ b/internal/standin/platform/engine_host.go
@@ -28,8 +28,8 @@
 	timers  []*time.Timer
 }
 
-// NewEngineHost starts the first engine at a free address. The options' ID is the prefix of the engines' IDs,
-// or the ID of all of them if StartMillis is set.
+// NewEngineHost starts the first engine at the address, which must be free. The options' ID is the prefix of the
+// engines' IDs, or the ID of all of them if StartMillis is set.
 func NewEngineHost(
 	store *Store, address string, options EngineOptions, restartDelay, entryTTL time.Duration,
 ) (*EngineHost, error) {
@@ -43,7 +43,7 @@
 func (h *EngineHost) start() error {
 	listener, err := net.Listen("tcp", h.address)
 	if err != nil {
-		return errors.Wrap(err, "listen for an engine")
+		return errors.Wrap(err, "listen on the engine's address")
 	}
 	options := h.nextOptions()
 	options.Crash = func(Run) { h.crash() }
--- a/internal/standin/platform/engine_responses.go
+++ b/internal/standin/platform/engine_responses.go
@@ -22,13 +22,13 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	run, fault, begun := e.begin(r, string(body))
+	run, fault, begun := e.beginRun(r, string(body))
 	if !begun {
 		w.Header().Set(headerNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer e.end()
+	defer e.endRun()
 	w.Header().Set(headerStamp, Stamp(id))
 	w.Header().Set(headerLoad, fmt.Sprintf("1,0,%d", e.options.Slots))
 	switch fault {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Stamp returns the signature of an engine's response.
+// Stamp returns the signature that an engine adds to its response to a request.
 func Stamp(id string) string { return "stamp-" + id }
 
 // Answer returns the body of a plain response.
@@ -65,7 +65,7 @@
 // EventData returns the data of an event of an item.
 func EventData(id string, number int) string { return fmt.Sprintf("%s-%d", id, number) }
 
-// Text returns the whole output of an item.
+// Text returns the complete output of an item: the data of all its events.
 func Text(id string, events int) string {
 	lines := make([]string, events)
 	for i := range lines {
@@ -87,13 +87,14 @@
 	}
 }
 
-// writeDuplicate sends a second response, in place of the one to the next request.
+// writeDuplicate sends a second response, which a client that reuses the connection would take for the response
+// to its next request.
 func writeDuplicate(w http.ResponseWriter, answer string) {
-	control := http.NewResponseController(w)
-	if control.Flush() != nil {
+	controller := http.NewResponseController(w)
+	if controller.Flush() != nil {
 		return
 	}
-	connection, buffered, err := control.Hijack()
+	connection, buffered, err := controller.Hijack()
 	if err != nil {
 		return
 	}
@@ -110,7 +111,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(headerVersions, strconv.FormatInt(version, 10))
 	w.WriteHeader(http.StatusOK)
-	flush := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	events := e.options.Events(run.ID)
 	for number := after + 1; number <= events; number++ {
 		select {
@@ -124,14 +125,14 @@
 		}
 		if fault == TruncatesResponse && number > (after+events)/2 {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", number)
-			_ = flush.Flush()
+			_ = controller.Flush()
 			abortConnection()
 		}
-		if now := e.Version(model); now != version {
-			version = now
+		if current := e.Version(model); current != version {
+			version = current
 			_, _ = fmt.Fprintf(w, "%s: %d\n", strings.ToLower(headerVersions), version)
 		}
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", number, e.options.Data(run.ID, number, version))
-		_ = flush.Flush()
+		_ = controller.Flush()
 	}
 }
--- a/internal/standin/platform/groups.go
+++ b/internal/standin/platform/groups.go
@@ -32,10 +32,11 @@
 type member struct {
 	lastGeneration int64
 	expires        time.Time
-	lifetime       time.Duration
+	ttl            time.Duration
 }
 
-type joinBody struct {
+// groupRequest is the body of join, leave and commit calls.
+type groupRequest struct {
 	Group      string   `json:"group"`
 	Member     string   `json:"member"`
 	Topics     []string `json:"topics"`
@@ -46,8 +47,8 @@
 	Offset     int64    `json:"offset"`
 }
 
-func (s *Store) decodeGroupCall(w http.ResponseWriter, r *http.Request) (joinBody, *group, bool) {
-	var body joinBody
+func (s *Store) decodeGroupCall(w http.ResponseWriter, r *http.Request) (groupRequest, *group, bool) {
+	var body groupRequest
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || body.Group == "" || body.Member == "" {
 		http.Error(w, "group and member are wanted", http.StatusBadRequest)
 		return body, nil, false
@@ -71,8 +72,8 @@
 	if !ok {
 		return
 	}
-	lifetime := time.Duration(body.TTLMs) * time.Millisecond
-	if lifetime < s.limits.MinMemberTTL {
+	ttl := time.Duration(body.TTLMs) * time.Millisecond
+	if ttl < s.limits.MinMemberTTL {
 		http.Error(w, "ttlMs is too short", http.StatusBadRequest)
 		return
 	}
@@ -83,8 +84,8 @@
 		joined.topics = body.Topics
 		joined.rebalance()
 	}
-	known.lastGeneration, known.lifetime = body.Generation, lifetime
-	known.expires = time.Now().Add(lifetime)
+	known.lastGeneration, known.ttl = body.Generation, ttl
+	known.expires = time.Now().Add(ttl)
 	rows := [][3]any{}
 	for _, partition := range joined.partitions() {
 		if joined.owner[partition] == body.Member {
@@ -162,8 +163,8 @@
 // expire removes members whose TTL has passed.
 func (g *group) expire(now time.Time) {
 	dropped := false
-	for name, each := range g.members {
-		if now.After(each.expires) {
+	for name, current := range g.members {
+		if now.After(current.expires) {
 			delete(g.members, name)
 			dropped = true
 		}
--- a/internal/standin/platform/operator.go
+++ b/internal/standin/platform/operator.go
@@ -53,7 +53,8 @@
 	Homes []string `json:"homeRegions,omitempty"`
 }
 
-// SlowStart is how long engines are cold after their start, and the requests per second that a cold engine takes.
+// SlowStart configures the cold phase after an engine's start: its duration, and the rate of requests that a cold
+// engine takes.
 type SlowStart struct {
 	Seconds   float64
 	PerSecond float64
@@ -94,11 +95,11 @@
 
 // services returns the wire form of the services.
 func (c Configuration) services() []wireService {
-	plain := wireService{Name: ServiceLookup, MaxConnections: engineConnCap}
+	lookup := wireService{Name: ServiceLookup, MaxConnections: engineConnCap}
 	drafts := wireService{Name: ServiceDrafts, MaxConnections: engineConnCap, Engine: map[string]any{
 		"models": []map[string]any{{"name": ModelDrafts}},
 	}}
-	all := []wireService{plain, drafts}
+	all := []wireService{lookup, drafts}
 	for i := range all {
 		slowStart := c.SlowStart[all[i].Name]
 		all[i].ColdSeconds, all[i].ColdPerSecond = slowStart.Seconds, slowStart.PerSecond
--- a/internal/standin/platform/service.go
+++ b/internal/standin/platform/service.go
@@ -16,21 +16,21 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// Config configures a whole platform in one process: a configured store, and engines of two services.
+// Config configures a platform in one process: a store with an active configuration, and the engines of two services.
 type Config struct {
-	Listen      string        `arg:"--listen" default:"127.0.0.1:0" placeholder:"IP:PORT" help:"address of the store"`
-	Zone        string        `arg:"--zone" default:"z1" help:"zone of the engines"`
-	Lookups     int           `arg:"--lookup-engines" default:"2" help:"engines of the service lookup, with plain answers"`
-	Drafts      int           `arg:"--draft-engines" default:"3" help:"engines of the service drafts, with event streams"`
-	Slots       int           `arg:"--slots" default:"8" help:"requests that an engine runs at once"`
-	Events      int           `arg:"--events" default:"16" help:"events of an item"`
-	EventTime   time.Duration `arg:"--event-time" default:"40ms" help:"time for each event"`
-	LoadTime    time.Duration `arg:"--load-time" default:"900ms" help:"time of a change of weights"`
-	Slow        time.Duration `arg:"--slow" help:"time before each answer of the store"`
-	Refuse      float64       `arg:"--refuse" help:"share of the store's calls that are refused, 0 to 1"`
-	LoseAnswers float64       `arg:"--lose-answers" help:"share of appends that are done and not answered, 0 to 1"`
-	Late        float64       `arg:"--late" help:"share of appends that are done seconds later and not answered, 0 to 1"`
-	Seed        uint64        `arg:"--seed" default:"1" help:"seed of the faults"`
+	Listen             string        `arg:"--listen" default:"127.0.0.1:0" placeholder:"IP:PORT" help:"address of the store"`
+	Zone               string        `arg:"--zone" default:"z1" help:"zone of the engines"`
+	LookupEngines      int           `arg:"--lookup-engines" default:"2" help:"engines of the service lookup, with plain answers"`
+	DraftEngines       int           `arg:"--draft-engines" default:"3" help:"engines of the service drafts, with event streams"`
+	Slots              int           `arg:"--slots" default:"8" help:"requests that an engine runs at once"`
+	Events             int           `arg:"--events" default:"16" help:"events of an item"`
+	EventTime          time.Duration `arg:"--event-time" default:"40ms" help:"time for each event"`
+	LoadTime           time.Duration `arg:"--load-time" default:"900ms" help:"time of a change of weights"`
+	ResponseDelay      time.Duration `arg:"--slow" help:"time before each answer of the store"`
+	RefuseShare        float64       `arg:"--refuse" help:"share of the store's calls that are refused, 0 to 1"`
+	LostResponseShare  float64       `arg:"--lose-answers" help:"share of appends that are done and not answered, 0 to 1"`
+	DelayedAppendShare float64       `arg:"--late" help:"share of appends that are done seconds later and not answered, 0 to 1"`
+	Seed               uint64        `arg:"--seed" default:"1" help:"seed of the faults"`
 }
 
 // Names used in the configuration.
@@ -44,8 +44,8 @@
 	PrefixScoring = "/scoring/"
 )
 
-// lateReleaseInterval is the interval at which delayed appends take effect.
-const lateReleaseInterval = 3 * time.Second
+// delayedAppendInterval is the interval at which all delayed appends are performed.
+const delayedAppendInterval = 3 * time.Second
 
 // Service is a platform that Run serves.
 type Service struct {
@@ -66,30 +66,30 @@
 // Address returns the store's address. Valid once the platform is ready.
 func (s *Service) Address() string { return s.listener.Addr().String() }
 
-// check returns an error that lists every invalid option.
-func (c Config) check() error {
-	var wrong []string
-	for name, share := range map[string]float64{"refuse": c.Refuse, "lose-answers": c.LoseAnswers, "late": c.Late} {
+// validate returns an error that lists every invalid option.
+func (c Config) validate() error {
+	var invalid []string
+	for name, share := range map[string]float64{"refuse": c.RefuseShare, "lose-answers": c.LostResponseShare, "late": c.DelayedAppendShare} {
 		if share < 0 || share > 1 {
-			wrong = append(wrong, fmt.Sprintf("--%s is %g, expected 0 to 1", name, share))
+			invalid = append(invalid, fmt.Sprintf("--%s is %g, expected 0 to 1", name, share))
 		}
 	}
 	for name, count := range map[string]int{
-		"lookup-engines": c.Lookups, "draft-engines": c.Drafts, "slots": c.Slots, "events": c.Events,
+		"lookup-engines": c.LookupEngines, "draft-engines": c.DraftEngines, "slots": c.Slots, "events": c.Events,
 	} {
 		if count < 1 {
-			wrong = append(wrong, fmt.Sprintf("--%s is %d, expected 1 or more", name, count))
+			invalid = append(invalid, fmt.Sprintf("--%s is %d, expected 1 or more", name, count))
 		}
 	}
-	if len(wrong) > 0 {
-		return errors.New(strings.Join(wrong, "; "))
+	if len(invalid) > 0 {
+		return errors.New(strings.Join(invalid, "; "))
 	}
 	return nil
 }
 
 // Run serves until ctx ends.
 func (s *Service) Run(ctx context.Context) error {
-	if err := s.config.check(); err != nil {
+	if err := s.config.validate(); err != nil {
 		return err
 	}
 	var err error
@@ -114,11 +114,11 @@
 		return err
 	}
 	s.store.Configure(s.configuration())
-	s.store.Slow(s.config.Slow)
+	s.store.Slow(s.config.ResponseDelay)
 	s.store.Log.SetFault(s.newFaultFunc())
 	serve(s.listener, s.store)
 	group.Go(func() error {
-		s.releaseLateAppends(ctx)
+		s.releaseDelayedAppends(ctx)
 		return nil
 	})
 	close(s.ready)
@@ -126,18 +126,18 @@
 }
 
 func (s *Service) startEngines(serve func(net.Listener, http.Handler)) error {
-	for i := range s.config.Lookups + s.config.Drafts {
+	for i := range s.config.LookupEngines + s.config.DraftEngines {
 		options := EngineOptions{
 			ID: fmt.Sprintf("i-%d", i), Service: ServiceLookup, Zone: s.config.Zone, Slots: s.config.Slots,
 			LoadTime: s.config.LoadTime, EventTime: s.config.EventTime, CheckFences: true,
 			Events: func(string) int { return s.config.Events },
 		}
-		if i >= s.config.Lookups {
+		if i >= s.config.LookupEngines {
 			options.Service, options.Versions = ServiceDrafts, map[string]int64{ModelDrafts: 1}
 		}
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return errors.Wrap(err, "listen for an engine")
+			return errors.Wrap(err, "listen on the engine's address")
 		}
 		engine := NewEngine(options)
 		serve(listener, engine)
@@ -163,13 +163,13 @@
 		defer mu.Unlock()
 		draw := random.Float64()
 		switch {
-		case draw < s.config.Refuse:
+		case draw < s.config.RefuseShare:
 			return memlog.Refused
 		case !call.Append:
 			return memlog.None
-		case draw < s.config.Refuse+s.config.LoseAnswers:
+		case draw < s.config.RefuseShare+s.config.LostResponseShare:
 			return memlog.LostResponse
-		case draw < s.config.Refuse+s.config.LoseAnswers+s.config.Late:
+		case draw < s.config.RefuseShare+s.config.LostResponseShare+s.config.DelayedAppendShare:
 			return memlog.DelayedEffect
 		default:
 			return memlog.None
@@ -177,8 +177,8 @@
 	}
 }
 
-func (s *Service) releaseLateAppends(ctx context.Context) {
-	ticker := time.NewTicker(lateReleaseInterval)
+func (s *Service) releaseDelayedAppends(ctx context.Context) {
+	ticker := time.NewTicker(delayedAppendInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -15,7 +15,7 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// Limits are the limits of a store.
+// Limits holds the size and time limits of a store.
 type Limits struct {
 	// RecordBytes and CallBytes are the maximum sizes of a record and of an append call.
 	RecordBytes int
@@ -24,7 +24,7 @@
 	TotalBytes int
 	// AppendTime is the duration of an append. Appends to a partition are serialized.
 	AppendTime time.Duration
-	// MaxQueue is the longest queueing time after which an append is refused.
+	// MaxQueue is the maximum queueing time of an append; one that would wait longer is refused.
 	MaxQueue time.Duration
 	// PageRecords is the maximum number of records in a page of the newest records.
 	PageRecords int
@@ -52,7 +52,7 @@
 	refuse func(r *http.Request) int
 	// delay is the time before each response.
 	delay     time.Duration
-	used      int
+	usedBytes int
 	busyUntil map[eventlog.Partition]time.Time
 	producers map[producerKey]*producer
 	groups    map[string]*group
@@ -85,24 +85,24 @@
 		producers: make(map[producerKey]*producer),
 		groups:    make(map[string]*group),
 	}
-	for path, handle := range map[string]http.HandlerFunc{
+	for pattern, handle := range map[string]http.HandlerFunc{
 		"POST /log-append": s.append, "GET /log-read": s.read, "GET /log-newest": s.newest,
 		"POST /log-trim": s.trim, "POST /log-join": s.join, "POST /log-leave": s.leave,
 		"POST /log-commit": s.commit, "GET /log-owners": s.owners,
 	} {
-		method, target, _ := splitPattern(path)
+		method, target, _ := splitPattern(pattern)
 		s.router.HandleFunc(target, handle).Methods(method)
 	}
 	return s
 }
 
-func splitPattern(path string) (method, target string, found bool) {
-	for i := range path {
-		if path[i] == ' ' {
-			return path[:i], path[i+1:], true
+func splitPattern(pattern string) (method, target string, found bool) {
+	for i := range pattern {
+		if pattern[i] == ' ' {
+			return pattern[:i], pattern[i+1:], true
 		}
 	}
-	return "", path, false
+	return "", pattern, false
 }
 
 // Refuse sets the function that returns the status with which a call is refused, or zero to serve it.
--- a/internal/standin/platform/store_append.go
+++ b/internal/standin/platform/store_append.go
@@ -29,7 +29,7 @@
 		w.WriteHeader(http.StatusForbidden)
 		return
 	}
-	if !s.waitForTurn(partition) {
+	if !s.queueAppend(partition) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -38,40 +38,41 @@
 	s.appendLocked(w, r.URL.Query(), partition, records)
 }
 
-// waitForTurn waits until the partition can take the append. It returns false if the queue is too long.
-func (s *Store) waitForTurn(partition eventlog.Partition) bool {
+// queueAppend waits for the appends queued before this one and for the duration of this one. It returns false at
+// once if the queueing time would exceed Limits.MaxQueue.
+func (s *Store) queueAppend(partition eventlog.Partition) bool {
 	s.mu.Lock()
 	now := time.Now()
-	turn := s.busyUntil[partition]
-	if turn.Before(now) {
-		turn = now
+	start := s.busyUntil[partition]
+	if start.Before(now) {
+		start = now
 	}
-	wait := turn.Sub(now)
+	wait := start.Sub(now)
 	if wait > s.limits.MaxQueue {
 		s.mu.Unlock()
 		return false
 	}
-	s.busyUntil[partition] = turn.Add(s.limits.AppendTime)
+	s.busyUntil[partition] = start.Add(s.limits.AppendTime)
 	s.mu.Unlock()
 	time.Sleep(wait + s.limits.AppendTime)
 	return true
 }
 
 func (s *Store) appendLocked(w http.ResponseWriter, query url.Values, partition eventlog.Partition, records [][]byte) {
-	writer, known, status, why := s.checkProducer(query, partition)
+	sender, original, status, reason := s.checkProducer(query, partition)
 	if status != 0 {
-		writeJSON(w, status, why)
+		writeJSON(w, status, reason)
 		return
 	}
-	if known != nil {
-		writeJSON(w, http.StatusOK, known)
+	if original != nil {
+		writeJSON(w, http.StatusOK, original)
 		return
 	}
 	size := 0
 	for _, record := range records {
 		size += len(record)
 	}
-	if s.used+size > s.limits.TotalBytes {
+	if s.usedBytes+size > s.limits.TotalBytes {
 		w.WriteHeader(http.StatusInsufficientStorage)
 		return
 	}
@@ -87,12 +88,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s.used += size
-	answer := appendResult{Offset: first, End: first + int64(len(records))}
-	if writer != nil && len(records) > 0 {
-		writer.recordResult(answer)
+	s.usedBytes += size
+	result := appendResult{Offset: first, End: first + int64(len(records))}
+	if sender != nil && len(records) > 0 {
+		sender.recordResult(result)
 	}
-	writeJSON(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, result)
 }
 
 func (s *Store) appendTo(query url.Values, partition eventlog.Partition, records [][]byte) (int64, error) {
@@ -107,9 +108,9 @@
 }
 
 type refusal struct {
-	Why    string `json:"why"`
-	Wanted int64  `json:"seqNo,omitempty"`
-	Epoch  int64  `json:"epoch,omitempty"`
+	Reason           string `json:"why"`
+	ExpectedSequence int64  `json:"seqNo,omitempty"`
+	Epoch            int64  `json:"epoch,omitempty"`
 }
 
 // checkProducer checks a producer's epoch and sequence number. It returns the original result
@@ -122,7 +123,7 @@
 	epoch, errEpoch := strconv.ParseInt(query.Get("epoch"), 10, 64)
 	sequence, errSequence := strconv.ParseInt(query.Get("seqNo"), 10, 64)
 	if errEpoch != nil || errSequence != nil {
-		return nil, nil, http.StatusBadRequest, &refusal{Why: "epoch and seqNo are wanted"}
+		return nil, nil, http.StatusBadRequest, &refusal{Reason: "epoch and seqNo are wanted"}
 	}
 	key := producerKey{partition, name}
 	known, found := s.producers[key]
@@ -131,21 +132,21 @@
 		known = &producer{epoch: epoch, sequence: sequence - 1, results: make(map[int64]appendResult)}
 		s.producers[key] = known
 	case epoch < known.epoch:
-		return nil, nil, http.StatusConflict, &refusal{Why: "fenced", Epoch: known.epoch}
+		return nil, nil, http.StatusConflict, &refusal{Reason: "fenced", Epoch: known.epoch}
 	}
-	if answer, repeated := known.results[sequence]; repeated {
-		return known, &answer, 0, nil
+	if result, repeated := known.results[sequence]; repeated {
+		return known, &result, 0, nil
 	}
 	if sequence != known.sequence+1 {
-		return nil, nil, http.StatusConflict, &refusal{Why: "seq", Wanted: known.sequence + 1}
+		return nil, nil, http.StatusConflict, &refusal{Reason: "seq", ExpectedSequence: known.sequence + 1}
 	}
 	return known, nil, 0, nil
 }
 
 // recordResult stores the result of the producer's newest call.
-func (p *producer) recordResult(answer appendResult) {
+func (p *producer) recordResult(result appendResult) {
 	p.sequence++
-	p.results[p.sequence] = answer
+	p.results[p.sequence] = result
 	delete(p.results, p.sequence-retainedResults)
 }
 
--- a/internal/standin/platform/store_read.go
+++ b/internal/standin/platform/store_read.go
@@ -21,28 +21,28 @@
 		http.Error(w, "topic, part and from are wanted", http.StatusBadRequest)
 		return
 	}
-	limit := 1024
+	limitKB := 1024
 	if text := query.Get("max_kb"); text != "" {
-		limit, _ = strconv.Atoi(text)
+		limitKB, _ = strconv.Atoi(text)
 	}
-	wait, _ := strconv.Atoi(query.Get("waitMs"))
-	batch, err := s.Log.Read(r.Context(), partition, from, limit<<10, time.Duration(wait)*time.Millisecond)
-	var gone *eventlog.TrimmedError
+	waitMs, _ := strconv.Atoi(query.Get("waitMs"))
+	batch, err := s.Log.Read(r.Context(), partition, from, limitKB<<10, time.Duration(waitMs)*time.Millisecond)
+	var trimmed *eventlog.TrimmedError
 	switch {
-	case errors.As(err, &gone):
-		writeJSON(w, http.StatusGone, map[string]int64{"first": gone.First})
+	case errors.As(err, &trimmed):
+		writeJSON(w, http.StatusGone, map[string]int64{"first": trimmed.First})
 		return
 	case err != nil:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	answer := binary.BigEndian.AppendUint64(nil, uint64(batch.End))
-	answer = binary.BigEndian.AppendUint64(answer, uint64(s.Log.First(partition)))
+	encoded := binary.BigEndian.AppendUint64(nil, uint64(batch.End))
+	encoded = binary.BigEndian.AppendUint64(encoded, uint64(s.Log.First(partition)))
 	for _, record := range batch.Records {
-		answer = binary.BigEndian.AppendUint32(answer, uint32(len(record)))
-		answer = append(answer, record...)
+		encoded = binary.BigEndian.AppendUint32(encoded, uint32(len(record)))
+		encoded = append(encoded, record...)
 	}
-	_, _ = w.Write(answer)
+	_, _ = w.Write(encoded)
 }
 
 type newestRecord struct {
