--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -21,17 +21,17 @@
 	if refusal := s.refusal(request); refusal != nil {
 		return nil, refusal
 	}
-	natural := answerLength(request.Prompt, request.Seed)
+	naturalLength := answerLength(request.Prompt, request.Seed)
 	start := len(request.Generated)
-	total := max(start, min(natural, request.MaxTokens))
+	total := max(start, min(naturalLength, request.MaxTokens))
 	accepted := &sequence{
-		request:   request,
-		start:     start,
-		nextToken: start,
-		visible:   start,
-		total:     total,
-		natural:   natural <= request.MaxTokens,
-		changed:   make(chan struct{}),
+		request:     request,
+		start:       start,
+		nextToken:   start,
+		visible:     start,
+		total:       total,
+		untruncated: naturalLength <= request.MaxTokens,
+		changed:     make(chan struct{}),
 	}
 	s.sequences[accepted.key()] = accepted
 	s.enqueue(accepted)
@@ -170,13 +170,13 @@
 	if current.history == nil {
 		return
 	}
-	made := Span{Version: version, From: current.nextToken - 1, To: current.nextToken}
-	s.historyFile.write(&historyEvent{Request: current.number, Made: &made})
+	generated := Span{Version: version, From: current.nextToken - 1, To: current.nextToken}
+	s.historyFile.write(&historyEvent{Request: current.number, Generated: &generated})
 }
 
 // completionReason returns the finish reason of a complete answer.
 func (s *sequence) completionReason() string {
-	if s.natural {
+	if s.untruncated {
 		return engine.FinishStop
 	}
 	return engine.FinishLength
@@ -196,15 +196,15 @@
 	s.running = slices.DeleteFunc(s.running, isCurrent)
 	s.waiting = slices.DeleteFunc(s.waiting, isCurrent)
 	if broken {
-		s.forget(current)
+		s.discard(current)
 	}
 	s.recordEnd(current, time.Now())
 	current.visible = current.nextToken
 	current.notifyReaders()
 }
 
-// forget discards a request's tokens. Its stream is unknown afterwards.
-func (s *Server) forget(current *sequence) {
+// discard removes a request and its tokens. Resuming its stream then fails as unknown.
+func (s *Server) discard(current *sequence) {
 	if s.sequences[current.key()] == current {
 		delete(s.sequences, current.key())
 	}
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -45,7 +45,7 @@
 	CacheTokens     int           `arg:"--cache-tokens" default:"65536" help:"capacity of the prefix cache"`
 
 	EventDelay     time.Duration `arg:"--event-delay" help:"delay of cache events"`
-	EventGap       float64       `arg:"--event-gap" help:"share of cache events lost, 0..1"`
+	EventLossShare float64       `arg:"--event-gap" help:"share of cache events lost, 0..1"`
 	ReportInterval time.Duration `arg:"--report-interval" default:"250ms" help:"age that load figures may reach"`
 
 	LoadTime      time.Duration `arg:"--load-time" help:"pause of a model while a version is swapped in"`
@@ -90,7 +90,7 @@
 	if c.MaxBatch < 1 || c.MaxWaiting < 1 || c.ChunkTokens < 1 || c.CacheTokens < 1 {
 		return errors.New("max-batch, max-waiting, chunk-tokens and cache-tokens must be positive")
 	}
-	if c.EventGap < 0 || c.EventGap > 1 || c.LoadFailShare < 0 || c.LoadFailShare > 1 {
+	if c.EventLossShare < 0 || c.EventLossShare > 1 || c.LoadFailShare < 0 || c.LoadFailShare > 1 {
 		return errors.New("event-gap and load-fail-share must lie in 0..1")
 	}
 	if c.TokenInterval < 0 || c.PrefillPerToken < 0 || c.EventDelay < 0 || c.LoadTime < 0 {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -20,7 +20,7 @@
 
 var pollTimeout = poll.WithTimeout(30 * time.Second)
 
-// harness is an engine with a client.
+// harness is a simulated engine with a client for its address.
 type harness struct {
 	*standin.Server
 	engine.Client
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -22,7 +22,9 @@
 
 // Control is the body of POST /v1/control, which injects faults. Absent fields change nothing.
 type Control struct {
+	// Drain makes the engine refuse new requests.
 	Drain *bool `json:"drain,omitempty"`
+	// Stall stops the generation of tokens.
 	Stall *bool `json:"stall,omitempty"`
 	// Crash closes all connections and makes Run return ErrCrashed.
 	Crash bool `json:"crash,omitempty"`
--- a/internal/standin/engine/historyfile.go
+++ b/internal/standin/engine/historyfile.go
@@ -25,11 +25,11 @@
 	ID          string `json:"id,omitempty"`
 	Incarnation string `json:"incarnation,omitempty"`
 	Request     int    `json:"request"`
-	// Exactly one of these is set. Begun is the first event of a process.
-	Begun   bool            `json:"begun,omitempty"`
-	Started *RequestHistory `json:"started,omitempty"`
-	Made    *Span           `json:"made,omitempty"`
-	Ended   *requestEnd     `json:"ended,omitempty"`
+	// Exactly one of these is set. ProcessStarted marks the first event of a process.
+	ProcessStarted bool            `json:"begun,omitempty"`
+	Started        *RequestHistory `json:"started,omitempty"`
+	Generated      *Span           `json:"made,omitempty"`
+	Ended          *requestEnd     `json:"ended,omitempty"`
 }
 
 type requestEnd struct {
@@ -43,7 +43,7 @@
 		return nil, errors.Wrap(err, "open history file")
 	}
 	opened := &historyFile{file: file, failed: make(chan error, 1)}
-	opened.write(&historyEvent{Begun: true, ID: id, Incarnation: incarnation})
+	opened.write(&historyEvent{ProcessStarted: true, ID: id, Incarnation: incarnation})
 	return opened, nil
 }
 
@@ -112,7 +112,7 @@
 	if err := decoder.Decode(&event); err != nil {
 		return nil, errors.Wrap(err, "decode event")
 	}
-	if event.Begun {
+	if event.ProcessStarted {
 		return append(histories, History{ID: event.ID, Incarnation: event.Incarnation}), nil
 	}
 	if len(histories) == 0 {
@@ -135,8 +135,8 @@
 	}
 	request := &h.Requests[event.Request]
 	switch {
-	case event.Made != nil:
-		request.Spans = appendSpan(request.Spans, *event.Made)
+	case event.Generated != nil:
+		request.Spans = appendSpan(request.Spans, *event.Generated)
 	case event.Ended != nil:
 		request.EndedUnixNS = event.Ended.UnixNS
 		request.Outcome = event.Ended.Outcome
@@ -147,11 +147,11 @@
 }
 
 // appendSpan adds a token range, merging it with the last one if it continues it.
-func appendSpan(spans []Span, made Span) []Span {
+func appendSpan(spans []Span, added Span) []Span {
 	last := len(spans) - 1
-	if last >= 0 && spans[last].Version == made.Version && spans[last].To == made.From {
-		spans[last].To = made.To
+	if last >= 0 && spans[last].Version == added.Version && spans[last].To == added.From {
+		spans[last].To = added.To
 		return spans
 	}
-	return append(spans, made)
+	return append(spans, added)
 }
--- a/internal/standin/engine/historyfile_test.go
+++ b/internal/standin/engine/historyfile_test.go
@@ -13,9 +13,9 @@
 	first, err := openHistoryFile(path, "e1", "a")
 	assert.NilError(t, err)
 	first.write(&historyEvent{Request: 0, Started: &RequestHistory{RequestID: "r1", Outcome: OutcomeRunning}})
-	first.write(&historyEvent{Request: 0, Made: &Span{Version: 3, From: 0, To: 1}})
-	first.write(&historyEvent{Request: 0, Made: &Span{Version: 3, From: 1, To: 2}})
-	first.write(&historyEvent{Request: 0, Made: &Span{Version: 4, From: 2, To: 3}})
+	first.write(&historyEvent{Request: 0, Generated: &Span{Version: 3, From: 0, To: 1}})
+	first.write(&historyEvent{Request: 0, Generated: &Span{Version: 3, From: 1, To: 2}})
+	first.write(&historyEvent{Request: 0, Generated: &Span{Version: 4, From: 2, To: 3}})
 	// Not closed, as after SIGKILL.
 	second, err := openHistoryFile(path, "e1", "b")
 	assert.NilError(t, err)
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -6,8 +6,8 @@
 	"github.com/corkpulley/corkpulley/internal/engine"
 )
 
-// order executes a fenced order. Fencing tokens are checked per model, because those of different models come
-// from different streams.
+// order executes a fenced order. Fencing tokens are compared per model, because those of different models come
+// from different log streams.
 func (s *Server) order(order engine.Order) *engine.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/engine/sequence.go
+++ b/internal/standin/engine/sequence.go
@@ -25,7 +25,8 @@
 	request engine.GenerateRequest
 	// start is the index of the first token generated here; total is the length of the whole answer.
 	start, total int
-	natural      bool // the answer is not truncated by MaxTokens
+	// untruncated is set if MaxTokens does not truncate the answer.
+	untruncated bool
 	// spans cover [start, nextToken) and hold the version of each token.
 	spans     []span
 	nextToken int
@@ -84,15 +85,15 @@
 // read returns the chunks from token index from on; from must be in [start, visible].
 func (s *sequence) read(from int) []engine.Chunk {
 	var chunks []engine.Chunk
-	for _, run := range s.spans {
-		first := max(run.From, from)
-		end := min(run.To, s.visible)
+	for _, part := range s.spans {
+		first := max(part.From, from)
+		end := min(part.To, s.visible)
 		if first >= end {
 			continue
 		}
 		chunk := s.chunk(first)
-		chunk.Version = run.Version
-		chunk.Tokens = tokens(first, end, run.Version)
+		chunk.Version = part.Version
+		chunk.Tokens = tokens(first, end, part.Version)
 		chunks = append(chunks, chunk)
 	}
 	if s.finished {
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -58,7 +58,7 @@
 	orders      []*OrderHistory
 }
 
-// loadReport is a snapshot of the load figures.
+// loadReport is a snapshot of the numbers of running and waiting requests and of cached tokens.
 type loadReport struct {
 	at                            time.Time
 	running, waiting, cacheTokens int
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -59,7 +59,7 @@
 		return
 	}
 	s.endSequence(current, engine.FinishCanceled, false)
-	s.forget(current)
+	s.discard(current)
 }
 
 // cancel finishes a request as canceled and reports whether the request is known.
--- a/internal/standin/engine/watch.go
+++ b/internal/standin/engine/watch.go
@@ -26,14 +26,14 @@
 	event engine.Event
 }
 
-// publishCacheEvent queues a cache event for all watchers, or loses it with probability Config.EventGap.
+// publishCacheEvent queues a cache event for all watchers, or loses it with probability Config.EventLossShare.
 // Must be called with mu held.
 func (s *Server) publishCacheEvent(kind engine.EventKind, prefixes []uint64) {
 	if len(prefixes) == 0 {
 		return
 	}
 	s.cacheEvents++
-	if s.random.Float64() < s.config.EventGap {
+	if s.random.Float64() < s.config.EventLossShare {
 		return
 	}
 	delayed := delayedEvent{
