--- a/internal/standin/trainer/client.go
+++ b/internal/standin/trainer/client.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// callMargin is the time limit of a call beyond its requested wait.
-	callMargin       = 20 * time.Second
-	maxAnswerBytes   = 64 << 20
-	maxIdleSeconds   = 30
-	maxConnsPerHosts = 4
+	// callTimeoutMargin is the part of a call's timeout that exceeds its requested wait.
+	callTimeoutMargin      = 20 * time.Second
+	maxResponseBytes       = 64 << 20
+	idleConnTimeoutSeconds = 30
+	maxIdleConnsPerHost    = 4
 )
 
 // retryPolicy sets the delays between attempts of a call.
@@ -39,30 +39,30 @@
 
 func newClient(servers []string, trainer string) *client {
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: maxConnsPerHosts,
-		IdleConnTimeout:     maxIdleSeconds * time.Second,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
+		IdleConnTimeout:     idleConnTimeoutSeconds * time.Second,
 	}
 	return &client{servers: servers, trainer: trainer, http: httpjson.Client{
-		Service: "node", HTTP: &http.Client{Transport: transport}, MaxResponseBytes: maxAnswerBytes,
+		Service: "node", HTTP: &http.Client{Transport: transport}, MaxResponseBytes: maxResponseBytes,
 	}}
 }
 
 func (c *client) submit(ctx context.Context, step string, request api.StepRequest) (api.StepStatus, error) {
 	var status api.StepStatus
-	err := c.call(ctx, http.MethodPut, c.path("steps", step), callMargin, request, &status)
+	err := c.call(ctx, http.MethodPut, c.path("steps", step), callTimeoutMargin, request, &status)
 	return status, err
 }
 
 func (c *client) fetch(ctx context.Context, request api.FetchRequest) (api.FetchResponse, error) {
 	var response api.FetchResponse
-	limit := callMargin + time.Duration(request.WaitMS)*time.Millisecond
-	err := c.call(ctx, http.MethodPost, c.path("fetch"), limit, request, &response)
+	timeout := callTimeoutMargin + time.Duration(request.WaitMS)*time.Millisecond
+	err := c.call(ctx, http.MethodPost, c.path("fetch"), timeout, request, &response)
 	return response, err
 }
 
 func (c *client) acknowledge(ctx context.Context, request api.AckRequest) (api.AckResponse, error) {
 	var response api.AckResponse
-	err := c.call(ctx, http.MethodPost, c.path("ack"), callMargin, request, &response)
+	err := c.call(ctx, http.MethodPost, c.path("ack"), callTimeoutMargin, request, &response)
 	return response, err
 }
 
@@ -75,7 +75,7 @@
 }
 
 // call repeats a call until a node responds, ctx ends, or a node rejects it permanently.
-func (c *client) call(ctx context.Context, method, path string, limit time.Duration, request, response any) error {
+func (c *client) call(ctx context.Context, method, path string, timeout time.Duration, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return errors.Wrap(err, "trainer: encode request")
@@ -83,7 +83,7 @@
 	delays := retryPolicy.Delays()
 	for {
 		server := c.servers[c.next.Load()%uint64(len(c.servers))]
-		err := c.callOnce(ctx, method, server+path, limit, body, response)
+		err := c.callOnce(ctx, method, server+path, timeout, body, response)
 		if err == nil {
 			return nil
 		}
@@ -100,9 +100,9 @@
 }
 
 func (c *client) callOnce(
-	ctx context.Context, method, address string, limit time.Duration, body json.RawMessage, response any,
+	ctx context.Context, method, address string, timeout time.Duration, body json.RawMessage, response any,
 ) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	answer, err := c.http.Send(ctx, method, address, nil, body)
 	if err != nil {
@@ -128,7 +128,7 @@
 }
 
 // permanent reports whether a retry would fail as well. An unknown trainer or step (404) is not permanent,
-// because the node's table may be out of date.
+// because the node's policy table may be out of date.
 func (e *statusError) permanent() bool {
 	switch e.status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusRequestEntityTooLarge,
--- a/internal/standin/trainer/config.go
+++ b/internal/standin/trainer/config.go
@@ -30,7 +30,7 @@
 	PrefixBytes      int           `arg:"--prefix-bytes" default:"256" help:"length of a group's shared prefix"`
 	Seed             int64         `arg:"--seed" default:"1" help:"seed of the prompts and samples"`
 	TrainTime        time.Duration `arg:"--train-time" default:"200ms" help:"time that training on a step takes"`
-	Pause            time.Duration `arg:"--pause" default:"0s" help:"pause between persisting and acknowledging samples"`
+	AckDelay         time.Duration `arg:"--pause" default:"0s" help:"pause between persisting and acknowledging samples"`
 	WeightStore      string        `arg:"--weight-store" help:"base URL of the weight store; empty publishes nothing"`
 	Model            string        `arg:"--model" help:"model that the trainer publishes"`
 	WeightBytes      int64         `arg:"--weight-bytes" default:"1048576" help:"size of a published version"`
--- a/internal/standin/trainer/journal.go
+++ b/internal/standin/trainer/journal.go
@@ -13,15 +13,14 @@
 type Journal struct {
 	mutex sync.Mutex
 	// version is the trainer's weight version; 0 before the first run.
-	version uint64
-	// trained is the number of trained steps.
-	trained int
-	pending map[string]pendingSample
+	version      uint64
+	trainedSteps int
+	pending      map[string]pendingSample
 	// accepted holds the accepted samples, in order.
-	accepted []AcceptedSample
-	byID     map[string]bool
-	bySlot   map[slotID]int
-	rejected int
+	accepted       []AcceptedSample
+	acceptedIDs    map[string]bool
+	acceptedBySlot map[slotID]int
+	rejected       int
 	// invalidVersions is the number of fetched samples whose spans do not cover their tokens or do not match their text.
 	invalidVersions int
 	// lost is the number of slots that the system reported as acknowledged without a sample accepted here.
@@ -65,9 +64,9 @@
 // NewJournal returns an empty journal.
 func NewJournal() *Journal {
 	return &Journal{
-		pending: make(map[string]pendingSample),
-		byID:    make(map[string]bool),
-		bySlot:  make(map[slotID]int),
+		pending:        make(map[string]pendingSample),
+		acceptedIDs:    make(map[string]bool),
+		acceptedBySlot: make(map[slotID]int),
 	}
 }
 
@@ -84,7 +83,7 @@
 	defer j.mutex.Unlock()
 	j.invalidVersions += invalidVersions
 	for _, sample := range samples {
-		if !j.byID[sample.ID] {
+		if !j.acceptedIDs[sample.ID] {
 			j.pending[sample.ID] = pendingSample{sample: sample, token: token}
 		}
 	}
@@ -141,8 +140,8 @@
 		return
 	}
 	delete(j.pending, id)
-	j.byID[id] = true
-	j.bySlot[slotOf(pending.sample)]++
+	j.acceptedIDs[id] = true
+	j.acceptedBySlot[slotOf(pending.sample)]++
 	j.accepted = append(j.accepted, AcceptedSample{
 		Sample:         pending.sample,
 		Token:          request.Token,
@@ -160,7 +159,7 @@
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	count := 0
-	for slot := range j.bySlot {
+	for slot := range j.acceptedBySlot {
 		if slot.step == step {
 			count++
 		}
--- a/internal/standin/trainer/prompt.go
+++ b/internal/standin/trainer/prompt.go
@@ -62,7 +62,7 @@
 func (t *Trainer) submitVersion(step int) uint64 {
 	t.journal.mutex.Lock()
 	defer t.journal.mutex.Unlock()
-	first := t.journal.version - uint64(t.journal.trained)
+	first := t.journal.version - uint64(t.journal.trainedSteps)
 	return first + uint64(max(0, step-t.config.Ahead))
 }
 
--- a/internal/standin/trainer/report.go
+++ b/internal/standin/trainer/report.go
@@ -49,9 +49,9 @@
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	report := Report{
-		StepsTrained:        j.trained,
-		SamplesAcknowledged: len(j.bySlot),
-		Duplicates:          len(j.accepted) - len(j.bySlot),
+		StepsTrained:        j.trainedSteps,
+		SamplesAcknowledged: len(j.acceptedBySlot),
+		Duplicates:          len(j.accepted) - len(j.acceptedBySlot),
 		Rejected:            j.rejected,
 		Lost:                j.lost,
 		InvalidVersions:     j.invalidVersions,
--- a/internal/standin/trainer/trainer.go
+++ b/internal/standin/trainer/trainer.go
@@ -57,17 +57,17 @@
 	if err := t.config.validate(); err != nil {
 		return t.Report(), err
 	}
-	err := t.start(ctx)
-	for step := t.trained(); err == nil && step < t.config.Steps; step++ {
+	err := t.determineStartVersion(ctx)
+	for step := t.trainedSteps(); err == nil && step < t.config.Steps; step++ {
 		err = t.runStep(ctx, step)
 	}
 	return t.Report(), err
 }
 
-func (t *Trainer) trained() int {
+func (t *Trainer) trainedSteps() int {
 	t.journal.mutex.Lock()
 	defer t.journal.mutex.Unlock()
-	return t.journal.trained
+	return t.journal.trainedSteps
 }
 
 func (t *Trainer) version() uint64 {
@@ -76,8 +76,8 @@
 	return t.journal.version
 }
 
-// start determines the first version, unless the journal holds one.
-func (t *Trainer) start(ctx context.Context) error {
+// determineStartVersion determines the first version, unless the journal holds one.
+func (t *Trainer) determineStartVersion(ctx context.Context) error {
 	if t.version() != 0 {
 		return nil
 	}
@@ -164,13 +164,13 @@
 }
 
 func (t *Trainer) countInvalidVersions(samples []api.Sample) int {
-	wrong := 0
+	invalid := 0
 	for _, sample := range samples {
 		if !versionsCoverTokens(sample) || (t.config.CheckTokens && !versionsMatchText(sample)) {
-			wrong++
+			invalid++
 		}
 	}
-	return wrong
+	return invalid
 }
 
 // acknowledgePending acknowledges the pending samples, one delivery at a time. A sample is used only once its
@@ -181,7 +181,7 @@
 		if len(ids) == 0 {
 			return nil
 		}
-		if t.config.Pause > 0 && !retry.Sleep(ctx, t.config.Pause) {
+		if t.config.AckDelay > 0 && !retry.Sleep(ctx, t.config.AckDelay) {
 			return ctx.Err()
 		}
 		request := api.AckRequest{Token: token, Samples: ids, TrainerVersion: t.version()}
@@ -209,7 +209,7 @@
 	t.journal.mutex.Lock()
 	defer t.journal.mutex.Unlock()
 	t.journal.version = version
-	t.journal.trained++
+	t.journal.trainedSteps++
 	t.journal.training += time.Since(trainBegan)
 	t.journal.stepTimes = append(t.journal.stepTimes, time.Since(began))
 	return nil
--- a/internal/standin/trainer/trainer_test.go
+++ b/internal/standin/trainer/trainer_test.go
@@ -24,15 +24,15 @@
 	good := sample("a", 0, 3)
 	assert.Assert(t, versionsCoverTokens(good) && versionsMatchText(good))
 	wrong := sample("a", 0, 2)
-	assert.Assert(t, versionsCoverTokens(wrong) && !versionsMatchText(wrong), "another version than the text's")
+	assert.Assert(t, versionsCoverTokens(wrong) && !versionsMatchText(wrong), "the span's version differs from that in the text")
 	gap := good
 	gap.Versions = gap.Versions[1:]
 	assert.Assert(t, !versionsCoverTokens(gap))
 	short := good
 	short.Text = "0:3 "
 	assert.Assert(t, !versionsMatchText(short))
-	unnamed := sample("a", 0, 0)
-	assert.Assert(t, !versionsCoverTokens(unnamed))
+	unversioned := sample("a", 0, 0)
+	assert.Assert(t, !versionsCoverTokens(unversioned))
 }
 
 func TestJournalCountsDuplicatesAndStaleSamples(t *testing.T) {
@@ -46,7 +46,7 @@
 	}
 	report := journal.report(1)
 	assert.Equal(t, report.SamplesAcknowledged, 2)
-	assert.Equal(t, report.Duplicates, 0, "the same answer again is no duplicate")
+	assert.Equal(t, report.Duplicates, 0, "a repeated response is not a duplicate")
 	assert.Equal(t, report.Stale, 1)
 	assert.Equal(t, report.StalenessMax, uint64(3))
 	journal.persist(9, []api.Sample{sample("step-0/0/2", 0, 3)}, 0)
