--- a/internal/standin/memlog/memlog.go
+++ b/internal/standin/memlog/memlog.go
@@ -35,11 +35,13 @@
 
 // Log is an in-memory log. It is safe for concurrent use.
 type Log struct {
-	mu             sync.Mutex
-	partitions     map[eventlog.Partition]*partition
-	fault          func(Call) Fault
+	mu         sync.Mutex
+	partitions map[eventlog.Partition]*partition
+	fault      func(Call) Fault
+	// pendingEffects are the appends delayed by DelayedEffect.
 	pendingEffects []func()
-	changed        chan struct{}
+	// changed is closed and replaced when readers must look again.
+	changed chan struct{}
 }
 
 type partition struct {
@@ -169,6 +171,7 @@
 	return err
 }
 
+// write appends the records if holds reports true for the end offset, subject to the injected fault.
 func (l *Log) write(
 	ctx context.Context, name eventlog.Partition, holds func(end int64) bool, records [][]byte,
 ) (int64, error) {
@@ -232,6 +235,7 @@
 	}
 }
 
+// readNow reads without waiting. It also returns a channel that is closed on the next change.
 func (l *Log) readNow(name eventlog.Partition, from int64, limit int) (eventlog.Batch, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
