--- a/internal/standin/logservice/server.go
+++ b/internal/standin/logservice/server.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	maxAppendBytes = 64 << 20
-	maxAnswerBytes = 16 << 20
-	maxReadRecords = 1000
-	maxPollWait    = 60 * time.Second
+	maxAppendBytes   = 64 << 20
+	maxResponseBytes = 16 << 20
+	maxReadRecords   = 1000
+	maxPollWait      = 60 * time.Second
 )
 
 // Config configures a Server.
@@ -220,14 +220,14 @@
 func (s *Server) poll(
 	request *http.Request, name string, from int64, limit int, wait time.Duration,
 ) logservice.Batch {
-	batch, grown := s.read(name, from, limit)
+	batch, appended := s.read(name, from, limit)
 	if len(batch.Entries) > 0 || wait <= 0 {
 		return batch
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case <-grown:
+	case <-appended:
 	case <-timer.C:
 	case <-request.Context().Done():
 	}
@@ -249,7 +249,7 @@
 	for offset := from; offset < end && len(batch.Entries) < limit; offset++ {
 		data := stream.records[offset]
 		size += len(data)
-		if size > maxAnswerBytes && len(batch.Entries) > 0 {
+		if size > maxResponseBytes && len(batch.Entries) > 0 {
 			break
 		}
 		batch.Entries = append(batch.Entries, logservice.Entry{Offset: offset, Data: data})
--- a/internal/standin/logservice/server_test.go
+++ b/internal/standin/logservice/server_test.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/platform/logservice"
 )
 
-func control(t *testing.T, url, body string) int {
+func postControl(t *testing.T, url, body string) int {
 	t.Helper()
 	response, err := http.Post(url+"/v1/control", "application/json", strings.NewReader(body))
 	assert.NilError(t, err)
@@ -32,17 +32,17 @@
 	assert.NilError(t, err)
 	assert.Equal(t, offset, int64(0))
 
-	assert.Equal(t, control(t, server.URL, `{"refuse":1}`), http.StatusOK)
+	assert.Equal(t, postControl(t, server.URL, `{"refuse":1}`), http.StatusOK)
 	_, err = service.Append(ctx, "s", record)
 	assert.ErrorIs(t, err, logservice.ErrRefused)
 
-	assert.Equal(t, control(t, server.URL, `{"down":true}`), http.StatusOK)
+	assert.Equal(t, postControl(t, server.URL, `{"down":true}`), http.StatusOK)
 	_, err = service.Append(ctx, "s", record)
 	assert.ErrorIs(t, err, logservice.ErrOutcomeUnknown)
 	_, err = service.Read(ctx, "s", 0, 1, 0)
 	assert.ErrorIs(t, err, logservice.ErrUnavailable)
 
-	assert.Equal(t, control(t, server.URL, `{"lose_answers":1,"late_ms":20}`), http.StatusOK)
+	assert.Equal(t, postControl(t, server.URL, `{"lose_answers":1,"late_ms":20}`), http.StatusOK)
 	_, err = service.Append(ctx, "s", [][]byte{{2}, {3}})
 	assert.ErrorIs(t, err, logservice.ErrOutcomeUnknown)
 	batch, err := service.Read(ctx, "s", 1, 10, 30*time.Second)
@@ -54,5 +54,5 @@
 	assert.NilError(t, err)
 	want := []logservice.Entry{{Offset: 1, Data: []byte{2}}}
 	assert.DeepEqual(t, batch.Entries, want)
-	assert.Equal(t, control(t, server.URL, `{"unknown":1}`), http.StatusBadRequest)
+	assert.Equal(t, postControl(t, server.URL, `{"unknown":1}`), http.StatusBadRequest)
 }
