--- a/internal/standin/machines/server.go
+++ b/internal/standin/machines/server.go
@@ -17,7 +17,7 @@
 	"github.com/corkpulley/corkpulley/internal/standin/httpserver"
 )
 
-const defaultTTL = 5 * time.Second
+const defaultExpiry = 5 * time.Second
 
 // Config configures a Server.
 type Config struct {
@@ -47,7 +47,7 @@
 // New returns a server with an empty list.
 func New(config Config) *Server {
 	if config.Expiry == 0 {
-		config.Expiry = defaultTTL
+		config.Expiry = defaultExpiry
 	}
 	return &Server{
 		Listener: httpserver.NewListener("machine list stand-in", config.Listen),
