--- a/internal/standin/throttledlog/throttledlog.go
+++ b/internal/standin/throttledlog/throttledlog.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// maxBacklog is the transfer time already queued beyond which reads are refused.
+	// maxBacklog is the queued transfer time beyond which further reads are refused.
 	maxBacklog = 2 * time.Second
-	// readTimeout and newestTimeout are the client-side timeouts, in addition to the requested wait.
-	readTimeout   = 900 * time.Millisecond
+	// readTimeout is the client-side timeout of a read in addition to its requested wait.
+	readTimeout = 900 * time.Millisecond
+	// newestTimeout is the client-side timeout of Newest.
 	newestTimeout = 1800 * time.Millisecond
 )
 
 // Log serves reads in order of arrival at a rate shared by all readers. An admitted read uses its share of the
-// bandwidth even if its reader has left.
+// bandwidth even if its context ends before the transfer.
 type Log struct {
 	*memlog.Log
 	bytesPerSecond int
@@ -35,7 +36,7 @@
 
 // Usage counts the reads that a log has served.
 type Usage struct {
-	// Bytes is the size of the records of admitted reads, Lost the part whose readers had left.
+	// Bytes is the size of the records of admitted reads, Lost the part whose readers canceled or timed out.
 	Bytes, Lost int
 	// FullReads is the number of admitted calls of Newest.
 	FullReads int
@@ -59,7 +60,7 @@
 	return l.usage
 }
 
-// admit returns an error if the topic is refused or the backlog is too long.
+// admit returns an error if the topic is refused or the backlog exceeds maxBacklog.
 func (l *Log) admit(topic string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
