--- a/internal/standin/fakelease/fakelease.go
+++ b/internal/standin/fakelease/fakelease.go
@@ -62,7 +62,7 @@
 	return !p.term.ended && !p.term.permitsClosed
 }
 
-// permitTimeout is the lifetime of a permit's context, as in the real implementation.
+// permitTimeout is the lifetime of the context that WithDeadline returns.
 const permitTimeout = time.Second
 
 // WithDeadline implements lease.Permit.
@@ -77,7 +77,7 @@
 	t.ended = ended
 }
 
-// ClosePermits closes or reopens all permits, including future ones.
+// ClosePermits closes all permits, including future ones, or reopens them if permitsClosed is false.
 func (t *Term) ClosePermits(permitsClosed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
