--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -29,13 +29,13 @@
 type Summary struct {
 	LiveRequests        int `json:"live_requests"`
 	LiveOK              int `json:"live_ok"`
-	LiveBroken          int `json:"live_broken"`
+	LiveInvalid         int `json:"live_broken"`
 	SamplesWanted       int `json:"samples_wanted"`
 	SamplesAcknowledged int `json:"samples_acknowledged"`
 	Duplicates          int `json:"duplicates"`
 	Lost                int `json:"lost"`
 	Stale               int `json:"stale"`
-	UnnamedVersions     int `json:"unnamed_versions"`
+	InvalidVersions     int `json:"unnamed_versions"`
 	// ExecutedTwice counts repeated executions of non-repeatable requests.
 	ExecutedTwice int `json:"executed_twice"`
 	// LatestVersion is the latest weight version published by the trainer.
@@ -44,11 +44,12 @@
 	FirstToken    live.Quantiles `json:"time_to_first_token"`
 }
 
-// verify returns an error if an invariant was violated or requests or samples are missing.
+// verify returns an error if live responses or samples are invalid or missing, or a non-repeatable request was
+// executed twice.
 func (s *Summary) verify() error {
 	switch {
-	case s.LiveBroken > 0 || s.Duplicates > 0 || s.Lost > 0 || s.Stale > 0 || s.UnnamedVersions > 0 || s.ExecutedTwice > 0:
-		return errors.New("an invariant was violated")
+	case s.LiveInvalid > 0 || s.Duplicates > 0 || s.Lost > 0 || s.Stale > 0 || s.InvalidVersions > 0 || s.ExecutedTwice > 0:
+		return errors.New("found invalid responses, repeated executions, or invalid, duplicate, lost or stale samples")
 	case s.LiveOK < s.LiveRequests:
 		return errors.Errorf("%d of %d live requests have no complete response", s.LiveRequests-s.LiveOK, s.LiveRequests)
 	case s.SamplesAcknowledged != s.SamplesWanted:
@@ -80,23 +81,23 @@
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
 	duration := time.Duration(arguments.Seconds) * time.Second
-	bounded, cancel := context.WithTimeout(ctx, duration+extraRunTime)
+	runCtx, cancel := context.WithTimeout(ctx, duration+extraRunTime)
 	defer cancel()
 	progress := &progress{output: output, started: time.Now()}
-	deployment, err := start(bounded, directory, progress)
+	deployment, err := startDeployment(runCtx, directory, progress)
 	if err != nil {
 		return err
 	}
 	defer deployment.Close()
-	summary, err := runLoads(bounded, deployment, duration, progress)
+	summary, err := runLoads(runCtx, deployment, duration, progress)
 	if err != nil {
 		return err
 	}
 	if arguments.Keep {
-		waitUntilDone(ctx, deployment, progress)
+		waitForSignal(ctx, deployment, progress)
 	}
 	progress.printLine("shutting down the nodes")
-	if err := deployment.StopNodes(context.WithoutCancel(bounded)); err != nil {
+	if err := deployment.StopNodes(context.WithoutCancel(runCtx)); err != nil {
 		return errors.Wrap(err, "shut down nodes")
 	}
 	if err := printSummary(output, summary, arguments.JSON); err != nil {
@@ -105,7 +106,7 @@
 	return summary.verify()
 }
 
-func start(ctx context.Context, directory string, progress *progress) (*topology.Deployment, error) {
+func startDeployment(ctx context.Context, directory string, progress *progress) (*topology.Deployment, error) {
 	binaries, err := topology.FindBinaries(ctx, directory)
 	if err != nil {
 		return nil, err
@@ -194,32 +195,32 @@
 		return 0, errors.Wrap(err, "read engines' histories")
 	}
 	started := map[string]bool{}
-	again := 0
+	repeated := 0
 	for _, history := range histories {
 		for _, request := range history.Requests {
 			if request.Service != permitService {
 				continue
 			}
 			if started[request.RequestID] {
-				again++
+				repeated++
 			}
 			started[request.RequestID] = true
 		}
 	}
-	return again, nil
+	return repeated, nil
 }
 
 func summarize(calls live.Summary, report trainer.Report, executedTwice int) *Summary {
 	return &Summary{
 		LiveRequests:        calls.Requests,
 		LiveOK:              calls.OK,
-		LiveBroken:          calls.Invalid,
+		LiveInvalid:         calls.Invalid,
 		SamplesWanted:       report.SamplesWanted,
 		SamplesAcknowledged: report.SamplesAcknowledged,
 		Duplicates:          report.Duplicates,
 		Lost:                report.Lost,
 		Stale:               report.Stale,
-		UnnamedVersions:     report.InvalidVersions,
+		InvalidVersions:     report.InvalidVersions,
 		ExecutedTwice:       executedTwice,
 		LatestVersion:       report.Version,
 		Latency:             calls.Latency,
@@ -227,7 +228,7 @@
 	}
 }
 
-func waitUntilDone(ctx context.Context, deployment *topology.Deployment, progress *progress) {
+func waitForSignal(ctx context.Context, deployment *topology.Deployment, progress *progress) {
 	for _, node := range deployment.Nodes() {
 		progress.printLine("kept: http://%s/v1/completions, corkctl --server http://%s status", node.Callers, node.Operators)
 	}
@@ -243,7 +244,7 @@
 		_, err = fmt.Fprintf(output, "live: %d of %d responses complete, p99 time to first token %.1f ms\n"+
 			"trainer: %d of %d samples acknowledged; duplicates %d, lost %d, stale %d, missing versions %d\n",
 			summary.LiveOK, summary.LiveRequests, summary.FirstToken.P99, summary.SamplesAcknowledged, summary.SamplesWanted,
-			summary.Duplicates, summary.Lost, summary.Stale, summary.UnnamedVersions)
+			summary.Duplicates, summary.Lost, summary.Stale, summary.InvalidVersions)
 	}
 	if err != nil {
 		return errors.Wrap(err, "print summary")
