--- a/internal/bench/experiment/bound.go
+++ b/internal/bench/experiment/bound.go
@@ -33,7 +33,7 @@
 	work := 0
 	for step := range maxSteps(input.steps) {
 		work += tokensInStep(input.steps, step)
-		worked := time.Duration(float64(work) / input.tokensPerSecond * float64(time.Second))
+		workDone := time.Duration(float64(work) / input.tokensPerSecond * float64(time.Second))
 		for trainer, steps := range input.steps {
 			if step >= len(steps) {
 				continue
@@ -42,7 +42,7 @@
 			started[trainer] = append(started[trainer], begin)
 			submitted := started[trainer][max(0, step-input.ahead[trainer])]
 			longest := time.Duration(steps[step].longest) * input.decodeStep
-			complete := max(begin, worked, submitted+longest)
+			complete := max(begin, workDone, submitted+longest)
 			idle[trainer] += complete - begin
 			available[trainer] = complete + input.trainTime[trainer]
 		}
--- a/internal/bench/experiment/compare.go
+++ b/internal/bench/experiment/compare.go
@@ -112,24 +112,24 @@
 
 // median returns the median of each measurement and the sum of each fault count.
 func median(totals []Totals) Totals {
-	figure := func(of func(*Totals) float64) float64 {
+	medianBy := func(value func(*Totals) float64) float64 {
 		values := make([]float64, 0, len(totals))
 		for index := range totals {
-			values = append(values, of(&totals[index]))
+			values = append(values, value(&totals[index]))
 		}
 		return medianOf(values)
 	}
 	medians := Totals{
-		IdleSeconds:         figure(func(t *Totals) float64 { return t.IdleSeconds }),
-		BoundIdleSeconds:    figure(func(t *Totals) float64 { return t.BoundIdleSeconds }),
-		IdleRatioToBound:    figure(func(t *Totals) float64 { return t.IdleRatioToBound }),
-		DiscardedTokenShare: figure(func(t *Totals) float64 { return t.DiscardedTokenShare }),
-		LiveP99Ratio:        figure(func(t *Totals) float64 { return t.LiveP99Ratio }),
+		IdleSeconds:         medianBy(func(t *Totals) float64 { return t.IdleSeconds }),
+		BoundIdleSeconds:    medianBy(func(t *Totals) float64 { return t.BoundIdleSeconds }),
+		IdleRatioToBound:    medianBy(func(t *Totals) float64 { return t.IdleRatioToBound }),
+		DiscardedTokenShare: medianBy(func(t *Totals) float64 { return t.DiscardedTokenShare }),
+		LiveP99Ratio:        medianBy(func(t *Totals) float64 { return t.LiveP99Ratio }),
 	}
-	for _, one := range totals {
-		medians.Stale += one.Stale
-		medians.Broken += one.Broken
-		medians.LiveFailed += one.LiveFailed
+	for _, runTotals := range totals {
+		medians.Stale += runTotals.Stale
+		medians.Broken += runTotals.Broken
+		medians.LiveFailed += runTotals.LiveFailed
 	}
 	return medians
 }
--- a/internal/bench/experiment/experiment.go
+++ b/internal/bench/experiment/experiment.go
@@ -20,7 +20,7 @@
 const (
 	// warmUpTime is the duration of the unmeasured live load that opens connections and fills caches.
 	warmUpTime = time.Second
-	// liveOnlyTime is the duration of the live load measured without trainers.
+	// liveOnlyTime is the duration of the measurement of the live load without trainers.
 	liveOnlyTime = 5 * time.Second
 	// runTimeout bounds one run.
 	runTimeout = 3 * time.Minute
@@ -124,8 +124,8 @@
 
 // sendLive sends the live load of all services until the duration has passed or
 // ctx is done, and waits for all responses.
-func (r *run) sendLive(ctx context.Context, part phase, duration time.Duration) ([]*live.Recorder, error) {
-	loads := r.Workload.Loads(r.deployment.CallerAddresses(), r.Seed*uint64(phases)+uint64(part))
+func (r *run) sendLive(ctx context.Context, current phase, duration time.Duration) ([]*live.Recorder, error) {
+	loads := r.Workload.Loads(r.deployment.CallerAddresses(), r.Seed*uint64(phases)+uint64(current))
 	recorders := make([]*live.Recorder, len(loads))
 	failures := make([]error, len(loads))
 	var sending sync.WaitGroup
--- a/internal/bench/experiment/histories.go
+++ b/internal/bench/experiment/histories.go
@@ -74,9 +74,9 @@
 		if end == 0 {
 			end = trainingEnd
 		}
-		inside := float64(max(0, min(end, trainingEnd)-max(request.StartedUnixNS, trainingStart)))
-		busyTime += inside
-		tokens += float64(generatedTokens(request)) * ratio(inside, float64(end-request.StartedUnixNS))
+		overlap := float64(max(0, min(end, trainingEnd)-max(request.StartedUnixNS, trainingStart)))
+		busyTime += overlap
+		tokens += float64(generatedTokens(request)) * ratio(overlap, float64(end-request.StartedUnixNS))
 	}
 	return busyTime, tokens
 }
--- a/internal/bench/experiment/measure.go
+++ b/internal/bench/experiment/measure.go
@@ -131,18 +131,18 @@
 			tokensPerSecond: capacity(pool) - r.liveTokensPerSecond(pool.Name),
 			decodeStep:      pool.TokenInterval,
 		}
-		var members []int
+		var trainerIndexes []int
 		for index, spec := range r.Workload.Trainers {
 			if spec.Pool != pool.Name {
 				continue
 			}
-			members = append(members, index)
+			trainerIndexes = append(trainerIndexes, index)
 			input.steps = append(input.steps, work[index])
 			input.ahead = append(input.ahead, spec.Ahead)
 			input.trainTime = append(input.trainTime, spec.TrainTime)
 		}
 		for position, idle := range lowerBound(input) {
-			figures := &result.Trainers[members[position]]
+			figures := &result.Trainers[trainerIndexes[position]]
 			figures.BoundIdleSeconds = idle.Seconds()
 			figures.BoundStepSeconds = idle.Seconds()/float64(figures.Steps) + input.trainTime[position].Seconds()
 			result.BoundIdleSeconds += idle.Seconds()
@@ -169,7 +169,7 @@
 	return float64(pool.Engines*pool.Batch) * float64(time.Second) / float64(step)
 }
 
-func quantile(part float64, values []uint64) float64 {
+func quantile(probability float64, values []uint64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
@@ -178,7 +178,7 @@
 		sorted = append(sorted, float64(value))
 	}
 	slices.Sort(sorted)
-	return stat.Quantile(part, stat.Empirical, sorted, nil)
+	return stat.Quantile(probability, stat.Empirical, sorted, nil)
 }
 
 // ratio returns numerator/denominator, or 0 if the denominator is 0.
