--- a/internal/bench/pathcost/hop.go
+++ b/internal/bench/pathcost/hop.go
@@ -77,13 +77,13 @@
 	if err := transport.Start(); err != nil {
 		return nil, err
 	}
-	cells := router.New(router.Options{
+	cellRouter := router.New(router.Options{
 		NodeID: gatewayID, Zone: zone, Caller: transport, View: static, Announcer: static,
 		Tables: static, Logger: logger, Registerer: registry,
 	})
 	callers := mux.NewRouter()
 	gateway.New(gateway.Options{
-		NodeID: gatewayID, Router: cells, Tables: static, Logger: logger, Registerer: registry,
+		NodeID: gatewayID, Router: cellRouter, Tables: static, Logger: logger, Registerer: registry,
 	}).Register(callers)
 	served, err := serveHTTP(callers)
 	if err != nil {
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	static := &staticCluster{self: dispatcherID, dispatcher: transport.Address(), engine: engineAddress}
-	queues := dispatcher.New(dispatcher.Options{
+	cellDispatcher := dispatcher.New(dispatcher.Options{
 		NodeID: dispatcherID, PeerAddress: transport.Address(), Zone: zone, Registry: transport,
 		View: static, Announcer: static, EngineList: static, EngineClient: enginehttp.NewHTTP(nil),
 		Tables: static, Logger: logger, Registerer: registry,
@@ -116,16 +116,16 @@
 		return nil, err
 	}
 	runContext, stop := context.WithCancel(ctx)
-	go func() { _ = queues.Run(runContext) }()
-	inService := func() bool {
-		engines := queues.EngineStatuses()
+	go func() { _ = cellDispatcher.Run(runContext) }()
+	engineServing := func() bool {
+		engines := cellDispatcher.EngineStatuses()
 		return len(engines) == 1 && engines[0].State == string(engine.StateServing)
 	}
 	served := &hop{address: transport.Address(), close: func() {
 		stop()
 		closeTransport(transport)
 	}}
-	if err := waitUntil(ctx, inService); err != nil {
+	if err := waitUntil(ctx, engineServing); err != nil {
 		served.close()
 		return nil, errors.Wrap(err, "wait for the engine to be serving")
 	}
--- a/internal/bench/pathcost/load.go
+++ b/internal/bench/pathcost/load.go
@@ -23,9 +23,10 @@
 
 // client sends requests over one route and parses its response format.
 type client struct {
-	http    *http.Client
-	url     string
-	body    func(tokens int) any
+	http *http.Client
+	url  string
+	body func(tokens int) any
+	// chunkOf parses a line of a response.
 	chunkOf func(line []byte) (tokens int, last bool, err error)
 }
 
--- a/internal/bench/pathcost/measure.go
+++ b/internal/bench/pathcost/measure.go
@@ -21,8 +21,8 @@
 // route is one of the compared routes to the engine. usages holds the usage
 // endpoint of each of its processes.
 type route struct {
-	client *client
-	usages []string
+	client         *client
+	usageAddresses []string
 }
 
 // measure starts the processes and measures both routes alternately.
@@ -41,17 +41,17 @@
 	}
 	var samples samples
 	for round := range arguments.Rounds + 1 {
-		plainSides, err := plain.round(ctx, arguments)
+		plainCosts, err := plain.round(ctx, arguments)
 		if err != nil {
-			return Report{}, errors.Wrap(err, "plain")
+			return Report{}, errors.Wrap(err, "measure the reverse proxy route")
 		}
-		pathSides, err := path.round(ctx, arguments)
+		pathCosts, err := path.round(ctx, arguments)
 		if err != nil {
-			return Report{}, errors.Wrap(err, "path")
+			return Report{}, errors.Wrap(err, "measure the gateway and dispatcher route")
 		}
 		// The first round is a warm-up and is not counted.
 		if round > 0 {
-			samples.add(plainSides[0], pathSides)
+			samples.add(plainCosts[0], pathCosts)
 		}
 	}
 	return samples.report(arguments), nil
@@ -86,13 +86,13 @@
 	if err != nil {
 		return plain, path, err
 	}
-	plain = route{client: newProxyClient(baseline.Address), usages: []string{baseline.Usage}}
-	path = route{client: newPathClient(first.Address), usages: []string{first.Usage, second.Usage}}
+	plain = route{client: newProxyClient(baseline.Address), usageAddresses: []string{baseline.UsageAddress}}
+	path = route{client: newPathClient(first.Address), usageAddresses: []string{first.UsageAddress, second.UsageAddress}}
 	return plain, path, nil
 }
 
 // round measures each process of the route once.
-func (r *route) round(ctx context.Context, arguments *Arguments) ([]Side, error) {
+func (r *route) round(ctx context.Context, arguments *Arguments) ([]RouteCost, error) {
 	short := arguments.Streams * shortRequests
 	shortUsages, err := r.load(ctx, short, arguments.Streams, shortTokens)
 	if err != nil {
@@ -103,11 +103,11 @@
 	if err != nil {
 		return nil, err
 	}
-	sides := make([]Side, len(r.usages))
-	for index := range sides {
-		sides[index] = split(perRequest(shortUsages[index], short), perRequest(longUsages[index], long), arguments.Tokens)
+	costs := make([]RouteCost, len(r.usageAddresses))
+	for index := range costs {
+		costs[index] = split(perRequest(shortUsages[index], short), perRequest(longUsages[index], long), arguments.Tokens)
 	}
-	return sides, nil
+	return costs, nil
 }
 
 // load sends requests and returns the resources that each process of the route used for them.
@@ -130,8 +130,8 @@
 }
 
 func (r *route) usage(ctx context.Context) ([]Usage, error) {
-	usages := make([]Usage, len(r.usages))
-	for index, address := range r.usages {
+	usages := make([]Usage, len(r.usageAddresses))
+	for index, address := range r.usageAddresses {
 		usage, err := readUsage(ctx, address)
 		if err != nil {
 			return nil, err
--- a/internal/bench/pathcost/pathcost.go
+++ b/internal/bench/pathcost/pathcost.go
@@ -77,21 +77,22 @@
 	Bytes       float64 `json:"bytes"`
 }
 
-// Side is the cost of one route to the engine or of one of its processes.
-type Side struct {
+// RouteCost is the cost of one route to the engine, or of one process on it.
+type RouteCost struct {
 	PerChunk   Cost `json:"per_chunk"`
 	PerRequest Cost `json:"per_request"`
 }
 
 // Report holds the results of a run: medians over the rounds.
 type Report struct {
-	Rounds     int  `json:"rounds"`
-	Streams    int  `json:"streams"`
-	Tokens     int  `json:"tokens"`
-	Plain      Side `json:"plain"`
-	Path       Side `json:"path"`
-	Gateway    Side `json:"gateway"`
-	Dispatcher Side `json:"dispatcher"`
+	Rounds  int `json:"rounds"`
+	Streams int `json:"streams"`
+	Tokens  int `json:"tokens"`
+	// Plain is the route through the reverse proxy, Path the route through the gateway and the dispatcher.
+	Plain      RouteCost `json:"plain"`
+	Path       RouteCost `json:"path"`
+	Gateway    RouteCost `json:"gateway"`
+	Dispatcher RouteCost `json:"dispatcher"`
 	// Ratios of CPU time, Path to Plain: of the medians, and the lowest and
 	// highest of a single round.
 	ChunkRatio        float64 `json:"cpu_ratio_per_chunk"`
@@ -103,11 +104,11 @@
 func (r *Report) print(output io.Writer) error {
 	rows := []struct {
 		name string
-		side Side
+		cost RouteCost
 	}{{"plain", r.Plain}, {"path", r.Path}, {"  gateway", r.Gateway}, {"  dispatcher", r.Dispatcher}}
 	text := fmt.Sprintf("%-12s %30s %36s\n", "", "per chunk: us, allocs, bytes", "per request: us, allocs, bytes")
 	for _, row := range rows {
-		chunk, request := row.side.PerChunk, row.side.PerRequest
+		chunk, request := row.cost.PerChunk, row.cost.PerRequest
 		text += fmt.Sprintf("%-12s %10.2f %9.2f %9.0f %16.1f %9.1f %9.0f\n", row.name,
 			chunk.Microseconds, chunk.Allocations, chunk.Bytes,
 			request.Microseconds, request.Allocations, request.Bytes)
--- a/internal/bench/pathcost/pathcost_test.go
+++ b/internal/bench/pathcost/pathcost_test.go
@@ -11,8 +11,8 @@
 // benchmarkTokens is the length of a response in the benchmark.
 const benchmarkTokens = 256
 
-// startPath starts both routes in this process and returns a client for each.
-func startPath(t testing.TB) (plain, path *client) {
+// startRoutesInProcess starts both routes in this process and returns a client for each.
+func startRoutesInProcess(t testing.TB) (plain, path *client) {
 	arguments := &Arguments{TokenInterval: time.Millisecond}
 	engineAddress, err := startEngine(t.Context(), arguments)
 	assert.NilError(t, err)
@@ -31,7 +31,7 @@
 }
 
 func TestClientsReceiveCompleteResponses(t *testing.T) {
-	plain, path := startPath(t)
+	plain, path := startRoutesInProcess(t)
 	for _, route := range []*client{plain, path} {
 		assert.NilError(t, route.run(t.Context(), 8, 4, 20))
 	}
@@ -39,18 +39,18 @@
 
 func TestSplitSeparatesChunkAndRequestCost(t *testing.T) {
 	// 10 µs per request and 2 µs per chunk.
-	side := split(Cost{Microseconds: 12}, Cost{Microseconds: 10 + 2*64}, 64)
-	assert.Equal(t, side.PerChunk.Microseconds, 2.0)
-	assert.Equal(t, side.PerRequest.Microseconds, 10.0)
+	cost := split(Cost{Microseconds: 12}, Cost{Microseconds: 10 + 2*64}, 64)
+	assert.Equal(t, cost.PerChunk.Microseconds, 2.0)
+	assert.Equal(t, cost.PerRequest.Microseconds, 10.0)
 }
 
 func TestReportRatioUsesMedians(t *testing.T) {
-	var taken samples
+	var collected samples
 	for _, chunk := range []float64{1, 9, 2} {
-		one := Side{PerChunk: Cost{Microseconds: chunk}, PerRequest: Cost{Microseconds: 1}}
-		taken.add(one, []Side{one, one})
+		one := RouteCost{PerChunk: Cost{Microseconds: chunk}, PerRequest: Cost{Microseconds: 1}}
+		collected.add(one, []RouteCost{one, one})
 	}
-	report := taken.report(&Arguments{Rounds: 3})
+	report := collected.report(&Arguments{Rounds: 3})
 	assert.Equal(t, report.Plain.PerChunk.Microseconds, 2.0)
 	assert.Equal(t, report.ChunkRatio, 2.0)
 	assert.Equal(t, report.Path.PerRequest.Microseconds, 2.0)
@@ -68,7 +68,7 @@
 // them to compare the routes and for profiling only.
 func BenchmarkChunks(b *testing.B) {
 	const streams = 16
-	plain, path := startPath(b)
+	plain, path := startRoutesInProcess(b)
 	for name, route := range map[string]*client{"plain": plain, "path": path} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/bench/pathcost/process.go
+++ b/internal/bench/pathcost/process.go
@@ -27,8 +27,8 @@
 // announcement is the line that a process started by this command prints once it
 // listens: its address and that of its usage endpoint.
 type announcement struct {
-	Address string `json:"path_cost_address"`
-	Usage   string `json:"path_cost_usage"`
+	Address      string `json:"path_cost_address"`
+	UsageAddress string `json:"path_cost_usage"`
 }
 
 const announcementPrefix = `{"path_cost_address"`
@@ -45,9 +45,9 @@
 		return err
 	}
 	defer usage.close()
-	line := announcement{Address: served.address, Usage: usage.address}
+	line := announcement{Address: served.address, UsageAddress: usage.address}
 	if err := json.NewEncoder(output).Encode(line); err != nil {
-		return errors.Wrap(err, "announce")
+		return errors.Wrap(err, "print announcement")
 	}
 	<-ctx.Done()
 	return nil
--- a/internal/bench/pathcost/samples.go
+++ b/internal/bench/pathcost/samples.go
@@ -9,7 +9,7 @@
 func perRequest(usage Usage, requests int) Cost {
 	count := float64(requests)
 	return Cost{
-		Microseconds: float64(usage.Processor) / float64(time.Microsecond) / count,
+		Microseconds: float64(usage.CPUTime) / float64(time.Microsecond) / count,
 		Allocations:  float64(usage.Allocations) / count,
 		Bytes:        float64(usage.Bytes) / count,
 	}
@@ -17,9 +17,9 @@
 
 // split separates the cost per chunk from the fixed cost per request. short and
 // long are the costs of requests with shortTokens chunks and with tokens chunks.
-func split(short, long Cost, tokens int) Side {
+func split(short, long Cost, tokens int) RouteCost {
 	chunk := long.plus(short, -1).scaled(1 / float64(tokens-shortTokens))
-	return Side{PerChunk: chunk, PerRequest: short.plus(chunk, -shortTokens)}
+	return RouteCost{PerChunk: chunk, PerRequest: short.plus(chunk, -shortTokens)}
 }
 
 // plus returns c + times*other.
@@ -33,17 +33,17 @@
 
 func (c Cost) scaled(factor float64) Cost { return Cost{}.plus(c, factor) }
 
-func (s Side) plus(other Side) Side {
-	return Side{PerChunk: s.PerChunk.plus(other.PerChunk, 1), PerRequest: s.PerRequest.plus(other.PerRequest, 1)}
+func (s RouteCost) plus(other RouteCost) RouteCost {
+	return RouteCost{PerChunk: s.PerChunk.plus(other.PerChunk, 1), PerRequest: s.PerRequest.plus(other.PerRequest, 1)}
 }
 
 // samples holds the results of each round.
 type samples struct {
-	plain, gateway, dispatcher, path []Side
+	plain, gateway, dispatcher, path []RouteCost
 }
 
 // add appends the results of one round. path holds those of the gateway and the dispatcher.
-func (s *samples) add(plain Side, path []Side) {
+func (s *samples) add(plain RouteCost, path []RouteCost) {
 	s.plain = append(s.plain, plain)
 	s.gateway = append(s.gateway, path[0])
 	s.dispatcher = append(s.dispatcher, path[1])
@@ -55,10 +55,10 @@
 		Rounds:     arguments.Rounds,
 		Streams:    arguments.Streams,
 		Tokens:     arguments.Tokens,
-		Plain:      medianSide(s.plain),
-		Path:       medianSide(s.path),
-		Gateway:    medianSide(s.gateway),
-		Dispatcher: medianSide(s.dispatcher),
+		Plain:      medianRouteCost(s.plain),
+		Path:       medianRouteCost(s.path),
+		Gateway:    medianRouteCost(s.gateway),
+		Dispatcher: medianRouteCost(s.dispatcher),
 	}
 	ratios := make([]float64, len(s.path))
 	for index := range ratios {
@@ -71,18 +71,18 @@
 	return report
 }
 
-func medianSide(sides []Side) Side {
-	return Side{
-		PerChunk:   medianCost(sides, func(side Side) Cost { return side.PerChunk }),
-		PerRequest: medianCost(sides, func(side Side) Cost { return side.PerRequest }),
+func medianRouteCost(costs []RouteCost) RouteCost {
+	return RouteCost{
+		PerChunk:   medianCost(costs, func(cost RouteCost) Cost { return cost.PerChunk }),
+		PerRequest: medianCost(costs, func(cost RouteCost) Cost { return cost.PerRequest }),
 	}
 }
 
-func medianCost(sides []Side, of func(Side) Cost) Cost {
+func medianCost(costs []RouteCost, of func(RouteCost) Cost) Cost {
 	pick := func(field func(Cost) float64) float64 {
-		values := make([]float64, len(sides))
-		for index, side := range sides {
-			values[index] = field(of(side))
+		values := make([]float64, len(costs))
+		for index, routeCost := range costs {
+			values[index] = field(of(routeCost))
 		}
 		return median(values)
 	}
--- a/internal/bench/pathcost/usage.go
+++ b/internal/bench/pathcost/usage.go
@@ -13,7 +13,7 @@
 
 // Usage is the CPU time and heap allocations of a process since its start.
 type Usage struct {
-	Processor   time.Duration `json:"processor"`
+	CPUTime     time.Duration `json:"processor"`
 	Allocations uint64        `json:"allocations"`
 	Bytes       uint64        `json:"bytes"`
 }
@@ -26,13 +26,13 @@
 	}
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	processor := time.Duration(resources.Utime.Nano() + resources.Stime.Nano())
-	return Usage{Processor: processor, Allocations: memory.Mallocs, Bytes: memory.TotalAlloc}, nil
+	cpuTime := time.Duration(resources.Utime.Nano() + resources.Stime.Nano())
+	return Usage{CPUTime: cpuTime, Allocations: memory.Mallocs, Bytes: memory.TotalAlloc}, nil
 }
 
 func (u Usage) minus(other Usage) Usage {
 	return Usage{
-		Processor:   u.Processor - other.Processor,
+		CPUTime:     u.CPUTime - other.CPUTime,
 		Allocations: u.Allocations - other.Allocations,
 		Bytes:       u.Bytes - other.Bytes,
 	}
