--- a/internal/router/budget.go
+++ b/internal/router/budget.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// request counts a request, which earns retryRatio of a retry.
-func (b *retryBudget) request() {
+// countRequest counts a countRequest, which earns retryRatio of a retry.
+func (b *retryBudget) countRequest() {
 	b.requests.Add(1)
 }
 
--- a/internal/router/classify.go
+++ b/internal/router/classify.go
@@ -44,16 +44,15 @@
 
 // classify maps the error of a stream to an outcome. attached is set for streams opened by attaching,
 // delivered if the attempt produced tokens. In both cases a refusal no longer proves that the request
-// did not run, except that an attached stream may report the end of the attempt in its dispatcher's
-// queue.
+// did not run, unless an attached stream fails with a kind that endedInQueue accepts.
 func classify(err error, attached, delivered bool) attemptOutcome {
 	var consumer *consumerError
 	if errors.As(err, &consumer) {
 		return outcomeFailed
 	}
-	var known *errkind.Error
-	if errors.As(err, &known) {
-		return classifyKind(known.Kind, delivered || (attached && !endedInQueue(known.Kind)))
+	var kindErr *errkind.Error
+	if errors.As(err, &kindErr) {
+		return classifyKind(kindErr.Kind, delivered || (attached && !endedInQueue(kindErr.Kind)))
 	}
 	var delivery *peer.DeliveryError
 	if errors.As(err, &delivery) && !delivery.Sent && !attached {
@@ -111,22 +110,22 @@
 // callerError converts err for the caller. If an attempt may have run, the result never claims that
 // the request was not executed.
 func callerError(err error, mayHaveRun, repeatable bool) *errkind.Error {
-	known := toKindError(err)
-	if !mayHaveRun || known.Kind.Response().Execution != errkind.NotExecuted {
-		return known
+	kindErr := toKindError(err)
+	if !mayHaveRun || kindErr.Kind.Response().Execution != errkind.NotExecuted {
+		return kindErr
 	}
 	kind := errkind.OutcomeUnknown
 	if repeatable {
 		kind = errkind.EngineFailed
 	}
-	return errkind.New(kind, "an attempt of the request was interrupted and could not be continued: %s", known.Message)
+	return errkind.New(kind, "an attempt of the request was interrupted and could not be continued: %s", kindErr.Message)
 }
 
 // toKindError converts transport, context and consumer errors to an errkind.Error.
 func toKindError(err error) *errkind.Error {
-	var known *errkind.Error
-	if errors.As(err, &known) {
-		return known
+	var kindErr *errkind.Error
+	if errors.As(err, &kindErr) {
+		return kindErr
 	}
 	var consumer *consumerError
 	if errors.As(err, &consumer) || errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
--- a/internal/router/fake_test.go
+++ b/internal/router/fake_test.go
@@ -84,7 +84,6 @@
 	return errors.New("no calls expected")
 }
 
-// remove removes a node from the members.
 func (f *fakeCluster) remove(node string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/router/faults_test.go
+++ b/internal/router/faults_test.go
@@ -13,20 +13,21 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// faults are the dispatcher behaviors to draw from.
+// faults are the dispatcher behaviors that the random test combines. startsRequest tells whether the
+// dispatcher may pass the request to an engine.
 var faults = []struct {
-	runs bool
-	make func(tokens int) dispatcherFunc
+	startsRequest bool
+	newDispatcher func(tokens int) dispatcherFunc
 }{
 	{false, func(int) dispatcherFunc { return refuse(errkind.New(errkind.QueueFull, "full")) }},
-	{false, func(int) dispatcherFunc { return refuse(errkind.New(errkind.Draining, "leaving")) }},
+	{false, func(int) dispatcherFunc { return refuse(errkind.New(errkind.Draining, "node is stopping")) }},
 	{true, func(int) dispatcherFunc { return serve }},
 	{true, loseAfter},
 	{true, func(tokens int) dispatcherFunc { return endAfter(tokens, connectionReset()) }},
 	{true, func(tokens int) dispatcherFunc {
 		return endAfter(tokens, errkind.New(errkind.EngineFailed, "engine crashed"))
 	}},
-	{true, func(tokens int) dispatcherFunc { // leaves a gap
+	{true, func(tokens int) dispatcherFunc { // omits the first tokens
 		return func(ctx context.Context, submit message.Submit, send func(message.Progress)) error {
 			if submit.Attach {
 				return serve(ctx, submit, send)
@@ -39,7 +40,7 @@
 	{true, func(int) dispatcherFunc { // rejects attaching
 		return func(_ context.Context, submit message.Submit, _ func(message.Progress)) error {
 			if submit.Attach {
-				return errkind.New(errkind.InvalidRequest, "not understood")
+				return errkind.New(errkind.InvalidRequest, "unknown field")
 			}
 			return connectionReset()
 		}
@@ -64,9 +65,9 @@
 			starts := 0
 			for _, node := range nodes {
 				fault := faults[rapid.IntRange(0, len(faults)-1).Draw(t, node)]
-				handler := fault.make(rapid.IntRange(0, answerLength).Draw(t, "tokens"))
+				handler := fault.newDispatcher(rapid.IntRange(0, answerLength).Draw(t, "tokens"))
 				fake.dispatchers[node] = func(ctx context.Context, submit message.Submit, send func(message.Progress)) error {
-					if fault.runs && !submit.Attach {
+					if fault.startsRequest && !submit.Attach {
 						starts++
 					}
 					return handler(ctx, submit, send)
--- a/internal/router/onehop_test.go
+++ b/internal/router/onehop_test.go
@@ -16,7 +16,7 @@
 	return cluster.Member{ID: "node", Address: "node", Zone: "a", State: cluster.StateAlive}
 }
 
-// Cells of the own zone must not be reached through their dispatchers under StrategyOneHop.
+// Under StrategyOneHop, requests for cells of the node's own zone must not be sent to other nodes.
 func TestOneHopSubmitsToOwnNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0", "n1")
--- a/internal/router/refusals.go
+++ b/internal/router/refusals.go
@@ -16,12 +16,12 @@
 }
 
 func (r *refusals) add(err error, outcome attemptOutcome) {
-	known := toKindError(err)
-	delay := known.Delay()
+	kindErr := toKindError(err)
+	delay := kindErr.Delay()
 	if r.last == nil || delay < r.minDelay {
 		r.minDelay = delay
 	}
-	r.last = known
+	r.last = kindErr
 	r.handover = r.handover || outcome == outcomeHandover
 }
 
--- a/internal/router/overload_test.go
+++ b/internal/router/refusals_test.go
@@ -43,7 +43,7 @@
 	for _, kind := range []errkind.Kind{errkind.ShuttingDown, errkind.NotOwner, errkind.NoCapacity, errkind.NotFound} {
 		synctest.Test(t, func(t *testing.T) {
 			fake := newFakeCluster("n0")
-			fake.dispatchers["n0"] = breakThen(errkind.New(kind, "not here"))
+			fake.dispatchers["n0"] = breakThen(errkind.New(kind, "no record of the request"))
 			seen := run(t.Context(), fake, testRequest(false))
 			seen.assertKind(t, errkind.OutcomeUnknown)
 		})
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -18,7 +18,7 @@
 // cellWaitBackoff paces the wait for a cell that accepts the request.
 var cellWaitBackoff = retry.Policy{First: 25 * time.Millisecond, Longest: 500 * time.Millisecond}
 
-// attempts is the state of a running request. It is confined to one goroutine.
+// attempts runs one request as a sequence of attempts. It is confined to one goroutine.
 type attempts struct {
 	router    *CellRouter
 	request   *Request
@@ -26,7 +26,7 @@
 	assembler answer.Assembler
 	// tokens is the answer so far, kept only for repeatable requests.
 	tokens []string
-	// number is the current attempt, starting at 1.
+	// number is the number of the current attempt, starting at 1.
 	number        uint32
 	continuations int
 	tried         triedSet
@@ -40,7 +40,7 @@
 	if err := validate(&request); err != nil {
 		return Result{}, err
 	}
-	r.budget.request()
+	r.budget.countRequest()
 	run := &attempts{
 		router:  r,
 		request: &request,
@@ -171,11 +171,11 @@
 // nonRepeatableError returns the error of a non-repeatable request that may have run: EngineFailed is
 // kept, all other errors become OutcomeUnknown.
 func nonRepeatableError(err error) error {
-	known := toKindError(err)
-	if known.Kind == errkind.EngineFailed {
-		return known
+	kindErr := toKindError(err)
+	if kindErr.Kind == errkind.EngineFailed {
+		return kindErr
 	}
-	return errkind.New(errkind.OutcomeUnknown, "the request may have run and is not repeatable: %s", known.Message)
+	return errkind.New(errkind.OutcomeUnknown, "the request may have run and is not repeatable: %s", kindErr.Message)
 }
 
 // cellWait is the bounded wait for a cell after all known ones were tried.
@@ -193,12 +193,12 @@
 
 // waitForCell backs off and clears the tried targets if the request may have started or a refusing
 // cell is changing owners. Otherwise, or past the deadline, it returns the final error.
-func (a *attempts) waitForCell(ctx context.Context, current *cellWait) error {
+func (a *attempts) waitForCell(ctx context.Context, waiting *cellWait) error {
 	retryable := a.mayHaveRun || a.refusals.handover
-	if !retryable || time.Now().After(current.deadline) {
+	if !retryable || time.Now().After(waiting.deadline) {
 		return a.refusals.finalError()
 	}
-	if wait(ctx, current.delays.NextBackOff()) != nil {
+	if wait(ctx, waiting.delays.NextBackOff()) != nil {
 		return a.contextError(ctx)
 	}
 	clear(a.tried)
--- a/internal/router/run_test.go
+++ b/internal/router/run_test.go
@@ -113,7 +113,7 @@
 func TestRequestWaitsForCellHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0")
-		fake.dispatchers["n0"] = refuse(errkind.New(errkind.NotOwner, "not mine"))
+		fake.dispatchers["n0"] = refuse(errkind.New(errkind.NotOwner, "not the owner of the cell"))
 		time.AfterFunc(300*time.Millisecond, func() {
 			fake.mutex.Lock()
 			defer fake.mutex.Unlock()
@@ -249,7 +249,7 @@
 		<-closed
 
 		fake.dispatchers["n0"] = serve
-		_, err := fake.router().Run(t.Context(), testRequest(true), func(Piece) error { return errors.New("caller is gone") })
+		_, err := fake.router().Run(t.Context(), testRequest(true), func(Piece) error { return errors.New("caller disconnected") })
 		assert.Assert(t, errkind.Is(err, errkind.Canceled))
 	})
 }
--- a/internal/router/target.go
+++ b/internal/router/target.go
@@ -48,16 +48,16 @@
 	defer shard.mutex.Unlock()
 	cells := shard.tracker.Update(digestsOfShard(digests, row.Pool), now)
 	query.Excluded = shard.avoid.Cells(row.Service, now)
-	found, ok := r.pickUntried(shard, cells, query, tried)
+	selected, ok := r.pickUntried(shard, cells, query, tried)
 	if !ok && len(query.Excluded) > 0 {
 		query.Excluded = make(map[message.CellID]struct{})
-		found, ok = r.pickUntried(shard, cells, query, tried)
+		selected, ok = r.pickUntried(shard, cells, query, tried)
 	}
 	if !ok {
 		return choice{}, false
 	}
-	shard.tracker.Submitted(found.cell)
-	return choice{target: found, minVersion: minVersion}, true
+	shard.tracker.Submitted(selected.cell)
+	return choice{target: selected, minVersion: minVersion}, true
 }
 
 // pickUntried picks cells until one has an untried dispatcher and adds the others to query.Excluded.
@@ -69,7 +69,7 @@
 		if !found {
 			return target{}, false
 		}
-		if candidate, untried := r.dispatcher(picked.Digest, tried); untried {
+		if candidate, untried := r.untriedTarget(picked.Digest, tried); untried {
 			return candidate, true
 		}
 		query.Excluded[picked.Digest.Cell] = struct{}{}
@@ -92,17 +92,17 @@
 	}
 }
 
-// dispatcher returns an untried node that is likely to run the cell's dispatcher: the sender of the
+// untriedTarget returns an untried node that is likely to run the cell's dispatcher: the sender of the
 // digest, else the owner computed from the members of the cell's zone. The two differ while ownership
 // changes.
-func (r *CellRouter) dispatcher(digest *message.CellDigest, tried triedSet) (target, bool) {
+func (r *CellRouter) untriedTarget(digest *message.CellDigest, tried triedSet) (target, bool) {
 	if r.isSelfDispatched(digest.Cell) {
 		own := target{cell: digest.Cell, node: r.options.NodeID, address: r.options.View.Self().Address}
-		_, done := tried[own]
-		return own, !done
+		_, alreadyTried := tried[own]
+		return own, !alreadyTried
 	}
 	sender := target{cell: digest.Cell, node: digest.Node, address: digest.Address}
-	if _, done := tried[sender]; !done && r.mayDispatch(digest) {
+	if _, alreadyTried := tried[sender]; !alreadyTried && r.mayDispatch(digest) {
 		return sender, true
 	}
 	candidates := r.options.View.Candidates(digest.Cell.Zone)
@@ -113,15 +113,15 @@
 	owner := routing.CellOwner(digest.Cell, ids)
 	for _, member := range candidates {
 		successor := target{cell: digest.Cell, node: owner, address: member.Address}
-		if _, done := tried[successor]; !done && member.ID == owner {
+		if _, alreadyTried := tried[successor]; !alreadyTried && member.ID == owner {
 			return successor, true
 		}
 	}
 	return target{}, false
 }
 
-// isSelfDispatched reports whether this node dispatches to the cell itself, as routing.StrategyOneHop
-// does within its own zone.
+// isSelfDispatched reports whether this node dispatches requests for the cell itself instead of sending
+// them to another node, as routing.StrategyOneHop does within its own zone.
 func (r *CellRouter) isSelfDispatched(cell message.CellID) bool {
 	oneHop := routing.Strategy(r.options.Policy) == routing.StrategyOneHop
 	return oneHop && cell.Zone == r.options.Zone
