--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -46,8 +46,8 @@
 
 func (e *eventResponder) fail(err error) {
 	if !e.started {
-		plain := jsonResponder{writer: e.writer}
-		plain.fail(err)
+		response := jsonResponder{writer: e.writer}
+		response.fail(err)
 		return
 	}
 	// The error event marks the answer as incomplete; [DONE] is not sent.
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -22,8 +22,8 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// testLimit bounds every wait of a test.
-const testLimit = 20 * time.Second
+// testTimeout ends a test that hangs.
+const testTimeout = 20 * time.Second
 
 type fakeTables struct{ refusal error }
 
@@ -59,7 +59,7 @@
 	ctx context.Context, request keyed.Request, onPiece func(router.Piece) error,
 ) (router.Result, error) {
 	f.keyed = append(f.keyed, request)
-	return answerTwo(ctx, router.Request{}, onPiece)
+	return sendTwoPieces(ctx, router.Request{}, onPiece)
 }
 
 func newFixture(t *testing.T, run runFunc) *fixture {
@@ -82,7 +82,7 @@
 
 func (f *fixture) post(t *testing.T, body string, headers ...string) *http.Response {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.server.URL+"/v1/completions", strings.NewReader(body))
 	assert.NilError(t, err)
@@ -110,8 +110,8 @@
 
 var twoVersions = []api.VersionSpan{{Version: 3, From: 0, To: 2}, {Version: 4, From: 2, To: 3}}
 
-// answerTwo sends two pieces under two versions.
-func answerTwo(_ context.Context, _ router.Request, onPiece func(router.Piece) error) (router.Result, error) {
+// sendTwoPieces sends two pieces under two versions.
+func sendTwoPieces(_ context.Context, _ router.Request, onPiece func(router.Piece) error) (router.Result, error) {
 	if err := onPiece(router.Piece{Tokens: []string{"Lot ", "12 "}, Version: 3}); err != nil {
 		return router.Result{}, err
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -22,7 +22,7 @@
 	var seen router.Request
 	f := newFixture(t, func(ctx context.Context, request router.Request, onPiece func(router.Piece) error) (router.Result, error) {
 		seen = request
-		return answerTwo(ctx, request, onPiece)
+		return sendTwoPieces(ctx, request, onPiece)
 	})
 	response := f.post(t, `{"model":"lookup","prompt":"parcel 0412","user":"desk"}`, api.HeaderIdempotencyKey, "k1")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
@@ -61,7 +61,7 @@
 }
 
 func TestEventStreamAnswer(t *testing.T) {
-	f := newFixture(t, answerTwo)
+	f := newFixture(t, sendTwoPieces)
 	response := f.post(t, `{"model":"lookup","prompt":"p","stream":true}`)
 	assert.Equal(t, response.Header.Get("Content-Type"), contentTypeEvents)
 	events := readEvents(t, response.Body)
@@ -172,21 +172,21 @@
 	f := newFixture(t, func(ctx context.Context, request router.Request, onPiece func(router.Piece) error) (router.Result, error) {
 		close(begun)
 		<-release
-		return answerTwo(ctx, request, onPiece)
+		return sendTwoPieces(ctx, request, onPiece)
 	})
 	status := make(chan int, 1)
 	go func() { status <- f.post(t, `{"model":"lookup","prompt":"p"}`).StatusCode }()
 	<-begun
-	ended, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.ErrorIs(t, f.gateway.Drain(ended), context.Canceled)
+	assert.ErrorIs(t, f.gateway.Drain(canceled), context.Canceled)
 	refused := f.post(t, `{"model":"lookup","prompt":"p"}`)
 	assert.Equal(t, decode[api.ErrorBody](t, refused.Body).Error.Code, "shutting_down")
 	close(release)
 	assert.Equal(t, <-status, http.StatusOK)
-	limited, cancel := context.WithTimeout(context.Background(), testLimit)
+	drainCtx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	assert.NilError(t, f.gateway.Drain(limited))
+	assert.NilError(t, f.gateway.Drain(drainCtx))
 }
 
 func TestCallerDisconnectCancelsRequest(t *testing.T) {
@@ -197,19 +197,19 @@
 		}
 		<-ctx.Done()
 		canceled <- ctx.Err()
-		return router.Result{}, errkind.New(errkind.Canceled, "caller left")
+		return router.Result{}, errkind.New(errkind.Canceled, "caller disconnected")
 	})
 	response := f.post(t, `{"model":"lookup","prompt":"p","stream":true}`)
 	assert.NilError(t, response.Body.Close())
 	select {
 	case err := <-canceled:
 		assert.ErrorIs(t, err, context.Canceled)
-	case <-time.After(testLimit):
+	case <-time.After(testTimeout):
 		t.Fatal("the request was not canceled")
 	}
 }
 
-// Guards against an unbounded answer to a caller that does not read.
+// A caller that does not read must not block its request forever.
 func TestSlowCallerIsDisconnected(t *testing.T) {
 	failed := make(chan error, 1)
 	f := newFixture(t, func(_ context.Context, _ router.Request, onPiece func(router.Piece) error) (router.Result, error) {
@@ -226,13 +226,13 @@
 	select {
 	case err := <-failed:
 		assert.Assert(t, errkind.Is(err, errkind.Canceled))
-	case <-time.After(testLimit):
+	case <-time.After(testTimeout):
 		t.Fatal("the slow caller was not disconnected")
 	}
 }
 
 func TestModelsListsLiveServices(t *testing.T) {
-	f := newFixture(t, answerTwo)
+	f := newFixture(t, sendTwoPieces)
 	response, err := f.server.Client().Get(f.server.URL + "/v1/models")
 	assert.NilError(t, err)
 	defer func() { _ = response.Body.Close() }()
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -10,12 +10,12 @@
 	mutex    sync.Mutex
 	count    int
 	draining bool
-	// empty is closed once draining is set and count is zero.
-	empty chan struct{}
+	// drained is closed once draining is set and count is zero.
+	drained chan struct{}
 }
 
 func newInflight() *inflight {
-	return &inflight{empty: make(chan struct{})}
+	return &inflight{drained: make(chan struct{})}
 }
 
 // enter counts a request; it returns false after draining has started.
@@ -34,14 +34,14 @@
 	defer i.mutex.Unlock()
 	i.count--
 	if i.draining && i.count == 0 {
-		close(i.empty)
+		close(i.drained)
 	}
 }
 
 func (i *inflight) drain(ctx context.Context) error {
 	i.startDraining()
 	select {
-	case <-i.empty:
+	case <-i.drained:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -56,6 +56,6 @@
 	}
 	i.draining = true
 	if i.count == 0 {
-		close(i.empty)
+		close(i.drained)
 	}
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/jsonresponse.go
@@ -22,33 +22,33 @@
 	text     strings.Builder
 }
 
-func (p *jsonResponder) piece(piece router.Piece) error {
+func (j *jsonResponder) piece(piece router.Piece) error {
 	for _, token := range piece.Tokens {
-		p.text.WriteString(token)
+		j.text.WriteString(token)
 	}
 	return nil
 }
 
-func (p *jsonResponder) finish(result router.Result) error {
-	body, err := json.Marshal(p.template.finalBody(p.text.String(), result))
+func (j *jsonResponder) finish(result router.Result) error {
+	body, err := json.Marshal(j.template.finalBody(j.text.String(), result))
 	if err != nil {
 		return err
 	}
-	header := p.writer.Header()
+	header := j.writer.Header()
 	header.Set(HeaderWeightVersions, formatSpans(result.Versions))
 	header.Set("Content-Type", "application/json")
-	p.writer.extend()
-	p.writer.WriteHeader(http.StatusOK)
-	if _, err := p.writer.Write(append(body, '\n')); err != nil {
+	j.writer.extend()
+	j.writer.WriteHeader(http.StatusOK)
+	if _, err := j.writer.Write(append(body, '\n')); err != nil {
 		return callerWriteError(err)
 	}
-	return p.writer.flush()
+	return j.writer.flush()
 }
 
-func (p *jsonResponder) fail(err error) {
-	p.writer.extend()
-	httpapi.WriteError(p.writer, err)
-	_ = p.writer.flush()
+func (j *jsonResponder) fail(err error) {
+	j.writer.extend()
+	httpapi.WriteError(j.writer, err)
+	_ = j.writer.flush()
 }
 
 func formatSpans(spans []api.VersionSpan) string {
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -50,7 +50,7 @@
 	if err := httpapi.DecodeJSON(w, r, MaxBodyBytes, &body); err != nil {
 		return nil, err
 	}
-	if err := checkBody(&body); err != nil {
+	if err := validateBody(&body); err != nil {
 		return nil, err
 	}
 	table := g.options.Tables.Table()
@@ -84,8 +84,8 @@
 	return request
 }
 
-// checkBody validates the body and fills in defaults.
-func checkBody(body *completionBody) error {
+// validateBody validates the body and sets the defaults of missing fields.
+func validateBody(body *completionBody) error {
 	if body.Model == "" {
 		return errkind.New(errkind.InvalidRequest, "model is missing, expected a service's name")
 	}
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -7,7 +7,7 @@
 	"github.com/corkpulley/corkpulley/internal/router"
 )
 
-// record holds what is logged and counted about a request.
+// record holds the data of a request's log line and metrics.
 type record struct {
 	requestID string
 	started   time.Time
@@ -45,7 +45,7 @@
 // report logs the request and updates the metrics.
 func (g *Gateway) report(record *record) {
 	duration := time.Since(record.started)
-	g.count(record, duration)
+	g.updateMetrics(record, duration)
 	event := g.options.Logger.Info().
 		Str("request_id", record.requestID).
 		Str("service", record.service()).
@@ -73,7 +73,7 @@
 	event.Msg("request")
 }
 
-func (g *Gateway) count(record *record, duration time.Duration) {
+func (g *Gateway) updateMetrics(record *record, duration time.Duration) {
 	service := record.service()
 	g.metrics.requests.WithLabelValues(service, record.code()).Inc()
 	if record.call == nil {
--- a/internal/gateway/writer.go
+++ b/internal/gateway/writer.go
@@ -14,8 +14,8 @@
 	http.ResponseWriter
 	controller *http.ResponseController
 	timeout    time.Duration
-	// extended is when the deadline was last set.
-	extended time.Time
+	// extendedAt is when the deadline was last set.
+	extendedAt time.Time
 }
 
 // extendDivisor limits deadline updates to one per timeout/extendDivisor instead of one per event.
@@ -34,10 +34,10 @@
 // the answer. Until then it also bounds the bytes that net/http flushes after the handler returns.
 func (w *deadlineWriter) extend() {
 	now := time.Now()
-	if now.Sub(w.extended) < w.timeout/extendDivisor {
+	if now.Sub(w.extendedAt) < w.timeout/extendDivisor {
 		return
 	}
-	w.extended = now
+	w.extendedAt = now
 	// Writers without deadlines, such as test recorders, are left as they are.
 	_ = w.controller.SetWriteDeadline(now.Add(w.timeout))
 }
