--- a/internal/weights/cluster_test.go
+++ b/internal/weights/cluster_test.go
@@ -49,22 +49,22 @@
 
 func newTestCluster(t *testing.T, rows ...policy.Row) *testCluster {
 	t.Helper()
-	w := &testCluster{
+	c := &testCluster{
 		store:   standinstore.New(standinstore.Config{}),
 		table:   &policy.Table{Revision: 1, Rows: rows},
 		changed: make(chan struct{}),
 		engines: []uint64{1, 1, 1},
 	}
-	store := httptest.NewServer(w.store.Handler())
+	store := httptest.NewServer(c.store.Handler())
 	t.Cleanup(store.Close)
-	w.storeURL = store.URL
-	w.logServer = httptest.NewServer(standinlog.New(standinlog.Config{}).Handler())
+	c.storeURL = store.URL
+	c.logServer = httptest.NewServer(standinlog.New(standinlog.Config{}).Handler())
 	t.Cleanup(func() {
-		w.logServer.CloseClientConnections()
-		w.logServer.Close()
+		c.logServer.CloseClientConnections()
+		c.logServer.Close()
 	})
-	w.log = w.logServer.URL
-	return w
+	c.log = c.logServer.URL
+	return c
 }
 
 func (c *testCluster) Candidates(string) []cluster.Member {
@@ -153,11 +153,11 @@
 		return nil
 	}
 	c.fence = directive.Epoch
-	left := directive.Concurrent
+	remaining := directive.Concurrent
 	for index, version := range c.engines {
-		if version != directive.Version && left > 0 {
+		if version != directive.Version && remaining > 0 {
 			c.engines[index] = directive.Version
-			left--
+			remaining--
 		}
 		if c.engines[index] >= directive.Version {
 			result.AtLeastVersion++
--- a/internal/weights/direct.go
+++ b/internal/weights/directives.go
@@ -30,15 +30,16 @@
 	// version is the version of the last directive that the cell answered.
 	version uint64
 	// granted is the largest allotment that the cell may still act on.
-	granted      int
-	known        bool
+	granted int
+	// answered is set once the cell has answered any directive.
+	answered     bool
 	result       message.DirectiveResult
 	lastAnswered time.Time
 }
 
 // settled reports whether all engines of the cell hold the target version.
 func (p *cellProgress) settled(version uint64, wanted target) bool {
-	return p.known && p.version == version && wanted.upToDate(p.result) >= p.result.Engines &&
+	return p.answered && p.version == version && wanted.upToDateCount(p.result) >= p.result.Engines &&
 		p.result.Broken == 0 && p.result.Loading == 0 && p.granted == 0
 }
 
@@ -51,8 +52,8 @@
 	err       error
 }
 
-// direct plans the next wave of loads and sends the directives to the dispatchers.
-func (r *runner) direct(ctx context.Context, epoch int64, version uint64, wanted target, maxLoads int) {
+// runWave plans the next loads and sends the directives to the dispatchers.
+func (r *runner) runWave(ctx context.Context, epoch int64, version uint64, wanted target, maxLoads int) {
 	digests := r.relevantCells(wanted)
 	r.trackCells(digests)
 	now := time.Now()
@@ -60,11 +61,11 @@
 	plan := r.planner.Plan(now, cells, r.limits(now, version, cells, maxLoads))
 	r.warnBlocked(plan.Blocked)
 	settledAfter := max(settledInterval, time.Duration(len(digests))*settledIntervalPerCell)
-	var dispatches []*directiveCall
+	var calls []*directiveCall
 	for _, digest := range digests {
 		progress := r.cells[digest.Cell]
 		settled := progress.settled(version, wanted) && !wanted.outdated(digest, r.model, version)
-		if settled && !due(progress, digest, settledAfter) {
+		if settled && !needsRefresh(progress, digest, settledAfter) {
 			continue
 		}
 		directive := message.Directive{
@@ -74,31 +75,31 @@
 			Epoch:      epoch,
 			Concurrent: plan.Allotments[digest.Cell],
 		}
-		dispatches = append(dispatches, &directiveCall{address: digest.Address, directive: directive, progress: progress})
+		calls = append(calls, &directiveCall{address: digest.Address, directive: directive, progress: progress})
 	}
-	r.send(ctx, dispatches)
-	r.report(version, wanted)
+	r.send(ctx, calls)
+	r.updateGauges(version, wanted)
 }
 
 // limits returns the limits for the next wave, from the settings and the observed
 // throughput of the weight store.
 func (r *runner) limits(now time.Time, version uint64, cells []weights.Cell, maxLoads int) weights.Limits {
-	running, reached, engines := 0, 0, 0
+	loading, atVersion, engines := 0, 0, 0
 	for _, cell := range cells {
-		running += cell.Loading
-		reached += cell.AtVersion
+		loading += cell.Loading
+		atVersion += cell.AtVersion
 		engines += cell.Engines
 	}
-	if r.allKnown(version) {
-		r.storeRate.Observe(now, version, running, reached)
+	if r.allAnswered(version) {
+		r.storeRate.Observe(now, version, loading, atVersion)
 	}
 	return r.storeRate.Limits(maxLoads, engines)
 }
 
-// allKnown reports whether every cell has answered a directive for the version.
-func (r *runner) allKnown(version uint64) bool {
+// allAnswered reports whether every cell has answered a directive for the version.
+func (r *runner) allAnswered(version uint64) bool {
 	for _, progress := range r.cells {
-		if !progress.known || progress.version != version {
+		if !progress.answered || progress.version != version {
 			return false
 		}
 	}
@@ -140,14 +141,14 @@
 		cell := weights.Cell{
 			ID:           digest.Cell,
 			Engines:      progress.result.Engines,
-			AtVersion:    wanted.upToDate(progress.result),
+			AtVersion:    wanted.upToDateCount(progress.result),
 			Loading:      progress.result.Loading,
 			Broken:       progress.result.Broken,
 			Absent:       absent(progress.result, digest, r.model),
 			Granted:      progress.granted,
 			FloorPercent: floor,
 		}
-		if !progress.known || progress.version != version {
+		if !progress.answered || progress.version != version {
 			cell.AtVersion = cell.Engines
 		}
 		cells = append(cells, cell)
@@ -158,92 +159,92 @@
 // absent returns the number of engines that neither serve nor load the model:
 // they never loaded it or are unreachable.
 func absent(result message.DirectiveResult, digest message.CellDigest, model string) int {
-	held := 0
+	serving := 0
 	for _, count := range digest.Models {
 		if count.Model == model {
-			held += count.Engines
+			serving += count.Engines
 		}
 	}
-	return max(0, result.Engines-result.Loading-result.Broken-max(held, result.AtLeastVersion))
+	return max(0, result.Engines-result.Loading-result.Broken-max(serving, result.AtLeastVersion))
 }
 
-// due reports whether a settled cell needs another directive: settledAfter has
+// needsRefresh reports whether a settled cell needs another directive: settledAfter has
 // passed, or its number of engines has changed.
-func due(progress *cellProgress, digest message.CellDigest, settledAfter time.Duration) bool {
+func needsRefresh(progress *cellProgress, digest message.CellDigest, settledAfter time.Duration) bool {
 	return time.Since(progress.lastAnswered) >= settledAfter || digest.Engines != progress.result.Engines
 }
 
 // send sends the directives with limited concurrency and applies the results.
-func (r *runner) send(ctx context.Context, dispatches []*directiveCall) {
+func (r *runner) send(ctx context.Context, calls []*directiveCall) {
 	semaphore := make(chan struct{}, maxDirectiveCalls)
-	var calls sync.WaitGroup
-	for _, current := range dispatches {
+	var active sync.WaitGroup
+	for _, call := range calls {
 		// The cell may act on the directive even if no answer arrives.
-		current.progress.granted = max(current.progress.granted, current.directive.Concurrent)
+		call.progress.granted = max(call.progress.granted, call.directive.Concurrent)
 		semaphore <- struct{}{}
-		calls.Go(func() {
+		active.Go(func() {
 			defer func() { <-semaphore }()
-			r.call(ctx, current)
+			r.callDispatcher(ctx, call)
 		})
 	}
-	calls.Wait()
-	for _, current := range dispatches {
-		r.applyResult(current)
+	active.Wait()
+	for _, call := range calls {
+		r.applyResult(call)
 	}
 }
 
-func (r *runner) call(ctx context.Context, current *directiveCall) {
+func (r *runner) callDispatcher(ctx context.Context, call *directiveCall) {
 	ctx, cancel := context.WithTimeout(ctx, directiveTimeout)
 	defer cancel()
-	current.err = r.coordinator.options.Caller.Call(ctx, current.address, peer.MethodDirective, &current.directive, &current.result)
+	call.err = r.coordinator.options.Caller.Call(ctx, call.address, peer.MethodDirective, &call.directive, &call.result)
 }
 
 // applyResult applies the result of a directive. A cell that did not answer keeps
 // its last counts and its largest allotment.
-func (r *runner) applyResult(current *directiveCall) {
-	if current.err != nil {
-		r.count(resultFailed)
-		r.logger.Warn().Err(current.err).Any("cell", current.directive.Cell).Msg("directive failed")
+func (r *runner) applyResult(call *directiveCall) {
+	if call.err != nil {
+		r.countDirective(resultFailed)
+		r.logger.Warn().Err(call.err).Any("cell", call.directive.Cell).Msg("directive failed")
 		return
 	}
-	if current.result.StaleEpoch > current.directive.Epoch {
-		r.count(resultStale)
-		r.fencedEpoch = max(r.fencedEpoch, current.result.StaleEpoch)
-		r.logger.Warn().Int64("epoch", current.directive.Epoch).Int64("seen", current.result.StaleEpoch).
+	if call.result.StaleEpoch > call.directive.Epoch {
+		r.countDirective(resultStale)
+		r.fencedEpoch = max(r.fencedEpoch, call.result.StaleEpoch)
+		r.logger.Warn().Int64("epoch", call.directive.Epoch).Int64("seen", call.result.StaleEpoch).
 			Msg("directive rejected: an engine has seen a later epoch")
 		return
 	}
-	r.count(resultDelivered)
-	if !current.progress.known || current.progress.version != current.directive.Version {
+	r.countDirective(resultDelivered)
+	if !call.progress.answered || call.progress.version != call.directive.Version {
 		// The first counts are available, so plan the next wave immediately.
 		r.signal()
 	}
-	current.progress.known = true
-	current.progress.version = current.directive.Version
-	current.progress.granted = current.directive.Concurrent
-	current.progress.result = current.result
-	current.progress.lastAnswered = time.Now()
+	call.progress.answered = true
+	call.progress.version = call.directive.Version
+	call.progress.granted = call.directive.Concurrent
+	call.progress.result = call.result
+	call.progress.lastAnswered = time.Now()
 }
 
-func (r *runner) count(result string) {
+func (r *runner) countDirective(result string) {
 	r.coordinator.metrics.directives.WithLabelValues(r.model, result).Inc()
 }
 
 // warnBlocked logs the pools in which the floor prevents any load, when the list
 // of pools has changed.
 func (r *runner) warnBlocked(pools []string) {
-	blocked := strings.Join(pools, ",")
-	if blocked != r.blocked && blocked != "" {
+	blockedPools := strings.Join(pools, ",")
+	if blockedPools != r.blockedPools && blockedPools != "" {
 		r.logger.Warn().Strs("pools", pools).Msg("floor prevents any load in these pools")
 	}
-	r.blocked = blocked
+	r.blockedPools = blockedPools
 }
 
-// report updates the model's gauges.
-func (r *runner) report(version uint64, wanted target) {
+// updateGauges updates the model's gauges.
+func (r *runner) updateGauges(version uint64, wanted target) {
 	behind, loading := 0, 0
 	for _, progress := range r.cells {
-		behind += max(0, progress.result.Engines-wanted.upToDate(progress.result))
+		behind += max(0, progress.result.Engines-wanted.upToDateCount(progress.result))
 		loading += progress.result.Loading
 	}
 	metrics := r.coordinator.metrics
--- a/internal/weights/metrics.go
+++ b/internal/weights/metrics.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// forget deletes the gauges of a model that is no longer owned.
-func (m *metrics) forget(model string) {
+// deleteModel deletes the gauges of a model that is no longer owned.
+func (m *metrics) deleteModel(model string) {
 	m.wanted.DeleteLabelValues(model)
 	m.behind.DeleteLabelValues(model)
 	m.loading.DeleteLabelValues(model)
--- a/internal/weights/preference.go
+++ b/internal/weights/ownerselector.go
@@ -9,11 +9,11 @@
 	"github.com/corkpulley/corkpulley/internal/cluster"
 )
 
-// preference selects preferred owners by rendezvous hashing. It caches the hashes
+// ownerSelector selects preferred owners by rendezvous hashing. It caches the hashes
 // of the candidates while the view returns the same slice, since every model is
 // looked up in each round. The zero value is ready to use; it is safe for
 // concurrent use.
-type preference struct {
+type ownerSelector struct {
 	mu         sync.Mutex
 	candidates []cluster.Member
 	ranking    *rendezvous.Rendezvous
@@ -21,21 +21,21 @@
 
 // owner returns the ID of the preferred candidate for the stream, or "" if there
 // are no candidates. The slice must not be modified afterwards.
-func (p *preference) owner(candidates []cluster.Member, stream string) string {
+func (s *ownerSelector) owner(candidates []cluster.Member, stream string) string {
 	if len(candidates) == 0 {
 		return ""
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !sameSlice(p.candidates, candidates) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !sameSlice(s.candidates, candidates) {
 		ids := make([]string, len(candidates))
 		for index, member := range candidates {
 			ids[index] = member.ID
 		}
-		p.candidates = candidates
-		p.ranking = rendezvous.New(ids, xxhash.Sum64String)
+		s.candidates = candidates
+		s.ranking = rendezvous.New(ids, xxhash.Sum64String)
 	}
-	return p.ranking.Lookup(stream)
+	return s.ranking.Lookup(stream)
 }
 
 // sameSlice reports whether both slices are non-empty and share their elements in memory.
--- a/internal/weights/ownership.go
+++ b/internal/weights/ownership.go
@@ -25,14 +25,14 @@
 	snapshotEvery = 256
 )
 
-// ownership manages this node's claim to one orders stream. The stream is open
-// only while this node is the owner or the preferred owner, to limit the number
-// of streams read. It is not safe for concurrent use.
+// ownership claims and releases the stream of one model for this node. The stream
+// is open only while this node is the owner or the preferred owner, to limit the
+// number of streams read. It is not safe for concurrent use.
 type ownership struct {
-	options    Options
-	preference *preference
-	name       string
-	logger     zerolog.Logger
+	options  Options
+	selector *ownerSelector
+	name     string
+	logger   zerolog.Logger
 
 	stream  *logstream.TailedStream
 	reducer *logrecord.OwnershipReducer
@@ -43,14 +43,14 @@
 	claimBackoff weights.ClaimBackoff
 }
 
-func newOwnership(options Options, preference *preference, model string, logger zerolog.Logger) *ownership {
-	return &ownership{options: options, preference: preference, name: StreamName(model), logger: logger}
+func newOwnership(options Options, selector *ownerSelector, model string, logger zerolog.Logger) *ownership {
+	return &ownership{options: options, selector: selector, name: StreamName(model), logger: logger}
 }
 
 // acquire claims the stream if this node should own it, and returns the epoch that
 // it holds according to the log as read so far; 0 if none.
 func (o *ownership) acquire(ctx context.Context) int64 {
-	if epoch := o.held(); epoch != 0 {
+	if epoch := o.heldEpoch(); epoch != 0 {
 		o.unannouncedSince = time.Time{}
 		o.owning = true
 		return epoch
@@ -65,13 +65,13 @@
 		return 0
 	}
 	o.claim(ctx)
-	return o.held()
+	return o.heldEpoch()
 }
 
-// held returns the epoch that this process holds according to the stream's state;
+// heldEpoch returns the epoch that this process holds according to the stream's state;
 // 0 if none. The state may be outdated while the log is unavailable; engines then
 // reject directives of a lower epoch.
-func (o *ownership) held() int64 {
+func (o *ownership) heldEpoch() int64 {
 	if o.stream == nil {
 		return 0
 	}
@@ -92,7 +92,7 @@
 // node announces ownership of the stream.
 func (o *ownership) shouldClaim() bool {
 	candidates := o.options.View.Candidates("")
-	if o.preference.owner(candidates, o.name) != o.options.NodeID {
+	if o.selector.owner(candidates, o.name) != o.options.NodeID {
 		return false
 	}
 	owner, _, announced := o.options.View.Owner(o.name)
@@ -175,7 +175,7 @@
 
 // release releases the epoch if one is held. It is best effort.
 func (o *ownership) release(ctx context.Context) {
-	epoch := o.held()
+	epoch := o.heldEpoch()
 	if epoch == 0 {
 		return
 	}
--- a/internal/weights/runner.go
+++ b/internal/weights/runner.go
@@ -27,14 +27,15 @@
 	maxLoads int
 
 	ownership *ownership
-	version   *wantedVersion
+	version   *versionTracker
 	planner   weights.Planner
 	storeRate weights.StoreRateEstimator
 	cells     map[message.CellID]*cellProgress
 	// fencedEpoch is the highest epoch that any engine has reported; directives of
 	// lower epochs are rejected.
 	fencedEpoch int64
-	blocked     string
+	// blockedPools lists the pools that warnBlocked found last, separated by commas.
+	blockedPools string
 }
 
 func newRunner(coordinator *Coordinator, model string) *runner {
@@ -46,8 +47,8 @@
 		wake:        make(chan struct{}, 1),
 		quit:        make(chan struct{}),
 		ended:       make(chan struct{}),
-		ownership:   newOwnership(coordinator.options, &coordinator.preference, model, logger),
-		version:     newWantedVersion(coordinator.options.Store, model, logger),
+		ownership:   newOwnership(coordinator.options, &coordinator.ownerSelector, model, logger),
+		version:     newVersionTracker(coordinator.options.Store, model, logger),
 		cells:       make(map[message.CellID]*cellProgress),
 	}
 }
@@ -81,7 +82,7 @@
 // run manages the model until ctx is done or the runner is stopped.
 func (r *runner) run(ctx context.Context) {
 	defer close(r.ended)
-	working, cancel := context.WithCancel(ctx)
+	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stopped := make(chan struct{})
 	defer close(stopped)
@@ -92,13 +93,13 @@
 		case <-stopped:
 		}
 	}()
-	r.loop(working)
+	r.loop(runCtx)
 	if ctx.Err() == nil {
 		r.ownership.release(ctx)
 	}
 	r.ownership.close()
 	r.coordinator.setOwned(r.model, 0)
-	r.coordinator.metrics.forget(r.model)
+	r.coordinator.metrics.deleteModel(r.model)
 }
 
 func (r *runner) loop(ctx context.Context) {
@@ -121,7 +122,7 @@
 	if epoch == 0 {
 		r.cells = make(map[message.CellID]*cellProgress)
 		r.planner = weights.Planner{}
-		r.coordinator.metrics.forget(r.model)
+		r.coordinator.metrics.deleteModel(r.model)
 		return
 	}
 	if epoch < r.fencedEpoch {
@@ -132,5 +133,5 @@
 	if version == 0 {
 		return
 	}
-	r.direct(ctx, epoch, version, wanted, maxLoads)
+	r.runWave(ctx, epoch, version, wanted, maxLoads)
 }
--- a/internal/weights/target.go
+++ b/internal/weights/target.go
@@ -21,10 +21,10 @@
 // pinned reports whether the table pins a version.
 func (t target) pinned() bool { return t.version != policy.VersionLatest }
 
-// upToDate returns the number of engines of a cell that need no load. A pinned
+// upToDateCount returns the number of engines of a cell that need no load. A pinned
 // version must match exactly, to allow rollbacks; otherwise an engine above the
 // latest version known here has loaded a newer one and counts as up to date.
-func (t target) upToDate(result message.DirectiveResult) int {
+func (t target) upToDateCount(result message.DirectiveResult) int {
 	if t.pinned() {
 		return result.AtVersion
 	}
--- a/internal/weights/version.go
+++ b/internal/weights/version.go
@@ -19,12 +19,12 @@
 	storeTimeout = 3 * time.Second
 )
 
-// storeRetries is the backoff while the store is unavailable.
-var storeRetries = retry.Policy{First: storePollInterval, Longest: 15 * time.Second}
+// storeBackoff is the backoff while the store is unavailable.
+var storeBackoff = retry.Policy{First: storePollInterval, Longest: 15 * time.Second}
 
-// wantedVersion tracks the latest version in the weight store and keeps the last
+// versionTracker tracks the latest version in the weight store and keeps the last
 // known version while the store is unavailable. It is not safe for concurrent use.
-type wantedVersion struct {
+type versionTracker struct {
 	store  weightstore.Store
 	model  string
 	logger zerolog.Logger
@@ -35,40 +35,40 @@
 	failed   bool
 }
 
-func newWantedVersion(store weightstore.Store, model string, logger zerolog.Logger) *wantedVersion {
-	return &wantedVersion{store: store, model: model, logger: logger, delays: storeRetries.Delays()}
+func newVersionTracker(store weightstore.Store, model string, logger zerolog.Logger) *versionTracker {
+	return &versionTracker{store: store, model: model, logger: logger, delays: storeBackoff.Delays()}
 }
 
 // get returns the pinned version, or the latest known version; 0 if there is none.
-func (w *wantedVersion) get(ctx context.Context, pinned uint64) uint64 {
+func (v *versionTracker) get(ctx context.Context, pinned uint64) uint64 {
 	if pinned != policy.VersionLatest {
 		return pinned
 	}
-	if now := time.Now(); !now.Before(w.nextPoll) {
-		w.poll(ctx, now)
+	if now := time.Now(); !now.Before(v.nextPoll) {
+		v.poll(ctx, now)
 	}
-	return w.latest
+	return v.latest
 }
 
-func (w *wantedVersion) poll(ctx context.Context, now time.Time) {
+func (v *versionTracker) poll(ctx context.Context, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	info, err := w.store.Info(ctx, w.model)
+	info, err := v.store.Info(ctx, v.model)
 	if err != nil {
-		w.recordFailure(err, now)
+		v.recordFailure(err, now)
 		return
 	}
-	w.failed = false
-	w.delays.Reset()
-	w.nextPoll = now.Add(storePollInterval)
+	v.failed = false
+	v.delays.Reset()
+	v.nextPoll = now.Add(storePollInterval)
 	// Versions only increase; a lower one is from a delayed response.
-	w.latest = max(w.latest, info.Latest)
+	v.latest = max(v.latest, info.Latest)
 }
 
-func (w *wantedVersion) recordFailure(err error, now time.Time) {
-	if !w.failed {
-		w.logger.Warn().Err(err).Uint64("version", w.latest).Msg("weight store unavailable, keeping last known version")
+func (v *versionTracker) recordFailure(err error, now time.Time) {
+	if !v.failed {
+		v.logger.Warn().Err(err).Uint64("version", v.latest).Msg("weight store unavailable, keeping last known version")
 	}
-	w.failed = true
-	w.nextPoll = now.Add(w.delays.NextBackOff())
+	v.failed = true
+	v.nextPoll = now.Add(v.delays.NextBackOff())
 }
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -4,9 +4,10 @@
 //
 // Correctness rests on the order of the log and on fencing by the engines: the
 // owner's epoch is the fencing token of each directive, and an engine rejects a
-// directive whose token is lower than one it has seen. An owner that was replaced
-// without noticing, or that can't reach the log, may therefore continue. Preferred
-// owners, cluster views and timers only affect how fast ownership moves.
+// directive whose token is lower than one it has seen. An owner that has not
+// noticed its replacement, or that can't reach the log, may therefore keep sending
+// directives. Preferred owners, cluster views and timers only affect how fast
+// ownership moves.
 package weights
 
 import (
@@ -72,9 +73,9 @@
 // Coordinator sends the weight directives for the models that this node owns. It
 // is safe for concurrent use.
 type Coordinator struct {
-	options    Options
-	metrics    *metrics
-	preference preference
+	options       Options
+	metrics       *metrics
+	ownerSelector ownerSelector
 
 	mu       sync.Mutex
 	running  bool
@@ -98,7 +99,7 @@
 // Run manages the models of the table until ctx is done. It does not release the
 // owned streams: for a graceful shutdown, call Drain before canceling ctx.
 func (c *Coordinator) Run(ctx context.Context) error {
-	if err := c.begin(); err != nil {
+	if err := c.markRunning(); err != nil {
 		return err
 	}
 	var active sync.WaitGroup
@@ -115,7 +116,7 @@
 	}
 }
 
-func (c *Coordinator) begin() error {
+func (c *Coordinator) markRunning() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.running {
@@ -134,17 +135,17 @@
 	}
 	share := max(1, c.options.MaxConcurrentLoads/max(1, len(wanted)))
 	for model, current := range wanted {
-		existing, found := c.runners[model]
+		modelRunner, found := c.runners[model]
 		if !found {
-			existing = newRunner(c, model)
-			c.runners[model] = existing
-			active.Go(func() { existing.run(ctx) })
+			modelRunner = newRunner(c, model)
+			c.runners[model] = modelRunner
+			active.Go(func() { modelRunner.run(ctx) })
 		}
-		existing.setTarget(current, share)
+		modelRunner.setTarget(current, share)
 	}
-	for model, existing := range c.runners {
+	for model, modelRunner := range c.runners {
 		if _, found := wanted[model]; !found {
-			existing.stop()
+			modelRunner.stop()
 			delete(c.runners, model)
 		}
 	}
@@ -156,12 +157,12 @@
 // when they see that this node has left. It returns ctx's error if ctx is done first.
 func (c *Coordinator) Drain(ctx context.Context) error {
 	runners := c.takeRunners()
-	for _, existing := range runners {
-		existing.stop()
+	for _, modelRunner := range runners {
+		modelRunner.stop()
 	}
-	for _, existing := range runners {
+	for _, modelRunner := range runners {
 		select {
-		case <-existing.ended:
+		case <-modelRunner.ended:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -174,8 +175,8 @@
 	defer c.mu.Unlock()
 	c.draining = true
 	taken := make([]*runner, 0, len(c.runners))
-	for model, existing := range c.runners {
-		taken = append(taken, existing)
+	for model, modelRunner := range c.runners {
+		taken = append(taken, modelRunner)
 		delete(c.runners, model)
 	}
 	return taken
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -24,86 +24,86 @@
 }
 
 func TestOwnerRollsOutLatestVersionInWaves(t *testing.T) {
-	w := newTestCluster(t, row(policy.VersionLatest, 50))
-	w.setMembers("", "n1")
-	w.publish(t, 2)
-	w.startNode(t, "n1")
-	w.waitVersion(t, 2)
-	w.publish(t, 3)
-	w.waitVersion(t, 3)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, directive := range w.received {
+	c := newTestCluster(t, row(policy.VersionLatest, 50))
+	c.setMembers("", "n1")
+	c.publish(t, 2)
+	c.startNode(t, "n1")
+	c.waitVersion(t, 2)
+	c.publish(t, 3)
+	c.waitVersion(t, 3)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, directive := range c.received {
 		assert.Assert(t, directive.Epoch > 0)
 		assert.Assert(t, directive.Concurrent <= 1, "the floor of 2 of 3 engines allows one load: %+v", directive)
 	}
 }
 
 func TestEnginesWithoutModelLoadRegardlessOfFloor(t *testing.T) {
-	w := newTestCluster(t, row(2, 100))
-	w.engines = []uint64{0, 0}
-	w.setMembers("", "n1")
-	w.startNode(t, "n1")
-	w.waitVersion(t, 2)
+	c := newTestCluster(t, row(2, 100))
+	c.engines = []uint64{0, 0}
+	c.setMembers("", "n1")
+	c.startNode(t, "n1")
+	c.waitVersion(t, 2)
 }
 
 func TestPinnedVersionOverridesStoreAndRollsBack(t *testing.T) {
-	w := newTestCluster(t, row(5, 0))
-	w.setMembers("", "n1")
-	w.startNode(t, "n1")
-	w.waitVersion(t, 5)
-	w.setRows(row(4, 0))
-	w.waitVersion(t, 4)
+	c := newTestCluster(t, row(5, 0))
+	c.setMembers("", "n1")
+	c.startNode(t, "n1")
+	c.waitVersion(t, 5)
+	c.setRows(row(4, 0))
+	c.waitVersion(t, 4)
 }
 
 // A rollback must rely on the counts in directive results: the digest lags, so it
 // may miss engines above the pinned version or still list them.
 func TestRollbackUsesCountsOfDirectiveResults(t *testing.T) {
-	w := newTestCluster(t, row(4, 0))
-	w.engines = []uint64{4, 4, 4}
-	w.freezeDigest()
-	w.mu.Lock()
-	w.engines = []uint64{5, 5, 4}
-	w.mu.Unlock()
-	w.setMembers("", "n1")
-	w.startNode(t, "n1")
-	w.waitVersion(t, 4)
-
-	w.mu.Lock()
-	w.engines = []uint64{5, 5, 5}
-	w.frozenDigest = nil
-	w.mu.Unlock()
-	w.freezeDigest()
-	w.waitVersion(t, 4)
-	for _, directive := range w.nextDirectives(t, 3) {
+	c := newTestCluster(t, row(4, 0))
+	c.engines = []uint64{4, 4, 4}
+	c.freezeDigest()
+	c.mu.Lock()
+	c.engines = []uint64{5, 5, 4}
+	c.mu.Unlock()
+	c.setMembers("", "n1")
+	c.startNode(t, "n1")
+	c.waitVersion(t, 4)
+
+	c.mu.Lock()
+	c.engines = []uint64{5, 5, 5}
+	c.frozenDigest = nil
+	c.mu.Unlock()
+	c.freezeDigest()
+	c.waitVersion(t, 4)
+	for _, directive := range c.nextDirectives(t, 3) {
 		assert.Equal(t, directive.Concurrent, 0, "all engines hold the version: %+v", directive)
 	}
 }
 
 func TestOwnerContinuesWhileLogAndStoreAreUnavailable(t *testing.T) {
-	w := newTestCluster(t, row(2, 0))
-	w.setMembers("", "n1")
-	coordinator := w.startNode(t, "n1")
-	w.waitVersion(t, 2)
-	w.logServer.CloseClientConnections()
-	w.logServer.Close()
+	c := newTestCluster(t, row(2, 0))
+	c.setMembers("", "n1")
+	coordinator := c.startNode(t, "n1")
+	c.waitVersion(t, 2)
+	c.logServer.CloseClientConnections()
+	c.logServer.Close()
 	down := true
-	w.store.Control(standinstore.Control{Down: &down})
-	w.setRows(row(3, 0))
-	w.waitVersion(t, 3)
+	c.store.Control(standinstore.Control{Down: &down})
+	c.setRows(row(3, 0))
+	c.waitVersion(t, 3)
 	assert.Equal(t, len(coordinator.Owned()), 1)
 }
 
 func TestOwnerAfterDrainHasHigherEpoch(t *testing.T) {
-	w := newTestCluster(t, row(2, 0))
-	w.setMembers("", "n1")
-	first := w.startNode(t, "n1")
+	c := newTestCluster(t, row(2, 0))
+	c.setMembers("", "n1")
+	first := c.startNode(t, "n1")
 	waitOwned(t, first, 1)
 	before := first.Owned()[0].Epoch
-	w.setMembers("n1", "n2")
+	c.setMembers("n1", "n2")
 	assert.NilError(t, first.Drain(t.Context()))
 	assert.Equal(t, len(first.Owned()), 0)
-	second := w.startNode(t, "n2")
+	second := c.startNode(t, "n2")
 	waitOwned(t, second, 1)
 	assert.Assert(t, second.Owned()[0].Epoch > before)
 }
@@ -114,12 +114,12 @@
 	for number := range 12 {
 		rows = append(rows, policy.Row{Service: fmt.Sprint("s", number), Pool: "p", Model: fmt.Sprint("m", number), Version: 2})
 	}
-	w := newTestCluster(t, rows...)
-	w.setMembers("", "n1")
-	coordinator := w.startNode(t, "n1")
+	c := newTestCluster(t, rows...)
+	c.setMembers("", "n1")
+	coordinator := c.startNode(t, "n1")
 	waitOwned(t, coordinator, len(rows))
-	w.logServer.CloseClientConnections()
-	w.logServer.Close()
+	c.logServer.CloseClientConnections()
+	c.logServer.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*releaseTimeout)
 	defer cancel()
 	assert.NilError(t, coordinator.Drain(ctx))
@@ -127,29 +127,29 @@
 }
 
 func TestReplacedOwnerDetectsLossFromLog(t *testing.T) {
-	w := newTestCluster(t, row(2, 0))
-	w.setMembers("", "n1")
-	first := w.startNode(t, "n1")
+	c := newTestCluster(t, row(2, 0))
+	c.setMembers("", "n1")
+	first := c.startNode(t, "n1")
 	waitOwned(t, first, 1)
 	// n1 is removed from the membership but keeps running.
-	w.setMembers("n1", "n2")
-	second := w.startNode(t, "n2")
+	c.setMembers("n1", "n2")
+	second := c.startNode(t, "n2")
 	waitOwned(t, second, 1)
 	waitOwned(t, first, 0)
 }
 
 func TestStreamOfLiveOwnerIsNotClaimed(t *testing.T) {
-	w := newTestCluster(t, row(2, 0))
-	w.setMembers("other", "n1", "other")
-	var preferred preference
-	options := Options{NodeID: preferred.owner(w.Candidates(""), "orders/m"), View: w}
-	view := newOwnership(options, &preferred, "m", zerolog.Nop())
-	if view.options.NodeID == "other" {
-		w.setMembers("n1", "n1", "other")
+	c := newTestCluster(t, row(2, 0))
+	c.setMembers("other", "n1", "other")
+	var selector ownerSelector
+	options := Options{NodeID: selector.owner(c.Candidates(""), "orders/m"), View: c}
+	stream := newOwnership(options, &selector, "m", zerolog.Nop())
+	if stream.options.NodeID == "other" {
+		c.setMembers("n1", "n1", "other")
 	}
-	assert.Assert(t, !view.shouldClaim())
-	w.setMembers("gone", "n1", "other")
-	assert.Assert(t, view.shouldClaim())
+	assert.Assert(t, !stream.shouldClaim())
+	c.setMembers("gone", "n1", "other")
+	assert.Assert(t, stream.shouldClaim())
 }
 
 func TestTargetsUseHighestVersion(t *testing.T) {
