--- a/internal/coordinator/abandon.go
+++ b/internal/coordinator/abandon.go
@@ -9,12 +9,12 @@
 	"github.com/corkpulley/corkpulley/internal/core/ledger"
 )
 
-// errAbandoned ends the attempt of a slot whose step was abandoned.
+// errAbandoned is the cancellation cause of slot runs whose step was abandoned.
 var errAbandoned = errors.New("step abandoned")
 
 // abandon records that the step is abandoned and returns its status once the record is read back.
 func (t *tenure) abandon(ctx context.Context, step string) (api.StepStatus, error) {
-	if _, _, err := t.terms(); err != nil {
+	if _, _, err := t.currentTerms(); err != nil {
 		return api.StepStatus{}, err
 	}
 	status, err := t.stepStatus(step)
--- a/internal/coordinator/abandon_test.go
+++ b/internal/coordinator/abandon_test.go
@@ -37,7 +37,7 @@
 
 	hold := make(chan struct{})
 	defer close(hold)
-	d.engines.set(func(f *fakeRouter) { f.hold = hold })
+	d.engines.update(func(f *fakeRouter) { f.hold = hold })
 	_, err = a.SubmitStep(t.Context(), trainerName, "held", request)
 	assert.NilError(t, err)
 	owner := d.awaitOwner(a, b)
@@ -72,6 +72,6 @@
 	assert.DeepEqual(t, late.Rejected, ack.Samples)
 	again, err := b.SubmitStep(t.Context(), trainerName, "s", request)
 	assert.NilError(t, err)
-	assert.Assert(t, again.Abandoned, "the step's ID stays taken")
+	assert.Assert(t, again.Abandoned, "the step's ID cannot be reused")
 	assert.Equal(t, len(owner.Statuses()), 2, "abandoned steps are listed")
 }
--- a/internal/coordinator/answer.go
+++ b/internal/coordinator/answer.go
@@ -48,7 +48,7 @@
 	if !slices.Contains([]string{"stop", "length"}, result.FinishReason) {
 		return nil, errors.Errorf("unexpected finish reason %q", result.FinishReason)
 	}
-	if _, whole := ledger.OldestVersion(b.spans, b.tokens); !whole {
+	if _, covered := ledger.OldestVersion(b.spans, b.tokens); !covered {
 		return nil, errors.Errorf("weight versions %v do not cover %d tokens", b.spans, b.tokens)
 	}
 	return &ledger.SampleFilled{
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -106,7 +106,7 @@
 	first := awaitSamples(t, n, fetch, 2)
 	assert.Equal(t, first.Samples[0].Versions[0].Version, uint64(1))
 
-	d.engines.set(func(f *fakeRouter) { f.version = 2 })
+	d.engines.update(func(f *fakeRouter) { f.version = 2 })
 	d.setBound(0)
 	second := awaitSamples(t, n, fetch, 2)
 	for _, sample := range second.Samples {
@@ -134,18 +134,18 @@
 		}
 		return poll.Success()
 	}, poll.WithTimeout(30*time.Second))
-	d.engines.set(func(f *fakeRouter) { f.version, f.hold = 3, nil })
+	d.engines.update(func(f *fakeRouter) { f.version, f.hold = 3, nil })
 	response := awaitSamples(t, n, api.FetchRequest{Step: "s", TrainerVersion: 3, WaitMS: 100}, 1)
 	assert.Equal(t, response.Samples[0].Versions[0].Version, uint64(3))
 	assert.Equal(t, response.Samples[0].ID, "s/0/1", "the held answer was never recorded")
-	d.engines.set(func(f *fakeRouter) {
+	d.engines.update(func(f *fakeRouter) {
 		assert.Equal(t, f.requests[len(f.requests)-1].MinVersion, uint64(2))
 	})
 }
 
 func (d *deployment) requestCount() int {
 	count := 0
-	d.engines.set(func(f *fakeRouter) { count = len(f.requests) })
+	d.engines.update(func(f *fakeRouter) { count = len(f.requests) })
 	return count
 }
 
@@ -171,7 +171,7 @@
 	assert.Equal(t, d.engines.runs, 2, "recorded samples are not run again")
 }
 
-func TestFrozenOwnerIsFenced(t *testing.T) {
+func TestPausedOwnerIsFenced(t *testing.T) {
 	d := newDeployment(t)
 	a, b := d.start("a"), d.start("b")
 	owner := d.awaitOwner(a, b)
@@ -191,20 +191,20 @@
 		answer Answer
 		err    error
 	}
-	woken := make(chan outcome, 3)
+	outcomes := make(chan outcome, 3)
 	for _, call := range []Call{
 		{Fetch: &fetch},
 		{Acknowledge: &api.AckRequest{Token: before.Token, Samples: ids(before.Samples), TrainerVersion: 1}},
 		{Submit: &SubmitCall{Step: "t", Request: stepRequest(1, 1)}},
 	} {
 		go func() {
-			answer, err := stale.answer(t.Context(), call)
-			woken <- outcome{answer, err}
+			answer, err := stale.handleCall(t.Context(), call)
+			outcomes <- outcome{answer, err}
 		}()
 	}
 	owner.log.setPaused(false)
-	for range cap(woken) {
-		result := <-woken
+	for range cap(outcomes) {
+		result := <-outcomes
 		assertKind(t, result.err, errkind.NotOwner)
 	}
 	<-stale.ended
@@ -222,7 +222,7 @@
 	owner := d.awaitOwner(a, b)
 	other := map[*node]*node{a: b, b: a}[owner]
 	hold := make(chan struct{})
-	d.engines.set(func(f *fakeRouter) { f.hold = hold })
+	d.engines.update(func(f *fakeRouter) { f.hold = hold })
 	_, err := owner.SubmitStep(t.Context(), trainerName, "s", stepRequest(1, 1))
 	assert.NilError(t, err)
 	fetched := make(chan error, 1)
--- a/internal/coordinator/fake_platform_test.go
+++ b/internal/coordinator/fake_platform_test.go
@@ -82,7 +82,7 @@
 	requests []router.Request
 }
 
-func (f *fakeRouter) set(change func(*fakeRouter)) {
+func (f *fakeRouter) update(change func(*fakeRouter)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	change(f)
@@ -97,7 +97,7 @@
 func (f *fakeRouter) Run(
 	ctx context.Context, request router.Request, onPiece func(router.Piece) error,
 ) (router.Result, error) {
-	if err := f.begin(ctx, request); err != nil {
+	if err := f.awaitAdmission(ctx, request); err != nil {
 		return router.Result{}, err
 	}
 	version, tokens, hold := f.state()
@@ -119,14 +119,14 @@
 			}
 		}
 	}
-	f.set(func(f *fakeRouter) { f.runs++ })
+	f.update(func(f *fakeRouter) { f.runs++ })
 	return router.Result{Tokens: tokens, FinishReason: "stop"}, nil
 }
 
-// begin records the request and waits until it is admitted.
-func (f *fakeRouter) begin(ctx context.Context, request router.Request) error {
+// awaitAdmission records the request and waits until it is admitted.
+func (f *fakeRouter) awaitAdmission(ctx context.Context, request router.Request) error {
 	var admit chan struct{}
-	f.set(func(f *fakeRouter) {
+	f.update(func(f *fakeRouter) {
 		f.requests = append(f.requests, request)
 		f.admittedBefore = append(f.admittedBefore, f.admitted)
 		admit = f.admit
@@ -139,7 +139,7 @@
 	case <-ctx.Done():
 		return errkind.New(errkind.Canceled, "canceled")
 	}
-	f.set(func(f *fakeRouter) { f.admitted++ })
+	f.update(func(f *fakeRouter) { f.admitted++ })
 	return nil
 }
 
@@ -151,7 +151,7 @@
 }
 
 func (f *fakeRouter) Publish(_ context.Context, _ string, request weightstore.PublishRequest) error {
-	f.set(func(f *fakeRouter) { f.version = max(f.version, request.Version) })
+	f.update(func(f *fakeRouter) { f.version = max(f.version, request.Version) })
 	return nil
 }
 
--- a/internal/coordinator/fetch.go
+++ b/internal/coordinator/fetch.go
@@ -53,7 +53,7 @@
 		case <-ctx.Done():
 			return api.FetchResponse{}, errkind.New(errkind.Canceled, "caller canceled the fetch")
 		case <-t.ctx.Done():
-			return api.FetchResponse{}, t.notOwner()
+			return api.FetchResponse{}, t.notOwnerError()
 		}
 	}
 }
@@ -71,7 +71,7 @@
 func (t *tenure) fetchOnce(
 	ctx context.Context, request api.FetchRequest, held map[ledger.SampleKey]bool,
 ) (api.FetchResponse, error) {
-	_, terms, err := t.terms()
+	_, terms, err := t.currentTerms()
 	if err != nil {
 		return api.FetchResponse{}, err
 	}
@@ -88,9 +88,9 @@
 		return api.FetchResponse{}, t.proposeError(ctx, err)
 	}
 	if !accepted && t.tableOutdated(terms) {
-		return api.FetchResponse{}, errTableOutdated(terms)
+		return api.FetchResponse{}, tableOutdatedError(terms)
 	}
-	return t.delivered(ctx, request, ledger.TokenOf(offset), len(candidates))
+	return t.deliveryResponse(ctx, request, ledger.TokenOf(offset), len(candidates))
 }
 
 // deliverable returns the samples for the next delivery.
@@ -115,9 +115,9 @@
 	return keys
 }
 
-// delivered returns the samples whose current delivery has the token; the
-// reducer may have excluded some of those proposed.
-func (t *tenure) delivered(
+// deliveryResponse returns the samples whose current delivery has the token. These
+// may be fewer than proposed, because the reducer excludes undeliverable ones.
+func (t *tenure) deliveryResponse(
 	ctx context.Context, request api.FetchRequest, token int64, limit int,
 ) (api.FetchResponse, error) {
 	var stored []ledger.StoredSample
--- a/internal/coordinator/follower.go
+++ b/internal/coordinator/follower.go
@@ -72,7 +72,7 @@
 			f.claimBackoff.RecordLoss(time.Now())
 		case !f.shouldOwn():
 			return
-		case f.ownerGone(fence) && (!fence.Owned() || f.claimBackoff.MayClaim(time.Now())):
+		case f.mayClaim(fence) && (!fence.Owned() || f.claimBackoff.MayClaim(time.Now())):
 			f.claim(ctx, fence)
 		default:
 			f.wait(ctx, applied)
@@ -93,14 +93,14 @@
 		return false
 	}
 	row, err := trainerRow(c.options.Tables.Table(), f.trainer)
-	return err == nil && c.prefersSelf(row)
+	return err == nil && c.isPreferredOwner(row)
 }
 
-// ownerGone reports whether the ledger may be claimed. A node has at most one
+// mayClaim reports whether the ledger may be claimed. A node has at most one
 // follower per trainer, so a ledger owned by an earlier follower may be claimed.
-func (f *follower) ownerGone(fence logrecord.Fence) bool {
+func (f *follower) mayClaim(fence logrecord.Fence) bool {
 	options := &f.coordinator.options
-	return fence.Owner == options.NodeID || ownerGone(options.View, fence)
+	return fence.Owner == options.NodeID || ownerUnavailable(options.View, fence)
 }
 
 // claim proposes a claim and waits until it is read back. run checks the fence
--- a/internal/coordinator/forward.go
+++ b/internal/coordinator/forward.go
@@ -111,30 +111,30 @@
 		return Answer{}, err
 	}
 	var failingSince time.Time
-	uncertain := false
-	for try := 0; ; try++ {
-		began := time.Now()
-		answer, err := c.callOnce(ctx, call, try)
+	maybeExecuted := false
+	for attempt := 0; ; attempt++ {
+		startedAt := time.Now()
+		answer, err := c.callOnce(ctx, call, attempt)
 		if err == nil || !ownerMissing(err) {
 			return answer, err
 		}
-		uncertain = uncertain || mayHaveTakenEffect(err)
-		if failingSince.IsZero() || time.Since(began) > ownerTimeout {
+		maybeExecuted = maybeExecuted || mayHaveExecuted(err)
+		if failingSince.IsZero() || time.Since(startedAt) > ownerTimeout {
 			failingSince = time.Now()
 		}
 		if time.Since(failingSince) > ownerTimeout || !retry.Sleep(ctx, ownerRetryDelay) {
-			return Answer{}, noOwnerError(call, err, uncertain)
+			return Answer{}, noOwnerError(call, err, maybeExecuted)
 		}
 	}
 }
 
 // callOnce sends the call to the presumed owner. Odd attempts go to the preferred
 // owner, in case the announced owner is outdated.
-func (c *Coordinator) callOnce(ctx context.Context, call Call, try int) (Answer, error) {
+func (c *Coordinator) callOnce(ctx context.Context, call Call, attempt int) (Answer, error) {
 	if owned := c.tenure(call.Trainer); owned != nil {
-		return owned.answer(ctx, call)
+		return owned.handleCall(ctx, call)
 	}
-	target, found := c.locate(call.Trainer, try)
+	target, found := c.presumedOwner(call.Trainer, attempt)
 	if !found || target.ID == c.options.NodeID {
 		return Answer{}, errkind.New(errkind.NotReady, "no node owns the ledger of trainer %q yet", call.Trainer)
 	}
@@ -143,16 +143,16 @@
 	return answer, err
 }
 
-func (c *Coordinator) locate(trainer string, try int) (cluster.Member, bool) {
+func (c *Coordinator) presumedOwner(trainer string, attempt int) (cluster.Member, bool) {
 	announced, _, known := c.options.View.Owner(ledger.StreamName(trainer))
-	if known && announced.State != cluster.StateDead && try%2 == 0 {
+	if known && announced.State != cluster.StateDead && attempt%2 == 0 {
 		return announced, true
 	}
 	row, err := trainerRow(c.options.Tables.Table(), trainer)
 	if err != nil {
 		return cluster.Member{}, false
 	}
-	return preferred(c.options.View, row)
+	return preferredOwner(c.options.View, row)
 }
 
 // handleTrainer handles a call forwarded by another node; it fails with NotOwner
@@ -166,7 +166,7 @@
 	if owned == nil {
 		return nil, errkind.New(errkind.NotOwner, "node %s does not own the ledger of %q", c.options.NodeID, call.Trainer)
 	}
-	answer, err := owned.answer(ctx, call)
+	answer, err := owned.handleCall(ctx, call)
 	if err != nil {
 		return nil, errkind.From(err)
 	}
@@ -177,8 +177,8 @@
 	return &StatusList{Steps: c.Statuses()}, nil
 }
 
-// ownerMissing reports whether the call should be retried, as the node called is
-// unreachable or not the owner.
+// ownerMissing reports whether the node that was called is unreachable or does not
+// own the ledger, so that the call should be retried.
 func ownerMissing(err error) bool {
 	var delivery *peer.DeliveryError
 	if errors.As(err, &delivery) {
@@ -192,16 +192,16 @@
 	}
 }
 
-// mayHaveTakenEffect reports whether the owner may have executed the call.
-func mayHaveTakenEffect(err error) bool {
+// mayHaveExecuted reports whether the owner may have executed the call.
+func mayHaveExecuted(err error) bool {
 	var delivery *peer.DeliveryError
 	return errors.As(err, &delivery) && delivery.Sent
 }
 
 // noOwnerError returns the error for a call that no owner answered.
-func noOwnerError(call Call, last error, uncertain bool) error {
-	changes := call.Submit != nil || call.Acknowledge != nil || call.Abandon != nil
-	if changes && uncertain {
+func noOwnerError(call Call, last error, maybeExecuted bool) error {
+	modifiesLedger := call.Submit != nil || call.Acknowledge != nil || call.Abandon != nil
+	if modifiesLedger && maybeExecuted {
 		return errkind.New(errkind.OutcomeUnknownRepeatable, "the owner's response was lost; repeat the same call: %v", last)
 	}
 	return errkind.New(errkind.NotReady, "no owner of trainer %q answered: %v", call.Trainer, last)
--- a/internal/coordinator/minversion.go
+++ b/internal/coordinator/minversion.go
@@ -5,9 +5,9 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// noteFinished stores the trainer's version if an acknowledgement finished a step:
+// recordStepFinish stores the trainer's version if an acknowledgement finished a step:
 // the trainer then trains on that step and produces a later version.
-func (t *tenure) noteFinished(keys []ledger.SampleKey, trainerVersion uint64) {
+func (t *tenure) recordStepFinish(keys []ledger.SampleKey, trainerVersion uint64) {
 	finished := false
 	t.stream.View(func() {
 		for _, key := range keys {
@@ -20,34 +20,34 @@
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.finishedAt = trainerVersion
+	t.finishedAtVersion = trainerVersion
 }
 
-// versionsUntil estimates how many versions the trainer will produce before it
+// versionsUntilConsumed estimates how many versions the trainer will produce before it
 // consumes the step's samples: one for each earlier unfinished step, and one if
 // it is training on a step finished at its current version. It is an estimate;
 // the staleness bound is enforced on delivery.
-func (t *tenure) versionsUntil(step string) uint64 {
+func (t *tenure) versionsUntilConsumed(step string) uint64 {
 	versions := uint64(0)
 	t.stream.View(func() { versions = uint64(t.ledger.StepsBefore(step)) })
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.finishedAt != 0 && t.finishedAt == t.trainerVersion {
+	if t.finishedAtVersion != 0 && t.finishedAtVersion == t.trainerVersion {
 		versions++
 	}
 	return versions
 }
 
 // minVersion returns the lowest weight version to start a slot with, such that the
-// sample is still within the staleness bound after versionsUntil further versions.
+// sample is still within the staleness bound after versionsUntilConsumed further versions.
 // It never exceeds the trainer's version, the newest one known to exist.
-func minVersion(row policy.Row, terms ledger.FreshnessTerms, versionsUntil uint64) uint64 {
-	taken := terms.TrainerVersion
+func minVersion(row policy.Row, terms ledger.FreshnessTerms, versionsUntilConsumed uint64) uint64 {
+	consumedVersion := terms.TrainerVersion
 	if row.Version == policy.VersionLatest {
-		taken += versionsUntil
+		consumedVersion += versionsUntilConsumed
 	}
-	if taken <= uint64(terms.Bound) {
+	if consumedVersion <= uint64(terms.Bound) {
 		return 0
 	}
-	return min(taken-uint64(terms.Bound), terms.TrainerVersion)
+	return min(consumedVersion-uint64(terms.Bound), terms.TrainerVersion)
 }
--- a/internal/coordinator/outcome_test.go
+++ b/internal/coordinator/outcome_test.go
@@ -14,9 +14,9 @@
 	standinlog "github.com/corkpulley/corkpulley/internal/standin/logservice"
 )
 
-// requireRepeatable checks that the error is retryable and reports that the call
+// assertRetryable checks that the error is retryable and reports that the call
 // may have been executed.
-func requireRepeatable(t *testing.T, err error) {
+func assertRetryable(t *testing.T, err error) {
 	t.Helper()
 	assert.Assert(t, err != nil)
 	answer := errkind.KindOf(err).Response()
@@ -31,14 +31,14 @@
 	n := d.start("a")
 	d.awaitOwner(n)
 	request := stepRequest(1, 2)
-	shortly := func() context.Context {
+	shortContext := func() context.Context {
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		t.Cleanup(cancel)
 		return ctx
 	}
 	d.log.SetControl(standinlog.Control{Down: true})
-	_, err := n.SubmitStep(shortly(), trainerName, "s", request)
-	requireRepeatable(t, err)
+	_, err := n.SubmitStep(shortContext(), trainerName, "s", request)
+	assertRetryable(t, err)
 	d.log.SetControl(standinlog.Control{})
 	_, err = n.SubmitStep(t.Context(), trainerName, "s", request)
 	assert.NilError(t, err)
@@ -46,8 +46,8 @@
 	delivered := awaitSamples(t, n, api.FetchRequest{Step: "s", TrainerVersion: 1, WaitMS: 100}, 2)
 	ack := api.AckRequest{Token: delivered.Token, Samples: ids(delivered.Samples), TrainerVersion: 1}
 	d.log.SetControl(standinlog.Control{Down: true})
-	_, err = n.Acknowledge(shortly(), trainerName, ack)
-	requireRepeatable(t, err)
+	_, err = n.Acknowledge(shortContext(), trainerName, ack)
+	assertRetryable(t, err)
 	d.log.SetControl(standinlog.Control{})
 	answer, err := n.Acknowledge(t.Context(), trainerName, ack)
 	assert.NilError(t, err)
@@ -58,7 +58,7 @@
 func TestCallWithLostResponseIsRetryable(t *testing.T) {
 	lost := &peer.DeliveryError{Sent: true, Err: errors.New("connection reset")}
 	for _, call := range []Call{{Submit: &SubmitCall{}}, {Acknowledge: &api.AckRequest{}}} {
-		requireRepeatable(t, noOwnerError(call, lost, mayHaveTakenEffect(lost)))
+		assertRetryable(t, noOwnerError(call, lost, mayHaveExecuted(lost)))
 		assertKind(t, noOwnerError(call, lost, false), errkind.NotReady)
 	}
 	assertKind(t, noOwnerError(Call{Fetch: &api.FetchRequest{}}, lost, true), errkind.NotReady)
--- a/internal/coordinator/placement.go
+++ b/internal/coordinator/placement.go
@@ -13,13 +13,13 @@
 	"github.com/corkpulley/corkpulley/internal/core/policy"
 )
 
-// writerSuffix separates the process's writer ID from the stream's number in the
+// writerSeparator separates the process's writer ID from the stream's number in the
 // writer ID of a record.
-const writerSuffix = "~"
+const writerSeparator = "~"
 
-// preferred returns the node that should own the trainer's ledger, by rendezvous
+// preferredOwner returns the node that should own the trainer's ledger, by rendezvous
 // hashing over the candidates of the row's first zone that has any.
-func preferred(view cluster.View, row policy.Row) (cluster.Member, bool) {
+func preferredOwner(view cluster.View, row policy.Row) (cluster.Member, bool) {
 	candidates := zoneCandidates(view, row.Zones)
 	if len(candidates) == 0 {
 		return cluster.Member{}, false
@@ -28,9 +28,9 @@
 	for _, member := range candidates {
 		ids = append(ids, member.ID)
 	}
-	chosen := rendezvous.New(ids, xxhash.Sum64String).Lookup(ledger.StreamName(row.Service))
-	at := slices.Index(ids, chosen)
-	return candidates[at], true
+	owner := rendezvous.New(ids, xxhash.Sum64String).Lookup(ledger.StreamName(row.Service))
+	index := slices.Index(ids, owner)
+	return candidates[index], true
 }
 
 func zoneCandidates(view cluster.View, zones []string) []cluster.Member {
@@ -42,10 +42,10 @@
 	return view.Candidates("")
 }
 
-// ownerGone reports whether the fence's owner appears unavailable: it is not a
+// ownerUnavailable reports whether the fence's owner appears unavailable: it is not a
 // known member, is dead or leaving, or has restarted. A wrong result only causes
 // duplicate work; the fence ensures correctness.
-func ownerGone(view cluster.View, fence logrecord.Fence) bool {
+func ownerUnavailable(view cluster.View, fence logrecord.Fence) bool {
 	if !fence.Owned() {
 		return true
 	}
@@ -61,6 +61,6 @@
 	if member.State == cluster.StateDead || member.State == cluster.StateLeaving {
 		return false
 	}
-	process, _, _ := strings.Cut(writer, writerSuffix)
+	process, _, _ := strings.Cut(writer, writerSeparator)
 	return member.Writer == "" || member.Writer == process
 }
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -41,7 +41,7 @@
 		return
 	}
 	for _, row := range table.Rows {
-		if row.Kind != policy.KindTrainer || !c.prefersSelf(row) || c.followerOf(row.Service) != nil {
+		if row.Kind != policy.KindTrainer || !c.isPreferredOwner(row) || c.followerOf(row.Service) != nil {
 			continue
 		}
 		started := c.newFollower(row.Service)
@@ -57,8 +57,8 @@
 	}
 }
 
-func (c *Coordinator) prefersSelf(row policy.Row) bool {
-	member, found := preferred(c.options.View, row)
+func (c *Coordinator) isPreferredOwner(row policy.Row) bool {
+	member, found := preferredOwner(c.options.View, row)
 	return found && member.ID == c.options.NodeID
 }
 
@@ -102,9 +102,9 @@
 	c.options.Announcer.AnnounceOwned(owned)
 }
 
-// untilDraining returns a context that is canceled with ctx, or when the grace
+// contextUntilDrain returns a context that is canceled with ctx, or when the grace
 // period has passed since draining began.
-func (c *Coordinator) untilDraining(ctx context.Context, grace time.Duration) (context.Context, context.CancelFunc) {
+func (c *Coordinator) contextUntilDrain(ctx context.Context, grace time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -15,9 +15,9 @@
 const (
 	// defaultWindow is the number of slots in flight if no cell is known.
 	defaultWindow = 16
-	// windowSlack is the number of additional slots, in percent of the cells'
-	// slots, that may be queued at dispatchers, so that no engine is idle.
-	windowSlack = 25
+	// windowSlackPercent is the number of slots that may be queued at dispatchers, in
+	// percent of the cells' slots, so that no engine is idle.
+	windowSlackPercent = 25
 	// maxWindow limits the slots in flight of one trainer.
 	maxWindow = 4096
 	// unrecordedFactor limits the slots that run, are scored or recorded, as a
@@ -30,7 +30,7 @@
 // schedule runs one scheduling round: it discards samples beyond the staleness
 // bound, cancels runs that are beyond it or abandoned, and starts open slots.
 func (t *tenure) schedule() {
-	row, terms, err := t.terms()
+	row, terms, err := t.currentTerms()
 	if err != nil {
 		return
 	}
@@ -198,7 +198,7 @@
 	}
 	window := defaultWindow
 	if slots > 0 {
-		window = slots + slots*windowSlack/100 + 1
+		window = slots + slots*windowSlackPercent/100 + 1
 	}
 	if row.Cap > 0 {
 		window = min(window, row.Cap)
@@ -218,7 +218,7 @@
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	// Draining must not wait for a log that does not respond.
-	ctx, stop := t.coordinator.untilDraining(ctx, 0)
+	ctx, stop := t.coordinator.contextUntilDrain(ctx, 0)
 	defer stop()
 	request := new(ledger.StepSubmitted)
 	if err := t.readBody(ctx, slot.StepOffset, request); err != nil {
--- a/internal/coordinator/schedule_test.go
+++ b/internal/coordinator/schedule_test.go
@@ -16,7 +16,7 @@
 	const samples = 4
 	d := newDeployment(t)
 	admit := make(chan struct{})
-	d.engines.set(func(f *fakeRouter) { f.admit = admit })
+	d.engines.update(func(f *fakeRouter) { f.admit = admit })
 	a := d.start("a")
 	for _, step := range []string{"first", "second"} {
 		request := stepRequest(1, samples)
@@ -35,7 +35,7 @@
 	}
 	awaitSamples(t, a, api.FetchRequest{TrainerVersion: 1, WaitMS: 100}, 2*samples)
 
-	d.engines.set(func(f *fakeRouter) {
+	d.engines.update(func(f *fakeRouter) {
 		assert.Equal(t, len(f.requests), 2*samples)
 		for index, request := range f.requests {
 			if request.Prompt == "second" {
@@ -50,7 +50,7 @@
 // slots must not start with weights that are stale by then.
 func TestMinVersionAccountsForEarlierSteps(t *testing.T) {
 	d := newDeployment(t) // the bound is one version
-	d.engines.set(func(f *fakeRouter) { f.version = 5 })
+	d.engines.update(func(f *fakeRouter) { f.version = 5 })
 	a := d.start("a")
 	// The second submission raises the trainer version, which must apply before any of its slots start.
 	for number, step := range []string{"first", "second"} {
@@ -62,7 +62,7 @@
 	}
 	awaitSamples(t, a, api.FetchRequest{TrainerVersion: 5, WaitMS: 100}, 4)
 
-	d.engines.set(func(f *fakeRouter) {
+	d.engines.update(func(f *fakeRouter) {
 		for _, request := range f.requests {
 			if request.Prompt == "second" {
 				assert.Equal(t, request.MinVersion, uint64(5))
@@ -77,7 +77,7 @@
 // version later, so its slots need newer weights.
 func TestMinVersionAccountsForTrainingInProgress(t *testing.T) {
 	d := newDeployment(t) // the bound is one version
-	d.engines.set(func(f *fakeRouter) { f.version = 5 })
+	d.engines.update(func(f *fakeRouter) { f.version = 5 })
 	a := d.start("a")
 	request := stepRequest(1, 2)
 	request.TrainerVersion = 5
@@ -93,7 +93,7 @@
 	_, err = a.SubmitStep(t.Context(), trainerName, "second", request)
 	assert.NilError(t, err)
 	awaitSamples(t, a, api.FetchRequest{Step: "second", TrainerVersion: 5, WaitMS: 100}, 2)
-	d.engines.set(func(f *fakeRouter) {
+	d.engines.update(func(f *fakeRouter) {
 		for _, request := range f.requests {
 			if request.Prompt == "second" {
 				assert.Equal(t, request.MinVersion, uint64(5))
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -13,8 +13,8 @@
 	"github.com/corkpulley/corkpulley/internal/logstream"
 )
 
-// answer handles a call at the ledger's owner.
-func (t *tenure) answer(ctx context.Context, call Call) (Answer, error) {
+// handleCall handles a call at the ledger's owner.
+func (t *tenure) handleCall(ctx context.Context, call Call) (Answer, error) {
 	if err := t.beginCall(); err != nil {
 		return Answer{}, err
 	}
@@ -48,7 +48,7 @@
 		return errkind.New(errkind.ShuttingDown, "node %s is releasing the ledger of %q", t.options.NodeID, t.trainer)
 	}
 	if t.closed {
-		return t.notOwner()
+		return t.notOwnerError()
 	}
 	t.calls.Add(1)
 	return nil
@@ -56,15 +56,15 @@
 
 // submit records a step; the step is accepted when the record is read back.
 func (t *tenure) submit(ctx context.Context, call SubmitCall) (api.StepStatus, error) {
-	if _, _, err := t.terms(); err != nil {
+	if _, _, err := t.currentTerms(); err != nil {
 		return api.StepStatus{}, err
 	}
 	body, err := newStepSubmitted(call)
 	if err != nil {
 		return api.StepStatus{}, err
 	}
-	status, known, err := t.knownStep(body)
-	if known || err != nil {
+	status, recorded, err := t.recordedStep(body)
+	if recorded || err != nil {
 		return status, err
 	}
 	if err := t.checkOpenSteps(); err != nil {
@@ -78,8 +78,8 @@
 	if _, _, err := t.propose(ctx, ledger.KindStepSubmitted, body); err != nil {
 		return api.StepStatus{}, t.proposeError(ctx, err)
 	}
-	status, known, err = t.knownStep(body)
-	if err == nil && !known {
+	status, recorded, err = t.recordedStep(body)
+	if err == nil && !recorded {
 		err = errkind.New(errkind.InvalidRequest, "step %q was rejected by the ledger", call.Step)
 	}
 	if err == nil {
@@ -88,17 +88,17 @@
 	return status, err
 }
 
-// knownStep returns the status of a step if it is recorded; it fails with
+// recordedStep returns the status of a step if it is recorded; it fails with
 // StepMismatch if the step was submitted with a different request.
-func (t *tenure) knownStep(body *ledger.StepSubmitted) (api.StepStatus, bool, error) {
+func (t *tenure) recordedStep(body *ledger.StepSubmitted) (api.StepStatus, bool, error) {
 	var counts ledger.Counts
 	var fingerprint uint64
-	var known bool
+	var recorded bool
 	t.stream.View(func() {
-		fingerprint, known = t.ledger.Fingerprint(body.Step)
+		fingerprint, recorded = t.ledger.Fingerprint(body.Step)
 		counts, _ = t.ledger.Counts(body.Step)
 	})
-	if !known {
+	if !recorded {
 		return api.StepStatus{}, false, nil
 	}
 	if fingerprint != body.Fingerprint {
@@ -134,11 +134,11 @@
 		return api.AckResponse{}, err
 	}
 	t.setTrainerVersion(request.TrainerVersion)
-	_, terms, err := t.terms()
+	_, terms, err := t.currentTerms()
 	if err != nil {
 		return api.AckResponse{}, err
 	}
-	if response := t.acknowledged(request.Token, keys); len(response.Rejected) == 0 {
+	if response := t.ackResponse(request.Token, keys); len(response.Rejected) == 0 {
 		return response, nil
 	}
 	terms.TrainerVersion = request.TrainerVersion
@@ -150,16 +150,16 @@
 		return api.AckResponse{}, t.proposeError(ctx, err)
 	}
 	if !accepted && t.tableOutdated(terms) {
-		return api.AckResponse{}, errTableOutdated(terms)
+		return api.AckResponse{}, tableOutdatedError(terms)
 	}
-	t.noteFinished(keys, request.TrainerVersion)
-	response := t.acknowledged(request.Token, keys)
+	t.recordStepFinish(keys, request.TrainerVersion)
+	response := t.ackResponse(request.Token, keys)
 	t.metrics.samples.WithLabelValues(t.trainer, eventAcknowledged).Add(float64(len(response.Accepted)))
 	t.metrics.samples.WithLabelValues(t.trainer, eventRejected).Add(float64(len(response.Rejected)))
 	return response, nil
 }
 
-func (t *tenure) acknowledged(token int64, keys []ledger.SampleKey) api.AckResponse {
+func (t *tenure) ackResponse(token int64, keys []ledger.SampleKey) api.AckResponse {
 	var accepted, rejected []ledger.SampleKey
 	t.stream.View(func() { accepted, rejected = t.ledger.AcknowledgedUnder(token, keys) })
 	return api.AckResponse{Accepted: sampleIDs(accepted), Rejected: sampleIDs(rejected)}
@@ -173,20 +173,20 @@
 	return revision > terms.TableRevision
 }
 
-func errTableOutdated(terms ledger.FreshnessTerms) error {
+func tableOutdatedError(terms ledger.FreshnessTerms) error {
 	return errkind.New(errkind.NotCurrent, "table revision %d is older than that of the ledger", terms.TableRevision)
 }
 
 // proposeError converts the error of a failed proposal to the error of the call.
 func (t *tenure) proposeError(ctx context.Context, err error) error {
-	var known *errkind.Error
+	var kindErr *errkind.Error
 	switch {
-	case errors.As(err, &known):
-		return known
+	case errors.As(err, &kindErr):
+		return kindErr
 	case errors.Is(err, logstream.ErrBadProposal):
 		return errkind.New(errkind.PayloadTooLarge, "record too large: %v", err)
 	case t.ctx.Err() != nil:
-		return t.notOwner()
+		return t.notOwnerError()
 	case errors.Is(err, logstream.ErrNotProposed):
 		return errkind.New(errkind.LogUnavailable, "%v", err)
 	case errors.Is(ctx.Err(), context.Canceled):
--- a/internal/coordinator/slotrun.go
+++ b/internal/coordinator/slotrun.go
@@ -26,10 +26,10 @@
 	urgentDivisor = 16
 )
 
-// slotRetries is the backoff for generating, scoring and recording a slot.
-var slotRetries = retry.Policy{First: 50 * time.Millisecond, Longest: 5 * time.Second}
+// slotBackoff is the backoff for generating, scoring and recording a slot.
+var slotBackoff = retry.Policy{First: 50 * time.Millisecond, Longest: 5 * time.Second}
 
-// errStale ends the attempt of a slot whose answer can no longer be delivered.
+// errStale is the cancellation cause of slot runs whose answer can no longer be delivered.
 var errStale = errors.New("answer is beyond the staleness bound")
 
 // slotRun runs one open slot until its sample is recorded.
@@ -54,7 +54,7 @@
 // run retries until the slot is filled or abandoned, or the tenure's ctx is done.
 func (r *slotRun) run(ctx context.Context) {
 	t := r.tenure
-	delays := slotRetries.Delays()
+	delays := slotBackoff.Delays()
 	for ctx.Err() == nil && t.isOpen(r.slot.Sample) {
 		r.generated.Store(false)
 		err := r.attempt(ctx)
@@ -85,7 +85,7 @@
 func (r *slotRun) attempt(parent context.Context) error {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
-	r.begin(cancel)
+	r.startAttempt(cancel)
 	defer r.waiting.Store(false)
 	body, err := r.generate(ctx)
 	if err == nil {
@@ -103,7 +103,7 @@
 	return err
 }
 
-func (r *slotRun) begin(cancel context.CancelCauseFunc) {
+func (r *slotRun) startAttempt(cancel context.CancelCauseFunc) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.oldestVersion = 0
@@ -126,7 +126,7 @@
 	if r.waiting.Swap(false) {
 		r.tenure.reschedule()
 	}
-	_, terms, err := r.tenure.terms()
+	_, terms, err := r.tenure.currentTerms()
 	if err != nil {
 		return nil // checked again before delivery
 	}
@@ -144,7 +144,7 @@
 // generate runs the slot's request through the router, with weights recent enough
 // for the sample to be deliverable.
 func (r *slotRun) generate(ctx context.Context) (*ledger.SampleFilled, error) {
-	row, terms, err := r.tenure.terms()
+	row, terms, err := r.tenure.currentTerms()
 	if err != nil {
 		return nil, err
 	}
@@ -154,7 +154,7 @@
 		ID:             xid.New().String(),
 		Row:            row,
 		TableRevision:  terms.TableRevision,
-		MinVersion:     minVersion(row, terms, r.tenure.versionsUntil(r.slot.Sample.Step)),
+		MinVersion:     minVersion(row, terms, r.tenure.versionsUntilConsumed(r.slot.Sample.Step)),
 		Prompt:         r.request.Prompts[r.slot.Prompt].Text,
 		MaxTokens:      r.request.MaxTokens,
 		ExpectedTokens: r.expectedTokens,
@@ -197,7 +197,7 @@
 // score scores the answer, retrying until ctx is done. Scoring is idempotent
 // because the request has the sample's ID.
 func (r *slotRun) score(ctx context.Context, body *ledger.SampleFilled) error {
-	delays := slotRetries.Delays()
+	delays := slotBackoff.Delays()
 	for {
 		response, err := r.scoreOnce(ctx, body)
 		if err == nil {
--- a/internal/coordinator/tenure.go
+++ b/internal/coordinator/tenure.go
@@ -61,10 +61,10 @@
 	running map[ledger.SampleKey]*slotRun
 	// trainerVersion is the version last reported by the trainer.
 	trainerVersion uint64
-	// finishedAt is the trainer's version when a step was last finished; 0 if no
-	// step was finished in this tenure.
-	finishedAt uint64
-	discarding bool
+	// finishedAtVersion is the trainer's version when a step was last finished; 0 if
+	// no step was finished in this tenure.
+	finishedAtVersion uint64
+	discarding        bool
 }
 
 func newTenure(parent context.Context, f *follower, epoch int64) *tenure {
@@ -154,13 +154,13 @@
 	t.closed = true
 }
 
-// release gives up the epoch: it waits for pending calls, gives running slots a
-// grace period and records the release, which is best effort while draining.
+// release waits for pending calls and, for a grace period, for running slots, and
+// records the release of the epoch, which is best effort while draining.
 func (t *tenure) release() {
 	t.close()
 	waitFor(t.ctx, &t.calls, recordTimeout)
 	waitFor(t.ctx, &t.slots, drainGrace)
-	ctx, cancel := t.coordinator.untilDraining(t.ctx, releaseTimeout)
+	ctx, cancel := t.coordinator.contextUntilDrain(t.ctx, releaseTimeout)
 	defer cancel()
 	_, _, err := t.propose(ctx, logrecord.KindRelease, nil)
 	if err != nil {
@@ -184,9 +184,9 @@
 	}
 }
 
-// terms returns the trainer's current row and the terms for records proposed now.
+// currentTerms returns the trainer's current row and the freshness terms for records proposed now.
 // It fails if the table may be outdated or has no such trainer.
-func (t *tenure) terms() (policy.Row, ledger.FreshnessTerms, error) {
+func (t *tenure) currentTerms() (policy.Row, ledger.FreshnessTerms, error) {
 	if err := t.options.Tables.Current(); err != nil {
 		return policy.Row{}, ledger.FreshnessTerms{}, err
 	}
@@ -225,12 +225,12 @@
 	}
 	if outcome.Verdict == logrecord.Fenced {
 		t.cancel()
-		return 0, false, t.notOwner()
+		return 0, false, t.notOwnerError()
 	}
 	return outcome.Offset, outcome.Verdict == logrecord.Accepted, nil
 }
 
-func (t *tenure) notOwner() *errkind.Error {
+func (t *tenure) notOwnerError() *errkind.Error {
 	return errkind.New(errkind.NotOwner, "node %s lost the ledger of %q", t.options.NodeID, t.trainer)
 }
 
