--- a/internal/node/roles.go
+++ b/internal/node/components.go
@@ -25,8 +25,8 @@
 	configSnapshotEvery = 256
 )
 
-// roles are the components of a node; every node runs all of them.
-type roles struct {
+// components holds the parts of a node; every node runs all of them.
+type components struct {
 	transport  *peer.Transport
 	cluster    *cluster.Cluster
 	streams    *logstream.Manager
@@ -39,14 +39,14 @@
 	weights    *weights.Coordinator
 }
 
-// buildRoles creates the roles in the order of their dependencies. They register
+// buildComponents creates the components in the order of their dependencies. They register
 // their handlers on the transport, which must not have started.
-func (n *node) buildRoles() error {
+func (n *node) buildComponents() error {
 	if err := n.buildCluster(); err != nil {
 		return err
 	}
 	n.buildTables()
-	if err := n.buildServing(); err != nil {
+	if err := n.buildRequestPath(); err != nil {
 		return err
 	}
 	n.buildCoordinators()
@@ -54,28 +54,28 @@
 }
 
 func (n *node) buildCluster() error {
-	n.roles.transport = peer.New(peer.Options{
+	n.components.transport = peer.New(peer.Options{
 		NodeID:           n.config.Node.ID,
 		ListenAddress:    n.config.Listen.Peers,
 		AdvertiseAddress: n.config.Advertise.Peers,
 		Logger:           n.logger,
 		Registerer:       n.registry,
 	})
-	if err := n.roles.transport.Listen(); err != nil {
+	if err := n.components.transport.Listen(); err != nil {
 		return err
 	}
-	n.roles.cluster = cluster.New(cluster.Options{
+	n.components.cluster = cluster.New(cluster.Options{
 		Self: cluster.Member{
 			ID:      n.config.Node.ID,
 			Writer:  n.writer,
-			Address: n.roles.transport.Address(),
+			Address: n.components.transport.Address(),
 			Zone:    n.config.Node.Zone,
 			State:   cluster.StateAlive,
 		},
 		Region:        n.config.Node.Region,
 		Seeds:         n.config.Cluster.Seeds,
-		Caller:        n.roles.transport,
-		Registry:      n.roles.transport,
+		Caller:        n.components.transport,
+		Registry:      n.components.transport,
 		Machines:      n.clients.machines,
 		ProbeInterval: time.Duration(n.config.Cluster.ProbeInterval),
 		Logger:        n.logger,
@@ -85,24 +85,24 @@
 }
 
 func (n *node) buildTables() {
-	n.roles.streams = logstream.NewManager(logstream.Options{
+	n.components.streams = logstream.NewManager(logstream.Options{
 		Service:    n.clients.log,
 		Writer:     n.writer,
 		Logger:     n.logger,
 		Registerer: n.registry,
 	})
 	reducer := &policy.Reducer{}
-	stream := n.roles.streams.Open(configStream, reducer, logstream.StreamOptions{
+	stream := n.components.streams.Open(configStream, reducer, logstream.StreamOptions{
 		SnapshotEvery:  configSnapshotEvery,
 		SnapshotFormat: policy.SnapshotFormat,
 	})
-	n.roles.tables = tables.New(tables.Options{
+	n.components.tables = tables.New(tables.Options{
 		Stream:         stream,
 		Reducer:        reducer,
-		Caller:         n.roles.transport,
-		Registry:       n.roles.transport,
-		View:           n.roles.cluster,
-		Announcer:      n.roles.cluster,
+		Caller:         n.components.transport,
+		Registry:       n.components.transport,
+		View:           n.components.cluster,
+		Announcer:      n.components.cluster,
 		LastLogContact: n.lastLogContact,
 		Logger:         n.logger,
 	})
@@ -110,54 +110,54 @@
 
 // lastLogContact returns when this node last read to the end of the config stream.
 func (n *node) lastLogContact() time.Time {
-	return n.roles.streams.LastContact(configStream)
+	return n.components.streams.LastContact(configStream)
 }
 
-func (n *node) buildServing() error {
+func (n *node) buildRequestPath() error {
 	schedulingPolicy, err := scheduler.ParsePolicy(n.config.Scheduling.Policy)
 	if err != nil {
 		return err
 	}
-	n.roles.dispatcher = dispatcher.New(dispatcher.Options{
+	n.components.dispatcher = dispatcher.New(dispatcher.Options{
 		NodeID:       n.config.Node.ID,
-		PeerAddress:  n.roles.transport.Address(),
+		PeerAddress:  n.components.transport.Address(),
 		Zone:         n.config.Node.Zone,
-		Registry:     n.roles.transport,
-		View:         n.roles.cluster,
-		Announcer:    n.roles.cluster,
-		EngineList:   n.roles.cluster,
+		Registry:     n.components.transport,
+		View:         n.components.cluster,
+		Announcer:    n.components.cluster,
+		EngineList:   n.components.cluster,
 		EngineClient: n.clients.engines,
-		Tables:       n.roles.tables,
+		Tables:       n.components.tables,
 		Policy:       schedulingPolicy,
 		Logger:       n.logger,
 		Registerer:   n.registry,
 	})
-	n.roles.router = router.New(router.Options{
+	n.components.router = router.New(router.Options{
 		NodeID:     n.config.Node.ID,
 		Zone:       n.config.Node.Zone,
 		Region:     n.config.Node.Region,
-		Caller:     n.roles.transport,
-		View:       n.roles.cluster,
-		Announcer:  n.roles.cluster,
-		Tables:     n.roles.tables,
+		Caller:     n.components.transport,
+		View:       n.components.cluster,
+		Announcer:  n.components.cluster,
+		Tables:     n.components.tables,
 		Policy:     n.config.Scheduling.Policy,
 		Logger:     n.logger,
 		Registerer: n.registry,
 	})
-	n.roles.keyed = keyed.New(keyed.Options{
-		Manager:  n.roles.streams,
-		View:     n.roles.cluster,
-		Caller:   n.roles.transport,
-		Registry: n.roles.transport,
-		Router:   n.roles.router,
-		Tables:   n.roles.tables,
+	n.components.keyed = keyed.New(keyed.Options{
+		Manager:  n.components.streams,
+		View:     n.components.cluster,
+		Caller:   n.components.transport,
+		Registry: n.components.transport,
+		Router:   n.components.router,
+		Tables:   n.components.tables,
 		Logger:   n.logger,
 	})
-	n.roles.gateway = gateway.New(gateway.Options{
+	n.components.gateway = gateway.New(gateway.Options{
 		NodeID:     n.config.Node.ID,
-		Router:     n.roles.router,
-		Keyed:      n.roles.keyed,
-		Tables:     n.roles.tables,
+		Router:     n.components.router,
+		Keyed:      n.components.keyed,
+		Tables:     n.components.tables,
 		Logger:     n.logger,
 		Registerer: n.registry,
 	})
@@ -165,44 +165,44 @@
 }
 
 func (n *node) buildCoordinators() {
-	announcer := cluster.NewOwnershipAnnouncer(n.roles.cluster)
-	n.roles.trainers = coordinator.New(coordinator.Options{
+	announcer := cluster.NewOwnershipAnnouncer(n.components.cluster)
+	n.components.trainers = coordinator.New(coordinator.Options{
 		NodeID:      n.config.Node.ID,
-		PeerAddress: n.roles.transport.Address(),
+		PeerAddress: n.components.transport.Address(),
 		Zone:        n.config.Node.Zone,
-		Manager:     n.roles.streams,
-		View:        n.roles.cluster,
+		Manager:     n.components.streams,
+		View:        n.components.cluster,
 		Announcer:   announcer.Source(),
-		Caller:      n.roles.transport,
-		Registry:    n.roles.transport,
-		Router:      n.roles.router,
-		Tables:      n.roles.tables,
+		Caller:      n.components.transport,
+		Registry:    n.components.transport,
+		Router:      n.components.router,
+		Tables:      n.components.tables,
 		Scorer:      n.clients.scorer,
 		Logger:      n.logger,
 		Registerer:  n.registry,
 	})
-	n.roles.weights = weights.New(weights.Options{
+	n.components.weights = weights.New(weights.Options{
 		NodeID:             n.config.Node.ID,
-		PeerAddress:        n.roles.transport.Address(),
-		Manager:            n.roles.streams,
-		View:               n.roles.cluster,
+		PeerAddress:        n.components.transport.Address(),
+		Manager:            n.components.streams,
+		View:               n.components.cluster,
 		Announcer:          announcer.Source(),
-		Caller:             n.roles.transport,
+		Caller:             n.components.transport,
 		Store:              n.clients.weights,
-		Tables:             n.roles.tables,
+		Tables:             n.components.tables,
 		MaxConcurrentLoads: n.config.Weights.MaxConcurrentLoads,
 		Logger:             n.logger,
 		Registerer:         n.registry,
 	})
 }
 
-// loops returns the Run functions of the roles, by name.
-func (r *roles) loops() map[string]func(context.Context) error {
+// loops returns the Run functions of the components, by name.
+func (c *components) loops() map[string]func(context.Context) error {
 	return map[string]func(context.Context) error{
-		"cluster":             r.cluster.Run,
-		"tables":              r.tables.Run,
-		"dispatcher":          r.dispatcher.Run,
-		"trainer coordinator": r.trainers.Run,
-		"weight coordinator":  r.weights.Run,
+		"cluster":             c.cluster.Run,
+		"tables":              c.tables.Run,
+		"dispatcher":          c.dispatcher.Run,
+		"trainer coordinator": c.trainers.Run,
+		"weight coordinator":  c.weights.Run,
 	}
 }
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -29,18 +29,18 @@
 // buildServers creates the HTTP servers for callers and trainers, and for operators.
 func (n *node) buildServers() error {
 	callers := httpapi.NewRouter()
-	n.roles.gateway.Register(callers)
-	trainerapi.New(n.roles.trainers, n.roles.tables).Register(callers)
+	n.components.gateway.Register(callers)
+	trainerapi.New(n.components.trainers, n.components.tables).Register(callers)
 
 	admin := httpapi.NewRouter()
 	operatorapi.New(operatorapi.Options{
-		Tables:         n.roles.tables,
-		View:           n.roles.cluster,
+		Tables:         n.components.tables,
+		View:           n.components.cluster,
 		Ready:          n.ready,
-		LastLogContact: n.roles.tables.LogContact,
+		LastLogContact: n.components.tables.LogContact,
 		Engines:        n.engines,
 		Steps:          n.steps,
-		Drain:          n.drain,
+		Drain:          n.requestStop,
 		Logger:         n.logger,
 	}).Register(admin)
 	admin.Handle(metricsPath, promhttp.HandlerFor(n.registry, promhttp.HandlerOpts{})).Methods(http.MethodGet)
@@ -59,14 +59,14 @@
 	case <-n.stopRequested:
 		return errkind.New(errkind.ShuttingDown, "this node is stopping")
 	default:
-		return n.roles.tables.Current()
+		return n.components.tables.Current()
 	}
 }
 
 // engines returns the engines of this node's cells or, with all, of all reachable nodes.
 func (n *node) engines(ctx context.Context, all bool) ([]api.EngineStatus, error) {
 	if !all {
-		return n.roles.dispatcher.EngineStatuses(), nil
+		return n.components.dispatcher.EngineStatuses(), nil
 	}
 	reports := queryMembers[dispatcher.StatusReport](ctx, n, peer.MethodCellStatus)
 	var engines []api.EngineStatus
@@ -90,8 +90,8 @@
 func queryMembers[Response any](ctx context.Context, n *node, method peer.Method) []Response {
 	ctx, cancel := context.WithTimeout(ctx, memberStatusTimeout)
 	defer cancel()
-	members := n.roles.cluster.Members()
-	answers := make([]*Response, len(members))
+	members := n.components.cluster.Members()
+	responses := make([]*Response, len(members))
 	var group errgroup.Group
 	for i, member := range members {
 		if member.State == cluster.StateDead {
@@ -99,18 +99,18 @@
 		}
 		group.Go(func() error {
 			response := new(Response)
-			if n.roles.transport.Call(ctx, member.Address, method, message.Empty{}, response) == nil {
-				answers[i] = response
+			if n.components.transport.Call(ctx, member.Address, method, message.Empty{}, response) == nil {
+				responses[i] = response
 			}
 			return nil
 		})
 	}
 	_ = group.Wait() // members that fail are omitted
-	var given []Response
-	for _, answer := range answers {
-		if answer != nil {
-			given = append(given, *answer)
+	var received []Response
+	for _, response := range responses {
+		if response != nil {
+			received = append(received, *response)
 		}
 	}
-	return given
+	return received
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,16 +37,16 @@
 	config   settings.Settings
 	logger   zerolog.Logger
 	registry *prometheus.Registry
-	// writer identifies this run of the process in the log and in the cluster.
-	writer  string
-	clients platformClients
-	roles   roles
-	callers *server
-	admin   *server
+	// writer identifies this process in the log and in the cluster; it differs after a restart.
+	writer     string
+	clients    platformClients
+	components components
+	callers    *server
+	admin      *server
 
 	// stopRequested is closed when a graceful shutdown is requested or begins.
 	stopRequested chan struct{}
-	requestStop   sync.Once
+	stopOnce      sync.Once
 }
 
 func newNode(config settings.Settings, logger zerolog.Logger) (*node, error) {
@@ -58,7 +58,7 @@
 		clients:       newPlatformClients(config.Platform),
 		stopRequested: make(chan struct{}),
 	}
-	if err := n.buildRoles(); err != nil {
+	if err := n.buildComponents(); err != nil {
 		return nil, err
 	}
 	if err := n.buildServers(); err != nil {
@@ -67,56 +67,56 @@
 	return n, nil
 }
 
-// drain requests a graceful shutdown; it may be called more than once.
-func (n *node) drain() {
-	n.requestStop.Do(func() { close(n.stopRequested) })
+// requestStop requests a graceful shutdown; it may be called more than once.
+func (n *node) requestStop() {
+	n.stopOnce.Do(func() { close(n.stopRequested) })
 }
 
-// run serves until a shutdown is requested. Roles keep running during the
+// run serves until a shutdown is requested. Components keep running during the
 // shutdown, because pending requests still need them.
 func (n *node) run(ctx context.Context) error {
-	roleContext, stopRoles := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopRoles()
-	group, groupContext := errgroup.WithContext(roleContext)
-	if err := n.roles.transport.Start(); err != nil {
+	componentContext, stopComponents := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopComponents()
+	group, groupContext := errgroup.WithContext(componentContext)
+	if err := n.components.transport.Start(); err != nil {
 		return errors.Wrap(err, "start the peer transport")
 	}
-	n.startRoles(groupContext, group)
+	n.startComponents(groupContext, group)
 	group.Go(n.callers.serve)
 	group.Go(n.admin.serve)
 	n.logger.Info().
 		Str("callers", n.callers.address()).
-		Str("peers", n.roles.transport.Address()).
+		Str("peers", n.components.transport.Address()).
 		Str("operators", n.admin.address()).
 		Str("writer", n.writer).
 		Msg("listening")
 
-	reason := n.awaitStop(ctx, groupContext)
-	stopError := n.stop(stopRoles)
+	reason := n.awaitShutdown(ctx, groupContext)
+	stopError := n.shutDown(stopComponents)
 	if err := group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
 	return errors.Join(reason, stopError)
 }
 
-// awaitStop waits until the node has to stop. It returns errSuperseded if another
+// awaitShutdown waits until the node has to stop. It returns errSuperseded if another
 // process has taken the node's ID, otherwise nil.
-func (n *node) awaitStop(ctx, roles context.Context) error {
+func (n *node) awaitShutdown(ctx, componentContext context.Context) error {
 	select {
-	case <-n.roles.cluster.Superseded():
+	case <-n.components.cluster.Superseded():
 		n.logger.Error().Err(errSuperseded).Str("writer", n.writer).Msg("superseded, this process stops by plan")
 		return errSuperseded
 	case <-ctx.Done():
 	case <-n.stopRequested:
-	case <-roles.Done():
+	case <-componentContext.Done():
 	}
 	return nil
 }
 
-// startRoles runs each role in a goroutine. A role that fails stops the node, which
+// startComponents runs each component in a goroutine. One that fails stops the node, which
 // must not appear healthy to peers and operators without it.
-func (n *node) startRoles(ctx context.Context, group *errgroup.Group) {
-	for name, run := range n.roles.loops() {
+func (n *node) startComponents(ctx context.Context, group *errgroup.Group) {
+	for name, run := range n.components.loops() {
 		group.Go(func() error {
 			err := run(ctx)
 			if err == nil || ctx.Err() != nil {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -49,8 +49,8 @@
 	return p
 }
 
-// daemon is a node that runs in the test process.
-type daemon struct {
+// testNode is a node that runs in the test process.
+type testNode struct {
 	*node
 	logs *logBuffer
 	stop context.CancelFunc
@@ -76,38 +76,38 @@
 	return strings.Contains(b.text.String(), text)
 }
 
-func (p *platform) start(t *testing.T, id string, seeds ...string) *daemon {
+func (p *platform) start(t *testing.T, id string, seeds ...string) *testNode {
 	t.Helper()
 	config := settings.Default()
 	config.Node = settings.Node{ID: id, Zone: "z", Region: "r"}
 	config.Listen = settings.Listen{Callers: "127.0.0.1:0", Peers: "127.0.0.1:0", Operators: "127.0.0.1:0"}
 	config.Cluster = settings.Cluster{Seeds: seeds, ProbeInterval: settings.Duration(100 * time.Millisecond)}
 	config.Platform = p.addresses
-	started := &daemon{logs: &logBuffer{}, ended: make(chan error, 1)}
-	created, err := newNode(config, newLogger(config, started.logs))
+	n := &testNode{logs: &logBuffer{}, ended: make(chan error, 1)}
+	created, err := newNode(config, newLogger(config, n.logs))
 	assert.NilError(t, err)
-	started.node = created
+	n.node = created
 	ctx, cancel := context.WithCancel(context.Background())
-	started.stop = cancel
+	n.stop = cancel
 	var running sync.WaitGroup
-	running.Go(func() { started.ended <- created.run(ctx) })
+	running.Go(func() { n.ended <- created.run(ctx) })
 	t.Cleanup(func() {
 		cancel()
 		running.Wait()
 	})
-	return started
+	return n
 }
 
-func (d *daemon) peerAddress() string { return d.roles.transport.Address() }
+func (n *testNode) peerAddress() string { return n.components.transport.Address() }
 
-// awaitEnd waits until the daemon has stopped and returns the result of its run.
-func (d *daemon) awaitEnd(t *testing.T) error {
+// awaitEnd waits until the node has stopped and returns the result of its run.
+func (n *testNode) awaitEnd(t *testing.T) error {
 	t.Helper()
 	select {
-	case err := <-d.ended:
+	case err := <-n.ended:
 		return err
 	case <-time.After(testTimeout):
-		t.Fatal("the daemon did not end")
+		t.Fatal("the node did not stop")
 		return nil
 	}
 }
@@ -123,21 +123,21 @@
 }
 
 // A process whose node ID was taken by another must reject work and shut down with
-// errSuperseded. Of two young processes either may stop, so the second one starts
-// only when the first is no longer young.
+// errSuperseded. Of two recently started processes either may stop, so the second
+// one starts only after StartedRecently is false for the first.
 func TestSupersededProcessShutsDown(t *testing.T) {
 	p := newPlatform(t)
 	peer := p.start(t, "a")
 	old := p.start(t, "b", peer.peerAddress())
 	eventually(t, "both are ready", func() bool { return peer.ready() == nil && old.ready() == nil })
-	eventually(t, "the process is no longer young", func() bool { return !old.roles.cluster.StartedRecently() })
+	eventually(t, "the first process is no longer recent", func() bool { return !old.components.cluster.StartedRecently() })
 	fresh := p.start(t, "b", peer.peerAddress())
 
 	assert.Assert(t, errors.Is(old.awaitEnd(t), errSuperseded))
 	assert.Assert(t, old.ready() != nil)
 	assert.Assert(t, old.logs.contains("superseded, this process stops by plan"))
 	eventually(t, "the new process is the member", func() bool {
-		for _, member := range peer.roles.cluster.Members() {
+		for _, member := range peer.components.cluster.Members() {
 			if member.ID == "b" && member.Writer == fresh.writer {
 				return true
 			}
@@ -147,13 +147,14 @@
 	eventually(t, "the new process is ready", func() bool { return fresh.ready() == nil })
 }
 
-// proposeWithUnknownOutcome proposes a record while the log is down.
-func (d *daemon) proposeWithUnknownOutcome(t *testing.T) {
+// proposeWithUnknownOutcome proposes a record while the log is unavailable, so the
+// proposal is still pending when it times out.
+func (n *testNode) proposeWithUnknownOutcome(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	stream := d.roles.streams.Open("orders/m", &logrecord.OwnershipReducer{}, logstream.StreamOptions{})
-	claim := logrecord.Claim{Node: d.config.Node.ID, Address: d.peerAddress()}
+	stream := n.components.streams.Open("orders/m", &logrecord.OwnershipReducer{}, logstream.StreamOptions{})
+	claim := logrecord.Claim{Node: n.config.Node.ID, Address: n.peerAddress()}
 	_, err := stream.Propose(ctx, logstream.Proposal{Kind: logrecord.KindClaim, Body: claim})
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 }
@@ -162,10 +163,10 @@
 // nor fail a graceful shutdown.
 func TestShutdownCompletesWhileLogIsUnavailable(t *testing.T) {
 	p := newPlatform(t)
-	d := p.start(t, "a")
-	eventually(t, "the node is ready", func() bool { return d.ready() == nil })
+	n := p.start(t, "a")
+	eventually(t, "the node is ready", func() bool { return n.ready() == nil })
 	p.log.SetControl(logservice.Control{Down: true})
-	d.proposeWithUnknownOutcome(t)
-	d.stop()
-	assert.NilError(t, d.awaitEnd(t))
+	n.proposeWithUnknownOutcome(t)
+	n.stop()
+	assert.NilError(t, n.awaitEnd(t))
 }
