--- a/internal/dispatcher/announce.go
+++ b/internal/dispatcher/announce.go
@@ -8,10 +8,10 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// announcement is the last digest that a cell announced to the cluster.
+// announcement is the digest that a cell last announced to the cluster.
 type announcement struct {
 	digest scheduler.Digest
-	at     time.Time
+	sentAt time.Time
 }
 
 // digest returns the cell's state as other nodes see it.
@@ -49,7 +49,7 @@
 	defer c.mutex.Unlock()
 	digest := c.scheduler.Digest()
 	c.dispatcher.metrics.observeCell(c.id, &digest)
-	elapsed := now.Sub(c.announced.at)
+	elapsed := now.Sub(c.announced.sentAt)
 	if !c.owned || c.draining || elapsed < announceMinimumInterval {
 		return message.CellDigest{}, false
 	}
@@ -57,6 +57,6 @@
 	if !changed && elapsed < announceMaximumInterval {
 		return message.CellDigest{}, false
 	}
-	c.announced = announcement{digest: digest, at: now}
+	c.announced = announcement{digest: digest, sentAt: now}
 	return c.digestMessage(digest), true
 }
--- a/internal/dispatcher/attempt.go
+++ b/internal/dispatcher/attempt.go
@@ -52,8 +52,8 @@
 
 // attempt is one send of a task to an engine, including its resumes.
 type attempt struct {
-	task   *task
-	placed placement
+	task      *task
+	placement placement
 	// ctx ends with the task, or with errEngineUnreachable as the cause.
 	ctx context.Context
 	// number is the attempt number sent to the engine.
@@ -70,20 +70,20 @@
 // newAttempt returns the next numbered attempt of the task.
 func (t *task) newAttempt(placed placement) *attempt {
 	t.sendCount++
-	created := &attempt{
+	a := &attempt{
 		task:           t,
-		placed:         placed,
+		placement:      placed,
 		number:         (t.submit.Attempt-1)*engineAttemptStride + t.sendCount,
 		firstToken:     len(t.tokens),
 		version:        placed.assignment.Version,
 		reportedTokens: len(t.tokens),
 	}
-	created.lastChunkAt.Store(time.Now().UnixNano())
-	return created
+	a.lastChunkAt.Store(time.Now().UnixNano())
+	return a
 }
 
-// idleTime returns the time since the last chunk.
-func (a *attempt) idleTime(now time.Time) time.Duration {
+// timeSinceChunk returns the time since the last chunk.
+func (a *attempt) timeSinceChunk(now time.Time) time.Duration {
 	return now.Sub(time.Unix(0, a.lastChunkAt.Load()))
 }
 
@@ -92,10 +92,10 @@
 	if err := a.task.ctx.Err(); err != nil {
 		return attemptResult{outcome: outcomeCanceled, cause: err}
 	}
-	ctx, end := a.task.cell.beginAttempt(a)
+	ctx, end := a.task.cell.registerAttempt(a)
 	defer end()
 	a.ctx = ctx
-	stream, err := a.client().Generate(a.ctx, a.placed.address, a.request())
+	stream, err := a.client().Generate(a.ctx, a.placement.address, a.request())
 	var failure *engine.SendError
 	refused := errors.As(err, &failure)
 	if refused && failure.NotExecuted() {
@@ -195,24 +195,24 @@
 	if chunk.FirstToken > next {
 		return errTokenGap
 	}
-	known := min(next-chunk.FirstToken, len(chunk.Tokens))
-	fresh := chunk.Tokens[known:]
-	if len(fresh) == 0 {
+	received := min(next-chunk.FirstToken, len(chunk.Tokens))
+	newTokens := chunk.Tokens[received:]
+	if len(newTokens) == 0 {
 		return nil
 	}
 	piece := message.Progress{
 		Attempt:       a.task.submit.Attempt,
 		EngineAttempt: a.task.sendCount,
-		Engine:        a.placed.assignment.EngineID,
+		Engine:        a.placement.assignment.EngineID,
 		FirstToken:    next,
-		Tokens:        fresh,
+		Tokens:        newTokens,
 		Version:       chunk.Version,
 		CachedTokens:  chunk.CachedTokens,
 	}
 	if err := a.task.buffer.append(a.ctx, piece); err != nil {
 		return err
 	}
-	a.task.tokens = append(a.task.tokens, fresh...)
+	a.task.tokens = append(a.task.tokens, newTokens...)
 	a.version = chunk.Version
 	if chunk.CachedTokens > 0 {
 		a.task.cell.dispatcher.metrics.cachedTokens.Add(float64(chunk.CachedTokens))
@@ -241,14 +241,14 @@
 		ctx, cancel := context.WithCancel(a.ctx)
 		timer := time.AfterFunc(resumeTimeout, cancel)
 		defer timer.Stop()
-		stream, err := a.client().Generate(ctx, a.placed.address, request)
+		stream, err := a.client().Generate(ctx, a.placement.address, request)
 		if isUnknownStream(err) {
 			return nil, backoff.Permanent(err)
 		}
 		return stream, err
 	}
 	return backoff.Retry(a.ctx, open,
-		backoff.WithBackOff(resumeRetries.Delays()), backoff.WithMaxElapsedTime(resumeTimeout))
+		backoff.WithBackOff(resumeBackoff.Delays()), backoff.WithMaxElapsedTime(resumeTimeout))
 }
 
 func isUnknownStream(err error) bool {
@@ -280,9 +280,9 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(dispatcher.baseContext), cancelTimeout)
 	defer cancel()
 	request := engine.CancelRequest{RequestID: a.task.submit.RequestID, Attempt: a.number}
-	if err := a.client().Cancel(ctx, a.placed.address, request); err != nil {
+	if err := a.client().Cancel(ctx, a.placement.address, request); err != nil {
 		dispatcher.options.Logger.Debug().Err(err).Str("request", a.task.id).
-			Str("engine", a.placed.assignment.EngineID).Msg("engine did not confirm the cancellation")
+			Str("engine", a.placement.assignment.EngineID).Msg("engine did not confirm the cancellation")
 	}
 }
 
--- a/internal/dispatcher/buffer.go
+++ b/internal/dispatcher/buffer.go
@@ -175,15 +175,15 @@
 	first := sort.Search(len(b.pieces), func(i int) bool {
 		return b.pieces[i].FirstToken+len(b.pieces[i].Tokens) > from
 	})
-	found := readResult{
+	result := readResult{
 		pieces:   append(reuse[:0], b.pieces[first:]...),
 		finished: b.finished,
 		err:      b.err,
 	}
-	if len(found.pieces) == 0 && !b.ended() {
-		found.changed = waitChannel(&b.changed)
+	if len(result.pieces) == 0 && !b.ended() {
+		result.changed = waitChannel(&b.changed)
 	}
-	return found
+	return result
 }
 
 // advance acknowledges the tokens before an index and drops pieces that are no longer retained. Must
--- a/internal/dispatcher/caps.go
+++ b/internal/dispatcher/caps.go
@@ -14,13 +14,13 @@
 	engines int
 }
 
-// layout lists the cells of each pool over all known zones, sorted by zone and index.
-type layout map[string][]cellSize
+// poolCells lists the cells of each pool over all known zones, sorted by zone and index.
+type poolCells map[string][]cellSize
 
-// newLayout combines the listed cells of this zone with the announced cells of all zones. The digest
-// of an announced cell takes precedence, because nodes of other zones see only that, unless it reports
-// no engines for a listed cell.
-func newLayout(listed map[message.CellID]cellEngines, announced []message.CellDigest) layout {
+// newPoolCells combines the listed cells of this zone with the announced cells of all zones. The
+// digest of an announced cell takes precedence, because nodes of other zones see only that, unless it
+// reports no engines for a listed cell.
+func newPoolCells(listed map[message.CellID]cellEngines, announced []message.CellDigest) poolCells {
 	sizes := make(map[message.CellID]int, len(listed)+len(announced))
 	for id, engines := range listed {
 		sizes[id] = len(engines)
@@ -32,20 +32,20 @@
 			sizes[digest.Cell] = digest.Engines
 		}
 	}
-	built := make(layout)
+	pools := make(poolCells)
 	for id, engines := range sizes {
-		built.add(id, engines)
+		pools.add(id, engines)
 	}
-	built.sort()
-	return built
+	pools.sort()
+	return pools
 }
 
-func (l layout) add(id message.CellID, engines int) {
-	l[id.Pool] = append(l[id.Pool], cellSize{id: id, engines: engines})
+func (p poolCells) add(id message.CellID, engines int) {
+	p[id.Pool] = append(p[id.Pool], cellSize{id: id, engines: engines})
 }
 
-func (l layout) sort() {
-	for _, cells := range l {
+func (p poolCells) sort() {
+	for _, cells := range p {
 		slices.SortFunc(cells, func(a, b cellSize) int {
 			return cmp.Or(cmp.Compare(a.id.Zone, b.id.Zone), cmp.Compare(a.id.Index, b.id.Index))
 		})
@@ -54,9 +54,9 @@
 
 // cellCap returns a cell's part of a service cap, in proportion to its engines. The parts of all cells
 // sum to the cap if all nodes see the same digests; while digests differ, the sum may deviate.
-func (l layout) cellCap(row *policy.Row, cell message.CellID) int {
+func (p poolCells) cellCap(row *policy.Row, cell message.CellID) int {
 	total, before, own := 0, 0, 0
-	for _, candidate := range l[cell.Pool] {
+	for _, candidate := range p[cell.Pool] {
 		if len(row.Zones) > 0 && !slices.Contains(row.Zones, candidate.id.Zone) {
 			continue
 		}
--- a/internal/dispatcher/cell.go
+++ b/internal/dispatcher/cell.go
@@ -77,8 +77,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lastSubmitAt = time.Now()
-	if known, ok := c.tasks[taskID(&submit)]; ok {
-		return known, nil
+	if existing, ok := c.tasks[taskID(&submit)]; ok {
+		return existing, nil
 	}
 	if c.draining {
 		return nil, errkind.New(errkind.Draining, "node %s is stopping", c.dispatcher.options.NodeID)
@@ -86,21 +86,21 @@
 	if len(c.links) == 0 {
 		return nil, errkind.New(errkind.NoCapacity, "cell %s has no engines", cellName(c.id))
 	}
-	created := newTask(c.dispatcher.baseContext, c, submit, row, inFlightCap)
-	if err := c.scheduler.Enqueue(c.lastSubmitAt, created.item(c.lastSubmitAt)); err != nil {
-		created.cancel()
+	t := newTask(c.dispatcher.baseContext, c, submit, row, inFlightCap)
+	if err := c.scheduler.Enqueue(c.lastSubmitAt, t.item(c.lastSubmitAt)); err != nil {
+		t.cancel()
 		return nil, err
 	}
-	if !c.dispatcher.start(created.run) {
-		c.scheduler.Remove(created.id)
+	if !c.dispatcher.start(t.run) {
+		c.scheduler.Remove(t.id)
 		return nil, errkind.New(errkind.ShuttingDown, "node %s has stopped", c.dispatcher.options.NodeID)
 	}
-	c.tasks[created.id] = created
+	c.tasks[t.id] = t
 	if len(c.tasks) == 1 {
 		c.dispatcher.wakeUp()
 	}
 	c.dispatch(c.lastSubmitAt)
-	return created, nil
+	return t, nil
 }
 
 // lookup returns the task with an ID, or nil.
@@ -127,28 +127,28 @@
 			placed.address = link.address
 			placed.generation = link.generation
 		}
-		c.deliver(assignment.Item.ID, placed)
+		c.sendPlacement(assignment.Item.ID, placed)
 	}
 }
 
-// deliver sends a placement to its task. A task waits for at most one at a time, so the channel always
-// has room. Must be called with mutex held.
-func (c *cell) deliver(id string, placed placement) {
-	if waiting, ok := c.tasks[id]; ok {
-		waiting.placed <- placed
+// sendPlacement sends a placement to its task. A task waits for at most one at a time, so the channel
+// always has room. Must be called with mutex held.
+func (c *cell) sendPlacement(id string, placed placement) {
+	if t, ok := c.tasks[id]; ok {
+		t.placements <- placed
 		return
 	}
 	// The task was abandoned but not yet withdrawn from the queue.
 	c.scheduler.Unassign(id)
 }
 
-// tick expires queued tasks past their deadline, dispatches, cancels attempts on unreachable engines
-// and sends due load orders. It reports whether the cell has tasks.
+// tick expires queued tasks past their deadline, dispatches queued tasks, cancels attempts on
+// unreachable engines and sends due load orders. It reports whether the cell has tasks.
 func (c *cell) tick(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, expired := range c.scheduler.Expire(now) {
-		c.deliver(expired.Item.ID, placement{err: expired.Err})
+		c.sendPlacement(expired.Item.ID, placement{err: expired.Err})
 	}
 	c.dispatch(now)
 	c.cancelUnreachableAttempts(now)
@@ -199,8 +199,8 @@
 	return true
 }
 
-// beginAttempt registers a running attempt. The caller must call end when the attempt is over.
-func (c *cell) beginAttempt(a *attempt) (ctx context.Context, end func()) {
+// registerAttempt registers a running attempt. The caller must call end when the attempt is over.
+func (c *cell) registerAttempt(a *attempt) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancelCause(a.task.ctx)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -218,9 +218,9 @@
 // list as planned may still finish its streams. Must be called with mutex held.
 func (c *cell) cancelUnreachableAttempts(now time.Time) {
 	for _, running := range c.attempts {
-		link, listed := c.links[running.attempt.placed.assignment.EngineID]
-		gone := !listed || (!link.reachable && now.Sub(link.unreachableSince) > engineUnreachableTimeout)
-		if gone && running.attempt.idleTime(now) > engineUnreachableTimeout {
+		link, listed := c.links[running.attempt.placement.assignment.EngineID]
+		unavailable := !listed || (!link.reachable && now.Sub(link.unreachableSince) > engineUnreachableTimeout)
+		if unavailable && running.attempt.timeSinceChunk(now) > engineUnreachableTimeout {
 			running.cancel(errEngineUnreachable)
 		}
 	}
@@ -232,12 +232,12 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.draining = true
-	for _, waiting := range c.tasks {
-		if waiting.requeued || !c.scheduler.Remove(waiting.id) {
+	for _, t := range c.tasks {
+		if t.requeued || !c.scheduler.Remove(t.id) {
 			continue
 		}
 		err := errkind.New(errkind.Draining, "node %s is stopping", c.dispatcher.options.NodeID)
-		waiting.placed <- placement{err: err}
+		t.placements <- placement{err: err}
 	}
 }
 
@@ -245,8 +245,8 @@
 func (c *cell) busy() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, known := range c.tasks {
-		if known.buffer.busy() {
+	for _, t := range c.tasks {
+		if t.buffer.busy() {
 			return true
 		}
 	}
--- a/internal/dispatcher/cells.go
+++ b/internal/dispatcher/cells.go
@@ -30,18 +30,18 @@
 	if d.zoneCells.cells == nil || !slices.Equal(d.zoneCells.machines, machines) {
 		d.zoneCells = zoneCells{
 			machines: slices.Clone(machines),
-			cells:    assignZone(d.options.Zone, machines),
+			cells:    partitionZone(d.options.Zone, machines),
 		}
 	}
 	return d.zoneCells.cells
 }
 
-// assignZone partitions a zone's engines into cells.
-func assignZone(zone string, machines []cluster.EngineMachine) map[message.CellID]cellEngines {
+// partitionZone partitions a zone's engines into cells.
+func partitionZone(zone string, machines []cluster.EngineMachine) map[message.CellID]cellEngines {
 	byID := make(map[string]cluster.EngineMachine, len(machines))
 	pools := make(map[string][]string)
 	for _, machine := range machines {
-		if _, doubled := byID[machine.ID]; doubled {
+		if _, duplicate := byID[machine.ID]; duplicate {
 			continue
 		}
 		byID[machine.ID] = machine
@@ -67,25 +67,25 @@
 	defer d.reconcileMutex.Unlock()
 	d.reconciledAt = now
 	assigned := d.cellsOfZone()
-	sizes := newLayout(assigned, d.options.View.Cells())
+	pools := newPoolCells(assigned, d.options.View.Cells())
 	members := memberIDs(d.options.View.Candidates(d.options.Zone))
 
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.assigned = assigned
-	d.layout = sizes
+	d.poolCells = pools
 	for id := range assigned {
 		if d.owns(id, members) && d.cells[id] == nil {
 			d.cells[id] = newCell(d, id)
 		}
 	}
-	for id, existing := range d.cells {
-		if existing.reconcile(now, assigned[id], d.owns(id, members), d.liveReserve(id.Pool)) {
+	for id, c := range d.cells {
+		if c.reconcile(now, assigned[id], d.owns(id, members), d.liveReserve(id.Pool)) {
 			continue
 		}
-		existing.close()
+		c.close()
 		delete(d.cells, id)
-		d.metrics.forgetCell(id)
+		d.metrics.deleteCell(id)
 	}
 }
 
@@ -122,19 +122,19 @@
 // well if the engine list has it: two dispatchers that briefly serve one cell cost efficiency, not
 // correctness.
 func (d *Dispatcher) cell(id message.CellID) (*cell, error) {
-	if found := d.findOrOpen(id); found != nil {
-		return found, nil
+	if c := d.findOrOpen(id); c != nil {
+		return c, nil
 	}
-	d.reconcileOutOfTurn(time.Now())
-	if found := d.findOrOpen(id); found != nil {
-		return found, nil
+	d.reconcileOnDemand(time.Now())
+	if c := d.findOrOpen(id); c != nil {
+		return c, nil
 	}
 	return nil, errkind.New(errkind.NotOwner, "node %s has no engines for cell %s", d.options.NodeID, cellName(id))
 }
 
-// reconcileOutOfTurn reconciles at most once per tick interval, so that submissions for unknown cells
-// stay cheap.
-func (d *Dispatcher) reconcileOutOfTurn(now time.Time) {
+// reconcileOnDemand reconciles unless that was done within the last tick interval, so that submissions
+// for unknown cells stay cheap.
+func (d *Dispatcher) reconcileOnDemand(now time.Time) {
 	d.reconcileMutex.Lock()
 	recent := now.Sub(d.reconciledAt) < tickInterval
 	d.reconcileMutex.Unlock()
@@ -148,17 +148,17 @@
 func (d *Dispatcher) findOrOpen(id message.CellID) *cell {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if found := d.cells[id]; found != nil {
-		return found
+	if c := d.cells[id]; c != nil {
+		return c
 	}
-	engines, known := d.assigned[id]
-	if !known {
+	engines, listed := d.assigned[id]
+	if !listed {
 		return nil
 	}
-	opened := newCell(d, id)
-	opened.reconcile(time.Now(), engines, false, d.liveReserve(id.Pool))
-	d.cells[id] = opened
-	return opened
+	c := newCell(d, id)
+	c.reconcile(time.Now(), engines, false, d.liveReserve(id.Pool))
+	d.cells[id] = c
+	return c
 }
 
 func (d *Dispatcher) find(id message.CellID) *cell {
--- a/internal/dispatcher/continued_test.go
+++ b/internal/dispatcher/continued_test.go
@@ -26,8 +26,8 @@
 	h.eventually(func() bool { return h.dispatcher.CellStatuses()[0].Queued == 2 })
 
 	close(hold)
-	for _, each := range []*answer{running, fresh, continued} {
-		assert.NilError(t, each.wait(t))
+	for _, received := range []*recordedAnswer{running, fresh, continued} {
+		assert.NilError(t, received.wait(t))
 	}
 	var order []string
 	for _, request := range h.requestsTo("a") {
--- a/internal/dispatcher/directive.go
+++ b/internal/dispatcher/directive.go
@@ -36,8 +36,8 @@
 // observe processes an engine's status. Once a status shows the load or its end, settleUntil no longer
 // applies.
 func (o *orderState) observe(status *engine.Status) {
-	shows := status.Loading != nil && *status.Loading == o.target
-	if shows || status.State == engine.StateBroken || slices.Contains(status.Models, o.target) {
+	reported := status.Loading != nil && *status.Loading == o.target
+	if reported || status.State == engine.StateBroken || slices.Contains(status.Models, o.target) {
 		o.settleUntil = time.Time{}
 	}
 }
@@ -101,7 +101,7 @@
 		engines := c.rolloutEngines(&current.message, now)
 		floor := c.floor(current.message.Model)
 		for _, id := range planLoads(engines, current.message.Concurrent, floor) {
-			c.order(c.links[id], current, now)
+			c.sendOrder(c.links[id], current, now)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 
 func (l *engineLink) rolloutEngine(wanted *message.Directive, now time.Time) rolloutEngine {
 	version := l.version(wanted.Model)
-	described := rolloutEngine{
+	state := rolloutEngine{
 		id:      l.id,
 		version: version,
 		loading: l.reachable && l.loading(wanted.Model, now),
@@ -141,9 +141,9 @@
 		atTarget:  l.reachable && version == wanted.Version && l.status.State != engine.StateBroken,
 		inService: l.reachable && version > 0 && l.status.State == engine.StateServing,
 	}
-	described.orderable = l.reachable && l.status.State != engine.StateDraining &&
+	state.readyForOrder = l.reachable && l.status.State != engine.StateDraining &&
 		!l.order.sending && !now.Before(l.order.retryAt)
-	return described
+	return state
 }
 
 func (l *engineLink) version(model string) uint64 {
@@ -185,8 +185,8 @@
 	return result
 }
 
-// order sends one load order. Must be called with mutex held.
-func (c *cell) order(link *engineLink, active *directive, now time.Time) {
+// sendOrder sends one load order. Must be called with mutex held.
+func (c *cell) sendOrder(link *engineLink, active *directive, now time.Time) {
 	wanted := active.message
 	link.order = orderState{
 		target:  engine.ModelVersion{Model: wanted.Model, Version: wanted.Version},
--- a/internal/dispatcher/directive_test.go
+++ b/internal/dispatcher/directive_test.go
@@ -34,7 +34,7 @@
 		orders := planLoads(engines, concurrent, floorPercent)
 		for _, id := range orders {
 			ordered := byID[id]
-			assert.Assert(t, ordered.orderable && !ordered.atTarget && !ordered.loading)
+			assert.Assert(t, ordered.readyForOrder && !ordered.atTarget && !ordered.loading)
 			if ordered.inService {
 				inService--
 			}
@@ -47,15 +47,15 @@
 
 func drawEngine(t *rapid.T) rolloutEngine {
 	return rolloutEngine{
-		atTarget:  rapid.Bool().Draw(t, "reached"),
-		inService: rapid.Bool().Draw(t, "in service"),
-		loading:   rapid.Bool().Draw(t, "loading"),
-		orderable: rapid.Bool().Draw(t, "orderable"),
-		version:   rapid.Uint64Range(0, 3).Draw(t, "version"),
+		atTarget:      rapid.Bool().Draw(t, "reached"),
+		inService:     rapid.Bool().Draw(t, "in service"),
+		loading:       rapid.Bool().Draw(t, "loading"),
+		readyForOrder: rapid.Bool().Draw(t, "orderable"),
+		version:       rapid.Uint64Range(0, 3).Draw(t, "version"),
 	}
 }
 
-func (h *harness) direct(epoch int64) message.DirectiveResult {
+func (h *harness) sendDirective(epoch int64) message.DirectiveResult {
 	h.t.Helper()
 	wanted := message.Directive{Cell: testCell, Model: testModel, Version: 2, Epoch: epoch, Concurrent: 1}
 	response, err := h.calls[peer.MethodDirective](context.Background(), encode(h.t, wanted))
@@ -91,15 +91,15 @@
 		})
 		return nil
 	}
-	assert.Equal(t, h.direct(7).Engines, 3)
-	h.eventually(func() bool { return h.direct(7).AtLeastVersion == 3 })
-	assert.Equal(t, h.direct(7).AtVersion, 3)
+	assert.Equal(t, h.sendDirective(7).Engines, 3)
+	h.eventually(func() bool { return h.sendDirective(7).AtLeastVersion == 3 })
+	assert.Equal(t, h.sendDirective(7).AtVersion, 3)
 	h.change("a", func(status *engine.Status) { status.Models[0].Version = 3 })
 	h.eventually(func() bool {
-		result := h.direct(6) // of an old epoch, so it orders nothing
+		result := h.sendDirective(6) // of an old epoch, so it orders nothing
 		return result.AtLeastVersion == 3 && result.AtVersion == 2
 	})
-	assert.Equal(t, h.direct(6).StaleEpoch, int64(7))
+	assert.Equal(t, h.sendDirective(6).StaleEpoch, int64(7))
 }
 
 func TestDirectiveStopsOnStaleFence(t *testing.T) {
@@ -107,7 +107,7 @@
 	h.order = func(string, engine.Order) error {
 		return &engine.SendError{Sent: true, Refusal: &engine.Refusal{Code: engine.CodeStaleFence, Fence: 9}}
 	}
-	h.eventually(func() bool { return h.direct(7).StaleEpoch == 9 })
+	h.eventually(func() bool { return h.sendDirective(7).StaleEpoch == 9 })
 	h.fakeEngines.mutex.Lock()
 	defer h.fakeEngines.mutex.Unlock()
 	assert.Equal(t, len(h.orders), 1)
@@ -122,11 +122,11 @@
 			id := message.CellID{Zone: zone, Pool: testPool, Index: index}
 			digests = append(digests, message.CellDigest{Cell: id, Engines: engines})
 		}
-		sizes := newLayout(nil, digests)
+		pools := newPoolCells(nil, digests)
 		sum := 0
-		for _, each := range sizes[testPool] {
-			part := sizes.cellCap(&row, each.id)
-			assert.Assert(t, part == 0 || each.id.Zone != "z")
+		for _, cell := range pools[testPool] {
+			part := pools.cellCap(&row, cell.id)
+			assert.Assert(t, part == 0 || cell.id.Zone != "z")
 			sum += part
 		}
 		assert.Equal(t, sum, row.Cap)
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -57,11 +57,11 @@
 	// wake interrupts the long tick interval of an idle dispatcher.
 	wake chan struct{}
 
-	mutex    sync.Mutex
-	cells    map[message.CellID]*cell
-	assigned map[message.CellID]cellEngines
-	layout   layout
-	draining bool
+	mutex     sync.Mutex
+	cells     map[message.CellID]*cell
+	assigned  map[message.CellID]cellEngines
+	poolCells poolCells
+	draining  bool
 
 	// reconcileMutex serializes reconcile and guards the two fields below. It is acquired before
 	// mutex.
@@ -133,11 +133,11 @@
 // long while no cell has a request, to save the processor time of idle wake-ups.
 func (d *Dispatcher) tick(now time.Time) time.Duration {
 	next := reconcileInterval
-	for _, each := range d.allCells() {
-		if each.tick(now) {
+	for _, c := range d.allCells() {
+		if c.tick(now) {
 			next = tickInterval
 		}
-		each.announce(now)
+		c.announce(now)
 	}
 	return next
 }
@@ -161,15 +161,15 @@
 	return true
 }
 
-// Drain prepares a planned shutdown: new submissions, and queued ones that never reached an engine,
+// Drain prepares a graceful shutdown: new submissions, and queued ones that never reached an engine,
 // fail with Draining (not executed). It returns nil once all active streams have ended and been
 // relayed, or the error of ctx. Run must keep running meanwhile.
 func (d *Dispatcher) Drain(ctx context.Context) error {
 	d.mutex.Lock()
 	d.draining = true
 	d.mutex.Unlock()
-	for _, each := range d.allCells() {
-		each.drain()
+	for _, c := range d.allCells() {
+		c.drain()
 	}
 	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
@@ -184,8 +184,8 @@
 }
 
 func (d *Dispatcher) busy() bool {
-	for _, each := range d.allCells() {
-		if each.busy() {
+	for _, c := range d.allCells() {
+		if c.busy() {
 			return true
 		}
 	}
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -21,7 +21,7 @@
 	return errkind.KindOf(err)
 }
 
-func refusal(code string, ran bool) generate {
+func refusal(code string, ran bool) generateFunc {
 	return failWith(engine.SendError{Sent: true, Refusal: &engine.Refusal{Code: code, Ran: ran}})
 }
 
@@ -127,7 +127,7 @@
 }
 
 func TestNotExecutedNonRepeatableRequestIsSentToAnotherEngine(t *testing.T) {
-	for name, failure := range map[string]generate{
+	for name, failure := range map[string]generateFunc{
 		"refused":  refusal(engine.CodeDraining, false),
 		"not sent": failWith(engine.SendError{}),
 	} {
@@ -148,7 +148,7 @@
 func TestRefusalErrorKinds(t *testing.T) {
 	tests := []struct {
 		name       string
-		answer     generate
+		answer     generateFunc
 		repeatable bool
 		kind       errkind.Kind
 	}{
@@ -185,7 +185,7 @@
 	h.generate["a"] = inSequence(tokensUpTo(3, 1, hold), wholeAnswer(1))
 	first := h.submit(submission("r"))
 	h.eventually(func() bool { return len(first.tokens()) == 3 })
-	first.leave()
+	first.disconnect()
 	assert.Equal(t, kindOf(t, first.wait(t)), errkind.Canceled)
 
 	attach := submission("r")
@@ -210,7 +210,7 @@
 	h.generate["a"] = tokensUpTo(3, 1, make(chan struct{}))
 	received := h.submit(submission("r"))
 	h.eventually(func() bool { return len(received.tokens()) == 3 })
-	received.leave()
+	received.disconnect()
 	h.eventually(func() bool {
 		h.fakeEngines.mutex.Lock()
 		defer h.fakeEngines.mutex.Unlock()
@@ -236,7 +236,7 @@
 	assert.Equal(t, kindOf(t, h.submit(submission("late")).wait(t)), errkind.Draining)
 	select {
 	case <-drained:
-		t.Fatal("drained with a stream in hand")
+		t.Fatal("Drain returned while a stream was active")
 	default:
 	}
 	close(hold)
--- a/internal/dispatcher/fake_engines_test.go
+++ b/internal/dispatcher/fake_engines_test.go
@@ -15,8 +15,8 @@
 
 var errBroken = errors.New("connection reset")
 
-// generate handles one request to a fake engine.
-type generate func(ctx context.Context, request engine.GenerateRequest) (engine.Stream, error)
+// generateFunc handles one request to a fake engine.
+type generateFunc func(ctx context.Context, request engine.GenerateRequest) (engine.Stream, error)
 
 // fakeEngines implements the methods of engine.Client that a dispatcher uses; an engine's address is
 // its ID.
@@ -27,7 +27,7 @@
 	changed map[string]chan struct{}
 	// unreachable engines break their watch streams.
 	unreachable map[string]bool
-	generate    map[string]generate
+	generate    map[string]generateFunc
 	requests    map[string][]engine.GenerateRequest
 	canceled    []engine.CancelRequest
 	orders      []string
@@ -142,8 +142,8 @@
 	return list
 }
 
-// firstOwedToken returns the index of the first token that the engine must send.
-func firstOwedToken(request engine.GenerateRequest) int {
+// startIndex returns the index of the first token that the engine must send.
+func startIndex(request engine.GenerateRequest) int {
 	if request.ResumeFrom != nil {
 		return *request.ResumeFrom
 	}
@@ -151,23 +151,22 @@
 }
 
 // wholeAnswer streams all tokens.
-func wholeAnswer(version uint64) generate {
+func wholeAnswer(version uint64) generateFunc {
 	return func(ctx context.Context, request engine.GenerateRequest) (engine.Stream, error) {
-		list := chunks(request, firstOwedToken(request), request.MaxTokens, version)
+		list := chunks(request, startIndex(request), request.MaxTokens, version)
 		return &fakeStream{ctx: ctx, chunks: list, err: io.EOF}, nil
 	}
 }
 
-// tokensUpTo streams the tokens before an index, then breaks or holds.
-func tokensUpTo(to int, version uint64, hold <-chan struct{}) generate {
+// tokensUpTo streams the tokens before an index, waits for hold unless it is nil, and breaks the stream.
+func tokensUpTo(to int, version uint64, hold <-chan struct{}) generateFunc {
 	return func(ctx context.Context, request engine.GenerateRequest) (engine.Stream, error) {
-		list := chunks(request, firstOwedToken(request), to, version)
+		list := chunks(request, startIndex(request), to, version)
 		return &fakeStream{ctx: ctx, chunks: list, err: errBroken, hold: hold}, nil
 	}
 }
 
-// failWith fails the request.
-func failWith(failure engine.SendError) generate {
+func failWith(failure engine.SendError) generateFunc {
 	return func(context.Context, engine.GenerateRequest) (engine.Stream, error) {
 		if failure.Err == nil {
 			failure.Err = errBroken
@@ -177,7 +176,7 @@
 }
 
 // inSequence uses each answer once, and the last one for all further requests.
-func inSequence(answers ...generate) generate {
+func inSequence(answers ...generateFunc) generateFunc {
 	var mutex sync.Mutex
 	return func(ctx context.Context, request engine.GenerateRequest) (engine.Stream, error) {
 		mutex.Lock()
--- a/internal/dispatcher/harness_test.go
+++ b/internal/dispatcher/harness_test.go
@@ -82,23 +82,23 @@
 	return fakeRequest{body: body}
 }
 
-// answer records what a caller received.
-type answer struct {
-	mutex  sync.Mutex
-	pieces []message.Progress
-	err    error
-	done   chan struct{}
-	leave  context.CancelFunc
+// recordedAnswer records what a caller received.
+type recordedAnswer struct {
+	mutex      sync.Mutex
+	pieces     []message.Progress
+	err        error
+	done       chan struct{}
+	disconnect context.CancelFunc
 }
 
-func (a *answer) Send(sent any) error {
+func (a *recordedAnswer) Send(sent any) error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.pieces = append(a.pieces, *sent.(*message.Progress))
 	return nil
 }
 
-func (a *answer) tokens() []string {
+func (a *recordedAnswer) tokens() []string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	var tokens []string
@@ -109,14 +109,14 @@
 }
 
 // engine returns the engine of the last piece.
-func (a *answer) engine() string {
+func (a *recordedAnswer) engine() string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.pieces[len(a.pieces)-1].Engine
 }
 
 // versions returns the weight version of each token.
-func (a *answer) versions() []uint64 {
+func (a *recordedAnswer) versions() []uint64 {
 	var versions []uint64
 	for _, piece := range a.pieces {
 		for range piece.Tokens {
@@ -127,7 +127,7 @@
 }
 
 // engineAttempts returns the engine attempt of each token.
-func (a *answer) engineAttempts() []uint32 {
+func (a *recordedAnswer) engineAttempts() []uint32 {
 	var attempts []uint32
 	for _, piece := range a.pieces {
 		for range piece.Tokens {
@@ -138,7 +138,7 @@
 }
 
 // wait returns the answer's error once it has ended.
-func (a *answer) wait(t *testing.T) error {
+func (a *recordedAnswer) wait(t *testing.T) error {
 	t.Helper()
 	select {
 	case <-a.done:
@@ -167,7 +167,7 @@
 			status:      make(map[string]engine.Status),
 			changed:     make(map[string]chan struct{}),
 			unreachable: make(map[string]bool),
-			generate:    make(map[string]generate),
+			generate:    make(map[string]generateFunc),
 			requests:    make(map[string][]engine.GenerateRequest),
 			order:       func(string, engine.Order) error { return nil },
 		},
@@ -224,10 +224,10 @@
 	}
 }
 
-func (h *harness) submit(submit message.Submit) *answer {
-	ctx, leave := context.WithCancel(context.Background())
-	h.t.Cleanup(leave)
-	received := &answer{done: make(chan struct{}), leave: leave}
+func (h *harness) submit(submit message.Submit) *recordedAnswer {
+	ctx, disconnect := context.WithCancel(context.Background())
+	h.t.Cleanup(disconnect)
+	received := &recordedAnswer{done: make(chan struct{}), disconnect: disconnect}
 	request := encode(h.t, submit)
 	go func() {
 		defer close(received.done)
--- a/internal/dispatcher/limits.go
+++ b/internal/dispatcher/limits.go
@@ -9,7 +9,7 @@
 // Intervals of the control loops.
 const (
 	// tickInterval is the interval at which a cell with requests checks deadlines and starved classes,
-	// and the minimum time between two out-of-turn reconciliations.
+	// and the minimum time between two reconciliations on demand.
 	tickInterval = 50 * time.Millisecond
 	// reconcileInterval is the interval at which cells are matched to the engine list, the members and
 	// the policy table. It is also the tick interval of an idle dispatcher.
@@ -73,8 +73,8 @@
 )
 
 var (
-	// resumeRetries is the backoff between attempts to resume a broken engine stream.
-	resumeRetries = retry.Policy{First: 20 * time.Millisecond, Longest: 400 * time.Millisecond}
-	// reconnectRetries is the backoff between connections of an engine's watch stream.
-	reconnectRetries = retry.Policy{First: 50 * time.Millisecond, Longest: 2 * time.Second}
+	// resumeBackoff is the backoff between attempts to resume a broken engine stream.
+	resumeBackoff = retry.Policy{First: 20 * time.Millisecond, Longest: 400 * time.Millisecond}
+	// reconnectBackoff is the backoff between connections of an engine's watch stream.
+	reconnectBackoff = retry.Policy{First: 50 * time.Millisecond, Longest: 2 * time.Second}
 )
--- a/internal/dispatcher/link.go
+++ b/internal/dispatcher/link.go
@@ -32,7 +32,7 @@
 // openLink starts the watch stream of an engine. Must be called with mutex held.
 func (c *cell) openLink(machine cluster.EngineMachine) {
 	ctx, stop := context.WithCancel(c.dispatcher.baseContext)
-	opened := &engineLink{
+	link := &engineLink{
 		id:               machine.ID,
 		address:          machine.Address,
 		leaving:          machine.Leaving,
@@ -40,21 +40,21 @@
 		disconnect:       func() {},
 		stop:             stop,
 	}
-	c.links[machine.ID] = opened
-	c.updateScheduler(opened, false)
-	c.dispatcher.start(func() { c.watch(ctx, opened) })
+	c.links[machine.ID] = link
+	c.updateScheduler(link, false)
+	c.dispatcher.start(func() { c.watch(ctx, link) })
 }
 
 // closeLink closes the link of an engine. Must be called with mutex held.
-func (c *cell) closeLink(closing *engineLink) {
-	closing.stop()
-	delete(c.links, closing.id)
-	c.scheduler.RemoveEngine(closing.id)
+func (c *cell) closeLink(link *engineLink) {
+	link.stop()
+	delete(c.links, link.id)
+	c.scheduler.RemoveEngine(link.id)
 }
 
 // watch keeps the watch stream of an engine connected until ctx ends.
 func (c *cell) watch(ctx context.Context, link *engineLink) {
-	delays := reconnectRetries.Delays()
+	delays := reconnectBackoff.Delays()
 	for ctx.Err() == nil {
 		if c.watchOnce(ctx, link) {
 			delays.Reset()
@@ -69,11 +69,11 @@
 	connection, disconnect := context.WithCancel(ctx)
 	defer disconnect()
 	generation := c.beginConnection(link, disconnect)
-	silence := time.AfterFunc(watchIdleTimeout, disconnect)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(watchIdleTimeout, disconnect)
+	defer idleTimer.Stop()
 	delivered := false
 	err := c.dispatcher.options.EngineClient.Watch(connection, link.address, watchInterval, func(event engine.Event) {
-		silence.Reset(watchIdleTimeout)
+		idleTimer.Reset(watchIdleTimeout)
 		delivered = true
 		c.observe(link, generation, &event)
 	})
--- a/internal/dispatcher/metrics.go
+++ b/internal/dispatcher/metrics.go
@@ -15,7 +15,6 @@
 // queueWaitBuckets are the bounds of the queue wait histogram, in seconds.
 var queueWaitBuckets = []float64{.0005, .001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10, 30}
 
-// metrics are the dispatcher's Prometheus metrics.
 type metrics struct {
 	queueWait    *prometheus.HistogramVec
 	attempts     *prometheus.CounterVec
@@ -60,8 +59,8 @@
 	m.slots.WithLabelValues(name).Set(float64(digest.Slots))
 }
 
-// forgetCell deletes the gauges of a closed cell.
-func (m *metrics) forgetCell(id message.CellID) {
+// deleteCell deletes the gauges of a closed cell.
+func (m *metrics) deleteCell(id message.CellID) {
 	name := cellName(id)
 	m.queued.DeleteLabelValues(name)
 	m.running.DeleteLabelValues(name)
--- a/internal/dispatcher/rollout.go
+++ b/internal/dispatcher/rollout.go
@@ -16,8 +16,8 @@
 	inService bool
 	// loading: is loading the model, or was just ordered to.
 	loading bool
-	// orderable: reachable, not leaving, not draining, and due for an order.
-	orderable bool
+	// readyForOrder: reachable, not leaving, not draining, and due for an order.
+	readyForOrder bool
 	// version of the model; 0 if the engine does not hold it.
 	version uint64
 }
@@ -60,7 +60,7 @@
 func orderCandidates(engines []rolloutEngine) []rolloutEngine {
 	var due []rolloutEngine
 	for _, candidate := range engines {
-		if candidate.orderable && !candidate.atTarget && !candidate.loading {
+		if candidate.readyForOrder && !candidate.atTarget && !candidate.loading {
 			due = append(due, candidate)
 		}
 	}
--- a/internal/dispatcher/status.go
+++ b/internal/dispatcher/status.go
@@ -26,8 +26,8 @@
 // EngineStatuses returns the engines of this node's cells, sorted by ID.
 func (d *Dispatcher) EngineStatuses() []api.EngineStatus {
 	var statuses []api.EngineStatus
-	for _, each := range d.allCells() {
-		statuses = append(statuses, each.engineStatuses()...)
+	for _, c := range d.allCells() {
+		statuses = append(statuses, c.engineStatuses()...)
 	}
 	slices.SortFunc(statuses, func(a, b api.EngineStatus) int { return cmp.Compare(a.ID, b.ID) })
 	return statuses
@@ -36,8 +36,8 @@
 // CellStatuses returns this node's cells, sorted by zone, pool and index.
 func (d *Dispatcher) CellStatuses() []api.CellStatus {
 	var statuses []api.CellStatus
-	for _, each := range d.allCells() {
-		statuses = append(statuses, CellStatus(each.digest()))
+	for _, c := range d.allCells() {
+		statuses = append(statuses, CellStatus(c.digest()))
 	}
 	return statuses
 }
--- a/internal/dispatcher/submit.go
+++ b/internal/dispatcher/submit.go
@@ -26,15 +26,15 @@
 		last := completedProgress(&submit)
 		return sender.Send(&last)
 	}
-	attached, from, err := d.admit(submit)
+	t, from, err := d.admit(submit)
 	if err != nil {
 		return err
 	}
-	if err := attached.addReader(from); err != nil {
+	if err := t.addReader(from); err != nil {
 		return err
 	}
-	defer attached.removeReader()
-	return attached.relay(ctx, from, sender)
+	defer t.removeReader()
+	return t.relay(ctx, from, sender)
 }
 
 // validate returns an InvalidRequest error if the submission is malformed.
@@ -86,16 +86,16 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	admitted, err := target.submit(submit, row, inFlightCap)
-	return admitted, len(submit.Generated), err
+	t, err := target.submit(submit, row, inFlightCap)
+	return t, len(submit.Generated), err
 }
 
 // attach returns the task of an earlier submission. An unknown task may have run here before, so its
 // outcome is unknown.
 func (d *Dispatcher) attach(submit *message.Submit) (*task, int, error) {
 	if target := d.find(submit.Cell); target != nil {
-		if known := target.lookup(taskID(submit)); known != nil {
-			return known, submit.ResumeFrom, nil
+		if t := target.lookup(taskID(submit)); t != nil {
+			return t, submit.ResumeFrom, nil
 		}
 	}
 	return nil, 0, errkind.New(errkind.OutcomeUnknown,
@@ -124,7 +124,7 @@
 		return 0, nil
 	}
 	d.mutex.Lock()
-	part := d.layout.cellCap(row, cell)
+	part := d.poolCells.cellCap(row, cell)
 	d.mutex.Unlock()
 	if part == 0 {
 		// NoCapacity rather than CapReached: other cells may have a part of the cap.
@@ -138,11 +138,11 @@
 func (t *task) relay(ctx context.Context, from int, sender peer.Sender) error {
 	next := from
 	first := true
-	var found readResult
+	var read readResult
 	for {
-		found = t.buffer.readFrom(next, found.pieces)
-		for index := range found.pieces {
-			piece := &found.pieces[index]
+		read = t.buffer.readFrom(next, read.pieces)
+		for index := range read.pieces {
+			piece := &read.pieces[index]
 			trimBefore(piece, next)
 			if first {
 				piece.Load = t.cellLoad()
@@ -154,20 +154,20 @@
 			}
 			next = piece.FirstToken + len(piece.Tokens)
 		}
-		if found.finished != nil {
-			last := *found.finished
+		if read.finished != nil {
+			last := *read.finished
 			last.Load = t.cellLoad()
 			return sender.Send(&last)
 		}
-		if found.err != nil {
-			return found.err
+		if read.err != nil {
+			return read.err
 		}
-		if len(found.pieces) > 0 {
+		if len(read.pieces) > 0 {
 			// The next read acknowledges these pieces to the buffer.
 			continue
 		}
 		select {
-		case <-found.changed:
+		case <-read.changed:
 		case <-ctx.Done():
 			return errkind.New(errkind.Canceled, "the caller closed the stream")
 		}
--- a/internal/dispatcher/task.go
+++ b/internal/dispatcher/task.go
@@ -31,8 +31,8 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	buffer *answerBuffer
-	// placed receives one placement each time the task is queued.
-	placed chan placement
+	// placements receives one placement each time the task is queued.
+	placements chan placement
 
 	// tokens is the answer so far, including the tokens of earlier submissions.
 	tokens []string
@@ -71,7 +71,7 @@
 		ctx:         ctx,
 		cancel:      cancel,
 		buffer:      newAnswerBuffer(len(submit.Generated)),
-		placed:      make(chan placement, 1),
+		placements:  make(chan placement, 1),
 		tokens:      slices.Clone(submit.Generated),
 	}
 }
--- a/internal/dispatcher/run.go
+++ b/internal/dispatcher/taskrun.go
@@ -17,11 +17,11 @@
 		}
 		t.cell.dispatcher.metrics.queueWait.WithLabelValues(t.submit.Service).
 			Observe(placed.assignment.Waited.Seconds())
-		send := t.newAttempt(placed)
-		result := send.run()
+		a := t.newAttempt(placed)
+		result := a.run()
 		t.cell.release(t, result.outcome != outcomeNotRun)
 		t.cell.dispatcher.metrics.attempts.WithLabelValues(result.outcome.String()).Inc()
-		if t.handleResult(send, result) {
+		if t.handleResult(a, result) {
 			return
 		}
 		if err := t.cell.requeue(t); err != nil {
@@ -34,7 +34,7 @@
 // awaitPlacement waits until the scheduler has placed the task or rejected it.
 func (t *task) awaitPlacement() (placement, *errkind.Error) {
 	select {
-	case placed := <-t.placed:
+	case placed := <-t.placements:
 		return placed, placed.err
 	case <-t.ctx.Done():
 		t.cell.withdraw(t)
@@ -52,30 +52,30 @@
 
 // handleResult ends the task or prepares another attempt. It returns false if the task must be queued
 // again.
-func (t *task) handleResult(send *attempt, result attemptResult) bool {
-	engineID := send.placed.assignment.EngineID
+func (t *task) handleResult(a *attempt, result attemptResult) bool {
+	engineID := a.placement.assignment.EngineID
 	switch result.outcome {
 	case outcomeFinished:
-		t.finish(engineID, result.reason, send.version)
+		t.finish(engineID, result.reason, a.version)
 		return true
 	case outcomeCanceled:
-		send.cancelAtEngine()
+		a.cancelAtEngine()
 		t.fail(t.stopError())
 		return true
 	case outcomeNotRun:
-		return t.handleNotRun(send, result)
+		return t.handleNotRun(a, result)
 	default:
-		return t.handleLost(send, result)
+		return t.handleLost(a, result)
 	}
 }
 
 // handleNotRun handles an attempt that certainly did not run, so even a request that is not repeatable
 // may be sent to another engine.
-func (t *task) handleNotRun(send *attempt, result attemptResult) bool {
+func (t *task) handleNotRun(a *attempt, result attemptResult) bool {
 	if result.refusal == nil {
-		t.cell.suspectEngine(send.placed)
+		t.cell.suspectEngine(a.placement)
 	} else {
-		t.excluded = append(t.excluded, send.placed.assignment.EngineID)
+		t.excluded = append(t.excluded, a.placement.assignment.EngineID)
 	}
 	if result.refusal != nil && result.refusal.Code == engine.CodeInvalid {
 		t.fail(errkind.New(errkind.InvalidRequest, "engine refused: %s", result.refusal.Message))
@@ -89,17 +89,17 @@
 }
 
 // handleLost handles an attempt that may have run in part and cannot be resumed.
-func (t *task) handleLost(send *attempt, result attemptResult) bool {
-	t.cell.dispatcher.start(send.cancelAtEngine)
+func (t *task) handleLost(a *attempt, result attemptResult) bool {
+	t.cell.dispatcher.start(a.cancelAtEngine)
 	if result.suspectEngine {
-		t.cell.suspectEngine(send.placed)
+		t.cell.suspectEngine(a.placement)
 	} else {
-		t.excluded = append(t.excluded, send.placed.assignment.EngineID)
+		t.excluded = append(t.excluded, a.placement.assignment.EngineID)
 	}
 	switch {
 	case len(t.tokens) >= t.submit.MaxTokens:
 		// All tokens arrived; only the final chunk is missing.
-		t.finish(send.placed.assignment.EngineID, engine.FinishLength, send.version)
+		t.finish(a.placement.assignment.EngineID, engine.FinishLength, a.version)
 		return true
 	case !t.submit.Repeatable:
 		t.fail(errkind.New(errkind.OutcomeUnknown, "the engine stream was lost: %s", result.cause))
