--- a/internal/coordinator/placement.go
+++ b/internal/coordinator/placement.go
@@ -17,8 +17,8 @@
 // writer ID of a record.
 const writerSeparator = "~"
 
-// preferredOwner returns the node that should own the trainer's ledger, by rendezvous
-// hashing over the candidates of the row's first zone that has any.
+// preferredOwner returns the node that should own the trainer's ledger, by
+// rendezvous hashing over the candidates of the row's first zone that has any.
 func preferredOwner(view cluster.View, row policy.Row) (cluster.Member, bool) {
 	candidates := zoneCandidates(view, row.Zones)
 	if len(candidates) == 0 {
--- a/internal/coordinator/slotrun.go
+++ b/internal/coordinator/slotrun.go
@@ -29,7 +29,8 @@
 // slotBackoff is the backoff for generating, scoring and recording a slot.
 var slotBackoff = retry.Policy{First: 50 * time.Millisecond, Longest: 5 * time.Second}
 
-// errStale is the cancellation cause of slot runs whose answer can no longer be delivered.
+// errStale is the cancellation cause of slot runs whose answer can no longer be
+// delivered.
 var errStale = errors.New("answer is beyond the staleness bound")
 
 // slotRun runs one open slot until its sample is recorded.
--- a/internal/coordinator/tenure.go
+++ b/internal/coordinator/tenure.go
@@ -184,8 +184,9 @@
 	}
 }
 
-// currentTerms returns the trainer's current row and the freshness terms for records proposed now.
-// It fails if the table may be outdated or has no such trainer.
+// currentTerms returns the trainer's current row and the freshness terms for
+// records proposed now. It fails if the table may be outdated or has no such
+// trainer.
 func (t *tenure) currentTerms() (policy.Row, ledger.FreshnessTerms, error) {
 	if err := t.options.Tables.Current(); err != nil {
 		return policy.Row{}, ledger.FreshnessTerms{}, err
--- a/internal/node/components.go
+++ b/internal/node/components.go
@@ -39,8 +39,8 @@
 	weights    *weights.Coordinator
 }
 
-// buildComponents creates the components in the order of their dependencies. They register
-// their handlers on the transport, which must not have started.
+// buildComponents creates the components in the order of their dependencies. They
+// register their handlers on the transport, which must not have started.
 func (n *node) buildComponents() error {
 	if err := n.buildCluster(); err != nil {
 		return err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,7 +37,8 @@
 	config   settings.Settings
 	logger   zerolog.Logger
 	registry *prometheus.Registry
-	// writer identifies this process in the log and in the cluster; it differs after a restart.
+	// writer identifies this process in the log and in the cluster; a restarted
+	// process has another one.
 	writer     string
 	clients    platformClients
 	components components
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// startComponents runs each component in a goroutine. One that fails stops the node, which
-// must not appear healthy to peers and operators without it.
+// startComponents runs each component in a goroutine. One that fails stops the
+// node, which must not appear healthy to peers and operators without it.
 func (n *node) startComponents(ctx context.Context, group *errgroup.Group) {
 	for name, run := range n.components.loops() {
 		group.Go(func() error {
--- a/internal/router/target.go
+++ b/internal/router/target.go
@@ -120,8 +120,8 @@
 	return target{}, false
 }
 
-// isSelfDispatched reports whether this node dispatches requests for the cell itself instead of sending
-// them to another node, as routing.StrategyOneHop does within its own zone.
+// isSelfDispatched reports whether this node dispatches requests for the cell itself instead of
+// sending them to another node, as routing.StrategyOneHop does within its own zone.
 func (r *CellRouter) isSelfDispatched(cell message.CellID) bool {
 	oneHop := routing.Strategy(r.options.Policy) == routing.StrategyOneHop
 	return oneHop && cell.Zone == r.options.Zone
--- a/internal/weights/directives.go
+++ b/internal/weights/directives.go
@@ -168,8 +168,8 @@
 	return max(0, result.Engines-result.Loading-result.Broken-max(serving, result.AtLeastVersion))
 }
 
-// needsRefresh reports whether a settled cell needs another directive: settledAfter has
-// passed, or its number of engines has changed.
+// needsRefresh reports whether a settled cell needs another directive:
+// settledAfter has passed, or its number of engines has changed.
 func needsRefresh(progress *cellProgress, digest message.CellDigest, settledAfter time.Duration) bool {
 	return time.Since(progress.lastAnswered) >= settledAfter || digest.Engines != progress.result.Engines
 }
--- a/internal/weights/metrics.go
+++ b/internal/weights/metrics.go
@@ -12,7 +12,6 @@
 	resultStale     = "stale_epoch"
 )
 
-// metrics are the metrics of the weight coordinator.
 type metrics struct {
 	owned      prometheus.Gauge
 	wanted     *prometheus.GaugeVec
