--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -31,8 +31,8 @@
 	Step string `msgpack:"s"`
 }
 
-// Answer is the response to a Call; the pointer that matches the kind of call is set.
-type Answer struct {
+// Response is the response to a Call; the pointer that matches the kind of call is set.
+type Response struct {
 	Status      *api.StepStatus    `msgpack:"g,omitempty"`
 	Fetch       *api.FetchResponse `msgpack:"f,omitempty"`
 	Acknowledge *api.AckResponse   `msgpack:"a,omitempty"`
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -55,8 +55,8 @@
 	announceMutex sync.Mutex
 
 	mutex sync.Mutex
-	// byTrainer holds the ledgers that this node follows, by trainer.
-	byTrainer map[string]*follower
+	// followers holds the ledgers that this node follows, by trainer.
+	followers map[string]*follower
 }
 
 // New returns a coordinator and registers its peer handlers; Run starts it.
@@ -65,7 +65,7 @@
 		options:      options,
 		metrics:      newMetrics(options.Registerer),
 		drainStarted: make(chan struct{}),
-		byTrainer:    make(map[string]*follower),
+		followers:    make(map[string]*follower),
 	}
 	options.Registry.HandleCall(peer.MethodTrainer, c.handleTrainer)
 	options.Registry.HandleCall(peer.MethodStepStatus, c.handleStepStatus)
@@ -76,9 +76,9 @@
 // that this node owns.
 func (c *Coordinator) Statuses() []api.StepStatus {
 	var statuses []api.StepStatus
-	for _, owned := range c.tenures() {
-		statuses = append(statuses, owned.openStatuses()...)
-		statuses = append(statuses, owned.abandonedStatuses()...)
+	for _, t := range c.tenures() {
+		statuses = append(statuses, t.openStatuses()...)
+		statuses = append(statuses, t.abandonedStatuses()...)
 	}
 	return statuses
 }
@@ -87,5 +87,5 @@
 func (c *Coordinator) followerOf(trainer string) *follower {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.byTrainer[trainer]
+	return c.followers[trainer]
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -188,7 +188,7 @@
 	after := awaitSamples(t, other, fetch, 2)
 
 	type outcome struct {
-		answer Answer
+		answer Response
 		err    error
 	}
 	outcomes := make(chan outcome, 3)
--- a/internal/coordinator/follower.go
+++ b/internal/coordinator/follower.go
@@ -126,13 +126,13 @@
 
 // serve runs a tenure until it ends.
 func (f *follower) serve(ctx context.Context, epoch int64) {
-	owned := newTenure(ctx, f, epoch)
-	f.tenure.Store(owned)
+	t := newTenure(ctx, f, epoch)
+	f.tenure.Store(t)
 	f.coordinator.announce()
-	owned.run()
+	t.run()
 	f.tenure.Store(nil)
 	f.coordinator.announce()
-	close(owned.ended)
+	close(t.ended)
 }
 
 func (f *follower) wait(ctx context.Context, applied int64) {
--- a/internal/coordinator/forward.go
+++ b/internal/coordinator/forward.go
@@ -106,9 +106,9 @@
 
 // call sends the call to the owner and retries while no owner responds. Retrying
 // is safe because every call is idempotent.
-func (c *Coordinator) call(ctx context.Context, call Call) (Answer, error) {
+func (c *Coordinator) call(ctx context.Context, call Call) (Response, error) {
 	if _, err := trainerRow(c.options.Tables.Table(), call.Trainer); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	var failingSince time.Time
 	maybeExecuted := false
@@ -123,22 +123,22 @@
 			failingSince = time.Now()
 		}
 		if time.Since(failingSince) > ownerTimeout || !retry.Sleep(ctx, ownerRetryDelay) {
-			return Answer{}, noOwnerError(call, err, maybeExecuted)
+			return Response{}, noOwnerError(call, err, maybeExecuted)
 		}
 	}
 }
 
 // callOnce sends the call to the presumed owner. Odd attempts go to the preferred
 // owner, in case the announced owner is outdated.
-func (c *Coordinator) callOnce(ctx context.Context, call Call, attempt int) (Answer, error) {
-	if owned := c.tenure(call.Trainer); owned != nil {
-		return owned.handleCall(ctx, call)
+func (c *Coordinator) callOnce(ctx context.Context, call Call, attempt int) (Response, error) {
+	if t := c.tenure(call.Trainer); t != nil {
+		return t.handleCall(ctx, call)
 	}
 	target, found := c.presumedOwner(call.Trainer, attempt)
 	if !found || target.ID == c.options.NodeID {
-		return Answer{}, errkind.New(errkind.NotReady, "no node owns the ledger of trainer %q yet", call.Trainer)
+		return Response{}, errkind.New(errkind.NotReady, "no node owns the ledger of trainer %q yet", call.Trainer)
 	}
-	var answer Answer
+	var answer Response
 	err := c.options.Caller.Call(ctx, target.Address, peer.MethodTrainer, &call, &answer)
 	return answer, err
 }
@@ -162,11 +162,11 @@
 	if err := request.Decode(&call); err != nil {
 		return nil, errkind.New(errkind.InvalidRequest, "trainer call: %v", err)
 	}
-	owned := c.tenure(call.Trainer)
-	if owned == nil {
+	t := c.tenure(call.Trainer)
+	if t == nil {
 		return nil, errkind.New(errkind.NotOwner, "node %s does not own the ledger of %q", c.options.NodeID, call.Trainer)
 	}
-	answer, err := owned.handleCall(ctx, call)
+	answer, err := t.handleCall(ctx, call)
 	if err != nil {
 		return nil, errkind.From(err)
 	}
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -44,14 +44,14 @@
 		if row.Kind != policy.KindTrainer || !c.isPreferredOwner(row) || c.followerOf(row.Service) != nil {
 			continue
 		}
-		started := c.newFollower(row.Service)
+		f := c.newFollower(row.Service)
 		c.mutex.Lock()
-		c.byTrainer[row.Service] = started
+		c.followers[row.Service] = f
 		c.mutex.Unlock()
 		followers.Go(func() {
-			started.run(ctx)
+			f.run(ctx)
 			c.mutex.Lock()
-			delete(c.byTrainer, started.trainer)
+			delete(c.followers, f.trainer)
 			c.mutex.Unlock()
 		})
 	}
@@ -64,8 +64,8 @@
 
 // tenure returns this node's tenure of a trainer's ledger, or nil.
 func (c *Coordinator) tenure(trainer string) *tenure {
-	if followed := c.followerOf(trainer); followed != nil {
-		return followed.tenure.Load()
+	if f := c.followerOf(trainer); f != nil {
+		return f.tenure.Load()
 	}
 	return nil
 }
@@ -75,8 +75,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var owned []*tenure
-	for _, followed := range c.byTrainer {
-		if tenure := followed.tenure.Load(); tenure != nil {
+	for _, f := range c.followers {
+		if tenure := f.tenure.Load(); tenure != nil {
 			owned = append(owned, tenure)
 		}
 	}
@@ -126,12 +126,12 @@
 	if !c.draining.Swap(true) {
 		close(c.drainStarted)
 	}
-	for _, owned := range c.tenures() {
-		owned.reschedule()
+	for _, t := range c.tenures() {
+		t.reschedule()
 		select {
-		case <-owned.ended:
+		case <-t.ended:
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "release the ledger of trainer %s", owned.trainer)
+			return errors.Wrapf(ctx.Err(), "release the ledger of trainer %s", t.trainer)
 		}
 	}
 	return nil
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -14,29 +14,29 @@
 )
 
 // handleCall handles a call at the ledger's owner.
-func (t *tenure) handleCall(ctx context.Context, call Call) (Answer, error) {
+func (t *tenure) handleCall(ctx context.Context, call Call) (Response, error) {
 	if err := t.beginCall(); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer t.calls.Done()
 	switch {
 	case call.Submit != nil:
 		status, err := t.submit(ctx, *call.Submit)
-		return Answer{Status: &status}, err
+		return Response{Status: &status}, err
 	case call.Status != nil:
 		status, err := t.stepStatus(call.Status.Step)
-		return Answer{Status: &status}, err
+		return Response{Status: &status}, err
 	case call.Fetch != nil:
 		response, err := t.fetch(ctx, *call.Fetch)
-		return Answer{Fetch: &response}, err
+		return Response{Fetch: &response}, err
 	case call.Acknowledge != nil:
 		response, err := t.acknowledge(ctx, *call.Acknowledge)
-		return Answer{Acknowledge: &response}, err
+		return Response{Acknowledge: &response}, err
 	case call.Abandon != nil:
 		status, err := t.abandon(ctx, call.Abandon.Step)
-		return Answer{Status: &status}, err
+		return Response{Status: &status}, err
 	default:
-		return Answer{}, errkind.New(errkind.InvalidRequest, "trainer call has no operation")
+		return Response{}, errkind.New(errkind.InvalidRequest, "trainer call has no operation")
 	}
 }
 
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -35,7 +35,7 @@
 		}
 		assert.Equal(t, parsed.request.Row.Kind, policy.KindLive)
 		assert.Assert(t, parsed.request.Prompt != "" && len(parsed.request.Prompt) <= MaxPromptBytes)
-		assert.Assert(t, parsed.request.MaxTokens >= 1 && parsed.request.MaxTokens <= MaxMaxTokens)
+		assert.Assert(t, parsed.request.MaxTokens >= 1 && parsed.request.MaxTokens <= MaxTokensLimit)
 		assert.Assert(t, parsed.request.Temperature >= 0 && parsed.request.Temperature <= MaxTemperature)
 		assert.Assert(t, len(parsed.key) <= MaxKeyBytes)
 	})
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -18,7 +18,7 @@
 	MaxBodyBytes       = 1 << 20
 	MaxPromptBytes     = 256 << 10
 	DefaultMaxTokens   = 256
-	MaxMaxTokens       = 32768
+	MaxTokensLimit     = 32768
 	DefaultTemperature = 1.0
 	MaxTemperature     = 2.0
 	MaxKeyBytes        = 128
@@ -95,8 +95,8 @@
 	if body.MaxTokens == nil {
 		body.MaxTokens = new(DefaultMaxTokens)
 	}
-	if tokens := *body.MaxTokens; tokens < 1 || tokens > MaxMaxTokens {
-		return errkind.New(errkind.InvalidRequest, "max_tokens is %d, expected 1 to %d", tokens, MaxMaxTokens)
+	if tokens := *body.MaxTokens; tokens < 1 || tokens > MaxTokensLimit {
+		return errkind.New(errkind.InvalidRequest, "max_tokens is %d, expected 1 to %d", tokens, MaxTokensLimit)
 	}
 	if body.Temperature == nil {
 		body.Temperature = new(DefaultTemperature)
--- a/internal/node/components.go
+++ b/internal/node/components.go
@@ -140,7 +140,7 @@
 		View:       n.components.cluster,
 		Announcer:  n.components.cluster,
 		Tables:     n.components.tables,
-		Policy:     n.config.Scheduling.Policy,
+		Strategy:   n.config.Scheduling.Policy,
 		Logger:     n.logger,
 		Registerer: n.registry,
 	})
--- a/internal/router/classify.go
+++ b/internal/router/classify.go
@@ -20,7 +20,7 @@
 	outcomeFailed
 	// outcomeRetryElsewhere: the cell did not run the request; another cell may.
 	outcomeRetryElsewhere
-	// outcomeHandover: as outcomeRetryElsewhere, but the dispatcher is gone or no longer owns the
+	// outcomeHandover: as outcomeRetryElsewhere, but the dispatcher has stopped or no longer owns the
 	// cell, so the same cell may accept the request soon.
 	outcomeHandover
 	// outcomeReattach: the stream broke; the dispatcher may still be running the request.
@@ -38,8 +38,8 @@
 var (
 	// errIncompleteAnswer: the stream ended cleanly before the answer was complete.
 	errIncompleteAnswer = errors.New("router: answer stream ended before the answer was complete")
-	// errDispatcherGone: the dispatcher of the stream is no longer a cluster member.
-	errDispatcherGone = errors.New("router: the dispatcher is no longer a member")
+	// errDispatcherNotMember: the dispatcher of the stream is no longer a cluster member.
+	errDispatcherNotMember = errors.New("router: the dispatcher is no longer a member")
 )
 
 // classify maps the error of a stream to an outcome. attached is set for streams opened by attaching,
@@ -135,7 +135,7 @@
 	if errors.As(err, &delivery) && !delivery.Sent {
 		return errkind.New(errkind.NoCapacity, "no dispatcher could be reached: %v", delivery.Err)
 	}
-	if errors.As(err, &delivery) || errors.Is(err, errIncompleteAnswer) || errors.Is(err, errDispatcherGone) {
+	if errors.As(err, &delivery) || errors.Is(err, errIncompleteAnswer) || errors.Is(err, errDispatcherNotMember) {
 		return errkind.New(errkind.OutcomeUnknown, "answer stream interrupted: %v", err)
 	}
 	return errkind.New(errkind.EngineFailed, "%v", err)
--- a/internal/router/fake_test.go
+++ b/internal/router/fake_test.go
@@ -212,7 +212,7 @@
 		Announcer:       f,
 		Tables:          f,
 		Logger:          zerolog.Nop(),
-		Policy:          "least-load", // picks the first of equal cells
+		Strategy:        "least-load", // picks the first of equal cells
 		HandoverTimeout: time.Second,
 		ContinueTimeout: 2 * time.Second,
 		StaleAfter:      time.Hour,
--- a/internal/router/onehop_test.go
+++ b/internal/router/onehop_test.go
@@ -22,7 +22,7 @@
 		fake := newFakeCluster("n0", "n1")
 		fake.cells[1].Cell.Zone = "b"
 		router := fake.router()
-		router.options.Policy = string(routing.StrategyOneHop)
+		router.options.Strategy = string(routing.StrategyOneHop)
 		router.options.Caller = fake
 		fake.dispatchers["node"] = serve
 		fake.dispatchers["n0"] = refuse(errkind.New(errkind.InvalidRequest, "not expected"))
--- a/internal/router/options.go
+++ b/internal/router/options.go
@@ -38,9 +38,9 @@
 	View      cluster.View
 	Announcer cluster.Announcer
 	Tables    policy.Source
-	// Policy names a routing.Strategy; empty or unknown selects routing.StrategyDefault.
-	Policy string
-	Logger zerolog.Logger
+	// Strategy names a routing.Strategy; empty or unknown selects routing.StrategyDefault.
+	Strategy string
+	Logger   zerolog.Logger
 	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
 	// Seed makes cell selection deterministic; 0 derives it from NodeID.
@@ -81,7 +81,7 @@
 // New returns a router. It starts no goroutines and needs no shutdown.
 func New(options Options) *CellRouter {
 	setDefaults(&options)
-	strategy := routing.Strategy(options.Policy)
+	strategy := routing.Strategy(options.Strategy)
 	router := &CellRouter{
 		options: options,
 		locality: routing.Locality{
@@ -102,8 +102,8 @@
 }
 
 func setDefaults(options *Options) {
-	if !routing.Strategy(options.Policy).Valid() {
-		options.Policy = string(routing.StrategyDefault)
+	if !routing.Strategy(options.Strategy).Valid() {
+		options.Strategy = string(routing.StrategyDefault)
 	}
 	if options.Seed == 0 {
 		options.Seed = xxhash.Sum64String(options.NodeID)
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -58,8 +58,8 @@
 	lastProgress := time.Now()
 	start := len(submit.Generated)
 	for time.Since(lastProgress) < a.router.options.ReattachTimeout {
-		if a.request.Row.Repeatable && a.router.dispatcherGone(to) {
-			return outcomeLost, errDispatcherGone
+		if a.request.Row.Repeatable && a.router.dispatcherLeft(to) {
+			return outcomeLost, errDispatcherNotMember
 		}
 		if waitErr := wait(ctx, delays.NextBackOff()); waitErr != nil {
 			return outcomeFailed, waitErr
--- a/internal/router/target.go
+++ b/internal/router/target.go
@@ -123,7 +123,7 @@
 // isSelfDispatched reports whether this node dispatches requests for the cell itself instead of
 // sending them to another node, as routing.StrategyOneHop does within its own zone.
 func (r *CellRouter) isSelfDispatched(cell message.CellID) bool {
-	oneHop := routing.Strategy(r.options.Policy) == routing.StrategyOneHop
+	oneHop := routing.Strategy(r.options.Strategy) == routing.StrategyOneHop
 	return oneHop && cell.Zone == r.options.Zone
 }
 
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -37,7 +37,7 @@
 	if w.stopped {
 		return
 	}
-	if router.dispatcherGone(to) {
+	if router.dispatcherLeft(to) {
 		stream.Close()
 		return
 	}
@@ -54,9 +54,9 @@
 	}
 }
 
-// dispatcherGone reports whether a dispatcher in this node's zone is no longer a member. Members of
+// dispatcherLeft reports whether a dispatcher in this node's zone is no longer a member. Members of
 // other zones are only partly known, so it reports false for them.
-func (r *CellRouter) dispatcherGone(to target) bool {
+func (r *CellRouter) dispatcherLeft(to target) bool {
 	if to.cell.Zone != r.options.Zone {
 		return false
 	}
