--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -41,31 +41,31 @@
 		return
 	}
 	for _, row := range table.Rows {
-		if row.Kind != policy.KindTrainer || !c.prefersSelf(row) || c.followerOf(row.Service) != nil {
+		if row.Kind != policy.KindTrainer || !c.isPreferredOwner(row) || c.followerOf(row.Service) != nil {
 			continue
 		}
-		started := c.newFollower(row.Service)
+		f := c.newFollower(row.Service)
 		c.mutex.Lock()
-		c.byTrainer[row.Service] = started
+		c.followers[row.Service] = f
 		c.mutex.Unlock()
 		followers.Go(func() {
-			started.run(ctx)
+			f.run(ctx)
 			c.mutex.Lock()
-			delete(c.byTrainer, started.trainer)
+			delete(c.followers, f.trainer)
 			c.mutex.Unlock()
 		})
 	}
 }
 
-func (c *Coordinator) prefersSelf(row policy.Row) bool {
-	member, found := preferred(c.options.View, row)
+func (c *Coordinator) isPreferredOwner(row policy.Row) bool {
+	member, found := preferredOwner(c.options.View, row)
 	return found && member.ID == c.options.NodeID
 }
 
 // tenure returns this node's tenure of a trainer's ledger, or nil.
 func (c *Coordinator) tenure(trainer string) *tenure {
-	if followed := c.followerOf(trainer); followed != nil {
-		return followed.tenure.Load()
+	if f := c.followerOf(trainer); f != nil {
+		return f.tenure.Load()
 	}
 	return nil
 }
@@ -75,8 +75,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var owned []*tenure
-	for _, followed := range c.byTrainer {
-		if tenure := followed.tenure.Load(); tenure != nil {
+	for _, f := range c.followers {
+		if tenure := f.tenure.Load(); tenure != nil {
 			owned = append(owned, tenure)
 		}
 	}
@@ -102,9 +102,9 @@
 	c.options.Announcer.AnnounceOwned(owned)
 }
 
-// untilDraining returns a context that is canceled with ctx, or when the grace
+// contextUntilDrain returns a context that is canceled with ctx, or when the grace
 // period has passed since draining began.
-func (c *Coordinator) untilDraining(ctx context.Context, grace time.Duration) (context.Context, context.CancelFunc) {
+func (c *Coordinator) contextUntilDrain(ctx context.Context, grace time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
@@ -126,12 +126,12 @@
 	if !c.draining.Swap(true) {
 		close(c.drainStarted)
 	}
-	for _, owned := range c.tenures() {
-		owned.reschedule()
+	for _, t := range c.tenures() {
+		t.reschedule()
 		select {
-		case <-owned.ended:
+		case <-t.ended:
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "release the ledger of trainer %s", owned.trainer)
+			return errors.Wrapf(ctx.Err(), "release the ledger of trainer %s", t.trainer)
 		}
 	}
 	return nil
--- a/internal/router/fake_test.go
+++ b/internal/router/fake_test.go
@@ -84,7 +84,6 @@
 	return errors.New("no calls expected")
 }
 
-// remove removes a node from the members.
 func (f *fakeCluster) remove(node string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -213,7 +212,7 @@
 		Announcer:       f,
 		Tables:          f,
 		Logger:          zerolog.Nop(),
-		Policy:          "least-load", // picks the first of equal cells
+		Strategy:        "least-load", // picks the first of equal cells
 		HandoverTimeout: time.Second,
 		ContinueTimeout: 2 * time.Second,
 		StaleAfter:      time.Hour,
--- a/internal/router/onehop_test.go
+++ b/internal/router/onehop_test.go
@@ -16,13 +16,13 @@
 	return cluster.Member{ID: "node", Address: "node", Zone: "a", State: cluster.StateAlive}
 }
 
-// Cells of the own zone must not be reached through their dispatchers under StrategyOneHop.
+// Under StrategyOneHop, requests for cells of the node's own zone must not be sent to other nodes.
 func TestOneHopSubmitsToOwnNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeCluster("n0", "n1")
 		fake.cells[1].Cell.Zone = "b"
 		router := fake.router()
-		router.options.Policy = string(routing.StrategyOneHop)
+		router.options.Strategy = string(routing.StrategyOneHop)
 		router.options.Caller = fake
 		fake.dispatchers["node"] = serve
 		fake.dispatchers["n0"] = refuse(errkind.New(errkind.InvalidRequest, "not expected"))
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -58,8 +58,8 @@
 	lastProgress := time.Now()
 	start := len(submit.Generated)
 	for time.Since(lastProgress) < a.router.options.ReattachTimeout {
-		if a.request.Row.Repeatable && a.router.dispatcherGone(to) {
-			return outcomeLost, errDispatcherGone
+		if a.request.Row.Repeatable && a.router.dispatcherLeft(to) {
+			return outcomeLost, errDispatcherNotMember
 		}
 		if waitErr := wait(ctx, delays.NextBackOff()); waitErr != nil {
 			return outcomeFailed, waitErr
@@ -89,8 +89,8 @@
 		return preferContextError(ctx, err)
 	}
 	defer stream.Close()
-	stopOnCancel := context.AfterFunc(ctx, stream.Close)
-	defer stopOnCancel()
+	stopAfterFunc := context.AfterFunc(ctx, stream.Close)
+	defer stopAfterFunc()
 	watch := a.watch(stream, to)
 	defer watch.stop()
 	return preferContextError(ctx, a.relay(stream))
--- a/internal/weights/metrics.go
+++ b/internal/weights/metrics.go
@@ -12,7 +12,6 @@
 	resultStale     = "stale_epoch"
 )
 
-// metrics are the metrics of the weight coordinator.
 type metrics struct {
 	owned      prometheus.Gauge
 	wanted     *prometheus.GaugeVec
@@ -48,8 +47,8 @@
 	}
 }
 
-// forget deletes the gauges of a model that is no longer owned.
-func (m *metrics) forget(model string) {
+// deleteModel deletes the gauges of a model that is no longer owned.
+func (m *metrics) deleteModel(model string) {
 	m.wanted.DeleteLabelValues(model)
 	m.behind.DeleteLabelValues(model)
 	m.loading.DeleteLabelValues(model)
