--- a/test/hosted/batch_test.go
+++ b/test/hosted/batch_test.go
@@ -50,7 +50,7 @@
 	d.addModelEngine("e1", 1, 4, 0)
 	d.addModelEngine("e2", 1, 4, 0)
 	d.configure(batchRoute("/batch/"))
-	nodes := []*process{d.start("n1"), d.start("n2")}
+	nodes := []*testNode{d.start("n1"), d.start("n2")}
 	ids := itemIDs(20)
 	assert.Equal(t, nodes[0].call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	first := d.awaitResults(nodes[1], "job1", len(ids))
@@ -69,7 +69,7 @@
 	}
 }
 
-// The first group completes long before the second; only a reader without a wait sees it alone.
+// One item completes long before the other: a read without a wait returns it alone, a long poll waits for both.
 func TestLongPollReturnsOnceJobIsComplete(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -85,15 +85,15 @@
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
 	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, "short", "long")).status, http.StatusAccepted)
-	held := make(chan callResult, 1)
+	longPoll := make(chan callResult, 1)
 	go func() {
-		held <- node.call(http.MethodGet, "/lots/job1?afterRev=0", "", "", "X-Corkpulley-Wait-Ms", "5000")
+		longPoll <- node.call(http.MethodGet, "/lots/job1?afterRev=0", "", "", "X-Corkpulley-Wait-Ms", "5000")
 	}()
 	first := d.awaitResults(node, "job1", 1)
 	assert.Equal(t, len(first.Results), 1)
-	var told results
-	assert.NilError(t, json.Unmarshal([]byte((<-held).body), &told))
-	assert.Equal(t, len(told.Results), 2)
+	var polled results
+	assert.NilError(t, json.Unmarshal([]byte((<-longPoll).body), &polled))
+	assert.Equal(t, len(polled.Results), 2)
 }
 
 func TestInvalidJobIsRejectedWithReason(t *testing.T) {
@@ -174,15 +174,15 @@
 	time.Sleep(900 * time.Millisecond) // lets the items produce some events
 	leader.cancel()
 	assertAllCompleted(t, d.awaitResults(other, "job1", len(ids)), ids, events)
-	continued := 0
+	resumed := 0
 	for _, engine := range engines {
 		for _, run := range engine.Runs() {
 			if run.After > 0 {
-				continued++
+				resumed++
 			}
 		}
 	}
-	assert.Assert(t, continued > 0, "no run was resumed")
+	assert.Assert(t, resumed > 0, "no run was resumed")
 }
 
 // Results and their positions are restored from the log alone.
@@ -227,7 +227,7 @@
 	assert.Equal(t, d.runCount("fails"), 2) // maxAttempts of the route
 }
 
-// Some items of the job wait when it is ended, others run.
+// When the job is ended, some of its items are queued and others run.
 func TestEndedJobStartsNoMoreItems(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -244,7 +244,7 @@
 	assert.Equal(t, len(d.engines[0].Runs()), 9)
 }
 
-// Guards against items that run under an older version than the job's minVersion.
+// Guards against items that run on an engine with weights older than the job's minVersion.
 func TestResultsReportVersionsAtOrAboveMinimum(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
--- a/test/hosted/crash_test.go
+++ b/test/hosted/crash_test.go
@@ -101,10 +101,10 @@
 
 // sendCrashRequests sends the same crashing request to the nodes in turn for the given time and returns
 // the statuses.
-func sendCrashRequests(t *testing.T, nodes []*process, prefix string, lasting time.Duration) []int {
+func sendCrashRequests(t *testing.T, nodes []*testNode, prefix string, duration time.Duration) []int {
 	t.Helper()
 	var statuses []int
-	for until, i := time.Now().Add(lasting), 0; time.Now().Before(until); i++ {
+	for until, i := time.Now().Add(duration), 0; time.Now().Before(until); i++ {
 		node := nodes[i%len(nodes)]
 		got := node.call(http.MethodPost, prefix+"same", fmt.Sprintf("crash-%d-%d", i, time.Now().UnixNano()), crashMarker)
 		statuses = append(statuses, got.status)
@@ -119,7 +119,7 @@
 	d := deploy(t)
 	hosts := d.addCrashingHosts(3, standin.EngineOptions{Service: "desk"})
 	d.configure(safeRoute("/a/"))
-	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
+	nodes := []*testNode{d.start("n1"), d.start("n2"), d.start("n3")}
 	sendCrashRequests(t, nodes, "/a/", 4*time.Second)
 	assertCrashesBounded(t, hosts)
 	for i, node := range nodes {
@@ -138,7 +138,7 @@
 			d := deploy(t)
 			hosts := d.addCrashingHostsWithDownTime(engines, standin.EngineOptions{Service: "desk", StartMillis: 1}, quickRestartTime)
 			d.configure(safeRoute("/a/"))
-			nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
+			nodes := []*testNode{d.start("n1"), d.start("n2"), d.start("n3")}
 			sendCrashRequests(t, nodes, "/a/", 4*time.Second)
 			assertCrashesBounded(t, hosts)
 			for i, node := range nodes {
@@ -158,9 +158,9 @@
 		Service: "llm", Versions: map[string]int64{model: 1}, Events: func(string) int { return 20 },
 		EventTime: 10 * time.Millisecond, EventsBeforeCrash: 2,
 	})
-	drafts := batchRoute("/batch/")
-	drafts["queueTtlS"] = 8
-	d.configure(drafts)
+	batch := batchRoute("/batch/")
+	batch["queueTtlS"] = 8
+	d.configure(batch)
 	node := d.start("n1")
 	ids := []string{"a", "b", crashMarker, "c", "d", "e", "f"}
 	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
@@ -182,19 +182,19 @@
 	d := deploy(t)
 	hosts := d.addCrashingHosts(3, standin.EngineOptions{Service: "desk"})
 	d.configure(safeRoute("/a/"))
-	before := []*process{d.start("n1"), d.start("n2")}
+	before := []*testNode{d.start("n1"), d.start("n2")}
 	sendCrashRequests(t, before, "/a/", time.Second)
-	ended := len(crashRunTimes(hosts))
-	assert.Assert(t, ended >= 2, "%d engines crashed", ended)
+	crashes := len(crashRunTimes(hosts))
+	assert.Assert(t, crashes >= 2, "%d engines crashed", crashes)
 	for _, node := range before {
 		node.cancel()
 		<-node.done
 	}
-	after := []*process{d.start("n1"), d.start("n2")}
+	after := []*testNode{d.start("n1"), d.start("n2")}
 	for _, status := range sendCrashRequests(t, after, "/a/", 2*time.Second) {
 		assert.Equal(t, status, http.StatusServiceUnavailable)
 	}
-	assert.Equal(t, len(crashRunTimes(hosts)), ended)
+	assert.Equal(t, len(crashRunTimes(hosts)), crashes)
 }
 
 // Guards against a node that serves while reads of the crash records still fail.
@@ -204,10 +204,10 @@
 	hosts := d.addCrashingHosts(3, standin.EngineOptions{Service: "desk"})
 	d.configure(safeRoute("/a/"))
 	first := d.start("n1")
-	sendCrashRequests(t, []*process{first}, "/a/", time.Second)
+	sendCrashRequests(t, []*testNode{first}, "/a/", time.Second)
 	first.cancel()
 	<-first.done
-	ended := len(crashRunTimes(hosts))
+	crashes := len(crashRunTimes(hosts))
 	topic := platform.New(d.address, "").CrashTopic()
 	var refused atomic.Int64
 	d.store.Log.SetFault(func(call memlog.Call) memlog.Fault {
@@ -217,8 +217,8 @@
 		return memlog.None
 	})
 	second := d.start("n2")
-	assert.Equal(t, sendCrashRequests(t, []*process{second}, "/a/", time.Millisecond)[0], http.StatusServiceUnavailable)
-	assert.Equal(t, len(crashRunTimes(hosts)), ended)
+	assert.Equal(t, sendCrashRequests(t, []*testNode{second}, "/a/", time.Millisecond)[0], http.StatusServiceUnavailable)
+	assert.Equal(t, len(crashRunTimes(hosts)), crashes)
 }
 
 // The log is down from before the first crash; nodes must exchange crash records directly and append them
@@ -228,8 +228,8 @@
 	d := deploy(t)
 	hosts := d.addCrashingHosts(3, standin.EngineOptions{Service: "desk"})
 	d.configure(safeRoute("/a/"))
-	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
-	testwait.Until(t, "the nodes know each other", func() bool {
+	nodes := []*testNode{d.start("n1"), d.start("n2"), d.start("n3")}
+	testwait.Until(t, "the nodes to know each other", func() bool {
 		for _, node := range nodes {
 			if !strings.Contains(node.logs.String(), `"known":3`) {
 				return false
@@ -240,11 +240,11 @@
 	d.store.Log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
 	sendCrashRequests(t, nodes, "/a/", 4*time.Second)
 	assertCrashesBounded(t, hosts)
-	ended := len(crashRunTimes(hosts))
+	crashes := len(crashRunTimes(hosts))
 	d.clearFaults()
-	testwait.Until(t, "the records are in the log", func() bool {
+	testwait.Until(t, "the records to be in the log", func() bool {
 		newest, err := d.store.Log.Newest(t.Context(), platform.New(d.address, "").CrashTopic())
-		return err == nil && len(newest.Records) >= ended
+		return err == nil && len(newest.Records) >= crashes
 	})
 	sendCrashRequests(t, nodes, "/a/", time.Second)
 	assertCrashesBounded(t, hosts)
@@ -270,7 +270,7 @@
 			}
 			hosts := d.addCrashingHosts(3, options)
 			d.configure(route)
-			nodes := []*process{d.start("n1"), d.start("n2")}
+			nodes := []*testNode{d.start("n1"), d.start("n2")}
 			sendCrashRequests(t, nodes, "/a/", 3*time.Second)
 			assertCrashesBounded(t, hosts)
 			assert.Assert(t, len(crashRunTimes(hosts)) >= 2)
@@ -295,17 +295,17 @@
 	assertCrashesBounded(t, hosts)
 }
 
-// initialQuarantine is the first hold of a suspect request. A request that was lost with two engines cannot
-// be told from the one that crashed them until a later run of it succeeds.
+// initialQuarantine is the length of a request's first quarantine. A request that was running on two engines when
+// they crashed cannot be distinguished from the one that crashed them until a later run of it succeeds.
 const initialQuarantine = time.Minute
 
-// A popular request that is often lost with crashing engines must be served again after its first hold.
+// A frequent request that often runs on engines when they crash must be served again after its first quarantine.
 func TestRequestSharingEnginesWithCrashingOneIsServed(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addCrashingHosts(3, standin.EngineOptions{Service: "desk"})
 	d.configure(safeRoute("/a/"))
-	nodes := []*process{d.start("n1"), d.start("n2")}
+	nodes := []*testNode{d.start("n1"), d.start("n2")}
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	for caller := range 4 {
@@ -337,7 +337,7 @@
 	}
 }
 
-// Engines crash regardless of which items they run; no item may be quarantined for it.
+// Guards against quarantining the items of engines that crash regardless of what they run.
 func TestSpontaneousEngineCrashesQuarantineNoItem(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -353,7 +353,7 @@
 	}
 	assert.Equal(t, node.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	for _, host := range hosts[:2] {
-		testwait.Until(t, "items run", func() bool { return len(host.Engines()[len(host.Engines())-1].Runs()) > 0 })
+		testwait.Until(t, "items to run", func() bool { return len(host.Engines()[len(host.Engines())-1].Runs()) > 0 })
 		host.Crash()
 	}
 	for _, result := range d.awaitResults(node, "job1", len(ids)).Results {
--- a/test/hosted/deployment_test.go
+++ b/test/hosted/deployment_test.go
@@ -41,7 +41,7 @@
 	engines []*standin.Engine
 	// addresses maps engine IDs to addresses.
 	addresses map[string]string
-	nodes     []*process
+	nodes     []*testNode
 	config    int64
 	// tenants and tenantHomes (home regions by tenant name) go into the configuration; nil leaves them out.
 	tenants     []tenant
@@ -60,8 +60,8 @@
 	enginesFence bool
 }
 
-// process is a node that runs in the test process.
-type process struct {
+// testNode is a node that runs within the test process.
+type testNode struct {
 	callerURL   string
 	operatorURL string
 	cancel      context.CancelFunc
@@ -151,13 +151,13 @@
 func (d *deployment) configure(routes ...route) {
 	d.t.Helper()
 	d.config += 3
-	models := map[string]any{
+	modelService := map[string]any{
 		"name": "llm", "maxConns": 100, "engine": map[string]any{"models": []map[string]any{{"name": model}}},
 	}
 	if d.scalable {
-		models["scaling"] = map[string]any{"min": 1, "max": 3, "bootTimeS": 1, "zonePrices": map[string]any{"z1": 1}}
+		modelService["scaling"] = map[string]any{"min": 1, "max": 3, "bootTimeS": 1, "zonePrices": map[string]any{"z1": 1}}
 	}
-	services := []map[string]any{{"name": "desk", "maxConns": 100}, models}
+	services := []map[string]any{{"name": "desk", "maxConns": 100}, modelService}
 	for _, service := range services {
 		maps.Copy(service, d.slowStart)
 	}
@@ -195,29 +195,29 @@
 }
 
 // start starts a node and waits until it is ready.
-func (d *deployment) start(id string) *process {
+func (d *deployment) start(id string) *testNode {
 	d.t.Helper()
 	return d.startWithLog(id, d.address)
 }
 
-// startWithLog is start with a log address of the node's own.
-func (d *deployment) startWithLog(id, log string) *process {
+// startWithLog starts a node that reaches the log at the given address and waits until it is ready.
+func (d *deployment) startWithLog(id, log string) *testNode {
 	d.t.Helper()
-	p := d.startUnready(settings.Node{ID: id, Zone: "z1", Region: "r1"}, log)
-	testwait.Until(d.t, "node "+id+" is ready", func() bool { return p.status("/readyz") == http.StatusOK })
-	return p
+	n := d.startUnready(settings.Node{ID: id, Zone: "z1", Region: "r1"}, log)
+	testwait.Until(d.t, "node "+id+" to be ready", func() bool { return n.status("/readyz") == http.StatusOK })
+	return n
 }
 
 // startNode starts a node with the given settings and log address and waits until it is ready.
-func (d *deployment) startNode(node settings.Node, log string) *process {
+func (d *deployment) startNode(node settings.Node, log string) *testNode {
 	d.t.Helper()
-	p := d.startUnready(node, log)
-	testwait.Until(d.t, "node "+node.ID+" is ready", func() bool { return p.status("/readyz") == http.StatusOK })
-	return p
+	n := d.startUnready(node, log)
+	testwait.Until(d.t, "node "+node.ID+" to be ready", func() bool { return n.status("/readyz") == http.StatusOK })
+	return n
 }
 
 // startUnready is startNode without the wait for readiness.
-func (d *deployment) startUnready(node settings.Node, log string) *process {
+func (d *deployment) startUnready(node settings.Node, log string) *testNode {
 	d.t.Helper()
 	id := node.ID
 	config := settings.Default()
@@ -235,28 +235,28 @@
 	config.Shutdown.Grace = settings.Duration(3 * time.Second)
 	assert.Equal(d.t, len(settings.Check(config)), 0, "%v", settings.Check(config))
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{
+	started := &testNode{
 		callerURL: "http://" + config.Listen.Callers, operatorURL: "http://" + config.Listen.Operators,
 		cancel: cancel, done: make(chan struct{}), logs: &lockedBuffer{},
 	}
 	go func() {
-		defer close(p.done)
-		if err := hosted.Run(ctx, config, platform.New(log, d.duties), nil, p.logs); err != nil {
+		defer close(started.done)
+		if err := hosted.Run(ctx, config, platform.New(log, d.duties), nil, started.logs); err != nil {
 			d.t.Errorf("node %s: %v", id, err)
 		}
 	}()
-	d.nodes = append(d.nodes, p)
+	d.nodes = append(d.nodes, started)
 	d.t.Cleanup(func() {
 		cancel()
-		<-p.done
+		<-started.done
 		if d.t.Failed() {
-			d.t.Logf("logs of %s:\n%s", id, p.logs)
+			d.t.Logf("logs of %s:\n%s", id, started.logs)
 		}
 	})
-	return p
+	return started
 }
 
-// freeAddresses reserves distinct loopback addresses that no one listens on.
+// freeAddresses returns distinct loopback addresses that nothing listens on.
 func freeAddresses(t *testing.T, count int) []string {
 	t.Helper()
 	addresses := make([]string, count)
@@ -268,8 +268,8 @@
 	return addresses
 }
 
-func (p *process) status(path string) int {
-	response, err := http.Get(p.operatorURL + path)
+func (n *testNode) status(path string) int {
+	response, err := http.Get(n.operatorURL + path)
 	if err != nil {
 		return 0
 	}
@@ -277,7 +277,7 @@
 	return response.StatusCode
 }
 
-// callResult is the response or the error that a client got.
+// callResult is the response or the error of a client's call.
 type callResult struct {
 	status int
 	header http.Header
@@ -285,8 +285,8 @@
 	err    error
 }
 
-func (p *process) call(method, path, id, body string, headers ...string) callResult {
-	request, err := http.NewRequest(method, p.callerURL+path, strings.NewReader(body))
+func (n *testNode) call(method, path, id, body string, headers ...string) callResult {
+	request, err := http.NewRequest(method, n.callerURL+path, strings.NewReader(body))
 	if err != nil {
 		return callResult{err: err}
 	}
@@ -355,9 +355,9 @@
 	} `json:"results"`
 }
 
-// readResults reads the results of a job from a position on, and the status.
-func (p *process) readResults(id string, from int) (results, int) {
-	got := p.call(http.MethodGet, fmt.Sprintf("/lots/%s?afterRev=%d", id, from), "", "")
+// readResults returns a job's results from the given position on and the HTTP status.
+func (n *testNode) readResults(id string, from int) (results, int) {
+	got := n.call(http.MethodGet, fmt.Sprintf("/lots/%s?afterRev=%d", id, from), "", "")
 	var decoded results
 	if got.status == http.StatusOK {
 		_ = json.Unmarshal([]byte(got.body), &decoded)
@@ -366,11 +366,11 @@
 }
 
 // awaitResults waits until a job has at least count results.
-func (d *deployment) awaitResults(p *process, id string, count int) results {
+func (d *deployment) awaitResults(n *testNode, id string, count int) results {
 	d.t.Helper()
 	var last results
 	testwait.Until(d.t, fmt.Sprintf("%d results of %s", count, id), func() bool {
-		last, _ = p.readResults(id, 0)
+		last, _ = n.readResults(id, 0)
 		return len(last.Results) >= count
 	})
 	return last
--- a/test/hosted/duties_test.go
+++ b/test/hosted/duties_test.go
@@ -23,16 +23,16 @@
 // startDutiesService starts the service that receives usage reports and scaling orders.
 func (d *deployment) startDutiesService() *standin.Duties {
 	d.t.Helper()
-	calls := standin.NewDuties()
-	server := httptest.NewServer(calls)
+	service := standin.NewDuties()
+	server := httptest.NewServer(service)
 	d.t.Cleanup(server.Close)
 	d.duties = strings.TrimPrefix(server.URL, "http://")
-	return calls
+	return service
 }
 
 // reportedUsage sums a tenant's reported usage over all windows.
-func reportedUsage(calls *standin.Duties, tenant string) int64 {
-	windows, _ := calls.Reported()
+func reportedUsage(duties *standin.Duties, tenant string) int64 {
+	windows, _ := duties.Reported()
 	var sum int64
 	for _, counts := range windows {
 		sum += counts[tenant]
@@ -45,15 +45,15 @@
 	t.Parallel()
 	d := deploy(t)
 	d.orderQuiet, d.enginesFence = time.Second, true
-	calls := d.startDutiesService()
+	duties := d.startDutiesService()
 	addDesk(d, "e1")
 	d.tenants = []tenant{{"first", []string{"key-one"}}, {"second", []string{"key-two"}}}
 	d.configure(safeRoute("/a/"))
 	leader := d.start("n1")
-	testwait.Until(t, "the first node to lead", func() bool { return len(calls.Usage()) > 0 })
+	testwait.Until(t, "the first node to lead", func() bool { return len(duties.Usage()) > 0 })
 	other := d.start("n2")
 	answered := map[string]int64{}
-	send := func(node *process, key, tenant string, id int) {
+	send := func(node *testNode, key, tenant string, id int) {
 		got := node.call(http.MethodPost, "/a/x", fmt.Sprint(tenant, id), "", authorization, bearer(key))
 		assert.Equal(t, got.status, http.StatusOK)
 		answered[tenant]++
@@ -64,9 +64,9 @@
 		send(other, "key-two", "second", i)
 		switch i {
 		case 10:
-			calls.SetDropResponses(true)
+			duties.SetDropResponses(true)
 		case 20:
-			calls.SetDropResponses(false)
+			duties.SetDropResponses(false)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -76,13 +76,13 @@
 		send(other, "key-two", "second", 100+i)
 	}
 	testwait.Until(t, "all usage to be reported", func() bool {
-		return reportedUsage(calls, "first") == answered["first"] && reportedUsage(calls, "second") == answered["second"]
+		return reportedUsage(duties, "first") == answered["first"] && reportedUsage(duties, "second") == answered["second"]
 	})
-	windows, differing := calls.Reported()
+	windows, differing := duties.Reported()
 	assert.Equal(t, len(differing), 0, "windows with two reports: %v", differing)
 	assertNoWindowGap(t, windows)
 	holders := map[int64]string{}
-	for _, call := range calls.Usage() {
+	for _, call := range duties.Usage() {
 		assert.Assert(t, holders[call.Fence] == "" || holders[call.Fence] == call.Holder, "two holders of token %d", call.Fence)
 		holders[call.Fence] = call.Holder
 	}
@@ -106,7 +106,7 @@
 func TestUsageExcludesRequestsThatNoEngineStarted(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
-	calls := d.startDutiesService()
+	duties := d.startDutiesService()
 	failing := addDesk(d, "e1")
 	failing.SetFault(func(id string) standin.EngineFault {
 		if id == "fails" {
@@ -123,28 +123,28 @@
 	d.tenants = []tenant{{"first", []string{"key-one"}}}
 	d.configure(safeRoute("/a/"))
 	node := d.start("n1")
-	shown := []string{authorization, bearer("key-one")}
-	assert.Equal(t, node.call(http.MethodPost, "/a/x", "plain", "", shown...).status, http.StatusOK)
-	assert.Equal(t, node.call(http.MethodPost, "/a/x", "fails", "", shown...).status, http.StatusOK)
-	assert.Equal(t, node.call(http.MethodPost, "/a/x", "full", "", shown...).status, http.StatusOK)
-	assert.Equal(t, node.call(http.MethodPost, "/b/x", "nowhere", "", shown...).status, http.StatusNotFound)
+	credentials := []string{authorization, bearer("key-one")}
+	assert.Equal(t, node.call(http.MethodPost, "/a/x", "plain", "", credentials...).status, http.StatusOK)
+	assert.Equal(t, node.call(http.MethodPost, "/a/x", "fails", "", credentials...).status, http.StatusOK)
+	assert.Equal(t, node.call(http.MethodPost, "/a/x", "full", "", credentials...).status, http.StatusOK)
+	assert.Equal(t, node.call(http.MethodPost, "/b/x", "nowhere", "", credentials...).status, http.StatusNotFound)
 	assert.Equal(t, node.call(http.MethodPost, "/a/x", "nobody", "", authorization, bearer("key-zero")).status,
 		http.StatusUnauthorized)
 	sent := time.Now().Unix()
 	testwait.Until(t, "the windows to be reported", func() bool {
-		windows, _ := calls.Reported()
+		windows, _ := duties.Reported()
 		_, found := windows[sent+2]
 		return found
 	})
-	assert.Equal(t, reportedUsage(calls, "first"), int64(3))
+	assert.Equal(t, reportedUsage(duties, "first"), int64(3))
 }
 
-// A replacement that is rejected at first for lack of engines is ordered again.
+// An order that is refused for lack of capacity is repeated.
 func TestScalerReplacesLostEngines(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.scalable = true
-	calls := d.startDutiesService()
+	duties := d.startDutiesService()
 	for i := range 3 {
 		d.addModelEngine(fmt.Sprint("e", i), 1, 4, 0)
 	}
@@ -152,16 +152,16 @@
 	node := d.start("n1")
 	testwait.Until(t, "the node to lead", func() bool { return strings.Contains(node.logs.String(), "leadership gained") })
 	time.Sleep(time.Second)
-	assert.Equal(t, len(calls.Scale()), 0, "engines were ordered that already run")
-	calls.SetNoCapacity(true)
+	assert.Equal(t, len(duties.Scale()), 0, "engines were ordered although none is missing")
+	duties.SetNoCapacity(true)
 	d.store.UnlistEngine("e0")
-	testwait.Until(t, "an order to be refused", func() bool { return len(calls.Scale()) > 0 })
-	calls.SetNoCapacity(false)
+	testwait.Until(t, "an order to be refused", func() bool { return len(duties.Scale()) > 0 })
+	duties.SetNoCapacity(false)
 	testwait.Until(t, "the order to be accepted", func() bool {
-		orders := calls.Scale()
+		orders := duties.Scale()
 		return orders[len(orders)-1].Status == http.StatusOK
 	})
-	for _, order := range calls.Scale() {
+	for _, order := range duties.Scale() {
 		assert.Equal(t, order.Service, "llm")
 		assert.Equal(t, order.Zone, "z1")
 		assert.Equal(t, order.Count, 3)
--- a/test/hosted/evacuation_test.go
+++ b/test/hosted/evacuation_test.go
@@ -28,9 +28,9 @@
 	d.store.Log.Put("keyed.op", "evacuate/"+zone, nil)
 }
 
-// zone returns the node's status of a zone; false when it knows none.
-func (p *process) zone(name string) (api.ZoneStatus, bool) {
-	response, err := http.Get(p.operatorURL + "/v1/zones")
+// zone returns the status of a zone as the node reports it; false when it reports none.
+func (n *testNode) zone(name string) (api.ZoneStatus, bool) {
+	response, err := http.Get(n.operatorURL + "/v1/zones")
 	if err != nil {
 		return api.ZoneStatus{}, false
 	}
@@ -48,7 +48,7 @@
 }
 
 // awaitEvacuated waits until the nodes report the zone as evacuated or not.
-func awaitEvacuated(t *testing.T, zone string, evacuated bool, nodes ...*process) {
+func awaitEvacuated(t *testing.T, zone string, evacuated bool, nodes ...*testNode) {
 	t.Helper()
 	for _, node := range nodes {
 		testwait.Until(t, fmt.Sprintf("zone %s evacuated: %t", zone, evacuated), func() bool {
@@ -59,22 +59,23 @@
 }
 
 // addZoneEngines starts an engine of each service in a zone.
-func (d *deployment) addZoneEngines(zone string) (lookups, models *standin.Engine) {
-	lookups = d.addEngine(standin.EngineOptions{ID: "desk-" + zone, Service: "desk", Zone: zone})
-	models = d.addEngine(standin.EngineOptions{
+func (d *deployment) addZoneEngines(zone string) (desk, llm *standin.Engine) {
+	desk = d.addEngine(standin.EngineOptions{ID: "desk-" + zone, Service: "desk", Zone: zone})
+	llm = d.addEngine(standin.EngineOptions{
 		ID: "llm-" + zone, Service: "llm", Zone: zone, Versions: map[string]int64{model: 1},
 		LoadTime: 50 * time.Millisecond, CheckFences: true,
 	})
-	return lookups, models
+	return desk, llm
 }
 
-// deployZones starts engines of each service in two zones.
+// deployZones starts an engine of each service in each of two zones. Of the engines of a zone, the first is of the
+// desk service and the second of the model service.
 func deployZones(t *testing.T) (d *deployment, inA, inB []*standin.Engine) {
 	d = deploy(t)
-	lookupsA, modelsA := d.addZoneEngines("za")
-	lookupsB, modelsB := d.addZoneEngines("zb")
+	deskA, llmA := d.addZoneEngines("za")
+	deskB, llmB := d.addZoneEngines("zb")
 	d.configure(safeRoute("/a/"), safeRoute("/scoring/"), batchRoute("/batch/"))
-	return d, []*standin.Engine{lookupsA, modelsA}, []*standin.Engine{lookupsB, modelsB}
+	return d, []*standin.Engine{deskA, llmA}, []*standin.Engine{deskB, llmB}
 }
 
 // totalRuns counts the runs that the engines have started.
@@ -87,7 +88,7 @@
 }
 
 // runWorkload has each node serve live requests and a batch job with scoring calls.
-func (d *deployment) runWorkload(t *testing.T, name string, nodes ...*process) {
+func (d *deployment) runWorkload(t *testing.T, name string, nodes ...*testNode) {
 	t.Helper()
 	for number, node := range nodes {
 		for request := range 20 {
@@ -109,7 +110,7 @@
 func TestEvacuatedZoneReceivesNoWork(t *testing.T) {
 	t.Parallel()
 	d, inA, inB := deployZones(t)
-	nodes := []*process{d.start("n1"), d.start("n2")}
+	nodes := []*testNode{d.start("n1"), d.start("n2")}
 	d.evacuate("za")
 	awaitEvacuated(t, "za", true, nodes...)
 	d.runWorkload(t, "held", nodes...)
@@ -162,7 +163,7 @@
 	assert.Assert(t, status.Evacuated)
 }
 
-// cuttableLog is a node's path to the log that can be cut.
+// cuttableLog is a node's proxy to the log, which can be cut off.
 type cuttableLog struct {
 	address string
 	cut     atomic.Bool
@@ -170,24 +171,24 @@
 
 func (d *deployment) newCuttableLog(t *testing.T) *cuttableLog {
 	t.Helper()
-	link := &cuttableLog{}
+	proxy := &cuttableLog{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer := httptest.NewRecorder()
-		if !link.cut.Load() {
-			d.store.ServeHTTP(answer, r)
+		response := httptest.NewRecorder()
+		if !proxy.cut.Load() {
+			d.store.ServeHTTP(response, r)
 		}
-		// Also cuts long polls that were waiting at the log.
-		if link.cut.Load() {
+		// Long polls that were waiting at the log fail, too.
+		if proxy.cut.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		maps.Copy(w.Header(), answer.Header())
-		w.WriteHeader(answer.Code)
-		_, _ = w.Write(answer.Body.Bytes())
+		maps.Copy(w.Header(), response.Header())
+		w.WriteHeader(response.Code)
+		_, _ = w.Write(response.Body.Bytes())
 	}))
 	t.Cleanup(server.Close)
-	link.address = strings.TrimPrefix(server.URL, "http://")
-	return link
+	proxy.address = strings.TrimPrefix(server.URL, "http://")
+	return proxy
 }
 
 // Guards against a node that keeps sending to an evacuated zone because it cannot read the log.
@@ -195,10 +196,10 @@
 	t.Parallel()
 	d, inA, _ := deployZones(t)
 	d.start("n1")
-	link := d.newCuttableLog(t)
-	node := d.startWithLog("n2", link.address)
+	proxy := d.newCuttableLog(t)
+	node := d.startWithLog("n2", proxy.address)
 	testwait.Until(t, "the node to know its peer", func() bool { return strings.Contains(node.logs.String(), `"listed":2`) })
-	link.cut.Store(true)
+	proxy.cut.Store(true)
 	d.evacuate("za")
 	awaitEvacuated(t, "za", true, node)
 	d.runWorkload(t, "held", node)
@@ -212,7 +213,7 @@
 	t.Parallel()
 	d, inA, _ := deployZones(t)
 	d.listRemoteNodes()
-	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
+	nodes := []*testNode{d.start("n1"), d.start("n2"), d.start("n3")}
 	_, others := awaitReplica(t, nodes)
 	d.evacuate("za")
 	awaitEvacuated(t, "za", true, nodes...)
@@ -229,13 +230,13 @@
 func TestNewLeaderKeepsEvacuation(t *testing.T) {
 	t.Parallel()
 	d, inA, _ := deployZones(t)
-	link := d.newCuttableLog(t)
-	leader := d.startWithLog("n1", link.address)
+	proxy := d.newCuttableLog(t)
+	leader := d.startWithLog("n1", proxy.address)
 	testwait.Until(t, "a leader", func() bool { return strings.Contains(leader.logs.String(), "leadership gained") })
 	next := d.start("n2")
 	d.evacuate("za")
 	awaitEvacuated(t, "za", true, leader, next)
-	link.cut.Store(true)
+	proxy.cut.Store(true)
 	testwait.Until(t, "another leader", func() bool { return strings.Contains(next.logs.String(), "leadership gained") })
 	d.runWorkload(t, "next", next)
 	assert.Equal(t, totalRuns(inA), 0)
@@ -261,9 +262,9 @@
 }
 
 // requestEvacuation calls a node's evacuation API for a zone and returns the status and the error code.
-func (p *process) requestEvacuation(t *testing.T, method, zone string) (status int, code string) {
+func (n *testNode) requestEvacuation(t *testing.T, method, zone string) (status int, code string) {
 	t.Helper()
-	request, err := http.NewRequest(method, p.operatorURL+"/v1/zones/"+zone+"/evacuation", nil)
+	request, err := http.NewRequest(method, n.operatorURL+"/v1/zones/"+zone+"/evacuation", nil)
 	assert.NilError(t, err)
 	got := send(request)
 	assert.NilError(t, got.err)
@@ -276,7 +277,7 @@
 func TestEvacuationAPIWorksAtAnyNode(t *testing.T) {
 	t.Parallel()
 	d, _, _ := deployZones(t)
-	nodes := []*process{d.start("n1"), d.start("n2")}
+	nodes := []*testNode{d.start("n1"), d.start("n2")}
 	status, _ := nodes[0].requestEvacuation(t, http.MethodPut, "za")
 	assert.Equal(t, status, http.StatusOK)
 	awaitEvacuated(t, "za", true, nodes...)
--- a/test/hosted/homes_test.go
+++ b/test/hosted/homes_test.go
@@ -24,26 +24,26 @@
 	directoryTopic  = "corkpulley.nodes"
 )
 
-// recordingLog is one node's path to the log. It records the calls to topics with bodies and texts.
+// recordingLog is one node's proxy to the log. It records the calls to topics with bodies and texts.
 type recordingLog struct {
 	address string
 	store   http.Handler
 
 	mu    sync.Mutex
 	calls []string
-	// refused fails all calls of the node; directoryHidden fails its reads of the node directory.
-	refused         bool
-	directoryHidden bool
+	// refused fails all calls of the node; directoryUnavailable fails its reads of the node directory.
+	refused              bool
+	directoryUnavailable bool
 }
 
 // ServeHTTP implements http.Handler.
 func (l *recordingLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	ofData := strings.HasPrefix(r.URL.Query().Get("topic"), dataTopicPrefix)
+	isData := strings.HasPrefix(r.URL.Query().Get("topic"), dataTopicPrefix)
 	l.mu.Lock()
-	if ofData {
+	if isData {
 		l.calls = append(l.calls, r.URL.Path)
 	}
-	refused := l.refused || l.directoryHidden && r.URL.Query().Get("topic") == directoryTopic
+	refused := l.refused || l.directoryUnavailable && r.URL.Query().Get("topic") == directoryTopic
 	l.mu.Unlock()
 	if refused {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -65,10 +65,10 @@
 	l.refused = refused
 }
 
-// regionalNode is a node with its path to the log.
+// regionalNode is a node with its proxy to the log.
 type regionalNode struct {
-	*process
-	link *recordingLog
+	*testNode
+	proxy *recordingLog
 }
 
 // deployRegions returns a deployment with the regions north, south and west, each of one zone with one
@@ -89,19 +89,19 @@
 
 func (d *deployment) startInZone(id, zone string) regionalNode {
 	d.t.Helper()
-	return d.startBehindLog(&recordingLog{store: d.store}, id, zone)
+	return d.startWithRecordingLog(&recordingLog{store: d.store}, id, zone)
 }
 
-func (d *deployment) startBehindLog(link *recordingLog, id, zone string) regionalNode {
+func (d *deployment) startWithRecordingLog(proxy *recordingLog, id, zone string) regionalNode {
 	d.t.Helper()
-	server := httptest.NewServer(link)
+	server := httptest.NewServer(proxy)
 	d.t.Cleanup(server.Close)
-	link.address = strings.TrimPrefix(server.URL, "http://")
-	return regionalNode{d.startNode(settings.Node{ID: id, Zone: zone, Region: d.zones[zone]}, link.address), link}
+	proxy.address = strings.TrimPrefix(server.URL, "http://")
+	return regionalNode{d.startNode(settings.Node{ID: id, Zone: zone, Region: d.zones[zone]}, proxy.address), proxy}
 }
 
-func (p *process) metrics() string {
-	response, err := http.Get(p.operatorURL + "/metrics")
+func (n *testNode) metrics() string {
+	response, err := http.Get(n.operatorURL + "/metrics")
 	if err != nil {
 		return ""
 	}
@@ -113,16 +113,16 @@
 	return string(raw)
 }
 
-func (p *process) awaitMetric(t *testing.T, line string) {
+func (n *testNode) awaitMetric(t *testing.T, line string) {
 	t.Helper()
-	testwait.Until(t, "the metric "+line, func() bool { return strings.Contains(p.metrics(), line+"\n") })
+	testwait.Until(t, "the metric "+line, func() bool { return strings.Contains(n.metrics(), line+"\n") })
 }
 
 // awaitKnownNodes waits until the node knows the given number of nodes, itself included.
-func (p *process) awaitKnownNodes(t *testing.T, nodes int) {
+func (n *testNode) awaitKnownNodes(t *testing.T, nodes int) {
 	t.Helper()
 	testwait.Until(t, "the nodes to know each other", func() bool {
-		return strings.Contains(p.logs.String(), fmt.Sprintf(`"known":%d,`, nodes))
+		return strings.Contains(n.logs.String(), fmt.Sprintf(`"known":%d,`, nodes))
 	})
 }
 
@@ -152,9 +152,9 @@
 }
 
 // withHomes sets a route's home regions.
-func withHomes(to route, regions ...string) route {
-	to["homeRegions"] = regions
-	return to
+func withHomes(base route, regions ...string) route {
+	base["homeRegions"] = regions
+	return base
 }
 
 func TestRegionBoundWorkStaysInRegionUnderRemoteLeader(t *testing.T) {
@@ -176,18 +176,18 @@
 
 	ids := itemIDs(20)
 	assert.Equal(t, north.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
-	assertAllCompleted(t, d.awaitResults(west.process, "job1", len(ids)), ids, 4)
+	assertAllCompleted(t, d.awaitResults(west.testNode, "job1", len(ids)), ids, 4)
 	for _, region := range d.runRegions(ids...) {
 		assert.Assert(t, region != "south", "an item ran outside the home regions")
 	}
-	assert.Equal(t, len(south.link.dataCalls()), 0, "the leader read or wrote bodies or texts: %v", south.link.dataCalls())
+	assert.Equal(t, len(south.proxy.dataCalls()), 0, "the leader read or wrote bodies or texts: %v", south.proxy.dataCalls())
 	assert.Equal(t, south.call(http.MethodGet, "/lots/none", "", "").status, http.StatusNotFound)
 	south.awaitMetric(t, leadingMetric)
 
 	// A node outside the home regions accepts and answers the job once it knows the others.
 	south.awaitKnownNodes(t, 3)
 	assert.Equal(t, south.call(http.MethodPost, "/batch/x", "job2", jobBody(1, "other")).status, http.StatusAccepted)
-	assertAllCompleted(t, d.awaitResults(south.process, "job2", 1), []string{"other"}, 4)
+	assertAllCompleted(t, d.awaitResults(south.testNode, "job2", 1), []string{"other"}, 4)
 	for _, region := range d.runRegions("other") {
 		assert.Assert(t, region != "south", "an item ran outside the home regions")
 	}
@@ -209,7 +209,7 @@
 			d.listEngine(engine)
 		}
 	}
-	got := d.awaitResults(north.process, "job1", 2)
+	got := d.awaitResults(north.testNode, "job1", 2)
 	for _, result := range got.Results {
 		assert.DeepEqual(t, result.Versions, []int64{2})
 	}
@@ -232,9 +232,9 @@
 	})
 	first.cancel()
 	second.awaitMetric(t, runningHomesMetric("north"))
-	assertAllCompleted(t, d.awaitResults(second.process, "job1", len(ids)), ids, events)
+	assertAllCompleted(t, d.awaitResults(second.testNode, "job1", len(ids)), ids, events)
 	assert.DeepEqual(t, d.runRegions(ids...), []string{"north"})
-	assert.Equal(t, len(south.link.dataCalls()), 0)
+	assert.Equal(t, len(south.proxy.dataCalls()), 0)
 }
 
 // The first node is cut off from the log and keeps running its items for a while, as a leader does.
@@ -244,7 +244,7 @@
 	d := deployRegions(t, 20*time.Millisecond, events)
 	d.configure(withHomes(batchRoute("/batch/"), "north"))
 	south := d.startInZone("south", "s1")
-	first := d.startBehindLog(&recordingLog{store: d.store, directoryHidden: true}, "north1", "n1")
+	first := d.startWithRecordingLog(&recordingLog{store: d.store, directoryUnavailable: true}, "north1", "n1")
 	first.awaitMetric(t, runningHomesMetric("north"))
 	second := d.startInZone("north2", "n1")
 	ids := itemIDs(4)
@@ -252,12 +252,12 @@
 	testwait.Until(t, "all items to run", func() bool {
 		return !slices.ContainsFunc(ids, func(id string) bool { return d.runCount(id) == 0 })
 	})
-	first.link.refuse(true)
+	first.proxy.refuse(true)
 	second.awaitMetric(t, runningHomesMetric("north"))
-	assertAllCompleted(t, d.awaitResults(second.process, "job1", len(ids)), ids, events)
+	assertAllCompleted(t, d.awaitResults(second.testNode, "job1", len(ids)), ids, events)
 	assert.DeepEqual(t, d.runRegions(ids...), []string{"north"})
-	assert.Equal(t, len(south.link.dataCalls()), 0)
-	first.link.refuse(false)
+	assert.Equal(t, len(south.proxy.dataCalls()), 0)
+	first.proxy.refuse(false)
 	second.awaitMetric(t, runningHomesMetric("north"))
 }
 
@@ -275,12 +275,12 @@
 	testwait.Until(t, "all items to run", func() bool {
 		return !slices.ContainsFunc(ids, func(id string) bool { return d.runCount(id) == 0 })
 	})
-	assert.Equal(t, len(west.link.dataCalls()), 0)
+	assert.Equal(t, len(west.proxy.dataCalls()), 0)
 	d.configure(withHomes(batchRoute("/batch/"), "west"))
 	west.awaitMetric(t, runningHomesMetric("west"))
-	assertAllCompleted(t, d.awaitResults(west.process, "job1", len(ids)), ids, events)
+	assertAllCompleted(t, d.awaitResults(west.testNode, "job1", len(ids)), ids, events)
 	assert.DeepEqual(t, d.runRegions(ids...), []string{"north", "west"})
-	assert.Equal(t, len(south.link.dataCalls()), 0)
+	assert.Equal(t, len(south.proxy.dataCalls()), 0)
 }
 
 func TestTenantHomeRegionsApplyToItsRequestsOnly(t *testing.T) {
@@ -298,14 +298,14 @@
 	assert.DeepEqual(t, d.runRegions("b"), []string{"west"})
 
 	ids := itemIDs(10)
-	taken := west.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...), "Authorization", bearer("key-bound"))
-	assert.Equal(t, taken.status, http.StatusAccepted)
+	accepted := west.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...), "Authorization", bearer("key-bound"))
+	assert.Equal(t, accepted.status, http.StatusAccepted)
 	testwait.Until(t, "the results of the job", func() bool {
 		got := west.call(http.MethodGet, "/lots/job1?afterRev=0", "", "", "Authorization", bearer("key-bound"))
 		return strings.Count(got.body, `"completed"`) == len(ids)
 	})
 	assert.DeepEqual(t, d.runRegions(ids...), []string{"west"})
-	assert.Equal(t, len(south.link.dataCalls()), 0)
+	assert.Equal(t, len(south.proxy.dataCalls()), 0)
 
 	// No engine may serve these, so they are rejected at once.
 	for path, key := range map[string]string{"/desk/x": "key-lost", "/north/x": "key-bound"} {
@@ -326,7 +326,7 @@
 	d.configure(batchRoute("/batch/"))
 	south := d.startInZone("south", "s1")
 	assert.Equal(t, south.call(http.MethodPost, "/batch/x", "job1", jobBody(1, "a")).status, http.StatusAccepted)
-	assertAllCompleted(t, d.awaitResults(south.process, "job1", 1), []string{"a"}, 4)
+	assertAllCompleted(t, d.awaitResults(south.testNode, "job1", 1), []string{"a"}, 4)
 	d.configure(withHomes(batchRoute("/batch/"), "east"))
 	testwait.Until(t, "the configuration to be in force", func() bool {
 		return strings.Contains(south.logs.String(), "home region without a zone")
@@ -345,7 +345,7 @@
 	for _, node := range []regionalNode{south, north, near} {
 		node.awaitKnownNodes(t, 3)
 	}
-	south.link.refuse(true)
+	south.proxy.refuse(true)
 	testwait.Until(t, "the node to change its path to the log", func() bool {
 		return strings.Contains(south.logs.String(), "way to the log changed")
 	})
@@ -358,11 +358,11 @@
 		})
 	}
 	for i, id := range ids {
-		assertAllCompleted(t, d.awaitResults(north.process, fmt.Sprint("job", i), 1), []string{id}, 4)
+		assertAllCompleted(t, d.awaitResults(north.testNode, fmt.Sprint("job", i), 1), []string{id}, 4)
 	}
-	assert.Assert(t, len(north.link.dataCalls()) > 0)
-	assert.Equal(t, len(near.link.dataCalls()), 0, "bodies were relayed by a node outside the home region: %v",
-		near.link.dataCalls())
+	assert.Assert(t, len(north.proxy.dataCalls()) > 0)
+	assert.Equal(t, len(near.proxy.dataCalls()), 0, "bodies were relayed by a node outside the home region: %v",
+		near.proxy.dataCalls())
 }
 
 // A read of the log by a remote node would expose bodies and texts of other jobs to it.
@@ -376,8 +376,8 @@
 	}
 	ids := itemIDs(10)
 	assert.Equal(t, north.call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
-	assertAllCompleted(t, d.awaitResults(south.process, "job1", len(ids)), ids, 4)
+	assertAllCompleted(t, d.awaitResults(south.testNode, "job1", len(ids)), ids, 4)
 	body := south.call(http.MethodGet, "/items/job1?id="+ids[0], "", "")
 	assert.Equal(t, body.status, http.StatusOK, body.body)
-	assert.Equal(t, len(south.link.dataCalls()), 0, "the remote node read bodies or texts: %v", south.link.dataCalls())
+	assert.Equal(t, len(south.proxy.dataCalls()), 0, "the remote node read bodies or texts: %v", south.proxy.dataCalls())
 }
--- a/test/hosted/incarnation_test.go
+++ b/test/hosted/incarnation_test.go
@@ -45,7 +45,7 @@
 }
 
 // A new incarnation has its initial weights, although its address is the same and its entry never expired.
-func TestRestartedEngineIsOrderedAndUsedAgain(t *testing.T) {
+func TestRestartedEngineLoadsWeightsAndRunsItems(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	host := d.addRestartingHost(standin.EngineOptions{
@@ -103,7 +103,7 @@
 	d := deploy(t)
 	host := d.addRestartingHost(standin.EngineOptions{ID: "desk-1", Service: "desk", CrashesOn: isCrashRun})
 	d.configure(safeRoute("/a/"))
-	nodes := []*process{d.start("n1"), d.start("n2")}
+	nodes := []*testNode{d.start("n1"), d.start("n2")}
 	sendCrashRequests(t, nodes, "/a/", 4*time.Second)
 	assertCrashesBounded(t, []*standin.EngineHost{host})
 	assert.Assert(t, len(host.Crashes()) >= 2, "%d crashes", len(host.Crashes()))
@@ -155,26 +155,26 @@
 	assert.Equal(t, len(earlier.Runs()), 0)
 }
 
-// An incarnation with an earlier start time counts when the entry before is never written again.
+// An incarnation with an earlier start time is used unless the previous entry is written again.
 func TestEngineWhoseClockJumpedBackIsUsed(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.configure(safeRoute("/a/"))
 	d.addDeskIncarnation("e1", firstStartMS)
 	node := d.start("n1")
-	back := d.addDeskIncarnation("e1", firstStartMS-1000)
+	restarted := d.addDeskIncarnation("e1", firstStartMS-1000)
 	number := 0
 	testwait.Until(t, "the latest incarnation to be used", func() bool {
 		number++
 		node.call(http.MethodGet, "/a/x", fmt.Sprint("request", number), "")
-		return len(back.Runs()) > 0
+		return len(restarted.Runs()) > 0
 	})
 	assert.Assert(t, strings.Contains(node.logs.String(), "engine started again"))
 }
 
 // metric returns the value of a metric at the node; empty for none.
-func (p *process) metric(name string) string {
-	response, err := http.Get(p.operatorURL + "/metrics")
+func (n *testNode) metric(name string) string {
+	response, err := http.Get(n.operatorURL + "/metrics")
 	if err != nil {
 		return ""
 	}
@@ -191,9 +191,9 @@
 	return ""
 }
 
-// unusableCount returns the node's count of unusable engine entries by fault.
-func (p *process) unusableCount(fault string) string {
-	return p.metric(fmt.Sprintf("corkpulley_hosted_engine_entries_unusable_total{fault=%q}", fault))
+// unusableCount returns the number of unusable engine entries that the node has counted with the given fault.
+func (n *testNode) unusableCount(fault string) string {
+	return n.metric(fmt.Sprintf("corkpulley_hosted_engine_entries_unusable_total{fault=%q}", fault))
 }
 
 // putUnusableEntries writes invalid entries to the engine list, one of them in place of the given engine's.
@@ -209,7 +209,7 @@
 
 // assertWithdrawn waits until a node has read the unusable entries and checks that it sends the withdrawn
 // engine nothing.
-func assertWithdrawn(t *testing.T, node *process, withdrawn *standin.Engine) {
+func assertWithdrawn(t *testing.T, node *testNode, withdrawn *standin.Engine) {
 	t.Helper()
 	testwait.Until(t, "the engine's replaced entry to be read", func() bool {
 		return strings.Contains(node.logs.String(), `"withdrawn":true`)
@@ -228,7 +228,7 @@
 	d := deploy(t)
 	addDesk(d, "e1")
 	replaced := addDesk(d, "e2")
-	good := d.listedEntry("e2")
+	validEntry := d.listedEntry("e2")
 	d.configure(safeRoute("/a/"))
 	node := d.start("n1")
 	d.putUnusableEntries("e2")
@@ -237,14 +237,14 @@
 		return node.unusableCount("unreadable") == "1" && node.unusableCount("unknown_service") == "1" &&
 			node.unusableCount("bad_name") != "" && node.unusableCount("wrong_type") == "1"
 	})
-	d.store.Log.Put(platform.New(d.address, "").EngineTopic(), "e2", good)
+	d.store.Log.Put(platform.New(d.address, "").EngineTopic(), "e2", validEntry)
 	number := 0
 	testwait.Until(t, "the engine to be used again", func() bool {
 		number++
 		node.call(http.MethodGet, "/a/x", fmt.Sprint("back", number), "")
 		return len(replaced.Runs()) > 0
 	})
-	// A node that reads the whole list just then skips the record without a key.
+	// A node that reads the whole list again skips the record without a key.
 	lines := strings.Count(node.logs.String(), "engine entry unusable")
 	assert.Assert(t, lines == 4 || lines == 5, "%d lines for four entries and a record without a key", lines)
 }
@@ -257,7 +257,7 @@
 	replaced := addDesk(d, "e2")
 	d.configure(safeRoute("/a/"))
 	d.listRemoteNodes()
-	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
+	nodes := []*testNode{d.start("n1"), d.start("n2"), d.start("n3")}
 	awaitReplica(t, nodes)
 	d.putUnusableEntries("e2")
 	for _, node := range nodes {
--- a/test/hosted/lease_overlap_test.go
+++ b/test/hosted/lease_overlap_test.go
@@ -24,20 +24,20 @@
 		engines = append(engines, d.addModelEngine(fmt.Sprint("e", i), 1, 4, 0))
 	}
 	d.configure(batchRoute("/batch/"))
-	link := d.newLogProxy(t)
-	d.startWithLog("n0", link.address)
+	proxy := d.newLogProxy(t)
+	d.startWithLog("n0", proxy.address)
 	d.publishVersion(2)
-	testwait.Until(t, "engines to follow the first leader", func() bool { return allAtLeast(engines, 2) })
+	testwait.Until(t, "engines to load version 2", func() bool { return allAtLeast(engines, 2) })
 	second := d.start("n1")
-	quiet := d.orderQuiet + time.Second
-	time.Sleep(quiet) // no orders, so that the next leader need not wait
-	link.refuseLeaseAppends(true)
+	idle := d.orderQuiet + time.Second
+	time.Sleep(idle) // no orders, so that the next leader need not wait
+	proxy.refuseLeaseAppends(true)
 	const readOnly = 400 * time.Millisecond
 	time.Sleep(readOnly) // half of a lease, in which the leader still reads
-	link.hangLeaseReads(true)
+	proxy.hangLeaseReads(true)
 	testwait.Until(t, "the other node to lead", func() bool { return strings.Contains(second.logs.String(), "leadership gained") })
 	changed := time.Now()
-	link.refuseLeaseAppends(false)
+	proxy.refuseLeaseAppends(false)
 	const renewal = 250 * time.Millisecond
 	time.Sleep(renewal) // lets the first leader send a renewal
 	d.publishVersion(3)
@@ -54,7 +54,7 @@
 
 // assertExclusiveOrders checks that fencing tokens never fall, that no token has two holders, and that orders
 // of different nodes keep the minimum gap.
-func assertExclusiveOrders(t *testing.T, engine *standin.Engine, quiet time.Duration) {
+func assertExclusiveOrders(t *testing.T, engine *standin.Engine, minGap time.Duration) {
 	t.Helper()
 	var before standin.ReceivedOrder
 	for _, order := range engine.Orders() {
@@ -64,7 +64,7 @@
 			assert.Assert(t, order.Fence != before.Fence || order.Holder == before.Holder, "%s: token %d of %s and %s",
 				engine.ID(), order.Fence, before.Holder, order.Holder)
 			gap := order.At.Sub(before.At)
-			assert.Assert(t, nodeOfHolder(order.Holder) == nodeOfHolder(before.Holder) || gap >= quiet, "%s: %s orders %s after %s",
+			assert.Assert(t, nodeOfHolder(order.Holder) == nodeOfHolder(before.Holder) || gap >= minGap, "%s: %s orders %s after %s",
 				engine.ID(), order.Holder, gap, before.Holder)
 		}
 		before = order
--- a/test/hosted/logproxy_test.go
+++ b/test/hosted/logproxy_test.go
@@ -16,7 +16,7 @@
 	readPath   = "/log-read"
 )
 
-// logProxy is one node's path to the log. It can fail the node's lease appends or lease reads
+// logProxy is one node's proxy to the log. It can fail the node's lease appends or lease reads
 // while all other calls pass.
 type logProxy struct {
 	address string
@@ -25,17 +25,17 @@
 	mu sync.Mutex
 	// leaseAppendsRefused answers appends to the lease with 503.
 	leaseAppendsRefused bool
-	// leaseReadsHang leaves reads of the lease unanswered until the caller gives up.
+	// leaseReadsHang leaves reads of the lease unanswered until the node cancels them.
 	leaseReadsHang bool
 }
 
 func (d *deployment) newLogProxy(t *testing.T) *logProxy {
 	t.Helper()
-	link := &logProxy{store: d.store}
-	server := httptest.NewServer(link)
+	proxy := &logProxy{store: d.store}
+	server := httptest.NewServer(proxy)
 	t.Cleanup(server.Close)
-	link.address = strings.TrimPrefix(server.URL, "http://")
-	return link
+	proxy.address = strings.TrimPrefix(server.URL, "http://")
+	return proxy
 }
 
 func (l *logProxy) refuseLeaseAppends(refused bool) {
@@ -53,9 +53,9 @@
 // ServeHTTP implements http.Handler.
 func (l *logProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
-	ofLease := r.URL.Query().Get("topic") == leaseTopic
-	refused := ofLease && l.leaseAppendsRefused && r.URL.Path == appendPath
-	hangs := ofLease && l.leaseReadsHang && r.URL.Path == readPath
+	isLease := r.URL.Query().Get("topic") == leaseTopic
+	refused := isLease && l.leaseAppendsRefused && r.URL.Path == appendPath
+	hangs := isLease && l.leaseReadsHang && r.URL.Path == readPath
 	l.mu.Unlock()
 	switch {
 	case refused:
--- a/test/hosted/replicas_test.go
+++ b/test/hosted/replicas_test.go
@@ -32,8 +32,8 @@
 }
 
 // isReplica reports whether the node relays the topics that it reads, by its newest log line about it.
-func (p *process) isReplica() bool {
-	lines := p.logs.String()
+func (n *testNode) isReplica() bool {
+	lines := n.logs.String()
 	newest := strings.LastIndex(lines, "sources of followed topics changed")
 	if newest < 0 {
 		return false
@@ -43,7 +43,7 @@
 }
 
 // awaitReplica waits until exactly one node is the replica and returns it and the others.
-func awaitReplica(t *testing.T, nodes []*process) (replica *process, others []*process) {
+func awaitReplica(t *testing.T, nodes []*testNode) (replica *testNode, others []*testNode) {
 	t.Helper()
 	testwait.Until(t, "one replica and its readers", func() bool {
 		replica, others = nil, nil
@@ -60,14 +60,14 @@
 	return replica, others
 }
 
-// Nodes without an index of their own read and end jobs, deny unknown ones and follow configurations.
+// Nodes without an index of their own read and end jobs, report unknown ones as not found and follow configurations.
 func TestLargeClusterReadsJobsThroughReplicas(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addModelEngine("e1", 1, 4, 0)
 	d.configure(batchRoute("/batch/"))
 	d.listRemoteNodes()
-	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3"), d.start("n4")}
+	nodes := []*testNode{d.start("n1"), d.start("n2"), d.start("n3"), d.start("n4")}
 	_, others := awaitReplica(t, nodes)
 	ids := itemIDs(20)
 	assert.Equal(t, others[0].call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
@@ -97,7 +97,7 @@
 	d.addModelEngine("e1", 1, 4, 0)
 	d.configure(batchRoute("/batch/"))
 	d.listRemoteNodes()
-	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
+	nodes := []*testNode{d.start("n1"), d.start("n2"), d.start("n3")}
 	replica, others := awaitReplica(t, nodes)
 	assert.Equal(t, others[0].call(http.MethodPost, "/batch/x", "job1", jobBody(1, "a")).status, http.StatusAccepted)
 	d.awaitResults(others[0], "job1", 1)
@@ -114,8 +114,8 @@
 
 // excludesModelEngines reports whether the node follows the engine list without the engines of batch items,
 // by its newest log line about it.
-func (p *process) excludesModelEngines() bool {
-	lines := p.logs.String()
+func (n *testNode) excludesModelEngines() bool {
+	lines := n.logs.String()
 	newest := strings.LastIndex(lines, "engine list followed")
 	if newest < 0 {
 		return false
@@ -124,30 +124,31 @@
 	return strings.Contains(lines[start:newest], `"left_out":["llm"]`)
 }
 
-// Nodes that leave out engines still serve live requests, and follow those engines once a route uses them.
+// Nodes that exclude engines still serve live requests, and follow those engines once a route of live requests uses
+// them.
 func TestLargeClusterNodesExcludeUnusedEngines(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.addEngine(standin.EngineOptions{ID: "desk1", Service: "desk"})
-	models := d.addModelEngine("e1", 1, 4, 0)
+	modelEngine := d.addModelEngine("e1", 1, 4, 0)
 	d.configure(safeRoute("/lookup/"), batchRoute("/batch/"))
 	d.listRemoteNodes()
-	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3"), d.start("n4")}
+	nodes := []*testNode{d.start("n1"), d.start("n2"), d.start("n3"), d.start("n4")}
 	replica, others := awaitReplica(t, nodes)
 	for number, node := range others {
-		testwait.Until(t, "a node that leaves out the engines of batch items", node.excludesModelEngines)
+		testwait.Until(t, "the node to exclude the engines of batch items", node.excludesModelEngines)
 		assert.Equal(t, node.call(http.MethodGet, "/lookup/x", fmt.Sprint("live", number), "").status, http.StatusOK)
 	}
 	assert.Assert(t, !replica.excludesModelEngines())
 	ids := itemIDs(20)
 	assert.Equal(t, others[0].call(http.MethodPost, "/batch/x", "job1", jobBody(1, ids...)).status, http.StatusAccepted)
 	assertAllCompleted(t, d.awaitResults(others[1], "job1", len(ids)), ids, 4)
-	d.listEngine(models)
+	d.listEngine(modelEngine)
 	live := safeRoute("/lookup/")
 	live["service"] = "llm"
 	d.configure(live, batchRoute("/batch/"))
 	for number, node := range others {
-		testwait.Until(t, "a response of an engine that was left out", func() bool {
+		testwait.Until(t, "a response of an engine that was excluded", func() bool {
 			id := fmt.Sprint("moved", number)
 			return !node.excludesModelEngines() && node.call(http.MethodPost, "/lookup/x", id, "x").status == http.StatusOK
 		})
--- a/test/hosted/scoring_test.go
+++ b/test/hosted/scoring_test.go
@@ -26,11 +26,11 @@
 	return d
 }
 
-// setScoringFault sets the faults of all scoring engines.
-func (d *deployment) setScoringFault(fate func(id string) standin.EngineFault) {
+// setScoringFault sets the fault of every scoring engine by request ID.
+func (d *deployment) setScoringFault(fault func(id string) standin.EngineFault) {
 	for _, engine := range d.engines {
 		if engine.Service() == "desk" {
-			engine.SetFault(fate)
+			engine.SetFault(fault)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 func TestResultCarriesStampOfItsScoringCall(t *testing.T) {
 	t.Parallel()
 	d := deployScored(t, "d1", "d2")
-	nodes := []*process{d.start("n1"), d.start("n2")}
+	nodes := []*testNode{d.start("n1"), d.start("n2")}
 	ids := itemIDs(20)
 	assert.Equal(t, nodes[0].call(http.MethodPost, "/batch/x", "job1", scoredJobBody(1, ids...)).status, http.StatusAccepted)
 	got := d.awaitResults(nodes[1], "job1", len(ids))
@@ -123,7 +123,7 @@
 
 // deployWithRefusedScoring returns a deployment whose scoring engine is full, and a node at which item "a"
 // of "job1" waits for its score.
-func deployWithRefusedScoring(t *testing.T) (*deployment, *process) {
+func deployWithRefusedScoring(t *testing.T) (*deployment, *testNode) {
 	t.Helper()
 	d := deployScored(t, "d1")
 	d.setScoringFault(always(standin.RefusesFull))
@@ -147,12 +147,14 @@
 	assert.Equal(t, d.runCount(scoringID("a")), 0)
 }
 
-// The scoring route is removed while the item waits for its score, and comes back.
+// The scoring route is removed while the item waits for its score and added again later.
 func TestScoringUsesRouteInForce(t *testing.T) {
 	t.Parallel()
 	d, node := deployWithRefusedScoring(t)
 	d.configure(batchRoute("/batch/"))
-	testwait.Until(t, "a call without a route", func() bool { return strings.Contains(node.logs.String(), "no route for") })
+	testwait.Until(t, "a scoring call to fail without a route", func() bool {
+		return strings.Contains(node.logs.String(), "no route for")
+	})
 	d.setScoringFault(nil)
 	d.configure(batchRoute("/batch/"), safeRoute("/scoring/"))
 	got := d.awaitResults(node, "job1", 1)
--- a/test/hosted/slowreaders_test.go
+++ b/test/hosted/slowreaders_test.go
@@ -23,9 +23,9 @@
 	stalledReaders   = 1000
 )
 
-// gauge returns the value of a metric at the node; zero for none.
-func (p *process) gauge(name string) float64 {
-	response, err := http.Get(p.operatorURL + "/metrics")
+// metricValue returns the value of a metric at the node; zero for none.
+func (n *testNode) metricValue(name string) float64 {
+	response, err := http.Get(n.operatorURL + "/metrics")
 	if err != nil {
 		return 0
 	}
@@ -41,9 +41,9 @@
 }
 
 // openStalledReader requests the results of a job and reads none of the response.
-func (p *process) openStalledReader(t *testing.T, job string) net.Conn {
+func (n *testNode) openStalledReader(t *testing.T, job string) net.Conn {
 	t.Helper()
-	connection, err := net.Dial("tcp", strings.TrimPrefix(p.callerURL, "http://"))
+	connection, err := net.Dial("tcp", strings.TrimPrefix(n.callerURL, "http://"))
 	assert.NilError(t, err)
 	assert.NilError(t, connection.(*net.TCPConn).SetReadBuffer(4<<10))
 	_, err = fmt.Fprintf(connection, "GET /lots/%s HTTP/1.1\r\nHost: %s\r\n\r\n", job, host)
@@ -71,11 +71,11 @@
 	for range stalledReaders {
 		readers = append(readers, node.openStalledReader(t, "job1"))
 	}
-	refused := `corkpulley_hosted_memory_refused_total{kind="results"}`
-	testwait.Until(t, "most readers to be refused", func() bool { return node.gauge(refused) > 0.9*stalledReaders })
+	refusedMetric := `corkpulley_hosted_memory_refused_total{kind="results"}`
+	testwait.Until(t, "most readers to be refused", func() bool { return node.metricValue(refusedMetric) > 0.9*stalledReaders })
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	held := node.gauge(`corkpulley_hosted_held_bytes{kind="results"}`)
+	held := node.metricValue(`corkpulley_hosted_held_bytes{kind="results"}`)
 	assert.Assert(t, held > 0 && held <= smallestMemoryMB<<20/6, "%v bytes", held)
 	t.Logf("heap in use: %d MB before, %d MB with %d stalled readers",
 		before.HeapInuse>>20, after.HeapInuse>>20, stalledReaders)
@@ -83,14 +83,14 @@
 	for number := range 20 {
 		assert.Equal(t, node.call(http.MethodGet, "/lookup/x", fmt.Sprint("live", number), "").status, http.StatusOK)
 	}
-	var denied callResult
+	var rejected callResult
 	testwait.Until(t, "a reader to be refused for lack of memory", func() bool {
 		// Memory may have been freed since the first readers were refused, so this adds more.
 		readers = append(readers, node.openStalledReader(t, "job1"))
-		denied = node.call(http.MethodGet, "/lots/job1", "", "")
-		return denied.status == http.StatusServiceUnavailable
+		rejected = node.call(http.MethodGet, "/lots/job1", "", "")
+		return rejected.status == http.StatusServiceUnavailable
 	})
-	assert.Assert(t, denied.header.Get("Retry-After") != "")
+	assert.Assert(t, rejected.header.Get("Retry-After") != "")
 	for _, reader := range readers {
 		_ = reader.Close()
 	}
--- a/test/hosted/slowstart_test.go
+++ b/test/hosted/slowstart_test.go
@@ -18,7 +18,8 @@
 const (
 	// coldTime outlasts every test.
 	coldTime = time.Minute
-	// coldRate is the rate of a cold engine per second, coldBurstLimit the most arrivals that it tolerates in one.
+	// coldRate is the number of requests per second that a cold engine may receive on average, coldBurstLimit the
+	// maximum in any one second.
 	coldRate       = 6.0
 	coldBurstLimit = coldRate*1.5 + 5
 )
@@ -66,7 +67,7 @@
 	return count
 }
 
-// The old leader hands over at once, without a lease that runs out in between, and all items complete.
+// The first leader stops as planned, so the next one starts without waiting for its lease to expire.
 func TestColdEngineItemRateHoldsAcrossTakeover(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -132,10 +133,10 @@
 
 // flood calls all nodes concurrently until stop is set. It returns the number of successes by node, the
 // number of rejections with Retry-After, and all other results.
-func flood(nodes []*process, stop *atomic.Bool) (answered []int64, refused int64, others []callResult) {
+func flood(nodes []*testNode, stop *atomic.Bool) (successes []int64, rejections int64, others []callResult) {
 	const callersPerNode = 6
-	served := make([]atomic.Int64, len(nodes))
-	var denied atomic.Int64
+	succeeded := make([]atomic.Int64, len(nodes))
+	var rejected atomic.Int64
 	var mu sync.Mutex
 	var callers sync.WaitGroup
 	for i, node := range nodes {
@@ -145,9 +146,9 @@
 					got := node.call(http.MethodPost, "/a/x", fmt.Sprint("r", i, "-", caller, "-", call), "")
 					switch {
 					case got.status == http.StatusOK:
-						served[i].Add(1)
+						succeeded[i].Add(1)
 					case got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != "":
-						denied.Add(1)
+						rejected.Add(1)
 					default:
 						mu.Lock()
 						others = append(others, got)
@@ -158,10 +159,10 @@
 		}
 	}
 	callers.Wait()
-	for i := range served {
-		answered = append(answered, served[i].Load())
+	for i := range succeeded {
+		successes = append(successes, succeeded[i].Load())
 	}
-	return answered, denied.Load(), others
+	return successes, rejected.Load(), others
 }
 
 func addColdDesk(d *deployment, id string) *standin.Engine {
@@ -176,15 +177,15 @@
 	engines := []*standin.Engine{addColdDesk(d, "e1"), addColdDesk(d, "e2")}
 	d.configure(safeRoute("/a/"))
 	leader := d.start("n0")
-	nodes := []*process{d.start("n1"), d.start("n2"), d.start("n3")}
+	nodes := []*testNode{d.start("n1"), d.start("n2"), d.start("n3")}
 	var stop atomic.Bool
-	var answered []int64
-	var refused int64
+	var successes []int64
+	var rejections int64
 	var others []callResult
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		answered, refused, others = flood(nodes, &stop)
+		successes, rejections, others = flood(nodes, &stop)
 	}()
 	testwait.Until(t, "the first leader to admit some requests", func() bool { return arrivalCount(engines) > 20 })
 	leader.cancel()
@@ -194,10 +195,10 @@
 	stop.Store(true)
 	<-ended
 	assert.Equal(t, len(others), 0, "%+v", others)
-	for i, count := range answered {
+	for i, count := range successes {
 		assert.Assert(t, count > 0, "node %d got no share of the rate", i+1)
 	}
-	assert.Assert(t, refused > 0)
+	assert.Assert(t, rejections > 0)
 	assertWithinColdRate(t, engines...)
 }
 
--- a/test/hosted/tenants_test.go
+++ b/test/hosted/tenants_test.go
@@ -59,7 +59,7 @@
 	d.tenants = []tenant{{"first", []string{"key-one"}}}
 	d.configure(safeRoute("/a/"), batchRoute("/batch/"))
 	node := d.start("n1")
-	for name, shown := range map[string][]string{
+	for name, authorizations := range map[string][]string{
 		"none": nil, "unknown": {bearer("key-zero")}, "other scheme": {"Basic key-one"}, "bare": {"key-one"},
 		"empty": {"Bearer "}, "two in one": {"Bearer key-one, key-one"}, "long": {bearer(strings.Repeat("k", 8<<10))},
 		"two": {bearer("key-one"), bearer("key-one")},
@@ -68,7 +68,7 @@
 			{http.MethodPost, "/a/x", ""}, {http.MethodPost, "/batch/x", jobBody(1, "i1")},
 			{http.MethodGet, "/lots/j1", ""}, {http.MethodGet, "/items/j1?id=i1", ""}, {http.MethodDelete, "/lots/j1", ""},
 		} {
-			got := node.callWithAuthorization(call.method, call.path, "j1", call.body, shown)
+			got := node.callWithAuthorization(call.method, call.path, "j1", call.body, authorizations)
 			assert.Equal(t, got.status, http.StatusUnauthorized, "%s %s: %s", name, call.path, got.body)
 			assert.Equal(t, got.header.Get("WWW-Authenticate"), "Bearer")
 			assert.Assert(t, strings.Contains(got.body, "unauthorized: "), got.body)
@@ -78,14 +78,14 @@
 }
 
 // callWithAuthorization is call with any number of Authorization headers.
-func (p *process) callWithAuthorization(method, path, id, body string, shown []string) callResult {
-	request, err := http.NewRequest(method, p.callerURL+path, strings.NewReader(body))
+func (n *testNode) callWithAuthorization(method, path, id, body string, authorizations []string) callResult {
+	request, err := http.NewRequest(method, n.callerURL+path, strings.NewReader(body))
 	if err != nil {
 		return callResult{err: err}
 	}
 	request.Host = host
 	request.Header.Set("X-Corkpulley-Attempt-Id", id)
-	request.Header[authorization] = shown
+	request.Header[authorization] = authorizations
 	return send(request)
 }
 
@@ -95,8 +95,8 @@
 	addDesk(d, "e1")
 	d.tenants = []tenant{{"first", []string{"key-one", "key-two"}}}
 	d.configure(safeRoute("/a/"))
-	nodes := []*process{d.start("n1"), d.start("n2")}
-	status := func(node *process, key string) int {
+	nodes := []*testNode{d.start("n1"), d.start("n2")}
+	status := func(node *testNode, key string) int {
 		return node.call(http.MethodPost, "/a/x", "id", "", authorization, bearer(key)).status
 	}
 	for _, node := range nodes {
@@ -185,9 +185,9 @@
 	key := []string{authorization, bearer("key-one")}
 	assert.Equal(t, node.call(http.MethodPost, "/open/o", "o", jobBody(1, "a"), key...).status, http.StatusAccepted)
 	assert.Equal(t, node.call(http.MethodPost, "/batch/c", "c", jobBody(1, "b"), key...).status, http.StatusAccepted)
-	for _, shown := range [][]string{nil, key} {
+	for _, headers := range [][]string{nil, key} {
 		testwait.Until(t, "the anonymous job to be readable", func() bool {
-			return strings.Contains(node.call(http.MethodGet, "/lots/o?afterRev=0", "", "", shown...).body, `"id":"a"`)
+			return strings.Contains(node.call(http.MethodGet, "/lots/o?afterRev=0", "", "", headers...).body, `"id":"a"`)
 		})
 	}
 	testwait.Until(t, "the tenant's job to be readable", func() bool {
--- a/test/hosted/upgrade_test.go
+++ b/test/hosted/upgrade_test.go
@@ -14,9 +14,9 @@
 )
 
 // announceOldBuild announces a node in the format of builds without home regions.
-func (d *deployment) announceOldBuild(node string, lasts time.Duration) {
+func (d *deployment) announceOldBuild(node string, ttl time.Duration) {
 	d.t.Helper()
-	raw, err := msgpack.Marshal(map[string]any{"n": node, "a": "127.0.0.1:9", "z": "n1", "l": int64(lasts)})
+	raw, err := msgpack.Marshal(map[string]any{"n": node, "a": "127.0.0.1:9", "z": "n1", "l": int64(ttl)})
 	assert.NilError(d.t, err)
 	_, err = d.store.Log.Append(d.t.Context(), eventlog.Partition{Topic: directoryTopic}, [][]byte{raw})
 	assert.NilError(d.t, err)
@@ -25,10 +25,10 @@
 // Guards against an older build that runs a region-bound job outside its home regions.
 func TestRegionBoundJobIsRejectedDuringUpgrade(t *testing.T) {
 	t.Parallel()
-	const lasts = 4 * time.Second
+	const announcementTTL = 4 * time.Second
 	d := deployRegions(t, 0, 4)
 	d.configure(withHomes(batchRoute("/batch/"), "north"), batchRoute("/free/"))
-	d.announceOldBuild("old", lasts)
+	d.announceOldBuild("old", announcementTTL)
 	north := d.startInZone("north", "n1")
 	got := north.call(http.MethodPost, "/batch/x", "job1", jobBody(1, "a"))
 	assert.Equal(t, got.status, http.StatusServiceUnavailable, got.body)
@@ -39,6 +39,6 @@
 	testwait.Until(t, "the old node's announcement to expire", func() bool {
 		return north.call(http.MethodPost, "/batch/x", "job1", jobBody(1, "a")).status == http.StatusAccepted
 	})
-	assertAllCompleted(t, d.awaitResults(north.process, "job1", 1), []string{"a"}, 4)
+	assertAllCompleted(t, d.awaitResults(north.testNode, "job1", 1), []string{"a"}, 4)
 	assert.DeepEqual(t, d.runRegions("a"), []string{"north"})
 }
--- a/test/hosted/versions_test.go
+++ b/test/hosted/versions_test.go
@@ -31,14 +31,14 @@
 	config := settings.Default()
 	config.Node = settings.Node{ID: "a", Zone: "z1", Region: "r1"}
 	var listeners []net.Listener
-	taken := func() string {
+	occupiedAddress := func() string {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		listeners = append(listeners, listener)
 		return listener.Addr().String()
 	}
 	// All ports are taken, so a node that tries to listen fails with another error.
-	config.Listen = settings.Listen{Callers: taken(), Operators: taken(), Peers: taken()}
+	config.Listen = settings.Listen{Callers: occupiedAddress(), Operators: occupiedAddress(), Peers: occupiedAddress()}
 	config.Hosted.Log = d.address
 	err := hosted.Run(t.Context(), config, platform.New(d.address, ""), nil, &bytes.Buffer{})
 	var tooOld *clusterversion.TooOldError
