--- a/test/history/callers.go
+++ b/test/history/callers.go
@@ -4,18 +4,18 @@
 	"github.com/corkpulley/corkpulley/internal/bench/live"
 )
 
-// CheckComplete finds responses that are not the complete response to their own request, in order. With
-// allowBroken false, a call that ended with neither a response nor an error is a violation too; true is for
+// CheckComplete finds responses that are not the complete response to their own request, in order. Unless
+// allowInterrupted is set, a call that ended with neither a response nor an error is a violation too; it is set for
 // runs that kill the caller's node or cut its connection. Calls that could not connect to a node are ignored.
-func CheckComplete(outcomes Outcomes, allowBroken bool) []Violation {
+func CheckComplete(outcomes Outcomes, allowInterrupted bool) []Violation {
 	var violations []Violation
 	for i := range outcomes {
 		outcome := &outcomes[i]
 		for _, fault := range outcome.Violations {
 			violations = append(violations, violation(RuleComplete, "request %s: %s", outcomeName(outcome), fault))
 		}
-		if !outcome.Done && !outcome.NotConnected && !allowBroken {
-			violations = append(violations, violation(RuleComplete, "request %s ended without an answer or an error: %s",
+		if !outcome.Done && !outcome.NotConnected && !allowInterrupted {
+			violations = append(violations, violation(RuleComplete, "request %s ended without a response or an error: %s",
 				outcomeName(outcome), outcome.TransportError))
 		}
 	}
@@ -25,7 +25,7 @@
 // CheckOwnAnswer finds tokens of complete responses that no engine produced for the caller's prompt: parts of
 // another request's response, or tokens of another attempt.
 func CheckOwnAnswer(outcomes Outcomes, executions []Execution) []Violation {
-	made := producedTokens(executions)
+	produced := producedTokens(executions)
 	var violations []Violation
 	for i := range outcomes {
 		outcome := &outcomes[i]
@@ -39,9 +39,9 @@
 		}
 		prompt := PromptHash(outcome.Call.Prompt)
 		for _, token := range tokens {
-			if !made[producedToken{prompt, token.Index, token.Version}] {
+			if !produced[producedToken{prompt, token.Index, token.Version}] {
 				violations = append(violations, violation(RuleComplete,
-					"request %s: no engine produced token %d under version %d for it",
+					"request %s: no engine produced token %d under version %d for its prompt",
 					outcomeName(outcome), token.Index, token.Version))
 				break
 			}
@@ -56,8 +56,8 @@
 		return outcome.RequestID
 	}
 	prompt := outcome.Call.Prompt
-	const shown = 60
-	return prompt[max(0, len(prompt)-shown):]
+	const maxBytes = 60
+	return prompt[max(0, len(prompt)-maxBytes):]
 }
 
 // CheckNotInterrupted finds calls that a planned stop interrupted: their response had begun or their request
--- a/test/history/history_test.go
+++ b/test/history/history_test.go
@@ -11,7 +11,8 @@
 	"github.com/corkpulley/corkpulley/internal/standin/engine"
 )
 
-// assertViolation checks that there is exactly one violation and that it is of the rule, or none for an empty rule.
+// assertViolation checks that there is exactly one violation and that it is of the given rule. With an empty rule, it
+// checks that there is none.
 func assertViolation(t *testing.T, violations []Violation, rule string) {
 	t.Helper()
 	if rule == "" {
@@ -33,43 +34,43 @@
 }
 
 func TestCheckComplete(t *testing.T) {
-	whole := live.Outcome{Done: true}
-	cut := live.Outcome{TransportError: "unexpected EOF"}
+	complete := live.Outcome{Done: true}
+	interrupted := live.Outcome{TransportError: "unexpected EOF"}
 	faulty := live.Outcome{Done: true, Violations: []string{"token 3 of the answer says that it is token 2"}}
-	assertViolation(t, CheckComplete(Outcomes{whole, refused("r", "p"), {NotConnected: true}}, false), "")
-	assertViolation(t, CheckComplete(Outcomes{cut}, true), "")
-	assertViolation(t, CheckComplete(Outcomes{whole, cut}, false), RuleComplete)
-	assertViolation(t, CheckComplete(Outcomes{whole, faulty}, true), RuleComplete)
+	assertViolation(t, CheckComplete(Outcomes{complete, refused("r", "p"), {NotConnected: true}}, false), "")
+	assertViolation(t, CheckComplete(Outcomes{interrupted}, true), "")
+	assertViolation(t, CheckComplete(Outcomes{complete, interrupted}, false), RuleComplete)
+	assertViolation(t, CheckComplete(Outcomes{complete, faulty}, true), RuleComplete)
 }
 
 func TestCheckOwnAnswer(t *testing.T) {
-	ran := []Execution{execution("r1", "one", "e1", 1, engine.Span{Version: 3, From: 0, To: 2})}
+	executions := []Execution{execution("r1", "one", "e1", 1, engine.Span{Version: 3, From: 0, To: 2})}
 	answered := func(prompt, text string) live.Outcome {
 		return live.Outcome{Call: live.Call{Prompt: prompt}, Text: text, Done: true}
 	}
-	assertViolation(t, CheckOwnAnswer(Outcomes{answered("one", "0:3 1:3 ")}, ran), "")
-	assertViolation(t, CheckOwnAnswer(Outcomes{answered("two", "0:3 1:3 ")}, ran), RuleComplete)
-	assertViolation(t, CheckOwnAnswer(Outcomes{answered("one", "0:3 1:4 ")}, ran), RuleComplete)
-	assertViolation(t, CheckOwnAnswer(Outcomes{answered("one", "hello")}, ran), RuleComplete)
+	assertViolation(t, CheckOwnAnswer(Outcomes{answered("one", "0:3 1:3 ")}, executions), "")
+	assertViolation(t, CheckOwnAnswer(Outcomes{answered("two", "0:3 1:3 ")}, executions), RuleComplete)
+	assertViolation(t, CheckOwnAnswer(Outcomes{answered("one", "0:3 1:4 ")}, executions), RuleComplete)
+	assertViolation(t, CheckOwnAnswer(Outcomes{answered("one", "hello")}, executions), RuleComplete)
 }
 
 func TestCheckNotExecuted(t *testing.T) {
-	ran := []Execution{execution("r1", "one", "e1", 1)}
-	assertViolation(t, CheckNotExecuted(Outcomes{refused("r2", "two")}, ran), "")
-	assertViolation(t, CheckNotExecuted(Outcomes{refused("r1", "other")}, ran), RuleNotExecuted)
-	assertViolation(t, CheckNotExecuted(Outcomes{refused("", "one")}, ran), RuleNotExecuted)
+	executions := []Execution{execution("r1", "one", "e1", 1)}
+	assertViolation(t, CheckNotExecuted(Outcomes{refused("r2", "two")}, executions), "")
+	assertViolation(t, CheckNotExecuted(Outcomes{refused("r1", "other")}, executions), RuleNotExecuted)
+	assertViolation(t, CheckNotExecuted(Outcomes{refused("", "one")}, executions), RuleNotExecuted)
 	// A later call with the same prompt ran.
-	assertViolation(t, CheckNotExecuted(Outcomes{refused("r0", "one"), {Call: live.Call{Prompt: "one"}, RequestID: "r1", Done: true}}, ran), "")
+	assertViolation(t, CheckNotExecuted(Outcomes{refused("r0", "one"), {Call: live.Call{Prompt: "one"}, RequestID: "r1", Done: true}}, executions), "")
 }
 
 func TestCheckNotInterrupted(t *testing.T) {
-	ran := []Execution{execution("r1", "one", "e1", 1)}
+	executions := []Execution{execution("r1", "one", "e1", 1)}
 	closedUnread := live.Outcome{Call: live.Call{Prompt: "two"}, TransportError: "EOF"}
 	cutWhileRunning := live.Outcome{Call: live.Call{Prompt: "one"}, TransportError: "EOF"}
 	cutWhileAnswering := live.Outcome{Status: 200, TransportError: "unexpected EOF"}
-	assertViolation(t, CheckNotInterrupted(Outcomes{closedUnread, refused("r", "three")}, ran), "")
-	assertViolation(t, CheckNotInterrupted(Outcomes{closedUnread, cutWhileRunning}, ran), RuleNotInterrupted)
-	assertViolation(t, CheckNotInterrupted(Outcomes{closedUnread, cutWhileAnswering}, ran), RuleNotInterrupted)
+	assertViolation(t, CheckNotInterrupted(Outcomes{closedUnread, refused("r", "three")}, executions), "")
+	assertViolation(t, CheckNotInterrupted(Outcomes{closedUnread, cutWhileRunning}, executions), RuleNotInterrupted)
+	assertViolation(t, CheckNotInterrupted(Outcomes{closedUnread, cutWhileAnswering}, executions), RuleNotInterrupted)
 }
 
 func TestCheckAtMostOnce(t *testing.T) {
@@ -108,20 +109,20 @@
 }
 
 func TestCheckProvenance(t *testing.T) {
-	made := []Execution{
+	executions := []Execution{
 		execution("r", "p", "e1", 1, engine.Span{Version: 3, From: 0, To: 2}),
 		execution("r", "p", "e2", 2, engine.Span{Version: 4, From: 1, To: 3}),
 	}
 	spans := []api.VersionSpan{{Version: 3, From: 0, To: 1}, {Version: 4, From: 1, To: 3}}
 	good := delivery(0, "0:3 1:4 2:4 ", spans...)
-	assertViolation(t, CheckProvenance([]Delivery{good}, made), "")
-	assertViolation(t, CheckProvenance([]Delivery{good}, made[:1]), RuleProvenance)
-	misnamed := delivery(0, "0:3 1:3 2:4 ", spans...)
-	assertViolation(t, CheckProvenance([]Delivery{misnamed}, made), RuleProvenance)
-	unnamed := delivery(0, "0:3 1:4 2:4 ", spans[0])
-	assertViolation(t, CheckProvenance([]Delivery{unnamed}, made), RuleProvenance)
+	assertViolation(t, CheckProvenance([]Delivery{good}, executions), "")
+	assertViolation(t, CheckProvenance([]Delivery{good}, executions[:1]), RuleProvenance)
+	wrongVersion := delivery(0, "0:3 1:3 2:4 ", spans...)
+	assertViolation(t, CheckProvenance([]Delivery{wrongVersion}, executions), RuleProvenance)
+	missingSpan := delivery(0, "0:3 1:4 2:4 ", spans[0])
+	assertViolation(t, CheckProvenance([]Delivery{missingSpan}, executions), RuleProvenance)
 	gap := delivery(0, "0:3 2:4 ", api.VersionSpan{Version: 3, From: 0, To: 1}, api.VersionSpan{Version: 4, From: 1, To: 2})
-	assertViolation(t, CheckProvenance([]Delivery{gap}, made), RuleProvenance)
+	assertViolation(t, CheckProvenance([]Delivery{gap}, executions), RuleProvenance)
 }
 
 func TestExecutionsKeepsLongestHistoryOfProcess(t *testing.T) {
@@ -133,12 +134,12 @@
 }
 
 func TestCheckDrain(t *testing.T) {
-	leaving := time.Unix(100, 0)
-	early := execution("r1", "p", "e1", leaving.Add(2*time.Second).UnixNano())
-	late := execution("r2", "p", "e1", leaving.Add(4*time.Second).UnixNano())
-	other := execution("r3", "p", "e2", leaving.Add(4*time.Second).UnixNano())
-	assertViolation(t, CheckDrain("e1", leaving, 3*time.Second, []Execution{early, other}), "")
-	assertViolation(t, CheckDrain("e1", leaving, 3*time.Second, []Execution{early, late, other}), RuleDrain)
+	drainStart := time.Unix(100, 0)
+	early := execution("r1", "p", "e1", drainStart.Add(2*time.Second).UnixNano())
+	late := execution("r2", "p", "e1", drainStart.Add(4*time.Second).UnixNano())
+	other := execution("r3", "p", "e2", drainStart.Add(4*time.Second).UnixNano())
+	assertViolation(t, CheckDrain("e1", drainStart, 3*time.Second, []Execution{early, other}), "")
+	assertViolation(t, CheckDrain("e1", drainStart, 3*time.Second, []Execution{early, late, other}), RuleDrain)
 }
 
 func observation(node string, startSecond, endSecond, revision int64) Observation {
--- a/test/history/linearizable.go
+++ b/test/history/linearizable.go
@@ -42,8 +42,8 @@
 	Revision int64
 }
 
-// tableState is the revision in force. With above set, a proposal with an unknown outcome took effect and the
-// revision is some value above it.
+// tableState is the revision in force. With above set, a proposal whose outcome is unknown took effect on that
+// revision, and the one in force is an unknown higher one.
 type tableState struct {
 	revision int64
 	above    bool
--- a/test/history/machines.go
+++ b/test/history/machines.go
@@ -6,14 +6,14 @@
 )
 
 // CheckDrain finds requests that an engine started more than the grace period after it began to drain.
-func CheckDrain(engineID string, leaving time.Time, grace time.Duration, executions []Execution) []Violation {
-	limit := leaving.Add(grace).UnixNano()
+func CheckDrain(engineID string, drainStart time.Time, grace time.Duration, executions []Execution) []Violation {
+	limit := drainStart.Add(grace).UnixNano()
 	var violations []Violation
 	for _, execution := range executions {
 		if execution.Engine != engineID || execution.StartedUnixNS <= limit {
 			continue
 		}
-		late := time.Duration(execution.StartedUnixNS - leaving.UnixNano())
+		late := time.Duration(execution.StartedUnixNS - drainStart.UnixNano())
 		violations = append(violations, violation(RuleDrain, "engine %s started request %s %s after it began to drain",
 			engineID, execution.RequestID, late))
 	}
@@ -59,21 +59,22 @@
 // did not answer after that time.
 func CheckConvergence(revision int64, accepted time.Time, bound time.Duration, nodes []string, observations []Observation) []Violation {
 	limit := accepted.Add(bound)
-	reached := map[string]bool{}
+	answered := map[string]bool{}
 	var violations []Violation
 	for _, observed := range observations {
 		if !observed.Started.After(limit) {
 			continue
 		}
-		reached[observed.Node] = true
+		answered[observed.Node] = true
 		if observed.Revision < revision {
 			violations = append(violations, violation(RuleConvergence, "node %s was at revision %d, %s after revision %d was accepted",
 				observed.Node, observed.Revision, observed.Started.Sub(accepted), revision))
 		}
 	}
 	for _, node := range nodes {
-		if !reached[node] {
-			violations = append(violations, violation(RuleConvergence, "node %s gave no answer after the bound for revision %d", node, revision))
+		if !answered[node] {
+			violations = append(violations, violation(RuleConvergence,
+				"node %s did not answer after the convergence bound of revision %d", node, revision))
 		}
 	}
 	return violations
--- a/test/history/trainers.go
+++ b/test/history/trainers.go
@@ -54,11 +54,11 @@
 // CheckProvenance finds samples whose segments do not name, token by token, the versions that produced them,
 // by the versions in the sample's text and by the engines' histories.
 func CheckProvenance(deliveries []Delivery, executions []Execution) []Violation {
-	made := producedTokens(executions)
+	produced := producedTokens(executions)
 	var violations []Violation
 	for i := range deliveries {
 		delivery := &deliveries[i]
-		for _, fault := range sampleFaults(delivery, made) {
+		for _, fault := range sampleFaults(delivery, produced) {
 			violations = append(violations, violation(RuleProvenance, "sample %s: %s", delivery.Sample.ID, fault))
 		}
 	}
@@ -73,18 +73,18 @@
 }
 
 func producedTokens(executions []Execution) map[producedToken]bool {
-	made := map[producedToken]bool{}
+	produced := map[producedToken]bool{}
 	for _, execution := range executions {
 		for _, span := range execution.Spans {
 			for index := span.From; index < span.To; index++ {
-				made[producedToken{execution.PromptHash, index, span.Version}] = true
+				produced[producedToken{execution.PromptHash, index, span.Version}] = true
 			}
 		}
 	}
-	return made
+	return produced
 }
 
-func sampleFaults(delivery *Delivery, made map[producedToken]bool) []string {
+func sampleFaults(delivery *Delivery, produced map[producedToken]bool) []string {
 	sample := &delivery.Sample
 	tokens, err := live.ParseTokens(sample.Text)
 	if err != nil {
@@ -99,7 +99,7 @@
 		if token.Index != i {
 			return append(faults, fmt.Sprintf("token %d is numbered %d", i, token.Index))
 		}
-		if !made[producedToken{prompt, i, token.Version}] {
+		if !produced[producedToken{prompt, i, token.Version}] {
 			return append(faults, fmt.Sprintf("no engine produced token %d under version %d", i, token.Version))
 		}
 	}
