--- a/test/integration/at_most_once_test.go
+++ b/test/integration/at_most_once_test.go
@@ -63,7 +63,7 @@
 }
 
 // A non-repeatable request runs at most once over all engines when callers race and retry, nodes are killed or
-// frozen, and append answers are lost.
+// frozen, and append responses are lost.
 func TestInvariantAtMostOnce(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t)
@@ -77,18 +77,18 @@
 	for number := range 4 {
 		group.Go(func() { callers.run(ctx, number) })
 	}
-	issued := &runningLoad{recorder: callers.recorder}
+	load := &runningLoad{recorder: callers.recorder}
 
-	issued.waitOK(t, 20)
+	load.waitOK(t, 20)
 	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{LoseAnswers: 0.3, LateMS: 50}))
-	issued.waitOK(t, 20)
+	load.waitOK(t, 20)
 	// Each node in turn, so that the fault affects every role: gateway, owner of a key's shard, dispatcher of a cell.
 	for _, node := range deployment.Nodes() {
-		killAndRestart(t, node, issued)
-		freezeAndResume(t, node, issued)
+		killAndRestart(t, node, load)
+		freezeAndResume(t, node, load)
 	}
 	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{}))
-	issued.waitOK(t, 10)
+	load.waitOK(t, 10)
 	cancel()
 	group.Wait()
 
--- a/test/integration/combined_faults_test.go
+++ b/test/integration/combined_faults_test.go
@@ -23,101 +23,101 @@
 	seedVariable = "CORKPULLEY_FAULT_SEED"
 	// minFaultTime is the minimum time for which faults are injected.
 	minFaultTime = 24 * time.Second
-	// maxPause and maxFaultTime bound the random durations of the schedule.
+	// maxPause and maxFaultTime bound the random times between faults and within a fault.
 	maxPause     = 700 * time.Millisecond
 	maxFaultTime = 1500 * time.Millisecond
 )
 
-// schedule injects random faults, drawn from a seed, up to two at a time.
-type schedule struct {
+// faultInjector injects random faults, drawn from a seed, up to two at a time.
+type faultInjector struct {
 	t          *testing.T
 	deployment *topology.Deployment
 	random     *rand.Rand
 	// logFaults holds the faults of the log that are currently injected.
 	logFaults logservice.Control
-	// leaving is when leavingEngine began to drain.
-	leaving time.Time
+	// drainStart is when drainingEngine began to drain.
+	drainStart time.Time
 }
 
-func (s *schedule) node() *topology.Node {
-	nodes := s.deployment.Nodes()
-	return nodes[s.random.IntN(len(nodes))]
+func (inj *faultInjector) node() *topology.Node {
+	nodes := inj.deployment.Nodes()
+	return nodes[inj.random.IntN(len(nodes))]
 }
 
-func (s *schedule) engine() *topology.Engine {
-	engines := s.deployment.Engines()
-	return engines[s.random.IntN(len(engines)-1)] // excludes leavingEngine, the last one
+func (inj *faultInjector) engine() *topology.Engine {
+	engines := inj.deployment.Engines()
+	return engines[inj.random.IntN(len(engines)-1)] // excludes drainingEngine, the last one
 }
 
-func (s *schedule) randomDuration(longest time.Duration) time.Duration {
-	return time.Duration(s.random.Int64N(int64(longest)))
+func (inj *faultInjector) randomDuration(longest time.Duration) time.Duration {
+	return time.Duration(inj.random.Int64N(int64(longest)))
 }
 
 // must fails the test on an error of the test setup itself.
-func (s *schedule) must(err error) {
-	s.t.Helper()
-	assert.NilError(s.t, err)
+func (inj *faultInjector) must(err error) {
+	inj.t.Helper()
+	assert.NilError(inj.t, err)
 }
 
 // run injects every kind of fault at least twice, in random order and mostly in pairs, for at least minFaultTime.
-func (s *schedule) run() {
+func (inj *faultInjector) run() {
 	began := time.Now()
 	for round := 0; round < 2 || time.Since(began) < minFaultTime; round++ {
 		if round == 1 {
-			s.drainLeavingEngine()
+			inj.startDrain()
 		}
 		kinds := faults()
-		s.random.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
+		inj.random.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 		for i := 0; i+1 < len(kinds); i += 2 {
-			s.injectPair(kinds[i], kinds[i+1])
+			inj.injectPair(kinds[i], kinds[i+1])
 		}
 		if len(kinds)%2 == 1 {
-			s.injectAlone(kinds[len(kinds)-1])
+			inj.injectAlone(kinds[len(kinds)-1])
 		}
 	}
 }
 
-// leavingEngine drains after the first round. It is never killed, since a restart would end its drain.
-const leavingEngine = "e5"
+// drainingEngine drains after the first round. It is never killed, since a restart would end its drain.
+const drainingEngine = "e5"
 
-func (s *schedule) drainLeavingEngine() {
+func (inj *faultInjector) startDrain() {
 	drain := true
-	s.leaving = time.Now()
-	s.must(s.deployment.Engine(leavingEngine).Control(waitContext(s.t), standin.Control{Drain: &drain}))
+	inj.drainStart = time.Now()
+	inj.must(inj.deployment.Engine(drainingEngine).Control(waitContext(inj.t), standin.Control{Drain: &drain}))
 }
 
 // injectPair injects two faults that overlap, or one after the other when they are incompatible.
-func (s *schedule) injectPair(first, second fault) {
+func (inj *faultInjector) injectPair(first, second fault) {
 	if first.name == plannedStop {
 		first, second = second, first
 	}
-	if !s.compatible(first, second) {
-		s.injectAlone(first)
-		s.injectAlone(second)
+	if !inj.compatible(first, second) {
+		inj.injectAlone(first)
+		inj.injectAlone(second)
 		return
 	}
-	s.t.Logf("%s, %s", first.name, second.name)
-	endFirst := first.begin(s)
-	s.pause(maxFaultTime / 4)
-	endSecond := second.begin(s)
-	s.pause(maxFaultTime)
+	inj.t.Logf("%s, %s", first.name, second.name)
+	endFirst := first.begin(inj)
+	inj.pause(maxFaultTime / 4)
+	endSecond := second.begin(inj)
+	inj.pause(maxFaultTime)
 	endFirst()
 	endSecond()
-	s.pause(maxPause)
+	inj.pause(maxPause)
 }
 
-func (s *schedule) injectAlone(single fault) {
-	s.t.Log(single.name)
-	end := single.begin(s)
-	s.pause(maxFaultTime)
+func (inj *faultInjector) injectAlone(single fault) {
+	inj.t.Log(single.name)
+	end := single.begin(inj)
+	inj.pause(maxFaultTime)
 	end()
-	s.pause(maxPause)
+	inj.pause(maxPause)
 }
 
-func (s *schedule) pause(longest time.Duration) {
+func (inj *faultInjector) pause(longest time.Duration) {
 	select {
-	case <-time.After(s.randomDuration(longest)):
-	case <-s.t.Context().Done():
+	case <-time.After(inj.randomDuration(longest)):
+	case <-inj.t.Context().Done():
 	}
 }
 
@@ -138,9 +138,9 @@
 	seed := faultSeed(t)
 	t.Logf("replay with %s=%d", seedVariable, seed)
 	deployment := deploy(t, func(config *topology.Config) {
-		leaving := config.Engines[0]
-		leaving.ID = leavingEngine
-		config.Engines = append(config.Engines, leaving)
+		draining := config.Engines[0]
+		draining.ID = drainingEngine
+		config.Engines = append(config.Engines, draining)
 	})
 	initial, err := deployment.Node("n1").Table(waitContext(t))
 	assert.NilError(t, err)
@@ -166,7 +166,7 @@
 			}
 		})
 	}
-	injector := &schedule{t: t, deployment: deployment, random: rand.New(rand.NewPCG(seed, seed))}
+	injector := &faultInjector{t: t, deployment: deployment, random: rand.New(rand.NewPCG(seed, seed))}
 	injector.run()
 	for _, node := range deployment.Nodes() {
 		waitServing(t, node)
@@ -186,7 +186,7 @@
 	}
 	assertNoViolations(t, history.CheckAtMostOnce(promptsOf(permitOutcomes), executions))
 	assert.Check(t, history.Linearizable(history.KeyedModel(), history.KeyedOperations(permitOutcomes)))
-	assertNoViolations(t, history.CheckDrain(leavingEngine, injector.leaving, drainGrace, executions))
+	assertNoViolations(t, history.CheckDrain(drainingEngine, injector.drainStart, drainGrace, executions))
 	assertNoViolations(t, history.CheckMonotonic(observations))
 	for _, accepted := range editors.accepted {
 		assertNoViolations(t, history.CheckConvergence(accepted.revision, accepted.at, convergenceBound, nil, observations))
--- a/test/integration/complete_response_test.go
+++ b/test/integration/complete_response_test.go
@@ -12,26 +12,26 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// Each caller gets its complete response in order through engine crashes, reset, stalled and slow links, and
-// repeated chunks.
+// Each caller gets its complete response in order despite engine crashes, reset, stalled and slow links, and repeated
+// chunks.
 func TestInvariantCompleteResponse(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t)
-	answers := newLookupLoad(deployment, 30, 100)
-	answers.TokenSpread = 36
-	load := startLoad(t, answers)
+	lookups := newLookupLoad(deployment, 30, 100)
+	lookups.TokenSpread = 36
+	load := startLoad(t, lookups)
 	load.waitOK(t, 20)
 
 	crashMidResponse(t, deployment, load)
 
-	cut := busiestEngine(t, deployment)
+	reset := busiestEngine(t, deployment)
 	for range 3 {
-		assert.NilError(t, cut.Link.Reset())
+		assert.NilError(t, reset.Link.Reset())
 		load.waitOK(t, 10)
 	}
-	assert.NilError(t, cut.Link.Stall())
+	assert.NilError(t, reset.Link.Stall())
 	load.waitOK(t, 20)
-	assert.NilError(t, cut.Link.Restore())
+	assert.NilError(t, reset.Link.Restore())
 
 	slow := busiestEngine(t, deployment)
 	assert.NilError(t, slow.Link.SetBandwidth(16))
@@ -64,10 +64,10 @@
 	eventually(t, "an engine to crash in the middle of a response", func() error {
 		crashed := busiestEngine(t, deployment)
 		crashed.Kill()
-		cut := interruptedResponses(executionsOf(t, deployment), crashed.ID)
+		interrupted := interruptedResponses(executionsOf(t, deployment), crashed.ID)
 		load.waitOK(t, 20)
 		assert.NilError(t, crashed.Start(waitContext(t)))
-		if cut == 0 {
+		if interrupted == 0 {
 			return errors.New("the engine was not sending a response")
 		}
 		return nil
--- a/test/integration/config_convergence_test.go
+++ b/test/integration/config_convergence_test.go
@@ -17,7 +17,8 @@
 const slowLogLatency = 2500 * time.Millisecond
 
 // Each accepted revision must be in force on all nodes within the bound and never be reverted, under concurrent
-// edits, lost append answers, a restarted node, a log outage, and a node cut off from the log or slowly linked.
+// edits, lost append responses, a restarted node, a log outage, and a node that is cut off from
+// the log or has a slow link to it.
 func TestInvariantConfigConvergence(t *testing.T) {
 	deployment := deploy(t)
 	initial, err := deployment.Node("n1").Table(waitContext(t))
--- a/test/integration/deploy_test.go
+++ b/test/integration/deploy_test.go
@@ -17,7 +17,7 @@
 // waitTimeout bounds each wait for a condition.
 const waitTimeout = 60 * time.Second
 
-// Services of the test deployment.
+// Names of services, models and the engine pool of the test deployment.
 const (
 	lookupService = "clerk-lookup"
 	permitService = "permit-desk"
@@ -145,7 +145,7 @@
 	eventually(t, node.ID+" to serve", func() error {
 		outcome := client.Send(waitContext(t), call)
 		if !outcome.OK() {
-			return errors.Errorf("answer: status %d, code %q, transport %q, faults %q",
+			return errors.Errorf("call failed: status %d, code %q, transport error %q, violations %q",
 				outcome.Status, outcome.Code, outcome.TransportError, outcome.Violations)
 		}
 		return nil
@@ -242,11 +242,11 @@
 	return history.Executions(histories...)
 }
 
-// checkAnswers checks the callers' history. With allowBroken false, every call must end with a response or an
+// checkAnswers checks the callers' history. Unless allowInterrupted is set, every call must end with a response or an
 // error.
-func checkAnswers(t *testing.T, outcomes history.Outcomes, executions []history.Execution, allowBroken bool) {
+func checkAnswers(t *testing.T, outcomes history.Outcomes, executions []history.Execution, allowInterrupted bool) {
 	t.Helper()
-	assertNoViolations(t, history.CheckComplete(outcomes, allowBroken))
+	assertNoViolations(t, history.CheckComplete(outcomes, allowInterrupted))
 	assertNoViolations(t, history.CheckOwnAnswer(outcomes, executions))
 	assertNoViolations(t, history.CheckNotExecuted(outcomes, executions))
 }
--- a/test/integration/engine_drain_test.go
+++ b/test/integration/engine_drain_test.go
@@ -28,25 +28,25 @@
 	})
 	load := startLoad(t, newLookupLoad(deployment, 40, 20))
 	load.waitOK(t, 20)
-	leavings := map[string]time.Time{}
+	drainStarts := map[string]time.Time{}
 
 	drain := true
-	leavings["e1"] = time.Now()
+	drainStarts["e1"] = time.Now()
 	assert.NilError(t, deployment.Engine("e1").Control(waitContext(t), standin.Control{Drain: &drain}))
-	load.waitStartedAfter(t, leavings["e1"].Add(drainGrace))
+	load.waitStartedAfter(t, drainStarts["e1"].Add(drainGrace))
 
-	leavings["e2"] = listAsLeaving(t, deployment, "e2")
-	load.waitStartedAfter(t, leavings["e2"].Add(drainGrace))
+	drainStarts["e2"] = listAsLeaving(t, deployment, "e2")
+	load.waitStartedAfter(t, drainStarts["e2"].Add(drainGrace))
 
 	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{Down: true}))
-	leavings["e3"] = listAsLeaving(t, deployment, "e3")
-	load.waitStartedAfter(t, leavings["e3"].Add(drainGrace))
+	drainStarts["e3"] = listAsLeaving(t, deployment, "e3")
+	load.waitStartedAfter(t, drainStarts["e3"].Add(drainGrace))
 	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{}))
 
 	outcomes := load.stop(t)
 	executions := executionsOf(t, deployment)
-	for id, leaving := range leavings {
-		assertNoViolations(t, history.CheckDrain(id, leaving, drainGrace, executions))
+	for id, drainStart := range drainStarts {
+		assertNoViolations(t, history.CheckDrain(id, drainStart, drainGrace, executions))
 	}
 	checkAnswers(t, outcomes, executions, false)
 }
@@ -58,7 +58,7 @@
 	return time.Now()
 }
 
-// callsAfterGrace is the number of calls after the grace that must be answered before engines are checked.
+// callsAfterGrace is the number of calls after the grace period that must be answered before engines are checked.
 const callsAfterGrace = 40
 
 // waitStartedAfter waits until callsAfterGrace calls that started after the given time were answered completely.
--- a/test/integration/exactly_once_test.go
+++ b/test/integration/exactly_once_test.go
@@ -40,7 +40,7 @@
 	return found
 }
 
-// Every slot is acknowledged exactly once through a killed and a frozen ledger owner, lost append answers,
+// Every slot is acknowledged exactly once despite a killed and a frozen ledger owner, lost append responses,
 // interrupted fetches, a trainer that loses its fetched samples, and a log outage.
 func TestInvariantExactlyOnceDelivery(t *testing.T) {
 	t.Parallel()
@@ -85,7 +85,7 @@
 		}
 		return nil
 	})
-	clear(client.held)
+	clear(client.fetchedSamples)
 	client.collectAll()
 
 	client.submitAndBegin("outage")
--- a/test/integration/fault_free_test.go
+++ b/test/integration/fault_free_test.go
@@ -70,13 +70,13 @@
 	return wanted
 }
 
-// deliveries returns the samples that the trainer may use.
+// deliveries returns the samples whose acknowledgements were accepted.
 func (r *trainerRun) deliveries(t *testing.T) []history.Delivery {
 	t.Helper()
 	var deliveries []history.Delivery
 	for _, accepted := range r.trainer.Journal().Accepted() {
 		text, known := r.trainer.PromptText(accepted.Sample.Step, accepted.Sample.Prompt)
-		assert.Check(t, known, "sample %s is of an unknown prompt", accepted.Sample.ID)
+		assert.Check(t, known, "sample %s is for an unknown prompt", accepted.Sample.ID)
 		deliveries = append(deliveries, history.Delivery{
 			Trainer: trainerName, Sample: accepted.Sample, PromptText: text,
 			TrainerVersion: accepted.TrainerVersion, Bound: r.config.Bound, Accepted: accepted.At,
--- a/test/integration/fault_kinds_test.go
+++ b/test/integration/fault_kinds_test.go
@@ -13,10 +13,10 @@
 // fault is one kind of failure; begin injects it and returns the function that ends it.
 type fault struct {
 	name  string
-	begin func(schedule *schedule) (end func())
+	begin func(inj *faultInjector) (end func())
 }
 
-// plannedStop ends only when the process has exited, so in a pair of faults it must be ended last.
+// plannedStop ends only when the process has exited, so it must be the second fault of a pair.
 const plannedStop = "node stopped by plan"
 
 func faults() []fault {
@@ -37,122 +37,124 @@
 	}
 }
 
-func killNode(s *schedule) func() {
-	node := s.node()
+func killNode(inj *faultInjector) func() {
+	node := inj.node()
 	node.Kill()
-	return func() { s.must(node.Start(waitContext(s.t))) }
+	return func() { inj.must(node.Start(waitContext(inj.t))) }
 }
 
-func freezeNode(s *schedule) func() {
-	node := s.node()
-	s.must(node.Suspend())
-	return func() { s.must(node.Resume()) }
+func freezeNode(inj *faultInjector) func() {
+	node := inj.node()
+	inj.must(node.Suspend())
+	return func() { inj.must(node.Resume()) }
 }
 
-func stopNode(s *schedule) func() {
-	node := s.node()
-	s.must(node.Signal(syscall.SIGTERM))
+func stopNode(inj *faultInjector) func() {
+	node := inj.node()
+	inj.must(node.Signal(syscall.SIGTERM))
 	return func() {
-		code, err := node.Process().Wait(waitContext(s.t))
-		s.must(err)
-		assert.Check(s.t, code == 0, "node %s exited with code %d", node.ID, code)
-		s.must(node.Start(waitContext(s.t)))
+		code, err := node.Process().Wait(waitContext(inj.t))
+		inj.must(err)
+		assert.Check(inj.t, code == 0, "node %s exited with code %d", node.ID, code)
+		inj.must(node.Start(waitContext(inj.t)))
 	}
 }
 
-func killEngine(s *schedule) func() {
-	engine := s.engine()
+func killEngine(inj *faultInjector) func() {
+	engine := inj.engine()
 	engine.Kill()
-	return func() { s.must(engine.Start(waitContext(s.t))) }
+	return func() { inj.must(engine.Start(waitContext(inj.t))) }
 }
 
-func stallEngineLink(s *schedule) func() {
-	link := s.engine().Link
-	s.must(link.Stall())
-	return func() { s.must(link.Restore()) }
+func stallEngineLink(inj *faultInjector) func() {
+	link := inj.engine().Link
+	inj.must(link.Stall())
+	return func() { inj.must(link.Restore()) }
 }
 
-func resetPeerLinks(s *schedule) func() {
-	for _, node := range s.deployment.Nodes() {
-		s.must(node.PeerLink.Reset())
+func resetPeerLinks(inj *faultInjector) func() {
+	for _, node := range inj.deployment.Nodes() {
+		inj.must(node.PeerLink.Reset())
 	}
 	return func() {}
 }
 
-func slowPeerLink(s *schedule) func() {
-	link := s.node().PeerLink
-	s.must(link.SetLatency(30 * time.Millisecond))
-	return func() { s.must(link.SetLatency(0)) }
+func slowPeerLink(inj *faultInjector) func() {
+	link := inj.node().PeerLink
+	inj.must(link.SetLatency(30 * time.Millisecond))
+	return func() { inj.must(link.SetLatency(0)) }
 }
 
-func cutLogLink(s *schedule) func() {
-	link := s.node().LogLink
+func cutLogLink(inj *faultInjector) func() {
+	link := inj.node().LogLink
 	link.Cut()
-	return func() { s.must(link.Restore()) }
+	return func() { inj.must(link.Restore()) }
 }
 
-func stopLog(s *schedule) func() {
-	s.logFaults.Down = true
-	s.controlLog()
+func stopLog(inj *faultInjector) func() {
+	inj.logFaults.Down = true
+	inj.controlLog()
 	return func() {
-		s.logFaults.Down = false
-		s.controlLog()
+		inj.logFaults.Down = false
+		inj.controlLog()
 	}
 }
 
-func loseAppendAnswers(s *schedule) func() {
-	s.logFaults.LoseAnswers, s.logFaults.LateMS = 0.5, 50
-	s.controlLog()
+func loseAppendAnswers(inj *faultInjector) func() {
+	inj.logFaults.LoseAnswers, inj.logFaults.LateMS = 0.5, 50
+	inj.controlLog()
 	return func() {
-		s.logFaults.LoseAnswers, s.logFaults.LateMS = 0, 0
-		s.controlLog()
+		inj.logFaults.LoseAnswers, inj.logFaults.LateMS = 0, 0
+		inj.controlLog()
 	}
 }
 
 // controlLog applies all faults of the log that are currently injected.
-func (s *schedule) controlLog() { s.must(s.deployment.ControlLog(waitContext(s.t), s.logFaults)) }
+func (inj *faultInjector) controlLog() {
+	inj.must(inj.deployment.ControlLog(waitContext(inj.t), inj.logFaults))
+}
 
-func failWeightLoad(s *schedule) func() {
-	engine := s.engine()
+func failWeightLoad(inj *faultInjector) func() {
+	engine := inj.engine()
 	failures := 1
 	if engine.Running() {
-		s.must(engine.Control(waitContext(s.t), standin.Control{FailNextLoads: &failures}))
+		inj.must(engine.Control(waitContext(inj.t), standin.Control{FailNextLoads: &failures}))
 	}
 	return func() {}
 }
 
-func repeatChunks(s *schedule) func() {
-	engine := s.engine()
+func repeatChunks(inj *faultInjector) func() {
+	engine := inj.engine()
 	set := func(on bool) {
 		if engine.Running() {
-			s.must(engine.Control(waitContext(s.t), standin.Control{RepeatChunks: &on}))
+			inj.must(engine.Control(waitContext(inj.t), standin.Control{RepeatChunks: &on}))
 		}
 	}
 	set(true)
 	return func() { set(false) }
 }
 
-func stopWeightStore(s *schedule) func() {
+func stopWeightStore(inj *faultInjector) func() {
 	down, up := true, false
-	s.must(s.deployment.ControlStore(waitContext(s.t), weightstore.Control{Down: &down}))
-	return func() { s.must(s.deployment.ControlStore(waitContext(s.t), weightstore.Control{Down: &up})) }
+	inj.must(inj.deployment.ControlStore(waitContext(inj.t), weightstore.Control{Down: &down}))
+	return func() { inj.must(inj.deployment.ControlStore(waitContext(inj.t), weightstore.Control{Down: &up})) }
 }
 
 // compatible reports whether two faults can be injected together: they must not both stop a node or an engine.
-func (s *schedule) compatible(first, second fault) bool {
-	for _, machine := range []string{"node", "engine"} {
-		if isProcessFault(first, machine) && isProcessFault(second, machine) {
+func (inj *faultInjector) compatible(first, second fault) bool {
+	for _, target := range []string{"node", "engine"} {
+		if isProcessFault(first, target) && isProcessFault(second, target) {
 			return false
 		}
 	}
 	return true
 }
 
-func isProcessFault(candidate fault, machine string) bool {
+func isProcessFault(candidate fault, target string) bool {
 	switch candidate.name {
-	case machine + " killed", machine + " frozen":
+	case target + " killed", target + " frozen":
 		return true
 	default:
-		return machine == "node" && candidate.name == plannedStop
+		return target == "node" && candidate.name == plannedStop
 	}
 }
--- a/test/integration/graceful_shutdown_test.go
+++ b/test/integration/graceful_shutdown_test.go
@@ -32,8 +32,8 @@
 		checkAnswers(t, outcomes, executions, true)
 		for i := range outcomes {
 			outcome := &outcomes[i]
-			whole := outcome.OK() || outcome.Refused() || outcome.Status == 0
-			assert.Check(t, whole, "a planned stop interrupted a call: %+v", outcome)
+			uninterrupted := outcome.OK() || outcome.Refused() || outcome.Status == 0
+			assert.Check(t, uninterrupted, "a planned stop interrupted a call: %+v", outcome)
 		}
 	}
 	assertNoViolations(t, history.CheckAtMostOnce(promptsOf(permitOutcomes), executions))
--- a/test/integration/log_outage_shutdown_test.go
+++ b/test/integration/log_outage_shutdown_test.go
@@ -38,7 +38,7 @@
 	checkAnswers(t, outcomes, executions, true)
 	for i := range outcomes {
 		outcome := &outcomes[i]
-		whole := outcome.OK() || outcome.Refused() || outcome.Status == 0
-		assert.Check(t, whole, "a planned stop interrupted a call: %+v", outcome)
+		uninterrupted := outcome.OK() || outcome.Refused() || outcome.Status == 0
+		assert.Check(t, uninterrupted, "a planned stop interrupted a call: %+v", outcome)
 	}
 }
--- a/test/integration/ownership_test.go
+++ b/test/integration/ownership_test.go
@@ -21,7 +21,7 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// submitters submit small steps at every node and record the epoch under which each was accepted.
+// submitters submit small steps to every node and record the epoch under which each was accepted.
 type submitters struct {
 	client *trainerClient
 	// trainerVersion is the version that each step names.
@@ -190,8 +190,8 @@
 	}
 }
 
-// A ledger's record counts only under the epoch in force, with owners frozen past a takeover, killed or cut off
-// from the log, and lost append answers.
+// A record of a ledger takes effect only under the epoch in force, also when owners are frozen during a takeover, killed
+// or cut off from the log, and when append responses are lost.
 func TestLedgerOwnershipIsLinearizable(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t, func(config *topology.Config) {
--- a/test/integration/refusal_test.go
+++ b/test/integration/refusal_test.go
@@ -53,8 +53,8 @@
 			ended[history.PromptHash(outcome.Call.Prompt)] = true
 		}
 		for _, execution := range executions {
-			cut := execution.Service == lookupService && execution.Outcome == standin.OutcomeRunning
-			if cut && !ended[execution.PromptHash] {
+			wasRunning := execution.Service == lookupService && execution.Outcome == standin.OutcomeRunning
+			if wasRunning && !ended[execution.PromptHash] {
 				return errors.Errorf("request %s has not ended", execution.RequestID)
 			}
 		}
@@ -76,10 +76,10 @@
 	overload := newLookupLoad(deployment, 60, 30)
 	overload.CallTimeout = 20 * time.Second
 	load := startLoad(t, overload)
-	single := newPermitLoad(deployment, 20, 30)
-	single.WithIdempotencyKeys = false
-	single.CallTimeout = 20 * time.Second
-	unrepeatable := startLoad(t, single)
+	permitLoad := newPermitLoad(deployment, 20, 30)
+	permitLoad.WithIdempotencyKeys = false
+	permitLoad.CallTimeout = 20 * time.Second
+	permits := startLoad(t, permitLoad)
 	load.waitOK(t, 10)
 
 	// One of these nodes is the dispatcher of their zone's cell.
@@ -101,16 +101,16 @@
 		resetAllLinks(t, deployment, load)
 	}
 	killAllEngines(t, deployment, load)
-	leaving := deployment.Node("n3")
-	code, err := leaving.Terminate(waitContext(t))
+	stopped := deployment.Node("n3")
+	code, err := stopped.Terminate(waitContext(t))
 	assert.NilError(t, err)
 	assert.Equal(t, code, 0)
 	load.waitOK(t, 10)
 
-	singles := unrepeatable.stop(t)
-	outcomes := append(load.stop(t), singles...)
+	permitOutcomes := permits.stop(t)
+	outcomes := append(load.stop(t), permitOutcomes...)
 	executions := executionsOf(t, deployment)
-	assertNoViolations(t, history.CheckAtMostOnce(promptsOf(singles), executions))
+	assertNoViolations(t, history.CheckAtMostOnce(promptsOf(permitOutcomes), executions))
 	refusals := 0
 	for i := range outcomes {
 		if outcomes[i].Refused() {
--- a/test/integration/staleness_test.go
+++ b/test/integration/staleness_test.go
@@ -22,7 +22,7 @@
 	})
 }
 
-// fetchUntilSamples fetches until samples arrive and returns that fetch.
+// fetchUntilSamples fetches until a response has samples and returns it.
 func (c *trainerClient) fetchUntilSamples() api.FetchResponse {
 	c.t.Helper()
 	var fetched api.FetchResponse
--- a/test/integration/operators_test.go
+++ b/test/integration/table_edits_test.go
@@ -93,11 +93,11 @@
 	return o.all()
 }
 
-// tableEditors edit the table concurrently and record the verdicts.
+// tableEditors edit the table concurrently and record the outcome of each proposal.
 type tableEditors struct {
 	t  *testing.T
 	mu sync.Mutex
-	// share numbers the edits, so that all tables differ.
+	// share is the share of the lookup row in the latest edit; each edit raises it, so that all tables differ.
 	share      int
 	operations []porcupine.Operation
 	accepted   []acceptedRevision
@@ -108,24 +108,24 @@
 	at       time.Time
 }
 
-func (o *tableEditors) nextTable() string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.share++
-	row := fmt.Sprintf("clerk-lookup,live,shared,clerk,latest,9,%d,-,-,yes,*,50", o.share)
+func (e *tableEditors) nextTable() string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.share++
+	row := fmt.Sprintf("clerk-lookup,live,shared,clerk,latest,9,%d,-,-,yes,*,50", e.share)
 	return table(row, defaultRows[1], defaultRows[2])
 }
 
-// edit proposes one change of the node's table in force and repeats the proposal until its verdict is known or ctx
+// edit proposes one change of the node's table in force and repeats the proposal until its outcome is known or ctx
 // ends.
-func (o *tableEditors) edit(ctx context.Context, node *topology.Node) {
+func (e *tableEditors) edit(ctx context.Context, node *topology.Node) {
 	current, err := node.Table(ctx)
 	if err != nil {
 		return
 	}
 	proposal := api.TableProposal{
 		BaseRevision: current.Revision,
-		CSV:          o.nextTable(),
+		CSV:          e.nextTable(),
 		Operator:     node.ID,
 		ProposalID:   xid.New().String(),
 	}
@@ -135,19 +135,19 @@
 		Return: history.UnknownReturn,
 		Output: history.TableResult{Outcome: history.Unknown},
 	}
-	for ctx.Err() == nil && !o.propose(ctx, node, proposal, &operation) {
+	for ctx.Err() == nil && !e.propose(ctx, node, proposal, &operation) {
 		select {
 		case <-ctx.Done():
 		case <-time.After(observeInterval):
 		}
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.operations = append(o.operations, operation)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.operations = append(e.operations, operation)
 }
 
-// propose sends the proposal once and reports whether the answer is final.
-func (o *tableEditors) propose(
+// propose sends the proposal once and reports whether its outcome is known.
+func (e *tableEditors) propose(
 	ctx context.Context, node *topology.Node, proposal api.TableProposal, operation *porcupine.Operation,
 ) bool {
 	accepted, err := node.ProposeTable(ctx, proposal)
@@ -155,9 +155,9 @@
 	if err == nil {
 		operation.Return = now.UnixNano()
 		operation.Output = history.TableResult{Outcome: history.Accepted, Revision: accepted.Revision}
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		o.accepted = append(o.accepted, acceptedRevision{accepted.Revision, now})
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.accepted = append(e.accepted, acceptedRevision{accepted.Revision, now})
 		return true
 	}
 	var failure *topology.StatusError
@@ -170,14 +170,14 @@
 }
 
 // editConcurrently makes the given number of edits at each node, all nodes at once.
-func (o *tableEditors) editConcurrently(edits int, nodes ...*topology.Node) {
-	o.t.Helper()
+func (e *tableEditors) editConcurrently(edits int, nodes ...*topology.Node) {
+	e.t.Helper()
 	var racing sync.WaitGroup
-	ctx := waitContext(o.t)
+	ctx := waitContext(e.t)
 	for _, node := range nodes {
 		racing.Go(func() {
 			for range edits {
-				o.edit(ctx, node)
+				e.edit(ctx, node)
 			}
 		})
 	}
@@ -185,11 +185,11 @@
 }
 
 // latestAccepted returns the highest accepted revision.
-func (o *tableEditors) latestAccepted() acceptedRevision {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (e *tableEditors) latestAccepted() acceptedRevision {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	var highest acceptedRevision
-	for _, accepted := range o.accepted {
+	for _, accepted := range e.accepted {
 		if accepted.revision > highest.revision {
 			highest = accepted
 		}
--- a/test/integration/trainer_client_test.go
+++ b/test/integration/trainer_client_test.go
@@ -19,7 +19,8 @@
 	"github.com/corkpulley/corkpulley/test/history"
 )
 
-// trainerClient is a trainer whose calls are made by the test. It records what it requested and what it may use.
+// trainerClient is a trainer whose calls are made by the test. It records the slots that it requested and the samples
+// whose acknowledgements were accepted.
 type trainerClient struct {
 	t          *testing.T
 	deployment *topology.Deployment
@@ -31,22 +32,22 @@
 	version  uint64
 	bound    int
 	prompts  map[string][]string
-	// held holds all fetched samples by ID, across fetches.
-	held       map[string]api.Sample
-	wanted     []history.Slot
-	deliveries []history.Delivery
+	// fetchedSamples holds the samples of all fetches by ID.
+	fetchedSamples map[string]api.Sample
+	wanted         []history.Slot
+	deliveries     []history.Delivery
 }
 
 func newTrainerClient(t *testing.T, deployment *topology.Deployment) *trainerClient {
 	t.Helper()
 	return &trainerClient{
-		t:          t,
-		deployment: deployment,
-		http:       &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
-		version:    1,
-		bound:      trainerStalenessBound,
-		prompts:    map[string][]string{},
-		held:       map[string]api.Sample{},
+		t:              t,
+		deployment:     deployment,
+		http:           &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+		version:        1,
+		bound:          trainerStalenessBound,
+		prompts:        map[string][]string{},
+		fetchedSamples: map[string]api.Sample{},
 	}
 }
 
@@ -130,7 +131,7 @@
 	var response api.FetchResponse
 	c.call(http.MethodPost, "/fetch", c.fetchRequest(wait), &response)
 	for _, sample := range response.Samples {
-		c.held[sample.ID] = sample
+		c.fetchedSamples[sample.ID] = sample
 	}
 	return response
 }
@@ -157,8 +158,8 @@
 	var response api.AckResponse
 	c.call(http.MethodPost, "/ack", request, &response)
 	for _, id := range response.Accepted {
-		sample, held := c.held[id]
-		assert.Assert(c.t, held, "sample %s was accepted but never fetched", id)
+		sample, found := c.fetchedSamples[id]
+		assert.Assert(c.t, found, "sample %s was accepted but never fetched", id)
 		c.deliveries = append(c.deliveries, history.Delivery{
 			Trainer: trainerName, Sample: sample, PromptText: c.prompts[sample.Step][sample.Prompt],
 			TrainerVersion: request.TrainerVersion, Bound: c.bound, Accepted: time.Now(),
@@ -202,9 +203,9 @@
 }
 
 // checkDeliveries checks the trainer's history.
-func (c *trainerClient) checkDeliveries(ran []history.Execution) {
+func (c *trainerClient) checkDeliveries(executions []history.Execution) {
 	c.t.Helper()
 	assertNoViolations(c.t, history.CheckExactlyOnce(c.wanted, c.deliveries))
 	assertNoViolations(c.t, history.CheckStaleness(c.deliveries))
-	assertNoViolations(c.t, history.CheckProvenance(c.deliveries, ran))
+	assertNoViolations(c.t, history.CheckProvenance(c.deliveries, executions))
 }
