--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/bench/soak"
 )
 
-// Bounds are wide because other tests share the machine.
+// Slack widens the time bounds, since other tests run on the same machine.
 func TestShortSoak(t *testing.T) {
 	var output bytes.Buffer
 	arguments := &soak.Arguments{
@@ -46,7 +46,7 @@
 }
 
 func TestSeedFileIsValid(t *testing.T) {
-	kept, err := soak.ReadSeeds("seeds.toml")
+	seeds, err := soak.ReadSeeds("seeds.toml")
 	assert.NilError(t, err)
-	assert.Assert(t, len(kept) > 0)
+	assert.Assert(t, len(seeds) > 0)
 }
