--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -14,13 +14,14 @@
 	pollInterval = 5 * time.Millisecond
 )
 
-// Until polls the condition until it holds and fails the test, naming what it waited for, on a timeout.
+// Until polls the condition until it holds. On a timeout it fails the test with a message that names what it waited for.
 func Until(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	UntilExtended(t, what, 0, condition)
 }
 
-// UntilExtended is Until with extra added to the timeout, for effects that the product may delay by that time.
+// UntilExtended is Until with extra added to the timeout, for conditions that the system under test may delay by that
+// time.
 func UntilExtended(t testing.TB, what string, extra time.Duration, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
