--- a/internal/core/scheduler/cell.go
+++ b/internal/core/scheduler/cell.go
@@ -58,15 +58,15 @@
 	if !item.Deadline.After(now) {
 		return c.timeout(now, &item)
 	}
-	into := c.class(item.Priority)
+	target := c.class(item.Priority)
 	if !item.Requeued {
-		if err := c.admit(now, into, &item); err != nil {
+		if err := c.admit(now, target, &item); err != nil {
 			return err
 		}
 	}
 	c.sequence++
 	queued := &entry{item: item, sequence: c.sequence, enqueued: now}
-	into.push(now, c.flowName(&item), queued, c.config.Policy.firstInFirstOut())
+	target.push(now, c.flowName(&item), queued, c.config.Policy.firstInFirstOut())
 	heap.Push(&c.deadlines, queued)
 	c.queued[item.ID] = queued
 	c.queuedByService[item.Service]++
@@ -75,16 +75,16 @@
 
 // admit returns an error if the queue of the class is full or if too many items of
 // the service are queued behind its cap.
-func (c *Cell) admit(now time.Time, into *class, item *Item) error {
-	if into.queued >= c.config.QueueLimit {
-		err := errkind.New(errkind.QueueFull, "queue of priority %d is full (%d)", item.Priority, into.queued)
+func (c *Cell) admit(now time.Time, target *class, item *Item) error {
+	if target.queued >= c.config.QueueLimit {
+		err := errkind.New(errkind.QueueFull, "queue of priority %d is full (%d)", item.Priority, target.queued)
 		err.RetryAfter = c.drain.retryAfter(now, c.config.QueueLimit/retryDrainDivisor)
 		return err
 	}
-	behindCap := max(capQueueFactor*item.Cap, capQueueMinimum)
-	if c.atCap(item) && c.queuedByService[item.Service] >= behindCap {
+	maxQueued := max(capQueueFactor*item.Cap, capQueueMinimum)
+	if c.atCap(item) && c.queuedByService[item.Service] >= maxQueued {
 		err := errkind.New(errkind.CapReached,
-			"service %s has %d requests in flight in this cell and %d queued", item.Service, item.Cap, behindCap)
+			"service %s has %d requests in flight in this cell and %d queued", item.Service, item.Cap, maxQueued)
 		err.RetryAfter = c.drain.retryAfter(now, c.queuedByService[item.Service])
 		return err
 	}
@@ -140,7 +140,7 @@
 		return
 	}
 	if assigned := c.engine(running.engineID); assigned != nil && assigned.running[id] == running {
-		assigned.progressed(running, generated)
+		assigned.recordProgress(running, generated)
 	}
 }
 
@@ -150,7 +150,7 @@
 	if !c.Unassign(id) {
 		return false
 	}
-	c.drain.finished(now)
+	c.drain.recordFinished(now)
 	return true
 }
 
--- a/internal/core/scheduler/cell_test.go
+++ b/internal/core/scheduler/cell_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func dispatched(cell *Cell, now time.Time) []string {
+func dispatchIDs(cell *Cell, now time.Time) []string {
 	var ids []string
 	for _, assignment := range cell.Dispatch(now) {
 		ids = append(ids, assignment.Item.ID)
@@ -54,7 +54,7 @@
 		urgent, liveItem("live"))
 	assert.Equal(t, len(cell.Dispatch(start)), 0)
 	addEngine(cell, "a", 8)
-	assert.DeepEqual(t, dispatched(cell, start), []string{"live", "urgent", "long", "short"})
+	assert.DeepEqual(t, dispatchIDs(cell, start), []string{"live", "urgent", "long", "short"})
 }
 
 func TestFairSharesByExpectedTokens(t *testing.T) {
@@ -100,7 +100,7 @@
 	cell := NewCell(Config{})
 	addEngine(cell, "a", 1)
 	mustEnqueue(t, cell, liveItem("first"), liveItem("second"))
-	assert.DeepEqual(t, dispatched(cell, start), []string{"first"})
+	assert.DeepEqual(t, dispatchIDs(cell, start), []string{"first"})
 	assert.Assert(t, cell.Finished(start, "first"))
 	assert.Assert(t, !cell.Finished(start, "first"))
 	addEngine(cell, "a", 0)
@@ -120,7 +120,7 @@
 	}
 	assert.Equal(t, len(cell.Dispatch(start)), 3)
 	mustEnqueue(t, cell, liveItem("live"))
-	assert.DeepEqual(t, dispatched(cell, start), []string{"live"})
+	assert.DeepEqual(t, dispatchIDs(cell, start), []string{"live"})
 }
 
 func TestItemWithoutEligibleEngineDoesNotBlockOthers(t *testing.T) {
@@ -129,7 +129,7 @@
 	blocked := trainerItem("blocked", "train", 900)
 	blocked.MinVersion = 2
 	mustEnqueue(t, cell, blocked, trainerItem("free", "train", 10))
-	assert.DeepEqual(t, dispatched(cell, start), []string{"free"})
+	assert.DeepEqual(t, dispatchIDs(cell, start), []string{"free"})
 	assert.Assert(t, cell.Remove("blocked"))
 	assert.Assert(t, !cell.Remove("free"))
 }
--- a/internal/core/scheduler/digest.go
+++ b/internal/core/scheduler/digest.go
@@ -33,16 +33,16 @@
 		digest.Engines++
 		digest.Slots += candidate.status.MaxBatch
 		reported += candidate.reportedLoad()
-		for _, held := range candidate.status.Models {
-			counts[held]++
+		for _, loaded := range candidate.status.Models {
+			counts[loaded]++
 		}
 	}
 	if c.config.Policy == PolicyOneHop {
 		// Other nodes send to the same engines, so only reported load is complete.
 		digest.Running = reported
 	}
-	for held, engines := range counts {
-		digest.Models = append(digest.Models, message.ModelCount{ModelVersion: held, Engines: engines})
+	for loaded, engines := range counts {
+		digest.Models = append(digest.Models, message.ModelCount{ModelVersion: loaded, Engines: engines})
 	}
 	slices.SortFunc(digest.Models, func(a, b message.ModelCount) int {
 		return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Version, b.Version))
@@ -52,9 +52,9 @@
 
 // RunningOn returns the number of items that run on an engine.
 func (c *Cell) RunningOn(engineID string) int {
-	host := c.engine(engineID)
-	if host == nil {
+	state := c.engine(engineID)
+	if state == nil {
 		return 0
 	}
-	return len(host.running)
+	return len(state.running)
 }
--- a/internal/core/scheduler/dispatch.go
+++ b/internal/core/scheduler/dispatch.go
@@ -30,8 +30,8 @@
 			return assignment, true
 		}
 	}
-	for _, from := range c.classes {
-		if assignment, ok := c.dispatchFrom(now, from, false); ok {
+	for _, source := range c.classes {
+		if assignment, ok := c.dispatchFrom(now, source, false); ok {
 			return assignment, true
 		}
 	}
@@ -65,19 +65,19 @@
 }
 
 // dispatchFrom assigns one item of a class, in fair-queuing order of its flows.
-func (c *Cell) dispatchFrom(now time.Time, from *class, starvedTurn bool) (Assignment, bool) {
-	if from.queued == 0 {
+func (c *Cell) dispatchFrom(now time.Time, source *class, forStarvedClass bool) (Assignment, bool) {
+	if source.queued == 0 {
 		return Assignment{}, false
 	}
-	trainersMayRun := c.trainersMayRun(starvedTurn)
-	for _, candidate := range from.flowsInOrder() {
-		for _, within := range candidate.lanesInOrder(c.config.Policy.firstInFirstOut()) {
-			head := within.head()
+	trainersMayRun := c.trainersMayRun(forStarvedClass)
+	for _, nextFlow := range source.flowsInOrder() {
+		for _, nextLane := range nextFlow.lanesInOrder(c.config.Policy.firstInFirstOut()) {
+			head := nextLane.head()
 			if c.atCap(&head.item) || (!head.item.Live && !trainersMayRun) {
 				continue
 			}
 			if selected := c.selectEngine(head); selected != nil {
-				return c.assign(now, from, head, selected), true
+				return c.assign(now, source, head, selected), true
 			}
 		}
 	}
@@ -85,9 +85,9 @@
 }
 
 // trainersMayRun reports whether a trainer item may take a slot without using the
-// live reserve. Normally the reserved slots must stay free; on the turn of a starved
-// class it is sufficient that trainers hold fewer than the unreserved slots.
-func (c *Cell) trainersMayRun(starvedTurn bool) bool {
+// live reserve. Normally the reserved slots must stay free; for a starved class it is
+// sufficient that trainers hold fewer than the unreserved slots.
+func (c *Cell) trainersMayRun(forStarvedClass bool) bool {
 	if c.config.Policy.firstInFirstOut() || c.liveReserve <= 0 {
 		return true
 	}
@@ -100,7 +100,7 @@
 		}
 	}
 	reserved := c.reservedSlots(slots)
-	if starvedTurn {
+	if forStarvedClass {
 		return trainers < slots-reserved
 	}
 	return free > reserved
@@ -147,8 +147,8 @@
 }
 
 // assign moves an entry from the queue to the engine.
-func (c *Cell) assign(now time.Time, from *class, queued *entry, selected *engineState) Assignment {
-	from.recordDispatch(now, queued)
+func (c *Cell) assign(now time.Time, source *class, queued *entry, selected *engineState) Assignment {
+	source.recordDispatch(now, queued)
 	c.dequeue(queued)
 	selected.start(queued)
 	c.running[queued.item.ID] = queued
--- a/internal/core/scheduler/drainrate.go
+++ b/internal/core/scheduler/drainrate.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func (r *drainRate) finished(now time.Time) {
+func (r *drainRate) recordFinished(now time.Time) {
 	r.decay(now)
 	r.count++
 }
--- a/internal/core/scheduler/engine.go
+++ b/internal/core/scheduler/engine.go
@@ -35,9 +35,9 @@
 	// peaks are the maximum numbers of running entries in the last report
 	// intervals, newest first.
 	peaks [peakHistory]int
-	// foreign is the estimated number of requests from other senders: the reported
-	// load in excess of the recent peaks.
-	foreign int
+	// externalLoad is the estimated number of requests from other senders: the
+	// reported load in excess of the recent peaks.
+	externalLoad int
 }
 
 func newEngineState(id string) *engineState {
@@ -49,18 +49,18 @@
 	s.leaving = update.Leaving
 	s.reachable = update.Reachable
 	if update.NewReport {
-		s.updateForeign()
+		s.updateExternalLoad()
 	}
 }
 
-// updateForeign updates foreign from a load report. Because reports lag, only load
-// above every recent peak is attributed to other senders.
-func (s *engineState) updateForeign() {
+// updateExternalLoad updates externalLoad from a load report. Because reports lag, only
+// load above every recent peak is attributed to other senders.
+func (s *engineState) updateExternalLoad() {
 	highest := 0
 	for _, peak := range s.peaks {
 		highest = max(highest, peak)
 	}
-	s.foreign = max(0, s.reportedLoad()-highest)
+	s.externalLoad = max(0, s.reportedLoad()-highest)
 	copy(s.peaks[1:], s.peaks[:])
 	s.peaks[0] = len(s.running)
 }
@@ -74,14 +74,14 @@
 
 // free returns the number of unused batch slots.
 func (s *engineState) free() int {
-	return max(0, s.status.MaxBatch-len(s.running)-s.foreign)
+	return max(0, s.status.MaxBatch-len(s.running)-s.externalLoad)
 }
 
 // version returns the version of a model on the engine; false if it is not loaded.
 func (s *engineState) version(model string) (uint64, bool) {
-	for _, held := range s.status.Models {
-		if held.Model == model {
-			return held.Version, true
+	for _, loaded := range s.status.Models {
+		if loaded.Model == model {
+			return loaded.Version, true
 		}
 	}
 	return 0, false
@@ -98,7 +98,7 @@
 	s.peaks[0] = max(s.peaks[0], len(s.running))
 }
 
-func (s *engineState) progressed(running *entry, generated int) {
+func (s *engineState) recordProgress(running *entry, generated int) {
 	s.totalRemaining -= running.remainingTokens
 	running.remainingTokens = running.remainingAfter(generated)
 	s.totalRemaining += running.remainingTokens
--- a/internal/core/scheduler/filter.go
+++ b/internal/core/scheduler/filter.go
@@ -57,8 +57,8 @@
 
 // passes reports whether all filters accept the engine.
 func passes(filters []filter, item *Item, candidate *engineState) bool {
-	for _, keep := range filters {
-		if !keep(item, candidate) {
+	for _, accepts := range filters {
+		if !accepts(item, candidate) {
 			return false
 		}
 	}
--- a/internal/core/scheduler/filter_test.go
+++ b/internal/core/scheduler/filter_test.go
@@ -40,7 +40,7 @@
 			e.status.Loading = &engine.ModelVersion{Model: testModel, Version: 4}
 		}},
 		{"no slot", filterFreeSlot, func(_ *Item, e *engineState) { e.status.MaxBatch = 0 }},
-		{"foreign work", filterFreeSlot, func(_ *Item, e *engineState) { e.foreign = 2 }},
+		{"external load", filterFreeSlot, func(_ *Item, e *engineState) { e.externalLoad = 2 }},
 		{"reported full", filterReportedSlot, func(_ *Item, e *engineState) { e.status.Waiting = 2 }},
 	}
 	for _, test := range tests {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestUpdateEstimatesForeignRequests(t *testing.T) {
+func TestUpdateEstimatesExternalLoad(t *testing.T) {
 	candidate := servingEngine("a", 1, 8)
 	for range peakHistory {
 		candidate.update(&EngineUpdate{ID: "a", Status: candidate.status, Reachable: true, NewReport: true})
--- a/internal/core/scheduler/flow.go
+++ b/internal/core/scheduler/flow.go
@@ -20,21 +20,21 @@
 
 func (f *flow) push(queued *entry, firstInFirstOut bool) {
 	key := laneKeyOf(&queued.item)
-	into, ok := f.lanes[key]
+	target, ok := f.lanes[key]
 	if !ok {
-		into = &lane{key: key, entries: laneHeap{firstInFirstOut: firstInFirstOut}}
-		f.lanes[key] = into
+		target = &lane{key: key, entries: laneHeap{firstInFirstOut: firstInFirstOut}}
+		f.lanes[key] = target
 	}
-	into.push(queued)
+	target.push(queued)
 	queued.flow = f
 	f.queued++
 }
 
 func (f *flow) remove(queued *entry) {
-	from := queued.lane
-	from.remove(queued)
-	if from.empty() {
-		delete(f.lanes, from.key)
+	source := queued.lane
+	source.remove(queued)
+	if source.empty() {
+		delete(f.lanes, source.key)
 	}
 	f.queued--
 }
@@ -77,16 +77,16 @@
 	if c.queued == 0 {
 		c.waitingSince = now
 	}
-	into, ok := c.flows[flowName]
+	target, ok := c.flows[flowName]
 	if !ok {
-		into = &flow{service: flowName, lanes: make(map[laneKey]*lane)}
-		c.flows[flowName] = into
+		target = &flow{service: flowName, lanes: make(map[laneKey]*lane)}
+		c.flows[flowName] = target
 	}
-	if into.queued == 0 {
+	if target.queued == 0 {
 		// An idle service accumulates no credit.
-		into.startTag = max(into.startTag, c.virtualTime)
+		target.startTag = max(target.startTag, c.virtualTime)
 	}
-	into.push(queued, firstInFirstOut)
+	target.push(queued, firstInFirstOut)
 	c.queued++
 }
 
@@ -97,9 +97,9 @@
 
 // recordDispatch updates the tags and waitingSince for a dispatched entry.
 func (c *class) recordDispatch(now time.Time, queued *entry) {
-	from := queued.flow
-	c.virtualTime = max(c.virtualTime, from.startTag)
-	from.startTag += float64(queued.expectedTokens()) / float64(max(queued.item.Share, 1))
+	source := queued.flow
+	c.virtualTime = max(c.virtualTime, source.startTag)
+	source.startTag += float64(queued.expectedTokens()) / float64(max(queued.item.Share, 1))
 	c.waitingSince = now
 }
 
--- a/internal/core/scheduler/property_test.go
+++ b/internal/core/scheduler/property_test.go
@@ -112,7 +112,7 @@
 		delete(m.waiting, expired.Item.ID)
 	}
 	for _, item := range m.waiting {
-		assert.Assert(t, item.Deadline.After(m.now), "%s outlived its deadline", item.ID)
+		assert.Assert(t, item.Deadline.After(m.now), "%s is still queued after its deadline", item.ID)
 	}
 }
 
@@ -165,7 +165,7 @@
 			for _, id := range running {
 				cell.Finished(now, id)
 			}
-			running = dispatched(cell, now)
+			running = dispatchIDs(cell, now)
 			now = now.Add(hold)
 		}
 	})
--- a/internal/core/scheduler/score.go
+++ b/internal/core/scheduler/score.go
@@ -45,11 +45,11 @@
 
 // score returns the weighted sum of an engine's scores for an entry.
 func (w Weights) score(
-	queued *entry, candidate *engineState, among *candidates, prefixes *prefixcache.Index,
+	queued *entry, candidate *engineState, eligible *candidates, prefixes *prefixcache.Index,
 ) float64 {
 	return w.Prefix*scorePrefix(queued, candidate, prefixes) +
-		w.Load*scoreLoad(candidate, among) +
-		w.Freshness*scoreFreshness(queued, candidate, among)
+		w.Load*scoreLoad(candidate, eligible) +
+		w.Freshness*scoreFreshness(queued, candidate, eligible)
 }
 
 // scorePrefix is the share of the prompt's blocks that the engine is expected to
@@ -69,22 +69,22 @@
 
 // scoreLoad is 1 for an idle engine and decreases with the slots in use and with
 // the expected remaining tokens relative to the busiest candidate.
-func scoreLoad(candidate *engineState, among *candidates) float64 {
+func scoreLoad(candidate *engineState, eligible *candidates) float64 {
 	freeSlots := float64(candidate.free()) / float64(max(candidate.status.MaxBatch, 1))
-	if among.maxRemainingTokens == 0 {
+	if eligible.maxRemainingTokens == 0 {
 		return freeSlots
 	}
-	freeTokens := 1 - float64(candidate.totalRemaining)/float64(among.maxRemainingTokens)
+	freeTokens := 1 - float64(candidate.totalRemaining)/float64(eligible.maxRemainingTokens)
 	return (freeSlots + freeTokens) / 2
 }
 
 // scoreFreshness is 1 for the newest version among the candidates, 0 for the oldest,
 // and 0 for all if their versions are equal.
-func scoreFreshness(queued *entry, candidate *engineState, among *candidates) float64 {
-	if among.highestVersion == among.lowestVersion {
+func scoreFreshness(queued *entry, candidate *engineState, eligible *candidates) float64 {
+	if eligible.highestVersion == eligible.lowestVersion {
 		return 0
 	}
 	version, _ := candidate.version(queued.item.Model)
-	above := float64(version - among.lowestVersion)
-	return above / float64(among.highestVersion-among.lowestVersion)
+	above := float64(version - eligible.lowestVersion)
+	return above / float64(eligible.highestVersion-eligible.lowestVersion)
 }
--- a/internal/core/scheduler/score_test.go
+++ b/internal/core/scheduler/score_test.go
@@ -25,13 +25,13 @@
 	idle := servingEngine("a", 3, 2)
 	busy := servingEngine("b", 5, 2)
 	busy.start(&entry{item: Item{ID: "r", ExpectedTokens: 100}})
-	among := &candidates{engines: []*engineState{idle, busy}}
-	among.computeRanges(testModel)
+	eligible := &candidates{engines: []*engineState{idle, busy}}
+	eligible.computeRanges(testModel)
 	queued := &entry{item: Item{Model: testModel}}
-	assert.Equal(t, scoreLoad(idle, among), 1.0)
-	assert.Equal(t, scoreLoad(busy, among), 0.25)
-	assert.Equal(t, scoreFreshness(queued, idle, among), 0.0)
-	assert.Equal(t, scoreFreshness(queued, busy, among), 1.0)
+	assert.Equal(t, scoreLoad(idle, eligible), 1.0)
+	assert.Equal(t, scoreLoad(busy, eligible), 0.25)
+	assert.Equal(t, scoreFreshness(queued, idle, eligible), 0.0)
+	assert.Equal(t, scoreFreshness(queued, busy, eligible), 1.0)
 }
 
 func TestRemainingAfter(t *testing.T) {
