--- a/internal/core/weights/cell_backoff.go
+++ b/internal/core/weights/cell_backoff.go
@@ -49,22 +49,22 @@
 // observe updates the backoffs from the cells' counts and drops those of cells
 // that no longer exist.
 func (p *Planner) observe(now time.Time, cells []Cell) {
-	seen := make(map[message.CellID]cellBackoff, len(cells))
+	updated := make(map[message.CellID]cellBackoff, len(cells))
 	for _, cell := range cells {
-		known := p.backoffs[cell.ID]
+		backoff := p.backoffs[cell.ID]
 		switch {
-		case cell.Broken > known.broken:
-			known.extend(now)
-		case cell.AtVersion > known.atVersion:
-			known = cellBackoff{}
-		case known.stalled(now, cell):
-			known.extend(now)
+		case cell.Broken > backoff.broken:
+			backoff.extend(now)
+		case cell.AtVersion > backoff.atVersion:
+			backoff = cellBackoff{}
+		case backoff.stalled(now, cell):
+			backoff.extend(now)
 		}
-		known.broken = cell.Broken
-		known.atVersion = cell.AtVersion
-		seen[cell.ID] = known
+		backoff.broken = cell.Broken
+		backoff.atVersion = cell.AtVersion
+		updated[cell.ID] = backoff
 	}
-	p.backoffs = seen
+	p.backoffs = updated
 }
 
 func (p *Planner) backingOff(now time.Time, cell message.CellID) bool {
--- a/internal/core/weights/floor.go
+++ b/internal/core/weights/floor.go
@@ -8,9 +8,9 @@
 // The coordinator applies it per pool and the dispatcher per cell. Because each
 // rounds separately, a cell may start fewer loads than its allotment.
 func FloorEngines(engines, percent int) int {
-	const whole = 100
-	floor := (engines*percent + whole - 1) / whole
-	if percent < whole {
+	const fullPercent = 100
+	floor := (engines*percent + fullPercent - 1) / fullPercent
+	if percent < fullPercent {
 		floor = min(floor, engines-1)
 	}
 	return floor
--- a/internal/core/weights/plan_test.go
+++ b/internal/core/weights/plan_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// startLoads starts up to most loads, on broken engines first.
-func (s *simulatedCell) startLoads(most int) {
-	for range most {
+// startLoads starts up to limit loads, on broken engines first.
+func (s *simulatedCell) startLoads(limit int) {
+	for range limit {
 		if s.loading >= s.allotment || s.done+s.loading == s.engines {
 			return
 		}
@@ -43,8 +43,8 @@
 	}
 }
 
-func (s *simulatedCell) finishLoads(most int, fail bool) {
-	for range min(most, s.loading) {
+func (s *simulatedCell) finishLoads(limit int, fail bool) {
+	for range min(limit, s.loading) {
 		s.loading--
 		if fail {
 			s.broken++
@@ -67,17 +67,17 @@
 	return cells
 }
 
-func checkBounds(t *rapid.T, cells []*simulatedCell, maxConcurrent, allowedOut int) {
-	loading, out := 0, 0
+func checkBounds(t *rapid.T, cells []*simulatedCell, maxConcurrent, maxUnavailable int) {
+	loading, unavailable := 0, 0
 	for _, cell := range cells {
 		loading += cell.loading
-		out += cell.loading + cell.broken
+		unavailable += cell.loading + cell.broken
 	}
 	if loading > maxConcurrent {
 		t.Fatalf("%d loads at once, at most %d allowed", loading, maxConcurrent)
 	}
-	if out > allowedOut {
-		t.Fatalf("%d engines out of service, at most %d allowed", out, allowedOut)
+	if unavailable > maxUnavailable {
+		t.Fatalf("%d engines out of service, at most %d allowed", unavailable, maxUnavailable)
 	}
 }
 
@@ -90,18 +90,18 @@
 		for _, cell := range cells {
 			total += cell.engines
 		}
-		allowedOut := total - (total*floor+99)/100
+		maxUnavailable := total - (total*floor+99)/100
 		if floor < 100 {
-			allowedOut = max(allowedOut, 1)
+			maxUnavailable = max(maxUnavailable, 1)
 		}
 		var planner weights.Planner
 		now := startTime
 		round := func(deliver func(string) bool, fail func() bool) {
-			views := make([]weights.Cell, len(cells))
+			reports := make([]weights.Cell, len(cells))
 			for index, cell := range cells {
-				views[index] = cell.report()
+				reports[index] = cell.report()
 			}
-			plan := planner.Plan(now, views, weights.Limits{MaxConcurrent: maxConcurrent})
+			plan := planner.Plan(now, reports, weights.Limits{MaxConcurrent: maxConcurrent})
 			for _, cell := range cells {
 				allotment := plan.Allotments[cell.id]
 				cell.granted = max(cell.granted, allotment)
@@ -113,12 +113,12 @@
 				}
 				cell.startLoads(cell.engines)
 			}
-			checkBounds(t, cells, maxConcurrent, allowedOut)
+			checkBounds(t, cells, maxConcurrent, maxUnavailable)
 			for _, cell := range cells {
 				cell.finishLoads(cell.engines, fail())
 				cell.startLoads(cell.engines)
 			}
-			checkBounds(t, cells, maxConcurrent, allowedOut)
+			checkBounds(t, cells, maxConcurrent, maxUnavailable)
 			now = now.Add(2 * time.Minute)
 		}
 		for range rapid.IntRange(0, 30).Draw(t, "rounds") {
@@ -128,7 +128,7 @@
 			round(func(string) bool { return true }, func() bool { return false })
 		}
 		for _, cell := range cells {
-			if allowedOut > 0 && cell.done != cell.engines {
+			if maxUnavailable > 0 && cell.done != cell.engines {
 				t.Fatalf("cell did not converge: %+v", *cell)
 			}
 		}
@@ -180,14 +180,14 @@
 func TestPlanReassignsUnusedAllotments(t *testing.T) {
 	var planner weights.Planner
 	limits := weights.Limits{MaxConcurrent: 2}
-	silent, other := cell(0, 8), cell(1, 2)
-	silent.Granted = 2
-	plan := planner.Plan(startTime, []weights.Cell{silent, other}, limits)
-	assert.Equal(t, plan.Allotments[silent.ID], 2)
-	plan = planner.Plan(startTime.Add(10*time.Second), []weights.Cell{silent, other}, limits)
-	assert.Equal(t, plan.Allotments[silent.ID], 0)
+	stalled, other := cell(0, 8), cell(1, 2)
+	stalled.Granted = 2
+	plan := planner.Plan(startTime, []weights.Cell{stalled, other}, limits)
+	assert.Equal(t, plan.Allotments[stalled.ID], 2)
+	plan = planner.Plan(startTime.Add(10*time.Second), []weights.Cell{stalled, other}, limits)
+	assert.Equal(t, plan.Allotments[stalled.ID], 0)
 	assert.Equal(t, plan.Allotments[other.ID], 0, "the stalled cell has not confirmed the reduction")
-	silent.Granted = 0
-	plan = planner.Plan(startTime.Add(10500*time.Millisecond), []weights.Cell{silent, other}, limits)
+	stalled.Granted = 0
+	plan = planner.Plan(startTime.Add(10500*time.Millisecond), []weights.Cell{stalled, other}, limits)
 	assert.Equal(t, plan.Allotments[other.ID], 2)
 }
--- a/internal/core/weights/store_rate.go
+++ b/internal/core/weights/store_rate.go
@@ -25,10 +25,10 @@
 	started, finished int
 }
 
-// StoreRateEstimator estimates the rate at which the weight store serves loads of a model. The
-// coordinator isn't informed of refused downloads, but they make loads take longer.
-// Load durations are derived from counts alone: loads finish roughly in the order
-// in which they started, so the n-th finish is matched with the n-th start.
+// StoreRateEstimator estimates the rate at which the weight store serves loads of a
+// model. The coordinator isn't informed of refused downloads, but they make loads take
+// longer. Load durations are derived from counts alone: loads finish roughly in the
+// order in which they started, so the n-th finish is matched with the n-th start.
 //
 // The zero value is ready to use. It is not safe for concurrent use.
 type StoreRateEstimator struct {
@@ -67,14 +67,14 @@
 	if last < 1 || e.samples[last].finished == e.samples[last-1].finished {
 		return
 	}
-	took, known := e.lastLoadDuration()
+	duration, known := e.lastLoadDuration()
 	if !known {
 		return
 	}
-	if e.minDuration == 0 || took < e.minDuration {
-		e.minDuration = took
+	if e.minDuration == 0 || duration < e.minDuration {
+		e.minDuration = duration
 	}
-	if took > time.Duration(float64(e.minDuration)*bottleneckFactor)+bottleneckSlack {
+	if duration > time.Duration(float64(e.minDuration)*bottleneckFactor)+bottleneckSlack {
 		e.storeRate = e.completionRate()
 	} else {
 		e.storeRate *= probeFactor // not the bottleneck: the store may be faster
@@ -82,7 +82,8 @@
 }
 
 // lastLoadDuration returns the duration of the load that finished last; false if it is
-// unknown. For a load already running at the oldest sample, it is the time since then.
+// unknown. For a load already running at the oldest sample, it returns the time since
+// that sample, a lower bound.
 func (e *StoreRateEstimator) lastLoadDuration() (time.Duration, bool) {
 	last := e.samples[len(e.samples)-1]
 	if last.finished <= e.samples[0].started {
@@ -100,17 +101,17 @@
 // completionRate returns the loads finished per second over the last minDuration.
 func (e *StoreRateEstimator) completionRate() float64 {
 	last := e.samples[len(e.samples)-1]
-	from := e.samples[0]
+	windowStart := e.samples[0]
 	for _, earlier := range e.samples {
 		if last.at.Sub(earlier.at) >= e.minDuration {
-			from = earlier
+			windowStart = earlier
 		}
 	}
-	elapsed := last.at.Sub(from.at).Seconds()
+	elapsed := last.at.Sub(windowStart.at).Seconds()
 	if elapsed <= 0 {
 		return 0
 	}
-	return float64(last.finished-from.finished) / elapsed
+	return float64(last.finished-windowStart.finished) / elapsed
 }
 
 // Limits returns the limits for the next wave, given the configured bound on
--- a/internal/core/weights/store_rate_test.go
+++ b/internal/core/weights/store_rate_test.go
@@ -15,27 +15,27 @@
 	var ends []int // second at which each running load ends
 	waiting, reached := 0, 0
 	for seconds = 0; reached < engines; seconds++ {
-		left := ends[:0]
+		remaining := ends[:0]
 		for _, end := range ends {
 			if end > seconds {
-				left = append(left, end)
+				remaining = append(remaining, end)
 			} else {
 				reached++
 			}
 		}
-		ends = left
+		ends = remaining
 		e.Observe(start.Add(time.Duration(seconds)*time.Second), version, len(ends)+waiting, reached)
 		limit := e.Limits(maxConcurrent, engines).concurrency()
 		waiting += max(0, min(limit, engines-reached)-len(ends)-waiting)
 		peak = max(peak, len(ends)+waiting)
-		fed := waiting
+		served := waiting
 		if storeRate > 0 {
-			fed = min(waiting, storeRate)
+			served = min(waiting, storeRate)
 		}
-		for range fed {
+		for range served {
 			ends = append(ends, seconds+loadSeconds)
 		}
-		waiting -= fed
+		waiting -= served
 	}
 	return seconds, peak
 }
@@ -51,9 +51,9 @@
 func TestEstimatorFindsRateOfSaturatedStore(t *testing.T) {
 	var estimator StoreRateEstimator
 	_, _ = simulateRollout(&estimator, 2, 1000, 10_000, 20, 5)
-	learnt := estimator.Limits(10_000, 1000).concurrency()
+	estimated := estimator.Limits(10_000, 1000).concurrency()
 	// 20 loads per second of 5 s each saturate the store at 100 concurrent loads.
-	assert.Assert(t, learnt >= 90 && learnt <= 200, "%d", learnt)
+	assert.Assert(t, estimated >= 90 && estimated <= 200, "%d", estimated)
 	seconds, _ := simulateRollout(&estimator, 3, 1000, 10_000, 20, 5)
 	assert.Assert(t, seconds <= 60, "a saturated store takes 50 s + 5 s, this took %d s", seconds)
 }
