--- a/internal/core/ledger/abandon_test.go
+++ b/internal/core/ledger/abandon_test.go
@@ -49,29 +49,29 @@
 	s := newStream(t)
 	step := StepSubmitted{Step: "s", Prompts: make([]Prompt, 3), SamplesPerPrompt: 1, TrainerVersion: 1}
 	assert.Equal(t, s.applyAsOwner(KindStepSubmitted, step), logrecord.Accepted)
-	used, held := SampleKey{Step: "s", Slot: 0, Attempt: 1}, SampleKey{Step: "s", Slot: 1, Attempt: 1}
-	assert.Equal(t, s.fill(used), logrecord.Accepted)
-	assert.Equal(t, s.fill(held), logrecord.Accepted)
+	acknowledged, delivered := SampleKey{Step: "s", Slot: 0, Attempt: 1}, SampleKey{Step: "s", Slot: 1, Attempt: 1}
+	assert.Equal(t, s.fill(acknowledged), logrecord.Accepted)
+	assert.Equal(t, s.fill(delivered), logrecord.Accepted)
 	token := TokenOf(s.offset)
-	assert.Equal(t, s.applyAsOwner(KindDelivered, Delivered{Samples: []SampleKey{used, held}}), logrecord.Accepted)
-	assert.Equal(t, s.applyAsOwner(KindAcknowledged, Acknowledged{Token: token, Samples: []SampleKey{used}}), logrecord.Accepted)
+	assert.Equal(t, s.applyAsOwner(KindDelivered, Delivered{Samples: []SampleKey{acknowledged, delivered}}), logrecord.Accepted)
+	assert.Equal(t, s.applyAsOwner(KindAcknowledged, Acknowledged{Token: token, Samples: []SampleKey{acknowledged}}), logrecord.Accepted)
 
 	assert.Equal(t, s.apply(9, KindStepAbandoned, StepAbandoned{Step: "s"}), logrecord.Fenced)
 	assert.Equal(t, s.applyAsOwner(KindStepAbandoned, StepAbandoned{Step: "other"}), logrecord.Invalid)
 	assert.Equal(t, s.applyAsOwner(KindStepAbandoned, StepAbandoned{Step: "s"}), logrecord.Accepted)
 	assert.Equal(t, s.applyAsOwner(KindStepAbandoned, StepAbandoned{Step: "s"}), logrecord.Invalid, "a repeat has no effect")
 
-	wanted := Counts{Step: "s", Wanted: 3, Acknowledged: 1, Abandoned: true}
+	expected := Counts{Step: "s", Wanted: 3, Acknowledged: 1, Abandoned: true}
 	check := func(l *Ledger) {
 		counts, known := l.Counts("s")
 		assert.Assert(t, known)
-		assert.DeepEqual(t, counts, wanted)
-		assert.DeepEqual(t, l.AbandonedCounts(), []Counts{wanted})
+		assert.DeepEqual(t, counts, expected)
+		assert.DeepEqual(t, l.AbandonedCounts(), []Counts{expected})
 		assert.Assert(t, !l.StepOpen("s"))
 		assert.Equal(t, len(l.OpenSlots()), 0)
-		accepted, rejected := l.AcknowledgedUnder(token, []SampleKey{used, held})
-		assert.DeepEqual(t, accepted, []SampleKey{used})
-		assert.DeepEqual(t, rejected, []SampleKey{held})
+		accepted, rejected := l.AcknowledgedUnder(token, []SampleKey{acknowledged, delivered})
+		assert.DeepEqual(t, accepted, []SampleKey{acknowledged})
+		assert.DeepEqual(t, rejected, []SampleKey{delivered})
 	}
 	check(s.ledger)
 	data, err := s.ledger.Snapshot()
@@ -82,7 +82,7 @@
 
 	// Later records have no effect, and the ID can't be reused.
 	assert.Equal(t, s.fill(SampleKey{Step: "s", Slot: 2, Attempt: 1}), logrecord.Invalid)
-	late := Acknowledged{Token: token, Samples: []SampleKey{held}}
+	late := Acknowledged{Token: token, Samples: []SampleKey{delivered}}
 	assert.Equal(t, s.applyAsOwner(KindAcknowledged, late), logrecord.Invalid)
 	assert.Equal(t, s.applyAsOwner(KindStepSubmitted, step), logrecord.Invalid)
 	check(s.ledger)
--- a/internal/core/ledger/property_test.go
+++ b/internal/core/ledger/property_test.go
@@ -47,7 +47,7 @@
 		snapshotAt := rapid.IntRange(0, length-1).Draw(t, "snapshot at")
 		replica := New()
 		for i := range length {
-			h.step()
+			h.applyNext()
 			if i == snapshotAt {
 				data, err := h.ledger.Snapshot()
 				assert.NilError(t, err)
@@ -79,19 +79,19 @@
 	return data
 }
 
-func (h *history) step() {
-	record := h.draw()
+func (h *history) applyNext() {
+	record := h.drawRecord()
 	offset := int64(len(h.records))
 	h.records = append(h.records, record)
 	fence := h.ledger.Fence()
 	before := stateWithoutSequences(h.t, h.ledger)
 	verdict := h.ledger.Apply(offset, record)
 	if verdict != logrecord.Accepted {
-		assert.Assert(h.t, bytes.Equal(before, stateWithoutSequences(h.t, h.ledger)), "%v had an effect", verdict)
+		assert.Assert(h.t, bytes.Equal(before, stateWithoutSequences(h.t, h.ledger)), "record with verdict %v changed the state", verdict)
 		return
 	}
 	if record.Kind != logrecord.KindClaim {
-		assert.Assert(h.t, fence.OwnedBy(record.Writer, record.Epoch), "accepted outside the current epoch")
+		assert.Assert(h.t, fence.OwnedBy(record.Writer, record.Epoch), "accepted a record that the owner did not write in the current epoch")
 	}
 	h.recordAccepted(offset, record)
 	assert.Equal(h.t, h.acknowledgedSlots(), len(h.acknowledged), "acknowledged under another token")
@@ -166,8 +166,8 @@
 	return body
 }
 
-// draw returns a new record, or a repeat as after an append with unknown outcome.
-func (h *history) draw() logrecord.Record {
+// drawRecord returns a new record, or a repeat as after an append with unknown outcome.
+func (h *history) drawRecord() logrecord.Record {
 	if len(h.records) > 0 && rapid.IntRange(0, 7).Draw(h.t, "repeat") == 0 {
 		return h.records[rapid.IntRange(0, len(h.records)-1).Draw(h.t, "of")]
 	}
