--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -7,7 +7,8 @@
 	homeset "github.com/corkpulley/corkpulley/internal/core/homes"
 )
 
-// Phrases for values of the log fields "refusal" and "stop_reason". Other values are printed as logged.
+// refusalPhrases and stopReasonPhrases describe values of the log fields "refusal" and "stop_reason". Other values are
+// printed as logged.
 var (
 	refusalPhrases = map[string]string{
 		"not_executed": "not executed", "wrong_engine": "a different engine answered at the address", "failed": "the run failed",
@@ -16,11 +17,11 @@
 	stopReasonPhrases = map[string]string{"moved": "moved to a faster engine", "engine_ended": "its engine restarted"}
 )
 
-// Values of the log fields "verdict", for an attempt that completed its request, and "held_back", for an attempt that
-// was sent.
 const (
+	// verdictAnswered is the log field "verdict" of an attempt that completed its request.
 	verdictAnswered = "answered"
-	heldBackNone    = "none"
+	// heldBackNone is the log field "held_back" of an attempt that was sent.
+	heldBackNone = "none"
 )
 
 func phraseFor(phrases map[string]string, value string) string {
@@ -30,7 +31,7 @@
 	return value
 }
 
-// cause describes how the request, job or item ended and why.
+// cause describes how the subject of the trace, such as a request or a batch job, ended and why.
 func cause(trace *Trace) string {
 	switch {
 	case trace.last(usageReported) != nil || trace.last(usageDelayed) != nil:
@@ -57,22 +58,22 @@
 }
 
 func requestCause(trace *Trace) string {
-	var tries []string
+	var failures []string
 	for _, line := range trace.Lines {
 		if line.Message == "engine tried" && line.text("verdict") != verdictAnswered {
 			reason := line.text("error")
 			if reason == "" {
 				reason = fmt.Sprintf("status %.0f", line.number("status"))
 			}
-			if held := line.text("held_back"); held != "" && held != heldBackNone {
-				reason = "held back before it was sent: " + held
+			if heldBack := line.text("held_back"); heldBack != "" && heldBack != heldBackNone {
+				reason = "held back before it was sent: " + heldBack
 			}
-			tries = append(tries, fmt.Sprintf("%s after %.0f ms (%s)", line.text("engine"), line.number("took_ms"), reason))
+			failures = append(failures, fmt.Sprintf("%s after %.0f ms (%s)", line.text("engine"), line.number("took_ms"), reason))
 		}
 	}
 	failed := ""
-	if len(tries) > 0 {
-		failed = " Failed attempts: " + strings.Join(tries, "; ") + "."
+	if len(failures) > 0 {
+		failed = " Failed attempts: " + strings.Join(failures, "; ") + "."
 	}
 	if refused := trace.last("request refused"); refused != nil {
 		return fmt.Sprintf("Refused by %s with %.0f %s: %s.%s%s", refused.Node, refused.number("status"),
@@ -116,15 +117,15 @@
 		if line.Message != "run ended early" {
 			continue
 		}
-		why := phraseFor(refusalPhrases, line.text("refusal"))
-		if held := line.text("held_back"); held != "" && held != heldBackNone {
-			why += ": " + held
+		reason := phraseFor(refusalPhrases, line.text("refusal"))
+		if heldBack := line.text("held_back"); heldBack != "" && heldBack != heldBackNone {
+			reason += ": " + heldBack
 		}
-		if reason := line.text("stop_reason"); reason != "" {
-			why = phraseFor(stopReasonPhrases, reason)
+		if stopReason := line.text("stop_reason"); stopReason != "" {
+			reason = phraseFor(stopReasonPhrases, stopReason)
 		}
 		interruptions = append(interruptions, fmt.Sprintf("%s after %.0f ms at event %.0f (%s)",
-			line.text("engine"), line.number("ran_ms"), line.number("after_event"), why))
+			line.text("engine"), line.number("ran_ms"), line.number("after_event"), reason))
 	}
 	text := fmt.Sprintf("Started %d times", trace.count("item started"))
 	if first := firstStart(trace); first != nil {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -49,7 +49,7 @@
 }
 
 // Read adds the log lines of a file. Text before a line's JSON, such as a time and a node's name, is skipped; lines
-// without JSON are ignored.
+// without JSON or without the field "node" are ignored.
 func (l *Log) Read(source io.Reader) error {
 	scanner := bufio.NewScanner(source)
 	scanner.Buffer(nil, maxLineBytes)
@@ -136,8 +136,8 @@
 	first, last := trace.Lines[0].Time, trace.Lines[len(trace.Lines)-1].Time
 	for _, line := range l.Lines {
 		near := line.Time >= first-contextBeforeMs && line.Time <= last+contextAfterMs
-		concerns := nodes[line.Node] || engines[line.text("engine")] || engines[line.text("ended")]
-		if near && concerns && contextMessages[line.Message] {
+		involved := nodes[line.Node] || engines[line.text("engine")] || engines[line.text("ended")]
+		if near && involved && contextMessages[line.Message] {
 			trace.Context = append(trace.Context, line)
 		}
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -38,7 +38,7 @@
 	return log
 }
 
-func TestReadCountsMalformedLinesAndIgnoresForeignOnes(t *testing.T) {
+func TestReadCountsMalformedLinesAndIgnoresOtherText(t *testing.T) {
 	log := readLogs(t)
 	assert.Equal(t, log.Malformed, 1)
 	assert.Equal(t, len(log.Lines), 18)
