--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -30,8 +30,8 @@
 	"seconds": func(duration time.Duration) string {
 		return fmt.Sprintf("%.3f s", duration.Seconds())
 	},
-	"inline": func(each picture.Picture) template.URL {
-		return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(each.PNG))
+	"inline": func(image picture.Picture) template.URL {
+		return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(image.PNG))
 	},
 	"width": func() int { return picture.Width },
 }).Parse(pageText))
@@ -82,7 +82,7 @@
 		{"nodes", fmt.Sprint(totals.Nodes)},
 		{"lines read", fmt.Sprintf("%d, %d unreadable, %d out of range, %d suppressed by the nodes",
 			lines.Read, lines.Unreadable, lines.OutOfRange, lines.Suppressed)},
-		{"events beyond the report's bounds", fmt.Sprint(lines.Omitted)},
+		{"events omitted because a list was full", fmt.Sprint(lines.Omitted)},
 		{"requests", listCounts(totals.Requests)},
 		{"engine tries", listCounts(totals.Tries)},
 		{"batch jobs", fmt.Sprintf("%d named, %d submitted, %d ended; %d submissions and %d ends refused; %d items finished",
--- a/internal/report/picture/axis.go
+++ b/internal/report/picture/axis.go
@@ -22,6 +22,7 @@
 	// minSpan keeps an axis drawable when all lines have the same time.
 	minSpan = time.Second
 
+	// Font sizes in points.
 	titleSize  = 11
 	labelSize  = 9
 	legendSize = 8
@@ -82,9 +83,9 @@
 	return ticks
 }
 
-func textStyle(size float64, onto text.Style) text.Style {
-	onto.Font = font.From(font.Font{Typeface: "Liberation", Variant: "Sans"}, vg.Points(size))
-	return onto
+func textStyle(size float64, base text.Style) text.Style {
+	base.Font = font.From(font.Font{Typeface: "Liberation", Variant: "Sans"}, vg.Points(size))
+	return base
 }
 
 // newPanel returns an empty panel over the whole time axis.
--- a/internal/report/picture/bars.go
+++ b/internal/report/picture/bars.go
@@ -9,13 +9,14 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// Sizes of bars and marks: shares of a row's height, and lengths in points.
 const (
-	barShare    = 0.7
-	minBar      = 1.5
-	minEdgedBar = 6
-	markSize    = 2.6
-	thinShare   = 0.12
+	// barShare and thinBarShare are the heights of bars as shares of their row's height.
+	barShare = 0.7
+	// minBarSize, minEdgedBarWidth and markRadius are in points. A bar narrower than minEdgedBarWidth has no edge line.
+	minBarSize       = 1.5
+	minEdgedBarWidth = 6
+	markRadius       = 2.6
+	thinBarShare     = 0.12
 )
 
 // bar is a time span on a row, which is a position on the value axis.
@@ -47,12 +48,12 @@
 	for _, bar := range c.bars {
 		left, right := widenBar(x(bar.from), x(bar.to), canvas.Max.X)
 		low, high := y(bar.row-bar.share/2), y(bar.row+bar.share/2)
-		if high-low < vg.Points(minBar) {
+		if high-low < vg.Points(minBarSize) {
 			middle := (low + high) / 2
-			low, high = middle-vg.Points(minBar)/2, middle+vg.Points(minBar)/2
+			low, high = middle-vg.Points(minBarSize)/2, middle+vg.Points(minBarSize)/2
 		}
 		canvas.FillPolygon(bar.color, canvas.ClipPolygonXY(rectangle(left, right, low, high)))
-		if right-left >= vg.Points(minEdgedBar) {
+		if right-left >= vg.Points(minEdgedBarWidth) {
 			canvas.StrokeLine2(edgeStyle, right, low, right, high)
 		}
 		drawBarLabel(canvas, bar.label, left, right, low, high)
@@ -62,10 +63,10 @@
 	}
 }
 
-// widenBar widens a bar to at least minBar points, within the right end of the area.
+// widenBar widens a bar to at least minBarSize points, within the right end of the area.
 func widenBar(left, right, end vg.Length) (vg.Length, vg.Length) {
-	right = max(right, left+vg.Points(minBar))
-	return min(left, end-vg.Points(minBar)), min(right, end)
+	right = max(right, left+vg.Points(minBarSize))
+	return min(left, end-vg.Points(minBarSize)), min(right, end)
 }
 
 // edgeStyle is the line that separates a bar from the next one.
@@ -74,7 +75,7 @@
 // drawBarLabel draws the label inside a bar if it fits.
 func drawBarLabel(canvas draw.Canvas, label string, left, right, low, high vg.Length) {
 	style := textStyle(labelSize, text.Style{Color: color.White, XAlign: draw.XCenter, YAlign: draw.YCenter, Handler: plot.DefaultTextHandler})
-	if label == "" || style.Width(label)+vg.Points(2*markSize) > right-left || style.Height(label) > high-low {
+	if label == "" || style.Width(label)+vg.Points(2*markRadius) > right-left || style.Height(label) > high-low {
 		return
 	}
 	canvas.FillText(style, vg.Point{X: (left + right) / 2, Y: (low + high) / 2}, label)
@@ -92,8 +93,8 @@
 // Plot implements plot.Plotter.
 func (b *bands) Plot(canvas draw.Canvas, drawn *plot.Plot) {
 	x, _ := drawn.Transforms(&canvas)
-	for _, each := range b.ranges {
-		canvas.FillPolygon(b.color, rectangle(x(each.from), x(each.to), canvas.Min.Y, canvas.Max.Y))
+	for _, shaded := range b.ranges {
+		canvas.FillPolygon(b.color, rectangle(x(shaded.from), x(shaded.to), canvas.Min.Y, canvas.Max.Y))
 	}
 }
 
@@ -101,8 +102,8 @@
 	return []vg.Point{{X: left, Y: low}, {X: right, Y: low}, {X: right, Y: high}, {X: left, Y: high}}
 }
 
-func glyph(shape draw.GlyphDrawer, in color.Color) draw.GlyphStyle {
-	return draw.GlyphStyle{Shape: shape, Color: in, Radius: vg.Points(markSize)}
+func glyph(shape draw.GlyphDrawer, fill color.Color) draw.GlyphStyle {
+	return draw.GlyphStyle{Shape: shape, Color: fill, Radius: vg.Points(markRadius)}
 }
 
 // swatch is the legend entry of a color. It implements plot.Thumbnailer.
@@ -151,10 +152,10 @@
 
 // shorten removes the middle of a long label, as similar names often differ only at their ends.
 func shorten(label string) string {
-	letters := []rune(label)
-	if len(letters) <= maxLabel {
+	runes := []rune(label)
+	if len(runes) <= maxLabel {
 		return label
 	}
 	head := maxLabel / 2
-	return string(letters[:head]) + "…" + string(letters[len(letters)-(maxLabel-head-1):])
+	return string(runes[:head]) + "…" + string(runes[len(runes)-(maxLabel-head-1):])
 }
--- a/internal/report/picture/configurations.go
+++ b/internal/report/picture/configurations.go
@@ -13,17 +13,17 @@
 // startupReadMark marks the first and last node that read a version after its start.
 var startupReadMark = glyph(draw.RingGlyph{}, orange)
 
-func configurationsOf(from *timeline.Timeline) func(*timeAxis) (Picture, error) {
+func configurationsPicture(source *timeline.Timeline) func(*timeAxis) (Picture, error) {
 	return func(axis *timeAxis) (Picture, error) {
-		drawn := axis.newPanel("configuration versions coming into force", "version", rowsHeight(min(len(from.Versions), maxVersionRows)))
+		drawn := axis.newPanel("configuration versions coming into force", "version", rowsHeight(min(len(source.Versions), maxVersionRows)))
 		chart := &barChart{}
-		for i := range from.Versions {
-			chart.addVersion(axis, &from.Versions[i])
+		for i := range source.Versions {
+			chart.addVersion(axis, &source.Versions[i])
 		}
 		drawn.plot.Add(chart)
-		drawn.plot.Y.Min, drawn.plot.Y.Max = versionRange(from.Versions)
+		drawn.plot.Y.Min, drawn.plot.Y.Max = versionRange(source.Versions)
 		drawn.plot.Y.Tick.Marker = plot.TickerFunc(integerTicks)
-		if len(from.Versions) == 0 {
+		if len(source.Versions) == 0 {
 			drawn.markEmpty()
 		}
 		drawn.legend.Add("first to last running node", swatch{blue})
--- a/internal/report/picture/jobs.go
+++ b/internal/report/picture/jobs.go
@@ -36,9 +36,9 @@
 	refusedSubmitMark = glyph(draw.PlusGlyph{}, pink)
 )
 
-func jobsOf(from *timeline.Timeline) func(*timeAxis) (Picture, error) {
+func jobsPicture(source *timeline.Timeline) func(*timeAxis) (Picture, error) {
 	return func(axis *timeAxis) (Picture, error) {
-		lanes := lanesOf(from.Jobs, from.Last)
+		lanes := lanesOf(source.Jobs, source.Last)
 		omitted := max(0, len(lanes)-maxRows)
 		lanes = lanes[:len(lanes)-omitted]
 		drawn := axis.newPanel("batch jobs by model", "", rowsHeight(len(lanes)))
@@ -46,7 +46,7 @@
 		chart := &barChart{}
 		for i, lane := range lanes {
 			for _, job := range lane.jobs {
-				chart.addJob(axis, job, rowPosition(i, len(lanes)), from.Last)
+				chart.addJob(axis, job, rowPosition(i, len(lanes)), source.Last)
 			}
 		}
 		drawn.plot.Add(chart)
@@ -111,7 +111,7 @@
 func (c *barChart) addBody(axis *timeAxis, job *timeline.Job, row float64, end time.Time) {
 	share := barShare
 	if job.Submitted.IsZero() || job.EndRequested.IsZero() {
-		share = thinShare
+		share = thinBarShare
 	}
 	begin := job.First()
 	if job.FirstStart.IsZero() {
--- a/internal/report/picture/jobs_test.go
+++ b/internal/report/picture/jobs_test.go
@@ -19,9 +19,9 @@
 		share    float64
 	}{
 		{timeline.Job{FirstSubmitAttempt: submitted, Submitted: submitted, EndRequested: ended}, 1, 4, barShare},
-		{timeline.Job{FirstSubmitAttempt: submitted, Submitted: submitted}, 1, 9, thinShare},
-		{timeline.Job{Ended: ended, EndRequested: ended}, 4, 4, thinShare},
-		{timeline.Job{FirstEndRefused: ended, LastEndRefused: ended, EndsRefused: 1}, 4, 9, thinShare},
+		{timeline.Job{FirstSubmitAttempt: submitted, Submitted: submitted}, 1, 9, thinBarShare},
+		{timeline.Job{Ended: ended, EndRequested: ended}, 4, 4, thinBarShare},
+		{timeline.Job{FirstEndRefused: ended, LastEndRefused: ended, EndsRefused: 1}, 4, 9, thinBarShare},
 	} {
 		drawn := &barChart{}
 		drawn.addJob(axis, &known.job, 0, last)
--- a/internal/report/picture/leadership.go
+++ b/internal/report/picture/leadership.go
@@ -8,14 +8,14 @@
 	"github.com/corkpulley/corkpulley/internal/report/timeline"
 )
 
-func leadershipOf(from *timeline.Timeline) func(*timeAxis) (Picture, error) {
+func leadershipPicture(source *timeline.Timeline) func(*timeAxis) (Picture, error) {
 	return func(axis *timeAxis) (Picture, error) {
-		rows := leaderRows(from.Terms)
+		rows := leaderRows(source.Terms)
 		omitted := max(0, len(rows)-maxRows)
 		rows = rows[:len(rows)-omitted]
 		drawn := axis.newPanel("leadership by node", "", rowsHeight(len(rows)))
 		drawn.setRows(rows)
-		drawn.plot.Add(termBars(axis, from.Terms, rows))
+		drawn.plot.Add(termBars(axis, source.Terms, rows))
 		drawn.legend.Add("led", swatch{green})
 		drawn.legend.Add("led; the end is not logged", swatch{pale(green)})
 		caption := "From a node's line that it gained the leadership to its line that it lost or released it. Where that is missing, the bar " +
@@ -59,7 +59,7 @@
 }
 
 func termBars(axis *timeAxis, terms []timeline.Term, rows []string) *barChart {
-	bars := &barChart{}
+	chart := &barChart{}
 	for _, term := range terms {
 		row := slices.Index(rows, rowOf(term))
 		if row < 0 {
@@ -69,9 +69,9 @@
 		if term.EndKnownBy != timeline.EndLogged {
 			fill = pale(green)
 		}
-		bars.bars = append(bars.bars, bar{
+		chart.bars = append(chart.bars, bar{
 			row: rowPosition(row, len(rows)), from: axis.at(term.From), to: axis.at(term.To), share: barShare, color: fill,
 		})
 	}
-	return bars
+	return chart
 }
--- a/internal/report/picture/picture.go
+++ b/internal/report/picture/picture.go
@@ -49,8 +49,8 @@
 	axis := newTimeAxis(timeline)
 	var pictures []Picture
 	for _, draw := range []func(*timeAxis) (Picture, error){
-		jobsOf(timeline), requestsOf(timeline), triesOf(timeline), leadershipOf(timeline),
-		contactOf(timeline), configurationsOf(timeline), nodesOf(timeline),
+		jobsPicture(timeline), requestsPicture(timeline), triesPicture(timeline), leadershipPicture(timeline),
+		contactPicture(timeline), configurationsPicture(timeline), nodesPicture(timeline),
 	} {
 		picture, err := draw(axis)
 		if err != nil {
@@ -77,10 +77,10 @@
 		picture.Height += panel.height
 	}
 	image := vgimg.NewWith(vgimg.UseWH(pixels(Width), pixels(picture.Height)), vgimg.UseDPI(resolution))
-	whole := draw.New(image)
+	canvas := draw.New(image)
 	top := picture.Height
 	for _, panel := range panels {
-		tile := draw.Crop(whole, 0, 0, pixels(top-panel.height), -pixels(picture.Height-top))
+		tile := draw.Crop(canvas, 0, 0, pixels(top-panel.height), -pixels(picture.Height-top))
 		panel.draw(tile)
 		top -= panel.height
 	}
--- a/internal/report/picture/picture_test.go
+++ b/internal/report/picture/picture_test.go
@@ -124,6 +124,6 @@
 		assert.Assert(t, len(axis.Ticks(0, 0)) <= maxTicks+1, "%s", span)
 		width, count := axis.bins(built.Requests)
 		assert.Assert(t, count <= maxBins, "%s: %d bins", span, count)
-		assert.Assert(t, width >= minBin)
+		assert.Assert(t, width >= minBinWidth)
 	}
 }
--- a/internal/report/picture/stack.go
+++ b/internal/report/picture/stack.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	maxBins = 240 // per panel
-	minBin  = time.Second
+	maxBins     = 240 // per panel
+	minBinWidth = time.Second
 	// maxSeries bounds the series of a panel; the rarest ones are merged into the last.
 	maxSeries = 9
-	headRoom  = 1.08
+	// headroomFactor is the ratio of the value axis to the highest bar.
+	headroomFactor = 1.08
 )
 
 // series holds a rate per bin.
@@ -37,14 +38,14 @@
 func (s *stack) Plot(canvas draw.Canvas, drawn *plot.Plot) {
 	x, y := drawn.Transforms(&canvas)
 	below := s.emptyBins()
-	for _, each := range s.series {
-		for bin, rate := range each.rates {
+	for _, layer := range s.series {
+		for bin, rate := range layer.rates {
 			if rate == 0 {
 				continue
 			}
 			left, right := float64(bin)*s.binWidth, float64(bin+1)*s.binWidth
 			bar := rectangle(x(left), x(right), y(below[bin]), y(below[bin]+rate))
-			canvas.FillPolygon(each.color, canvas.ClipPolygonXY(bar))
+			canvas.FillPolygon(layer.color, canvas.ClipPolygonXY(bar))
 			below[bin] += rate
 		}
 	}
@@ -60,8 +61,8 @@
 // highest returns the height of the highest bar.
 func (s *stack) highest() float64 {
 	sums, highest := s.emptyBins(), 0.0
-	for _, each := range s.series {
-		for bin, rate := range each.rates {
+	for _, layer := range s.series {
+		for bin, rate := range layer.rates {
 			sums[bin] += rate
 			highest = max(highest, sums[bin])
 		}
@@ -72,8 +73,8 @@
 // bins returns the width and number of the bins for drawing the rates over the axis.
 func (a *timeAxis) bins(rates *timeline.Rates) (time.Duration, int) {
 	bucket := rates.Width()
-	least := max(minBin, a.span/maxBins+1)
-	width := (least + bucket - 1) / bucket * bucket
+	minWidth := max(minBinWidth, a.span/maxBins+1)
+	width := (minWidth + bucket - 1) / bucket * bucket
 	return width, int(a.span/width) + 1
 }
 
@@ -110,14 +111,14 @@
 	drawn := a.newPanel(title, "per second", panelHeight)
 	stacked := a.stackOf(rates, labels, colors)
 	drawn.plot.Add(stacked)
-	drawn.plot.Y.Min, drawn.plot.Y.Max = 0, stacked.highest()*headRoom
+	drawn.plot.Y.Min, drawn.plot.Y.Max = 0, stacked.highest()*headroomFactor
 	drawn.plot.Y.Tick.Marker = plot.TickerFunc(rateTicks)
 	if len(stacked.series) == 0 {
 		drawn.plot.Y.Max = 1
 		drawn.markEmpty()
 	}
-	for _, each := range stacked.series {
-		drawn.legend.Add(fmt.Sprintf("%s (%d)", shorten(each.name), each.total), swatch{each.color})
+	for _, layer := range stacked.series {
+		drawn.legend.Add(fmt.Sprintf("%s (%d)", shorten(layer.name), layer.total), swatch{layer.color})
 	}
 	return drawn
 }
--- a/internal/report/picture/ticks.go
+++ b/internal/report/picture/ticks.go
@@ -23,8 +23,8 @@
 // rateTicks labels numbers, including fractions, at round distances.
 func rateTicks(low, high float64) []plot.Tick { return roundTicks(low, high, finestStep) }
 
-func roundTicks(low, high, leastStep float64) []plot.Tick {
-	step := roundStep(high-low, leastStep)
+func roundTicks(low, high, minStep float64) []plot.Tick {
+	step := roundStep(high-low, minStep)
 	first := math.Ceil(low/step) * step
 	var ticks []plot.Tick
 	// Bounds the loop if the step is too small to change the value.
@@ -44,9 +44,9 @@
 	return strconv.FormatFloat(value, 'f', digits, 64)
 }
 
-// roundStep returns the smallest round step, at least least, that gives at most maxValueTicks ticks over the span.
-func roundStep(span, least float64) float64 {
-	for power := least; ; power *= 10 {
+// roundStep returns the smallest round step, at least minStep, that gives at most maxValueTicks ticks over the span.
+func roundStep(span, minStep float64) float64 {
+	for power := minStep; ; power *= 10 {
 		for _, round := range roundSteps {
 			if span/(power*round) < maxValueTicks {
 				return power * round
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -38,9 +38,9 @@
 	if err := os.WriteFile(files[0], page, fileMode); err != nil {
 		return nil, errors.Wrap(err, "write the page")
 	}
-	for _, each := range pictures {
-		file := filepath.Join(directory, each.Name+".png")
-		if err := os.WriteFile(file, each.PNG, fileMode); err != nil {
+	for _, image := range pictures {
+		file := filepath.Join(directory, image.Name+".png")
+		if err := os.WriteFile(file, image.PNG, fileMode); err != nil {
 			return nil, errors.Wrap(err, "write a picture")
 		}
 		files = append(files, file)
--- a/internal/report/timeline/builder.go
+++ b/internal/report/timeline/builder.go
@@ -49,7 +49,7 @@
 	summary := Source{Name: name}
 	reader, buffer := bufio.NewReader(source), []byte(nil)
 	for {
-		line, cut, err := readLine(reader, buffer)
+		line, truncated, err := readLine(reader, buffer)
 		if errors.Is(err, io.EOF) {
 			break
 		}
@@ -60,7 +60,7 @@
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue
 		}
-		summary.count(b.addLine(line, cut))
+		summary.count(b.addLine(line, truncated))
 	}
 	b.timeline.Lines.Read += summary.Lines
 	b.timeline.Lines.Unreadable += summary.Unreadable
@@ -80,8 +80,8 @@
 	}
 }
 
-func (b *Builder) addLine(raw []byte, cut bool) error {
-	if cut {
+func (b *Builder) addLine(raw []byte, truncated bool) error {
+	if truncated {
 		return errTooLong
 	}
 	line, object, err := parseHeader(raw)
--- a/internal/report/timeline/gaps.go
+++ b/internal/report/timeline/gaps.go
@@ -72,16 +72,16 @@
 	minimum = max(minimum, time.Duration(p.width)*time.Millisecond)
 	var gaps []Gap
 	since := first
-	note := func(until time.Time) {
+	addGap := func(until time.Time) {
 		if until.Sub(since) >= minimum {
 			gaps = append(gaps, Gap{From: since, To: until})
 		}
 	}
 	for _, number := range slices.Sorted(maps.Keys(p.buckets)) {
-		note(time.UnixMilli(p.buckets[number].first))
+		addGap(time.UnixMilli(p.buckets[number].first))
 		since = time.UnixMilli(p.buckets[number].last)
 	}
-	note(last)
+	addGap(last)
 	return gaps
 }
 
--- a/internal/report/timeline/leadership.go
+++ b/internal/report/timeline/leadership.go
@@ -12,15 +12,15 @@
 // Everywhere is the scope of the leader of jobs that are not bound to home regions.
 const Everywhere = "everywhere"
 
-// TermEnd is the source of a term's end.
+// TermEnd tells how the end of a term was determined.
 type TermEnd string
 
-// Sources of a term's end.
+// Ways in which the end of a term is determined.
 const (
 	// EndLogged: the node logged that it lost or released the leadership.
 	EndLogged TermEnd = "logged"
-	// EndAssumed: the node did not log its end; it is the node's next start or stop or the start of the next leader's
-	// term, whichever comes first.
+	// EndAssumed: the node did not log the end; it is assumed to be the node's next start or stop or the start of the
+	// next leader's term, whichever comes first.
 	EndAssumed TermEnd = "assumed"
 	// EndOpen: the node still led at the end of the logs.
 	EndOpen TermEnd = "open"
@@ -109,12 +109,12 @@
 
 type termKey struct{ node, scope string }
 
-func closeTerm(terms []Term, open map[termKey]int, key termKey, at time.Time, known TermEnd) {
+func closeTerm(terms []Term, open map[termKey]int, key termKey, at time.Time, end TermEnd) {
 	index, found := open[key]
 	if !found {
 		return
 	}
-	terms[index].To, terms[index].EndKnownBy = at, known
+	terms[index].To, terms[index].EndKnownBy = at, end
 	delete(open, key)
 }
 
@@ -148,14 +148,14 @@
 	var changes []Takeover
 	previous := map[string]Term{}
 	for _, term := range terms {
-		before, found := previous[term.Scope]
+		last, found := previous[term.Scope]
 		previous[term.Scope] = term
 		if !found {
 			continue
 		}
-		change := Takeover{At: term.From, Scope: term.Scope, From: before.Node, To: term.Node}
-		if before.EndKnownBy == EndLogged {
-			change.Vacancy, change.IsVacancyKnown = term.From.Sub(before.To), true
+		change := Takeover{At: term.From, Scope: term.Scope, From: last.Node, To: term.Node}
+		if last.EndKnownBy == EndLogged {
+			change.Vacancy, change.IsVacancyKnown = term.From.Sub(last.To), true
 		}
 		changes = append(changes, change)
 	}
--- a/internal/report/timeline/lines.go
+++ b/internal/report/timeline/lines.go
@@ -52,21 +52,21 @@
 
 // readLine returns the next line, valid until the next call, and whether it was truncated to maxLineBytes. It returns
 // io.EOF after the last line.
-func readLine(reader *bufio.Reader, buffer []byte) (line []byte, cut bool, err error) {
+func readLine(reader *bufio.Reader, buffer []byte) (line []byte, truncated bool, err error) {
 	line = buffer[:0]
 	for {
 		part, err := reader.ReadSlice('\n')
-		if room := maxLineBytes - len(line); len(part) > room {
-			part, cut = part[:room], true
+		if limit := maxLineBytes - len(line); len(part) > limit {
+			part, truncated = part[:limit], true
 		}
 		line = append(line, part...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
 		case errors.Is(err, io.EOF) && len(line) > 0:
-			return line, cut, nil
+			return line, truncated, nil
 		default:
-			return line, cut, err
+			return line, truncated, err
 		}
 	}
 }
--- a/internal/report/timeline/notinlogs.go
+++ b/internal/report/timeline/notinlogs.go
@@ -4,10 +4,10 @@
 
 // neverLogged describes events that no node logs.
 var neverLogged = []string{
-	"why an item waited: its lines have how long, not for what",
-	"the end of an item's whole run at its engine: \"item finished\" comes after its score, so places in use can't be counted",
+	"why an item waited: its lines have only the duration",
+	"when an item's completed run at its engine ended: \"item finished\" is logged after scoring, so occupied slots can't be counted",
 	"weights that an engine loads without an order",
-	"the moment at which a killed or frozen process stopped, which has no line",
+	"when a killed or frozen process stopped",
 	"each failed call of the log: nodes log sums by topic every 10 s while calls fail (calls of the log failed), which this page does not draw",
 	"lines that a node dropped because their reader was slow; only its metrics count them",
 }
@@ -35,10 +35,10 @@
 			notes = append(notes, fmt.Sprintf("%s (no line %q)", absent.note, absent.message))
 		}
 	}
-	if count := b.timeline.jobsWithout(func(job *Job) bool { return job.Submitted.IsZero() }); count > 0 {
+	if count := b.timeline.countJobs(func(job *Job) bool { return job.Submitted.IsZero() }); count > 0 {
 		notes = append(notes, fmt.Sprintf("the accepted submission of %d jobs that other lines name", count))
 	}
-	if count := b.timeline.jobsWithout(func(job *Job) bool { return job.EndRequested.IsZero() }); count > 0 {
+	if count := b.timeline.countJobs(func(job *Job) bool { return job.EndRequested.IsZero() }); count > 0 {
 		notes = append(notes, fmt.Sprintf("the accepted end of %d jobs: they ran on, or the line is missing", count))
 	}
 	if count := b.timeline.Lines.Suppressed; count > 0 {
@@ -47,10 +47,10 @@
 	return append(notes, neverLogged...)
 }
 
-func (t *Timeline) jobsWithout(lacks func(*Job) bool) int {
+func (t *Timeline) countJobs(matches func(*Job) bool) int {
 	count := 0
 	for i := range t.Jobs {
-		if lacks(&t.Jobs[i]) {
+		if matches(&t.Jobs[i]) {
 			count++
 		}
 	}
--- a/internal/report/timeline/requests.go
+++ b/internal/report/timeline/requests.go
@@ -11,11 +11,14 @@
 
 // Labels of attempts that were not answered.
 const (
-	TryNext      = "try_next"
-	GiveUp       = "give_up"
-	TryNotSent   = "not sent"
+	TryNext    = "try_next"
+	GiveUp     = "give_up"
+	TryNotSent = "not sent"
+
+	// heldBackNone is the log field "held_back" of an attempt that was sent.
 	heldBackNone = "none"
-	unsetKind    = ""
+	// unsetKind is the log field "kind" of a request that succeeded.
+	unsetKind = ""
 )
 
 type requestRecord struct {
--- a/internal/report/timeline/timeline_test.go
+++ b/internal/report/timeline/timeline_test.go
@@ -13,11 +13,11 @@
 )
 
 // readRecorded reads the logs in testdata, of four nodes that were each killed and restarted.
-func readRecorded(t *testing.T, options Options, inOrder func([]string)) *Timeline {
+func readRecorded(t *testing.T, options Options, reorder func([]string)) *Timeline {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join("testdata", "*.log"))
 	assert.NilError(t, err)
-	inOrder(names)
+	reorder(names)
 	builder := NewBuilder(options)
 	for _, name := range names {
 		file, err := os.Open(name)
