--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -159,22 +159,22 @@
 		p.mayTakeEffect = p.mayTakeEffect || unreachable.sent
 		return
 	}
-	var answer *serverError
-	if !errors.As(err, &answer) {
+	var serverErr *serverError
+	if !errors.As(err, &serverErr) {
 		p.final = true
 		return
 	}
-	if answer.detail.Executed != string(errkind.NotExecuted) {
+	if serverErr.detail.Executed != string(errkind.NotExecuted) {
 		p.mayTakeEffect = true
 		return
 	}
-	p.final = !answer.detail.Retryable
+	p.final = !serverErr.detail.Retryable
 }
 
 // finalError returns the error of the command. It has ExitUnknown if the proposal may still take effect.
 func (p *proposeAttempts) finalError() error {
 	if p.last == nil {
-		return exitWith(ExitFailed, "stopped before anything was proposed")
+		return exitWith(ExitFailed, "the command ended before the proposal was sent")
 	}
 	if p.final || !p.mayTakeEffect {
 		return toExitError(p.last)
--- a/internal/ctl/arguments.go
+++ b/internal/ctl/arguments.go
@@ -18,21 +18,21 @@
 	Engines *enginesArguments `arg:"subcommand:engines" help:"list engines"`
 	Steps   *stepsArguments   `arg:"subcommand:steps" help:"list trainers' steps"`
 	Drain   *drainArguments   `arg:"subcommand:drain" help:"begin the planned stop of one node"`
-	Zones   *zonesArguments   `arg:"subcommand:zones" help:"show what each server knows of the zones of engines, and what it has running there"`
+	Zones   *zonesArguments   `arg:"subcommand:zones" help:"show each server's view of the engine zones and its load in them"`
 
-	Evacuate *evacuateArguments `arg:"subcommand:evacuate" help:"have nothing more sent to the engines of a zone"`
+	Evacuate *evacuateArguments `arg:"subcommand:evacuate" help:"stop sending requests to the engines of a zone"`
 	TakeBack *takeBackArguments `arg:"subcommand:take-back" help:"end the evacuation of a zone"`
 
-	Explain *explainArguments `arg:"subcommand:explain" help:"tell from log files, without any server, what became of a request, batch job or item"`
-	Report  *reportArguments  `arg:"subcommand:report" help:"draw from log files, without any server, what happened when, as an HTML page and pictures"`
+	Explain *explainArguments `arg:"subcommand:explain" help:"explain the outcome of a request, batch job or item from log files, without contacting a server"`
+	Report  *reportArguments  `arg:"subcommand:report" help:"render a timeline of log files as an HTML page and pictures, without contacting a server"`
 
-	Server  []string      `arg:"--server,separate" placeholder:"HOST:PORT" help:"node to ask; repeat it or list several with commas, the next is tried when one is unreachable [env: CORKCTL_SERVER]"`
+	Server  []string      `arg:"--server,separate" placeholder:"HOST:PORT" help:"node to query; may be repeated or a comma-separated list; the next one is tried if a node is unreachable [env: CORKCTL_SERVER]"`
 	JSON    bool          `arg:"--json" help:"print JSON"`
-	Timeout time.Duration `arg:"--timeout" default:"30s" help:"bound of the whole command"`
+	Timeout time.Duration `arg:"--timeout" default:"30s" help:"time limit of the whole command"`
 }
 
 type tableArguments struct {
-	Check   *checkArguments   `arg:"subcommand:check" help:"list every mistake of a file, without any server"`
+	Check   *checkArguments   `arg:"subcommand:check" help:"list all mistakes in a file, without contacting a server"`
 	Diff    *diffArguments    `arg:"subcommand:diff" help:"compare a file with the table in force"`
 	Apply   *applyArguments   `arg:"subcommand:apply" help:"propose a file as the next revision"`
 	Show    *showArguments    `arg:"subcommand:show" help:"show the table in force or an earlier one"`
@@ -50,9 +50,9 @@
 type applyArguments struct {
 	File       string `arg:"positional,required" help:"CSV file; - for standard input"`
 	Base       *int64 `arg:"--base" placeholder:"N" help:"revision that the edit started from [default: the file's '# revision N' line, else the revision in force]"`
-	Wait       bool   `arg:"--wait" help:"wait until the revision is in force on every known node (bounded by --timeout, counted anew)"`
-	Operator   string `arg:"--operator,env:USER" placeholder:"NAME" help:"who makes the change, for the history [default: the user]"`
-	ProposalID string `arg:"--proposal-id" placeholder:"ID" help:"ID of an earlier try, to learn its verdict [default: a new one]"`
+	Wait       bool   `arg:"--wait" help:"wait until the revision is in force on every known node (for at most a further --timeout)"`
+	Operator   string `arg:"--operator,env:USER" placeholder:"NAME" help:"operator recorded in the history [default: the user]"`
+	ProposalID string `arg:"--proposal-id" placeholder:"ID" help:"ID of an earlier attempt, to learn its outcome [default: a new one]"`
 }
 
 type showArguments struct {
@@ -69,7 +69,7 @@
 type nodesArguments struct{}
 
 type enginesArguments struct {
-	All bool `arg:"--all" help:"engines of every reachable node, not only of the node asked"`
+	All bool `arg:"--all" help:"engines of all reachable nodes, not only of the node queried"`
 }
 
 type stepsArguments struct{}
@@ -85,7 +85,7 @@
 // evacuationArguments are the arguments of "evacuate" and "take-back".
 type evacuationArguments struct {
 	Zone string `arg:"positional,required" help:"zone of engines"`
-	Wait bool   `arg:"--wait" help:"wait until the order is in force at every --server and, for an evacuation, no request of theirs is left in the zone (bounded by --timeout, counted anew)"`
+	Wait bool   `arg:"--wait" help:"wait until the order is in force at every --server and, for an evacuation, no request of theirs is left in the zone (for at most a further --timeout)"`
 }
 
 type explainArguments struct {
@@ -95,7 +95,7 @@
 
 type reportArguments struct {
 	Files []string      `arg:"positional,required" placeholder:"LOGFILE" help:"log files of the nodes; - for standard input"`
-	Out   string        `arg:"--out" placeholder:"DIRECTORY" default:"corkpulley-report" help:"directory for report.html and the pictures; it is made if it is missing, files of the same names are replaced"`
+	Out   string        `arg:"--out" placeholder:"DIRECTORY" default:"corkpulley-report" help:"directory for report.html and the pictures; created if missing, existing files are replaced"`
 	From  string        `arg:"--from" placeholder:"TIME" help:"first time to show, such as 2026-11-30T05:20:00Z [default: the first line's]"`
 	Until string        `arg:"--until" placeholder:"TIME" help:"last time to show [default: the last line's]"`
 	Gap   time.Duration `arg:"--gap" default:"2s" help:"shortest time without progress to report"`
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -63,7 +63,7 @@
 // client calls the nodes' operator interface, failing over between servers.
 type client struct {
 	servers []string // base URLs
-	next    int      // index of the current server
+	current int      // index of the current server
 	http    *http.Client
 }
 
@@ -133,11 +133,11 @@
 }
 
 // useNextServer makes the following server the current one.
-func (c *client) useNextServer() { c.next = (c.next + 1) % len(c.servers) }
+func (c *client) useNextServer() { c.current = (c.current + 1) % len(c.servers) }
 
 // attempt sends one request to the current server. A failed exchange returns *unreachableError or *serverError.
 func (c *client) attempt(ctx context.Context, method, path string, query url.Values, body, into any) error {
-	server := c.servers[c.next]
+	server := c.servers[c.current]
 	request, err := newRequest(ctx, method, server+path, query, body)
 	if err != nil {
 		return err
@@ -147,14 +147,14 @@
 		return &unreachableError{server: server, sent: !isDialError(err), err: err}
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return &unreachableError{server: server, sent: true, err: err}
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return newServerError(server, response.StatusCode, answer)
+		return newServerError(server, response.StatusCode, content)
 	}
-	if err := json.Unmarshal(answer, into); err != nil {
+	if err := json.Unmarshal(content, into); err != nil {
 		return &unreachableError{server: server, sent: true, err: errors.Wrap(err, "response is not from corkpulley")}
 	}
 	return nil
@@ -185,9 +185,9 @@
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-func newServerError(server string, status int, answer []byte) *serverError {
+func newServerError(server string, status int, content []byte) *serverError {
 	var body api.ErrorBody
-	if err := json.Unmarshal(answer, &body); err != nil || body.Error.Code == "" {
+	if err := json.Unmarshal(content, &body); err != nil || body.Error.Code == "" {
 		body.Error = api.ErrorDetail{
 			Code:     errkind.Internal.String(),
 			Message:  unexpectedResponse(server, status),
@@ -208,9 +208,9 @@
 	if errors.As(err, &unreachable) {
 		return &exitError{code: ExitUnreachable, err: err}
 	}
-	var answer *serverError
-	if errors.As(err, &answer) {
-		return &exitError{code: exitCodeOfServerError(answer.detail.Code), err: err, detail: &answer.detail}
+	var serverErr *serverError
+	if errors.As(err, &serverErr) {
+		return &exitError{code: exitCodeOfServerError(serverErr.detail.Code), err: err, detail: &serverErr.detail}
 	}
 	return err
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -50,7 +50,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if r.Method == http.MethodPost && r.URL.Path == operatorapi.PathTable {
-		f.servePropose(w, r)
+		f.serveProposal(w, r)
 		return
 	}
 	f.drained = f.drained || r.Method == http.MethodPost
@@ -65,7 +65,7 @@
 	}[r.URL.Path])
 }
 
-func (f *fakeServer) servePropose(w http.ResponseWriter, r *http.Request) {
+func (f *fakeServer) serveProposal(w http.ResponseWriter, r *http.Request) {
 	var proposal api.TableProposal
 	if err := json.NewDecoder(r.Body).Decode(&proposal); err != nil {
 		panic(err)
@@ -169,51 +169,51 @@
 
 func TestApplyExitCodes(t *testing.T) {
 	csv := policy.FormatRevisionComment(7) + policy.FormatCSV(sampleRows)
-	const limit = "--timeout 2s" // for commands that never succeed
-	gone := newFakeServer(t)
-	gone.Close()
+	const shortTimeout = "--timeout 2s" // for commands that never succeed
+	closed := newFakeServer(t)
+	closed.Close()
 	lagging := newFakeServer(t)
 	lagging.members = append(lagging.members, api.NodeStatus{ID: "slow", TableRevision: 7})
-	many := func(err error) []error { return slices.Repeat([]error{err}, 100) }
-	logDown := many(errkind.New(errkind.LogUnavailable, "no"))
+	repeat := func(err error) []error { return slices.Repeat([]error{err}, 100) }
+	logDown := repeat(errkind.New(errkind.LogUnavailable, "no"))
 	for name, test := range map[string]struct {
 		server *fakeServer
 		flags  string
 		code   ExitCode
-		says   string
+		stderr string
 	}{
 		"conflict": {
 			server: newFakeServer(t, errkind.New(errkind.TableConflict, "revision 8 is in force")),
-			code:   ExitConflict, says: "revision 8 is in force",
+			code:   ExitConflict, stderr: "revision 8 is in force",
 		},
-		"invalid":     {server: newFakeServer(t, errkind.New(errkind.TableInvalid, "no")), code: ExitInvalid},
-		"refused":     {server: newFakeServer(t, errkind.New(errkind.InvalidRequest, "no")), code: ExitFailed},
-		"log down":    {server: newFakeServer(t, logDown...), flags: limit, code: ExitFailed},
-		"lost answer": {server: newFakeServer(t, many(nil)...), flags: limit, code: ExitUnknown, says: "--proposal-id"},
-		"log down after a lost answer": {
-			server: newFakeServer(t, append([]error{nil}, logDown...)...), flags: limit, code: ExitUnknown,
+		"invalid":       {server: newFakeServer(t, errkind.New(errkind.TableInvalid, "no")), code: ExitInvalid},
+		"refused":       {server: newFakeServer(t, errkind.New(errkind.InvalidRequest, "no")), code: ExitFailed},
+		"log down":      {server: newFakeServer(t, logDown...), flags: shortTimeout, code: ExitFailed},
+		"lost response": {server: newFakeServer(t, repeat(nil)...), flags: shortTimeout, code: ExitUnknown, stderr: "--proposal-id"},
+		"log down after a lost response": {
+			server: newFakeServer(t, append([]error{nil}, logDown...)...), flags: shortTimeout, code: ExitUnknown,
 		},
-		"earlier try": {server: newFakeServer(t, logDown...), flags: limit + " --proposal-id x", code: ExitUnknown},
-		"unreachable": {server: gone, flags: limit, code: ExitUnreachable},
-		"lagging":     {server: lagging, flags: limit + " --wait", code: ExitNotInForce, says: "lagging: slow"},
-		"bad server":  {server: gone, flags: "--server ftp://x", code: ExitUsage},
-		"bad flag":    {server: gone, flags: "--nonsense", code: ExitUsage},
-		"bad timeout": {server: gone, flags: "--timeout -1s", code: ExitUsage},
+		"earlier attempt": {server: newFakeServer(t, logDown...), flags: shortTimeout + " --proposal-id x", code: ExitUnknown},
+		"unreachable":     {server: closed, flags: shortTimeout, code: ExitUnreachable},
+		"lagging":         {server: lagging, flags: shortTimeout + " --wait", code: ExitNotInForce, stderr: "lagging: slow"},
+		"bad server":      {server: closed, flags: "--server ftp://x", code: ExitUsage},
+		"bad flag":        {server: closed, flags: "--nonsense", code: ExitUsage},
+		"bad timeout":     {server: closed, flags: "--timeout -1s", code: ExitUsage},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			arguments := []string{"table", "apply", "-", "--server", test.server.URL}
 			applied := runCorkctl(csv, append(arguments, strings.Fields(test.flags)...)...)
 			assert.Equal(t, applied.code, test.code, applied.errors)
-			assert.Assert(t, strings.Contains(applied.errors, test.says), applied.errors)
+			assert.Assert(t, strings.Contains(applied.errors, test.stderr), applied.errors)
 		})
 	}
 }
 
 func TestCommandsFailOverToNextServer(t *testing.T) {
-	gone, server := newFakeServer(t), newFakeServer(t)
-	gone.Close()
-	t.Setenv(serverVariable, gone.URL+", "+server.URL)
+	closed, server := newFakeServer(t), newFakeServer(t)
+	closed.Close()
+	t.Setenv(serverVariable, closed.URL+", "+server.URL)
 	for _, command := range [][]string{
 		{"status"}, {"nodes"}, {"engines", "--all"}, {"steps"}, {"table", "show"}, {"table", "history"},
 	} {
@@ -224,7 +224,7 @@
 		assert.Assert(t, json.Valid([]byte(asJSON.out)), asJSON.out)
 	}
 	// The flag replaces the environment variable.
-	assert.Equal(t, runCorkctl("", "nodes", "--server", gone.URL).code, ExitUnreachable)
+	assert.Equal(t, runCorkctl("", "nodes", "--server", closed.URL).code, ExitUnreachable)
 	// Drain does not fail over to another node.
 	assert.Equal(t, runCorkctl("", "drain").code, ExitUsage)
 	assert.Assert(t, !server.drained)
@@ -245,13 +245,13 @@
 }
 
 func TestUnreachableServersAreListed(t *testing.T) {
-	gone := newFakeServer(t)
+	closed := newFakeServer(t)
 	other := newFakeServer(t)
-	gone.Close()
+	closed.Close()
 	other.Close()
-	outcome := runCorkctl("", "status", "--server", gone.URL, "--server", other.URL)
+	outcome := runCorkctl("", "status", "--server", closed.URL, "--server", other.URL)
 	assert.Equal(t, outcome.code, ExitUnreachable)
-	for _, server := range []string{gone.URL, other.URL} {
+	for _, server := range []string{closed.URL, other.URL} {
 		assert.Equal(t, strings.Count(outcome.errors, server), 1, outcome.errors)
 	}
 }
--- a/internal/ctl/print.go
+++ b/internal/ctl/print.go
@@ -62,12 +62,12 @@
 	return table
 }
 
-func (c *textTable) add(cells ...string) {
+func (t *textTable) add(cells ...string) {
 	var printable []string
 	for _, cell := range cells {
 		printable = append(printable, escapeControls(cell))
 	}
-	fmt.Fprintln(c.writer, strings.Join(printable, "\t"))
+	fmt.Fprintln(t.writer, strings.Join(printable, "\t"))
 }
 
 // escapeControls replaces control characters with Go escapes, as cells may hold untrusted text with terminal escape
@@ -80,7 +80,7 @@
 	return quoted[1 : len(quoted)-1]
 }
 
-func (c *textTable) flush() { _ = c.writer.Flush() }
+func (t *textTable) flush() { _ = t.writer.Flush() }
 
 func printProblems(w io.Writer, file string, problems []policy.Problem) {
 	for _, problem := range problems {
--- a/internal/ctl/zones.go
+++ b/internal/ctl/zones.go
@@ -87,7 +87,7 @@
 	if err := fleet.CheckZoneName(order.Zone); err != nil {
 		return exitWith(ExitUsage, "%w", err)
 	}
-	accepted, err := s.writeEvacuation(ctx, order.Zone, evacuated)
+	accepted, err := s.sendEvacuationOrder(ctx, order.Zone, evacuated)
 	if err != nil {
 		return err
 	}
@@ -102,8 +102,8 @@
 	return s.awaitEvacuation(ctx, order.Zone, evacuated)
 }
 
-// writeEvacuation tries the servers in turn. Orders are idempotent.
-func (s *session) writeEvacuation(ctx context.Context, zone string, evacuated bool) (api.EvacuationAccepted, error) {
+// sendEvacuationOrder tries the servers in turn, which is safe because orders are idempotent.
+func (s *session) sendEvacuationOrder(ctx context.Context, zone string, evacuated bool) (api.EvacuationAccepted, error) {
 	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	method := http.MethodPut
@@ -123,8 +123,8 @@
 		}
 		last = err
 		mayBeRecorded = mayBeRecorded || mayHaveTakenEffect(err)
-		var answer *serverError
-		if errors.As(err, &answer) && !answer.detail.Retryable {
+		var serverErr *serverError
+		if errors.As(err, &serverErr) && !serverErr.detail.Retryable {
 			break
 		}
 		s.client.useNextServer()
@@ -141,8 +141,8 @@
 	if errors.As(err, &unreachable) {
 		return unreachable.sent
 	}
-	var answer *serverError
-	return errors.As(err, &answer) && answer.detail.Executed != string(errkind.NotExecuted)
+	var serverErr *serverError
+	return errors.As(err, &serverErr) && serverErr.detail.Executed != string(errkind.NotExecuted)
 }
 
 // awaitEvacuation polls until the order is in force at every server and, for an evacuation, no server has a request in
@@ -163,10 +163,10 @@
 		}
 		done := inForceAt == len(s.client.servers) && (!evacuated || inFlight == 0)
 		state := strconv.Itoa(inForceAt) + " of " + strconv.Itoa(len(s.client.servers)) + " servers, " +
-			strconv.Itoa(inFlight) + " requests there"
+			strconv.Itoa(inFlight) + " requests in flight"
 		if ctx.Err() == nil && state != reported {
 			reported = state
-			s.notice("zone %s: evacuated %s at %s", zone, yesNo(evacuated), state)
+			s.notice("zone %s: evacuated: %s at %s", zone, yesNo(evacuated), state)
 		}
 		if done {
 			return nil
--- a/internal/ctl/zones_test.go
+++ b/internal/ctl/zones_test.go
@@ -89,28 +89,28 @@
 	server.inFlight = 2
 	done := runCorkctl("", "evacuate", "za", "--wait", "--server", server.URL)
 	assert.Equal(t, done.code, ExitOK, done.errors)
-	assert.Assert(t, strings.Contains(done.errors, "1 of 1 servers, 0 requests there"), done.errors)
+	assert.Assert(t, strings.Contains(done.errors, "1 of 1 servers, 0 requests in flight"), done.errors)
 	back := runCorkctl("", "take-back", "za", "--wait", "--server", server.URL)
 	assert.Equal(t, back.code, ExitOK, back.errors)
 	assert.DeepEqual(t, server.ordered(), []string{"PUT /v1/zones/za/evacuation", "DELETE /v1/zones/za/evacuation"})
 }
 
 func TestEvacuateExitCodes(t *testing.T) {
-	const limit = "1s"
-	gone := newZoneServer(t)
-	gone.Close()
+	const timeout = "1s"
+	closed := newZoneServer(t)
+	closed.Close()
 	for name, test := range map[string]struct {
 		change func(*zoneServer)
 		zone   string
 		code   ExitCode
-		says   string
+		stderr string
 		orders int
 	}{
-		"bad name":     {zone: "z/a", code: ExitUsage, says: "names no zone"},
-		"log away":     {change: func(z *zoneServer) { z.failure = errkind.New(errkind.LogUnavailable, "no") }, code: ExitFailed, orders: 1},
-		"lost answer":  {change: func(z *zoneServer) { z.abortsConnection = true }, code: ExitUnknown, says: "repeat it", orders: 1},
-		"unsure":       {change: func(z *zoneServer) { z.failure = errkind.New(errkind.OutcomeUnknownRepeatable, "?") }, code: ExitUnknown, orders: 1},
-		"not in force": {change: func(z *zoneServer) { z.ignoresOrders = true }, code: ExitNotInForce, says: "0 of 1 servers", orders: 1},
+		"bad name":        {zone: "z/a", code: ExitUsage, stderr: "names no zone"},
+		"log unavailable": {change: func(z *zoneServer) { z.failure = errkind.New(errkind.LogUnavailable, "no") }, code: ExitFailed, orders: 1},
+		"lost response":   {change: func(z *zoneServer) { z.abortsConnection = true }, code: ExitUnknown, stderr: "repeat it", orders: 1},
+		"outcome unknown": {change: func(z *zoneServer) { z.failure = errkind.New(errkind.OutcomeUnknownRepeatable, "?") }, code: ExitUnknown, orders: 1},
+		"not in force":    {change: func(z *zoneServer) { z.ignoresOrders = true }, code: ExitNotInForce, stderr: "0 of 1 servers", orders: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newZoneServer(t)
@@ -121,26 +121,26 @@
 			if test.zone != "" {
 				zone = test.zone
 			}
-			got := runCorkctl("", "evacuate", zone, "--wait", "--timeout", limit, "--server", server.URL)
+			got := runCorkctl("", "evacuate", zone, "--wait", "--timeout", timeout, "--server", server.URL)
 			assert.Equal(t, got.code, test.code, got.errors)
-			assert.Assert(t, strings.Contains(got.errors, test.says), got.errors)
+			assert.Assert(t, strings.Contains(got.errors, test.stderr), got.errors)
 			assert.Equal(t, len(server.ordered()), test.orders)
 		})
 	}
-	unreachable := runCorkctl("", "evacuate", "za", "--server", gone.URL)
+	unreachable := runCorkctl("", "evacuate", "za", "--server", closed.URL)
 	assert.Equal(t, unreachable.code, ExitUnreachable)
 	// The order fails over to the next server.
 	server := newZoneServer(t)
-	assert.Equal(t, runCorkctl("", "evacuate", "za", "--server", gone.URL, "--server", server.URL).code, ExitOK)
+	assert.Equal(t, runCorkctl("", "evacuate", "za", "--server", closed.URL, "--server", server.URL).code, ExitOK)
 }
 
 // Guards against an order held up by a server that does not respond.
 func TestEvacuateFailsOverFromUnresponsiveServer(t *testing.T) {
 	t.Parallel()
-	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
-	t.Cleanup(silent.Close)
+	unresponsive := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
+	t.Cleanup(unresponsive.Close)
 	server := newZoneServer(t)
-	got := runCorkctl("", "evacuate", "za", "--timeout", "20s", "--server", silent.URL, "--server", server.URL)
+	got := runCorkctl("", "evacuate", "za", "--timeout", "20s", "--server", unresponsive.URL, "--server", server.URL)
 	assert.Equal(t, got.code, ExitOK, got.errors)
 	assert.Equal(t, len(server.ordered()), 1)
 }
