--- a/internal/batchrun/cold.go
+++ b/internal/batchrun/cold.go
@@ -36,7 +36,7 @@
 	if outcome != coldpermits.Granted {
 		return nil, false
 	}
-	return permit.Open, true
+	return permit.Valid, true
 }
 
 // freeSlots returns how many more items may start on an engine now.
--- a/internal/coldpermits/client.go
+++ b/internal/coldpermits/client.go
@@ -24,8 +24,8 @@
 	unansweredBackoff = 500 * time.Millisecond
 )
 
-// Denial is the reason why no permit was granted; its outcome is Granted if one was.
-type Denial struct {
+// Decision is the reason why no permit was granted; its outcome is Granted if one was.
+type Decision struct {
 	Outcome Outcome
 	// Wait is the time after which a retry may succeed.
 	Wait time.Duration
@@ -41,7 +41,7 @@
 	Leader func() string
 	Client *http.Client
 	Logger zerolog.Logger
-	// Observe is called with the outcome of each call of Ask.
+	// Observe is called with the outcome of each call of RequestPermit.
 	Observe func(outcome Outcome)
 }
 
@@ -64,14 +64,14 @@
 	}
 }
 
-// Ask requests a permit for one of a service's engines, which are listed in order of preference.
-func (c *Client) Ask(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
+// RequestPermit requests a permit for one of a service's engines, which are listed in order of preference.
+func (c *Client) RequestPermit(ctx context.Context, service string, engines []fleet.Engine) (Permit, Decision) {
 	permit, denial := c.request(ctx, service, engines)
 	c.options.Observe(denial.Outcome)
 	return permit, denial
 }
 
-func (c *Client) request(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
+func (c *Client) request(ctx context.Context, service string, engines []fleet.Engine) (Permit, Decision) {
 	if denial, backingOff := c.isBackingOff(service); backingOff {
 		return Permit{}, denial
 	}
@@ -83,15 +83,15 @@
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
 	default:
-		return Permit{}, Denial{Outcome: Suppressed, Wait: unansweredBackoff}
+		return Permit{}, Decision{Outcome: Suppressed, Wait: unansweredBackoff}
 	}
 	permit, denial := c.requestFromLeader(ctx, service, engines)
 	return permit, c.backOffUnlessGranted(ctx, service, denial)
 }
 
 // admitLocally requests a permit from this node itself while it leads.
-func (c *Client) admitLocally(engines []fleet.Engine) (Permit, Denial) {
-	denial := Denial{Outcome: RateLimited}
+func (c *Client) admitLocally(engines []fleet.Engine) (Permit, Decision) {
+	denial := Decision{Outcome: RateLimited}
 	for _, each := range engines {
 		cold, isCold := c.options.Cold(each)
 		if !isCold {
@@ -99,10 +99,10 @@
 		}
 		permit, wait, outcome := c.options.Granter.Admit(Requests, each.Incarnation(), cold)
 		if outcome == Granted {
-			return permit, Denial{Outcome: Granted}
+			return permit, Decision{Outcome: Granted}
 		}
 		if denial.Wait == 0 || wait < denial.Wait {
-			denial = Denial{Outcome: outcome, Wait: wait}
+			denial = Decision{Outcome: outcome, Wait: wait}
 		}
 	}
 	return Permit{}, denial
@@ -111,10 +111,10 @@
 // requestFromLeader requests a permit from the leader, without retries. The permit's lifetime starts before the
 // request is sent, since the permit may be granted at any time after that. A permit whose response is lost stays
 // unused.
-func (c *Client) requestFromLeader(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial) {
+func (c *Client) requestFromLeader(ctx context.Context, service string, engines []fleet.Engine) (Permit, Decision) {
 	leader := c.options.Leader()
 	if leader == "" {
-		return Permit{}, Denial{Outcome: Unanswered, Wait: notLeadingBackoff}
+		return Permit{}, Decision{Outcome: Unanswered, Wait: notLeadingBackoff}
 	}
 	request := permitRequest{Service: service}
 	for _, each := range engines[:min(len(engines), MaxEngines)] {
@@ -128,33 +128,33 @@
 	if err != nil {
 		c.options.Logger.Info().Err(err).Str("leader", leader).Str("service", service).Int("engines", len(engines)).
 			Dur("took_ms", c.now().Sub(began)).Msg("no response to the permit request for a cold engine")
-		return Permit{}, Denial{Outcome: Unanswered, Wait: unansweredBackoff}
+		return Permit{}, Decision{Outcome: Unanswered, Wait: unansweredBackoff}
 	}
 	if response.Outcome != Granted {
-		return Permit{}, Denial{Outcome: response.Outcome, Wait: max(response.Wait, time.Millisecond)}
+		return Permit{}, Decision{Outcome: response.Outcome, Wait: max(response.Wait, time.Millisecond)}
 	}
-	return Permit{Engine: response.Engine.incarnation(), until: began.Add(slowstart.PermitTTL), now: c.now}, Denial{Outcome: Granted}
+	return Permit{Engine: response.Engine.incarnation(), until: began.Add(slowstart.PermitTTL), now: c.now}, Decision{Outcome: Granted}
 }
 
 // isBackingOff reports whether requests for a service are suspended, and returns the denial in that case.
-func (c *Client) isBackingOff(service string) (Denial, bool) {
+func (c *Client) isBackingOff(service string) (Decision, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	until, found := c.backoffUntil[service]
 	if !found {
-		return Denial{}, false
+		return Decision{}, false
 	}
 	left := until.Sub(c.now())
 	if left <= 0 {
 		delete(c.backoffUntil, service)
-		return Denial{}, false
+		return Decision{}, false
 	}
-	return Denial{Outcome: Suppressed, Wait: left}, true
+	return Decision{Outcome: Suppressed, Wait: left}, true
 }
 
 // backOffUnlessGranted suspends requests for a service for the wait of a denial, extended by a random jitter of up
 // to a half. Without jitter all nodes would retry at the same time, and the leader would always be first.
-func (c *Client) backOffUnlessGranted(ctx context.Context, service string, denial Denial) Denial {
+func (c *Client) backOffUnlessGranted(ctx context.Context, service string, denial Decision) Decision {
 	if denial.Outcome == Granted || ctx.Err() != nil {
 		return denial
 	}
--- a/internal/coldpermits/coldpermits_test.go
+++ b/internal/coldpermits/coldpermits_test.go
@@ -120,8 +120,8 @@
 
 func coldEngine(id string) fleet.Engine { return fleet.Engine{ID: id, StartMillis: 7, Service: "s"} }
 
-func ask(client *Client, engines ...fleet.Engine) (Permit, Denial) {
-	return client.Ask(context.Background(), "s", engines)
+func ask(client *Client, engines ...fleet.Engine) (Permit, Decision) {
+	return client.RequestPermit(context.Background(), "s", engines)
 }
 
 // sendPermitted requests permits for a period and returns the times at which requests were permitted.
@@ -129,7 +129,7 @@
 	var sent []time.Time
 	for until := c.clock.read().Add(period); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
 		for _, client := range clients {
-			if permit, denial := ask(client, coldEngine("e")); denial.Outcome == Granted && permit.Open() {
+			if permit, denial := ask(client, coldEngine("e")); denial.Outcome == Granted && permit.Valid() {
 				sent = append(sent, c.clock.read())
 			}
 		}
@@ -221,10 +221,10 @@
 	client, transport := c.client()
 	hold := make(chan struct{})
 	transport.set(func(f *fakeTransport) { f.hold = hold })
-	done := make(chan Denial)
+	done := make(chan Decision)
 	go func() {
 		permit, denial := ask(client, coldEngine("e"))
-		if denial.Outcome == Granted && permit.Open() {
+		if denial.Outcome == Granted && permit.Valid() {
 			denial.Outcome = 99
 		}
 		done <- denial
@@ -246,9 +246,9 @@
 	client, _ := c.client()
 	permit, denial := ask(client, coldEngine("e"))
 	assert.Equal(t, denial.Outcome, Granted)
-	assert.Assert(t, permit.Open())
+	assert.Assert(t, permit.Valid())
 	c.clock.advance(slowstart.PermitTTL)
-	assert.Assert(t, !permit.Open())
+	assert.Assert(t, !permit.Valid())
 }
 
 // Guards against permits of the leader itself that outlast its term, for which the next leader does not wait.
@@ -260,9 +260,9 @@
 	clock.advance(slowstart.TakeoverPause)
 	permit, _, outcome := granter.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond})
 	assert.Equal(t, outcome, Granted)
-	assert.Assert(t, permit.Open())
+	assert.Assert(t, permit.Valid())
 	valid = false
-	assert.Assert(t, !permit.Open())
+	assert.Assert(t, !permit.Valid())
 	assert.Assert(t, !granter.Leads())
 	assert.Equal(t, granter.Available(incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond}), 0)
 	_, _, outcome = granter.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond})
@@ -291,9 +291,9 @@
 		// Each permit is used at the last moment of its lifetime.
 		outstanding = slices.DeleteFunc(outstanding, func(permit Permit) bool {
 			c.clock.advance(10 * time.Millisecond)
-			last := !permit.Open()
+			last := !permit.Valid()
 			c.clock.advance(-10 * time.Millisecond)
-			if last && permit.Open() {
+			if last && permit.Valid() {
 				sent = append(sent, c.clock.read())
 			}
 			return last
@@ -319,7 +319,7 @@
 	assert.Equal(t, denial.Outcome, NotLeading)
 	defer c.lead()()
 	other, _ := c.client()
-	_, denial = other.Ask(context.Background(), "unknown", []fleet.Engine{coldEngine("e")})
+	_, denial = other.RequestPermit(context.Background(), "unknown", []fleet.Engine{coldEngine("e")})
 	assert.Equal(t, denial.Outcome, UnknownService)
 }
 
--- a/internal/coldpermits/granter.go
+++ b/internal/coldpermits/granter.go
@@ -42,8 +42,8 @@
 	now        func() time.Time
 }
 
-// Open reports whether the request may be sent. It must be checked right before the bytes are written.
-func (p Permit) Open() bool {
+// Valid reports whether the request may be sent. It must be checked right before the bytes are written.
+func (p Permit) Valid() bool {
 	return p.now().Before(p.until) && (p.stillLeads == nil || p.stillLeads())
 }
 
@@ -132,12 +132,12 @@
 // RecordStart counts a request to an engine that is not known to be cold; see slowstart.Pacer.
 func (g *Granter) RecordStart(to incarnation.ID, ratePerSecond float64) {
 	if current, leads := g.currentTerm(); leads {
-		current.pacer.Note(to, ratePerSecond, g.now())
+		current.pacer.RecordUnpaced(to, ratePerSecond, g.now())
 	}
 }
 
-// Forget drops the expired state of the current term.
-func (g *Granter) Forget() {
+// DropExpired drops the expired state of the current term.
+func (g *Granter) DropExpired() {
 	if current, leads := g.currentTerm(); leads {
 		current.pacer.Forget(g.now())
 	}
--- a/internal/coldpermits/pool.go
+++ b/internal/coldpermits/pool.go
@@ -11,8 +11,8 @@
 
 // PoolOptions configures the prefetching of permits.
 type PoolOptions struct {
-	// Ask requests a permit from the leader.
-	Ask func(ctx context.Context, service string, engines []fleet.Engine) (Permit, Denial)
+	// RequestPermit requests a permit from the leader.
+	RequestPermit func(ctx context.Context, service string, engines []fleet.Engine) (Permit, Decision)
 	// Find returns a listed engine, and false if it is not listed.
 	Find func(of incarnation.ID) (fleet.Engine, bool)
 	// Granted is called after each permit that was added to the pool.
@@ -82,7 +82,7 @@
 func (p *Pool) dropExpired(to incarnation.ID) {
 	var unused []Permit
 	for _, permit := range p.unused[to] {
-		if permit.Open() {
+		if permit.Valid() {
 			unused = append(unused, permit)
 		}
 	}
@@ -128,7 +128,7 @@
 // before the runner's next pass.
 func (p *Pool) fillService(service string, engines []fleet.Engine) {
 	for len(engines) > 0 {
-		permit, denial := p.options.Ask(p.ctx, service, engines)
+		permit, denial := p.options.RequestPermit(p.ctx, service, engines)
 		if denial.Outcome != Granted {
 			return
 		}
--- a/internal/coldpermits/pool_test.go
+++ b/internal/coldpermits/pool_test.go
@@ -22,15 +22,15 @@
 	lifetime time.Duration
 }
 
-func (l *fakeLeader) ask(_ context.Context, _ string, engines []fleet.Engine) (Permit, Denial) {
+func (l *fakeLeader) ask(_ context.Context, _ string, engines []fleet.Engine) (Permit, Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.deny {
-		return Permit{}, Denial{Outcome: RateLimited}
+		return Permit{}, Decision{Outcome: RateLimited}
 	}
 	id := engines[0].Incarnation()
 	l.granted[id]++
-	return Permit{Engine: id, until: boottime.Now().Add(l.lifetime), now: boottime.Now}, Denial{Outcome: Granted}
+	return Permit{Engine: id, until: boottime.Now().Add(l.lifetime), now: boottime.Now}, Decision{Outcome: Granted}
 }
 
 func newTestPool(t *testing.T, leader *fakeLeader, engines ...fleet.Engine) *Pool {
@@ -39,7 +39,7 @@
 	for _, engine := range engines {
 		known.Put(engine)
 	}
-	return NewPool(t.Context(), PoolOptions{Ask: leader.ask, Find: known.Find, Granted: func() {}})
+	return NewPool(t.Context(), PoolOptions{RequestPermit: leader.ask, Find: known.Find, Granted: func() {}})
 }
 
 var (
@@ -70,7 +70,7 @@
 			permit, _, outcome := pool.Admit(Items, id, fleet.Coldness{})
 			assert.Equal(t, outcome, Granted)
 			assert.Equal(t, permit.Engine, id)
-			assert.Assert(t, permit.Open())
+			assert.Assert(t, permit.Valid())
 		}
 		_, _, outcome := pool.Admit(Items, id, fleet.Coldness{})
 		assert.Equal(t, outcome, RateLimited, "a permit admits one item only")
--- a/internal/core/lease/term.go
+++ b/internal/core/lease/term.go
@@ -11,9 +11,9 @@
 
 // Permit allows one order to be sent within a short time window.
 type Permit interface {
-	// Open reports whether the order may still be sent. Check it right before writing the bytes: dialing,
+	// Valid reports whether the order may still be sent. Check it right before writing the bytes: dialing,
 	// scheduling or a pause of the machine may have taken time since the permit was granted.
-	Open() bool
+	Valid() bool
 	// WithDeadline returns a context that ends when the order may no longer arrive. The sender must then discard
 	// the bytes in transit, since the next holder waits no longer.
 	WithDeadline(ctx context.Context) (context.Context, context.CancelFunc)
--- a/internal/core/slowstart/pacer_test.go
+++ b/internal/core/slowstart/pacer_test.go
@@ -96,7 +96,7 @@
 	pacer := New(began)
 	var times []time.Time
 	for range items {
-		pacer.Note(cold, rate, firstAdmission)
+		pacer.RecordUnpaced(cold, rate, firstAdmission)
 		times = append(times, firstAdmission)
 	}
 	for now := firstAdmission; now.Before(firstAdmission.Add(3 * time.Second)); now = now.Add(10 * time.Millisecond) {
@@ -110,7 +110,7 @@
 func TestNotedRequestsDelayAdmissionByAtMostOneSecond(t *testing.T) {
 	pacer := New(began)
 	for range 100 {
-		pacer.Note(cold, 4, firstAdmission)
+		pacer.RecordUnpaced(cold, 4, firstAdmission)
 	}
 	assert.Equal(t, pacer.Admit(cold, 4, firstAdmission.Add(time.Second)), time.Duration(0))
 }
--- a/internal/duties/arrival_test.go
+++ b/internal/duties/arrival_test.go
@@ -67,7 +67,7 @@
 	t.Helper()
 	term = &latestTerm{}
 	elector := leadership.New(log, leadership.Options{
-		Holder: node + "1", Node: node, TTL: leaseTTL, Quiet: quietPeriod, Logger: zerolog.Nop(),
+		Holder: node + "1", Node: node, TTL: leaseTTL, QuietPeriod: quietPeriod, Logger: zerolog.Nop(),
 	}, term.lead)
 	return term, runInBackground(t, func(ctx context.Context) { _ = elector.Run(ctx) })
 }
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -77,11 +77,11 @@
 	if err != nil {
 		return NotDone, err
 	}
-	if !permit.Open() || ctx.Err() != nil {
+	if !permit.Valid() || ctx.Err() != nil {
 		return NotDone, ctx.Err()
 	}
 	holder := c.holder
-	holder.MaySend = permit.Open
+	holder.MaySend = permit.Valid
 	callContext, cancel := permit.WithDeadline(ctx)
 	defer cancel()
 	return call(callContext, holder)
--- a/internal/hosted/election.go
+++ b/internal/hosted/election.go
@@ -13,7 +13,7 @@
 	return leadership.Options{
 		Holder: n.holder, Node: n.config.Node.ID, Address: exclusiveAddress(n.config.Listen.Peers),
 		TTL: time.Duration(n.config.Hosted.Lease), ClaimDelay: claimDelay(n.config.Node.Processors),
-		Quiet: time.Duration(n.config.Hosted.OrderQuiet), EnginesFence: n.config.Hosted.EnginesFence,
+		QuietPeriod: time.Duration(n.config.Hosted.OrderQuiet), EnginesFence: n.config.Hosted.EnginesFence,
 		Eligible: n.mayLead,
 		Budget:   n.directory.Budget(), OnSuperseded: n.metrics.staleLeaseRecord, Logger: n.logger,
 	}
--- a/internal/hosted/regionelections.go
+++ b/internal/hosted/regionelections.go
@@ -192,7 +192,7 @@
 	defer n.itemRunners.Add(-1)
 	var runner *batchrun.Runner
 	permits := coldpermits.NewPool(ctx, coldpermits.PoolOptions{
-		Ask: n.coldPermits.Ask, Find: n.fleet.Find, Granted: func() { runner.Wake() },
+		RequestPermit: n.coldPermits.RequestPermit, Find: n.fleet.Find, Granted: func() { runner.Wake() },
 	})
 	runner = batchrun.New(batchrun.Options{
 		Jobs: n.jobs, Engines: n.engineCalls, Fleet: n.fleet, Scorer: n, Guard: n.crashGuard, Gate: n.gate,
--- a/internal/hosted/slowstart.go
+++ b/internal/hosted/slowstart.go
@@ -60,7 +60,7 @@
 			return nil
 		case <-ticker.C:
 			logged = n.logColdEngines(logged)
-			n.coldGranter.Forget()
+			n.coldGranter.DropExpired()
 		}
 	}
 }
--- a/internal/ingress/cold.go
+++ b/internal/ingress/cold.go
@@ -15,7 +15,7 @@
 // choose returns the engine to try next. A cold engine needs a permit, whose validity permitOpen reports; without
 // a permit, a warm engine is chosen, or none.
 func (x *exchange) choose() (choice fleet.Choice, permitOpen func() bool, found bool) {
-	x.denial = coldpermits.Denial{}
+	x.denial = coldpermits.Decision{}
 	engines := x.relay.options.Fleet
 	query := fleet.Query{
 		Service: x.service, Zone: x.relay.options.Zone, Region: x.relay.options.Region,
@@ -26,18 +26,18 @@
 		return choice, nil, found
 	}
 	candidates := engines.ColdCandidates(query, coldpermits.MaxEngines)
-	permit, denial := x.relay.options.ColdPermits.Ask(x.ctx, x.service, candidates)
+	permit, denial := x.relay.options.ColdPermits.RequestPermit(x.ctx, x.service, candidates)
 	if denial.Outcome == coldpermits.Granted {
 		for _, each := range candidates {
 			if each.Incarnation() != permit.Engine {
 				continue
 			}
 			if choice, found = engines.ChoiceOf(each, query, len(candidates)); found {
-				return choice, permit.Open, true
+				return choice, permit.Valid, true
 			}
 		}
 		// The permitted engine was removed meanwhile; the next permit request names the others.
-		denial = coldpermits.Denial{Outcome: coldpermits.RateLimited, Wait: minPermitWait}
+		denial = coldpermits.Decision{Outcome: coldpermits.RateLimited, Wait: minPermitWait}
 	}
 	query.ExcludeCold, query.Now = true, time.Now()
 	choice, found = engines.Choose(query)
@@ -48,7 +48,7 @@
 }
 
 // recordDenial notes that only cold engines are left and that no permit was granted for them.
-func (x *exchange) recordDenial(denial coldpermits.Denial, candidates int) {
+func (x *exchange) recordDenial(denial coldpermits.Decision, candidates int) {
 	x.denial = denial
 	x.relay.options.Logger.Info().Str("id", x.request.ID).Str("service", x.service).Int("cold_engines", candidates).
 		Stringer("outcome", denial.Outcome).Dur("wait_ms", denial.Wait).Msg("no permit for a cold engine")
--- a/internal/ingress/cold_test.go
+++ b/internal/ingress/cold_test.go
@@ -24,15 +24,15 @@
 	asked   [][]fleet.Engine
 }
 
-func (s *scriptedPermits) Ask(
+func (s *scriptedPermits) RequestPermit(
 	_ context.Context, _ string, engines []fleet.Engine,
-) (coldpermits.Permit, coldpermits.Denial) {
+) (coldpermits.Permit, coldpermits.Decision) {
 	s.asked = append(s.asked, engines)
 	if s.denials > 0 {
 		s.denials--
-		return coldpermits.Permit{}, coldpermits.Denial{Outcome: coldpermits.RateLimited, Wait: s.wait}
+		return coldpermits.Permit{}, coldpermits.Decision{Outcome: coldpermits.RateLimited, Wait: s.wait}
 	}
-	return coldpermits.Permit{Engine: incarnation.ID{Engine: s.grant}}, coldpermits.Denial{}
+	return coldpermits.Permit{Engine: incarnation.ID{Engine: s.grant}}, coldpermits.Decision{}
 }
 
 // withColdEngines configures a slow start for the relay's service and marks the given engines as cold.
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -33,7 +33,7 @@
 	// tried holds the IDs of the engines tried.
 	tried []string
 	// denial is why no cold engine was tried, if only cold engines were left.
-	denial coldpermits.Denial
+	denial coldpermits.Decision
 	// fingerprint is computed on first use; see fingerprintOf.
 	fingerprint *quarantine.Fingerprint
 	// executions counts the engines that may have run the request.
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -119,8 +119,8 @@
 
 // ColdPermits grants permits to send requests to cold engines; see coldpermits.Client.
 type ColdPermits interface {
-	// Ask returns a permit for one of the given engines of a service, or a denial.
-	Ask(ctx context.Context, service string, engines []fleet.Engine) (coldpermits.Permit, coldpermits.Denial)
+	// RequestPermit returns a permit for one of the given engines of a service, or a denial.
+	RequestPermit(ctx context.Context, service string, engines []fleet.Engine) (coldpermits.Permit, coldpermits.Decision)
 }
 
 // Options configure a relay.
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -78,8 +78,8 @@
 	TTL time.Duration
 	// ClaimDelay is how long this node defers a claim in favor of more capable nodes.
 	ClaimDelay time.Duration
-	// Quiet is the quiet period: the minimum time between the orders of two machines to the same engine.
-	Quiet time.Duration
+	// QuietPeriod is the quiet period: the minimum time between the orders of two machines to the same engine.
+	QuietPeriod time.Duration
 	// EnginesFence is true when engines reject fencing tokens lower than the highest one seen.
 	EnginesFence bool
 	// Eligible reports whether this node may claim the lease; nil for always. A held lease is kept in any case.
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -79,7 +79,7 @@
 
 func joinWith(t *testing.T, log eventlog.Log, options Options) *candidate {
 	t.Helper()
-	options.TTL, options.Quiet, options.Logger = testTTL, testTTL, zerolog.Nop()
+	options.TTL, options.QuietPeriod, options.Logger = testTTL, testTTL, zerolog.Nop()
 	c := &candidate{}
 	c.elector = New(log, options, c.role)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -231,7 +231,7 @@
 	clock := &suspendableClock{}
 	first := &candidate{}
 	first.elector = New(connection, Options{
-		Holder: "a1", Node: "a", TTL: testTTL, Quiet: testTTL, Logger: zerolog.Nop(),
+		Holder: "a1", Node: "a", TTL: testTTL, QuietPeriod: testTTL, Logger: zerolog.Nop(),
 	}, first.role)
 	first.elector.now = clock.now
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/leadership/permit.go
+++ b/internal/leadership/permit.go
@@ -29,7 +29,7 @@
 // QuietUntil implements lease.Term.
 func (t Term) QuietUntil(subject string) time.Time {
 	e := t.elector
-	quiet := lease.QuietPeriod{BetweenMachines: e.options.Quiet, MaxTransit: arrivalTime, EnginesFence: e.options.EnginesFence}
+	quiet := lease.QuietPeriod{BetweenMachines: e.options.QuietPeriod, MaxTransit: arrivalTime, EnginesFence: e.options.EnginesFence}
 	e.mu.Lock()
 	until := e.state.QuietUntil(subject, quiet)
 	e.mu.Unlock()
@@ -71,8 +71,8 @@
 	until time.Time
 }
 
-// Open implements lease.Permit.
-func (p *permit) Open() bool {
+// Valid implements lease.Permit.
+func (p *permit) Valid() bool {
 	return p.term.Valid() && p.term.elector.now().Before(p.until)
 }
 
--- a/internal/leadership/permit_test.go
+++ b/internal/leadership/permit_test.go
@@ -23,12 +23,12 @@
 	testwait.Until(t, "a leads", first.leads)
 	requestedAt := time.Now()
 	granted := first.permit(t, "engine")
-	assert.Assert(t, granted.Open())
+	assert.Assert(t, granted.Valid())
 	ctx, cancel := granted.WithDeadline(t.Context())
 	defer cancel()
 	deadline, _ := ctx.Deadline()
 	assert.Assert(t, deadline.Sub(requestedAt) >= sendWindow)
-	testwait.Until(t, "the permit has ended", func() bool { return !granted.Open() })
+	testwait.Until(t, "the permit has ended", func() bool { return !granted.Valid() })
 	assert.Assert(t, time.Since(requestedAt) >= sendWindow-time.Millisecond)
 	assert.Assert(t, first.elector.Valid(first.lastTerm().Epoch), "the lease must outlast the permit")
 	assert.Assert(t, deadline.Before(time.Now().Add(lease.MaxTransitTime+time.Millisecond)))
@@ -43,9 +43,9 @@
 	go func() { _ = first.elector.Run(t.Context()) }()
 	testwait.Until(t, "a leads", first.leads)
 	granted := first.permit(t, "engine")
-	assert.Assert(t, granted.Open())
+	assert.Assert(t, granted.Valid())
 	clock.suspend(sendWindow)
-	assert.Assert(t, !granted.Open(), "the permit is still open after the suspension")
+	assert.Assert(t, !granted.Valid(), "the permit is still open after the suspension")
 }
 
 // TestPermitExpiresWithLease: the node releases the lease while an order is about to be sent.
@@ -54,7 +54,7 @@
 	testwait.Until(t, "a leads", first.leads)
 	granted := first.permit(t, "engine")
 	first.elector.Stop(t.Context())
-	assert.Assert(t, !granted.Open())
+	assert.Assert(t, !granted.Valid())
 }
 
 // TestPermitRefusedDuringQuietPeriod: another machine has recently sent an order to the engine.
--- a/internal/leadership/randomfaults_test.go
+++ b/internal/leadership/randomfaults_test.go
@@ -215,7 +215,7 @@
 	var ended atomic.Bool
 	var elector *Elector
 	elector = New(machine, Options{
-		Holder: holder, Node: node, Address: node + ":7000", TTL: r.ttl, Quiet: r.quiet, EnginesFence: r.fence, Logger: zerolog.Nop(),
+		Holder: holder, Node: node, Address: node + ":7000", TTL: r.ttl, QuietPeriod: r.quiet, EnginesFence: r.fence, Logger: zerolog.Nop(),
 	}, func(ctx context.Context, term Term) {
 		var orders sync.WaitGroup
 		for i := range 4 {
@@ -250,7 +250,7 @@
 				time.Sleep(time.Duration(300+random.IntN(250)) * time.Millisecond)
 			}
 			sentAt := boottime.Now()
-			if permit.Open() && !ended.Load() {
+			if permit.Valid() && !ended.Load() {
 				r.mu.Lock()
 				r.arrivals = append(r.arrivals, arrival{
 					engine: engine, node: node, epoch: term.Epoch, sentAt: sentAt,
--- a/internal/standin/fakelease/fakelease.go
+++ b/internal/standin/fakelease/fakelease.go
@@ -55,8 +55,8 @@
 // permit is open while its term is valid and permits are not closed.
 type permit struct{ term *Term }
 
-// Open implements lease.Permit.
-func (p permit) Open() bool {
+// Valid implements lease.Permit.
+func (p permit) Valid() bool {
 	p.term.mu.Lock()
 	defer p.term.mu.Unlock()
 	return !p.term.ended && !p.term.permitsClosed
--- a/internal/weightorders/load.go
+++ b/internal/weightorders/load.go
@@ -87,7 +87,7 @@
 		m.options.Logger.Warn().Err(err).Stringer("engine", engine.Incarnation()).Msg("load order not permitted")
 		return Refused
 	}
-	if !permit.Open() || ctx.Err() != nil {
+	if !permit.Valid() || ctx.Err() != nil {
 		return Refused
 	}
 	began := time.Now()
@@ -97,7 +97,7 @@
 	answer, err := m.options.Engines.Order(callContext, engine, Order{
 		Model: load.Model, Version: load.Version, Mode: mode,
 		Holder: m.options.Holder, Fence: m.options.Fence, Count: count,
-		MaySend: func() bool { return permit.Open() && check.MaySend() },
+		MaySend: func() bool { return permit.Valid() && check.MaySend() },
 	})
 	if err != nil {
 		m.options.Logger.Warn().Err(err).Stringer("engine", engine.Incarnation()).Msg("load order failed")
