--- a/internal/batchjobs/batchjobs.go
+++ b/internal/batchjobs/batchjobs.go
@@ -40,9 +40,9 @@
 type Options struct {
 	// Partitions is the number of partitions. It must be the same on all nodes and must never change.
 	Partitions int
-	// RecordBytes and CallBytes are the log's limits for one record and one append.
-	RecordBytes int
-	CallBytes   int
+	// MaxRecordBytes and CallBytes are the log's limits for one record and one append.
+	MaxRecordBytes int
+	MaxAppendBytes int
 	// JobRetention is the retention period of a closed job, from the time at which this node first read its record.
 	JobRetention time.Duration
 	// Budget bounds the rate of log reads of all nodes together.
@@ -149,7 +149,7 @@
 		return err
 	}
 	submission.Job.Payloads = spans
-	submission.Job.CountReturned(s.earlierJobs(&submission.Job))
+	submission.Job.CountCarriedOver(s.earlierJobs(&submission.Job))
 	return s.appendIndex(ctx, target, batch.Record{Job: &submission.Job})
 }
 
@@ -187,11 +187,11 @@
 		if err != nil {
 			return nil, err
 		}
-		if len(raw) > s.options.RecordBytes {
+		if len(raw) > s.options.MaxRecordBytes {
 			return nil, errkind.New(errkind.PayloadTooLarge,
-				"item of %d bytes exceeds the limit of %d bytes", len(raw), s.options.RecordBytes)
+				"item of %d bytes exceeds the limit of %d bytes", len(raw), s.options.MaxRecordBytes)
 		}
-		if size+len(raw)+recordOverheadBytes > s.options.CallBytes {
+		if size+len(raw)+recordOverheadBytes > s.options.MaxAppendBytes {
 			if err := flush(); err != nil {
 				return nil, err
 			}
--- a/internal/batchjobs/batchjobs_test.go
+++ b/internal/batchjobs/batchjobs_test.go
@@ -40,7 +40,7 @@
 
 func newService(log eventlog.Log) *Service {
 	return New(log, Options{
-		Partitions: 2, RecordBytes: 4096, CallBytes: 8192, JobRetention: time.Minute, Logger: zerolog.Nop(),
+		Partitions: 2, MaxRecordBytes: 4096, MaxAppendBytes: 8192, JobRetention: time.Minute, Logger: zerolog.Nop(),
 	})
 }
 
--- a/internal/batchjobs/results.go
+++ b/internal/batchjobs/results.go
@@ -117,7 +117,7 @@
 	if !found {
 		return nil, errkind.New(errkind.NotFound, "batch job %s has no item %s", jobID, itemID)
 	}
-	release, err := s.options.ReserveMemory(s.options.RecordBytes)
+	release, err := s.options.ReserveMemory(s.options.MaxRecordBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/batchjobs/write.go
+++ b/internal/batchjobs/write.go
@@ -22,9 +22,9 @@
 	if err != nil {
 		return err
 	}
-	if len(raw) > s.options.RecordBytes {
+	if len(raw) > s.options.MaxRecordBytes {
 		return errkind.New(errkind.PayloadTooLarge,
-			"index record of %d bytes exceeds the limit of %d bytes", len(raw), s.options.RecordBytes)
+			"index record of %d bytes exceeds the limit of %d bytes", len(raw), s.options.MaxRecordBytes)
 	}
 	_, err = s.appendWithRetries(ctx, target.index, [][]byte{raw})
 	return err
@@ -89,7 +89,7 @@
 		size:          func(item ItemResult) int { return len(item.Text) },
 		dataPartition: func(item ItemResult) eventlog.Partition { return target.dataPartition(item.Homes) },
 	}
-	return writeBatches(finished, texts, s.options.CallBytes, func(batch []ItemResult) error {
+	return writeBatches(finished, texts, s.options.MaxAppendBytes, func(batch []ItemResult) error {
 		return s.recordBatch(ctx, target, batch)
 	})
 }
@@ -99,7 +99,7 @@
 	results := make([]batch.ResultRecord, len(finished))
 	var records [][]byte
 	for i, item := range finished {
-		pieces := splitText(item.Text, s.options.RecordBytes)
+		pieces := splitText(item.Text, s.options.MaxRecordBytes)
 		results[i] = batch.ResultRecord{
 			Job: item.JobID, Item: item.Item, Outcome: item.Outcome, Versions: item.Versions,
 			Text: batch.Span{First: int64(len(records)), Count: len(pieces)}, TextBytes: len(item.Text),
@@ -135,7 +135,7 @@
 		size:          func(item ItemProgress) int { return len(item.Text) },
 		dataPartition: func(item ItemProgress) eventlog.Partition { return target.dataPartition(item.Homes) },
 	}
-	return writeBatches(running, texts, s.options.CallBytes, func(batch []ItemProgress) error {
+	return writeBatches(running, texts, s.options.MaxAppendBytes, func(batch []ItemProgress) error {
 		return s.saveProgressBatch(ctx, target, batch)
 	})
 }
@@ -145,7 +145,7 @@
 	progress := make([]batch.ProgressRecord, len(running))
 	var records [][]byte
 	for i, item := range running {
-		pieces := splitText(item.Text, s.options.RecordBytes)
+		pieces := splitText(item.Text, s.options.MaxRecordBytes)
 		progress[i] = item.Record
 		progress[i].Text = batch.Span{First: int64(len(records)), Count: len(pieces)}
 		progress[i].TextBytes = len(item.Text)
--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -176,7 +176,7 @@
 			return &CallError{Kind: NotExecutable, Detail: "no permit"}
 		}
 		if sent == 1 {
-			return &CallError{Kind: HeldBack, Detail: "the permit ended"}
+			return &CallError{Kind: NotPermitted, Detail: "the permit ended"}
 		}
 		return nil
 	}
--- a/internal/batchrun/dependencies.go
+++ b/internal/batchrun/dependencies.go
@@ -58,13 +58,13 @@
 	NotExecutable
 	// InvalidResponse: no response, an invalid one, or one that was cut off.
 	InvalidResponse
-	// HeldBack: the call was not sent, since MaySend returned false after the connection was established.
-	HeldBack
+	// NotPermitted: the call was not sent, since MaySend returned false after the connection was established.
+	NotPermitted
 )
 
 var callErrorKindNames = [...]string{
 	NotExecuted: "not_executed", WrongEngine: "wrong_engine", ExecutionFailed: "failed", NotExecutable: "impossible", InvalidResponse: "broken",
-	HeldBack: "held_back",
+	NotPermitted: "held_back",
 }
 
 // String returns the kind's name in logs; empty for the zero value.
--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -33,7 +33,7 @@
 		e.mu.Lock()
 		e.heldBack++
 		e.mu.Unlock()
-		return nil, &CallError{Kind: HeldBack, Detail: "not permitted"}
+		return nil, &CallError{Kind: NotPermitted, Detail: "not permitted"}
 	}
 	return e.fakeEngines.Stream(ctx, engine, call)
 }
--- a/internal/batchrun/fakes_test.go
+++ b/internal/batchrun/fakes_test.go
@@ -337,8 +337,8 @@
 		Jobs: env.jobs, Engines: engines, Fleet: env.fleet, Scorer: env.scorer, Guard: env.guard, ColdStarts: env.coldStarts,
 		Gate:    env.gate,
 		RouteOf: env.routeOf,
-		Homes:   homes.Of(regions), HomesOf: env.homesOf, Config: env.configVersion,
-		Loading: func(incarnation.ID) string { return "" }, AllLoading: func() map[incarnation.ID]string { return nil },
+		Homes:   homes.Of(regions), HomesOf: env.homesOf, ConfigVersion: env.configVersion,
+		LoadingModel: func(incarnation.ID) string { return "" }, LoadingModels: func() map[incarnation.ID]string { return nil },
 		Term: fmt.Sprint(env.terms), Logger: zerolog.Nop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/batchrun/ownership.go
+++ b/internal/batchrun/ownership.go
@@ -41,7 +41,7 @@
 // job had a newer one.
 func (r *Runner) routePending(job *batch.JobRecord) bool {
 	_, found := r.options.RouteOf(job.Host, job.Path)
-	return !found && job.Config > r.options.Config()
+	return !found && job.Config > r.options.ConfigVersion()
 }
 
 // mayRun reports whether an item of the job may be sent to the engine. It is the final check of homes before the
@@ -74,7 +74,7 @@
 // releaseUnowned drops the jobs that no longer belong to this runner, and reports whether any job changed its
 // runner.
 func (r *Runner) releaseUnowned() bool {
-	version := r.options.Config()
+	version := r.options.ConfigVersion()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.homesVersion == version {
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -76,7 +76,7 @@
 // get time to deliver what has arrived meanwhile.
 func (r *Runner) checkStall(current *run) {
 	timeout := stallTimeout
-	if r.options.Loading(current.engine) != "" {
+	if r.options.LoadingModel(current.engine) != "" {
 		timeout = loadingTimeout
 	}
 	r.mu.Lock()
@@ -234,7 +234,7 @@
 		return
 	}
 	r.options.Fleet.RecordStreamProgress(current.engine, current.started, current.sampleStart)
-	if r.options.Loading(current.engine) == "" {
+	if r.options.LoadingModel(current.engine) == "" {
 		r.plan.ObservePace(current.engine, now.Sub(current.sampleStart)/paceSampleEvents)
 	}
 	current.sampleStart, current.sampleEvents = now, 0
@@ -303,7 +303,7 @@
 		return
 	}
 	switch errorKind {
-	case HeldBack:
+	case NotPermitted:
 		r.queueItem(job, key.Item, current.engine, time.Time{})
 		r.Wake()
 		return
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -55,13 +55,13 @@
 	// Homes are the home regions whose jobs this runner runs: jobs bound to exactly these regions or, if it is
 	// unbound, jobs bound to none. HomesOf returns the homes of a job in the current configuration, whose version
 	// is Config.
-	Homes   homes.Set
-	HomesOf func(job *batch.JobRecord) homes.Set
-	Config  func() int64
-	// Loading returns the model whose weights an engine is loading, empty for none; AllLoading returns it for all
+	Homes         homes.Set
+	HomesOf       func(job *batch.JobRecord) homes.Set
+	ConfigVersion func() int64
+	// LoadingModel returns the model whose weights an engine is loading, empty for none; AllLoading returns it for all
 	// engines that are loading.
-	Loading    func(engine incarnation.ID) string
-	AllLoading func() map[incarnation.ID]string
+	LoadingModel  func(engine incarnation.ID) string
+	LoadingModels func() map[incarnation.ID]string
 	// Term identifies this leadership term among all terms.
 	Term   string
 	Logger zerolog.Logger
@@ -126,7 +126,7 @@
 
 // limits returns the weight versions that may produce the job's output.
 func (j *openJob) limits() batchitem.Limits {
-	return batchitem.Limits{MinVersion: j.record.MinVersion, Single: j.singleVersion}
+	return batchitem.Limits{MinVersion: j.record.MinVersion, SingleVersion: j.singleVersion}
 }
 
 // New returns a runner for one leadership term.
--- a/internal/batchrun/views.go
+++ b/internal/batchrun/views.go
@@ -10,7 +10,7 @@
 // every job, which in a large fleet are most. Must be called with mu held.
 func (r *Runner) engineViews(now time.Time) []batchplan.Engine {
 	var views []batchplan.Engine
-	loading := r.options.AllLoading()
+	loading := r.options.LoadingModels()
 	for service, required := range r.required() {
 		for _, listed := range r.options.Fleet.List(service, now) {
 			engine := listed.Engine
--- a/internal/core/batch/groups.go
+++ b/internal/core/batch/groups.go
@@ -85,10 +85,10 @@
 	comparedSteps = 4
 )
 
-// CountReturned sets CarriedOverKnown and CarriedOver: how many leading groups of the job are carried
+// CountCarriedOver sets CarriedOverKnown and CarriedOver: how many leading groups of the job are carried
 // over from the given earlier jobs. They stay unset unless the jobs of the preceding requiredSteps are
 // among these.
-func (j *JobRecord) CountReturned(earlier []EarlierJob) {
+func (j *JobRecord) CountCarriedOver(earlier []EarlierJob) {
 	steps := make(map[int64]bool)
 	for _, job := range earlier {
 		steps[job.Step] = true
--- a/internal/core/batch/groups_test.go
+++ b/internal/core/batch/groups_test.go
@@ -99,12 +99,12 @@
 		"unknown preceding step":        {stepOf(7, "a"), false, 0},
 		"first step":                    {stepOf(0, "a"), true, 0},
 	} {
-		check.job.CountReturned(p.EarlierJobs(&check.job))
+		check.job.CountCarriedOver(p.EarlierJobs(&check.job))
 		assert.Equal(t, check.job.CarriedOverKnown, check.known, name)
 		assert.Equal(t, check.job.CarriedOver, check.count, name)
 	}
 	other := stepOf(6, "a")
 	other.Model = "another"
-	other.CountReturned(p.EarlierJobs(&other))
+	other.CountCarriedOver(p.EarlierJobs(&other))
 	assert.Assert(t, !other.CarriedOverKnown, "steps of another model")
 }
--- a/internal/core/batchitem/batchitem_test.go
+++ b/internal/core/batchitem/batchitem_test.go
@@ -28,8 +28,8 @@
 	old.Add(event(1, 3), Limits{MinVersion: 3})
 	assert.Equal(t, old.Add(event(2, 2), Limits{MinVersion: 3}), VersionTooOld)
 	assert.Assert(t, old.Empty() && old.Last() == 0)
-	mixed.Add(event(1, 3), Limits{Single: true})
-	assert.Equal(t, mixed.Add(event(2, 4), Limits{Single: true}), MixedVersions)
+	mixed.Add(event(1, 3), Limits{SingleVersion: true})
+	assert.Equal(t, mixed.Add(event(2, 4), Limits{SingleVersion: true}), MixedVersions)
 	assert.Assert(t, mixed.Empty())
 }
 
@@ -37,7 +37,7 @@
 	o := Restore(SavedOutput{Versions: []int64{3, 4}, Last: 2, Text: []byte("e1\ne2")})
 	assert.Assert(t, o.Satisfies(Limits{MinVersion: 3}))
 	assert.Assert(t, !o.Satisfies(Limits{MinVersion: 4}))
-	assert.Assert(t, !o.Satisfies(Limits{Single: true}))
+	assert.Assert(t, !o.Satisfies(Limits{SingleVersion: true}))
 }
 
 func TestStagesNeverGoBack(t *testing.T) {
--- a/internal/core/batchitem/output.go
+++ b/internal/core/batchitem/output.go
@@ -18,8 +18,8 @@
 type Limits struct {
 	// MinVersion is the oldest version allowed.
 	MinVersion int64
-	// Single is true if a single version must generate the whole output.
-	Single bool
+	// SingleVersion is true if a single version must generate the whole output.
+	SingleVersion bool
 }
 
 // Verdict is the outcome of Output.Add.
@@ -84,7 +84,7 @@
 	case event.Version < limits.MinVersion:
 		*o = Output{}
 		return VersionTooOld
-	case limits.Single && len(o.versions) > 0 && event.Version != o.versions[0]:
+	case limits.SingleVersion && len(o.versions) > 0 && event.Version != o.versions[0]:
 		*o = Output{}
 		return MixedVersions
 	}
@@ -125,7 +125,7 @@
 			return false
 		}
 	}
-	return !limits.Single || len(o.versions) <= 1
+	return !limits.SingleVersion || len(o.versions) <= 1
 }
 
 // Detached returns the output for use in another job: without its chain and position in the log.
--- a/internal/hosted/callers.go
+++ b/internal/hosted/callers.go
@@ -94,7 +94,7 @@
 
 // queries returns the queries for a job, one for each tenant that the caller may act for, the likeliest first.
 // Jobs of other tenants cannot be queried.
-func (n *node) queries(job JobName) ([]jobQuery, error) {
+func (n *node) queries(job JobReference) ([]jobQuery, error) {
 	table := n.state.table()
 	if table == nil {
 		return nil, errkind.New(errkind.NotReady, "no configuration is known yet")
@@ -112,7 +112,7 @@
 
 // queryJob calls run for each possible qualified ID of the job until one is found.
 func queryJob[Answer any](
-	ctx context.Context, n *node, job JobName, run func(ctx context.Context, id string) (Answer, error),
+	ctx context.Context, n *node, job JobReference, run func(ctx context.Context, id string) (Answer, error),
 ) (Answer, error) {
 	queries, err := n.queries(job)
 	if err != nil {
@@ -149,21 +149,21 @@
 func (n *node) isCurrent() bool { return n.controlFollower.Age() < maxConfigurationAge }
 
 // Results implements CallerService.
-func (n *node) Results(ctx context.Context, job JobName, from int, wait time.Duration) (batchjobs.Results, error) {
+func (n *node) Results(ctx context.Context, job JobReference, from int, wait time.Duration) (batchjobs.Results, error) {
 	return queryJob(ctx, n, job, func(ctx context.Context, id string) (batchjobs.Results, error) {
 		return n.jobRelay.Results(ctx, id, from, min(wait, maxResultsWait))
 	})
 }
 
 // Body implements CallerService.
-func (n *node) Body(ctx context.Context, job JobName, itemID string) ([]byte, error) {
+func (n *node) Body(ctx context.Context, job JobReference, itemID string) ([]byte, error) {
 	return queryJob(ctx, n, job, func(ctx context.Context, id string) ([]byte, error) {
 		return n.jobRelay.Body(ctx, id, itemID)
 	})
 }
 
 // End implements CallerService.
-func (n *node) End(ctx context.Context, job JobName) error {
+func (n *node) End(ctx context.Context, job JobReference) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endTimeout)
 	defer cancel()
 	_, err := queryJob(ctx, n, job, func(ctx context.Context, id string) (struct{}, error) {
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -163,8 +163,8 @@
 		Fleet: n.fleet, Known: n.resumeGuard.allowsSending, OnHeldBack: metrics.requestHeldBack,
 	})
 	n.jobs = batchjobs.New(log, batchjobs.Options{
-		Partitions:  config.Hosted.Partitions,
-		RecordBytes: config.Hosted.RecordBytes, CallBytes: config.Hosted.CallBytes,
+		Partitions:     config.Hosted.Partitions,
+		MaxRecordBytes: config.Hosted.RecordBytes, MaxAppendBytes: config.Hosted.CallBytes,
 		JobRetention: time.Duration(config.Hosted.KeepJobs), Budget: n.directory.Budget(), ReserveMemory: n.ReserveResult, Logger: logger,
 	})
 	n.jobRelay = jobrelay.NewRelay(
--- a/internal/hosted/platform.go
+++ b/internal/hosted/platform.go
@@ -42,8 +42,8 @@
 	InForce bool
 }
 
-// JobName identifies a batch job in a caller's request.
-type JobName struct {
+// JobReference identifies a batch job in a caller's request.
+type JobReference struct {
 	// Host is the host that the request was sent to.
 	Host        string
 	Credentials routes.Credentials
@@ -60,11 +60,11 @@
 	// SubmitJob durably accepts a submitted job.
 	SubmitJob(ctx context.Context, credentials routes.Credentials, submission batchjobs.Submission) error
 	// Results returns the results of a job from a position on, and waits for new ones for at most the given time.
-	Results(ctx context.Context, job JobName, from int, wait time.Duration) (batchjobs.Results, error)
+	Results(ctx context.Context, job JobReference, from int, wait time.Duration) (batchjobs.Results, error)
 	// Body returns the request body of an item.
-	Body(ctx context.Context, job JobName, itemID string) ([]byte, error)
+	Body(ctx context.Context, job JobReference, itemID string) ([]byte, error)
 	// End durably ends a job.
-	End(ctx context.Context, job JobName) error
+	End(ctx context.Context, job JobReference) error
 	// IsStopping reports whether the node is performing a planned stop.
 	IsStopping() bool
 	// MaxBodyBytes and MaxHeaderBytes bound the size of a request.
--- a/internal/hosted/regionelections.go
+++ b/internal/hosted/regionelections.go
@@ -197,9 +197,9 @@
 	runner = batchrun.New(batchrun.Options{
 		Jobs: n.jobs, Engines: n.engineCalls, Fleet: n.fleet, Scorer: n, Guard: n.crashGuard, Gate: n.gate,
 		ColdStarts: permits, RouteOf: n.batchRoute,
-		Homes: set, HomesOf: n.jobHomes, Config: n.configVersion,
+		Homes: set, HomesOf: n.jobHomes, ConfigVersion: n.configVersion,
 		// The leader manages weight versions; an engine that is loading one refuses items.
-		Loading: func(incarnation.ID) string { return "" }, AllLoading: func() map[incarnation.ID]string { return nil },
+		LoadingModel: func(incarnation.ID) string { return "" }, LoadingModels: func() map[incarnation.ID]string { return nil },
 		Term:   fmt.Sprintf("%s.%d", set.ID(), term.Epoch),
 		Logger: n.logger.With().Stringer("homes", set).Logger(),
 	})
--- a/internal/ingress/evacuation_test.go
+++ b/internal/ingress/evacuation_test.go
@@ -25,7 +25,7 @@
 func (e *slowDialEngines) Send(ctx context.Context, engine fleet.Engine, call Call) (*Answer, error) {
 	e.dial(engine)
 	if !call.MaySend() {
-		return nil, &SendError{HeldBack: true, Cause: errors.New("not permitted")}
+		return nil, &SendError{NotPermitted: true, Cause: errors.New("not permitted")}
 	}
 	e.sent = append(e.sent, engine.ID)
 	return e.scriptedEngines.Send(ctx, engine, call)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -90,8 +90,8 @@
 type SendError struct {
 	// MayHaveRun is false if no byte of the request was sent.
 	MayHaveRun bool
-	// HeldBack is true if Call.MaySend reported false once the connection was established.
-	HeldBack bool
+	// NotPermitted is true if Call.MaySend reported false once the connection was established.
+	NotPermitted bool
 	// ConnectionLost is true if the engine closed the connection before its answer was complete.
 	ConnectionLost bool
 	Cause          error
--- a/internal/ingress/try.go
+++ b/internal/ingress/try.go
@@ -105,9 +105,9 @@
 func (x *exchange) handleSendError(err error, outcome *fleet.Outcome) verdict {
 	var failure *SendError
 	known := errors.As(err, &failure)
-	outcome.Failed = !known || !failure.HeldBack
+	outcome.Failed = !known || !failure.NotPermitted
 	if known && !failure.MayHaveRun {
-		outcome.Unreached = !failure.HeldBack
+		outcome.Unreached = !failure.NotPermitted
 		return tryNext
 	}
 	outcome.ConnectionLost = failure != nil && failure.ConnectionLost
