--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -124,7 +124,7 @@
 	env := newZonedEnv(t)
 	env.engines.events["i0"] = 3
 	var known atomic.Bool
-	env.gate = sendgate.New(sendgate.Options{Fleet: env.fleet, Known: known.Load})
+	env.gate = sendgate.New(sendgate.Options{Fleet: env.fleet, EnginesKnown: known.Load})
 	r, _ := env.startRunner()
 	env.submit("job", 1, "i0")
 	testwait.Until(t, "the item waits", func() bool { return r.Demands()["m"].Waiting == 1 })
--- a/internal/batchrun/move.go
+++ b/internal/batchrun/move.go
@@ -106,7 +106,7 @@
 // new incarnation does not know them. The crash is not attributed to the items, which may have started after it;
 // reportOutcome handles those whose connection was lost.
 func (r *Runner) stopRunsOnRestartedEngines() {
-	engineStarts := r.options.Fleet.Starts()
+	engineStarts := r.options.Fleet.IncarnationsListed()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.engineStarts == engineStarts {
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -271,7 +271,7 @@
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.plan.Waiting() == 0 || r.ctx.Err() != nil || !r.options.Gate.Known() {
+	if r.plan.Waiting() == 0 || r.ctx.Err() != nil || !r.options.Gate.EnginesKnown() {
 		return
 	}
 	if r.pendingRestores > 0 && now.Sub(r.startedAt) < restoreWait {
--- a/internal/core/clusterversion/clusterversion_test.go
+++ b/internal/core/clusterversion/clusterversion_test.go
@@ -28,13 +28,13 @@
 // Guards against a cluster version above that of a live node, which could not read records of that version.
 func TestRaiseRequiresAgreementOfAllLiveNodes(t *testing.T) {
 	s := New(Announced)
-	assert.NilError(t, s.Learn(Unversioned))
+	assert.NilError(t, s.Apply(Unversioned))
 	mixed := View{Lowest: Homes, Highest: Announced, Current: true}
 	now := observeFor(s, mixed, start, 2*agreementPeriod)
 	raised, due := s.PendingRaise()
 	assert.Assert(t, due)
 	assert.Equal(t, raised, Homes, "above the version of a live node")
-	assert.NilError(t, s.Learn(raised))
+	assert.NilError(t, s.Apply(raised))
 	assert.Assert(t, !isDue(s))
 
 	uniform := View{Lowest: Announced, Highest: Announced, Current: true}
@@ -53,7 +53,7 @@
 func TestRaiseRequiresUninterruptedObservation(t *testing.T) {
 	alone := View{Lowest: Announced, Highest: Announced, Current: true}
 	s := New(Announced)
-	assert.NilError(t, s.Learn(Homes))
+	assert.NilError(t, s.Apply(Homes))
 	now := observeFor(s, alone, start, agreementPeriod)
 	s.Observe(alone, now.Add(time.Hour))
 	assert.Assert(t, !isDue(s), "after a pause")
@@ -77,17 +77,17 @@
 // Guards against a build that runs although it is older than the cluster version, also if a later read shows so.
 func TestLearnRejectsBuildBelowClusterVersion(t *testing.T) {
 	s := New(Announced)
-	assert.NilError(t, s.Learn(Announced))
+	assert.NilError(t, s.Apply(Announced))
 	var tooOld *TooOldError
-	assert.Assert(t, errors.As(s.Learn(Announced+1), &tooOld))
+	assert.Assert(t, errors.As(s.Apply(Announced+1), &tooOld))
 	assert.Equal(t, *tooOld, TooOldError{Build: Announced, Cluster: Announced + 1})
-	assert.Assert(t, errors.As(s.Learn(Homes), &tooOld), "the cluster version was lowered")
+	assert.Assert(t, errors.As(s.Apply(Homes), &tooOld), "the cluster version was lowered")
 }
 
 // Guards against constant reads of the version topic by all nodes, and against a node that misses a raise.
 func TestNeedsReadOnlyIfRaiseIsPossible(t *testing.T) {
 	s := New(Announced)
-	assert.NilError(t, s.Learn(Homes))
+	assert.NilError(t, s.Apply(Homes))
 	uniform := View{Lowest: Announced, Highest: Announced, Current: true}
 	assert.Assert(t, !s.NeedsRead(View{Lowest: Homes, Highest: Announced}))
 	assert.Assert(t, s.NeedsRead(View{Lowest: Homes, Highest: Announced + 1}))
@@ -95,7 +95,7 @@
 	assert.Assert(t, !s.NeedsRead(uniform), "before the agreement period has passed")
 	observeFor(s, uniform, now, 2*time.Second)
 	assert.Assert(t, s.NeedsRead(uniform))
-	assert.NilError(t, s.Learn(Announced))
+	assert.NilError(t, s.Apply(Announced))
 	assert.Assert(t, !s.NeedsRead(uniform))
 	assert.Assert(t, !s.NeedsRead(View{Lowest: Unversioned, Highest: Announced}), "an older node joins later")
 }
@@ -105,11 +105,11 @@
 	s := New(Announced)
 	mixed := View{Lowest: Unversioned, Highest: Announced, Known: true}
 	uniform := View{Lowest: Homes, Highest: Announced, Known: true}
-	assert.Assert(t, !s.Serves(Homes, mixed))
-	assert.Assert(t, !s.Serves(Homes, View{Lowest: Announced, Highest: Announced}), "before other announcements are read")
-	assert.Assert(t, s.Serves(Homes, uniform), "without a raise if no older node is live")
-	assert.NilError(t, s.Learn(Homes))
-	assert.Assert(t, s.Serves(Homes, mixed), "the cluster version is never lowered")
+	assert.Assert(t, !s.Supports(Homes, mixed))
+	assert.Assert(t, !s.Supports(Homes, View{Lowest: Announced, Highest: Announced}), "before other announcements are read")
+	assert.Assert(t, s.Supports(Homes, uniform), "without a raise if no older node is live")
+	assert.NilError(t, s.Apply(Homes))
+	assert.Assert(t, s.Supports(Homes, mixed), "the cluster version is never lowered")
 }
 
 // Guards against a wrong version of builds that announce none.
@@ -153,10 +153,10 @@
 						t.Fatalf("raised to %d, %s after a node of version %d was seen", raised, now.Sub(at), lowest)
 					}
 				}
-				_ = s.Learn(raised)
+				_ = s.Apply(raised)
 			}
 			if rapid.Bool().Draw(t, "read") {
-				_ = s.Learn(Version(rapid.IntRange(0, int(Announced)).Draw(t, "cluster")))
+				_ = s.Apply(Version(rapid.IntRange(0, int(Announced)).Draw(t, "cluster")))
 			}
 			if s.Cluster() < before {
 				t.Fatalf("cluster version lowered from %d to %d", before, s.Cluster())
--- a/internal/core/clusterversion/state.go
+++ b/internal/core/clusterversion/state.go
@@ -30,9 +30,9 @@
 // New returns the state of a node with the build's version that has not read the log.
 func New(build Version) *State { return &State{build: build} }
 
-// Learn applies the cluster version that a complete read of the log found. It returns a *TooOldError if the build
+// Apply applies the cluster version that a complete read of the log found. It returns a *TooOldError if the build
 // must not run.
-func (s *State) Learn(cluster Version) error {
+func (s *State) Apply(cluster Version) error {
 	s.known = true
 	s.cluster = max(s.cluster, cluster)
 	if s.build < s.cluster {
@@ -51,10 +51,10 @@
 // may be written.
 func (s *State) Reached(version Version) bool { return s.known && s.cluster >= version }
 
-// Serves reports whether a feature that all live nodes must support, and that a version introduced, may be used: the
+// Supports reports whether a feature that all live nodes must support, and that a version introduced, may be used: the
 // cluster has reached the version, or no known live node is older. A new cluster can therefore use the feature before
 // the first raise.
-func (s *State) Serves(version Version, view View) bool {
+func (s *State) Supports(version Version, view View) bool {
 	return s.Reached(version) || view.Known && view.Lowest >= version
 }
 
--- a/internal/core/fleet/evacuation.go
+++ b/internal/core/fleet/evacuation.go
@@ -27,19 +27,21 @@
 	HeldGone
 	// HeldUnknown: this process was paused, so its evacuation and engine state is stale and is being read again.
 	HeldUnknown
-	// HeldPaced: the engine is cold and no permit is available, or the engine has ended.
-	HeldPaced
+	// HeldWithoutPermit: the engine is cold and no permit is available, or the engine has ended.
+	HeldWithoutPermit
 )
 
 var holdNames = [...]string{
 	NotHeld: "none", HeldDraining: "draining", HeldEvacuated: "evacuated", HeldGone: "gone", HeldUnknown: "unknown",
-	HeldPaced: "paced",
+	HeldWithoutPermit: "paced",
 }
 
 // String returns the reason's name in logs and metrics.
 func (h Hold) String() string { return holdNames[h] }
 
-func Holds() []Hold { return []Hold{HeldDraining, HeldEvacuated, HeldGone, HeldUnknown, HeldPaced} }
+func Holds() []Hold {
+	return []Hold{HeldDraining, HeldEvacuated, HeldGone, HeldUnknown, HeldWithoutPermit}
+}
 
 // zoneState is the newest evacuation state of a zone.
 type zoneState struct {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -170,8 +170,8 @@
 	return engines
 }
 
-// Listed is an engine of a service with its state at a given time.
-type Listed struct {
+// EngineStatus is an engine of a service with its state at a given time.
+type EngineStatus struct {
 	Engine Engine
 	// AcceptsWork is false if the engine is draining or its zone is evacuated.
 	AcceptsWork bool
@@ -181,14 +181,14 @@
 
 // List returns the engines of a service sorted by ID, each with its state, under a single lock acquisition:
 // schedulers call it many times a second for thousands of engines.
-func (f *Fleet) List(service string, now time.Time) []Listed {
+func (f *Fleet) List(service string, now time.Time) []EngineStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ids := f.byService[service]
-	listed := make([]Listed, 0, len(ids))
+	listed := make([]EngineStatus, 0, len(ids))
 	for _, id := range ids {
 		m := f.members[id]
-		listed = append(listed, Listed{
+		listed = append(listed, EngineStatus{
 			Engine: m.engine, AcceptsWork: f.acceptsWork(m.engine), Suspected: now.Before(m.suspectUntil),
 		})
 	}
--- a/internal/core/fleet/list.go
+++ b/internal/core/fleet/list.go
@@ -168,16 +168,16 @@
 	return services
 }
 
-// Starts returns how many incarnations have been listed so far. While it is unchanged, no incarnation was
+// IncarnationsListed returns how many incarnations have been listed so far. While it is unchanged, no incarnation was
 // replaced, so callers with requests at many engines need not check each of them.
-func (f *Fleet) Starts() int64 {
+func (f *Fleet) IncarnationsListed() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
-// Listing is the list state of one incarnation of an engine.
-type Listing struct {
+// ListStatus is the list state of one incarnation of an engine.
+type ListStatus struct {
 	// Listed is true if the list has an entry of the incarnation.
 	Listed bool
 	// Replaced is true if another incarnation uses its ID, or another engine its address.
@@ -186,22 +186,22 @@
 	Draining bool
 }
 
-// Listing returns the list state of an incarnation that requests were sent to.
-func (f *Fleet) Listing(engine Engine) Listing {
+// ListStatus returns the list state of an incarnation that requests were sent to.
+func (f *Fleet) ListStatus(engine Engine) ListStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known, found := f.members[engine.ID]
 	switch {
 	case !found:
-		return Listing{}
+		return ListStatus{}
 	case known.engine.StartMillis == engine.StartMillis:
-		return Listing{Listed: true, Replaced: f.addressReused(engine, known.addressClaim), Draining: known.engine.Draining}
+		return ListStatus{Listed: true, Replaced: f.addressReused(engine, known.addressClaim), Draining: known.engine.Draining}
 	case known.predecessor.ID == "":
 		// The earlier entry was removed before this one was added, so whether its engine has ended is unknown.
-		return Listing{}
+		return ListStatus{}
 	default:
 		draining := known.predecessor.Incarnation() == engine.Incarnation() && known.predecessor.Draining
-		return Listing{Replaced: true, Draining: draining}
+		return ListStatus{Replaced: true, Draining: draining}
 	}
 }
 
--- a/internal/core/fleet/list_test.go
+++ b/internal/core/fleet/list_test.go
@@ -116,17 +116,17 @@
 
 func TestStartsCountsIncarnations(t *testing.T) {
 	f := fleetOf(startedAt("a", 1000), startedAt("b", 1000))
-	assert.Equal(t, f.Starts(), int64(2))
+	assert.Equal(t, f.IncarnationsListed(), int64(2))
 	f.Put(startedAt("a", 1000))
-	assert.Equal(t, f.Starts(), int64(2))
+	assert.Equal(t, f.IncarnationsListed(), int64(2))
 	f.Put(startedAt("a", 2000))
-	assert.Equal(t, f.Starts(), int64(3))
+	assert.Equal(t, f.IncarnationsListed(), int64(3))
 	assert.Assert(t, f.IsReplaced(incarnation.ID{Engine: "a", StartMillis: 1000}))
 	assert.Assert(t, !f.IsReplaced(incarnation.ID{Engine: "a", StartMillis: 2000}))
 	f.Remove("a")
 	assert.Assert(t, !f.IsReplaced(incarnation.ID{Engine: "a", StartMillis: 1000}), "a removed entry is not an end")
 	f.Put(startedAt("a", 3000))
-	assert.Equal(t, f.Starts(), int64(4))
+	assert.Equal(t, f.IncarnationsListed(), int64(4))
 	assert.Assert(t, f.IsReplaced(incarnation.ID{Engine: "a", StartMillis: 1000}))
 }
 
@@ -134,29 +134,29 @@
 	first := startedAt("a", 1000)
 	first.Address = "address:1"
 	f := fleetOf(first)
-	assert.Equal(t, f.Listing(first), Listing{Listed: true})
+	assert.Equal(t, f.ListStatus(first), ListStatus{Listed: true})
 	f.Put(startedAt("a", 2000))
-	assert.Equal(t, f.Listing(first), Listing{Replaced: true})
+	assert.Equal(t, f.ListStatus(first), ListStatus{Replaced: true})
 	f.Put(startedAt("a", 3000))
-	assert.Equal(t, f.Listing(first), Listing{Replaced: true}, "replaced twice")
+	assert.Equal(t, f.ListStatus(first), ListStatus{Replaced: true}, "replaced twice")
 	f.Remove("a")
-	assert.Equal(t, f.Listing(first), Listing{})
+	assert.Equal(t, f.ListStatus(first), ListStatus{})
 	f.Put(startedAt("a", 4000))
-	assert.Equal(t, f.Listing(first), Listing{}, "entry removed, so it is unknown whether the engine was draining")
+	assert.Equal(t, f.ListStatus(first), ListStatus{}, "entry removed, so it is unknown whether the engine was draining")
 
 	draining := first
 	draining.Draining = true
 	f = fleetOf(draining)
-	assert.Equal(t, f.Listing(first), Listing{Listed: true, Draining: true})
+	assert.Equal(t, f.ListStatus(first), ListStatus{Listed: true, Draining: true})
 	f.Put(startedAt("a", 2000))
-	assert.Equal(t, f.Listing(first), Listing{Replaced: true, Draining: true})
+	assert.Equal(t, f.ListStatus(first), ListStatus{Replaced: true, Draining: true})
 }
 
 func TestListingIsReplacedWhenOtherServiceTakesAddress(t *testing.T) {
 	first, next := startedAt("a", 1000), startedAt("b", 2000)
 	first.Address, next.Address, next.Service = "address:1", "address:1", "other"
 	f := fleetOf(first, next)
-	assert.Equal(t, f.Listing(first), Listing{Listed: true, Replaced: true})
+	assert.Equal(t, f.ListStatus(first), ListStatus{Listed: true, Replaced: true})
 }
 
 // The entry of a crashed engine remains for seconds while the next engine is listed at its address.
@@ -164,16 +164,16 @@
 	ended, next := startedAt("b", 1000), startedAt("a", 2000)
 	ended.Address, next.Address = "address:1", "address:1"
 	f := fleetOf(ended, next)
-	assert.Equal(t, f.Listing(next), Listing{Listed: true})
-	assert.Equal(t, f.Listing(ended), Listing{Listed: true, Replaced: true})
+	assert.Equal(t, f.ListStatus(next), ListStatus{Listed: true})
+	assert.Equal(t, f.ListStatus(ended), ListStatus{Listed: true, Replaced: true})
 	f.Put(next)
 	f.Put(ended)
-	assert.Equal(t, f.Listing(next), Listing{Listed: true}, "a further entry does not claim the address")
+	assert.Equal(t, f.ListStatus(next), ListStatus{Listed: true}, "a further entry does not claim the address")
 
 	again := startedAt("b", 3000)
 	again.Address = "address:1"
 	f.Put(again)
-	assert.Equal(t, f.Listing(next), Listing{Listed: true, Replaced: true}, "a new incarnation claims its address")
+	assert.Equal(t, f.ListStatus(next), ListStatus{Listed: true, Replaced: true}, "a new incarnation claims its address")
 
 	f = fleetOf(ended)
 	elsewhere := next
@@ -182,7 +182,7 @@
 	moved := ended
 	moved.Address = "address:2"
 	f.Put(moved)
-	assert.Equal(t, f.Listing(elsewhere), Listing{Listed: true, Replaced: true}, "an engine with a new address claims it")
+	assert.Equal(t, f.ListStatus(elsewhere), ListStatus{Listed: true, Replaced: true}, "an engine with a new address claims it")
 }
 
 // The entry is removed and listed again while a request is in flight.
--- a/internal/crashes/detector.go
+++ b/internal/crashes/detector.go
@@ -84,7 +84,7 @@
 // probe returns the liveness of an engine. listed is false if the engine was draining or is no longer listed: its end
 // was planned.
 func (d *Detector) probe(ctx context.Context, engine fleet.Engine) (liveness Liveness, listed bool) {
-	listing := d.options.Fleet.Listing(engine)
+	listing := d.options.Fleet.ListStatus(engine)
 	switch {
 	case listing.Draining, !listing.Listed && !listing.Replaced:
 		return Unknown, false
--- a/internal/hosted/clusterversion.go
+++ b/internal/hosted/clusterversion.go
@@ -95,12 +95,12 @@
 // Known returns a channel that is closed once the cluster version has been read.
 func (c *clusterVersion) Known() <-chan struct{} { return c.known }
 
-// Serves reports whether a feature may be served that requires all live nodes to support the version.
-func (c *clusterVersion) Serves(version clusterversion.Version) bool {
+// Supports reports whether a feature may be served that requires all live nodes to support the version.
+func (c *clusterVersion) Supports(version clusterversion.Version) bool {
 	view := c.options.View()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state.Serves(version, view)
+	return c.state.Supports(version, view)
 }
 
 // Run observes the live nodes, reads the cluster version while it may change, and raises it while this node leads.
@@ -163,7 +163,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wasKnown, before := c.state.Known(), c.state.Cluster()
-	err = c.state.Learn(c.highestLocked(batch.Records))
+	err = c.state.Apply(c.highestLocked(batch.Records))
 	if !wasKnown {
 		close(c.known)
 	}
--- a/internal/hosted/homes.go
+++ b/internal/hosted/homes.go
@@ -75,7 +75,7 @@
 // anywhere.
 func (n *node) nodesSupportHomes(ctx context.Context) bool {
 	awaitWithTimeout(ctx, n.directory.Loaded(), directoryWait)
-	return n.clusterVersion.Serves(clusterversion.Homes)
+	return n.clusterVersion.Supports(clusterversion.Homes)
 }
 
 // hasNodeIn reports whether a known node may run a job that is bound to the regions.
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -160,7 +160,7 @@
 	n.engineFollower.Classify(n.engineClass)
 	n.resumeGuard = newResumeGuard(n.suspension, n.controlFollower, n.engineFollower, logger)
 	n.gate = sendgate.New(sendgate.Options{
-		Fleet: n.fleet, Known: n.resumeGuard.allowsSending, OnHeldBack: metrics.requestHeldBack,
+		Fleet: n.fleet, EnginesKnown: n.resumeGuard.allowsSending, OnHeldBack: metrics.requestHeldBack,
 	})
 	n.jobs = batchjobs.New(log, batchjobs.Options{
 		Partitions:     config.Hosted.Partitions,
--- a/internal/hosted/resumeguard_test.go
+++ b/internal/hosted/resumeguard_test.go
@@ -80,9 +80,9 @@
 	n := newResumedNode(t)
 	runTask(t, n.controlFollower.Run)
 	testwait.Until(t, "the control topic is read", n.controlFollower.IsLoaded)
-	assert.Assert(t, !n.gate.Known(), "the gate is open with the engine list from before the suspension")
+	assert.Assert(t, !n.gate.EnginesKnown(), "the gate is open with the engine list from before the suspension")
 	runTask(t, n.engineFollower.Run)
-	testwait.Until(t, "the gate opens", n.gate.Known)
+	testwait.Until(t, "the gate opens", n.gate.EnginesKnown)
 }
 
 // Guards against sending before the evacuations have been read again.
@@ -90,7 +90,7 @@
 	n := newResumedNode(t)
 	runTask(t, n.engineFollower.Run)
 	testwait.Until(t, "the engine list is read", n.engineFollower.IsLoaded)
-	assert.Assert(t, !n.gate.Known())
+	assert.Assert(t, !n.gate.EnginesKnown())
 	runTask(t, n.controlFollower.Run)
-	testwait.Until(t, "the gate opens", n.gate.Known)
+	testwait.Until(t, "the gate opens", n.gate.EnginesKnown)
 }
--- a/internal/ingress/evacuation_test.go
+++ b/internal/ingress/evacuation_test.go
@@ -83,13 +83,13 @@
 	engines := &slowDialEngines{dial: func(fleet.Engine) {}}
 	relay, engineFleet := newZonedRelay(engines)
 	asked := 0
-	relay.options.Gate = sendgate.New(sendgate.Options{Fleet: engineFleet, Known: func() bool {
+	relay.options.Gate = sendgate.New(sendgate.Options{Fleet: engineFleet, EnginesKnown: func() bool {
 		asked++
 		return asked > 3
 	}})
 	_, failure := callPath(relay, "/x/1")
 	assert.Assert(t, failure == nil)
-	relay.options.Gate = sendgate.New(sendgate.Options{Fleet: engineFleet, Known: func() bool { return false }})
+	relay.options.Gate = sendgate.New(sendgate.Options{Fleet: engineFleet, EnginesKnown: func() bool { return false }})
 	_, failure = callPath(relay, "/x/1")
 	assert.Equal(t, failure.Kind, errkind.NotReady)
 	assert.Equal(t, len(engines.sent), 1)
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -79,7 +79,7 @@
 		if x.ctx.Err() != nil {
 			return x.timeoutFailure()
 		}
-		if !x.relay.options.Gate.AwaitKnown(x.ctx) {
+		if !x.relay.options.Gate.AwaitEnginesKnown(x.ctx) {
 			return x.staleStateFailure()
 		}
 		choice, permitOpen, found := x.choose()
--- a/internal/sendgate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -26,8 +26,8 @@
 // Options are the dependencies of a gate.
 type Options struct {
 	Fleet *fleet.Fleet
-	// Known reports whether the evacuated zones and the listed engines are known; nil if they always are.
-	Known func() bool
+	// EnginesKnown reports whether the evacuated zones and the listed engines are known; nil if they always are.
+	EnginesKnown func() bool
 	// OnHeldBack, if set, is called once for each request that is held back.
 	OnHeldBack func(reason fleet.Hold)
 }
@@ -46,18 +46,18 @@
 	return gate
 }
 
-// Known reports whether it is known which engines may get requests.
-func (g *Gate) Known() bool { return g.options.Known == nil || g.options.Known() }
+// EnginesKnown reports whether it is known which engines may get requests.
+func (g *Gate) EnginesKnown() bool { return g.options.EnginesKnown == nil || g.options.EnginesKnown() }
 
-// AwaitKnown waits for at most maxKnownWait until Known is true, and reports whether it became true.
-func (g *Gate) AwaitKnown(ctx context.Context) bool {
-	if g.Known() {
+// AwaitEnginesKnown waits for at most maxKnownWait until Known is true, and reports whether it became true.
+func (g *Gate) AwaitEnginesKnown(ctx context.Context) bool {
+	if g.EnginesKnown() {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, maxKnownWait)
 	defer cancel()
 	for retry.Sleep(ctx, knownPollInterval) {
-		if g.Known() {
+		if g.EnginesKnown() {
 			return true
 		}
 	}
@@ -108,14 +108,14 @@
 func (c *Check) Held() fleet.Hold { return fleet.Hold(c.held.Load()) }
 
 func (c *Check) reason() fleet.Hold {
-	if !c.gate.Known() {
+	if !c.gate.EnginesKnown() {
 		return fleet.HeldUnknown
 	}
 	if held := c.gate.options.Fleet.Hold(c.engine); held != fleet.NotHeld {
 		return held
 	}
 	if !c.permit() {
-		return fleet.HeldPaced
+		return fleet.HeldWithoutPermit
 	}
 	return fleet.NotHeld
 }
--- a/internal/sendgate/sendgate_test.go
+++ b/internal/sendgate/sendgate_test.go
@@ -39,23 +39,23 @@
 func TestMaySendWhileEvacuationsAreUnknown(t *testing.T) {
 	engineFleet, engine := newFleet("za")
 	var known atomic.Bool
-	gate := New(Options{Fleet: engineFleet, Known: known.Load})
+	gate := New(Options{Fleet: engineFleet, EnginesKnown: known.Load})
 	check := gate.Check(engine.Incarnation(), nil)
 	assert.Assert(t, !check.MaySend())
 	assert.Equal(t, check.Held(), fleet.HeldUnknown)
-	assert.Assert(t, !gate.AwaitKnown(t.Context()))
+	assert.Assert(t, !gate.AwaitEnginesKnown(t.Context()))
 	known.Store(true)
-	assert.Assert(t, gate.AwaitKnown(t.Context()))
+	assert.Assert(t, gate.AwaitEnginesKnown(t.Context()))
 	assert.Assert(t, gate.Check(engine.Incarnation(), nil).MaySend())
 }
 
 // Guards against a wait that outlasts the caller's context.
 func TestAwaitKnownWithCanceledContext(t *testing.T) {
 	engineFleet, _ := newFleet("za")
-	gate := New(Options{Fleet: engineFleet, Known: func() bool { return false }})
+	gate := New(Options{Fleet: engineFleet, EnginesKnown: func() bool { return false }})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Assert(t, !gate.AwaitKnown(ctx))
+	assert.Assert(t, !gate.AwaitEnginesKnown(ctx))
 }
 
 // Guards against requests to a cold engine that was warm when it was chosen.
@@ -67,7 +67,7 @@
 	assert.Assert(t, check.MaySend() && weightLoad.MaySend())
 	engineFleet.MarkPossiblyCold(engine.Incarnation(), fleet.Unreached, time.Now())
 	assert.Assert(t, !check.MaySend())
-	assert.Equal(t, check.Held(), fleet.HeldPaced)
+	assert.Equal(t, check.Held(), fleet.HeldWithoutPermit)
 	assert.Assert(t, weightLoad.MaySend())
 }
 
@@ -81,7 +81,7 @@
 	open.Store(false)
 	check := gate.Check(engine.Incarnation(), open.Load)
 	assert.Assert(t, !check.MaySend())
-	assert.Equal(t, check.Held(), fleet.HeldPaced)
+	assert.Equal(t, check.Held(), fleet.HeldWithoutPermit)
 	engineFleet.Evacuate("za", time.Now(), 1)
 	check = gate.Check(engine.Incarnation(), open.Load)
 	assert.Assert(t, !check.MaySend())
--- a/internal/weightorders/load.go
+++ b/internal/weightorders/load.go
@@ -158,7 +158,7 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	report, err := m.options.Engines.Report(ctx, engine, func() bool {
-		return m.options.Gate.Known() && !m.options.Fleet.IsEvacuated(engine.Zone)
+		return m.options.Gate.EnginesKnown() && !m.options.Fleet.IsEvacuated(engine.Zone)
 	})
 	if err != nil {
 		return Report{}, err
--- a/internal/weightorders/plan.go
+++ b/internal/weightorders/plan.go
@@ -83,7 +83,7 @@
 
 // engineViews returns the planner's view of the engines that accept work, none of them marked usable. Must be
 // called with mu held.
-func (m *Manager) engineViews(listed []fleet.Listed, running map[incarnation.ID]int) []weightplan.Engine {
+func (m *Manager) engineViews(listed []fleet.EngineStatus, running map[incarnation.ID]int) []weightplan.Engine {
 	views := make([]weightplan.Engine, 0, len(listed))
 	for _, each := range listed {
 		if !each.AcceptsWork {
@@ -101,7 +101,7 @@
 // markUsable marks the engines that are allocated to a model and may be ordered now. The others load nothing and
 // are not checked. Must be called with mu held.
 func (m *Manager) markUsable(
-	engines []weightplan.Engine, listed []fleet.Listed, models map[incarnation.ID]string, now time.Time,
+	engines []weightplan.Engine, listed []fleet.EngineStatus, models map[incarnation.ID]string, now time.Time,
 ) {
 	suspected := make(map[incarnation.ID]bool)
 	for _, each := range listed {
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -238,7 +238,7 @@
 // dropEnded drops the state of engines that are no longer listed, if any engine has started since the last
 // call.
 func (m *Manager) dropEnded() {
-	starts := m.options.Fleet.Starts()
+	starts := m.options.Fleet.IncarnationsListed()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.starts == starts {
