--- a/internal/batchrun/dependencies.go
+++ b/internal/batchrun/dependencies.go
@@ -97,8 +97,8 @@
 type Guard interface {
 	// ConnectionLost reports whether the engine crashed while running the item.
 	ConnectionLost(ctx context.Context, loss crashes.LostConnection) bool
-	// Standing returns the crash record of an item.
-	Standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing
+	// Status returns the crash record of an item.
+	Status(fingerprint func() quarantine.Fingerprint) quarantine.Status
 	// Answered records that an engine completed the item.
 	Answered(fingerprint func() quarantine.Fingerprint)
 }
--- a/internal/batchrun/fakes_test.go
+++ b/internal/batchrun/fakes_test.go
@@ -227,8 +227,8 @@
 
 func (noopGuard) ConnectionLost(context.Context, crashes.LostConnection) bool { return false }
 
-func (noopGuard) Standing(func() quarantine.Fingerprint) quarantine.Standing {
-	return quarantine.Standing{}
+func (noopGuard) Status(func() quarantine.Fingerprint) quarantine.Status {
+	return quarantine.Status{}
 }
 
 func (noopGuard) Answered(func() quarantine.Fingerprint) {}
--- a/internal/batchrun/observe.go
+++ b/internal/batchrun/observe.go
@@ -158,8 +158,8 @@
 		return
 	}
 	key := batchplan.Key{Job: job.record.ID, Item: index}
-	standing := r.options.Guard.Standing(job.call(index).fingerprint)
-	if r.holdIfQuarantined(job, key, standing) {
+	status := r.options.Guard.Status(job.call(index).fingerprint)
+	if r.holdIfQuarantined(job, key, status) {
 		return
 	}
 	record, state := job.record.Items[index], &job.items[index]
@@ -171,7 +171,7 @@
 		Key:     key,
 		Service: route.Service, Model: job.record.Model, MinVersion: job.record.MinVersion,
 		Group: record.Group, Length: record.Length, Tokens: expectedTokens(record), NotBefore: notBefore, Avoid: avoid,
-		Suspect: standing.ItemSuspect(),
+		Suspect: status.ItemSuspect(),
 	}
 	if route.SingleVersion && len(versions) == 1 {
 		item.SameVersion = versions[0]
--- a/internal/batchrun/overcommit_test.go
+++ b/internal/batchrun/overcommit_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	env := newTestEnv(t, "a")
 	env.route.EngineTokens = 1000
-	guard := &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{}}
+	guard := &fakeGuard{status: map[quarantine.Fingerprint]quarantine.Status{}}
 	env.guard = guard
 	for _, item := range items {
 		env.engines.events[item] = 3
@@ -84,7 +84,7 @@
 	env.engines.refuse = func(string, Call) *CallError {
 		return &CallError{Kind: InvalidResponse, ConnectionLost: true, Detail: "EOF"}
 	}
-	guard := &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{}}
+	guard := &fakeGuard{status: map[quarantine.Fingerprint]quarantine.Status{}}
 	env.guard = guard
 	runner, _ := env.startRunner()
 	env.submitSized("j", 600, "x", "y")
--- a/internal/batchrun/quarantine.go
+++ b/internal/batchrun/quarantine.go
@@ -17,14 +17,14 @@
 
 // holdIfQuarantined keeps an item out of the plan until its quarantine ends, and reports whether the item is
 // quarantined. Must be called with mu held.
-func (r *Runner) holdIfQuarantined(job *openJob, key batchplan.Key, standing quarantine.Standing) bool {
-	if !standing.ItemHeld(time.Now()) {
+func (r *Runner) holdIfQuarantined(job *openJob, key batchplan.Key, status quarantine.Status) bool {
+	if !status.ItemHeld(time.Now()) {
 		return false
 	}
 	r.options.Logger.Warn().Str("job", key.Job).Str("item", job.record.Items[key.Item].ID).
-		Stringer("fingerprint", job.call(key.Item).fingerprint()).Int("crashes", standing.Crashes).
-		Time("held_until", standing.HeldUntil).Msg("item kept away from engines")
-	r.quarantinedUntil[key] = standing.HeldUntil
+		Stringer("fingerprint", job.call(key.Item).fingerprint()).Int("crashes", status.Crashes).
+		Time("held_until", status.HeldUntil).Msg("item kept away from engines")
+	r.quarantinedUntil[key] = status.HeldUntil
 	return true
 }
 
--- a/internal/batchrun/quarantine_test.go
+++ b/internal/batchrun/quarantine_test.go
@@ -13,12 +13,12 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// fakeGuard returns preset standings by fingerprint and records the lost connections.
+// fakeGuard returns preset statuses by fingerprint and records the lost connections.
 type fakeGuard struct {
 	noopGuard
-	mu       sync.Mutex
-	standing map[quarantine.Fingerprint]quarantine.Standing
-	losses   []crashes.LostConnection
+	mu     sync.Mutex
+	status map[quarantine.Fingerprint]quarantine.Status
+	losses []crashes.LostConnection
 }
 
 func (g *fakeGuard) ConnectionLost(_ context.Context, loss crashes.LostConnection) bool {
@@ -34,10 +34,10 @@
 	return append([]crashes.LostConnection(nil), g.losses...)
 }
 
-func (g *fakeGuard) Standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing {
+func (g *fakeGuard) Status(fingerprint func() quarantine.Fingerprint) quarantine.Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.standing[fingerprint()]
+	return g.status[fingerprint()]
 }
 
 // itemFingerprint returns the fingerprint of an item of fakeJobs.
@@ -50,7 +50,7 @@
 	env := newTestEnv(t, "a", "b")
 	env.engines.events["x"], env.engines.events["y"] = 2, 2
 	until := time.Now().Add(time.Second)
-	env.guard = &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{
+	env.guard = &fakeGuard{status: map[quarantine.Fingerprint]quarantine.Status{
 		itemFingerprint("x"): {Crashes: quarantine.ItemLimit, Isolated: 1, HeldUntil: until},
 	}}
 	env.startRunner()
@@ -67,7 +67,7 @@
 func TestItemWithoutIsolatedCrashRuns(t *testing.T) {
 	env := newTestEnv(t, "a")
 	env.engines.events["x"] = 2
-	env.guard = &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{
+	env.guard = &fakeGuard{status: map[quarantine.Fingerprint]quarantine.Status{
 		itemFingerprint("x"): {Crashes: quarantine.SharedItemLimit - 1, HeldUntil: time.Now().Add(time.Hour)},
 	}}
 	env.startRunner()
@@ -80,7 +80,7 @@
 		t.Run(name, func(t *testing.T) {
 			env := newTestEnv(t, "a", "b")
 			env.engines.events["x"] = 2
-			guard := &fakeGuard{standing: map[quarantine.Fingerprint]quarantine.Standing{itemFingerprint("x"): {Crashes: crashCount}}}
+			guard := &fakeGuard{status: map[quarantine.Fingerprint]quarantine.Status{itemFingerprint("x"): {Crashes: crashCount}}}
 			env.guard = guard
 			env.engines.refuse = func(_ string, call Call) *CallError {
 				if losses := guard.lost(); len(losses) == 0 {
--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -53,8 +53,8 @@
 	Offset int64
 }
 
-// Name returns the key of the record.
-func (r Record) Name() RecordKey { return RecordKey{Engine: r.Engine, Trial: r.Trial} }
+// Key returns the key of the record.
+func (r Record) Key() RecordKey { return RecordKey{Engine: r.Engine, Trial: r.Trial} }
 
 // RecordKey identifies a record among those of its request. Exactly one of its fields is set.
 type RecordKey struct {
@@ -62,8 +62,8 @@
 	Trial  string
 }
 
-// Standing is the state of a request.
-type Standing struct {
+// Status is the state of a request.
+type Status struct {
 	// Crashes counts the engines that crashed while running the request.
 	Crashes int
 	// Isolated counts the isolated crashes among them.
@@ -75,21 +75,21 @@
 }
 
 // Held reports whether the request is quarantined.
-func (s Standing) Held(limit int, now time.Time) bool {
+func (s Status) Held(limit int, now time.Time) bool {
 	return s.Crashes >= limit && now.Before(s.HeldUntil)
 }
 
 // ItemHeld reports whether an item of a batch job is quarantined.
-func (s Standing) ItemHeld(now time.Time) bool {
+func (s Status) ItemHeld(now time.Time) bool {
 	atLimit := s.Crashes >= ItemLimit && s.Isolated > 0 || s.Crashes >= SharedItemLimit
 	return atLimit && now.Before(s.HeldUntil)
 }
 
 // ItemSuspect reports whether an item must be started in isolation.
-func (s Standing) ItemSuspect() bool { return s.Crashes >= ItemLimit-1 }
+func (s Status) ItemSuspect() bool { return s.Crashes >= ItemLimit-1 }
 
-// OnTrial reports whether the quarantine has ended, so that a trial of the request may be granted.
-func (s Standing) OnTrial(limit int, now time.Time) bool {
+// TrialAllowed reports whether the quarantine has ended, so that a trial of the request may be granted.
+func (s Status) TrialAllowed(limit int, now time.Time) bool {
 	return s.Crashes >= limit && !now.Before(s.HeldUntil)
 }
 
@@ -118,11 +118,11 @@
 		entry = make(map[RecordKey]Record)
 		l.entries[record.Fingerprint] = entry
 	}
-	known, repeated := entry[record.Name()]
+	known, repeated := entry[record.Key()]
 	if repeated && known.Offset <= record.Offset {
 		return false
 	}
-	entry[record.Name()] = record
+	entry[record.Key()] = record
 	return !repeated
 }
 
@@ -144,17 +144,17 @@
 
 // Logged reports whether a record's offset in the log is known.
 func (l *Ledger) Logged(record Record) bool {
-	known, found := l.entries[record.Fingerprint][record.Name()]
+	known, found := l.entries[record.Fingerprint][record.Key()]
 	return found && known.Offset != Unlogged
 }
 
-// Standing returns the state of a request at the given time.
-func (l *Ledger) Standing(fingerprint Fingerprint, now time.Time) Standing {
-	standing, last := fold(l.Records(fingerprint))
-	if expired(standing, last, now) {
-		return Standing{}
+// Status returns the state of a request at the given time.
+func (l *Ledger) Status(fingerprint Fingerprint, now time.Time) Status {
+	status, last := fold(l.Records(fingerprint))
+	if expired(status, last, now) {
+		return Status{}
 	}
-	return standing
+	return status
 }
 
 // Expired returns the records that are no longer needed.
@@ -162,7 +162,7 @@
 	var records []Record
 	for fingerprint := range l.entries {
 		requestRecords := l.Records(fingerprint)
-		if standing, last := fold(requestRecords); expired(standing, last, now) {
+		if status, last := fold(requestRecords); expired(status, last, now) {
 			records = append(records, requestRecords...)
 		}
 	}
@@ -171,16 +171,16 @@
 
 // expired reports whether the records of a request are no longer needed; last is the time
 // of the newest one.
-func expired(standing Standing, last, now time.Time) bool {
-	if standing.Crashes < RequestLimit {
+func expired(status Status, last, now time.Time) bool {
+	if status.Crashes < RequestLimit {
 		return now.Sub(last) > suspicionTTL
 	}
-	return now.Sub(standing.HeldUntil) > holdTTL
+	return now.Sub(status.HeldUntil) > holdTTL
 }
 
 // fold returns the state that follows from the records of one request, and the time of the newest
 // one. The first claim in log order after the end of a quarantine is granted.
-func fold(records []Record) (standing Standing, last time.Time) {
+func fold(records []Record) (status Status, last time.Time) {
 	slices.SortFunc(records, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(a.Offset, b.Offset), a.At.Compare(b.At))
 	})
@@ -188,22 +188,22 @@
 	for _, record := range records {
 		switch {
 		case record.Engine != "":
-			standing.Crashes++
+			status.Crashes++
 			if record.Isolated {
-				standing.Isolated++
+				status.Isolated++
 			}
-		case standing.OnTrial(RequestLimit, record.At) && record.Offset != Unlogged:
+		case status.TrialAllowed(RequestLimit, record.At) && record.Offset != Unlogged:
 			trials++
-			standing.Granted = record.Trial
+			status.Granted = record.Trial
 		default:
 			continue
 		}
 		if record.At.After(last) {
 			last = record.At
 		}
-		standing.HeldUntil = last.Add(holdDuration(standing.Crashes + trials))
+		status.HeldUntil = last.Add(holdDuration(status.Crashes + trials))
 	}
-	return standing, last
+	return status, last
 }
 
 // holdDuration returns the duration of the quarantine after the given number of crashes and trials.
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -34,17 +34,17 @@
 func TestRequestIsHeldAtRequestLimit(t *testing.T) {
 	ledger := ledgerOf(crash("a", 0, 0))
 	now := began.Add(time.Second)
-	assert.Equal(t, ledger.Standing(request, now).Crashes, 1)
-	assert.Assert(t, !ledger.Standing(request, now).Held(RequestLimit, now))
+	assert.Equal(t, ledger.Status(request, now).Crashes, 1)
+	assert.Assert(t, !ledger.Status(request, now).Held(RequestLimit, now))
 
 	ledger.Put(crash("b", time.Second, 1))
-	standing := ledger.Standing(request, now)
-	assert.Assert(t, standing.Held(RequestLimit, now))
-	assert.Assert(t, !standing.Held(ItemLimit, now))
-	assert.Equal(t, standing.HeldUntil, began.Add(time.Second+firstHold))
+	status := ledger.Status(request, now)
+	assert.Assert(t, status.Held(RequestLimit, now))
+	assert.Assert(t, !status.Held(ItemLimit, now))
+	assert.Equal(t, status.HeldUntil, began.Add(time.Second+firstHold))
 
 	other := Request{Target: "/other"}.Fingerprint()
-	assert.Equal(t, ledger.Standing(other, now), Standing{})
+	assert.Equal(t, ledger.Status(other, now), Status{})
 }
 
 func TestItemIsHeldAtLimitsForIsolatedAndSharedCrashes(t *testing.T) {
@@ -53,24 +53,24 @@
 		return record
 	}
 	shared := ledgerOf(crash("a", 0, 0), crash("b", 0, 1), crash("c", 0, 2), crash("d", 0, 3))
-	assert.Assert(t, !shared.Standing(request, began).ItemHeld(began), "no isolated crash")
+	assert.Assert(t, !shared.Status(request, began).ItemHeld(began), "no isolated crash")
 	shared.Put(crash("e", 0, 4))
-	assert.Assert(t, shared.Standing(request, began).ItemHeld(began), "at SharedItemLimit")
+	assert.Assert(t, shared.Status(request, began).ItemHeld(began), "at SharedItemLimit")
 
 	withIsolated := ledgerOf(crash("a", 0, 0))
-	assert.Assert(t, !withIsolated.Standing(request, began).ItemSuspect())
+	assert.Assert(t, !withIsolated.Status(request, began).ItemSuspect())
 	withIsolated.Put(crash("b", 0, 1))
-	assert.Assert(t, withIsolated.Standing(request, began).ItemSuspect())
-	assert.Assert(t, !withIsolated.Standing(request, began).ItemHeld(began))
+	assert.Assert(t, withIsolated.Status(request, began).ItemSuspect())
+	assert.Assert(t, !withIsolated.Status(request, began).ItemHeld(began))
 	withIsolated.Put(isolated(crash("c", 0, 2)))
-	assert.Assert(t, withIsolated.Standing(request, began).ItemHeld(began))
+	assert.Assert(t, withIsolated.Status(request, began).ItemHeld(began))
 }
 
 func TestPutCountsSameCrashOnce(t *testing.T) {
 	ledger := NewLedger()
 	assert.Assert(t, ledger.Put(crash("a", 0, Unlogged)))
 	assert.Assert(t, !ledger.Put(crash("a", time.Millisecond, 4)))
-	assert.Equal(t, ledger.Standing(request, began).Crashes, 1)
+	assert.Equal(t, ledger.Status(request, began).Crashes, 1)
 	assert.Assert(t, ledger.Logged(crash("a", 0, 0)))
 }
 
@@ -82,7 +82,7 @@
 		if i+1 < RequestLimit {
 			continue
 		}
-		assert.Equal(t, ledger.Standing(request, began).HeldUntil, began.Add(hold), "%d engines", i+1)
+		assert.Equal(t, ledger.Status(request, began).HeldUntil, began.Add(hold), "%d engines", i+1)
 		hold = min(hold*holdFactor, longestHold)
 	}
 }
@@ -91,31 +91,31 @@
 	holdEnd := firstHold
 	ledger := ledgerOf(crash("a", 0, 0), crash("b", 0, 1),
 		trial("early", holdEnd-time.Second, 2), trial("first", holdEnd, 3), trial("second", holdEnd, 4))
-	standing := ledger.Standing(request, began.Add(holdEnd))
-	assert.Equal(t, standing.Granted, "first")
-	assert.Assert(t, standing.Held(RequestLimit, began.Add(holdEnd)), "a granted trial starts a new hold")
-	assert.Equal(t, standing.HeldUntil, began.Add(holdEnd+holdFactor*firstHold))
+	status := ledger.Status(request, began.Add(holdEnd))
+	assert.Equal(t, status.Granted, "first")
+	assert.Assert(t, status.Held(RequestLimit, began.Add(holdEnd)), "a granted trial starts a new hold")
+	assert.Equal(t, status.HeldUntil, began.Add(holdEnd+holdFactor*firstHold))
 }
 
 func TestUnloggedClaimIsNotGranted(t *testing.T) {
 	ledger := ledgerOf(crash("a", 0, 0), crash("b", 0, 1), trial("claim", firstHold, Unlogged))
-	assert.Equal(t, ledger.Standing(request, began.Add(firstHold)).Granted, "")
+	assert.Equal(t, ledger.Status(request, began.Add(firstHold)).Granted, "")
 }
 
 func TestDroppingAllRecordsClearsRequest(t *testing.T) {
 	ledger := ledgerOf(crash("a", 0, 0), crash("b", 0, 1), trial("claim", firstHold, 2))
 	for _, record := range ledger.Records(request) {
-		ledger.Drop(request, record.Name())
+		ledger.Drop(request, record.Key())
 	}
 	assert.Equal(t, ledger.Len(), 0)
-	assert.Equal(t, ledger.Standing(request, began), Standing{})
+	assert.Equal(t, ledger.Status(request, began), Status{})
 }
 
 func TestExpiredRecordsAreIgnored(t *testing.T) {
 	suspected := ledgerOf(crash("a", 0, 0))
 	assert.Equal(t, len(suspected.Expired(began.Add(suspicionTTL))), 0)
 	assert.Equal(t, len(suspected.Expired(began.Add(suspicionTTL+time.Second))), 1)
-	assert.Equal(t, suspected.Standing(request, began.Add(suspicionTTL+time.Second)), Standing{})
+	assert.Equal(t, suspected.Status(request, began.Add(suspicionTTL+time.Second)), Status{})
 
 	held := ledgerOf(crash("a", 0, 0), crash("b", 0, 1))
 	assert.Equal(t, len(held.Expired(began.Add(firstHold+holdTTL))), 0)
@@ -138,7 +138,7 @@
 }
 
 // Guards against nodes that disagree although they have read the same records.
-func TestStandingDoesNotDependOnOrderOrDuplicates(t *testing.T) {
+func TestStatusDoesNotDependOnOrderOrDuplicates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "records")
 		var records []Record
@@ -151,11 +151,11 @@
 			}
 		}
 		now := began.Add(20 * time.Minute)
-		want := ledgerOf(records...).Standing(request, now)
+		want := ledgerOf(records...).Status(request, now)
 		shuffled := append(append([]Record(nil), records...), records...)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-		assert.Equal(t, ledgerOf(shuffled...).Standing(request, now), want)
+		assert.Equal(t, ledgerOf(shuffled...).Status(request, now), want)
 	})
 }
 
@@ -168,7 +168,7 @@
 		for i := range rapid.IntRange(1, 20).Draw(t, "claims") {
 			at := time.Duration(rapid.IntRange(0, 3600).Draw(t, "at")) * time.Second
 			ledger.Put(trial(fmt.Sprint(i), at, int64(i+2)))
-			if granted := ledger.Standing(request, began).Granted; granted != last {
+			if granted := ledger.Status(request, began).Granted; granted != last {
 				last, grantedAt = granted, append(grantedAt, at)
 			}
 		}
--- a/internal/crashes/detector.go
+++ b/internal/crashes/detector.go
@@ -55,8 +55,8 @@
 	Prober Prober
 	Fleet  *fleet.Fleet
 	Logger zerolog.Logger
-	// Observe is called for each lost connection with the engine's service and its liveness.
-	Observe func(service, liveness string)
+	// OnConnectionLost is called for each lost connection with the engine's service and its liveness.
+	OnConnectionLost func(service, liveness string)
 }
 
 // Detector probes engines whose connections were lost. It is safe for concurrent use.
@@ -77,7 +77,7 @@
 		Stringer("engine", loss.Engine.Incarnation()).Str("address", loss.Engine.Address).Stringer("liveness", liveness).
 		Bool("listed", listed).Bool("crashed", crashed).Dur("took_ms", time.Since(began)).
 		Msg("engine lost a request")
-	d.options.Observe(loss.Engine.Service, liveness.String())
+	d.options.OnConnectionLost(loss.Engine.Service, liveness.String())
 	return crashed
 }
 
--- a/internal/crashes/guard.go
+++ b/internal/crashes/guard.go
@@ -40,23 +40,23 @@
 
 // GuardOptions configure a guard.
 type GuardOptions struct {
-	Watch *Detector
-	Log   Log
+	Detector *Detector
+	Log      Log
 	// Topic is the compacted topic of the records.
 	Topic string
-	// Unwritten is called with records that could not be written to the log.
-	Unwritten func(ctx context.Context, records []eventlog.KeyedRecord)
-	// Observe is called with the number of requests in the ledger whenever it may have changed.
-	Observe func(requests int)
-	Logger  zerolog.Logger
+	// OnUnwritten is called with records that could not be written to the log.
+	OnUnwritten func(ctx context.Context, records []eventlog.KeyedRecord)
+	// OnRequestCount is called with the number of requests in the ledger whenever it may have changed.
+	OnRequestCount func(requests int)
+	Logger         zerolog.Logger
 }
 
 // NewGuard returns a guard; Run starts it.
 func NewGuard(options GuardOptions) *Guard {
 	return &Guard{
-		detector: options.Watch,
-		writer:   newWriter(options.Log, options.Topic, options.Unwritten, options.Logger),
-		observe:  options.Observe, logger: options.Logger, ledger: quarantine.NewLedger(), changed: make(chan struct{}),
+		detector: options.Detector,
+		writer:   newWriter(options.Log, options.Topic, options.OnUnwritten, options.Logger),
+		observe:  options.OnRequestCount, logger: options.Logger, ledger: quarantine.NewLedger(), changed: make(chan struct{}),
 		claiming: make(map[quarantine.Fingerprint]bool), peerRecords: make(map[string]peerRecord),
 		tombstones: make(map[string]tombstone),
 	}
@@ -92,7 +92,7 @@
 	defer g.mu.Unlock()
 	switch {
 	case from.Deleted:
-		g.ledger.Drop(record.Fingerprint, record.Name())
+		g.ledger.Drop(record.Fingerprint, record.Key())
 		g.addTombstone(from.Key, false)
 	case g.isDeleted(from.Key):
 		g.deleteAgain(from)
@@ -116,12 +116,12 @@
 		return
 	}
 	g.updateCount()
-	standing := g.ledger.Standing(record.Fingerprint, time.Now())
-	if standing.Crashes < quarantine.RequestLimit {
+	status := g.ledger.Status(record.Fingerprint, time.Now())
+	if status.Crashes < quarantine.RequestLimit {
 		return
 	}
 	g.logger.Warn().Stringer("fingerprint", record.Fingerprint).Str("engine", record.Engine).Str("trial", record.Trial).
-		Str("source", source).Int("crashes", standing.Crashes).Time("held_until", standing.HeldUntil).
+		Str("source", source).Int("crashes", status.Crashes).Time("held_until", status.HeldUntil).
 		Msg("request kept away from engines")
 }
 
@@ -165,7 +165,7 @@
 	g.mu.Lock()
 	records := g.ledger.Records(requestFingerprint)
 	for _, record := range records {
-		g.ledger.Drop(requestFingerprint, record.Name())
+		g.ledger.Drop(requestFingerprint, record.Key())
 		g.addTombstone(keyOf(record), true)
 	}
 	g.updateCount()
@@ -185,31 +185,31 @@
 	g.writer.add(deletions...)
 }
 
-// Standing returns the quarantine state of a request.
-func (g *Guard) Standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing {
+// Status returns the quarantine state of a request.
+func (g *Guard) Status(fingerprint func() quarantine.Fingerprint) quarantine.Status {
 	if g.requestCount.Load() == 0 {
-		return quarantine.Standing{}
+		return quarantine.Status{}
 	}
 	requestFingerprint := fingerprint()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ledger.Standing(requestFingerprint, time.Now())
+	return g.ledger.Status(requestFingerprint, time.Now())
 }
 
 // Admit returns nil if a live request may be sent to an engine, and the reason otherwise. When a quarantine has ended,
 // one request is admitted as a trial, at the node that claims it first.
 func (g *Guard) Admit(ctx context.Context, fingerprint func() quarantine.Fingerprint) *errkind.Error {
 	now := time.Now()
-	standing := g.Standing(fingerprint)
-	if standing.OnTrial(quarantine.RequestLimit, now) && g.claimTrial(ctx, fingerprint()) {
+	status := g.Status(fingerprint)
+	if status.TrialAllowed(quarantine.RequestLimit, now) && g.claimTrial(ctx, fingerprint()) {
 		return nil
 	}
-	if standing.Crashes < quarantine.RequestLimit {
+	if status.Crashes < quarantine.RequestLimit {
 		return nil
 	}
 	failure := errkind.New(errkind.Quarantined, "%d engines ended under this request, fingerprint %s",
-		standing.Crashes, fingerprint())
-	failure.RetryAfter = max(standing.HeldUntil.Sub(now), failure.Kind.Response().RetryAfter)
+		status.Crashes, fingerprint())
+	failure.RetryAfter = max(status.HeldUntil.Sub(now), failure.Kind.Response().RetryAfter)
 	return failure
 }
 
@@ -231,7 +231,7 @@
 	g.mu.Lock()
 	expired := g.ledger.Expired(now)
 	for _, record := range expired {
-		g.ledger.Drop(record.Fingerprint, record.Name())
+		g.ledger.Drop(record.Fingerprint, record.Key())
 		g.addTombstone(keyOf(record), true)
 	}
 	g.updateCount()
--- a/internal/crashes/guard_test.go
+++ b/internal/crashes/guard_test.go
@@ -51,9 +51,9 @@
 // addNode adds a guard and returns it with the follower of its topic.
 func (c *cluster) addNode() (*Guard, *follow.Follower) {
 	guard := NewGuard(GuardOptions{
-		Watch: newTestDetector(&fakeProber{answer: Ended}, engineAt("a", "a:1"), engineAt("b", "b:1"), engineAt("c", "c:1")),
-		Log:   c.log, Topic: topic, Logger: zerolog.Nop(), Observe: func(int) {},
-		Unwritten: func(_ context.Context, records []eventlog.KeyedRecord) {
+		Detector: newTestDetector(&fakeProber{answer: Ended}, engineAt("a", "a:1"), engineAt("b", "b:1"), engineAt("c", "c:1")),
+		Log:      c.log, Topic: topic, Logger: zerolog.Nop(), OnRequestCount: func(int) {},
+		OnUnwritten: func(_ context.Context, records []eventlog.KeyedRecord) {
 			for _, other := range c.guards {
 				for _, record := range records {
 					other.applyFromPeer(record)
@@ -187,8 +187,8 @@
 				c.log.ReleaseDelayed()
 				c.settle()
 				c.assertQuarantined(true)
-				standing := c.guards[1].Standing(fingerprint)
-				assert.Equal(c.t, standing.Crashes, 2)
+				status := c.guards[1].Status(fingerprint)
+				assert.Equal(c.t, status.Crashes, 2)
 			})
 		})
 	}
@@ -235,7 +235,7 @@
 		c.observeCrash(1, "c")
 		c.settle()
 		c.assertQuarantined(true)
-		assert.Equal(c.t, c.guards[4].Standing(fingerprint).Crashes, 3)
+		assert.Equal(c.t, c.guards[4].Status(fingerprint).Crashes, 3)
 	})
 }
 
@@ -315,7 +315,7 @@
 func BenchmarkAdmit(b *testing.B) {
 	for _, held := range []int{0, 100} {
 		b.Run(fmt.Sprintf("held-%d", held), func(b *testing.B) {
-			guard := NewGuard(GuardOptions{Watch: newTestDetector(&fakeProber{}), Log: memlog.New(), Topic: topic, Logger: zerolog.Nop(), Observe: func(int) {}})
+			guard := NewGuard(GuardOptions{Detector: newTestDetector(&fakeProber{}), Log: memlog.New(), Topic: topic, Logger: zerolog.Nop(), OnRequestCount: func(int) {}})
 			for i := range held {
 				other := quarantine.Request{Target: fmt.Sprint(i)}.Fingerprint()
 				guard.put(quarantine.Record{Fingerprint: other, Engine: "e", At: time.Now()}, "test")
--- a/internal/crashes/incarnation_test.go
+++ b/internal/crashes/incarnation_test.go
@@ -46,7 +46,7 @@
 		c.observeCrashOf(1, first)
 		c.settle()
 		c.assertQuarantined(false)
-		assert.Equal(t, c.guards[0].Standing(fingerprint).Crashes, 1)
+		assert.Equal(t, c.guards[0].Status(fingerprint).Crashes, 1)
 	})
 }
 
--- a/internal/crashes/peerrecords.go
+++ b/internal/crashes/peerrecords.go
@@ -35,7 +35,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if from.Deleted {
-		g.ledger.Drop(record.Fingerprint, record.Name())
+		g.ledger.Drop(record.Fingerprint, record.Key())
 		g.updateCount()
 		g.addTombstone(from.Key, false)
 		return
--- a/internal/crashes/record_test.go
+++ b/internal/crashes/record_test.go
@@ -26,7 +26,7 @@
 
 		removed, err := decode(deletion(record))
 		assert.NilError(t, err)
-		assert.Equal(t, removed.Name(), record.Name())
+		assert.Equal(t, removed.Key(), record.Key())
 	}
 }
 
--- a/internal/crashes/trial.go
+++ b/internal/crashes/trial.go
@@ -46,7 +46,7 @@
 	for {
 		g.mu.Lock()
 		logged, changed := g.ledger.Logged(claim), g.changed
-		granted := g.ledger.Standing(claim.Fingerprint, time.Now()).Granted == claim.Trial
+		granted := g.ledger.Status(claim.Fingerprint, time.Now()).Granted == claim.Trial
 		g.mu.Unlock()
 		if logged {
 			return granted
--- a/internal/hosted/crashes.go
+++ b/internal/hosted/crashes.go
@@ -15,12 +15,12 @@
 // newCrashGuard returns the guard that quarantines requests during which engines crashed.
 func (n *node) newCrashGuard(log eventlog.Log) *crashes.Guard {
 	detector := crashes.NewDetector(crashes.Options{
-		Prober: n.platform.Engines(), Fleet: n.fleet, Logger: n.logger, Observe: n.metrics.connectionLost,
+		Prober: n.platform.Engines(), Fleet: n.fleet, Logger: n.logger, OnConnectionLost: n.metrics.connectionLost,
 	})
 	peers := crashes.NewPeers(n.directory.Peers, logrelay.NewClient(), n.logger)
 	return crashes.NewGuard(crashes.GuardOptions{
-		Watch: detector, Log: log, Topic: n.platform.CrashTopic(), Unwritten: peers.Send,
-		Observe: n.metrics.requestsSuspected, Logger: n.logger,
+		Detector: detector, Log: log, Topic: n.platform.CrashTopic(), OnUnwritten: peers.Send,
+		OnRequestCount: n.metrics.requestsSuspected, Logger: n.logger,
 	})
 }
 
--- a/internal/ingress/call_test.go
+++ b/internal/ingress/call_test.go
@@ -26,8 +26,8 @@
 
 func (noCrashes) ConnectionLost(context.Context, crashes.LostConnection) bool { return false }
 
-func (noCrashes) Standing(func() quarantine.Fingerprint) quarantine.Standing {
-	return quarantine.Standing{}
+func (noCrashes) Status(func() quarantine.Fingerprint) quarantine.Status {
+	return quarantine.Status{}
 }
 
 func (noCrashes) Answered(func() quarantine.Fingerprint) {}
@@ -125,8 +125,8 @@
 	return true
 }
 
-func (g *countingGuard) Standing(func() quarantine.Fingerprint) quarantine.Standing {
-	return quarantine.Standing{Crashes: g.crashes}
+func (g *countingGuard) Status(func() quarantine.Fingerprint) quarantine.Status {
+	return quarantine.Status{Crashes: g.crashes}
 }
 
 // TestRequestStopsAtCrashLimit checks that the crash limit applies even if the route allows more attempts.
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -111,8 +111,8 @@
 	Admit(ctx context.Context, fingerprint func() quarantine.Fingerprint) *errkind.Error
 	// ConnectionLost reports whether the engine crashed during the request.
 	ConnectionLost(ctx context.Context, loss crashes.LostConnection) bool
-	// Standing returns the quarantine state of a request.
-	Standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing
+	// Status returns the quarantine state of a request.
+	Status(fingerprint func() quarantine.Fingerprint) quarantine.Status
 	// Answered notes that an engine completed the request successfully.
 	Answered(fingerprint func() quarantine.Fingerprint)
 }
--- a/internal/ingress/try.go
+++ b/internal/ingress/try.go
@@ -77,7 +77,7 @@
 	crashed := guard.ConnectionLost(x.ctx, crashes.LostConnection{
 		Engine: engine, RequestID: x.request.ID, Fingerprint: x.fingerprintOf(),
 	})
-	return crashed && guard.Standing(x.fingerprintOf).Crashes >= quarantine.RequestLimit
+	return crashed && guard.Status(x.fingerprintOf).Crashes >= quarantine.RequestLimit
 }
 
 // reportStart calls Options.OnStart once for a request that an engine may have started.
