--- a/internal/batchjobs/batches_test.go
+++ b/internal/batchjobs/batches_test.go
@@ -29,10 +29,10 @@
 		size += len(record) + 4
 	}
 	if size > l.maxAppendBytes {
-		return 0, fmt.Errorf("append of %d bytes: %w", size, eventlog.ErrNotDone)
+		return 0, fmt.Errorf("append of %d bytes: %w", size, eventlog.ErrNotPerformed)
 	}
 	if l.appendsLeft == 0 {
-		return 0, eventlog.ErrNotDone
+		return 0, eventlog.ErrNotPerformed
 	}
 	l.appendsLeft--
 	return l.Log.Append(ctx, partition, records)
--- a/internal/batchjobs/write.go
+++ b/internal/batchjobs/write.go
@@ -50,7 +50,7 @@
 		if err == nil {
 			return first, nil
 		}
-		if !errors.Is(err, eventlog.ErrNotDone) {
+		if !errors.Is(err, eventlog.ErrNotPerformed) {
 			mayHaveTakenEffect = true
 		}
 		retry.Sleep(ctx, delays.NextBackOff())
--- a/internal/callerwrite/callerwrite.go
+++ b/internal/callerwrite/callerwrite.go
@@ -37,7 +37,7 @@
 // write that failed. Until then content counts against the budget.
 func (l Limits) Write(w http.ResponseWriter, content []byte) error {
 	unwritten := content
-	l.Budget.Take(bytebudget.Answers, int64(len(content)))
+	l.Budget.ForceReserve(bytebudget.Answers, int64(len(content)))
 	defer l.Budget.Release(bytebudget.Answers, int64(len(content)))
 	for len(unwritten) > 0 {
 		chunk := unwritten[:min(chunkBytes, len(unwritten))]
--- a/internal/callerwrite/callerwrite_test.go
+++ b/internal/callerwrite/callerwrite_test.go
@@ -119,7 +119,7 @@
 // Guards against a caller whose buffer grows while others exhaust the node's budget.
 func TestSpoolIsFullWhileBudgetIsShort(t *testing.T) {
 	budget := bytebudget.New(1 << 20)
-	budget.Take(bytebudget.Answers, 2<<20)
+	budget.ForceReserve(bytebudget.Answers, 2<<20)
 	failure := make(chan error, 1)
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		spool := NewSpool(w, Limits{Budget: budget, StallTimeout: stallTimeout})
--- a/internal/callerwrite/spool.go
+++ b/internal/callerwrite/spool.go
@@ -46,12 +46,12 @@
 	if s.err != nil {
 		return s.err
 	}
-	if s.buffered > 0 && (s.buffered+len(content) > MaxBufferedBytes || s.limits.Budget.IsShort()) {
+	if s.buffered > 0 && (s.buffered+len(content) > MaxBufferedBytes || s.limits.Budget.IsExceeded()) {
 		return ErrFull
 	}
 	s.queue = append(s.queue, append([]byte(nil), content...))
 	s.buffered += len(content)
-	s.limits.Budget.Take(bytebudget.Answers, int64(len(content)))
+	s.limits.Budget.ForceReserve(bytebudget.Answers, int64(len(content)))
 	s.notify()
 	return nil
 }
--- a/internal/core/batch/golden_test.go
+++ b/internal/core/batch/golden_test.go
@@ -9,12 +9,12 @@
 // Guards against records and payloads that earlier builds cannot decode, or whose earlier form this build cannot.
 func TestRecordsOfEarlierBuilds(t *testing.T) {
 	goldenrecord.Check(t,
-		goldenrecord.Sample{Name: "record", Value: &Record{}, Added: map[string][]string{"843b092": {"j.cv", "j.hm"}}},
-		goldenrecord.Sample{Name: "payload", Value: &Payload{}},
+		goldenrecord.RecordType{Name: "record", Value: &Record{}, Added: map[string][]string{"843b092": {"j.cv", "j.hm"}}},
+		goldenrecord.RecordType{Name: "payload", Value: &Payload{}},
 	)
 }
 
 // Guards against outcome numbers that mean something else in another build.
 func TestNumbersOfEarlierBuilds(t *testing.T) {
-	goldenrecord.CheckNumbers(t, "numbers", map[string]int64{"completed": int64(Completed), "expired": int64(Expired)})
+	goldenrecord.CheckEnum(t, "numbers", map[string]int64{"completed": int64(Completed), "expired": int64(Expired)})
 }
--- a/internal/core/bytebudget/bytebudget.go
+++ b/internal/core/bytebudget/bytebudget.go
@@ -58,8 +58,8 @@
 	return true
 }
 
-// Take adds bytes held by work in progress, even above the budget.
-func (b *Budget) Take(kind Kind, bytes int64) {
+// ForceReserve adds bytes held by work in progress, even above the budget.
+func (b *Budget) ForceReserve(kind Kind, bytes int64) {
 	if b == nil {
 		return
 	}
@@ -69,7 +69,7 @@
 }
 
 // Release returns bytes to the budget.
-func (b *Budget) Release(kind Kind, bytes int64) { b.Take(kind, -bytes) }
+func (b *Budget) Release(kind Kind, bytes int64) { b.ForceReserve(kind, -bytes) }
 
 // Held returns the bytes held of a kind.
 func (b *Budget) Held(kind Kind) int64 {
@@ -81,8 +81,8 @@
 	return b.held[kind]
 }
 
-// IsShort reports whether the held bytes exceed the budget.
-func (b *Budget) IsShort() bool {
+// IsExceeded reports whether the held bytes exceed the budget.
+func (b *Budget) IsExceeded() bool {
 	if b == nil {
 		return false
 	}
--- a/internal/core/bytebudget/bytebudget_test.go
+++ b/internal/core/bytebudget/bytebudget_test.go
@@ -19,11 +19,11 @@
 
 func TestTakeMayExceedBudgetAndBlocksReserve(t *testing.T) {
 	budget := New(100)
-	budget.Take(Answers, 300)
-	assert.Assert(t, budget.IsShort())
+	budget.ForceReserve(Answers, 300)
+	assert.Assert(t, budget.IsExceeded())
 	assert.Assert(t, !budget.Reserve(Bodies, 1))
 	budget.Release(Answers, 300)
-	assert.Assert(t, !budget.IsShort())
+	assert.Assert(t, !budget.IsExceeded())
 	assert.Assert(t, budget.Reserve(Bodies, 1))
 }
 
--- a/internal/core/errkind/golden_test.go
+++ b/internal/core/errkind/golden_test.go
@@ -12,5 +12,5 @@
 	for _, kind := range All() {
 		kinds[kind.Response().Code] = int64(kind)
 	}
-	goldenrecord.CheckNumbers(t, "kinds", kinds)
+	goldenrecord.CheckEnum(t, "kinds", kinds)
 }
--- a/internal/core/lease/golden_test.go
+++ b/internal/core/lease/golden_test.go
@@ -9,13 +9,13 @@
 // Guards against encodings that an earlier build and this one cannot exchange.
 func TestRecordsOfEarlierBuilds(t *testing.T) {
 	goldenrecord.Check(t,
-		goldenrecord.Sample{Name: "record", Value: &Record{}},
+		goldenrecord.RecordType{Name: "record", Value: &Record{}},
 	)
 }
 
 // Guards against renumbered record kinds.
 func TestNumbersOfEarlierBuilds(t *testing.T) {
-	goldenrecord.CheckNumbers(t, "numbers", map[string]int64{
+	goldenrecord.CheckEnum(t, "numbers", map[string]int64{
 		"claim": int64(Claim), "renew": int64(Renew), "release": int64(Release), "order": int64(Order),
 	})
 }
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -58,7 +58,7 @@
 	if verdict := l.sequences.Admit(offset, record); verdict != logrecord.Accepted {
 		return verdict
 	}
-	if verdict := l.fence.Check(offset, record); verdict != logrecord.Accepted {
+	if verdict := l.fence.Apply(offset, record); verdict != logrecord.Accepted {
 		return verdict
 	}
 	if l.applyBody(offset, record) {
--- a/internal/core/logrecord/fence.go
+++ b/internal/core/logrecord/fence.go
@@ -19,10 +19,10 @@
 	Released bool `msgpack:"r"`
 }
 
-// Check returns the verdict on a record and applies claims and releases. The caller must have dropped repeats
+// Apply returns the verdict on a record and applies claims and releases. The caller must have dropped repeats
 // (see Sequences.Admit). Records of all other kinds are fenced: they are Accepted only in the current epoch and from
 // the writer that claimed it.
-func (f *Fence) Check(offset int64, record Record) Verdict {
+func (f *Fence) Apply(offset int64, record Record) Verdict {
 	switch record.Kind {
 	case KindClaim:
 		return f.claim(offset, record)
--- a/internal/core/logrecord/logrecord_test.go
+++ b/internal/core/logrecord/logrecord_test.go
@@ -165,9 +165,9 @@
 
 func TestFenceRejectsOtherWriterInSameEpoch(t *testing.T) {
 	var fence Fence
-	assert.Equal(t, fence.Check(0, claimRecord(t, "a", 1, 0)), Accepted)
-	assert.Equal(t, fence.Check(1, Record{Writer: "a", Sequence: 2, Epoch: 1, Kind: "fill"}), Accepted)
-	assert.Equal(t, fence.Check(2, Record{Writer: "b", Sequence: 1, Epoch: 1, Kind: "fill"}), Fenced)
+	assert.Equal(t, fence.Apply(0, claimRecord(t, "a", 1, 0)), Accepted)
+	assert.Equal(t, fence.Apply(1, Record{Writer: "a", Sequence: 2, Epoch: 1, Kind: "fill"}), Accepted)
+	assert.Equal(t, fence.Apply(2, Record{Writer: "b", Sequence: 1, Epoch: 1, Kind: "fill"}), Fenced)
 }
 
 // Guards against a record of a few bytes whose encoded length causes a large allocation at every reader.
--- a/internal/core/logrecord/ownership.go
+++ b/internal/core/logrecord/ownership.go
@@ -28,7 +28,7 @@
 	if record.Kind != KindClaim && record.Kind != KindRelease {
 		return Invalid
 	}
-	return r.state.Fence.Check(offset, record)
+	return r.state.Fence.Apply(offset, record)
 }
 
 // Snapshot returns the encoded state.
--- a/internal/core/usage/golden_test.go
+++ b/internal/core/usage/golden_test.go
@@ -9,7 +9,7 @@
 // Guards against records that earlier builds misread, and against misreading theirs.
 func TestRecordsOfEarlierBuilds(t *testing.T) {
 	goldenrecord.Check(t,
-		goldenrecord.Sample{Name: "count", Value: &CountRecord{}},
-		goldenrecord.Sample{Name: "report", Value: &ReportRecord{}},
+		goldenrecord.RecordType{Name: "count", Value: &CountRecord{}},
+		goldenrecord.RecordType{Name: "report", Value: &ReportRecord{}},
 	)
 }
--- a/internal/core/usage/usage.go
+++ b/internal/core/usage/usage.go
@@ -150,11 +150,11 @@
 	l.NextCount = max(l.NextCount, record.CountsFrom)
 }
 
-// LoseReports skips reports that the log has dropped, up to the first offset that it holds. Their
+// SkipLostReports skips reports that the log has dropped, up to the first offset that it holds. Their
 // windows are unknown, so Next skips all windows before unreported, which no node can have reported
 // yet, until a later report is read: a missing report is tolerable, two different reports of a window
 // are not.
-func (l *Ledger) LoseReports(first int64, unreported Window) {
+func (l *Ledger) SkipLostReports(first int64, unreported Window) {
 	l.NextReport = max(l.NextReport+1, first)
 	l.unreported = unreported
 }
--- a/internal/core/usage/usage_test.go
+++ b/internal/core/usage/usage_test.go
@@ -97,12 +97,12 @@
 func TestNextSkipsWindowsOfLostReports(t *testing.T) {
 	ledger := NewLedger()
 	ledger.ApplyCount(CountRecord{"a", 7, Counts{"x": 1}})
-	ledger.LoseReports(4, 9)
+	ledger.SkipLostReports(4, 9)
 	assert.Equal(t, ledger.NextReport, int64(4))
 	assert.Equal(t, ledger.Next(5), Window(9))
 	assert.Equal(t, ledger.Next(12), Window(9), "the first window that is certainly unreported")
 	ledger.ApplyReport(ReportRecord{Window: 7, Counts: Counts{"x": 1}})
 	assert.Equal(t, ledger.Next(5), Window(8))
-	ledger.LoseReports(9, 12)
+	ledger.SkipLostReports(9, 12)
 	assert.Equal(t, ledger.Next(5), Window(12))
 }
--- a/internal/core/weightplan/weightplan.go
+++ b/internal/core/weightplan/weightplan.go
@@ -50,9 +50,9 @@
 	Items int
 	// Waiting is the number of items that wait for an engine.
 	Waiting int
-	// Interrupts is true if a load delays or fails running items. Loads then wait until the engine runs
+	// LoadsInterrupt is true if a load delays or fails running items. Loads then wait until the engine runs
 	// none, unless its version is below MinVersion.
-	Interrupts bool
+	LoadsInterrupt bool
 }
 
 // Allocator holds the model that each engine follows.
@@ -307,5 +307,5 @@
 	if tooOld(engine, target) {
 		return true
 	}
-	return target.Waiting == 0 && (!target.Interrupts || engine.Running == 0)
+	return target.Waiting == 0 && (!target.LoadsInterrupt || engine.Running == 0)
 }
--- a/internal/core/weightplan/weightplan_test.go
+++ b/internal/core/weightplan/weightplan_test.go
@@ -80,11 +80,11 @@
 	all := engines(1, map[string]int64{"a": 1})
 	all[0].Running = 5
 	models := map[incarnation.ID]string{engineID("e0"): "a"}
-	target := Target{Model: "a", Version: 2, MinVersion: 1, Interrupts: true}
+	target := Target{Model: "a", Version: 2, MinVersion: 1, LoadsInterrupt: true}
 	assert.Equal(t, len(NextLoads(all, models, []Target{target}, 2)), 0)
-	target.Interrupts = false
+	target.LoadsInterrupt = false
 	assert.Equal(t, len(NextLoads(all, models, []Target{target}, 2)), 1)
-	needed := Target{Model: "a", Version: 2, MinVersion: 2, Interrupts: true}
+	needed := Target{Model: "a", Version: 2, MinVersion: 2, LoadsInterrupt: true}
 	assert.Equal(t, len(NextLoads(all, models, []Target{needed}, 2)), 1)
 }
 
--- a/internal/crashes/golden_test.go
+++ b/internal/crashes/golden_test.go
@@ -15,8 +15,8 @@
 // TestRecordsOfEarlierBuilds guards against incompatible changes of the encoding of records and messages.
 func TestRecordsOfEarlierBuilds(t *testing.T) {
 	goldenrecord.Check(t,
-		goldenrecord.Sample{Name: "value", Value: &value{}},
-		goldenrecord.Sample{Name: "message", Value: &message{}},
+		goldenrecord.RecordType{Name: "value", Value: &value{}},
+		goldenrecord.RecordType{Name: "message", Value: &message{}},
 	)
 }
 
--- a/internal/duties/reporter.go
+++ b/internal/duties/reporter.go
@@ -147,7 +147,7 @@
 		unreported := usage.WindowOf(time.Now(), r.options.Span)
 		r.options.Logger.Warn().Int64("offset", r.ledger.NextReport).Int64("first_kept", first).
 			Int64("window", int64(unreported)).Msg("usage reports were trimmed before they were read")
-		r.ledger.LoseReports(first, unreported)
+		r.ledger.SkipLostReports(first, unreported)
 	}
 	return readToEnd(ctx, r.options.Log, reportPartition, &r.ledger.NextReport, onTrim, func(raw []byte) error {
 		var record usage.ReportRecord
--- a/internal/engine/codes.go
+++ b/internal/engine/codes.go
@@ -5,7 +5,7 @@
 	CodeDraining      = "draining"
 	CodeOverloaded    = "overloaded"
 	CodeBroken        = "broken"
-	CodeVersion       = "version" // the engine's version of the model is below MinVersion
+	CodeVersionTooLow = "version" // the engine's version of the model is below MinVersion
 	CodeUnknownStream = "unknown_stream"
 	CodeStaleFence    = "stale_fence"
 	CodeInvalid       = "invalid"
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -61,11 +61,11 @@
 	ReadKeyed(ctx context.Context, topic string, from int64, wait time.Duration) (KeyedBatch, error)
 }
 
-// ErrNotDone means that the call was refused or never sent: it has no effect, now or later.
-var ErrNotDone = errors.New("log call not performed")
+// ErrNotPerformed means that the call was refused or never sent: it has no effect, now or later.
+var ErrNotPerformed = errors.New("log call not performed")
 
 // ErrThrottled means that all nodes together exceeded the call rate of the log. It wraps ErrNotDone.
-var ErrThrottled = errors.Wrap(ErrNotDone, "throttled")
+var ErrThrottled = errors.Wrap(ErrNotPerformed, "throttled")
 
 // ErrOutcomeUnknown means that the call may have taken effect, or may still do so.
 var ErrOutcomeUnknown = errors.New("outcome of log call is unknown")
--- a/internal/goldenrecord/goldenrecord.go
+++ b/internal/goldenrecord/goldenrecord.go
@@ -27,8 +27,8 @@
 	fileMode        = 0o644
 )
 
-// Sample is a record type to compare with its golden files.
-type Sample struct {
+// RecordType is a record type to compare with its golden files.
+type RecordType struct {
 	// Name is the base name of the golden files.
 	Name string
 	// Value is a pointer to a zero record.
@@ -40,7 +40,7 @@
 
 // Check compares the records of this build with the golden files, or writes golden files if WritingCommit names a
 // commit.
-func Check(t *testing.T, samples ...Sample) {
+func Check(t *testing.T, samples ...RecordType) {
 	t.Helper()
 	if commit := WritingCommit(); commit != "" {
 		for _, sample := range samples {
@@ -56,9 +56,9 @@
 	}
 }
 
-// CheckNumbers checks that enumeration values, by name, equal those in the golden files, or writes a golden file if
+// CheckEnum checks that enumeration values, by name, equal those in the golden files, or writes a golden file if
 // WritingCommit names a commit.
-func CheckNumbers(t *testing.T, name string, numbers map[string]int64) {
+func CheckEnum(t *testing.T, name string, numbers map[string]int64) {
 	t.Helper()
 	if commit := WritingCommit(); commit != "" {
 		Write(t, commit, name, numbers)
@@ -113,7 +113,7 @@
 
 // check tests both directions: this build decodes the golden record without loss, and encodes every field of it with
 // the same type.
-func (s Sample) check(t *testing.T, commit string, golden []byte) {
+func (s RecordType) check(t *testing.T, commit string, golden []byte) {
 	t.Helper()
 	earlier := fieldsOf(t, golden)
 	decoded := newRecord(s.Value)
--- a/internal/hosted/crashes.go
+++ b/internal/hosted/crashes.go
@@ -17,7 +17,7 @@
 	detector := crashes.NewDetector(crashes.Options{
 		Prober: n.platform.Engines(), Fleet: n.fleet, Logger: n.logger, OnConnectionLost: n.metrics.connectionLost,
 	})
-	peers := crashes.NewPeers(n.directory.Peers, logrelay.NewClient(), n.logger)
+	peers := crashes.NewPeers(n.directory.PeerAddresses, logrelay.NewClient(), n.logger)
 	return crashes.NewGuard(crashes.GuardOptions{
 		Detector: detector, Log: log, Topic: n.platform.CrashTopic(), OnUnwritten: peers.Send,
 		OnRequestCount: n.metrics.requestsSuspected, Logger: n.logger,
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -149,7 +149,7 @@
 		Node: config.Node.ID, Address: config.Listen.Peers, Zone: config.Node.Zone, Region: config.Node.Region,
 		Processors: config.Node.Processors, Version: clusterversion.Build,
 	}, logLimits(config.Hosted), logger)
-	log := logrelay.NewFallback(direct, n.directory.Others, n.countTraffic(logrelay.NewClient(), logTraffic), logger)
+	log := logrelay.NewFallback(direct, n.directory.Peers, n.countTraffic(logrelay.NewClient(), logTraffic), logger)
 	n.directory.SetLog(log)
 	replicas := logrelay.NewReplicaReader(log, logrelay.ReplicaOptions{
 		Sources: n.directory.Sources, AwaitSources: n.directory.AwaitSettled,
--- a/internal/hosted/zonesapi.go
+++ b/internal/hosted/zonesapi.go
@@ -89,7 +89,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, eventlog.ErrNotDone):
+	case errors.Is(err, eventlog.ErrNotPerformed):
 		return errkind.New(errkind.LogUnavailable, "the log did not take the order: %v", err)
 	default:
 		return errkind.New(errkind.OutcomeUnknownRepeatable, "the order may be in the log or not: %v", err)
--- a/internal/leadership/faultylog_test.go
+++ b/internal/leadership/faultylog_test.go
@@ -83,12 +83,12 @@
 
 // appendsRefused rejects appends.
 func appendsRefused(context.Context, lease.Record, int64, func() (int64, error)) (int64, error) {
-	return 0, eventlog.ErrNotDone
+	return 0, eventlog.ErrNotPerformed
 }
 
 // readsRefused rejects reads.
 func readsRefused(context.Context, func() (eventlog.Batch, error)) (eventlog.Batch, error) {
-	return eventlog.Batch{}, eventlog.ErrNotDone
+	return eventlog.Batch{}, eventlog.ErrNotPerformed
 }
 
 // appendsUnanswered executes appends but never answers them.
--- a/internal/leadership/randomfaults_test.go
+++ b/internal/leadership/randomfaults_test.go
@@ -114,7 +114,7 @@
 	defer m.waitWhileFrozen()
 	switch current {
 	case refused:
-		return 0, eventlog.ErrNotDone
+		return 0, eventlog.ErrNotPerformed
 	case answerLost:
 		_, _ = m.forward(name, at, records)
 		return 0, eventlog.ErrOutcomeUnknown
@@ -150,13 +150,13 @@
 	defer m.waitWhileFrozen()
 	switch current {
 	case refused:
-		return eventlog.Batch{}, eventlog.ErrNotDone
+		return eventlog.Batch{}, eventlog.ErrNotPerformed
 	case hanging:
 		select {
 		case <-changed:
 		case <-ctx.Done():
 		case <-time.After(readTimeout):
-			return eventlog.Batch{}, eventlog.ErrNotDone
+			return eventlog.Batch{}, eventlog.ErrNotPerformed
 		}
 	case takesEffectLate:
 		batch, err := m.log.Read(ctx, name, from, limit, wait)
--- a/internal/logrelay/directory.go
+++ b/internal/logrelay/directory.go
@@ -107,8 +107,8 @@
 // SetLog replaces the log that holds the directory. Must be called before Run.
 func (d *Directory) SetLog(log eventlog.Log) { d.log = log }
 
-// Peers returns the addresses of the other live nodes.
-func (d *Directory) Peers() []string {
+// PeerAddresses returns the addresses of the other live nodes.
+func (d *Directory) PeerAddresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var addresses []string
@@ -130,8 +130,8 @@
 	return d.members[node].Address
 }
 
-// Others returns the other live nodes.
-func (d *Directory) Others() []Peer {
+// Peers returns the other live nodes.
+func (d *Directory) Peers() []Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var others []Peer
@@ -162,7 +162,7 @@
 	if regions.Allows(d.own.Region) {
 		return true
 	}
-	return slices.ContainsFunc(d.Others(), func(other Peer) bool { return regions.Allows(other.Region) })
+	return slices.ContainsFunc(d.Peers(), func(other Peer) bool { return regions.Allows(other.Region) })
 }
 
 // Nodes returns the number of live nodes, including this one.
--- a/internal/logrelay/golden_test.go
+++ b/internal/logrelay/golden_test.go
@@ -10,20 +10,20 @@
 // ones.
 func TestRecordsOfEarlierBuilds(t *testing.T) {
 	goldenrecord.Check(t,
-		goldenrecord.Sample{Name: "member", Value: &member{}, Added: map[string][]string{
+		goldenrecord.RecordType{Name: "member", Value: &member{}, Added: map[string][]string{
 			"843b092": {"r", "v"}, "0fdc9d0": {"v"}, "34585b3": {"v"},
 		}},
-		goldenrecord.Sample{Name: "request", Value: &request{}, Added: map[string][]string{
+		goldenrecord.RecordType{Name: "request", Value: &request{}, Added: map[string][]string{
 			"843b092": {"x"}, "0fdc9d0": {"x"},
 		}},
-		goldenrecord.Sample{Name: "response", Value: &response{}},
+		goldenrecord.RecordType{Name: "response", Value: &response{}},
 	)
 }
 
 // TestNumbersOfEarlierBuilds guards against changed numbers of operations and outcomes, which other builds would
 // misinterpret.
 func TestNumbersOfEarlierBuilds(t *testing.T) {
-	goldenrecord.CheckNumbers(t, "numbers", map[string]int64{
+	goldenrecord.CheckEnum(t, "numbers", map[string]int64{
 		"append": int64(opAppend), "append_at": int64(opAppendAt), "read": int64(opRead), "newest": int64(opNewest),
 		"read_keyed": int64(opReadKeyed), "replica_newest": int64(opReplicaNewest), "replica_read": int64(opReplicaRead),
 		"put_keyed": int64(opPutKeyed),
--- a/internal/logrelay/homes_test.go
+++ b/internal/logrelay/homes_test.go
@@ -83,7 +83,7 @@
 	// Without a peer in the regions, the call ends with the result of the direct one.
 	end := log.End(testPartition)
 	_, err := fallback.Append(homes.NewContext(t.Context(), homes.Of([]string{"east"})), testPartition, [][]byte{[]byte("body")})
-	assert.ErrorIs(t, err, eventlog.ErrNotDone)
+	assert.ErrorIs(t, err, eventlog.ErrNotPerformed)
 	assert.Equal(t, log.End(testPartition), end)
 }
 
@@ -94,7 +94,7 @@
 	nodes := newRelayNodes(t, log, func() bool { return false })
 	fallback := newRefusedFallback(t, nodes)
 	_, err := fallback.Append(homes.NewContext(t.Context(), homes.Of([]string{"south"})), testPartition, [][]byte{[]byte("body")})
-	assert.ErrorIs(t, err, eventlog.ErrNotDone)
+	assert.ErrorIs(t, err, eventlog.ErrNotPerformed)
 	assert.Assert(t, nodes["south"].calls.Load() > 0)
 	assert.Equal(t, nodes["north"].calls.Load()+nodes["west"].calls.Load(), int64(0))
 }
@@ -127,8 +127,8 @@
 	for _, directory := range []*Directory{own, other, near} {
 		go func() { _ = directory.Run(t.Context()) }()
 	}
-	testwait.Until(t, "the others are listed", func() bool { return len(own.Others()) == 2 })
-	for _, peer := range own.Others() {
+	testwait.Until(t, "the others are listed", func() bool { return len(own.Peers()) == 2 })
+	for _, peer := range own.Peers() {
 		wanted := Peer{Address: "127.0.0.1:2", Region: "b", Distance: topology.OtherRegion}
 		if peer.Region == "a" {
 			wanted = Peer{Address: "127.0.0.1:3", Region: "a", Distance: topology.SameRegion}
--- a/internal/logrelay/logrelay.go
+++ b/internal/logrelay/logrelay.go
@@ -67,7 +67,7 @@
 )
 
 // errCannotRelay is returned if a peer replied outcomeCannotRelay; the call was not made.
-var errCannotRelay = errors.Wrap(eventlog.ErrNotDone, "the other node has no direct connection to the log")
+var errCannotRelay = errors.Wrap(eventlog.ErrNotPerformed, "the other node has no direct connection to the log")
 
 // response is the reply to a request, encoded as msgpack.
 type response struct {
@@ -90,7 +90,7 @@
 		return response{Outcome: outcomeConflict, Offset: conflicting.End}
 	case errors.As(err, &trimmed):
 		return response{Outcome: outcomeTrimmed, Offset: trimmed.First}
-	case errors.Is(err, eventlog.ErrNotDone):
+	case errors.Is(err, eventlog.ErrNotPerformed):
 		return response{Outcome: outcomeNotDone, Detail: err.Error()}
 	default:
 		return response{Outcome: outcomeUnknown, Detail: err.Error()}
@@ -109,7 +109,7 @@
 	case outcomeCannotRelay:
 		return errCannotRelay
 	case outcomeNotDone:
-		return errors.Wrap(eventlog.ErrNotDone, "call relayed by another node: "+r.Detail)
+		return errors.Wrap(eventlog.ErrNotPerformed, "call relayed by another node: "+r.Detail)
 	default:
 		return errors.Wrap(eventlog.ErrOutcomeUnknown, "call relayed by another node: "+r.Detail)
 	}
--- a/internal/logrelay/logrelay_test.go
+++ b/internal/logrelay/logrelay_test.go
@@ -55,7 +55,7 @@
 	f.fallback = NewFallback(newRefusingLog(), peersAt(address), NewClient(), zerolog.Nop())
 	for range failuresToSwitch {
 		_, err := f.fallback.Append(t.Context(), testPartition, nil)
-		assert.Assert(t, errors.Is(err, eventlog.ErrNotDone))
+		assert.Assert(t, errors.Is(err, eventlog.ErrNotPerformed))
 	}
 	return f
 }
@@ -103,7 +103,7 @@
 	f.log.SetFault(func(memlog.Call) memlog.Fault { return memlog.Refused })
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		_, err := f.fallback.Append(t.Context(), testPartition, [][]byte{[]byte("a")})
-		if errors.Is(err, eventlog.ErrNotDone) {
+		if errors.Is(err, eventlog.ErrNotPerformed) {
 			return poll.Success()
 		}
 		return poll.Continue("%v", err)
@@ -137,7 +137,7 @@
 	fallback := NewFallback(newRefusingLog(), peersAt(), NewClient(), zerolog.Nop())
 	for range 3 * failuresToSwitch {
 		_, err := fallback.Append(t.Context(), testPartition, nil)
-		assert.Assert(t, errors.Is(err, eventlog.ErrNotDone))
+		assert.Assert(t, errors.Is(err, eventlog.ErrNotPerformed))
 	}
 }
 
@@ -207,7 +207,7 @@
 	started := time.Now()
 	for range 50 {
 		_, err := fallback.Append(t.Context(), testPartition, nil)
-		assert.Assert(t, errors.Is(err, eventlog.ErrNotDone))
+		assert.Assert(t, errors.Is(err, eventlog.ErrNotPerformed))
 	}
 	rounds := int64(time.Since(started)/outagePause) + 1
 	assert.Assert(t, requests.Load() <= rounds*maxPeersTried, "%d calls to other nodes", requests.Load())
@@ -238,7 +238,7 @@
 	_, err := log.Append(t.Context(), eventlog.Partition{Topic: directoryTopic}, [][]byte{[]byte("no member")})
 	assert.NilError(t, err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if peers := one.Peers(); len(peers) == 1 && peers[0] == "127.0.0.1:2" {
+		if peers := one.PeerAddresses(); len(peers) == 1 && peers[0] == "127.0.0.1:2" {
 			return poll.Success()
 		}
 		return poll.Continue("not listed yet")
--- a/internal/logrelay/replicabackoff_test.go
+++ b/internal/logrelay/replicabackoff_test.go
@@ -64,7 +64,7 @@
 
 func (l *failingLog) Newest(ctx context.Context, topic string) (eventlog.KeyedBatch, error) {
 	if l.fails() {
-		return eventlog.KeyedBatch{}, eventlog.ErrNotDone
+		return eventlog.KeyedBatch{}, eventlog.ErrNotPerformed
 	}
 	return l.Log.Newest(ctx, topic)
 }
@@ -73,7 +73,7 @@
 	ctx context.Context, topic string, from int64, wait time.Duration,
 ) (eventlog.KeyedBatch, error) {
 	if l.fails() {
-		return eventlog.KeyedBatch{}, eventlog.ErrNotDone
+		return eventlog.KeyedBatch{}, eventlog.ErrNotPerformed
 	}
 	return l.Log.ReadKeyed(ctx, topic, from, wait)
 }
@@ -160,7 +160,7 @@
 		})
 		for range 8 {
 			_, err := reader.ReadKeyed(ctx, followedTopic, 0, 0)
-			assert.ErrorIs(t, err, eventlog.ErrNotDone)
+			assert.ErrorIs(t, err, eventlog.ErrNotPerformed)
 		}
 		link.setDisconnected(false)
 		time.Sleep(time.Minute)
--- a/internal/logrelay/stall_test.go
+++ b/internal/logrelay/stall_test.go
@@ -104,7 +104,7 @@
 // TestRefusalIsKeptWhenDirectCallsAreCanceled guards against a certain result that is reported as unknown because
 // the switch to a peer canceled the call at the same time.
 func TestRefusalIsKeptWhenDirectCallsAreCanceled(t *testing.T) {
-	for _, refusal := range []error{eventlog.ErrNotDone, &eventlog.ConflictError{End: 7}} {
+	for _, refusal := range []error{eventlog.ErrNotPerformed, &eventlog.ConflictError{End: 7}} {
 		fallback := newFallbackWithPeer(t, refusingOnCancelLog{Log: memlog.New(), refusal: refusal}, memlog.New())
 		result := make(chan error)
 		go func() {
--- a/internal/logstream/logstream_test.go
+++ b/internal/logstream/logstream_test.go
@@ -36,7 +36,7 @@
 func (r *recordingReducer) Apply(offset int64, record logrecord.Record) logrecord.Verdict {
 	verdict := r.Sequences.Admit(offset, record)
 	if verdict == logrecord.Accepted && record.Kind != kindNote {
-		verdict = r.Fence.Check(offset, record)
+		verdict = r.Fence.Apply(offset, record)
 	}
 	if verdict == logrecord.Accepted {
 		r.Accepted = append(r.Accepted, fmt.Sprintf("%d %s %d %s", offset, record.Writer, record.Sequence, record.Kind))
--- a/internal/logusage/logusage.go
+++ b/internal/logusage/logusage.go
@@ -117,7 +117,7 @@
 		return Answered
 	case errors.Is(ctx.Err(), context.Canceled):
 		return Abandoned
-	case errors.Is(err, eventlog.ErrNotDone):
+	case errors.Is(err, eventlog.ErrNotPerformed):
 		return Refused
 	default:
 		return Unanswered
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -61,7 +61,7 @@
 		return &engine.Refusal{Code: engine.CodeUnknownModel, Message: "model " + request.Model + " is not held"}
 	}
 	if model.version < request.MinVersion {
-		return &engine.Refusal{Code: engine.CodeVersion, Message: "model is below the version asked for"}
+		return &engine.Refusal{Code: engine.CodeVersionTooLow, Message: "model is below the version asked for"}
 	}
 	if len(s.waiting) >= s.config.MaxWaiting {
 		return &engine.Refusal{Code: engine.CodeOverloaded, Message: "too many requests wait"}
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -208,9 +208,9 @@
 	newer.MinVersion = 4
 	drained := true
 	for code, request := range map[string]engine.GenerateRequest{
-		engine.CodeUnknownModel: unknown,
-		engine.CodeVersion:      newer,
-		engine.CodeInvalid:      {RequestID: "r", Model: "m"},
+		engine.CodeUnknownModel:  unknown,
+		engine.CodeVersionTooLow: newer,
+		engine.CodeInvalid:       {RequestID: "r", Model: "m"},
 	} {
 		_, err := h.Generate(t.Context(), h.address, request)
 		assert.Equal(t, requireRefusal(t, err).Code, code)
--- a/internal/standin/memlog/memlog.go
+++ b/internal/standin/memlog/memlog.go
@@ -173,14 +173,14 @@
 	ctx context.Context, name eventlog.Partition, holds func(end int64) bool, records [][]byte,
 ) (int64, error) {
 	if ctx.Err() != nil {
-		return 0, eventlog.ErrNotDone
+		return 0, eventlog.ErrNotPerformed
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.wakeReaders()
 	switch l.selectFault(Call{Append: true, Partition: name}) {
 	case Refused:
-		return 0, eventlog.ErrNotDone
+		return 0, eventlog.ErrNotPerformed
 	case LostCall:
 		return 0, eventlog.ErrOutcomeUnknown
 	case DelayedEffect:
@@ -236,7 +236,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if fault := l.selectFault(Call{Partition: name}); fault != None {
-		return eventlog.Batch{}, nil, eventlog.ErrNotDone
+		return eventlog.Batch{}, nil, eventlog.ErrNotPerformed
 	}
 	p := l.partition(name)
 	if from < p.first {
@@ -260,7 +260,7 @@
 	defer l.mu.Unlock()
 	name := eventlog.Partition{Topic: topic}
 	if l.selectFault(Call{Partition: name}) != None {
-		return eventlog.KeyedBatch{}, eventlog.ErrNotDone
+		return eventlog.KeyedBatch{}, eventlog.ErrNotPerformed
 	}
 	p := l.partition(name)
 	batch := eventlog.KeyedBatch{Next: p.end()}
--- a/internal/standin/throttledlog/throttledlog.go
+++ b/internal/standin/throttledlog/throttledlog.go
@@ -64,7 +64,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if topic == l.refusedTopic || time.Until(l.busyUntil) > maxBacklog {
-		return eventlog.ErrNotDone
+		return eventlog.ErrNotPerformed
 	}
 	return nil
 }
--- a/internal/weightorders/plan.go
+++ b/internal/weightorders/plan.go
@@ -142,7 +142,7 @@
 		itemPeaks.Observe(now, demand.Unfinished, itemPeakPeriod)
 		targets = append(targets, weightplan.Target{
 			Model: model, Version: version, MinVersion: demand.MinVersion, Items: itemPeaks.Max(),
-			Demand: m.meanDemands[model], Waiting: demand.Waiting, Interrupts: target.SingleVersion,
+			Demand: m.meanDemands[model], Waiting: demand.Waiting, LoadsInterrupt: target.SingleVersion,
 		})
 	}
 	sortTargets(targets)
