--- a/internal/batchjobs/batchjobs.go
+++ b/internal/batchjobs/batchjobs.go
@@ -40,7 +40,7 @@
 type Options struct {
 	// Partitions is the number of partitions. It must be the same on all nodes and must never change.
 	Partitions int
-	// MaxRecordBytes and CallBytes are the log's limits for one record and one append.
+	// MaxRecordBytes and MaxAppendBytes are the log's limits for one record and one append.
 	MaxRecordBytes int
 	MaxAppendBytes int
 	// JobRetention is the retention period of a closed job, from the time at which this node first read its record.
--- a/internal/batchjobs/restart_test.go
+++ b/internal/batchjobs/restart_test.go
@@ -46,7 +46,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		backing := memlog.New()
 		options := Options{
-			Partitions: partitions, MaxRecordBytes: 256 << 10, MaxAppendBytes: 2 << 20, JobRetention: 2 * time.Minute, Logger: zerolog.Nop(),
+			Partitions: partitions, MaxRecordBytes: 256 << 10, MaxAppendBytes: 2 << 20,
+			JobRetention: 2 * time.Minute, Logger: zerolog.Nop(),
 			Budget: pacing.Budget{Limits: pacing.Limits{ReadsPerSecond: 16_000}, Nodes: func() int { return 300 }},
 		}
 		jobs := jobInEachPartition(t, New(backing, options), partitions)
--- a/internal/batchrun/cold.go
+++ b/internal/batchrun/cold.go
@@ -18,10 +18,10 @@
 	return true, r.options.ColdStarts.Available(engine, coldness)
 }
 
-// admit requests a permit to start an item on an engine. permitOpen reports whether the permit is still valid; it is
+// admit requests a permit to start an item on an engine. permitValid reports whether the permit is still valid; it is
 // nil if the engine is not known to be cold. Such a start is recorded, so that it counts against the engine's rate if
 // the engine turns out to be cold.
-func (r *Runner) admit(engine fleet.Engine) (permitOpen func() bool, admitted bool) {
+func (r *Runner) admit(engine fleet.Engine) (permitValid func() bool, admitted bool) {
 	slowStart, bounded := r.options.Fleet.SlowStart(engine.Service)
 	if !bounded {
 		return nil, true
--- a/internal/batchrun/fakes_test.go
+++ b/internal/batchrun/fakes_test.go
@@ -338,8 +338,9 @@
 		Gate:    env.gate,
 		RouteOf: env.routeOf,
 		Homes:   homes.Of(regions), HomesOf: env.homesOf, ConfigVersion: env.configVersion,
-		LoadingModel: func(incarnation.ID) string { return "" }, LoadingModels: func() map[incarnation.ID]string { return nil },
-		Term: fmt.Sprint(env.terms), Logger: zerolog.Nop(),
+		LoadingModel:  func(incarnation.ID) string { return "" },
+		LoadingModels: func() map[incarnation.ID]string { return nil },
+		Term:          fmt.Sprint(env.terms), Logger: zerolog.Nop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -115,7 +115,7 @@
 		}
 		return
 	}
-	permitOpen, admitted := r.admit(engine)
+	permitValid, admitted := r.admit(engine)
 	if !admitted {
 		r.plan.Ended(key)
 		r.plan.Add(assignment.Item)
@@ -124,7 +124,7 @@
 	ctx, cancel := context.WithCancel(r.ctx)
 	started := &run{
 		engine: engine.Incarnation(), started: time.Now(), isolated: assignment.Item.Suspect, cancel: cancel,
-		sendCheck: r.options.Gate.Check(engine.Incarnation(), permitOpen),
+		sendCheck: r.options.Gate.Check(engine.Incarnation(), permitValid),
 	}
 	r.runs[key] = started
 	state := &job.items[key.Item]
@@ -133,7 +133,7 @@
 	call.LastEvent, call.Continues = state.Output.Last(), !state.Output.Empty()
 	call.MaySend = started.sendCheck.MaySend
 	r.options.Logger.Info().Str("job", key.Job).Str("item", record.ID).Str("group", record.Group).
-		Stringer("engine", started.engine).Int("running", assignment.Running).Bool("cold", permitOpen != nil).Dur("pace_ms", assignment.Pace).
+		Stringer("engine", started.engine).Int("running", assignment.Running).Bool("cold", permitValid != nil).Dur("pace_ms", assignment.Pace).
 		Int64("version", engine.Versions[job.record.Model]).Int64("after_event", call.LastEvent).
 		Int("length", record.Length).Int("tokens", record.Tokens).
 		Dur("waited_ms", time.Since(job.addedAt)).Msg("item started")
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -54,11 +54,11 @@
 	RouteOf    RouteOf
 	// Homes are the home regions whose jobs this runner runs: jobs bound to exactly these regions or, if it is
 	// unbound, jobs bound to none. HomesOf returns the homes of a job in the current configuration, whose version
-	// is Config.
+	// is ConfigVersion.
 	Homes         homes.Set
 	HomesOf       func(job *batch.JobRecord) homes.Set
 	ConfigVersion func() int64
-	// LoadingModel returns the model whose weights an engine is loading, empty for none; AllLoading returns it for all
+	// LoadingModel returns the model whose weights an engine is loading, empty for none; LoadingModels returns it for all
 	// engines that are loading.
 	LoadingModel  func(engine incarnation.ID) string
 	LoadingModels func() map[incarnation.ID]string
--- a/internal/callerwrite/callerwrite_test.go
+++ b/internal/callerwrite/callerwrite_test.go
@@ -117,7 +117,7 @@
 }
 
 // Guards against a caller whose buffer grows while others exhaust the node's budget.
-func TestSpoolIsFullWhileBudgetIsShort(t *testing.T) {
+func TestSpoolIsFullWhileBudgetIsExceeded(t *testing.T) {
 	budget := bytebudget.New(1 << 20)
 	budget.ForceReserve(bytebudget.Answers, 2<<20)
 	failure := make(chan error, 1)
--- a/internal/callerwrite/spool.go
+++ b/internal/callerwrite/spool.go
@@ -39,7 +39,7 @@
 }
 
 // Write buffers a copy of content. It returns ErrFull if bytes are buffered already and either content would exceed
-// MaxBufferedBytes or the node's budget is short. It returns the error of an earlier write to the caller, if any.
+// MaxBufferedBytes or the node's budget is exceeded. It returns the error of an earlier write to the caller, if any.
 func (s *Spool) Write(content []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/coldpermits/client.go
+++ b/internal/coldpermits/client.go
@@ -24,10 +24,10 @@
 	unansweredBackoff = 500 * time.Millisecond
 )
 
-// Decision is the reason why no permit was granted; its outcome is Granted if one was.
+// Decision is the response to a permit request.
 type Decision struct {
 	Outcome Outcome
-	// Wait is the time after which a retry may succeed.
+	// Wait is the time after which a retry may succeed; zero if a permit was granted.
 	Wait time.Duration
 }
 
@@ -66,9 +66,9 @@
 
 // RequestPermit requests a permit for one of a service's engines, which are listed in order of preference.
 func (c *Client) RequestPermit(ctx context.Context, service string, engines []fleet.Engine) (Permit, Decision) {
-	permit, denial := c.request(ctx, service, engines)
-	c.options.Observe(denial.Outcome)
-	return permit, denial
+	permit, decision := c.request(ctx, service, engines)
+	c.options.Observe(decision.Outcome)
+	return permit, decision
 }
 
 func (c *Client) request(ctx context.Context, service string, engines []fleet.Engine) (Permit, Decision) {
@@ -76,8 +76,8 @@
 		return Permit{}, denial
 	}
 	if c.options.Granter.Leads() {
-		permit, denial := c.admitLocally(engines)
-		return permit, c.backOffUnlessGranted(ctx, service, denial)
+		permit, decision := c.admitLocally(engines)
+		return permit, c.backOffUnlessGranted(ctx, service, decision)
 	}
 	select {
 	case c.slots <- struct{}{}:
@@ -85,8 +85,8 @@
 	default:
 		return Permit{}, Decision{Outcome: Suppressed, Wait: unansweredBackoff}
 	}
-	permit, denial := c.requestFromLeader(ctx, service, engines)
-	return permit, c.backOffUnlessGranted(ctx, service, denial)
+	permit, decision := c.requestFromLeader(ctx, service, engines)
+	return permit, c.backOffUnlessGranted(ctx, service, decision)
 }
 
 // admitLocally requests a permit from this node itself while it leads.
@@ -133,7 +133,8 @@
 	if response.Outcome != Granted {
 		return Permit{}, Decision{Outcome: response.Outcome, Wait: max(response.Wait, time.Millisecond)}
 	}
-	return Permit{Engine: response.Engine.incarnation(), until: began.Add(slowstart.PermitTTL), now: c.now}, Decision{Outcome: Granted}
+	return Permit{Engine: response.Engine.incarnation(), until: began.Add(slowstart.PermitTTL), now: c.now},
+		Decision{Outcome: Granted}
 }
 
 // isBackingOff reports whether requests for a service are suspended, and returns the denial in that case.
@@ -154,13 +155,13 @@
 
 // backOffUnlessGranted suspends requests for a service for the wait of a denial, extended by a random jitter of up
 // to a half. Without jitter all nodes would retry at the same time, and the leader would always be first.
-func (c *Client) backOffUnlessGranted(ctx context.Context, service string, denial Decision) Decision {
-	if denial.Outcome == Granted || ctx.Err() != nil {
-		return denial
+func (c *Client) backOffUnlessGranted(ctx context.Context, service string, decision Decision) Decision {
+	if decision.Outcome == Granted || ctx.Err() != nil {
+		return decision
 	}
-	denial.Wait += rand.N(denial.Wait/2 + 1)
+	decision.Wait += rand.N(decision.Wait/2 + 1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.backoffUntil[service] = c.now().Add(min(denial.Wait, notLeadingBackoff))
-	return denial
+	c.backoffUntil[service] = c.now().Add(min(decision.Wait, notLeadingBackoff))
+	return decision
 }
--- a/internal/coldpermits/coldpermits_test.go
+++ b/internal/coldpermits/coldpermits_test.go
@@ -129,7 +129,7 @@
 	var sent []time.Time
 	for until := c.clock.read().Add(period); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
 		for _, client := range clients {
-			if permit, denial := ask(client, coldEngine("e")); denial.Outcome == Granted && permit.Valid() {
+			if permit, decision := ask(client, coldEngine("e")); decision.Outcome == Granted && permit.Valid() {
 				sent = append(sent, c.clock.read())
 			}
 		}
@@ -172,15 +172,15 @@
 	client, _ := c.client()
 	got := make(map[string]int)
 	for range 2 * slowstart.Burst {
-		permit, denial := ask(client, coldEngine("a"), coldEngine("b"))
-		assert.Equal(t, denial.Outcome, Granted)
+		permit, decision := ask(client, coldEngine("a"), coldEngine("b"))
+		assert.Equal(t, decision.Outcome, Granted)
 		assert.Equal(t, permit.Engine.StartMillis, int64(7))
 		got[permit.Engine.Engine]++
 	}
 	assert.DeepEqual(t, got, map[string]int{"a": slowstart.Burst, "b": slowstart.Burst})
-	_, denial := ask(client, coldEngine("a"), coldEngine("b"))
-	assert.Equal(t, denial.Outcome, RateLimited)
-	assert.Assert(t, denial.Wait > 0 && denial.Wait <= time.Second/7*3/2, "%s", denial.Wait)
+	_, decision := ask(client, coldEngine("a"), coldEngine("b"))
+	assert.Equal(t, decision.Outcome, RateLimited)
+	assert.Assert(t, decision.Wait > 0 && decision.Wait <= time.Second/7*3/2, "%s", decision.Wait)
 }
 
 // Guards against requests by further callers during the backoff.
@@ -196,8 +196,8 @@
 	assert.Equal(t, first.Outcome, Suppressed)
 	assert.Equal(t, transport.count(), asked)
 	c.clock.advance(first.Wait)
-	_, denial := ask(client, coldEngine("e"))
-	assert.Equal(t, denial.Outcome, Granted, "a request after the wait is granted")
+	_, decision := ask(client, coldEngine("e"))
+	assert.Equal(t, decision.Outcome, Granted, "a request after the wait is granted")
 }
 
 // The other nodes must get the full rate meanwhile.
@@ -208,9 +208,9 @@
 	other, _ := c.client()
 	transport.set(func(f *fakeTransport) { f.refuse = true })
 	assert.Equal(t, len(c.sendPermitted([]*Client{partitioned}, 2*time.Second)), 0)
-	_, denial := ask(partitioned, coldEngine("e"))
-	assert.Assert(t, denial.Outcome == Unanswered || denial.Outcome == Suppressed)
-	assert.Assert(t, denial.Wait > 0)
+	_, decision := ask(partitioned, coldEngine("e"))
+	assert.Assert(t, decision.Outcome == Unanswered || decision.Outcome == Suppressed)
+	assert.Assert(t, decision.Wait > 0)
 	assert.Assert(t, len(c.sendPermitted([]*Client{partitioned, other}, 2*time.Second)) >= 2*7)
 }
 
@@ -223,11 +223,11 @@
 	transport.set(func(f *fakeTransport) { f.hold = hold })
 	done := make(chan Decision)
 	go func() {
-		permit, denial := ask(client, coldEngine("e"))
-		if denial.Outcome == Granted && permit.Valid() {
-			denial.Outcome = 99
+		permit, decision := ask(client, coldEngine("e"))
+		if decision.Outcome == Granted && permit.Valid() {
+			decision.Outcome = 99
 		}
-		done <- denial
+		done <- decision
 	}()
 	testwait.Until(t, "the request is admitted", func() bool {
 		return c.granter.Available(coldEngine("e").Incarnation(), fleet.Coldness{RatePerSecond: ratePerSecond}) < slowstart.Burst
@@ -235,8 +235,8 @@
 	c.clock.advance(slowstart.PermitTTL)
 	close(hold)
 	// The permit in the late response has expired, since its lifetime starts with the request.
-	denial := <-done
-	assert.Assert(t, denial.Outcome != 99, "an expired permit was open")
+	decision := <-done
+	assert.Assert(t, decision.Outcome != 99, "an expired permit was valid")
 }
 
 // Guards against a permit that is used after the machine was suspended.
@@ -244,8 +244,8 @@
 	c := newCluster(t)
 	defer c.lead()()
 	client, _ := c.client()
-	permit, denial := ask(client, coldEngine("e"))
-	assert.Equal(t, denial.Outcome, Granted)
+	permit, decision := ask(client, coldEngine("e"))
+	assert.Equal(t, decision.Outcome, Granted)
 	assert.Assert(t, permit.Valid())
 	c.clock.advance(slowstart.PermitTTL)
 	assert.Assert(t, !permit.Valid())
@@ -284,7 +284,7 @@
 	var outstanding []Permit
 	for until := c.clock.read().Add(2 * time.Second); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
 		for _, client := range clients {
-			if permit, denial := ask(client, coldEngine("e")); denial.Outcome == Granted {
+			if permit, decision := ask(client, coldEngine("e")); decision.Outcome == Granted {
 				outstanding = append(outstanding, permit)
 			}
 		}
@@ -315,12 +315,12 @@
 func TestNotLeadingAndUnknownServiceOutcomes(t *testing.T) {
 	c := newCluster(t)
 	client, _ := c.client()
-	_, denial := ask(client, coldEngine("e"))
-	assert.Equal(t, denial.Outcome, NotLeading)
+	_, decision := ask(client, coldEngine("e"))
+	assert.Equal(t, decision.Outcome, NotLeading)
 	defer c.lead()()
 	other, _ := c.client()
-	_, denial = other.RequestPermit(context.Background(), "unknown", []fleet.Engine{coldEngine("e")})
-	assert.Equal(t, denial.Outcome, UnknownService)
+	_, decision = other.RequestPermit(context.Background(), "unknown", []fleet.Engine{coldEngine("e")})
+	assert.Equal(t, decision.Outcome, UnknownService)
 }
 
 // Guards against an unbounded number of concurrent requests; further ones are denied locally.
@@ -335,8 +335,8 @@
 		waiting.Go(func() { ask(client, coldEngine("e")) })
 	}
 	testwait.Until(t, "all slots are in use", func() bool { return transport.count() == maxConcurrentRequests })
-	_, denial := ask(client, coldEngine("e"))
-	assert.Equal(t, denial.Outcome, Suppressed)
+	_, decision := ask(client, coldEngine("e"))
+	assert.Equal(t, decision.Outcome, Suppressed)
 	assert.Equal(t, transport.count(), maxConcurrentRequests)
 	close(hold)
 	waiting.Wait()
--- a/internal/coldpermits/pool.go
+++ b/internal/coldpermits/pool.go
@@ -128,8 +128,8 @@
 // before the runner's next pass.
 func (p *Pool) fillService(service string, engines []fleet.Engine) {
 	for len(engines) > 0 {
-		permit, denial := p.options.RequestPermit(p.ctx, service, engines)
-		if denial.Outcome != Granted {
+		permit, decision := p.options.RequestPermit(p.ctx, service, engines)
+		if decision.Outcome != Granted {
 			return
 		}
 		p.mu.Lock()
--- a/internal/core/batchitem/output.go
+++ b/internal/core/batchitem/output.go
@@ -33,7 +33,7 @@
 	// VersionTooOld: the event is from a version below Limits.MinVersion; the output was reset.
 	VersionTooOld
 	// MixedVersions: the event is from another version than its predecessors, although
-	// Limits.Single is set; the output was reset.
+	// Limits.SingleVersion is set; the output was reset.
 	MixedVersions
 )
 
--- a/internal/core/bytebudget/bytebudget_test.go
+++ b/internal/core/bytebudget/bytebudget_test.go
@@ -17,7 +17,7 @@
 	assert.Assert(t, budget.Reserve(Answers, 50))
 }
 
-func TestTakeMayExceedBudgetAndBlocksReserve(t *testing.T) {
+func TestForceReserveMayExceedBudgetAndBlocksReserve(t *testing.T) {
 	budget := New(100)
 	budget.ForceReserve(Answers, 300)
 	assert.Assert(t, budget.IsExceeded())
--- a/internal/core/clusterversion/clusterversion_test.go
+++ b/internal/core/clusterversion/clusterversion_test.go
@@ -75,7 +75,7 @@
 }
 
 // Guards against a build that runs although it is older than the cluster version, also if a later read shows so.
-func TestLearnRejectsBuildBelowClusterVersion(t *testing.T) {
+func TestApplyRejectsBuildBelowClusterVersion(t *testing.T) {
 	s := New(Announced)
 	assert.NilError(t, s.Apply(Announced))
 	var tooOld *TooOldError
@@ -101,7 +101,7 @@
 }
 
 // Guards against a feature that is used while a live node does not support it.
-func TestServesOnlyWithoutOlderNodes(t *testing.T) {
+func TestSupportsOnlyWithoutOlderNodes(t *testing.T) {
 	s := New(Announced)
 	mixed := View{Lowest: Unversioned, Highest: Announced, Known: true}
 	uniform := View{Lowest: Homes, Highest: Announced, Known: true}
--- a/internal/core/clusterversion/state.go
+++ b/internal/core/clusterversion/state.go
@@ -30,7 +30,7 @@
 // New returns the state of a node with the build's version that has not read the log.
 func New(build Version) *State { return &State{build: build} }
 
-// Apply applies the cluster version that a complete read of the log found. It returns a *TooOldError if the build
+// Apply records the cluster version that a complete read of the log found. It returns a *TooOldError if the build
 // must not run.
 func (s *State) Apply(cluster Version) error {
 	s.known = true
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -73,8 +73,8 @@
 	members map[string]*member
 	// byService holds the IDs of each service's engines, sorted.
 	byService map[string][]string
-	// starts counts the incarnations that were listed.
-	starts int64
+	// incarnationsListed counts the incarnations that were listed.
+	incarnationsListed int64
 	// zones holds the newest evacuation state of each zone.
 	zones map[string]zoneState
 	cold  coldTracker
--- a/internal/core/fleet/list.go
+++ b/internal/core/fleet/list.go
@@ -133,7 +133,7 @@
 
 // addIncarnation adds a member for a newly listed incarnation. Must be called with mu held.
 func (f *Fleet) addIncarnation(m *member) {
-	f.starts++
+	f.incarnationsListed++
 	f.claimAddress(m)
 	f.insert(m)
 }
@@ -173,7 +173,7 @@
 func (f *Fleet) IncarnationsListed() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.starts
+	return f.incarnationsListed
 }
 
 // ListStatus is the list state of one incarnation of an engine.
--- a/internal/core/fleet/list_test.go
+++ b/internal/core/fleet/list_test.go
@@ -130,7 +130,7 @@
 	assert.Assert(t, f.IsReplaced(incarnation.ID{Engine: "a", StartMillis: 1000}))
 }
 
-func TestListingOfReplacedAndRemovedIncarnations(t *testing.T) {
+func TestListStatusOfReplacedAndRemovedIncarnations(t *testing.T) {
 	first := startedAt("a", 1000)
 	first.Address = "address:1"
 	f := fleetOf(first)
@@ -152,7 +152,7 @@
 	assert.Equal(t, f.ListStatus(first), ListStatus{Replaced: true, Draining: true})
 }
 
-func TestListingIsReplacedWhenOtherServiceTakesAddress(t *testing.T) {
+func TestListStatusIsReplacedWhenOtherServiceTakesAddress(t *testing.T) {
 	first, next := startedAt("a", 1000), startedAt("b", 2000)
 	first.Address, next.Address, next.Service = "address:1", "address:1", "other"
 	f := fleetOf(first, next)
--- a/internal/core/logrecord/fence.go
+++ b/internal/core/logrecord/fence.go
@@ -19,9 +19,9 @@
 	Released bool `msgpack:"r"`
 }
 
-// Apply returns the verdict on a record and applies claims and releases. The caller must have dropped repeats
-// (see Sequences.Admit). Records of all other kinds are fenced: they are Accepted only in the current epoch and from
-// the writer that claimed it.
+// Apply returns the verdict on a record. Accepted claims and releases change the state. The caller must have dropped
+// repeats (see Sequences.Admit). Records of all other kinds are fenced: they are Accepted only in the current epoch and
+// from the writer that claimed it.
 func (f *Fence) Apply(offset int64, record Record) Verdict {
 	switch record.Kind {
 	case KindClaim:
--- a/internal/core/slowstart/pacer.go
+++ b/internal/core/slowstart/pacer.go
@@ -70,8 +70,8 @@
 	return int((interval(ratePerSecond)*(Burst-1)-ahead)/interval(ratePerSecond)) + 1
 }
 
-// RecordUnpaced counts a request to an engine that is not known to be cold, in case it turns out to be cold. Such requests
-// delay the next admission by at most a second.
+// RecordUnpaced counts a request to an engine that is not known to be cold, in case it turns out to be cold. Such
+// requests delay the next admission by at most a second.
 func (p *Pacer) RecordUnpaced(engine incarnation.ID, ratePerSecond float64, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/core/usage/usage.go
+++ b/internal/core/usage/usage.go
@@ -94,7 +94,7 @@
 	newest   *ReportRecord
 	reported *window
 	late     int64
-	// unreported is the window given to LoseReports until another report is read; zero otherwise.
+	// unreported is the window given to SkipLostReports until another report is read; zero otherwise.
 	unreported Window
 }
 
--- a/internal/crashes/detector.go
+++ b/internal/crashes/detector.go
@@ -84,11 +84,11 @@
 // probe returns the liveness of an engine. listed is false if the engine was draining or is no longer listed: its end
 // was planned.
 func (d *Detector) probe(ctx context.Context, engine fleet.Engine) (liveness Liveness, listed bool) {
-	listing := d.options.Fleet.ListStatus(engine)
+	status := d.options.Fleet.ListStatus(engine)
 	switch {
-	case listing.Draining, !listing.Listed && !listing.Replaced:
+	case status.Draining, !status.Listed && !status.Replaced:
 		return Unknown, false
-	case listing.Replaced:
+	case status.Replaced:
 		return Ended, true
 	}
 	answer, _, _ := d.probes.Do(engine.Incarnation().String(), func() (any, error) {
--- a/internal/crashes/detector_test.go
+++ b/internal/crashes/detector_test.go
@@ -42,7 +42,9 @@
 	for _, engine := range engines {
 		testFleet.Put(engine)
 	}
-	return NewDetector(Options{Prober: prober, Fleet: testFleet, Logger: zerolog.Nop(), OnConnectionLost: func(string, string) {}})
+	return NewDetector(Options{
+		Prober: prober, Fleet: testFleet, Logger: zerolog.Nop(), OnConnectionLost: func(string, string) {},
+	})
 }
 
 func TestOnlyRefusedConnectionsCountAsCrash(t *testing.T) {
@@ -134,7 +136,9 @@
 		testFleet := fleet.New()
 		testFleet.Put(first)
 		prober := &fakeProber{answer: Ended, hold: make(chan struct{})}
-		detector := NewDetector(Options{Prober: prober, Fleet: testFleet, Logger: zerolog.Nop(), OnConnectionLost: func(string, string) {}})
+		detector := NewDetector(Options{
+			Prober: prober, Fleet: testFleet, Logger: zerolog.Nop(), OnConnectionLost: func(string, string) {},
+		})
 		var group sync.WaitGroup
 		group.Go(func() { detector.ConnectionLost(t.Context(), LostConnection{Engine: first}) })
 		synctest.Wait()
--- a/internal/crashes/guard_test.go
+++ b/internal/crashes/guard_test.go
@@ -315,7 +315,10 @@
 func BenchmarkAdmit(b *testing.B) {
 	for _, held := range []int{0, 100} {
 		b.Run(fmt.Sprintf("held-%d", held), func(b *testing.B) {
-			guard := NewGuard(GuardOptions{Detector: newTestDetector(&fakeProber{}), Log: memlog.New(), Topic: topic, Logger: zerolog.Nop(), OnRequestCount: func(int) {}})
+			guard := NewGuard(GuardOptions{
+				Detector: newTestDetector(&fakeProber{}), Log: memlog.New(), Topic: topic, Logger: zerolog.Nop(),
+				OnRequestCount: func(int) {},
+			})
 			for i := range held {
 				other := quarantine.Request{Target: fmt.Sprint(i)}.Fingerprint()
 				guard.put(quarantine.Record{Fingerprint: other, Engine: "e", At: time.Now()}, "test")
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -64,7 +64,7 @@
 // ErrNotPerformed means that the call was refused or never sent: it has no effect, now or later.
 var ErrNotPerformed = errors.New("log call not performed")
 
-// ErrThrottled means that all nodes together exceeded the call rate of the log. It wraps ErrNotDone.
+// ErrThrottled means that all nodes together exceeded the call rate of the log. It wraps ErrNotPerformed.
 var ErrThrottled = errors.Wrap(ErrNotPerformed, "throttled")
 
 // ErrOutcomeUnknown means that the call may have taken effect, or may still do so.
--- a/internal/goldenrecord/goldenrecord.go
+++ b/internal/goldenrecord/goldenrecord.go
@@ -40,18 +40,20 @@
 
 // Check compares the records of this build with the golden files, or writes golden files if WritingCommit names a
 // commit.
-func Check(t *testing.T, samples ...RecordType) {
+func Check(t *testing.T, recordTypes ...RecordType) {
 	t.Helper()
 	if commit := WritingCommit(); commit != "" {
-		for _, sample := range samples {
-			Fill(sample.Value)
-			Write(t, commit, sample.Name, sample.Value)
+		for _, recordType := range recordTypes {
+			Fill(recordType.Value)
+			Write(t, commit, recordType.Name, recordType.Value)
 		}
 		return
 	}
-	for _, sample := range samples {
-		for _, commit := range Commits(t, sample.Name) {
-			t.Run(sample.Name+"/"+commit, func(t *testing.T) { sample.check(t, commit, Read(t, commit, sample.Name)) })
+	for _, recordType := range recordTypes {
+		for _, commit := range Commits(t, recordType.Name) {
+			t.Run(recordType.Name+"/"+commit, func(t *testing.T) {
+				recordType.check(t, commit, Read(t, commit, recordType.Name))
+			})
 		}
 	}
 }
@@ -113,16 +115,16 @@
 
 // check tests both directions: this build decodes the golden record without loss, and encodes every field of it with
 // the same type.
-func (s RecordType) check(t *testing.T, commit string, golden []byte) {
+func (r RecordType) check(t *testing.T, commit string, golden []byte) {
 	t.Helper()
 	earlier := fieldsOf(t, golden)
-	decoded := newRecord(s.Value)
+	decoded := newRecord(r.Value)
 	assert.NilError(t, msgpack.Unmarshal(golden, decoded))
 	reencoded := fieldsOf(t, encode(t, decoded))
 	for path, value := range earlier {
 		assert.DeepEqual(t, reencoded[path], value)
 	}
-	filled := newRecord(s.Value)
+	filled := newRecord(r.Value)
 	Fill(filled)
 	current := fieldsOf(t, encode(t, filled))
 	for path, value := range earlier {
@@ -130,7 +132,7 @@
 		assert.Assert(t, found, "%s: field %s is missing", commit, path)
 		assert.Equal(t, wireType(current[path]), wireType(value), "%s: type of field %s changed", commit, path)
 	}
-	assert.DeepEqual(t, addedTo(earlier, current), slices.Sorted(slices.Values(s.Added[commit])))
+	assert.DeepEqual(t, addedTo(earlier, current), slices.Sorted(slices.Values(r.Added[commit])))
 }
 
 // addedTo returns the paths of fields that are in current but not in earlier, without the descendants of such fields.
--- a/internal/goldenrecord/goldenrecord_test.go
+++ b/internal/goldenrecord/goldenrecord_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// Guards against new fields that are not listed in Sample.Added.
+// Guards against new fields that are not listed in RecordType.Added.
 func TestAddedToFindsNewFields(t *testing.T) {
 	earlier := map[string]any{"": object, "i": int8(1), "p": list}
 	current := map[string]any{"": object, "i": int8(1), "p": list, "p[]": int8(1), "z": object, "z.a": int8(1), "zz": int8(1)}
--- a/internal/hosted/clusterversion.go
+++ b/internal/hosted/clusterversion.go
@@ -95,7 +95,7 @@
 // Known returns a channel that is closed once the cluster version has been read.
 func (c *clusterVersion) Known() <-chan struct{} { return c.known }
 
-// Supports reports whether a feature may be served that requires all live nodes to support the version.
+// Supports reports whether a feature may be used that requires all live nodes to support the version.
 func (c *clusterVersion) Supports(version clusterversion.Version) bool {
 	view := c.options.View()
 	c.mu.Lock()
--- a/internal/hosted/clusterversion_test.go
+++ b/internal/hosted/clusterversion_test.go
@@ -97,7 +97,7 @@
 }
 
 // Guards against serving a feature while a live node's build does not support it.
-func TestServesWithOlderLiveNode(t *testing.T) {
+func TestSupportsWithOlderLiveNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
 		old := startVersionedNode(t, log, "b", clusterversion.Unversioned, false)
--- a/internal/hosted/lead.go
+++ b/internal/hosted/lead.go
@@ -28,7 +28,8 @@
 	runner = batchrun.New(batchrun.Options{
 		Jobs: n.jobs, Engines: n.engineCalls, Fleet: n.fleet, Scorer: n, Guard: n.crashGuard, Gate: n.gate,
 		ColdStarts: n.coldGranter, RouteOf: n.batchRoute, HomesOf: n.jobHomes, ConfigVersion: n.configVersion,
-		LoadingModel: orders.Loading, LoadingModels: orders.AllLoading, Term: strconv.FormatInt(term.Epoch, 10), Logger: n.logger,
+		LoadingModel: orders.Loading, LoadingModels: orders.AllLoading,
+		Term: strconv.FormatInt(term.Epoch, 10), Logger: n.logger,
 	})
 	n.metrics.leading.Set(1)
 	defer n.metrics.leading.Set(0)
--- a/internal/hosted/regionelections.go
+++ b/internal/hosted/regionelections.go
@@ -199,9 +199,10 @@
 		ColdStarts: permits, RouteOf: n.batchRoute,
 		Homes: set, HomesOf: n.jobHomes, ConfigVersion: n.configVersion,
 		// The leader manages weight versions; an engine that is loading one refuses items.
-		LoadingModel: func(incarnation.ID) string { return "" }, LoadingModels: func() map[incarnation.ID]string { return nil },
-		Term:   fmt.Sprintf("%s.%d", set.ID(), term.Epoch),
-		Logger: n.logger.With().Stringer("homes", set).Logger(),
+		LoadingModel:  func(incarnation.ID) string { return "" },
+		LoadingModels: func() map[incarnation.ID]string { return nil },
+		Term:          fmt.Sprintf("%s.%d", set.ID(), term.Epoch),
+		Logger:        n.logger.With().Stringer("homes", set).Logger(),
 	})
 	gauge := n.metrics.runningHomes.WithLabelValues(set.String())
 	gauge.Set(1)
--- a/internal/ingress/cold.go
+++ b/internal/ingress/cold.go
@@ -12,9 +12,9 @@
 // minPermitWait is the minimum time between two permit requests for a request.
 const minPermitWait = 20 * time.Millisecond
 
-// choose returns the engine to try next. A cold engine needs a permit, whose validity permitOpen reports; without
+// choose returns the engine to try next. A cold engine needs a permit, whose validity permitValid reports; without
 // a permit, a warm engine is chosen, or none.
-func (x *exchange) choose() (choice fleet.Choice, permitOpen func() bool, found bool) {
+func (x *exchange) choose() (choice fleet.Choice, permitValid func() bool, found bool) {
 	x.denial = coldpermits.Decision{}
 	engines := x.relay.options.Fleet
 	query := fleet.Query{
@@ -26,8 +26,8 @@
 		return choice, nil, found
 	}
 	candidates := engines.ColdCandidates(query, coldpermits.MaxEngines)
-	permit, denial := x.relay.options.ColdPermits.RequestPermit(x.ctx, x.service, candidates)
-	if denial.Outcome == coldpermits.Granted {
+	permit, decision := x.relay.options.ColdPermits.RequestPermit(x.ctx, x.service, candidates)
+	if decision.Outcome == coldpermits.Granted {
 		for _, each := range candidates {
 			if each.Incarnation() != permit.Engine {
 				continue
@@ -37,12 +37,12 @@
 			}
 		}
 		// The permitted engine was removed meanwhile; the next permit request names the others.
-		denial = coldpermits.Decision{Outcome: coldpermits.RateLimited, Wait: minPermitWait}
+		decision = coldpermits.Decision{Outcome: coldpermits.RateLimited, Wait: minPermitWait}
 	}
 	query.ExcludeCold, query.Now = true, time.Now()
 	choice, found = engines.Choose(query)
 	if !found {
-		x.recordDenial(denial, len(candidates))
+		x.recordDenial(decision, len(candidates))
 	}
 	return choice, nil, found
 }
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -82,14 +82,14 @@
 		if !x.relay.options.Gate.AwaitEnginesKnown(x.ctx) {
 			return x.staleStateFailure()
 		}
-		choice, permitOpen, found := x.choose()
+		choice, permitValid, found := x.choose()
 		if !found && x.waitForPermit() {
 			continue
 		}
 		if !found {
 			break
 		}
-		switch x.try(choice, permitOpen) {
+		switch x.try(choice, permitValid) {
 		case answered:
 			return nil
 		case giveUp:
--- a/internal/ingress/try.go
+++ b/internal/ingress/try.go
@@ -14,9 +14,9 @@
 	"github.com/corkpulley/corkpulley/internal/crashes"
 )
 
-// try sends the request to the chosen engine. permitOpen is called right before the first byte is sent and reports
+// try sends the request to the chosen engine. permitValid is called right before the first byte is sent and reports
 // whether the permit for a cold engine is still valid; nil if the engine is not known to be cold.
-func (x *exchange) try(choice fleet.Choice, permitOpen func() bool) verdict {
+func (x *exchange) try(choice fleet.Choice, permitValid func() bool) verdict {
 	engine := choice.Engine
 	x.tried = append(x.tried, engine.ID)
 	began := time.Now()
@@ -27,7 +27,7 @@
 	ctx, cancel := x.withTryTimeout(remaining)
 	defer cancel()
 	x.relay.options.Fleet.RequestStarted(engine.Incarnation())
-	check := x.relay.options.Gate.Check(engine.Incarnation(), permitOpen)
+	check := x.relay.options.Gate.Check(engine.Incarnation(), permitValid)
 	answer, err := x.relay.options.Engines.Send(ctx, engine, Call{
 		Request: x.request, Sender: x.sender, Remaining: remaining,
 		After: x.lastEventID, HasAfter: x.streaming && x.lastEventID > 0, MaySend: check.MaySend,
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -78,7 +78,7 @@
 	TTL time.Duration
 	// ClaimDelay is how long this node defers a claim in favor of more capable nodes.
 	ClaimDelay time.Duration
-	// QuietPeriod is the quiet period: the minimum time between the orders of two machines to the same engine.
+	// QuietPeriod is the minimum time between the orders of two machines to the same engine.
 	QuietPeriod time.Duration
 	// EnginesFence is true when engines reject fencing tokens lower than the highest one seen.
 	EnginesFence bool
--- a/internal/leadership/permit_test.go
+++ b/internal/leadership/permit_test.go
@@ -45,7 +45,7 @@
 	granted := first.permit(t, "engine")
 	assert.Assert(t, granted.Valid())
 	clock.suspend(sendWindow)
-	assert.Assert(t, !granted.Valid(), "the permit is still open after the suspension")
+	assert.Assert(t, !granted.Valid(), "the permit is still valid after the suspension")
 }
 
 // TestPermitExpiresWithLease: the node releases the lease while an order is about to be sent.
--- a/internal/leadership/randomfaults_test.go
+++ b/internal/leadership/randomfaults_test.go
@@ -215,7 +215,8 @@
 	var ended atomic.Bool
 	var elector *Elector
 	elector = New(machine, Options{
-		Holder: holder, Node: node, Address: node + ":7000", TTL: r.ttl, QuietPeriod: r.quiet, EnginesFence: r.fence, Logger: zerolog.Nop(),
+		Holder: holder, Node: node, Address: node + ":7000", TTL: r.ttl, QuietPeriod: r.quiet, EnginesFence: r.fence,
+		Logger: zerolog.Nop(),
 	}, func(ctx context.Context, term Term) {
 		var orders sync.WaitGroup
 		for i := range 4 {
--- a/internal/logrelay/directory.go
+++ b/internal/logrelay/directory.go
@@ -134,15 +134,15 @@
 func (d *Directory) Peers() []Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var others []Peer
+	var peers []Peer
 	for node, each := range d.members {
 		if d.isAlive(node) {
-			others = append(others, Peer{
+			peers = append(peers, Peer{
 				Address: each.Address, Region: each.Region, Distance: topology.Between(d.own.place(), each.place()),
 			})
 		}
 	}
-	return others
+	return peers
 }
 
 // DistanceOf returns the distance to the node at an address; OtherRegion if the address is unknown.
--- a/internal/sendgate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -49,7 +49,7 @@
 // EnginesKnown reports whether it is known which engines may get requests.
 func (g *Gate) EnginesKnown() bool { return g.options.EnginesKnown == nil || g.options.EnginesKnown() }
 
-// AwaitEnginesKnown waits for at most maxKnownWait until Known is true, and reports whether it became true.
+// AwaitEnginesKnown waits for at most maxKnownWait until EnginesKnown is true, and reports whether it became true.
 func (g *Gate) AwaitEnginesKnown(ctx context.Context) bool {
 	if g.EnginesKnown() {
 		return true
--- a/internal/sendgate/sendgate_test.go
+++ b/internal/sendgate/sendgate_test.go
@@ -50,7 +50,7 @@
 }
 
 // Guards against a wait that outlasts the caller's context.
-func TestAwaitKnownWithCanceledContext(t *testing.T) {
+func TestAwaitEnginesKnownWithCanceledContext(t *testing.T) {
 	engineFleet, _ := newFleet("za")
 	gate := New(Options{Fleet: engineFleet, EnginesKnown: func() bool { return false }})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/standin/fakelease/fakelease.go
+++ b/internal/standin/fakelease/fakelease.go
@@ -52,7 +52,7 @@
 	return permit{t}, nil
 }
 
-// permit is open while its term is valid and permits are not closed.
+// permit is valid while its term is valid and permits are not closed.
 type permit struct{ term *Term }
 
 // Valid implements lease.Permit.
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -164,9 +164,9 @@
 	counts map[incarnation.ID]int64
 	// retryAt holds the time before which an engine gets no further order after a failed one.
 	retryAt map[incarnation.ID]time.Time
-	// starts is the value of Fleet.Starts at the last cleanup of counts and retryAt.
-	starts     int64
-	allocators map[string]*weightplan.Allocator
+	// incarnationsListed is the value of Fleet.IncarnationsListed at the last cleanup of counts and retryAt.
+	incarnationsListed int64
+	allocators         map[string]*weightplan.Allocator
 	// meanDemands holds the moving average of the demand in tokens by model.
 	meanDemands map[string]float64
 	// itemPeaks tracks the peak of open items by model.
@@ -238,13 +238,13 @@
 // dropEnded drops the state of engines that are no longer listed, if any engine has started since the last
 // call.
 func (m *Manager) dropEnded() {
-	starts := m.options.Fleet.IncarnationsListed()
+	incarnationsListed := m.options.Fleet.IncarnationsListed()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.starts == starts {
+	if m.incarnationsListed == incarnationsListed {
 		return
 	}
-	m.starts = starts
+	m.incarnationsListed = incarnationsListed
 	maps.DeleteFunc(m.counts, func(engine incarnation.ID, _ int64) bool { return m.hasEnded(engine) })
 	maps.DeleteFunc(m.retryAt, func(engine incarnation.ID, _ time.Time) bool { return m.hasEnded(engine) })
 }
