--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -33,7 +33,7 @@
 		e.mu.Lock()
 		e.heldBack++
 		e.mu.Unlock()
-		return nil, &CallError{Kind: HeldBack, Detail: "not permitted"}
+		return nil, &CallError{Kind: NotPermitted, Detail: "not permitted"}
 	}
 	return e.fakeEngines.Stream(ctx, engine, call)
 }
@@ -124,7 +124,7 @@
 	env := newZonedEnv(t)
 	env.engines.events["i0"] = 3
 	var known atomic.Bool
-	env.gate = sendgate.New(sendgate.Options{Fleet: env.fleet, Known: known.Load})
+	env.gate = sendgate.New(sendgate.Options{Fleet: env.fleet, EnginesKnown: known.Load})
 	r, _ := env.startRunner()
 	env.submit("job", 1, "i0")
 	testwait.Until(t, "the item waits", func() bool { return r.Demands()["m"].Waiting == 1 })
--- a/internal/batchrun/fakes_test.go
+++ b/internal/batchrun/fakes_test.go
@@ -227,8 +227,8 @@
 
 func (noopGuard) ConnectionLost(context.Context, crashes.LostConnection) bool { return false }
 
-func (noopGuard) Standing(func() quarantine.Fingerprint) quarantine.Standing {
-	return quarantine.Standing{}
+func (noopGuard) Status(func() quarantine.Fingerprint) quarantine.Status {
+	return quarantine.Status{}
 }
 
 func (noopGuard) Answered(func() quarantine.Fingerprint) {}
@@ -337,9 +337,10 @@
 		Jobs: env.jobs, Engines: engines, Fleet: env.fleet, Scorer: env.scorer, Guard: env.guard, ColdStarts: env.coldStarts,
 		Gate:    env.gate,
 		RouteOf: env.routeOf,
-		Homes:   homes.Of(regions), HomesOf: env.homesOf, Config: env.configVersion,
-		Loading: func(incarnation.ID) string { return "" }, AllLoading: func() map[incarnation.ID]string { return nil },
-		Term: fmt.Sprint(env.terms), Logger: zerolog.Nop(),
+		Homes:   homes.Of(regions), HomesOf: env.homesOf, ConfigVersion: env.configVersion,
+		LoadingModel:  func(incarnation.ID) string { return "" },
+		LoadingModels: func() map[incarnation.ID]string { return nil },
+		Term:          fmt.Sprint(env.terms), Logger: zerolog.Nop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/callerwrite/spool.go
+++ b/internal/callerwrite/spool.go
@@ -39,19 +39,19 @@
 }
 
 // Write buffers a copy of content. It returns ErrFull if bytes are buffered already and either content would exceed
-// MaxBufferedBytes or the node's budget is short. It returns the error of an earlier write to the caller, if any.
+// MaxBufferedBytes or the node's budget is exceeded. It returns the error of an earlier write to the caller, if any.
 func (s *Spool) Write(content []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err != nil {
 		return s.err
 	}
-	if s.buffered > 0 && (s.buffered+len(content) > MaxBufferedBytes || s.limits.Budget.IsShort()) {
+	if s.buffered > 0 && (s.buffered+len(content) > MaxBufferedBytes || s.limits.Budget.IsExceeded()) {
 		return ErrFull
 	}
 	s.queue = append(s.queue, append([]byte(nil), content...))
 	s.buffered += len(content)
-	s.limits.Budget.Take(bytebudget.Answers, int64(len(content)))
+	s.limits.Budget.ForceReserve(bytebudget.Answers, int64(len(content)))
 	s.notify()
 	return nil
 }
--- a/internal/coldpermits/coldpermits_test.go
+++ b/internal/coldpermits/coldpermits_test.go
@@ -120,8 +120,8 @@
 
 func coldEngine(id string) fleet.Engine { return fleet.Engine{ID: id, StartMillis: 7, Service: "s"} }
 
-func ask(client *Client, engines ...fleet.Engine) (Permit, Denial) {
-	return client.Ask(context.Background(), "s", engines)
+func ask(client *Client, engines ...fleet.Engine) (Permit, Decision) {
+	return client.RequestPermit(context.Background(), "s", engines)
 }
 
 // sendPermitted requests permits for a period and returns the times at which requests were permitted.
@@ -129,7 +129,7 @@
 	var sent []time.Time
 	for until := c.clock.read().Add(period); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
 		for _, client := range clients {
-			if permit, denial := ask(client, coldEngine("e")); denial.Outcome == Granted && permit.Open() {
+			if permit, decision := ask(client, coldEngine("e")); decision.Outcome == Granted && permit.Valid() {
 				sent = append(sent, c.clock.read())
 			}
 		}
@@ -172,15 +172,15 @@
 	client, _ := c.client()
 	got := make(map[string]int)
 	for range 2 * slowstart.Burst {
-		permit, denial := ask(client, coldEngine("a"), coldEngine("b"))
-		assert.Equal(t, denial.Outcome, Granted)
+		permit, decision := ask(client, coldEngine("a"), coldEngine("b"))
+		assert.Equal(t, decision.Outcome, Granted)
 		assert.Equal(t, permit.Engine.StartMillis, int64(7))
 		got[permit.Engine.Engine]++
 	}
 	assert.DeepEqual(t, got, map[string]int{"a": slowstart.Burst, "b": slowstart.Burst})
-	_, denial := ask(client, coldEngine("a"), coldEngine("b"))
-	assert.Equal(t, denial.Outcome, RateLimited)
-	assert.Assert(t, denial.Wait > 0 && denial.Wait <= time.Second/7*3/2, "%s", denial.Wait)
+	_, decision := ask(client, coldEngine("a"), coldEngine("b"))
+	assert.Equal(t, decision.Outcome, RateLimited)
+	assert.Assert(t, decision.Wait > 0 && decision.Wait <= time.Second/7*3/2, "%s", decision.Wait)
 }
 
 // Guards against requests by further callers during the backoff.
@@ -196,8 +196,8 @@
 	assert.Equal(t, first.Outcome, Suppressed)
 	assert.Equal(t, transport.count(), asked)
 	c.clock.advance(first.Wait)
-	_, denial := ask(client, coldEngine("e"))
-	assert.Equal(t, denial.Outcome, Granted, "a request after the wait is granted")
+	_, decision := ask(client, coldEngine("e"))
+	assert.Equal(t, decision.Outcome, Granted, "a request after the wait is granted")
 }
 
 // The other nodes must get the full rate meanwhile.
@@ -208,9 +208,9 @@
 	other, _ := c.client()
 	transport.set(func(f *fakeTransport) { f.refuse = true })
 	assert.Equal(t, len(c.sendPermitted([]*Client{partitioned}, 2*time.Second)), 0)
-	_, denial := ask(partitioned, coldEngine("e"))
-	assert.Assert(t, denial.Outcome == Unanswered || denial.Outcome == Suppressed)
-	assert.Assert(t, denial.Wait > 0)
+	_, decision := ask(partitioned, coldEngine("e"))
+	assert.Assert(t, decision.Outcome == Unanswered || decision.Outcome == Suppressed)
+	assert.Assert(t, decision.Wait > 0)
 	assert.Assert(t, len(c.sendPermitted([]*Client{partitioned, other}, 2*time.Second)) >= 2*7)
 }
 
@@ -221,13 +221,13 @@
 	client, transport := c.client()
 	hold := make(chan struct{})
 	transport.set(func(f *fakeTransport) { f.hold = hold })
-	done := make(chan Denial)
+	done := make(chan Decision)
 	go func() {
-		permit, denial := ask(client, coldEngine("e"))
-		if denial.Outcome == Granted && permit.Open() {
-			denial.Outcome = 99
+		permit, decision := ask(client, coldEngine("e"))
+		if decision.Outcome == Granted && permit.Valid() {
+			decision.Outcome = 99
 		}
-		done <- denial
+		done <- decision
 	}()
 	testwait.Until(t, "the request is admitted", func() bool {
 		return c.granter.Available(coldEngine("e").Incarnation(), fleet.Coldness{RatePerSecond: ratePerSecond}) < slowstart.Burst
@@ -235,8 +235,8 @@
 	c.clock.advance(slowstart.PermitTTL)
 	close(hold)
 	// The permit in the late response has expired, since its lifetime starts with the request.
-	denial := <-done
-	assert.Assert(t, denial.Outcome != 99, "an expired permit was open")
+	decision := <-done
+	assert.Assert(t, decision.Outcome != 99, "an expired permit was valid")
 }
 
 // Guards against a permit that is used after the machine was suspended.
@@ -244,11 +244,11 @@
 	c := newCluster(t)
 	defer c.lead()()
 	client, _ := c.client()
-	permit, denial := ask(client, coldEngine("e"))
-	assert.Equal(t, denial.Outcome, Granted)
-	assert.Assert(t, permit.Open())
+	permit, decision := ask(client, coldEngine("e"))
+	assert.Equal(t, decision.Outcome, Granted)
+	assert.Assert(t, permit.Valid())
 	c.clock.advance(slowstart.PermitTTL)
-	assert.Assert(t, !permit.Open())
+	assert.Assert(t, !permit.Valid())
 }
 
 // Guards against permits of the leader itself that outlast its term, for which the next leader does not wait.
@@ -260,9 +260,9 @@
 	clock.advance(slowstart.TakeoverPause)
 	permit, _, outcome := granter.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond})
 	assert.Equal(t, outcome, Granted)
-	assert.Assert(t, permit.Open())
+	assert.Assert(t, permit.Valid())
 	valid = false
-	assert.Assert(t, !permit.Open())
+	assert.Assert(t, !permit.Valid())
 	assert.Assert(t, !granter.Leads())
 	assert.Equal(t, granter.Available(incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond}), 0)
 	_, _, outcome = granter.Admit(Items, incarnation.ID{Engine: "e"}, fleet.Coldness{RatePerSecond: ratePerSecond})
@@ -284,16 +284,16 @@
 	var outstanding []Permit
 	for until := c.clock.read().Add(2 * time.Second); c.clock.read().Before(until); c.clock.advance(10 * time.Millisecond) {
 		for _, client := range clients {
-			if permit, denial := ask(client, coldEngine("e")); denial.Outcome == Granted {
+			if permit, decision := ask(client, coldEngine("e")); decision.Outcome == Granted {
 				outstanding = append(outstanding, permit)
 			}
 		}
 		// Each permit is used at the last moment of its lifetime.
 		outstanding = slices.DeleteFunc(outstanding, func(permit Permit) bool {
 			c.clock.advance(10 * time.Millisecond)
-			last := !permit.Open()
+			last := !permit.Valid()
 			c.clock.advance(-10 * time.Millisecond)
-			if last && permit.Open() {
+			if last && permit.Valid() {
 				sent = append(sent, c.clock.read())
 			}
 			return last
@@ -315,12 +315,12 @@
 func TestNotLeadingAndUnknownServiceOutcomes(t *testing.T) {
 	c := newCluster(t)
 	client, _ := c.client()
-	_, denial := ask(client, coldEngine("e"))
-	assert.Equal(t, denial.Outcome, NotLeading)
+	_, decision := ask(client, coldEngine("e"))
+	assert.Equal(t, decision.Outcome, NotLeading)
 	defer c.lead()()
 	other, _ := c.client()
-	_, denial = other.Ask(context.Background(), "unknown", []fleet.Engine{coldEngine("e")})
-	assert.Equal(t, denial.Outcome, UnknownService)
+	_, decision = other.RequestPermit(context.Background(), "unknown", []fleet.Engine{coldEngine("e")})
+	assert.Equal(t, decision.Outcome, UnknownService)
 }
 
 // Guards against an unbounded number of concurrent requests; further ones are denied locally.
@@ -335,8 +335,8 @@
 		waiting.Go(func() { ask(client, coldEngine("e")) })
 	}
 	testwait.Until(t, "all slots are in use", func() bool { return transport.count() == maxConcurrentRequests })
-	_, denial := ask(client, coldEngine("e"))
-	assert.Equal(t, denial.Outcome, Suppressed)
+	_, decision := ask(client, coldEngine("e"))
+	assert.Equal(t, decision.Outcome, Suppressed)
 	assert.Equal(t, transport.count(), maxConcurrentRequests)
 	close(hold)
 	waiting.Wait()
--- a/internal/core/bytebudget/bytebudget_test.go
+++ b/internal/core/bytebudget/bytebudget_test.go
@@ -17,13 +17,13 @@
 	assert.Assert(t, budget.Reserve(Answers, 50))
 }
 
-func TestTakeMayExceedBudgetAndBlocksReserve(t *testing.T) {
+func TestForceReserveMayExceedBudgetAndBlocksReserve(t *testing.T) {
 	budget := New(100)
-	budget.Take(Answers, 300)
-	assert.Assert(t, budget.IsShort())
+	budget.ForceReserve(Answers, 300)
+	assert.Assert(t, budget.IsExceeded())
 	assert.Assert(t, !budget.Reserve(Bodies, 1))
 	budget.Release(Answers, 300)
-	assert.Assert(t, !budget.IsShort())
+	assert.Assert(t, !budget.IsExceeded())
 	assert.Assert(t, budget.Reserve(Bodies, 1))
 }
 
--- a/internal/hosted/clusterversion_test.go
+++ b/internal/hosted/clusterversion_test.go
@@ -97,17 +97,17 @@
 }
 
 // Guards against serving a feature while a live node's build does not support it.
-func TestServesWithOlderLiveNode(t *testing.T) {
+func TestSupportsWithOlderLiveNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New()
 		old := startVersionedNode(t, log, "b", clusterversion.Unversioned, false)
 		node := startVersionedNode(t, log, "a", clusterversion.Announced, true)
-		assert.Assert(t, !node.Serves(clusterversion.Homes), "before the node has read the list of other nodes")
+		assert.Assert(t, !node.Supports(clusterversion.Homes), "before the node has read the list of other nodes")
 		time.Sleep(agreementTime)
-		assert.Assert(t, !node.Serves(clusterversion.Homes))
+		assert.Assert(t, !node.Supports(clusterversion.Homes))
 		old.stop()
 		time.Sleep(agreementTime)
-		assert.Assert(t, node.Serves(clusterversion.Homes))
+		assert.Assert(t, node.Supports(clusterversion.Homes))
 		node.stop()
 	})
 }
@@ -122,7 +122,7 @@
 		node := startVersionedNode(t, log, "a", clusterversion.Announced, true)
 		assert.NilError(t, node.checkBuild(t.Context()))
 		time.Sleep(agreementTime)
-		assert.Assert(t, !node.Serves(clusterversion.Homes), "before the log has been read")
+		assert.Assert(t, !node.Supports(clusterversion.Homes), "before the log has been read")
 		log.SetFault(nil)
 		time.Sleep(10 * time.Second)
 		var tooOld *clusterversion.TooOldError
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -149,7 +149,7 @@
 		Node: config.Node.ID, Address: config.Listen.Peers, Zone: config.Node.Zone, Region: config.Node.Region,
 		Processors: config.Node.Processors, Version: clusterversion.Build,
 	}, logLimits(config.Hosted), logger)
-	log := logrelay.NewFallback(direct, n.directory.Others, n.countTraffic(logrelay.NewClient(), logTraffic), logger)
+	log := logrelay.NewFallback(direct, n.directory.Peers, n.countTraffic(logrelay.NewClient(), logTraffic), logger)
 	n.directory.SetLog(log)
 	replicas := logrelay.NewReplicaReader(log, logrelay.ReplicaOptions{
 		Sources: n.directory.Sources, AwaitSources: n.directory.AwaitSettled,
@@ -160,11 +160,11 @@
 	n.engineFollower.Classify(n.engineClass)
 	n.resumeGuard = newResumeGuard(n.suspension, n.controlFollower, n.engineFollower, logger)
 	n.gate = sendgate.New(sendgate.Options{
-		Fleet: n.fleet, Known: n.resumeGuard.allowsSending, OnHeldBack: metrics.requestHeldBack,
+		Fleet: n.fleet, EnginesKnown: n.resumeGuard.allowsSending, OnHeldBack: metrics.requestHeldBack,
 	})
 	n.jobs = batchjobs.New(log, batchjobs.Options{
-		Partitions:  config.Hosted.Partitions,
-		RecordBytes: config.Hosted.RecordBytes, CallBytes: config.Hosted.CallBytes,
+		Partitions:     config.Hosted.Partitions,
+		MaxRecordBytes: config.Hosted.RecordBytes, MaxAppendBytes: config.Hosted.CallBytes,
 		JobRetention: time.Duration(config.Hosted.KeepJobs), Budget: n.directory.Budget(), ReserveMemory: n.ReserveResult, Logger: logger,
 	})
 	n.jobRelay = jobrelay.NewRelay(
--- a/internal/ingress/cold.go
+++ b/internal/ingress/cold.go
@@ -12,10 +12,10 @@
 // minPermitWait is the minimum time between two permit requests for a request.
 const minPermitWait = 20 * time.Millisecond
 
-// choose returns the engine to try next. A cold engine needs a permit, whose validity permitOpen reports; without
+// choose returns the engine to try next. A cold engine needs a permit, whose validity permitValid reports; without
 // a permit, a warm engine is chosen, or none.
-func (x *exchange) choose() (choice fleet.Choice, permitOpen func() bool, found bool) {
-	x.denial = coldpermits.Denial{}
+func (x *exchange) choose() (choice fleet.Choice, permitValid func() bool, found bool) {
+	x.denial = coldpermits.Decision{}
 	engines := x.relay.options.Fleet
 	query := fleet.Query{
 		Service: x.service, Zone: x.relay.options.Zone, Region: x.relay.options.Region,
@@ -26,29 +26,29 @@
 		return choice, nil, found
 	}
 	candidates := engines.ColdCandidates(query, coldpermits.MaxEngines)
-	permit, denial := x.relay.options.ColdPermits.Ask(x.ctx, x.service, candidates)
-	if denial.Outcome == coldpermits.Granted {
+	permit, decision := x.relay.options.ColdPermits.RequestPermit(x.ctx, x.service, candidates)
+	if decision.Outcome == coldpermits.Granted {
 		for _, each := range candidates {
 			if each.Incarnation() != permit.Engine {
 				continue
 			}
 			if choice, found = engines.ChoiceOf(each, query, len(candidates)); found {
-				return choice, permit.Open, true
+				return choice, permit.Valid, true
 			}
 		}
 		// The permitted engine was removed meanwhile; the next permit request names the others.
-		denial = coldpermits.Denial{Outcome: coldpermits.RateLimited, Wait: minPermitWait}
+		decision = coldpermits.Decision{Outcome: coldpermits.RateLimited, Wait: minPermitWait}
 	}
 	query.ExcludeCold, query.Now = true, time.Now()
 	choice, found = engines.Choose(query)
 	if !found {
-		x.recordDenial(denial, len(candidates))
+		x.recordDenial(decision, len(candidates))
 	}
 	return choice, nil, found
 }
 
 // recordDenial notes that only cold engines are left and that no permit was granted for them.
-func (x *exchange) recordDenial(denial coldpermits.Denial, candidates int) {
+func (x *exchange) recordDenial(denial coldpermits.Decision, candidates int) {
 	x.denial = denial
 	x.relay.options.Logger.Info().Str("id", x.request.ID).Str("service", x.service).Int("cold_engines", candidates).
 		Stringer("outcome", denial.Outcome).Dur("wait_ms", denial.Wait).Msg("no permit for a cold engine")
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -33,7 +33,7 @@
 	// tried holds the IDs of the engines tried.
 	tried []string
 	// denial is why no cold engine was tried, if only cold engines were left.
-	denial coldpermits.Denial
+	denial coldpermits.Decision
 	// fingerprint is computed on first use; see fingerprintOf.
 	fingerprint *quarantine.Fingerprint
 	// executions counts the engines that may have run the request.
@@ -79,17 +79,17 @@
 		if x.ctx.Err() != nil {
 			return x.timeoutFailure()
 		}
-		if !x.relay.options.Gate.AwaitKnown(x.ctx) {
+		if !x.relay.options.Gate.AwaitEnginesKnown(x.ctx) {
 			return x.staleStateFailure()
 		}
-		choice, permitOpen, found := x.choose()
+		choice, permitValid, found := x.choose()
 		if !found && x.waitForPermit() {
 			continue
 		}
 		if !found {
 			break
 		}
-		switch x.try(choice, permitOpen) {
+		switch x.try(choice, permitValid) {
 		case answered:
 			return nil
 		case giveUp:
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -90,8 +90,8 @@
 type SendError struct {
 	// MayHaveRun is false if no byte of the request was sent.
 	MayHaveRun bool
-	// HeldBack is true if Call.MaySend reported false once the connection was established.
-	HeldBack bool
+	// NotPermitted is true if Call.MaySend reported false once the connection was established.
+	NotPermitted bool
 	// ConnectionLost is true if the engine closed the connection before its answer was complete.
 	ConnectionLost bool
 	Cause          error
@@ -111,16 +111,16 @@
 	Admit(ctx context.Context, fingerprint func() quarantine.Fingerprint) *errkind.Error
 	// ConnectionLost reports whether the engine crashed during the request.
 	ConnectionLost(ctx context.Context, loss crashes.LostConnection) bool
-	// Standing returns the quarantine state of a request.
-	Standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing
+	// Status returns the quarantine state of a request.
+	Status(fingerprint func() quarantine.Fingerprint) quarantine.Status
 	// Answered notes that an engine completed the request successfully.
 	Answered(fingerprint func() quarantine.Fingerprint)
 }
 
 // ColdPermits grants permits to send requests to cold engines; see coldpermits.Client.
 type ColdPermits interface {
-	// Ask returns a permit for one of the given engines of a service, or a denial.
-	Ask(ctx context.Context, service string, engines []fleet.Engine) (coldpermits.Permit, coldpermits.Denial)
+	// RequestPermit returns a permit for one of the given engines of a service, or a denial.
+	RequestPermit(ctx context.Context, service string, engines []fleet.Engine) (coldpermits.Permit, coldpermits.Decision)
 }
 
 // Options configure a relay.
--- a/internal/ingress/try.go
+++ b/internal/ingress/try.go
@@ -14,9 +14,9 @@
 	"github.com/corkpulley/corkpulley/internal/crashes"
 )
 
-// try sends the request to the chosen engine. permitOpen is called right before the first byte is sent and reports
+// try sends the request to the chosen engine. permitValid is called right before the first byte is sent and reports
 // whether the permit for a cold engine is still valid; nil if the engine is not known to be cold.
-func (x *exchange) try(choice fleet.Choice, permitOpen func() bool) verdict {
+func (x *exchange) try(choice fleet.Choice, permitValid func() bool) verdict {
 	engine := choice.Engine
 	x.tried = append(x.tried, engine.ID)
 	began := time.Now()
@@ -27,7 +27,7 @@
 	ctx, cancel := x.withTryTimeout(remaining)
 	defer cancel()
 	x.relay.options.Fleet.RequestStarted(engine.Incarnation())
-	check := x.relay.options.Gate.Check(engine.Incarnation(), permitOpen)
+	check := x.relay.options.Gate.Check(engine.Incarnation(), permitValid)
 	answer, err := x.relay.options.Engines.Send(ctx, engine, Call{
 		Request: x.request, Sender: x.sender, Remaining: remaining,
 		After: x.lastEventID, HasAfter: x.streaming && x.lastEventID > 0, MaySend: check.MaySend,
@@ -77,7 +77,7 @@
 	crashed := guard.ConnectionLost(x.ctx, crashes.LostConnection{
 		Engine: engine, RequestID: x.request.ID, Fingerprint: x.fingerprintOf(),
 	})
-	return crashed && guard.Standing(x.fingerprintOf).Crashes >= quarantine.RequestLimit
+	return crashed && guard.Status(x.fingerprintOf).Crashes >= quarantine.RequestLimit
 }
 
 // reportStart calls Options.OnStart once for a request that an engine may have started.
@@ -105,9 +105,9 @@
 func (x *exchange) handleSendError(err error, outcome *fleet.Outcome) verdict {
 	var failure *SendError
 	known := errors.As(err, &failure)
-	outcome.Failed = !known || !failure.HeldBack
+	outcome.Failed = !known || !failure.NotPermitted
 	if known && !failure.MayHaveRun {
-		outcome.Unreached = !failure.HeldBack
+		outcome.Unreached = !failure.NotPermitted
 		return tryNext
 	}
 	outcome.ConnectionLost = failure != nil && failure.ConnectionLost
--- a/internal/leadership/randomfaults_test.go
+++ b/internal/leadership/randomfaults_test.go
@@ -114,7 +114,7 @@
 	defer m.waitWhileFrozen()
 	switch current {
 	case refused:
-		return 0, eventlog.ErrNotDone
+		return 0, eventlog.ErrNotPerformed
 	case answerLost:
 		_, _ = m.forward(name, at, records)
 		return 0, eventlog.ErrOutcomeUnknown
@@ -150,13 +150,13 @@
 	defer m.waitWhileFrozen()
 	switch current {
 	case refused:
-		return eventlog.Batch{}, eventlog.ErrNotDone
+		return eventlog.Batch{}, eventlog.ErrNotPerformed
 	case hanging:
 		select {
 		case <-changed:
 		case <-ctx.Done():
 		case <-time.After(readTimeout):
-			return eventlog.Batch{}, eventlog.ErrNotDone
+			return eventlog.Batch{}, eventlog.ErrNotPerformed
 		}
 	case takesEffectLate:
 		batch, err := m.log.Read(ctx, name, from, limit, wait)
@@ -215,7 +215,8 @@
 	var ended atomic.Bool
 	var elector *Elector
 	elector = New(machine, Options{
-		Holder: holder, Node: node, Address: node + ":7000", TTL: r.ttl, Quiet: r.quiet, EnginesFence: r.fence, Logger: zerolog.Nop(),
+		Holder: holder, Node: node, Address: node + ":7000", TTL: r.ttl, QuietPeriod: r.quiet, EnginesFence: r.fence,
+		Logger: zerolog.Nop(),
 	}, func(ctx context.Context, term Term) {
 		var orders sync.WaitGroup
 		for i := range 4 {
@@ -250,7 +251,7 @@
 				time.Sleep(time.Duration(300+random.IntN(250)) * time.Millisecond)
 			}
 			sentAt := boottime.Now()
-			if permit.Open() && !ended.Load() {
+			if permit.Valid() && !ended.Load() {
 				r.mu.Lock()
 				r.arrivals = append(r.arrivals, arrival{
 					engine: engine, node: node, epoch: term.Epoch, sentAt: sentAt,
