--- a/internal/batchjobs/partition.go
+++ b/internal/batchjobs/partition.go
@@ -223,7 +223,7 @@
 	}
 	if !p.reachable {
 		p.reachable = true
-		p.logger.Info().Int64("offset", p.state.Next).Msg("index partition in reach")
+		p.logger.Info().Int64("offset", p.state.Next).Msg("index partition reachable")
 	}
 	if p.state.Next != before {
 		close(p.changed)
@@ -255,7 +255,7 @@
 	defer p.mu.Unlock()
 	if p.reachable {
 		p.reachable = false
-		p.logger.Info().Err(err).Int64("offset", p.state.Next).Msg("index partition out of reach")
+		p.logger.Info().Err(err).Int64("offset", p.state.Next).Msg("index partition unreachable")
 	}
 }
 
--- a/internal/batchrun/evacuation.go
+++ b/internal/batchrun/evacuation.go
@@ -27,6 +27,6 @@
 		}
 		r.evacuationLoggedAt = now
 		r.options.Logger.Warn().Str("service", service).Int("items", items[service]).
-			Int("evacuated", r.options.Fleet.CountEvacuated(service)).Msg("items wait for evacuated zones")
+			Int("evacuated", r.options.Fleet.CountEvacuated(service)).Msg("items wait: no usable engine outside evacuated zones")
 	}
 }
--- a/internal/batchrun/observe.go
+++ b/internal/batchrun/observe.go
@@ -146,7 +146,7 @@
 	}
 	r.options.Logger.Info().Str("job", job.record.ID).Int64("step", job.record.Step).
 		Str("model", job.record.Model).Int64("min_version", job.record.MinVersion).
-		Int("items", len(job.items)).Int("queued", queued).Int("continued", continued).Msg("job taken up")
+		Int("items", len(job.items)).Int("queued", queued).Int("continued", continued).Msg("job accepted by its runner")
 	r.Wake()
 }
 
--- a/internal/batchrun/recorder.go
+++ b/internal/batchrun/recorder.go
@@ -113,7 +113,7 @@
 			return true
 		}
 		finished = finished[recorded:]
-		r.logger.Warn().Err(err).Int("partition", partition).Int("items", len(finished)).Msg("results not recorded")
+		r.logger.Warn().Err(err).Int("partition", partition).Int("items", len(finished)).Msg("failed to record results")
 		retry.Sleep(ctx, recordRetryDelay)
 	}
 	return false
--- a/internal/duties/reporter.go
+++ b/internal/duties/reporter.go
@@ -71,7 +71,7 @@
 	for ctx.Err() == nil && r.conflicts < maxConflicts {
 		if err := r.step(ctx, startWindow); err != nil && ctx.Err() == nil {
 			r.failedAt = time.Now()
-			r.options.Logger.Warn().Err(err).Int64("window", int64(r.ledger.Next(startWindow))).Msg("use not reported yet")
+			r.options.Logger.Warn().Err(err).Int64("window", int64(r.ledger.Next(startWindow))).Msg("usage not reported yet")
 		}
 		retry.Sleep(ctx, reportInterval)
 	}
@@ -131,7 +131,7 @@
 	late := time.Since(report.Window.End(r.options.Span)) - r.options.ReportDelay
 	r.options.Logger.Info().Err(err).Int64("window", int64(report.Window)).Int64("requests", report.Counts.Sum()).
 		Int("tenants", len(report.Counts)).Stringer("answer", answer).Bool("in_time", late <= 0).
-		Int64("fence", r.caller.holder.Fence).Msg("use reported")
+		Int64("fence", r.caller.holder.Fence).Msg("usage report attempted")
 	switch answer {
 	case Done, Refused:
 		r.lastReported = report.Window
@@ -170,7 +170,7 @@
 		}
 		if late := r.ledger.ApplyCount(record); late > 0 {
 			r.options.Logger.Warn().Int64("window", int64(record.Window)).Str("source", record.Source).
-				Int64("requests", late).Msg("counts of use came too late")
+				Int64("requests", late).Msg("usage counts arrived after their report was decided")
 		}
 		return nil
 	})
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -94,7 +94,7 @@
 func isBoundToRegions(homes string) bool { return homes != "" && homes != (homeset.Set{}).String() }
 
 func jobCause(trace *Trace) string {
-	submitted, accepted, ended := trace.last("job handed in"), trace.last("job taken up"), trace.last("job ended")
+	submitted, accepted, ended := trace.last("job submitted"), trace.last("job accepted by its runner"), trace.last("job ended")
 	switch {
 	case accepted == nil && submitted != nil && submitted.text("error") != "":
 		return fmt.Sprintf("Not accepted by %s: %s.%s", submitted.Node, submitted.text("error"), trace.contextNotes())
@@ -104,10 +104,10 @@
 	case accepted == nil:
 		return "Submitted, but no leader accepted it." + trace.contextNotes()
 	case ended == nil:
-		return fmt.Sprintf("Accepted by %s %d times; its end was not requested.%s", accepted.Node, trace.count("job taken up"), trace.contextNotes())
+		return fmt.Sprintf("Accepted by %s %d times; its end was not requested.%s", accepted.Node, trace.count("job accepted by its runner"), trace.contextNotes())
 	default:
 		return fmt.Sprintf("Ended by its submitter after %.0f ms with %.0f items unfinished, accepted %d times.%s",
-			ended.number("after_ms"), ended.number("unfinished"), trace.count("job taken up"), trace.contextNotes())
+			ended.number("after_ms"), ended.number("unfinished"), trace.count("job accepted by its runner"), trace.contextNotes())
 	}
 }
 
--- a/internal/explain/evacuation_test.go
+++ b/internal/explain/evacuation_test.go
@@ -13,7 +13,7 @@
 {"level":"warn","node":"n1","zone":"z","id":"r1","kind":"no_capacity","error":"no engine of s takes requests, 4 are in evacuated zones","status":503,"time":5110,"message":"request refused"}
 {"level":"info","node":"n1","zone":"z","job":"j1","item":"i1","engine":"e1","waited_ms":15,"time":5120,"message":"item started"}
 {"level":"warn","node":"n1","zone":"z","job":"j1","item":"i1","engine":"e1","refusal":"held_back","held_back":"evacuated","after_event":0,"ran_ms":300,"time":5420,"message":"run ended early"}
-{"level":"warn","node":"n1","zone":"z","service":"s","items":1,"evacuated":4,"time":5430,"message":"items wait for evacuated zones"}
+{"level":"warn","node":"n1","zone":"z","service":"s","items":1,"evacuated":4,"time":5430,"message":"items wait: no usable engine outside evacuated zones"}
 `
 
 // Guards against a refused request or a waiting item whose cause omits the evacuation.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -11,6 +11,8 @@
 	"strings"
 
 	"github.com/go-faster/errors"
+
+	"github.com/corkpulley/corkpulley/internal/logmessage"
 )
 
 const (
@@ -22,8 +24,9 @@
 
 // Line is a decoded log line.
 type Line struct {
-	Time    int64 // milliseconds since the Unix epoch
-	Node    string
+	Time int64 // milliseconds since the Unix epoch
+	Node string
+	// Message is the present form of a message that an older build logged.
 	Message string
 	// Fields holds all other fields.
 	Fields map[string]any
@@ -78,7 +81,7 @@
 	}
 	line := Line{Fields: fields}
 	line.Time = int64(line.number("time"))
-	line.Node, line.Message = line.text("node"), line.text("message")
+	line.Node, line.Message = line.text("node"), logmessage.Current(line.text("message"))
 	if line.Message == "" || line.Time == 0 {
 		return Line{}, errors.New("log line without a message or a time")
 	}
@@ -90,13 +93,13 @@
 
 // contextMessages are the messages about state changes of nodes, engines, zones and the log.
 var contextMessages = map[string]bool{
-	"configuration in force": true, "version named": true, "engine gone": true, "leadership gained": true,
-	"leadership lost": true, "topic contact changed": true, "way to the log changed": true,
-	"index partition out of reach": true, "index partition in reach": true, "node started": true,
-	"node stopping": true, "weights ordered": true, "results not recorded": true, "lease not renewed": true,
-	"zone evacuated": true, "zone taken back": true, "items wait for evacuated zones": true,
-	"sending on after a standstill": true,
-	"engine started again":          true,
+	"configuration in force": true, "weight version published": true, "engine removed": true, "leadership gained": true,
+	"leadership lost": true, "topic reachability changed": true, "switched between direct and relayed log calls": true,
+	"index partition unreachable": true, "index partition reachable": true, "node started": true,
+	"node stopping": true, "weight load ended": true, "failed to record results": true, "lease not renewed": true,
+	"zone evacuated": true, "zone evacuation ended": true, "items wait: no usable engine outside evacuated zones": true,
+	"sending resumed after a suspension": true,
+	"engine restarted":                   true,
 }
 
 // Trace holds the log lines about one ID: a request, item, batch job, usage window or service.
@@ -185,23 +188,23 @@
 	for _, line := range t.Context {
 		note := ""
 		switch line.Message {
-		case "topic contact changed":
+		case "topic reachability changed":
 			if reachable, _ := line.Fields["reachable"].(bool); !reachable {
 				note = "the log was unreachable from " + line.Node
 			}
-		case "index partition out of reach", "results not recorded", "lease not renewed":
+		case "index partition unreachable", "failed to record results", "lease not renewed":
 			note = "the log did not answer " + line.Node
-		case "engine gone":
+		case "engine removed":
 			note = "engine " + line.text("engine") + " disappeared"
 		case "zone evacuated":
 			note = "zone " + line.text("engine_zone") + " was evacuated"
-		case "zone taken back":
+		case "zone evacuation ended":
 			note = "zone " + line.text("engine_zone") + " was taken back"
-		case "items wait for evacuated zones":
+		case "items wait: no usable engine outside evacuated zones":
 			note = "no engine of " + line.text("service") + " was left outside evacuated zones"
-		case "sending on after a standstill":
+		case "sending resumed after a suspension":
 			note = line.Node + " had been paused"
-		case "engine started again":
+		case "engine restarted":
 			note = "engine " + line.text("ended") + " restarted"
 		case "leadership gained":
 			note = line.Node + " became the leader"
--- a/internal/explain/platform.go
+++ b/internal/explain/platform.go
@@ -8,9 +8,9 @@
 
 // Messages that the leader logs about usage reports and engine orders.
 const (
-	usageReported   = "use reported"
-	usageDelayed    = "use not reported yet"
-	usageCountsLate = "counts of use came too late"
+	usageReported   = "usage report attempted"
+	usageDelayed    = "usage not reported yet"
+	usageCountsLate = "usage counts arrived after their report was decided"
 	enginesOrdered  = "engines ordered"
 )
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -296,7 +296,7 @@
 	f.replica.advance(f.next, sent)
 	if !f.IsLoaded() {
 		close(f.loaded)
-		f.logger.Info().Int("keys", len(f.offsets)).Int64("offset", f.next).Msg("topic read whole")
+		f.logger.Info().Int("keys", len(f.offsets)).Int64("offset", f.next).Msg("first full read of the topic completed")
 	}
 	return nil
 }
@@ -336,6 +336,6 @@
 func (f *Follower) logReachability(err error) {
 	if healthy := err == nil; healthy != f.healthy {
 		f.healthy = healthy
-		f.logger.Info().Err(err).Bool("reachable", healthy).Int64("offset", f.next).Msg("topic contact changed")
+		f.logger.Info().Err(err).Bool("reachable", healthy).Int64("offset", f.next).Msg("topic reachability changed")
 	}
 }
--- a/internal/hosted/callers.go
+++ b/internal/hosted/callers.go
@@ -66,7 +66,7 @@
 	n.logger.Info().Err(err).Str("job", submission.Job.ID).Int64("step", submission.Job.Step).
 		Stringer("homes", sender.Homes).
 		Str("model", submission.Job.Model).Int64("min_version", submission.Job.MinVersion).
-		Int("items", len(submission.Job.Items)).Dur("took_ms", time.Since(began)).Msg("job handed in")
+		Int("items", len(submission.Job.Items)).Dur("took_ms", time.Since(began)).Msg("job submitted")
 	n.metrics.jobSubmitted(err)
 	return err
 }
@@ -168,7 +168,7 @@
 	defer cancel()
 	_, err := queryJob(ctx, n, job, func(ctx context.Context, id string) (struct{}, error) {
 		err := n.jobRelay.End(ctx, id)
-		n.logger.Info().Err(err).Str("job", id).Msg("job end asked")
+		n.logger.Info().Err(err).Str("job", id).Msg("job end requested")
 		return struct{}{}, err
 	})
 	return err
--- a/internal/hosted/coverage_test.go
+++ b/internal/hosted/coverage_test.go
@@ -50,7 +50,7 @@
 	n.applyEntry("m1", "models")
 	n.applyEntry("m2", "models")
 	assert.DeepEqual(t, n.fleet.Services(), []string{"desk"})
-	assert.Assert(t, !strings.Contains(logs.String(), "engine gone"))
+	assert.Assert(t, !strings.Contains(logs.String(), "engine removed"))
 	n.coverage.recordRead([]string{"models"})
 	assert.Assert(t, n.coverage.wasExcluded("models") && !n.coverage.wasExcluded("desk") && !n.coverage.isComplete())
 	assert.Assert(t, n.coverage.setExcluded(nil))
--- a/internal/hosted/enginelist.go
+++ b/internal/hosted/enginelist.go
@@ -32,7 +32,7 @@
 	if record.Deleted {
 		delete(n.loggedUnusable, record.Key)
 		if removed, known := n.removeEngine(record.Key); known && !n.coverage.excludes(removed.Service) {
-			n.logger.Info().Stringer("engine", removed.Incarnation()).Int64("offset", record.Offset).Msg("engine gone")
+			n.logger.Info().Stringer("engine", removed.Incarnation()).Int64("offset", record.Offset).Msg("engine removed")
 		}
 		return
 	}
@@ -129,7 +129,7 @@
 	n.metrics.engineRestarts.Inc()
 	n.logger.Info().Stringer("engine", engine.Incarnation()).Stringer("ended", ended.Incarnation()).
 		Str("service", engine.Service).Str("address", engine.Address).Str("zone", engine.Zone).
-		Bool("draining", engine.Draining).Interface("versions", engine.Versions).Msg("engine started again")
+		Bool("draining", engine.Draining).Interface("versions", engine.Versions).Msg("engine restarted")
 }
 
 // applyDeferred applies deferred entries of earlier engine starts once no later entry has arrived for some time,
--- a/internal/hosted/evacuation.go
+++ b/internal/hosted/evacuation.go
@@ -32,5 +32,5 @@
 		line.Msg("zone evacuated")
 		return
 	}
-	line.Msg("zone taken back")
+	line.Msg("zone evacuation ended")
 }
--- a/internal/hosted/linelimit.go
+++ b/internal/hosted/linelimit.go
@@ -93,7 +93,7 @@
 func (l *lineLimit) report(ctx context.Context, logger zerolog.Logger) {
 	for retry.Sleep(ctx, suppressedReportPeriod) {
 		for message, count := range l.drainSuppressed() {
-			logger.Warn().Str("left_out", message).Int("lines", count).Msg("log lines left out")
+			logger.Warn().Str("left_out", message).Int("lines", count).Msg("log lines suppressed")
 		}
 	}
 }
--- a/internal/hosted/resumeguard.go
+++ b/internal/hosted/resumeguard.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	if before := g.settled.Swap(&resumed); before == nil || !before.Equal(resumed) {
-		g.logger.Info().Dur("age_ms", age).Dur("awake_ms", sinceResume).Msg("sending on after a standstill")
+		g.logger.Info().Dur("age_ms", age).Dur("awake_ms", sinceResume).Msg("sending resumed after a suspension")
 	}
 	return true
 }
--- a/internal/hosted/state.go
+++ b/internal/hosted/state.go
@@ -114,7 +114,7 @@
 	}
 	if change.Model != "" && n.state.setVersion(change.Model, change.ModelVersion) {
 		n.logger.Info().Str("model", change.Model).Int64("version", change.ModelVersion).
-			Int64("offset", record.Offset).Msg("version named")
+			Int64("offset", record.Offset).Msg("weight version published")
 	}
 	if change.Evacuation != nil {
 		n.applyEvacuation(*change.Evacuation, record.Offset)
--- a/internal/leadership/tail.go
+++ b/internal/leadership/tail.go
@@ -135,7 +135,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.contactSince.IsZero() {
-		e.options.Logger.Info().Err(err).Int64("offset", e.state.Next).Msg("lease contact lost")
+		e.options.Logger.Info().Err(err).Int64("offset", e.state.Next).Msg("reading the lease records failed")
 	}
 	e.contactSince = time.Time{}
 }
--- a/internal/logrelay/fallback.go
+++ b/internal/logrelay/fallback.go
@@ -145,7 +145,7 @@
 	if after == before {
 		return
 	}
-	f.logger.Info().Err(err).Bool("direct", !after).Int("peers", len(f.peers())).Msg("way to the log changed")
+	f.logger.Info().Err(err).Bool("direct", !after).Int("peers", len(f.peers())).Msg("switched between direct and relayed log calls")
 	if !after {
 		return
 	}
--- a/internal/logusage/summary.go
+++ b/internal/logusage/summary.go
@@ -88,5 +88,5 @@
 		byTopic.Dict(name, zerolog.Dict().Int("calls", usage.calls).Int("refused", usage.refused).
 			Int("unanswered", usage.unanswered).Int("relayed", usage.relayed).Int("bytes", usage.bytes))
 	}
-	s.logger.Info().Dur("period_ms", summaryPeriod).Dict("topics", byTopic).Msg("calls of the log failed")
+	s.logger.Info().Dur("period_ms", summaryPeriod).Dict("topics", byTopic).Msg("log calls failed, usage by topic")
 }
--- a/internal/report/picture/extremes_test.go
+++ b/internal/report/picture/extremes_test.go
@@ -12,7 +12,7 @@
 func TestExtremeNumbersAreDrawn(t *testing.T) {
 	for _, extreme := range []int64{1, math.MaxInt32, 7258118400000, 1 << 53, math.MaxInt64} {
 		built := read(t, fmt.Sprintf(`{"node":"n","config":%[1]d,"time":%[1]d,"message":"configuration in force"}
-{"node":"n","job":"j","model":"m","step":%[1]d,"time":%[1]d,"message":"job handed in"}
+{"node":"n","job":"j","model":"m","step":%[1]d,"time":%[1]d,"message":"job submitted"}
 {"node":"n","epoch":%[1]d,"time":1780377647000,"message":"leadership gained"}
 {"node":"n","time":%[1]d,"message":"request ended"}
 {"node":"n","time":1780377648000,"message":"request ended"}`, extreme))
--- a/internal/report/picture/picture_test.go
+++ b/internal/report/picture/picture_test.go
@@ -19,18 +19,18 @@
 const busyLines = `
 {"node":"n1","time":1000,"message":"node started"}
 {"node":"n1","config":3,"time":1050,"message":"configuration in force"}
-{"node":"n1","topic":"t","keys":3,"time":1100,"message":"topic read whole"}
+{"node":"n1","topic":"t","keys":3,"time":1100,"message":"first full read of the topic completed"}
 {"node":"n1","epoch":1,"time":1200,"message":"leadership gained"}
-{"node":"n1","job":"j1","model":"m","step":4,"items":8,"time":1300,"message":"job handed in"}
-{"node":"n1","job":"j1","time":1310,"message":"job taken up"}
+{"node":"n1","job":"j1","model":"m","step":4,"items":8,"time":1300,"message":"job submitted"}
+{"node":"n1","job":"j1","time":1310,"message":"job accepted by its runner"}
 {"node":"n1","job":"j1","item":"i","time":1400,"message":"item started"}
 {"node":"n1","id":"r1","verdict":"answered","time":2000,"message":"engine tried"}
 {"node":"n1","id":"r1","status":200,"time":2000,"message":"request ended"}
 {"node":"n1","id":"r2","kind":"no_capacity","time":4000,"message":"request refused"}
-{"node":"n1","topic":"t","reachable":false,"time":4100,"message":"topic contact changed"}
-{"node":"n1","direct":false,"time":4200,"message":"way to the log changed"}
-{"node":"n1","job":"j1","error":"log_unavailable","time":5000,"message":"job end asked"}
-{"node":"n1","job":"j1","time":7000,"message":"job end asked"}
+{"node":"n1","topic":"t","reachable":false,"time":4100,"message":"topic reachability changed"}
+{"node":"n1","direct":false,"time":4200,"message":"switched between direct and relayed log calls"}
+{"node":"n1","job":"j1","error":"log_unavailable","time":5000,"message":"job end requested"}
+{"node":"n1","job":"j1","time":7000,"message":"job end requested"}
 {"node":"n1","epoch":1,"time":9000,"message":"leadership lost"}
 {"node":"n1","config":4,"time":9000,"message":"configuration in force"}
 `
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -96,7 +96,7 @@
 	hostile := `{"node":"<script src='//h'>","config":1,"time":1000,"message":"configuration in force"}
 {"node":"</td><img src=x onerror=y>","homes":"\"><link href='http://h'>","time":2000,"message":"leadership gained"}
 {"node":"n2","homes":"\"><link href='http://h'>","time":3000,"message":"leadership gained"}
-{"node":"n2","job":"j","model":"$\\frac{1}{2}$\n<b>","time":3000,"message":"job handed in"}`
+{"node":"n2","job":"j","model":"$\\frac{1}{2}$\n<b>","time":3000,"message":"job submitted"}`
 	assert.NilError(t, builder.Read("<i>.log", strings.NewReader(hostile+"\nunreadable")))
 	built, err := builder.Timeline()
 	assert.NilError(t, err)
--- a/internal/report/timeline/lines.go
+++ b/internal/report/timeline/lines.go
@@ -7,6 +7,8 @@
 	"io"
 
 	"github.com/go-faster/errors"
+
+	"github.com/corkpulley/corkpulley/internal/logmessage"
 )
 
 const (
@@ -30,7 +32,8 @@
 	Message string `json:"message"`
 }
 
-// parseHeader returns the header of a line and its JSON object. Text before the object is ignored.
+// parseHeader returns the header of a line, with the present form of its message, and its JSON object. Text before the
+// object is ignored.
 func parseHeader(line []byte) (header, []byte, error) {
 	start := bytes.IndexByte(line, '{')
 	if start < 0 {
@@ -47,6 +50,7 @@
 	if parsed.Time > maxTimeMs {
 		return header{}, nil, errTimeOutOfRange
 	}
+	parsed.Message = logmessage.Current(parsed.Message)
 	return parsed, raw, nil
 }
 
--- a/internal/weightorders/load.go
+++ b/internal/weightorders/load.go
@@ -47,7 +47,7 @@
 	m.mu.Unlock()
 	m.options.Logger.Info().Stringer("engine", engine.Incarnation()).Str("model", load.Model).Int64("version", load.Version).
 		Stringer("answer", answer).Bool("done", done).Int64("fence", m.options.Fence).
-		Dur("took_ms", time.Since(began)).Int("loads_at_once", limit).Msg("weights ordered")
+		Dur("took_ms", time.Since(began)).Int("loads_at_once", limit).Msg("weight load ended")
 	m.options.OnLoadEnd()
 }
 
--- a/test/hosted/homes_test.go
+++ b/test/hosted/homes_test.go
@@ -347,7 +347,7 @@
 	}
 	south.proxy.refuse(true)
 	testwait.Until(t, "the node to change its path to the log", func() bool {
-		return strings.Contains(south.logs.String(), "way to the log changed")
+		return strings.Contains(south.logs.String(), "switched between direct and relayed log calls")
 	})
 	var ids []string
 	for i := range 10 {
--- a/test/hosted/incarnation_test.go
+++ b/test/hosted/incarnation_test.go
@@ -73,8 +73,8 @@
 		assert.Equal(t, currentEngine(host).ID(), "llm-1")
 		assert.Equal(t, len(currentEngine(host).Holders()), 1, "one order for each incarnation")
 	}
-	assert.Assert(t, strings.Contains(node.logs.String(), "engine started again"))
-	assert.Assert(t, !strings.Contains(node.logs.String(), "engine gone"))
+	assert.Assert(t, strings.Contains(node.logs.String(), "engine restarted"))
+	assert.Assert(t, !strings.Contains(node.logs.String(), "engine removed"))
 }
 
 // The next incarnation of the only engine resumes the items.
@@ -169,7 +169,7 @@
 		node.call(http.MethodGet, "/a/x", fmt.Sprint("request", number), "")
 		return len(restarted.Runs()) > 0
 	})
-	assert.Assert(t, strings.Contains(node.logs.String(), "engine started again"))
+	assert.Assert(t, strings.Contains(node.logs.String(), "engine restarted"))
 }
 
 // metric returns the value of a metric at the node; empty for none.
@@ -273,7 +273,7 @@
 	node := d.startUnready(settings.Node{ID: "n1", Zone: "z1", Region: "r1"}, d.address)
 	testwait.Until(t, "configuration, engine list and crash records to be read", func() bool {
 		logs := node.logs.String()
-		return strings.Contains(logs, "configuration in force") && strings.Count(logs, "topic read whole") == 3
+		return strings.Contains(logs, "configuration in force") && strings.Count(logs, "first full read of the topic completed") == 3
 	})
 	assert.Equal(t, node.status("/readyz"), http.StatusServiceUnavailable)
 	addDesk(d, "e2")
--- a/test/hosted/replicas_test.go
+++ b/test/hosted/replicas_test.go
@@ -78,7 +78,7 @@
 	assert.Equal(t, others[1].call(http.MethodDelete, "/lots/job1", "", "").status, http.StatusOK)
 	for _, node := range others {
 		leads := strings.Contains(node.logs.String(), "leadership gained")
-		readsIndex := strings.Contains(node.logs.String(), "index partition in reach")
+		readsIndex := strings.Contains(node.logs.String(), "index partition reachable")
 		assert.Assert(t, leads || !readsIndex, "a node that is neither leader nor replica reads the index")
 	}
 	d.configure(batchRoute("/batch/"), batchRoute("/later/"))
