--- a/internal/hosted/bytebudget.go
+++ b/internal/hosted/bytebudget.go
@@ -41,7 +41,7 @@
 		OnStalled: func(left int) {
 			n.metrics.callersStalled.Inc()
 			n.logger.Warn().Int("bytes_left", left).Dur("stall_ms", time.Duration(n.config.Hosted.CallerStall)).
-				Msg("caller cut off, it takes nothing of its answer")
+				Msg("slow caller disconnected")
 		},
 	}
 }
--- a/internal/hosted/coverage.go
+++ b/internal/hosted/coverage.go
@@ -151,7 +151,7 @@
 		case <-loaded:
 		}
 		n.coverage.recordRead(excluded)
-		n.logger.Info().Strs("left_out", excluded).Msg("engine list followed")
+		n.logger.Info().Strs("left_out", excluded).Msg("engine list loaded")
 		for retry.Sleep(ctx, coverageCheckPeriod) && !n.coverage.setExcluded(n.unneededServices()) {
 			continue
 		}
--- a/internal/hosted/enginelist.go
+++ b/internal/hosted/enginelist.go
@@ -113,7 +113,7 @@
 	switch {
 	case change == fleet.Deferred:
 		n.logger.Info().Stringer("engine", engine.Incarnation()).Stringer("known", previous.Incarnation()).
-			Int64("offset", offset).Msg("engine entry of an earlier start")
+			Int64("offset", offset).Msg("engine entry of an earlier start deferred")
 	case change == fleet.Replaced:
 		n.reportRestart(previous, engine)
 	case change == fleet.Renewed && previous.Address == engine.Address && previous.Draining == engine.Draining:
--- a/internal/hosted/homes.go
+++ b/internal/hosted/homes.go
@@ -99,7 +99,7 @@
 	}
 	if _, logged := n.loggedUnknownZones.LoadOrStore(engine.Zone, true); !logged {
 		n.logger.Warn().Str("zone", engine.Zone).Str("engine", engine.ID).
-			Msg("zone of unknown region")
+			Msg("zone has no known region")
 	}
 	return ""
 }
--- a/internal/hosted/regionelections.go
+++ b/internal/hosted/regionelections.go
@@ -125,7 +125,7 @@
 			<-previousEnded
 		}
 		if err := elector.Run(electionContext); err != nil {
-			options.Logger.Error().Err(err).Msg("election of a runner ended")
+			options.Logger.Error().Err(err).Msg("election of a job runner failed")
 		}
 		releaseContext, cancelRelease := context.WithTimeout(ctx, releaseTimeout)
 		defer cancelRelease()
--- a/internal/hosted/state.go
+++ b/internal/hosted/state.go
@@ -102,7 +102,7 @@
 func (n *node) applyControlRecord(record eventlog.KeyedRecord) {
 	change, err := n.platform.DecodeControl(record)
 	if err != nil {
-		n.logger.Error().Err(err).Str("key", record.Key).Int64("offset", record.Offset).Msg("control record passed over")
+		n.logger.Error().Err(err).Str("key", record.Key).Int64("offset", record.Offset).Msg("control record skipped")
 		return
 	}
 	if change.Table != nil && n.state.setTable(change.Table) {
--- a/internal/hosted/zonesapi.go
+++ b/internal/hosted/zonesapi.go
@@ -67,7 +67,7 @@
 	evacuation := Evacuation{Zone: mux.Vars(r)["zone"], InForce: inForce}
 	err := n.writeEvacuation(r.Context(), evacuation)
 	n.logger.Info().Err(err).Str("engine_zone", evacuation.Zone).Bool("evacuate", inForce).Str("from", r.RemoteAddr).
-		Msg("evacuation ordered")
+		Msg("evacuation change requested")
 	if err != nil {
 		httpapi.WriteError(w, err)
 		return
--- a/internal/report/timeline/timeline_test.go
+++ b/internal/report/timeline/timeline_test.go
@@ -152,7 +152,7 @@
 func TestLinesSuppressedByNodesAreReported(t *testing.T) {
 	built := readLines(t, Options{MinimumGap: time.Second},
 		line(1000, "n1", `"left_out":"request ended","lines":120,`, messageLinesSuppressed),
-		line(1000, "n2", `"left_out":["a"],`, "engine list followed"))
+		line(1000, "n2", `"left_out":["a"],`, "engine list loaded"))
 	assert.Equal(t, built.Lines.Suppressed, 120)
 	assert.Equal(t, built.Lines.Unreadable, 0)
 	assert.Assert(t, strings.Contains(strings.Join(built.NotInLogs, "\n"), "120 lines that nodes suppressed"))
--- a/test/hosted/incarnation_test.go
+++ b/test/hosted/incarnation_test.go
@@ -145,7 +145,7 @@
 	entry := d.listedEntry("e1")
 	earlier := d.addDeskIncarnation("e1", firstStartMS)
 	testwait.Until(t, "the late entry to be read", func() bool {
-		return strings.Contains(node.logs.String(), "engine entry of an earlier start")
+		return strings.Contains(node.logs.String(), "engine entry of an earlier start deferred")
 	})
 	d.store.Log.Put(platform.New(d.address, "").EngineTopic(), "e1", entry)
 	for i := range 10 {
--- a/test/hosted/replicas_test.go
+++ b/test/hosted/replicas_test.go
@@ -116,7 +116,7 @@
 // by its newest log line about it.
 func (n *testNode) excludesModelEngines() bool {
 	lines := n.logs.String()
-	newest := strings.LastIndex(lines, "engine list followed")
+	newest := strings.LastIndex(lines, "engine list loaded")
 	if newest < 0 {
 		return false
 	}
