--- a/internal/batchjobs/partition.go
+++ b/internal/batchjobs/partition.go
@@ -203,7 +203,7 @@
 		}
 		record, err := batch.Decode(raw)
 		if err != nil {
-			p.logger.Error().Err(err).Int64("offset", p.state.Next).Msg("index record not decodable, skipped")
+			p.logger.Error().Err(err).Int64("offset", p.state.Next).Msg("index record skipped: it cannot be decoded")
 			p.state.Skip()
 			continue
 		}
--- a/internal/batchrun/ownership.go
+++ b/internal/batchrun/ownership.go
@@ -106,7 +106,7 @@
 	}
 	r.removeJob(job)
 	r.options.Logger.Info().Str("job", job.record.ID).Stringer("homes", r.options.HomesOf(&job.record)).
-		Stringer("runner_homes", r.options.Homes).Int("unfinished", unfinished).Msg("job handed over to another runner")
+		Stringer("runner_homes", r.options.Homes).Int("unfinished", unfinished).Msg("job released to another runner")
 }
 
 // expireOverdueOthers expires items that their own runner has not ended in time, for example because no node is in
--- a/internal/batchrun/quarantine.go
+++ b/internal/batchrun/quarantine.go
@@ -23,7 +23,7 @@
 	}
 	r.options.Logger.Warn().Str("job", key.Job).Str("item", job.record.Items[key.Item].ID).
 		Stringer("fingerprint", job.call(key.Item).fingerprint()).Int("crashes", standing.Crashes).
-		Time("held_until", standing.HeldUntil).Msg("item kept away from engines")
+		Time("held_until", standing.HeldUntil).Msg("item quarantined")
 	r.quarantinedUntil[key] = standing.HeldUntil
 	return true
 }
--- a/internal/crashes/detector.go
+++ b/internal/crashes/detector.go
@@ -76,7 +76,7 @@
 	d.options.Logger.Warn().Str("id", loss.RequestID).Stringer("fingerprint", loss.Fingerprint).
 		Stringer("engine", loss.Engine.Incarnation()).Str("address", loss.Engine.Address).Stringer("liveness", liveness).
 		Bool("listed", listed).Bool("crashed", crashed).Dur("took_ms", time.Since(began)).
-		Msg("engine lost a request")
+		Msg("connection to engine lost during a request")
 	d.options.Observe(loss.Engine.Service, liveness.String())
 	return crashed
 }
--- a/internal/crashes/guard.go
+++ b/internal/crashes/guard.go
@@ -122,7 +122,7 @@
 	}
 	g.logger.Warn().Stringer("fingerprint", record.Fingerprint).Str("engine", record.Engine).Str("trial", record.Trial).
 		Str("source", source).Int("crashes", standing.Crashes).Time("held_until", standing.HeldUntil).
-		Msg("request kept away from engines")
+		Msg("request quarantined")
 }
 
 // ConnectionLost reports whether the engine crashed during the request, and records the crash.
@@ -173,7 +173,7 @@
 	if len(records) == 0 {
 		return
 	}
-	g.logger.Info().Stringer("fingerprint", requestFingerprint).Int("records", len(records)).Msg("request cleared by its answer")
+	g.logger.Info().Stringer("fingerprint", requestFingerprint).Int("records", len(records)).Msg("crash records of a completed request deleted")
 	g.writeDeletions(records)
 }
 
--- a/internal/crashes/trial.go
+++ b/internal/crashes/trial.go
@@ -37,7 +37,7 @@
 	}
 	granted := err == nil && g.awaitTrial(ctx, claim)
 	g.logger.Info().Err(err).Stringer("fingerprint", fingerprint).Str("trial", claim.Trial).Bool("granted", granted).
-		Msg("trial of a quarantined request")
+		Msg("trial claim for a quarantined request ended")
 	return granted
 }
 
--- a/test/hosted/crash_test.go
+++ b/test/hosted/crash_test.go
@@ -360,5 +360,5 @@
 		assert.Equal(t, result.State, "completed")
 		assert.Equal(t, result.Text, standin.Text(result.ID, 60))
 	}
-	assert.Assert(t, !strings.Contains(node.logs.String(), "item kept away from engines"))
+	assert.Assert(t, !strings.Contains(node.logs.String(), "item quarantined"))
 }
