--- a/internal/duties/counter.go
+++ b/internal/duties/counter.go
@@ -98,7 +98,7 @@
 		}
 		retry.Sleep(ctx, c.budget.ScalePeriod(countDelay, maxCountDelay))
 		for err := c.write(ctx); err != nil && ctx.Err() == nil; err = c.write(ctx) {
-			c.logger.Warn().Err(err).Int("windows", c.unwrittenWindows()).Msg("counts of use not written")
+			c.logger.Warn().Err(err).Int("windows", c.unwrittenWindows()).Msg("usage counts not written")
 			retry.Sleep(ctx, delays.NextBackOff())
 		}
 		delays.Reset()
@@ -106,7 +106,7 @@
 	finalContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalWriteTimeout)
 	defer cancel()
 	if err := c.write(finalContext); err != nil {
-		c.logger.Warn().Err(err).Int("windows", c.unwrittenWindows()).Msg("counts of use not written")
+		c.logger.Warn().Err(err).Int("windows", c.unwrittenWindows()).Msg("usage counts not written")
 	}
 	return nil
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -183,7 +183,7 @@
 		var trimmed *eventlog.TrimmedError
 		if errors.As(err, &trimmed) {
 			f.logger.Info().Int64("offset", f.next).Int64("first_kept", trimmed.First).
-				Msg("topic history lost, reading in full")
+				Msg("topic history trimmed, making a full read")
 			f.fullReads.force()
 			continue
 		}
--- a/internal/leadership/tail.go
+++ b/internal/leadership/tail.go
@@ -107,7 +107,7 @@
 func (e *Elector) reportSuperseded(record lease.Record) {
 	e.options.Logger.Warn().Stringer("kind", record.Kind).Str("holder", record.Holder).Int64("epoch", record.Epoch).
 		Int64("newest_epoch", e.state.Epoch).Int64("offset", e.state.Next).Strs("engines", record.Engines).
-		Msg("record of an earlier lease")
+		Msg("lease record written after a newer claim")
 	if e.options.OnSuperseded != nil {
 		e.options.OnSuperseded(record.Kind)
 	}
--- a/internal/leadership/write.go
+++ b/internal/leadership/write.go
@@ -181,7 +181,7 @@
 	// Other nodes wait for a TTL after they read the claim, whether or not its answer is lost, so reading it back is
 	// sufficient.
 	err := e.appendDraft(ctx, draft{record: record, at: next, pending: pending}, e.options.TTL)
-	e.options.Logger.Info().Err(err).Int64("follows_epoch", previous).Int64("offset", next).Msg("leadership claimed")
+	e.options.Logger.Info().Err(err).Int64("follows_epoch", previous).Int64("offset", next).Msg("leadership claim sent")
 }
 
 // confirm processes a record of this node that was read back. The lease is extended from when this record was sent, not
--- a/internal/logrelay/bootstrap.go
+++ b/internal/logrelay/bootstrap.go
@@ -71,7 +71,7 @@
 	}
 	d.next = d.bootstrap.high
 	if listed := len(d.bootstrap.nodes); listed > 0 {
-		d.logger.Info().Int("listed", listed).Int("known", listed).Msg("nodes listed")
+		d.logger.Info().Int("listed", listed).Int("known", listed).Msg("new node addresses read from the directory")
 	}
 	d.bootstrap = bootstrap{done: true}
 	return true
--- a/internal/logrelay/directory.go
+++ b/internal/logrelay/directory.go
@@ -359,6 +359,6 @@
 	if listed > 0 {
 		// One line for all nodes: with a line per node, the lines of all nodes would grow quadratically with the
 		// cluster.
-		d.logger.Info().Int("listed", listed).Int("known", len(d.members)).Msg("nodes listed")
+		d.logger.Info().Int("listed", listed).Int("known", len(d.members)).Msg("new node addresses read from the directory")
 	}
 }
