--- a/internal/logstream/append.go
+++ b/internal/logstream/append.go
@@ -89,7 +89,7 @@
 		data, err := logrecord.Encode(proposed.record)
 		if err != nil {
 			// newProposal has encoded the record before, so this is a bug.
-			s.logger.Error().Err(err).Msg("encode checked record failed")
+			s.logger.Error().Err(err).Msg("encoding a validated record failed")
 			continue
 		}
 		records = append(records, data)
--- a/internal/logstream/failurelog.go
+++ b/internal/logstream/failurelog.go
@@ -91,5 +91,5 @@
 	f.logger.Info().
 		Str("operation", operationNames[operation]).
 		Int("suppressed", suppressed).
-		Msg("log service answers again")
+		Msg("log service is available again")
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -42,7 +42,7 @@
 			return
 		}
 		if err != nil {
-			t.options.Logger.Warn().Err(err).Msg("peer accept failed")
+			t.options.Logger.Warn().Err(err).Msg("accepting a peer connection failed")
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
