--- a/internal/hosted/enginelist.go
+++ b/internal/hosted/enginelist.go
@@ -32,7 +32,7 @@
 	if record.Deleted {
 		delete(n.loggedUnusable, record.Key)
 		if removed, known := n.removeEngine(record.Key); known && !n.coverage.excludes(removed.Service) {
-			n.logger.Info().Stringer("engine", removed.Incarnation()).Int64("offset", record.Offset).Msg("engine gone")
+			n.logger.Info().Stringer("engine", removed.Incarnation()).Int64("offset", record.Offset).Msg("engine removed")
 		}
 		return
 	}
@@ -113,7 +113,7 @@
 	switch {
 	case change == fleet.Deferred:
 		n.logger.Info().Stringer("engine", engine.Incarnation()).Stringer("known", previous.Incarnation()).
-			Int64("offset", offset).Msg("engine entry of an earlier start")
+			Int64("offset", offset).Msg("engine entry of an earlier start deferred")
 	case change == fleet.Replaced:
 		n.reportRestart(previous, engine)
 	case change == fleet.Renewed && previous.Address == engine.Address && previous.Draining == engine.Draining:
@@ -129,7 +129,7 @@
 	n.metrics.engineRestarts.Inc()
 	n.logger.Info().Stringer("engine", engine.Incarnation()).Stringer("ended", ended.Incarnation()).
 		Str("service", engine.Service).Str("address", engine.Address).Str("zone", engine.Zone).
-		Bool("draining", engine.Draining).Interface("versions", engine.Versions).Msg("engine started again")
+		Bool("draining", engine.Draining).Interface("versions", engine.Versions).Msg("engine restarted")
 }
 
 // applyDeferred applies deferred entries of earlier engine starts once no later entry has arrived for some time,
--- a/test/hosted/replicas_test.go
+++ b/test/hosted/replicas_test.go
@@ -78,7 +78,7 @@
 	assert.Equal(t, others[1].call(http.MethodDelete, "/lots/job1", "", "").status, http.StatusOK)
 	for _, node := range others {
 		leads := strings.Contains(node.logs.String(), "leadership gained")
-		readsIndex := strings.Contains(node.logs.String(), "index partition in reach")
+		readsIndex := strings.Contains(node.logs.String(), "index partition reachable")
 		assert.Assert(t, leads || !readsIndex, "a node that is neither leader nor replica reads the index")
 	}
 	d.configure(batchRoute("/batch/"), batchRoute("/later/"))
@@ -116,7 +116,7 @@
 // by its newest log line about it.
 func (n *testNode) excludesModelEngines() bool {
 	lines := n.logs.String()
-	newest := strings.LastIndex(lines, "engine list followed")
+	newest := strings.LastIndex(lines, "engine list loaded")
 	if newest < 0 {
 		return false
 	}
