--- a/internal/bench/pathcost/staticcluster.go
+++ b/internal/bench/pathcost/staticcluster.go
@@ -71,8 +71,8 @@
 // LogContact implements cluster.View.
 func (s *staticCluster) LogContact() time.Time { return time.Now() }
 
-// AnnounceOwned implements cluster.Announcer.
-func (s *staticCluster) AnnounceOwned([]cluster.Ownership) {}
+// AnnounceOwnedStreams implements cluster.Announcer.
+func (s *staticCluster) AnnounceOwnedStreams([]cluster.Ownership) {}
 
 // AnnounceCell implements cluster.Announcer.
 func (s *staticCluster) AnnounceCell(message.CellDigest) {}
@@ -105,5 +105,5 @@
 // Changed implements policy.Source.
 func (s *staticCluster) Changed(int64) <-chan struct{} { return nil }
 
-// Current implements policy.Source.
-func (s *staticCluster) Current() error { return nil }
+// CheckCurrent implements policy.Source.
+func (s *staticCluster) CheckCurrent() error { return nil }
--- a/internal/cluster/announce.go
+++ b/internal/cluster/announce.go
@@ -20,9 +20,9 @@
 	announcedAt time.Time
 }
 
-// AnnounceOwned implements Announcer. Changes are pushed immediately to all members of the zone and to one
+// AnnounceOwnedStreams implements Announcer. Changes are pushed immediately to all members of the zone and to one
 // contact of each other zone.
-func (c *Cluster) AnnounceOwned(owned []Ownership) {
+func (c *Cluster) AnnounceOwnedStreams(owned []Ownership) {
 	streams := slices.Clone(owned)
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -115,8 +115,8 @@
 		return reachable == 8 && known == 8
 	}))
 
-	local[1].AnnounceOwned([]Ownership{{Stream: "steps/t", Epoch: 5}})
-	remote[0].AnnounceOwned([]Ownership{{Stream: "steps/t", Epoch: 9}})
+	local[1].AnnounceOwnedStreams([]Ownership{{Stream: "steps/t", Epoch: 5}})
+	remote[0].AnnounceOwnedStreams([]Ownership{{Stream: "steps/t", Epoch: 9}})
 	local[2].AnnounceTableRevision(42)
 	contact := time.Now().Add(-time.Minute)
 	third[0].AnnounceLogContact(contact)
--- a/internal/cluster/lost_zone_test.go
+++ b/internal/cluster/lost_zone_test.go
@@ -13,7 +13,7 @@
 	remote := startZone(t, "far", 3, nil, local[0].Self().Address)
 	all := append(append([]*testNode{}, local...), remote...)
 	eventually(t, "all have joined", allSeeAlive(all, len(all)))
-	remote[0].AnnounceOwned([]Ownership{{Stream: "steps/t", Epoch: 7}})
+	remote[0].AnnounceOwnedStreams([]Ownership{{Stream: "steps/t", Epoch: 7}})
 	eventually(t, "the owner is known", allSatisfy(local, func(node *testNode) bool {
 		_, _, known := node.Owner("steps/t")
 		return known
--- a/internal/cluster/ownershipannouncer.go
+++ b/internal/cluster/ownershipannouncer.go
@@ -33,8 +33,8 @@
 	return added
 }
 
-// AnnounceOwned replaces the streams owned by this coordinator and announces the merged list.
-func (s *ownershipSource) AnnounceOwned(owned []Ownership) {
+// AnnounceOwnedStreams replaces the streams owned by this coordinator and announces the merged list.
+func (s *ownershipSource) AnnounceOwnedStreams(owned []Ownership) {
 	s.parent.mu.Lock()
 	defer s.parent.mu.Unlock()
 	s.owned = append([]Ownership(nil), owned...)
@@ -42,5 +42,5 @@
 	for _, source := range s.parent.sources {
 		all = append(all, source.owned...)
 	}
-	s.parent.target.AnnounceOwned(all)
+	s.parent.target.AnnounceOwnedStreams(all)
 }
--- a/internal/cluster/ownershipannouncer_test.go
+++ b/internal/cluster/ownershipannouncer_test.go
@@ -14,7 +14,7 @@
 	owned []cluster.Ownership
 }
 
-func (r *ownedRecorder) AnnounceOwned(owned []cluster.Ownership) { r.owned = owned }
+func (r *ownedRecorder) AnnounceOwnedStreams(owned []cluster.Ownership) { r.owned = owned }
 
 func TestOwnershipAnnouncerMergesSources(t *testing.T) {
 	recorder := &ownedRecorder{}
@@ -22,9 +22,9 @@
 	first, second := announcer.Source(), announcer.Source()
 	stepsOwned := cluster.Ownership{Stream: "steps/a", Epoch: 1}
 	ordersOwned := cluster.Ownership{Stream: "orders/b", Epoch: 2}
-	first.AnnounceOwned([]cluster.Ownership{stepsOwned})
-	second.AnnounceOwned([]cluster.Ownership{ordersOwned})
+	first.AnnounceOwnedStreams([]cluster.Ownership{stepsOwned})
+	second.AnnounceOwnedStreams([]cluster.Ownership{ordersOwned})
 	assert.DeepEqual(t, recorder.owned, []cluster.Ownership{stepsOwned, ordersOwned})
-	first.AnnounceOwned(nil)
+	first.AnnounceOwnedStreams(nil)
 	assert.DeepEqual(t, recorder.owned, []cluster.Ownership{ordersOwned})
 }
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -65,8 +65,8 @@
 
 // Announcer publishes the local state to the cluster.
 type Announcer interface {
-	// AnnounceOwned replaces the announced list of streams owned by this node.
-	AnnounceOwned(owned []Ownership)
+	// AnnounceOwnedStreams replaces the announced list of streams owned by this node.
+	AnnounceOwnedStreams(owned []Ownership)
 	// AnnounceCell publishes the state of a cell dispatched by this node, with an increased Sequence. Each
 	// cell must be announced at least every 10 s, even if unchanged; after 15 s without an announcement it
 	// is dropped.
--- a/internal/coordinator/fake_deployment_test.go
+++ b/internal/coordinator/fake_deployment_test.go
@@ -82,7 +82,7 @@
 	return d.changed
 }
 
-func (d *deployment) Current() error { return nil }
+func (d *deployment) CheckCurrent() error { return nil }
 
 // node is one node of a deployment.
 type node struct {
@@ -194,7 +194,7 @@
 	return owner, epoch, epoch >= 0
 }
 
-func (n *node) AnnounceOwned(owned []cluster.Ownership) {
+func (n *node) AnnounceOwnedStreams(owned []cluster.Ownership) {
 	n.d.mutex.Lock()
 	defer n.d.mutex.Unlock()
 	member := n.d.members[n.id]
--- a/internal/coordinator/follower.go
+++ b/internal/coordinator/follower.go
@@ -89,7 +89,7 @@
 // shouldOwn reports whether this node should own the ledger if its owner is unavailable.
 func (f *follower) shouldOwn() bool {
 	c := f.coordinator
-	if c.draining.Load() || c.options.Tables.Current() != nil {
+	if c.draining.Load() || c.options.Tables.CheckCurrent() != nil {
 		return false
 	}
 	row, err := trainerRow(c.options.Tables.Table(), f.trainer)
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -37,7 +37,7 @@
 
 // followRows starts a follower for each trainer whose preferred owner is this node.
 func (c *Coordinator) followRows(ctx context.Context, table *policy.Table, followers *sync.WaitGroup) {
-	if c.draining.Load() || c.options.Tables.Current() != nil {
+	if c.draining.Load() || c.options.Tables.CheckCurrent() != nil {
 		return
 	}
 	for _, row := range table.Rows {
@@ -99,7 +99,7 @@
 		owned = append(owned, cluster.Ownership{Stream: ledger.StreamName(tenure.trainer), Epoch: tenure.epoch})
 	}
 	c.metrics.owned.Set(float64(len(owned)))
-	c.options.Announcer.AnnounceOwned(owned)
+	c.options.Announcer.AnnounceOwnedStreams(owned)
 }
 
 // contextUntilDrain returns a context that is canceled with ctx, or when the grace
--- a/internal/coordinator/tenure.go
+++ b/internal/coordinator/tenure.go
@@ -188,7 +188,7 @@
 // records proposed now. It fails if the table may be outdated or has no such
 // trainer.
 func (t *tenure) currentTerms() (policy.Row, ledger.FreshnessTerms, error) {
-	if err := t.options.Tables.Current(); err != nil {
+	if err := t.options.Tables.CheckCurrent(); err != nil {
 		return policy.Row{}, ledger.FreshnessTerms{}, err
 	}
 	table := t.options.Tables.Table()
--- a/internal/core/policy/row.go
+++ b/internal/core/policy/row.go
@@ -82,8 +82,8 @@
 	// Changed returns a channel that is closed once the current revision is
 	// higher than the given one.
 	Changed(revision int64) <-chan struct{}
-	// Current returns nil if the node's table is known to be up to date.
+	// CheckCurrent returns nil if the node's table is known to be up to date.
 	// Otherwise it returns an *errkind.Error of kind NotReady or NotCurrent, and
 	// the node must refuse new work.
-	Current() error
+	CheckCurrent() error
 }
--- a/internal/core/scheduler/cell.go
+++ b/internal/core/scheduler/cell.go
@@ -13,7 +13,7 @@
 // Cell is the scheduler of one cell. It is not safe for concurrent use.
 //
 // Invariant: an enqueued item is in exactly one state: queued, running, or ended by
-// Expire, Remove, Finished or Unassign.
+// Expire, Remove, Finish or Unassign.
 type Cell struct {
 	config Config
 	// classes are sorted by descending priority.
@@ -133,8 +133,8 @@
 	return ahead
 }
 
-// Progressed records the total number of tokens generated for a running item.
-func (c *Cell) Progressed(id string, generated int) {
+// RecordProgress records the total number of tokens generated for a running item.
+func (c *Cell) RecordProgress(id string, generated int) {
 	running, ok := c.running[id]
 	if !ok {
 		return
@@ -144,9 +144,9 @@
 	}
 }
 
-// Finished records that an assigned item ended on its engine; false if it was not
+// Finish records that an assigned item ended on its engine; false if it was not
 // running.
-func (c *Cell) Finished(now time.Time, id string) bool {
+func (c *Cell) Finish(now time.Time, id string) bool {
 	if !c.Unassign(id) {
 		return false
 	}
@@ -155,7 +155,7 @@
 }
 
 // Unassign records that an assigned item was not executed; false if it was not
-// assigned. Unlike Finished, it doesn't count toward the drain rate.
+// assigned. Unlike Finish, it doesn't count toward the drain rate.
 func (c *Cell) Unassign(id string) bool {
 	finished, ok := c.running[id]
 	if !ok {
@@ -179,7 +179,7 @@
 }
 
 // RemoveEngine removes an engine. Items running on it count as running until
-// Finished or Unassign.
+// Finish or Unassign.
 func (c *Cell) RemoveEngine(id string) {
 	position, found := c.search(id)
 	if !found {
--- a/internal/core/scheduler/dispatch.go
+++ b/internal/core/scheduler/dispatch.go
@@ -6,7 +6,7 @@
 )
 
 // Dispatch assigns queued items to engines until no further item can run. The caller
-// must send each item immediately and later call Finished or Unassign for it.
+// must send each item immediately and later call Finish or Unassign for it.
 func (c *Cell) Dispatch(now time.Time) []Assignment {
 	var assignments []Assignment
 	for len(c.queued) > 0 {
--- a/internal/core/scheduler/property_test.go
+++ b/internal/core/scheduler/property_test.go
@@ -97,7 +97,7 @@
 func (m *cellModel) finish(t *rapid.T) {
 	for id := range m.running {
 		if rapid.Bool().Draw(t, "finished") {
-			assert.Assert(t, m.cell.Finished(m.now, id))
+			assert.Assert(t, m.cell.Finish(m.now, id))
 			delete(m.running, id)
 		}
 	}
@@ -163,7 +163,7 @@
 				assert.NilError(t, cell.Enqueue(now, high))
 			}
 			for _, id := range running {
-				cell.Finished(now, id)
+				cell.Finish(now, id)
 			}
 			running = dispatchIDs(cell, now)
 			now = now.Add(hold)
@@ -183,7 +183,7 @@
 				item.ID = fmt.Sprint(number)
 				_ = cell.Enqueue(start, item)
 				for _, assignment := range cell.Dispatch(start) {
-					cell.Finished(start, assignment.Item.ID)
+					cell.Finish(start, assignment.Item.ID)
 				}
 			}
 		})
--- a/internal/dispatcher/cell.go
+++ b/internal/dispatcher/cell.go
@@ -173,7 +173,7 @@
 	defer c.mutex.Unlock()
 	now := time.Now()
 	if ran {
-		c.scheduler.Finished(now, t.id)
+		c.scheduler.Finish(now, t.id)
 	} else {
 		c.scheduler.Unassign(t.id)
 	}
@@ -184,7 +184,7 @@
 func (c *cell) updateProgress(t *task, tokens int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.scheduler.Progressed(t.id, tokens)
+	c.scheduler.RecordProgress(t.id, tokens)
 }
 
 // allExcluded reports whether every engine of the cell is in the list.
--- a/internal/dispatcher/directive.go
+++ b/internal/dispatcher/directive.go
@@ -16,9 +16,9 @@
 // directive is an active load directive of a cell.
 type directive struct {
 	message message.Directive
-	// staleEpoch is the highest fence returned by an engine that refused this directive's epoch. If it
+	// newerEpoch is the highest fence returned by an engine that refused this directive's epoch. If it
 	// is set, no more orders are sent for the directive.
-	staleEpoch int64
+	newerEpoch int64
 }
 
 // orderState is the state of the last load order to one engine.
@@ -75,7 +75,7 @@
 	current, ok := c.directives[received.Model]
 	if ok && current.message.Epoch > received.Epoch {
 		result := c.rolloutProgress(&received)
-		result.StaleEpoch = current.message.Epoch
+		result.NewerEpoch = current.message.Epoch
 		return result, nil
 	}
 	if !ok || current.message.Epoch < received.Epoch {
@@ -85,7 +85,7 @@
 	current.message = received
 	c.sendDueOrders(time.Now())
 	result := c.rolloutProgress(&received)
-	result.StaleEpoch = current.staleEpoch
+	result.NewerEpoch = current.newerEpoch
 	return result, nil
 }
 
@@ -95,7 +95,7 @@
 		return
 	}
 	for _, current := range c.directives {
-		if current.staleEpoch != 0 {
+		if current.newerEpoch != 0 {
 			continue
 		}
 		engines := c.rolloutEngines(&current.message, now)
@@ -229,6 +229,6 @@
 	logger.Warn().Err(err).Msg("load order failed")
 	var failure *engine.SendError
 	if errors.As(err, &failure) && failure.Refusal != nil && failure.Refusal.Code == engine.CodeStaleFence {
-		active.staleEpoch = max(active.staleEpoch, failure.Refusal.Fence)
+		active.newerEpoch = max(active.newerEpoch, failure.Refusal.Fence)
 	}
 }
--- a/internal/dispatcher/directive_test.go
+++ b/internal/dispatcher/directive_test.go
@@ -99,7 +99,7 @@
 		result := h.sendDirective(6) // of an old epoch, so it orders nothing
 		return result.AtLeastVersion == 3 && result.AtVersion == 2
 	})
-	assert.Equal(t, h.sendDirective(6).StaleEpoch, int64(7))
+	assert.Equal(t, h.sendDirective(6).NewerEpoch, int64(7))
 }
 
 func TestDirectiveStopsOnStaleFence(t *testing.T) {
@@ -107,7 +107,7 @@
 	h.order = func(string, engine.Order) error {
 		return &engine.SendError{Sent: true, Refusal: &engine.Refusal{Code: engine.CodeStaleFence, Fence: 9}}
 	}
-	h.eventually(func() bool { return h.sendDirective(7).StaleEpoch == 9 })
+	h.eventually(func() bool { return h.sendDirective(7).NewerEpoch == 9 })
 	h.fakeEngines.mutex.Lock()
 	defer h.fakeEngines.mutex.Unlock()
 	assert.Equal(t, len(h.orders), 1)
--- a/internal/dispatcher/harness_test.go
+++ b/internal/dispatcher/harness_test.go
@@ -55,7 +55,7 @@
 func (n *fakeNode) Cells() []message.CellDigest            { return nil }
 func (n *fakeNode) Table() *policy.Table                   { return &policy.Table{Revision: 1, Rows: n.rows} }
 func (n *fakeNode) Changed(revision int64) <-chan struct{} { return nil }
-func (n *fakeNode) Current() error                         { return nil }
+func (n *fakeNode) CheckCurrent() error                    { return nil }
 
 func (n *fakeNode) AnnounceCell(digest message.CellDigest) {
 	n.mutex.Lock()
--- a/internal/dispatcher/submit.go
+++ b/internal/dispatcher/submit.go
@@ -71,7 +71,7 @@
 	if submit.Attach {
 		return d.attach(&submit)
 	}
-	if err := d.options.Tables.Current(); err != nil {
+	if err := d.options.Tables.CheckCurrent(); err != nil {
 		return nil, 0, err
 	}
 	target, err := d.cell(submit.Cell)
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -47,7 +47,7 @@
 	if !entered {
 		return nil, errkind.New(errkind.ShuttingDown, "this node is stopping")
 	}
-	if err := g.options.Tables.Current(); err != nil {
+	if err := g.options.Tables.CheckCurrent(); err != nil {
 		return nil, err
 	}
 	return g.parse(w, r, requestID)
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -37,7 +37,7 @@
 
 func (f *fakeTables) Changed(int64) <-chan struct{} { return nil }
 
-func (f *fakeTables) Current() error { return f.refusal }
+func (f *fakeTables) CheckCurrent() error { return f.refusal }
 
 type runFunc func(ctx context.Context, request router.Request, onPiece func(router.Piece) error) (router.Result, error)
 
--- a/internal/keyed/executor.go
+++ b/internal/keyed/executor.go
@@ -134,7 +134,7 @@
 func (e *Executor) executeLocal(
 	ctx context.Context, request Request, onPiece func(router.Piece) error,
 ) (router.Result, error) {
-	if err := e.options.Tables.Current(); err != nil {
+	if err := e.options.Tables.CheckCurrent(); err != nil {
 		return router.Result{}, err
 	}
 	shard := e.shards[request.shardIndex(e.options.Shards)]
--- a/internal/keyed/fixture_test.go
+++ b/internal/keyed/fixture_test.go
@@ -98,7 +98,7 @@
 type fakeTables struct{ policy.Source }
 
 func (fakeTables) Table() *policy.Table { return &policy.Table{} }
-func (fakeTables) Current() error       { return nil }
+func (fakeTables) CheckCurrent() error  { return nil }
 
 // fakeRouter counts the runs of each prompt. runError, if set, returns the error of a run.
 type fakeRouter struct {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -122,8 +122,8 @@
 	AtVersion int `msgpack:"av"`
 	Loading   int `msgpack:"lo"`
 	Broken    int `msgpack:"br"`
-	// StaleEpoch is a fencing token above Epoch that the dispatcher or an engine has seen; 0 if there is none.
-	StaleEpoch int64 `msgpack:"se,omitempty"`
+	// NewerEpoch is a fencing token above Epoch that the dispatcher or an engine has seen; 0 if there is none.
+	NewerEpoch int64 `msgpack:"se,omitempty"`
 }
 
 // Empty is a message without fields.
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -59,7 +59,7 @@
 	case <-n.stopRequested:
 		return errkind.New(errkind.ShuttingDown, "this node is stopping")
 	default:
-		return n.components.tables.Current()
+		return n.components.tables.CheckCurrent()
 	}
 }
 
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -43,9 +43,9 @@
 
 // TableStore provides the table and its history; *tables.Tables implements it.
 type TableStore interface {
-	// Current returns nil while the active table is known to be recent, else an
+	// CheckCurrent returns nil while the active table is known to be recent, else an
 	// *errkind.Error: NotReady until this node has loaded the latest revision.
-	Current() error
+	CheckCurrent() error
 	// Table returns the active table.
 	Table() *policy.Table
 	// TableAt returns the table of an earlier revision, if it is still retained.
--- a/internal/operatorapi/operatorapi_test.go
+++ b/internal/operatorapi/operatorapi_test.go
@@ -39,7 +39,7 @@
 
 func (f *fakeSystem) Table() *policy.Table { return &sampleTable }
 
-func (f *fakeSystem) Current() error { return f.notCurrent }
+func (f *fakeSystem) CheckCurrent() error { return f.notCurrent }
 
 func (f *fakeSystem) TableAt(revision int64) (*policy.Table, bool) {
 	return &policy.Table{Revision: revision}, revision == 2
--- a/internal/operatorapi/table.go
+++ b/internal/operatorapi/table.go
@@ -25,7 +25,7 @@
 // revisions reported to operators must not decrease. NotCurrent is not an error
 // here: a node without contact to the log keeps the highest revision it has loaded.
 func (a *API) checkCaughtUp() error {
-	err := a.options.Tables.Current()
+	err := a.options.Tables.CheckCurrent()
 	if errkind.Is(err, errkind.NotReady) {
 		return err
 	}
--- a/internal/router/fake_test.go
+++ b/internal/router/fake_test.go
@@ -78,7 +78,7 @@
 
 func (f *fakeCluster) Changed(int64) <-chan struct{} { return nil }
 
-func (f *fakeCluster) Current() error { return nil }
+func (f *fakeCluster) CheckCurrent() error { return nil }
 
 func (f *fakeCluster) Call(context.Context, string, peer.Method, any, any) error {
 	return errors.New("no calls expected")
--- a/internal/tables/contact.go
+++ b/internal/tables/contact.go
@@ -8,7 +8,7 @@
 const (
 	// probeAfter is the age of the last log contact from which this node reads
 	// to the log's end itself: the stream's long poll may wait for a record for
-	// longer than ContactLimit.
+	// longer than MaxLogContactAge.
 	probeAfter = 3 * time.Second
 	// probeTimeout bounds one such read.
 	probeTimeout = 4 * time.Second
--- a/internal/tables/fake_test.go
+++ b/internal/tables/fake_test.go
@@ -186,7 +186,7 @@
 // awaitCurrent waits until the node accepts work.
 func (n *testNode) awaitCurrent(t *testing.T) {
 	t.Helper()
-	awaitCondition(t, func() bool { return n.tables.Current() == nil })
+	awaitCondition(t, func() bool { return n.tables.CheckCurrent() == nil })
 }
 
 // awaitRevision waits on Changed and checks that revisions only increase.
--- a/internal/tables/readiness.go
+++ b/internal/tables/readiness.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// ContactLimit is the age of the most recent log contact in the cluster from
+	// MaxLogContactAge is the age of the most recent log contact in the cluster from
 	// which a node that does not reach a majority of the known nodes rejects new
 	// work.
-	ContactLimit = 8 * time.Second
+	MaxLogContactAge = 8 * time.Second
 	// peerFallbackDelay is how long a starting node tries the log alone before it
 	// also loads the table from peers.
 	peerFallbackDelay = 3 * time.Second
@@ -24,10 +24,10 @@
 	catchUpRetryInterval = 200 * time.Millisecond
 )
 
-// Current returns nil when this node may accept new work. Otherwise it returns
+// CheckCurrent returns nil when this node may accept new work. Otherwise it returns
 // an *errkind.Error: NotReady until it has loaded the latest revision once,
 // NotCurrent while it reaches neither the log nor a majority of the known nodes.
-func (t *Tables) Current() error {
+func (t *Tables) CheckCurrent() error {
 	if !t.caughtUp.Load() {
 		return errkind.New(errkind.NotReady, "this node has not yet loaded the latest table revision")
 	}
@@ -40,12 +40,12 @@
 		return nil
 	}
 	return errkind.New(errkind.NotCurrent,
-		"no contact with the log for %s, and %d of %d known nodes reachable", ContactLimit, reachable, known)
+		"no contact with the log for %s, and %d of %d known nodes reachable", MaxLogContactAge, reachable, known)
 }
 
-// isFresh reports whether the log contact is more recent than ContactLimit.
+// isFresh reports whether the log contact is more recent than MaxLogContactAge.
 func isFresh(contact time.Time) bool {
-	return !contact.IsZero() && time.Since(contact) < ContactLimit
+	return !contact.IsZero() && time.Since(contact) < MaxLogContactAge
 }
 
 // catchUpFromLog makes the node ready once it has read to the log's end.
--- a/internal/tables/tables_test.go
+++ b/internal/tables/tables_test.go
@@ -174,7 +174,7 @@
 
 	// The late node cannot read the log and catches up from its zone.
 	late := startNode(t, network, downLog, "late")
-	requireKind(t, late.tables.Current(), errkind.NotReady)
+	requireKind(t, late.tables.CheckCurrent(), errkind.NotReady)
 	late.awaitCurrent(t)
 	assert.DeepEqual(t, late.tables.Table(), source.tables.Table())
 
@@ -235,7 +235,7 @@
 	network := newTestNetwork()
 	node := newNode(t, network, newTestLog(t), "one")
 	node.tables.markCaughtUp("test")
-	old := time.Now().Add(-2 * ContactLimit)
+	old := time.Now().Add(-2 * MaxLogContactAge)
 	for name, test := range map[string]struct {
 		ownContact, clusterContact time.Time
 		reachable, known           int
@@ -253,7 +253,7 @@
 				node.contact = test.ownContact
 				network.contact, network.reachable, network.known = test.clusterContact, test.reachable, test.known
 			})
-			err := node.tables.Current()
+			err := node.tables.CheckCurrent()
 			if test.current {
 				assert.NilError(t, err)
 				return
--- a/internal/trainerapi/trainerapi.go
+++ b/internal/trainerapi/trainerapi.go
@@ -67,7 +67,7 @@
 }
 
 func (a *API) checkAndCall(w http.ResponseWriter, r *http.Request, trainer string, next handler) (any, error) {
-	if err := a.tables.Current(); err != nil {
+	if err := a.tables.CheckCurrent(); err != nil {
 		return nil, err
 	}
 	if err := checkTrainer(a.tables.Table(), trainer); err != nil {
--- a/internal/trainerapi/trainerapi_test.go
+++ b/internal/trainerapi/trainerapi_test.go
@@ -49,7 +49,7 @@
 	return api.AckResponse{Accepted: request.Samples}, f.err
 }
 
-type fakeTables struct{ current error }
+type fakeTables struct{ notCurrent error }
 
 func (f *fakeTables) Table() *policy.Table {
 	return &policy.Table{Revision: 4, Rows: []policy.Row{
@@ -57,7 +57,7 @@
 	}}
 }
 func (f *fakeTables) Changed(int64) <-chan struct{} { return nil }
-func (f *fakeTables) Current() error                { return f.current }
+func (f *fakeTables) CheckCurrent() error           { return f.notCurrent }
 
 type fixture struct {
 	client fakeClient
@@ -140,11 +140,11 @@
 
 func TestCallsRejectedWhileTableNotCurrent(t *testing.T) {
 	f := newFixture()
-	f.tables.current = errkind.New(errkind.NotCurrent, "no contact with the log or with peers")
+	f.tables.notCurrent = errkind.New(errkind.NotCurrent, "no contact with the log or with peers")
 	status, detail := f.do(t, http.MethodPut, "/v1/trainers/drafts/steps/s", validStep)
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Equal(t, detail.Code, "not_current")
-	f.tables.current = nil
+	f.tables.notCurrent = nil
 	f.client.err = errkind.New(errkind.StepMismatch, "another request")
 	status, _ = f.do(t, http.MethodPut, "/v1/trainers/drafts/steps/s", validStep)
 	assert.Equal(t, status, http.StatusConflict)
--- a/internal/weights/cluster_test.go
+++ b/internal/weights/cluster_test.go
@@ -112,7 +112,7 @@
 	return digest
 }
 
-func (c *testCluster) AnnounceOwned([]cluster.Ownership) {}
+func (c *testCluster) AnnounceOwnedStreams([]cluster.Ownership) {}
 
 func (c *testCluster) Table() *policy.Table {
 	c.mu.Lock()
@@ -126,7 +126,7 @@
 	return c.changed
 }
 
-func (c *testCluster) Current() error { return nil }
+func (c *testCluster) CheckCurrent() error { return nil }
 
 func (c *testCluster) setRows(rows ...policy.Row) {
 	c.mu.Lock()
@@ -149,7 +149,7 @@
 	c.received = append(c.received, directive)
 	result.Engines = len(c.engines)
 	if directive.Epoch < c.fence {
-		result.StaleEpoch = c.fence
+		result.NewerEpoch = c.fence
 		return nil
 	}
 	c.fence = directive.Epoch
--- a/internal/weights/directives.go
+++ b/internal/weights/directives.go
@@ -207,10 +207,10 @@
 		r.logger.Warn().Err(call.err).Any("cell", call.directive.Cell).Msg("directive failed")
 		return
 	}
-	if call.result.StaleEpoch > call.directive.Epoch {
+	if call.result.NewerEpoch > call.directive.Epoch {
 		r.countDirective(resultStale)
-		r.fencedEpoch = max(r.fencedEpoch, call.result.StaleEpoch)
-		r.logger.Warn().Int64("epoch", call.directive.Epoch).Int64("seen", call.result.StaleEpoch).
+		r.fencedEpoch = max(r.fencedEpoch, call.result.NewerEpoch)
+		r.logger.Warn().Int64("epoch", call.directive.Epoch).Int64("seen", call.result.NewerEpoch).
 			Msg("directive rejected: an engine has seen a later epoch")
 		return
 	}
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -196,7 +196,7 @@
 		c.owned[model] = epoch
 	}
 	c.metrics.owned.Set(float64(len(c.owned)))
-	c.options.Announcer.AnnounceOwned(c.ownershipsLocked())
+	c.options.Announcer.AnnounceOwnedStreams(c.ownershipsLocked())
 }
 
 // Owned returns the owned streams, sorted by name.
