--- a/internal/bench/soak/check_incarnation.go
+++ b/internal/bench/soak/check_incarnation.go
@@ -19,9 +19,9 @@
 		for _, order := range engine.Orders {
 			node, _ := commandSender(order.Holder, order.From)
 			knowsRestart := order.At.Sub(engine.StartedAt) > bounds.Settle && h.undisturbed(node, engine.StartedAt, order.At, bounds.Settle)
-			if knowsRestart && order.Expected > order.Taken {
+			if knowsRestart && order.ExpectedCount > order.AcceptedCount {
 				found = append(found, fmt.Sprintf("engine %s, restarted %s before, got an order that expects %d accepted orders; it has accepted %d",
-					engine.ID, order.At.Sub(engine.StartedAt), order.Expected, order.Taken))
+					engine.ID, order.At.Sub(engine.StartedAt), order.ExpectedCount, order.AcceptedCount))
 			}
 		}
 	}
--- a/internal/bench/soak/check_live.go
+++ b/internal/bench/soak/check_live.go
@@ -16,7 +16,7 @@
 		if call.Answer.ID != call.ID || !call.Answer.Stamped {
 			found = append(found, fmt.Sprintf("request %s got the response to %q, stamped %t", call.ID, call.Answer.ID, call.Answer.Stamped))
 		}
-		if call.Kind != standin.RouteStream && call.Answer.Body != standin.Answer(call.ID) {
+		if call.Kind != standin.RouteStream && call.Answer.Body != standin.PlainBody(call.ID) {
 			found = append(found, fmt.Sprintf("request %s got the body %q", call.ID, call.Answer.Body))
 		}
 	}
--- a/internal/bench/soak/check_placement_test.go
+++ b/internal/bench/soak/check_placement_test.go
@@ -47,8 +47,8 @@
 	h.Engines = append(h.Engines, EngineRecord{
 		ID: "e3", Service: standin.ServiceDrafts, Restarted: true, Version: 1, StartedAt: at(40),
 		Orders: []standin.ReceivedOrder{
-			{Holder: "node-0-a", Fence: 9, Version: 5, At: at(41), Expected: 3, Taken: 0, Status: 409},
-			{Holder: "node-0-a", Fence: 9, Version: 5, At: at(46), Expected: 0, Taken: 0, Status: statusAccepted},
+			{Holder: "node-0-a", Fence: 9, Version: 5, At: at(41), ExpectedCount: 3, AcceptedCount: 0, Status: 409},
+			{Holder: "node-0-a", Fence: 9, Version: 5, At: at(46), ExpectedCount: 0, AcceptedCount: 0, Status: statusAccepted},
 		},
 	})
 	for i := range h.Engines {
@@ -127,7 +127,7 @@
 	}},
 	{"node in another region reads a body", "HOME", func(h *History) { h.BodyReads[bodyRead{1, "item-h"}] = at(51) }},
 	{"node in another region reads a body before it is asked", "HOME", func(h *History) { h.Jobs[len(h.Jobs)-1].FirstRequestAt[4] = at(52) }},
-	{"order that counts those of the previous incarnation", "LIFE", func(h *History) { h.Engines[engineRestarted].Orders[1].Expected = 3 }},
+	{"order that counts those of the previous incarnation", "LIFE", func(h *History) { h.Engines[engineRestarted].Orders[1].ExpectedCount = 3 }},
 	{"engine that lost its weights gets no order", "LIFE", func(h *History) { h.Engines[engineRestarted].Orders = nil }},
 	{"engine with an invalid entry gets work", "ENTRY", func(h *History) { addArrival(h, engineRestarted, "tenant", 0, 125) }},
 	{"call to the address of an invalid entry", "ENTRY", func(h *History) {
--- a/internal/bench/soak/check_test.go
+++ b/internal/bench/soak/check_test.go
@@ -41,7 +41,7 @@
 }
 
 func plainResponse(id string) standin.LiveResponse {
-	return standin.LiveResponse{Status: statusOK, ID: id, Stamped: true, Body: standin.Answer(id)}
+	return standin.LiveResponse{Status: statusOK, ID: id, Stamped: true, Body: standin.PlainBody(id)}
 }
 
 func runOf(id, path, body string, seconds float64) standin.Run {
@@ -164,7 +164,7 @@
 
 // mutations each violate one invariant of validHistory.
 var mutations = []mutation{
-	{"body of another request", "MIXED", func(h *History) { h.Calls[callSafe].Answer.Body = standin.Answer("other") }},
+	{"body of another request", "MIXED", func(h *History) { h.Calls[callSafe].Answer.Body = standin.PlainBody("other") }},
 	{"truncated body of a complete response", "MIXED", func(h *History) { h.Calls[callUnsafe].Answer.Body = "the whole" }},
 	{"response to another request", "MIXED", func(h *History) { h.Calls[callSafe].Answer.ID = "other" }},
 	{"success without an engine", "MIXED", func(h *History) { h.Calls[callSafe].Answer.Stamped = false }},
--- a/internal/bench/soak/driver.go
+++ b/internal/bench/soak/driver.go
@@ -130,7 +130,7 @@
 		_, incarnation := target.current()
 		path, sent := probePrefix(version)+"x", time.Now()
 		id := d.newID("probe-")
-		answer, err := d.client.WithKey(settledKey(version)).Live(ctx, target.callerAddress, path, id, "", callDeadline)
+		answer, err := d.client.WithKey(settledKey(version)).SendLive(ctx, target.callerAddress, path, id, "", callDeadline)
 		d.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Intact: err == nil})
 		_, after := target.current()
 		newest := d.config.Load()
@@ -175,7 +175,7 @@
 	}
 	client := d.client.WithKey(key)
 	var err error
-	call.Answer, err = client.Live(ctx, d.randomNode().callerAddress, call.Path, call.ID, call.Body, callDeadline)
+	call.Answer, err = client.SendLive(ctx, d.randomNode().callerAddress, call.Path, call.ID, call.Body, callDeadline)
 	call.Intact = err == nil
 	d.history.addCall(call)
 }
@@ -194,7 +194,7 @@
 }
 
 func (d *driver) announceVersion() {
-	d.deployment.store.store.NameVersion(standin.ModelDrafts, d.version.Add(1))
+	d.deployment.store.store.PublishVersion(standin.ModelDrafts, d.version.Add(1))
 }
 
 // announceVersions announces weight versions in bursts until ctx ends. In the pauses, no order is sent for
@@ -288,7 +288,7 @@
 func (d *driver) cancelJob(ctx context.Context, record *JobRecord) {
 	d.history.update(func() { record.CancelSentAt = time.Now() })
 	for ctx.Err() == nil {
-		status, err := d.client.WithKey(record.Key).End(ctx, d.nodeFor(record).callerAddress, record.Job.ID)
+		status, err := d.client.WithKey(record.Key).EndJob(ctx, d.nodeFor(record).callerAddress, record.Job.ID)
 		if err == nil && status == http.StatusOK {
 			d.history.update(func() { record.EndedAt = time.Now() })
 			return
--- a/internal/bench/soak/placement.go
+++ b/internal/bench/soak/placement.go
@@ -65,7 +65,7 @@
 	}
 	configuration.SlowStart = make(map[string]standin.SlowStart)
 	for service, rate := range coldPerSecond {
-		configuration.SlowStart[service] = standin.SlowStart{Seconds: coldStart.Seconds(), PerSecond: rate}
+		configuration.SlowStart[service] = standin.SlowStart{ColdSeconds: coldStart.Seconds(), RequestsPerSecond: rate}
 	}
 }
 
--- a/internal/bench/soak/tenants.go
+++ b/internal/bench/soak/tenants.go
@@ -55,7 +55,7 @@
 		id, sent := d.newID("revoked-"), time.Now()
 		path := standin.PrefixLookup + id
 		client := d.client.WithKey(liveKey(version - liveKeys))
-		answer, err := client.Live(ctx, target.callerAddress, path, id, "", callDeadline)
+		answer, err := client.SendLive(ctx, target.callerAddress, path, id, "", callDeadline)
 		d.history.addCall(LiveCall{ID: id, Path: path, Kind: standin.RouteSafe, SentAt: sent, Answer: answer, Intact: err == nil})
 		if err != nil {
 			continue
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -80,8 +80,8 @@
 	return c.http.Do(request)
 }
 
-// Live sends a live request to a node. An error means that no complete response was received.
-func (c *Client) Live(ctx context.Context, address, path, id, body string, deadline time.Duration) (LiveResponse, error) {
+// SendLive sends a live request to a node. An error means that no complete response was received.
+func (c *Client) SendLive(ctx context.Context, address, path, id, body string, deadline time.Duration) (LiveResponse, error) {
 	response, err := c.do(ctx, http.MethodPost, address, path, []byte(body), map[string]string{
 		headerRequestID: id, headerDeadline: strconv.FormatInt(deadline.Milliseconds(), 10), headerModel: ModelDrafts,
 	})
@@ -199,8 +199,8 @@
 	return statusOf(response, err)
 }
 
-// End ends a job and returns the response status.
-func (c *Client) End(ctx context.Context, address, jobID string) (int, error) {
+// EndJob ends a job and returns the response status.
+func (c *Client) EndJob(ctx context.Context, address, jobID string) (int, error) {
 	response, err := c.do(ctx, http.MethodDelete, address, "/lots/"+jobID, nil, nil)
 	return statusOf(response, err)
 }
--- a/internal/standin/platform/duties.go
+++ b/internal/standin/platform/duties.go
@@ -99,8 +99,8 @@
 	return append([]ScaleCall(nil), d.scale...)
 }
 
-// Reported returns the accepted counts of each window, and the windows for which accepted reports differ.
-func (d *Duties) Reported() (windows map[int64]map[string]int64, differing []int64) {
+// AcceptedUsage returns the accepted counts of each window, and the windows for which accepted reports differ.
+func (d *Duties) AcceptedUsage() (windows map[int64]map[string]int64, differing []int64) {
 	windows = make(map[int64]map[string]int64)
 	for _, call := range d.Usage() {
 		if call.Status != http.StatusOK {
--- a/internal/standin/platform/engine.go
+++ b/internal/standin/platform/engine.go
@@ -57,10 +57,10 @@
 	Path  string
 	Query string
 	Body  string
-	// After is the ID of the last event that the sender already has, from the Last-Event-Id header; 0 for none.
-	After int64
-	Host  string
-	At    time.Time
+	// LastEventID is the ID of the last event that the sender already has, from the Last-Event-Id header; 0 for none.
+	LastEventID int64
+	Host        string
+	At          time.Time
 	// Tenant and Credentials are the tenant and the client's Authorization header as forwarded to the engine.
 	Tenant      string
 	Credentials string
@@ -74,10 +74,10 @@
 	At      time.Time
 	// From is the sender's IP address.
 	From string
-	// Expected is the number of accepted orders that the sender assumed, or countUnknown if it stated none.
-	// Taken is the number of orders that the engine had accepted by then.
-	Expected int64
-	Taken    int64
+	// ExpectedCount is the number of accepted orders that the sender assumed, or countUnknown if it stated none.
+	// AcceptedCount is the number of orders that the engine had accepted by then.
+	ExpectedCount int64
+	AcceptedCount int64
 	// Status is the response status.
 	Status int
 }
@@ -178,8 +178,8 @@
 	return e.versions[model]
 }
 
-// Holders returns the lease holder that sent each accepted order, in order of arrival.
-func (e *Engine) Holders() []string {
+// OrderHolders returns the lease holder that sent each accepted order, in order of arrival.
+func (e *Engine) OrderHolders() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var holders []string
@@ -253,10 +253,10 @@
 	if fault == RefusesFull || e.running >= e.options.Slots {
 		return Run{}, RefusesFull, false
 	}
-	after, _ := strconv.ParseInt(r.Header.Get(headerLastEvent), 10, 64)
+	lastEventID, _ := strconv.ParseInt(r.Header.Get(headerLastEvent), 10, 64)
 	e.running++
 	run := Run{
-		ID: id, Path: r.URL.Path, Query: r.URL.RawQuery, Body: body, After: after, Host: r.Host, At: time.Now(),
+		ID: id, Path: r.URL.Path, Query: r.URL.RawQuery, Body: body, LastEventID: lastEventID, Host: r.Host, At: time.Now(),
 		Tenant: r.Header.Get(headerTenant), Credentials: r.Header.Get(headerCredentials),
 	}
 	e.runs = append(e.runs, run)
--- a/internal/standin/platform/engine_control.go
+++ b/internal/standin/platform/engine_control.go
@@ -26,7 +26,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// countUnknown is ReceivedOrder.Expected for an order that does not state a count.
+// countUnknown is ReceivedOrder.ExpectedCount for an order that does not state a count.
 const countUnknown = -1
 
 // hostOf returns an address without its port.
@@ -65,10 +65,10 @@
 	}
 	received := ReceivedOrder{
 		Holder: body.Holder, Fence: body.Fence, Version: body.Version, At: time.Now(), From: hostOf(r.RemoteAddr),
-		Expected: countUnknown, Taken: e.orders, Status: status,
+		ExpectedCount: countUnknown, AcceptedCount: e.orders, Status: status,
 	}
 	if body.Expected != nil {
-		received.Expected = *body.Expected
+		received.ExpectedCount = *body.Expected
 	}
 	e.received = append(e.received, received)
 	if status != http.StatusAccepted {
--- a/internal/standin/platform/engine_responses.go
+++ b/internal/standin/platform/engine_responses.go
@@ -42,7 +42,7 @@
 		abortConnection()
 	case RespondsWrongID:
 		w.Header().Set(headerRequestID, "another")
-		_, _ = io.WriteString(w, Answer(id))
+		_, _ = io.WriteString(w, PlainBody(id))
 	default:
 		if len(e.options.Versions) > 0 {
 			e.writeStream(w, r, run, fault)
@@ -59,14 +59,14 @@
 // Stamp returns the signature that an engine adds to its response to a request.
 func Stamp(id string) string { return "stamp-" + id }
 
-// Answer returns the body of a plain response.
-func Answer(id string) string { return "the whole answer to " + id }
+// PlainBody returns the body of a plain response.
+func PlainBody(id string) string { return "the whole answer to " + id }
 
 // EventData returns the data of an event of an item.
 func EventData(id string, number int) string { return fmt.Sprintf("%s-%d", id, number) }
 
-// Text returns the complete output of an item: the data of all its events.
-func Text(id string, events int) string {
+// ItemText returns the complete output of an item: the data of all its events.
+func ItemText(id string, events int) string {
 	lines := make([]string, events)
 	for i := range lines {
 		lines[i] = EventData(id, i+1)
@@ -75,21 +75,21 @@
 }
 
 func (e *Engine) writePlain(w http.ResponseWriter, id string, fault EngineFault) {
-	answer := Answer(id)
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
+	body := PlainBody(id)
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if fault == TruncatesResponse {
-		_, _ = io.WriteString(w, answer[:len(answer)/2])
+		_, _ = io.WriteString(w, body[:len(body)/2])
 		abortConnection()
 	}
-	_, _ = io.WriteString(w, answer)
+	_, _ = io.WriteString(w, body)
 	if fault == DuplicatesResponse {
-		writeDuplicate(w, answer)
+		writeDuplicate(w, body)
 	}
 }
 
 // writeDuplicate sends a second response, which a client that reuses the connection would take for the response
 // to its next request.
-func writeDuplicate(w http.ResponseWriter, answer string) {
+func writeDuplicate(w http.ResponseWriter, body string) {
 	controller := http.NewResponseController(w)
 	if controller.Flush() != nil {
 		return
@@ -100,7 +100,7 @@
 	}
 	defer connection.Close()
 	_, _ = fmt.Fprintf(buffered, "HTTP/1.1 200 OK\r\n%s: another\r\nContent-Length: %d\r\n\r\n%s",
-		headerRequestID, len(answer), answer)
+		headerRequestID, len(body), body)
 	_ = buffered.Flush()
 }
 
--- a/internal/standin/platform/operator.go
+++ b/internal/standin/platform/operator.go
@@ -56,8 +56,8 @@
 // SlowStart configures the cold phase after an engine's start: its duration, and the rate of requests that a cold
 // engine takes.
 type SlowStart struct {
-	Seconds   float64
-	PerSecond float64
+	ColdSeconds       float64
+	RequestsPerSecond float64
 }
 
 // Configuration is a configuration that an operator activates.
@@ -102,7 +102,7 @@
 	all := []wireService{lookup, drafts}
 	for i := range all {
 		slowStart := c.SlowStart[all[i].Name]
-		all[i].ColdSeconds, all[i].ColdPerSecond = slowStart.Seconds, slowStart.PerSecond
+		all[i].ColdSeconds, all[i].ColdPerSecond = slowStart.ColdSeconds, slowStart.RequestsPerSecond
 	}
 	return all
 }
@@ -151,8 +151,8 @@
 	s.Log.Put(topicControl, keyConfiguration, configuration.encode())
 }
 
-// NameVersion publishes the current weight version of a model.
-func (s *Store) NameVersion(model string, version int64) {
+// PublishVersion publishes the current weight version of a model.
+func (s *Store) PublishVersion(model string, version int64) {
 	s.Log.Put(topicControl, "version/"+model, fmt.Appendf(nil, `{"model":%q,"version":%d}`, model, version))
 }
 
--- a/internal/standin/platform/service.go
+++ b/internal/standin/platform/service.go
@@ -114,7 +114,7 @@
 		return err
 	}
 	s.store.Configure(s.configuration())
-	s.store.Slow(s.config.ResponseDelay)
+	s.store.SetDelay(s.config.ResponseDelay)
 	s.store.Log.SetFault(s.newFaultFunc())
 	serve(s.listener, s.store)
 	group.Go(func() error {
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -105,15 +105,15 @@
 	return "", pattern, false
 }
 
-// Refuse sets the function that returns the status with which a call is refused, or zero to serve it.
-func (s *Store) Refuse(refuse func(r *http.Request) int) {
+// SetRefusal sets the function that returns the status with which a call is refused, or zero to serve it.
+func (s *Store) SetRefusal(refuse func(r *http.Request) int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refuse = refuse
 }
 
-// Slow sets the time before each response.
-func (s *Store) Slow(delay time.Duration) {
+// SetDelay sets the time before each response.
+func (s *Store) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = delay
--- a/test/hosted/batch_test.go
+++ b/test/hosted/batch_test.go
@@ -39,7 +39,7 @@
 		assert.Assert(t, !seen[result.ID], "%s is at two positions", result.ID)
 		seen[result.ID] = true
 		assert.Equal(t, result.State, "completed")
-		assert.Equal(t, result.Text, standin.Text(result.ID, events))
+		assert.Equal(t, result.Text, standin.ItemText(result.ID, events))
 	}
 	assert.Equal(t, len(seen), len(ids))
 }
@@ -177,7 +177,7 @@
 	resumed := 0
 	for _, engine := range engines {
 		for _, run := range engine.Runs() {
-			if run.After > 0 {
+			if run.LastEventID > 0 {
 				resumed++
 			}
 		}
@@ -259,8 +259,8 @@
 	}
 	for _, engine := range d.engines {
 		assert.Assert(t, engine.Version(model) >= 1)
-		for _, holder := range engine.Holders() {
-			assert.Equal(t, holder, engine.Holders()[0])
+		for _, holder := range engine.OrderHolders() {
+			assert.Equal(t, holder, engine.OrderHolders()[0])
 		}
 	}
 }
@@ -272,7 +272,7 @@
 	d.addModelEngine("e1", 1, 4, 0)
 	d.configure(batchRoute("/batch/"))
 	node := d.start("n1")
-	d.store.Refuse(func(r *http.Request) int {
+	d.store.SetRefusal(func(r *http.Request) int {
 		if strings.HasPrefix(r.URL.Path, "/log-read") {
 			return http.StatusServiceUnavailable
 		}
@@ -280,7 +280,7 @@
 	})
 	_, status := node.readResults("job1", 0)
 	assert.Equal(t, status, http.StatusServiceUnavailable)
-	d.store.Refuse(nil)
+	d.store.SetRefusal(nil)
 	testwait.Until(t, "the job to be not found", func() bool {
 		_, status := node.readResults("job1", 0)
 		return status == http.StatusNotFound
--- a/test/hosted/crash_test.go
+++ b/test/hosted/crash_test.go
@@ -171,7 +171,7 @@
 			continue
 		}
 		assert.Equal(t, result.State, "completed", result.ID)
-		assert.Equal(t, result.Text, standin.Text(result.ID, 20))
+		assert.Equal(t, result.Text, standin.ItemText(result.ID, 20))
 	}
 	assertCrashesBounded(t, hosts)
 }
@@ -358,7 +358,7 @@
 	}
 	for _, result := range d.awaitResults(node, "job1", len(ids)).Results {
 		assert.Equal(t, result.State, "completed")
-		assert.Equal(t, result.Text, standin.Text(result.ID, 60))
+		assert.Equal(t, result.Text, standin.ItemText(result.ID, 60))
 	}
 	assert.Assert(t, !strings.Contains(node.logs.String(), "item kept away from engines"))
 }
--- a/test/hosted/duties_test.go
+++ b/test/hosted/duties_test.go
@@ -32,7 +32,7 @@
 
 // reportedUsage sums a tenant's reported usage over all windows.
 func reportedUsage(duties *standin.Duties, tenant string) int64 {
-	windows, _ := duties.Reported()
+	windows, _ := duties.AcceptedUsage()
 	var sum int64
 	for _, counts := range windows {
 		sum += counts[tenant]
@@ -78,7 +78,7 @@
 	testwait.Until(t, "all usage to be reported", func() bool {
 		return reportedUsage(duties, "first") == answered["first"] && reportedUsage(duties, "second") == answered["second"]
 	})
-	windows, differing := duties.Reported()
+	windows, differing := duties.AcceptedUsage()
 	assert.Equal(t, len(differing), 0, "windows with two reports: %v", differing)
 	assertNoWindowGap(t, windows)
 	holders := map[int64]string{}
@@ -132,7 +132,7 @@
 		http.StatusUnauthorized)
 	sent := time.Now().Unix()
 	testwait.Until(t, "the windows to be reported", func() bool {
-		windows, _ := duties.Reported()
+		windows, _ := duties.AcceptedUsage()
 		_, found := windows[sent+2]
 		return found
 	})
--- a/test/hosted/evacuation_test.go
+++ b/test/hosted/evacuation_test.go
@@ -287,7 +287,7 @@
 	status, code := nodes[0].requestEvacuation(t, http.MethodPut, "z%20a")
 	assert.Equal(t, status, http.StatusBadRequest)
 	assert.Equal(t, code, "invalid_request")
-	d.store.Refuse(func(*http.Request) int { return http.StatusServiceUnavailable })
+	d.store.SetRefusal(func(*http.Request) int { return http.StatusServiceUnavailable })
 	status, code = nodes[0].requestEvacuation(t, http.MethodPut, "zb")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Equal(t, code, "log_unavailable")
--- a/test/hosted/incarnation_test.go
+++ b/test/hosted/incarnation_test.go
@@ -71,7 +71,7 @@
 			assert.DeepEqual(t, result.Versions, []int64{2})
 		}
 		assert.Equal(t, currentEngine(host).ID(), "llm-1")
-		assert.Equal(t, len(currentEngine(host).Holders()), 1, "one order for each incarnation")
+		assert.Equal(t, len(currentEngine(host).OrderHolders()), 1, "one order for each incarnation")
 	}
 	assert.Assert(t, strings.Contains(node.logs.String(), "engine started again"))
 	assert.Assert(t, !strings.Contains(node.logs.String(), "engine gone"))
@@ -93,7 +93,7 @@
 	host.Crash()
 	for _, result := range d.awaitResults(node, "job1", len(ids)).Results {
 		assert.Equal(t, result.State, "completed")
-		assert.Equal(t, result.Text, standin.Text(result.ID, 30))
+		assert.Equal(t, result.Text, standin.ItemText(result.ID, 30))
 	}
 }
 
--- a/test/hosted/live_test.go
+++ b/test/hosted/live_test.go
@@ -25,7 +25,7 @@
 	got := node.call(http.MethodPost, "/a/x%20y?k=1&k=2", "id1", "the body", "X-Own", "kept")
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
-	assert.Equal(t, got.body, standin.Answer("id1"))
+	assert.Equal(t, got.body, standin.PlainBody("id1"))
 	assert.Equal(t, got.header.Get("X-Corkpulley-Server-Stamp"), "stamp-id1")
 	runs := engine.Runs()
 	assert.Equal(t, len(runs), 1)
@@ -72,7 +72,7 @@
 			got := node.call(http.MethodPost, "/a/x", "id1", "")
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.status, http.StatusOK)
-			assert.Equal(t, got.body, standin.Answer("id1"))
+			assert.Equal(t, got.body, standin.PlainBody("id1"))
 		})
 	}
 }
@@ -142,7 +142,7 @@
 	for _, id := range []string{"odd1", "even1", "odd2", "even2"} {
 		got := node.call(http.MethodPost, "/a/x", id, "")
 		if got.status == http.StatusOK {
-			assert.Equal(t, got.body, standin.Answer(id))
+			assert.Equal(t, got.body, standin.PlainBody(id))
 		}
 	}
 }
