--- a/internal/bench/demo/config.go
+++ b/internal/bench/demo/config.go
@@ -86,7 +86,7 @@
 		Servers:          deployment.CallerURLs(),
 		Trainer:          trainerName,
 		Steps:            max(2, int(duration/time.Second)/secondsPerStep),
-		Ahead:            1,
+		StepsAhead:       1,
 		Prompts:          6,
 		SamplesPerPrompt: 4,
 		MaxTokens:        128,
@@ -96,7 +96,7 @@
 		TrainTime:        500 * time.Millisecond,
 		WeightStore:      "http://" + deployment.Platform.WeightStore,
 		Model:            trainerModel,
-		Bound:            stalenessBound,
+		StalenessBound:   stalenessBound,
 		CheckTokens:      true,
 	}
 }
--- a/internal/bench/experiment/histories.go
+++ b/internal/bench/experiment/histories.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		busyTime, tokens := r.busyTime(history)
-		utilisation := ratio(busyTime, float64(pool.Batch)*float64(window.Nanoseconds()))
+		utilisation := ratio(busyTime, float64(pool.MaxBatch)*float64(window.Nanoseconds()))
 		result.Utilisation += utilisation / float64(pool.Engines)
 		result.LowestUtilisation = min(result.LowestUtilisation, utilisation)
 		result.HighestUtilisation = max(result.HighestUtilisation, utilisation)
--- a/internal/bench/experiment/measure.go
+++ b/internal/bench/experiment/measure.go
@@ -37,11 +37,11 @@
 	for index, service := range r.Workload.Live {
 		withoutTrainers, withTrainers := r.withoutTrainers[index].Summary(), r.withTrainers[index].Summary()
 		figures := LiveResult{
-			Service:    service.Service,
-			SharesPool: r.Workload.SharesPool(service.Service),
-			Alone:      liveFigures(withoutTrainers),
-			Beside:     liveFigures(withTrainers),
-			P99Ratio:   ratio(withTrainers.TimeToFirstToken.P99, withoutTrainers.TimeToFirstToken.P99),
+			Service:         service.Service,
+			SharesPool:      r.Workload.SharesPool(service.Service),
+			WithoutTrainers: liveFigures(withoutTrainers),
+			WithTrainers:    liveFigures(withTrainers),
+			P99Ratio:        ratio(withTrainers.TimeToFirstToken.P99, withoutTrainers.TimeToFirstToken.P99),
 		}
 		if figures.SharesPool {
 			result.LiveP99Ratio = max(result.LiveP99Ratio, figures.P99Ratio)
@@ -105,7 +105,7 @@
 func trainerResult(spec workload.Trainer, report trainer.Report, steps []stepWork) TrainerResult {
 	figures := TrainerResult{
 		Service:       spec.Service,
-		Bound:         spec.Bound,
+		Bound:         spec.StalenessBound,
 		Steps:         report.StepsTrained,
 		Samples:       report.SamplesAcknowledged,
 		IdleSeconds:   report.IdleSeconds,
@@ -165,8 +165,8 @@
 
 // capacity returns the tokens per second that a pool generates with full batches.
 func capacity(pool workload.Pool) float64 {
-	step := engine.StepTime(pool.TokenInterval, pool.Batch)
-	return float64(pool.Engines*pool.Batch) * float64(time.Second) / float64(step)
+	step := engine.StepTime(pool.TokenInterval, pool.MaxBatch)
+	return float64(pool.Engines*pool.MaxBatch) * float64(time.Second) / float64(step)
 }
 
 func quantile(probability float64, values []uint64) float64 {
--- a/internal/bench/experiment/result.go
+++ b/internal/bench/experiment/result.go
@@ -62,15 +62,15 @@
 	PrefixHitShare float64 `json:"prefix_hit_share"`
 }
 
-// LiveResult holds the measurements by the callers of one service: Alone without
-// trainers, Beside with trainers running.
+// LiveResult holds the measurements by the callers of one service, without and
+// with trainers running.
 type LiveResult struct {
 	Service string `json:"service"`
 	// SharesPool reports whether the service's engines also serve trainers.
-	SharesPool bool        `json:"shares_pool"`
-	Alone      LiveFigures `json:"alone"`
-	Beside     LiveFigures `json:"beside"`
-	P99Ratio   float64     `json:"p99_ratio"`
+	SharesPool      bool        `json:"shares_pool"`
+	WithoutTrainers LiveFigures `json:"alone"`
+	WithTrainers    LiveFigures `json:"beside"`
+	P99Ratio        float64     `json:"p99_ratio"`
 }
 
 // LiveFigures holds the measurements of one service in one phase of a run.
--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -37,7 +37,7 @@
 	fmt.Fprintf(text, "workload %s: zones %s\n", spec.Name, strings.Join(spec.Zones, ", "))
 	for _, pool := range spec.Pools {
 		fmt.Fprintf(text, "  pool %s: %d engines, batches of %d, %s a token\n",
-			pool.Name, pool.Engines, pool.Batch, pool.TokenInterval)
+			pool.Name, pool.Engines, pool.MaxBatch, pool.TokenInterval)
 	}
 	fmt.Fprintf(text, "  one second stands for %.0f; link latencies are not scaled: %s between zones and %s to callers, one way,\n"+
 		"  so network latency is overrepresented by a factor of %.0f\n",
@@ -86,7 +86,7 @@
 			for _, load := range []struct {
 				name    string
 				figures experiment.LiveFigures
-			}{{"alone", service.Alone}, {"with trainers", service.Beside}} {
+			}{{"alone", service.WithoutTrainers}, {"with trainers", service.WithTrainers}} {
 				rows = append(rows, fmt.Sprintf("%s|%d|%s|%s|%d/%d|%.1f|%.1f|%.1f|%.1f|%.1f %%",
 					result.Policy, result.Seed, service.Service, load.name, load.figures.OK, load.figures.Requests,
 					load.figures.FirstToken.P50, load.figures.FirstToken.P99, load.figures.Latency.P50, load.figures.Latency.P99,
--- a/internal/bench/soak/check_placement_test.go
+++ b/internal/bench/soak/check_placement_test.go
@@ -215,7 +215,7 @@
 	}
 }
 
-// Kept seeds must replay the faults under which they failed.
+// Regression seeds must replay the faults under which they failed.
 func TestDrawPlacementStableForSeed(t *testing.T) {
 	var printed strings.Builder
 	printSchedule(&printed, DrawPlacement(5, 12*time.Second))
--- a/internal/bench/soak/check_test.go
+++ b/internal/bench/soak/check_test.go
@@ -411,7 +411,7 @@
 	assert.DeepEqual(t, shorter[1:], faults[3:])
 }
 
-// Kept seeds must replay the faults under which they failed.
+// Regression seeds must replay the faults under which they failed.
 func TestDrawGeneralStableForSeed(t *testing.T) {
 	var printed strings.Builder
 	printSchedule(&printed, DrawGeneral(4, 21*time.Second))
--- a/internal/bench/soak/seeds.go
+++ b/internal/bench/soak/seeds.go
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// KeptSeed is a seed that failed once and is replayed as a regression test.
-type KeptSeed struct {
+// RegressionSeed is a seed that failed once and is replayed as a regression test.
+type RegressionSeed struct {
 	Number  SeedNumber `toml:"number"`
 	Minutes float64    `toml:"minutes"`
 	// EnginesFence and Schedule are the flags under which it failed.
@@ -35,28 +35,28 @@
 	Fix     string `toml:"mended"`
 }
 
-func (k KeptSeed) check() error {
+func (s RegressionSeed) check() error {
 	switch {
-	case k.Number == 0:
+	case s.Number == 0:
 		return errors.New("kept seed without a number")
-	case k.Minutes < minMinutes || k.Minutes > maxMinutes:
-		return errors.Errorf("seed %d: minutes is %g, expected %g..%d", k.Number, k.Minutes, minMinutes, maxMinutes)
-	case k.FoundOn == "" || k.Rule == "" || k.Cause == "" || k.Fix == "":
-		return errors.Errorf("seed %d: found, rule, cause and mended must be set", k.Number)
+	case s.Minutes < minMinutes || s.Minutes > maxMinutes:
+		return errors.Errorf("seed %d: minutes is %g, expected %g..%d", s.Number, s.Minutes, minMinutes, maxMinutes)
+	case s.FoundOn == "" || s.Rule == "" || s.Cause == "" || s.Fix == "":
+		return errors.Errorf("seed %d: found, rule, cause and mended must be set", s.Number)
 	}
-	if k.EnginesFence != EnginesFenceYes && k.EnginesFence != EnginesFenceNo {
-		return errors.Errorf("seed %d: engines_fence is %q, expected %s or %s", k.Number, k.EnginesFence, EnginesFenceYes, EnginesFenceNo)
+	if s.EnginesFence != EnginesFenceYes && s.EnginesFence != EnginesFenceNo {
+		return errors.Errorf("seed %d: engines_fence is %q, expected %s or %s", s.Number, s.EnginesFence, EnginesFenceYes, EnginesFenceNo)
 	}
-	if !slices.Contains(schedules, k.Schedule) {
-		return errors.Errorf("seed %d: schedule is %q, expected one of %q", k.Number, k.Schedule, schedules)
+	if !slices.Contains(schedules, s.Schedule) {
+		return errors.Errorf("seed %d: schedule is %q, expected one of %q", s.Number, s.Schedule, schedules)
 	}
 	return nil
 }
 
-// ReadSeeds reads and validates a file of kept seeds.
-func ReadSeeds(path string) ([]KeptSeed, error) {
+// ReadSeeds reads and validates a file of regression seeds.
+func ReadSeeds(path string) ([]RegressionSeed, error) {
 	var file struct {
-		Seeds []KeptSeed `toml:"seed"`
+		Seeds []RegressionSeed `toml:"seed"`
 	}
 	decoded, err := toml.DecodeFile(path, &file)
 	if err != nil {
--- a/internal/bench/soak/seeds_test.go
+++ b/internal/bench/soak/seeds_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// writeSeedsFile writes a file with one kept seed; number is a TOML value.
+// writeSeedsFile writes a file with one regression seed; number is a TOML value.
 func writeSeedsFile(t *testing.T, number string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "seeds.toml")
@@ -29,9 +29,9 @@
 // Guards against drawn seeds that cannot be kept: half of them exceed TOML's integers.
 func TestReadSeedsNumberRange(t *testing.T) {
 	for number, want := range map[string]SeedNumber{"7": 7, `"18446744073709551615"`: math.MaxUint64} {
-		kept, err := ReadSeeds(writeSeedsFile(t, number))
+		seeds, err := ReadSeeds(writeSeedsFile(t, number))
 		assert.NilError(t, err)
-		assert.Equal(t, kept[0].Number, want)
+		assert.Equal(t, seeds[0].Number, want)
 	}
 	for _, number := range []string{`"18446744073709551616"`, `"x"`, "-1", "0"} {
 		_, err := ReadSeeds(writeSeedsFile(t, number))
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -112,7 +112,7 @@
 	return checkMode("--schedule", a.Schedule, schedules...)
 }
 
-// Run runs a soak, or one for each kept seed. It writes progress to output and, with JSON set, the summary
+// Run runs a soak, or one for each regression seed. It writes progress to output and, with JSON set, the summary
 // as the last line. It returns ErrViolation if an invariant was violated. No process is left running.
 func Run(ctx context.Context, arguments *Arguments, output io.Writer) error {
 	if err := arguments.check(); err != nil {
@@ -121,12 +121,12 @@
 	if arguments.Seeds == "" {
 		return runSeed(ctx, arguments, output)
 	}
-	kept, err := ReadSeeds(arguments.Seeds)
+	seeds, err := ReadSeeds(arguments.Seeds)
 	if err != nil {
 		return err
 	}
 	var failed error
-	for _, seed := range kept {
+	for _, seed := range seeds {
 		replay := *arguments
 		replay.Seed, replay.Minutes = uint64(seed.Number), seed.Minutes
 		replay.EnginesFence, replay.Schedule = seed.EnginesFence, seed.Schedule
--- a/internal/bench/topology/config.go
+++ b/internal/bench/topology/config.go
@@ -60,15 +60,15 @@
 	Policy string
 	// NodeArguments are additional flags of every daemon.
 	NodeArguments []string
-	// Faults adds a proxy to each link: to each node's peer address, from each
+	// FaultProxies adds a proxy to each link: to each node's peer address, from each
 	// node to the log, and to each engine.
-	Faults bool
+	FaultProxies bool
 	// PeerLatency, CallerLatency and EngineLatency are one-way latencies. The
 	// first two add a proxy to each node's peer or caller address even without
-	// Faults.
+	// FaultProxies.
 	PeerLatency   time.Duration
 	CallerLatency time.Duration
-	// EngineLatency has no effect without Faults.
+	// EngineLatency has no effect without FaultProxies.
 	EngineLatency time.Duration
 	// PlatformArguments are additional flags of the platform stand-ins, by kind.
 	PlatformArguments map[string][]string
--- a/internal/bench/topology/engine.go
+++ b/internal/bench/topology/engine.go
@@ -20,7 +20,7 @@
 	Pool string
 	// Address is the address that the engine listens on, without the proxy.
 	Address string
-	// Link is the proxy for all traffic from the nodes; nil without Config.Faults.
+	// Link is the proxy for all traffic from the nodes; nil without Config.FaultProxies.
 	Link   *faultproxy.Link
 	config EngineConfig
 }
@@ -36,7 +36,7 @@
 		Address: address,
 		config:  config,
 	}
-	if d.config.Faults {
+	if d.config.FaultProxies {
 		created.Link, err = d.addLink("engine-"+config.ID, address, d.config.EngineLatency)
 	}
 	return created, err
--- a/internal/bench/topology/node.go
+++ b/internal/bench/topology/node.go
@@ -21,9 +21,9 @@
 	// Advertised is the peer address advertised to other nodes: the proxy's, if any.
 	Advertised string
 	// PeerLink is the proxy for peer traffic to this node; nil without
-	// Config.Faults and Config.PeerLatency.
+	// Config.FaultProxies and Config.PeerLatency.
 	PeerLink *faultproxy.Link
-	// LogLink is the proxy for this node's traffic to the log; nil without Config.Faults.
+	// LogLink is the proxy for this node's traffic to the log; nil without Config.FaultProxies.
 	LogLink *faultproxy.Link
 	// CallerLink is the proxy for caller traffic; nil without Config.CallerLatency.
 	CallerLink *faultproxy.Link
@@ -51,14 +51,14 @@
 			return err
 		}
 	}
-	if config.Faults || config.PeerLatency > 0 {
+	if config.FaultProxies || config.PeerLatency > 0 {
 		n.PeerLink, err = n.deployment.addLink("peer-"+n.ID, n.Peers, config.PeerLatency)
 		if err != nil {
 			return err
 		}
 		n.Advertised = n.PeerLink.Address()
 	}
-	if config.Faults {
+	if config.FaultProxies {
 		n.LogLink, err = n.deployment.addLink("log-"+n.ID, n.deployment.Platform.Log, 0)
 	}
 	return err
--- a/internal/bench/topology/topology_test.go
+++ b/internal/bench/topology/topology_test.go
@@ -41,7 +41,7 @@
 			{ID: "e1", Zone: "a", Pool: "p", Models: []string{"clerk@1"}, MaxBatch: 4, TokenInterval: time.Millisecond},
 			{ID: "e2", Zone: "b", Pool: "p", Models: []string{"clerk@1"}, LoadTime: time.Millisecond},
 		},
-		Faults: true,
+		FaultProxies: true,
 	})
 	assert.NilError(t, err)
 	t.Cleanup(deployment.Close)
--- a/internal/bench/workload/deploy.go
+++ b/internal/bench/workload/deploy.go
@@ -52,7 +52,7 @@
 			Zone:          w.Zones[number%len(w.Zones)],
 			Pool:          pool.Name,
 			Models:        pool.Models,
-			MaxBatch:      pool.Batch,
+			MaxBatch:      pool.MaxBatch,
 			TokenInterval: pool.TokenInterval,
 			LoadTime:      pool.LoadTime,
 			Arguments: []string{
@@ -78,7 +78,7 @@
 	}
 	for _, service := range w.Trainers {
 		fmt.Fprintf(&table, "%s,trainer,%s,%s,latest,%d,100,%d,-,yes,*,%d\n",
-			service.Service, service.Pool, service.Model, trainPriority, service.Bound, minServingPercent)
+			service.Service, service.Pool, service.Model, trainPriority, service.StalenessBound, minServingPercent)
 	}
 	return table.String()
 }
@@ -112,19 +112,19 @@
 			Servers:          servers,
 			Trainer:          service.Service,
 			Steps:            service.Steps,
-			Ahead:            service.Ahead,
+			StepsAhead:       service.Ahead,
 			Prompts:          service.Prompts,
 			SamplesPerPrompt: service.SamplesPerPrompt,
 			MaxTokens:        service.MaxTokens,
 			Groups:           len(service.GroupMinTokens),
-			GroupShortest:    service.GroupMinTokens,
+			GroupMinTokens:   service.GroupMinTokens,
 			PrefixBytes:      service.PrefixBytes,
 			Seed:             int64(seed)*int64(len(w.Trainers)) + int64(index),
 			TrainTime:        service.TrainTime,
 			WeightStore:      store,
 			WeightBytes:      weightBytes,
 			Model:            service.Model,
-			Bound:            service.Bound,
+			StalenessBound:   service.StalenessBound,
 			CheckTokens:      true,
 		})
 	}
--- a/internal/bench/workload/workload.go
+++ b/internal/bench/workload/workload.go
@@ -32,8 +32,8 @@
 	Engines int
 	// Models are loaded at startup, at version 1.
 	Models []string
-	// Batch is the maximum number of concurrent requests of one engine, at least 1.
-	Batch int
+	// MaxBatch is the maximum number of concurrent requests of one engine, at least 1.
+	MaxBatch int
 	// TokenInterval is the time per token in a batch of one.
 	TokenInterval time.Duration
 	// PrefillPerToken is the prefill time of each prompt token that is not cached.
@@ -63,8 +63,8 @@
 	Service string
 	Pool    string
 	Model   string
-	// Bound is the staleness bound in the policy table, in versions.
-	Bound int
+	// StalenessBound is the staleness bound in the policy table, in versions.
+	StalenessBound int
 	// Ahead is the number of steps submitted ahead of the one being trained.
 	Ahead            int
 	Steps            int
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -243,12 +243,12 @@
 // and a trainer restart: no sample may be lost or acknowledged twice.
 func TestTrainerCompletesStepsDespiteFaults(t *testing.T) {
 	d := newDeployment(t)
-	d.log.SetControl(standinlog.Control{LoseAnswers: 0.3, LateMS: 20, Refuse: 0.1})
+	d.log.SetControl(standinlog.Control{LostResponseShare: 0.3, LostResponseDelayMS: 20, RefuseShare: 0.1})
 	a, b, c := d.start("a"), d.start("b"), d.start("c")
 	config := trainer.Config{
 		Servers: []string{a.server.URL, b.server.URL, c.server.URL},
-		Trainer: trainerName, Steps: 4, Ahead: 1, Prompts: 3, SamplesPerPrompt: 4, MaxTokens: 16,
-		Seed: 7, TrainTime: time.Millisecond, Store: d.engines, Model: "m", Bound: 1,
+		Trainer: trainerName, Steps: 4, StepsAhead: 1, Prompts: 3, SamplesPerPrompt: 4, MaxTokens: 16,
+		Seed: 7, TrainTime: time.Millisecond, Store: d.engines, Model: "m", StalenessBound: 1,
 		FetchMax: 5, FetchWait: time.Second, CheckTokens: true,
 	}
 	journal := trainer.NewJournal()
--- a/internal/standin/fakelease/fakelease.go
+++ b/internal/standin/fakelease/fakelease.go
@@ -77,11 +77,11 @@
 	t.ended = ended
 }
 
-// ClosePermits closes all permits, including future ones, or reopens them if permitsClosed is false.
-func (t *Term) ClosePermits(permitsClosed bool) {
+// SetPermitsClosed closes all permits, including future ones, or reopens them.
+func (t *Term) SetPermitsClosed(closed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.permitsClosed = permitsClosed
+	t.permitsClosed = closed
 }
 
 // Permitted returns the subjects of all permits granted so far.
--- a/internal/standin/logservice/server.go
+++ b/internal/standin/logservice/server.go
@@ -35,12 +35,12 @@
 	LatencyMS int64 `json:"latency_ms"`
 	// Down makes every call fail with 503 and without an effect. The response does not say that nothing was appended.
 	Down bool `json:"down"`
-	// LoseAnswers is the share (0..1) of appends that take effect and whose connection is closed without a response.
-	LoseAnswers float64 `json:"lose_answers"`
-	// LateMS delays the effect of appends whose response is lost, in milliseconds.
-	LateMS int64 `json:"late_ms"`
-	// Refuse is the share (0..1) of appends that are refused explicitly.
-	Refuse float64 `json:"refuse"`
+	// LostResponseShare is the share (0..1) of appends that take effect and whose connection is closed without a response.
+	LostResponseShare float64 `json:"lose_answers"`
+	// LostResponseDelayMS delays the effect of appends whose response is lost, in milliseconds.
+	LostResponseDelayMS int64 `json:"late_ms"`
+	// RefuseShare is the share (0..1) of appends that are refused explicitly.
+	RefuseShare float64 `json:"refuse"`
 }
 
 // StreamEnds is the response to GET /v1/streams: the end offset of each stream.
@@ -122,13 +122,13 @@
 		http.Error(writer, "down", http.StatusServiceUnavailable)
 		return
 	}
-	if s.drawFault(control.Refuse) {
+	if s.drawFault(control.RefuseShare) {
 		answer := logservice.AppendResponse{Refused: true, Message: "refused"}
 		httpserver.WriteJSON(writer, http.StatusServiceUnavailable, answer)
 		return
 	}
-	if s.drawFault(control.LoseAnswers) {
-		s.appendAfter(name, body.Records, time.Duration(control.LateMS)*time.Millisecond)
+	if s.drawFault(control.LostResponseShare) {
+		s.appendAfter(name, body.Records, time.Duration(control.LostResponseDelayMS)*time.Millisecond)
 		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	offset := s.append(name, body.Records)
--- a/internal/standin/trainer/config.go
+++ b/internal/standin/trainer/config.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/platform/weightstore"
 )
 
-// UnknownBound is the Config.Bound with which staleness is reported but not checked.
+// UnknownBound is the Config.StalenessBound with which staleness is reported but not checked.
 const UnknownBound = -1
 
 // Config configures a Trainer.
@@ -21,12 +21,12 @@
 	Trainer          string        `arg:"--trainer" help:"service name of the trainer"`
 	StepPrefix       string        `arg:"--step-prefix" default:"step" help:"step IDs are PREFIX-N"`
 	Steps            int           `arg:"--steps" default:"4" help:"number of steps"`
-	Ahead            int           `arg:"--ahead" default:"0" help:"steps submitted ahead of the one being trained"`
+	StepsAhead       int           `arg:"--ahead" default:"0" help:"steps submitted ahead of the one being trained"`
 	Prompts          int           `arg:"--prompts" default:"8" help:"prompts in a step"`
 	SamplesPerPrompt int           `arg:"--samples" default:"4" help:"samples for each prompt"`
 	MaxTokens        int           `arg:"--max-tokens" default:"64" help:"longest answer in tokens"`
 	Groups           int           `arg:"--groups" default:"2" help:"prompt groups; prompts of a group share a prefix"`
-	GroupShortest    []int         `arg:"--group-shortest,separate" help:"shortest answer of each group in tokens (default: the engine's)"`
+	GroupMinTokens   []int         `arg:"--group-shortest,separate" help:"shortest answer of each group in tokens (default: the engine's)"`
 	PrefixBytes      int           `arg:"--prefix-bytes" default:"256" help:"length of a group's shared prefix"`
 	Seed             int64         `arg:"--seed" default:"1" help:"seed of the prompts and samples"`
 	TrainTime        time.Duration `arg:"--train-time" default:"200ms" help:"time that training on a step takes"`
@@ -35,7 +35,7 @@
 	Model            string        `arg:"--model" help:"model that the trainer publishes"`
 	WeightBytes      int64         `arg:"--weight-bytes" default:"1048576" help:"size of a published version"`
 	StartVersion     uint64        `arg:"--start-version" default:"0" help:"version to start from; 0 asks the weight store"`
-	Bound            int           `arg:"--bound" default:"-1" help:"staleness bound of the table's row, to judge samples by; -1: not judged"`
+	StalenessBound   int           `arg:"--bound" default:"-1" help:"staleness bound of the table's row, to judge samples by; -1: not judged"`
 	FetchMax         int           `arg:"--fetch-max" default:"64" help:"samples wanted in one fetch"`
 	FetchWait        time.Duration `arg:"--fetch-wait" default:"5s" help:"longest wait of one fetch"`
 	CheckTokens      bool          `arg:"--check-tokens" default:"true" help:"check each token's text against the named versions"`
@@ -68,7 +68,7 @@
 		return errors.New("trainer: no server configured")
 	case c.Trainer == "":
 		return errors.New("trainer: no service name configured")
-	case c.Steps < 1 || c.Prompts < 1 || c.SamplesPerPrompt < 1 || c.MaxTokens < 1 || c.Ahead < 0:
+	case c.Steps < 1 || c.Prompts < 1 || c.SamplesPerPrompt < 1 || c.MaxTokens < 1 || c.StepsAhead < 0:
 		return errors.New("trainer: steps, prompts, samples and max-tokens must be 1 or more, ahead 0 or more")
 	case c.Model == "" && (c.Store != nil || c.WeightStore != ""):
 		return errors.New("trainer: weight store configured without a model")
--- a/internal/standin/trainer/prompt.go
+++ b/internal/standin/trainer/prompt.go
@@ -58,12 +58,12 @@
 }
 
 // submitVersion returns the trainer's version when it first submits the step: it trains one version per step and
-// submits Ahead steps in advance.
+// submits StepsAhead steps in advance.
 func (t *Trainer) submitVersion(step int) uint64 {
 	t.journal.mutex.Lock()
 	defer t.journal.mutex.Unlock()
 	first := t.journal.version - uint64(t.journal.trainedSteps)
-	return first + uint64(max(0, step-t.config.Ahead))
+	return first + uint64(max(0, step-t.config.StepsAhead))
 }
 
 func (t *Trainer) prompt(step, index int) api.StepPrompt {
@@ -71,8 +71,8 @@
 	line := fmt.Sprintf("[seed %d group %d] shared context. ", t.config.Seed, group)
 	prefix := strings.Repeat(line, t.config.PrefixBytes/len(line)+1)[:t.config.PrefixBytes]
 	text := fmt.Sprintf("%s question %d of step %d", prefix, index, step)
-	if group < len(t.config.GroupShortest) {
-		text += fmt.Sprintf(" [shortest=%d]", t.config.GroupShortest[group])
+	if group < len(t.config.GroupMinTokens) {
+		text += fmt.Sprintf(" [shortest=%d]", t.config.GroupMinTokens[group])
 	}
 	return api.StepPrompt{Group: fmt.Sprintf("group-%d", group), Text: text}
 }
--- a/internal/standin/trainer/report.go
+++ b/internal/standin/trainer/report.go
@@ -37,7 +37,7 @@
 
 // Report returns the counts so far.
 func (t *Trainer) Report() Report {
-	report := t.journal.report(t.config.Bound)
+	report := t.journal.report(t.config.StalenessBound)
 	report.Trainer = t.config.Trainer
 	report.Steps = t.config.Steps
 	report.SamplesWanted = t.config.Steps * t.samplesPerStep()
--- a/internal/standin/trainer/trainer.go
+++ b/internal/standin/trainer/trainer.go
@@ -107,7 +107,7 @@
 // runStep submits the step and those ahead of it, collects its samples, and trains.
 func (t *Trainer) runStep(ctx context.Context, step int) error {
 	began := time.Now()
-	for ahead := step; ahead <= step+t.config.Ahead && ahead < t.config.Steps; ahead++ {
+	for ahead := step; ahead <= step+t.config.StepsAhead && ahead < t.config.Steps; ahead++ {
 		if _, err := t.client.submit(ctx, t.stepID(ahead), t.stepRequest(ahead)); err != nil {
 			return errors.Wrapf(err, "submit step %s", t.stepID(ahead))
 		}
--- a/internal/standin/trainer/trainer_test.go
+++ b/internal/standin/trainer/trainer_test.go
@@ -80,6 +80,6 @@
 	assert.NilError(t, parser.Parse(arguments))
 	assert.DeepEqual(t, config.Servers, []string{"http://a", "http://b"})
 	assert.Assert(t, !config.CheckTokens)
-	assert.Equal(t, config.Bound, UnknownBound)
+	assert.Equal(t, config.StalenessBound, UnknownBound)
 	assert.ErrorContains(t, config.validate(), "start version")
 }
--- a/internal/tables/tables_test.go
+++ b/internal/tables/tables_test.go
@@ -102,7 +102,7 @@
 
 func TestProposeAcceptsOneOfConcurrentEdits(t *testing.T) {
 	network, log := newTestNetwork(), newTestLog(t)
-	log.SetControl(standin.Control{LoseAnswers: 0.5})
+	log.SetControl(standin.Control{LostResponseShare: 0.5})
 	nodes := []*testNode{startNode(t, network, log, "one"), startNode(t, network, log, "two")}
 	nodes[0].awaitCurrent(t)
 	const operators = 8
@@ -142,7 +142,7 @@
 	requireKind(t, err, errkind.LogUnavailable)
 
 	// Canceling the call does not withdraw a proposal whose append is in progress.
-	log.SetControl(standin.Control{Refuse: 1})
+	log.SetControl(standin.Control{RefuseShare: 1})
 	edit := proposal("late", 0, liveTableCSV(1, "a"))
 	ctx, cancelPropose := context.WithCancel(context.Background())
 	result := make(chan error, 1)
--- a/internal/weightorders/weightorders_test.go
+++ b/internal/weightorders/weightorders_test.go
@@ -234,12 +234,12 @@
 // A permit may expire before the order is sent, because its record took too long to write or the lease was lost.
 func TestOrderIsNotSentAfterPermitExpired(t *testing.T) {
 	term := &fakelease.Term{}
-	term.ClosePermits(true)
+	term.SetPermitsClosed(true)
 	m := startManager(t, 2, func(options *Options) { options.Term = term })
 	testwait.Until(t, "orders were permitted", func() bool { return len(term.Permitted()) >= 2 })
 	time.Sleep(4 * tickPeriod) // enough for an order
 	assert.Equal(t, m.engines.orderCount(), 0)
-	term.ClosePermits(false)
+	term.SetPermitsClosed(false)
 	testwait.Until(t, "all engines have version 2", func() bool { return m.engines.allAt(2) })
 	m.engines.mu.Lock()
 	defer m.engines.mu.Unlock()
--- a/test/integration/deploy_test.go
+++ b/test/integration/deploy_test.go
@@ -59,8 +59,8 @@
 			{Name: lookupModel, Version: 1, SizeBytes: 1 << 20},
 			{Name: trainerModel, Version: 1, SizeBytes: 1 << 20},
 		},
-		Table:  table(defaultRows...),
-		Faults: true,
+		Table:        table(defaultRows...),
+		FaultProxies: true,
 	}
 	for _, id := range []string{"e1", "e2", "e3", "e4"} {
 		zone := "tumwater"
--- a/test/integration/fault_free_test.go
+++ b/test/integration/fault_free_test.go
@@ -42,11 +42,11 @@
 func startTrainer(t *testing.T, deployment *topology.Deployment, steps int) *trainerRun {
 	t.Helper()
 	config := trainer.Config{
-		Servers: deployment.CallerURLs(), Trainer: trainerName, Steps: steps, Ahead: 1,
+		Servers: deployment.CallerURLs(), Trainer: trainerName, Steps: steps, StepsAhead: 1,
 		Prompts: 4, SamplesPerPrompt: 4, MaxTokens: 200, Groups: 2, PrefixBytes: 128, Seed: 5,
 		TrainTime: 50 * time.Millisecond, FetchWait: time.Second,
 		WeightStore: "http://" + deployment.Platform.WeightStore, Model: trainerModel,
-		Bound: trainerStalenessBound, CheckTokens: true,
+		StalenessBound: trainerStalenessBound, CheckTokens: true,
 	}
 	running := &trainerRun{config: config, trainer: trainer.New(config), ended: make(chan error, 1)}
 	go func() {
@@ -79,7 +79,7 @@
 		assert.Check(t, known, "sample %s is for an unknown prompt", accepted.Sample.ID)
 		deliveries = append(deliveries, history.Delivery{
 			Trainer: trainerName, Sample: accepted.Sample, PromptText: text,
-			TrainerVersion: accepted.TrainerVersion, Bound: r.config.Bound, Accepted: accepted.At,
+			TrainerVersion: accepted.TrainerVersion, Bound: r.config.StalenessBound, Accepted: accepted.At,
 		})
 	}
 	return deliveries
