--- a/internal/bench/soak/check_batch.go
+++ b/internal/bench/soak/check_batch.go
@@ -42,7 +42,7 @@
 	return found
 }
 
-// checkNoLostItems reports accepted jobs that were not cancelled and lack results, and jobs that could not
+// checkNoLostItems reports accepted jobs that were not canceled and lack results, and jobs that could not
 // be read completely from some node at the end of the soak.
 func checkNoLostItems(h *History, _ Bounds) []string {
 	var found []string
--- a/internal/bench/soak/check_incarnation.go
+++ b/internal/bench/soak/check_incarnation.go
@@ -40,7 +40,8 @@
 		deadline := engine.StartedAt.Add(bounds.Reorder)
 		stillRunning := engine.EndedAt.IsZero() || engine.EndedAt.After(deadline)
 		newest := newestOrderedVersion(h, engine.StartedAt)
-		if len(engine.Orders) == 0 && engine.Version < newest && stillRunning && h.anyRunAfter(deadline) && h.zoneUndisturbed(engine.Zone, engine.StartedAt, deadline, bounds) {
+		if len(engine.Orders) == 0 && engine.Version < newest && stillRunning && h.anyRunAfter(deadline) &&
+			h.zoneUndisturbed(engine.Zone, engine.StartedAt, deadline, bounds) {
 			found = append(found, fmt.Sprintf("engine %s restarted with version %d while others had been ordered to load %d, and got no order within %s",
 				engine.ID, engine.Version, newest, bounds.Reorder))
 		}
@@ -48,8 +49,8 @@
 	return found
 }
 
-// newestOrderedVersion is the newest weight version in any order that an engine accepted before the given
-// time.
+// newestOrderedVersion returns the newest weight version in any order that an engine accepted before the
+// given time.
 func newestOrderedVersion(h *History, before time.Time) int64 {
 	newest := int64(0)
 	for _, engine := range h.Engines {
--- a/internal/bench/soak/deployment.go
+++ b/internal/bench/soak/deployment.go
@@ -69,7 +69,8 @@
 	d := &deployment{
 		history: history, network: faultproxy.NewNetwork(), store: newStoreFaults(), duties: standin.NewDuties(),
 		leader: newLeaderTracker(), enginesFence: plan.enginesFence, pathResolver: &pathResolver{unknown: newNodePath(anyNode)},
-		evacuationCounts: newEvacuationCounts(), placementFaults: plan.hasPlacementFaults(), restartsWithSameID: plan.hasPlacementFaults() && plan.includes(Incarnations),
+		evacuationCounts: newEvacuationCounts(), placementFaults: plan.hasPlacementFaults(),
+		restartsWithSameID: plan.hasPlacementFaults() && plan.includes(Incarnations),
 	}
 	if !plan.enginesFence {
 		d.duties.IgnoreFences()
--- a/internal/bench/soak/engines.go
+++ b/internal/bench/soak/engines.go
@@ -17,7 +17,7 @@
 
 const (
 	// lookupSlots and draftSlots are how many requests an engine runs at once. draftSlots is small, so that
-	// items of a cancelled job still wait for an engine.
+	// items of a canceled job still wait for an engine.
 	lookupSlots = 8
 	draftSlots  = 2
 	eventTime   = 20 * time.Millisecond
--- a/internal/bench/soak/forwarding.go
+++ b/internal/bench/soak/forwarding.go
@@ -145,7 +145,7 @@
 	node int
 
 	mu sync.Mutex
-	// held counts the calls of hold that have not been undone; changed is closed at each change.
+	// held counts the holds in effect; changed is closed whenever held changes.
 	held    int
 	changed chan struct{}
 	// latency is the delay of each chunk.
--- a/internal/bench/soak/forwarding_test.go
+++ b/internal/bench/soak/forwarding_test.go
@@ -76,7 +76,7 @@
 	time.Sleep(quietTime)
 	assert.Equal(t, s.arrived.Load(), int64(0))
 	release()
-	testwait.Until(t, "the bytes arrive", func() bool { return s.arrived.Load() == int64(len("order")) })
+	testwait.Until(t, "the bytes to arrive", func() bool { return s.arrived.Load() == int64(len("order")) })
 }
 
 func TestNodePathDelay(t *testing.T) {
@@ -84,14 +84,14 @@
 	s.nodePath.delay(quietTime)
 	sent := time.Now()
 	_ = s.send(t).Close()
-	testwait.Until(t, "the bytes arrive", func() bool { return s.arrived.Load() > 0 })
+	testwait.Until(t, "the bytes to arrive", func() bool { return s.arrived.Load() > 0 })
 	assert.Assert(t, time.Since(sent) >= quietTime)
 }
 
 func TestSenderProxySourceAddress(t *testing.T) {
 	s := newSink(t)
 	_ = s.send(t).Close()
-	testwait.Until(t, "the bytes arrive", func() bool { return s.arrived.Load() > 0 })
+	testwait.Until(t, "the bytes to arrive", func() bool { return s.arrived.Load() > 0 })
 	from, _ := s.from.Load().(string)
 	node, resolved := nodeAtAddress(from)
 	assert.Assert(t, resolved)
@@ -103,7 +103,7 @@
 func TestSenderProxyCutAndListen(t *testing.T) {
 	s := newSink(t)
 	connection := s.send(t)
-	testwait.Until(t, "the bytes arrive", func() bool { return s.arrived.Load() > 0 })
+	testwait.Until(t, "the bytes to arrive", func() bool { return s.arrived.Load() > 0 })
 	s.senderProxy.cut()
 	assert.NilError(t, connection.SetReadDeadline(time.Now().Add(waitTimeout)))
 	_, err := connection.Read(make([]byte, 1))
@@ -113,5 +113,5 @@
 	assert.NilError(t, s.senderProxy.listen())
 	assert.NilError(t, s.senderProxy.listen())
 	_ = s.send(t).Close()
-	testwait.Until(t, "the bytes arrive", func() bool { return s.arrived.Load() == 2*int64(len("order")) })
+	testwait.Until(t, "the bytes to arrive", func() bool { return s.arrived.Load() == 2*int64(len("order")) })
 }
--- a/internal/bench/soak/history.go
+++ b/internal/bench/soak/history.go
@@ -222,8 +222,8 @@
 	job.Complete = job.listedResults() == job.expectedResults()
 }
 
-// expectedResults is the number of items that must be listed. Items that crash engines may wait until
-// their job is cancelled.
+// expectedResults returns the number of items that must be listed. Items that crash engines may wait until
+// their job is canceled.
 func (j *JobRecord) expectedResults() int {
 	count := 0
 	for _, item := range j.Job.Items {
@@ -234,7 +234,7 @@
 	return count
 }
 
-// listedResults is the number of expected items that were read as listed.
+// listedResults returns the number of expected items that were read as listed.
 func (j *JobRecord) listedResults() int {
 	count := 0
 	for _, result := range j.Positions {
--- a/internal/bench/soak/node_store.go
+++ b/internal/bench/soak/node_store.go
@@ -116,7 +116,7 @@
 	s.write(w, r)
 }
 
-// read answers a read once reads do not hang. Reads that arrived before they began to hang are held back too.
+// read answers a read once reads do not hang. Reads in progress when the effect begins are held back, too.
 func (s *nodeStore) read(w http.ResponseWriter, r *http.Request) {
 	answer := newBufferedResponse()
 	s.store.ServeHTTP(answer, r)
--- a/internal/bench/soak/node_store_test.go
+++ b/internal/bench/soak/node_store_test.go
@@ -107,7 +107,7 @@
 	s := newFaultyStore(t)
 	defer s.begin(loseAnswers)()
 	assert.Equal(t, s.write(t, quietTime, otherTopic, lease.Record{}), 0)
-	testwait.Until(t, "the write takes effect", func() bool { return s.end(otherTopic) == 1 })
+	testwait.Until(t, "the write to take effect", func() bool { return s.end(otherTopic) == 1 })
 }
 
 // Late writes must take effect after the caller has given up.
@@ -118,7 +118,7 @@
 	for range writes {
 		_ = s.write(t, quietTime, otherTopic, lease.Record{})
 	}
-	testwait.Until(t, "the writes take effect", func() bool { return s.end(otherTopic) == writes })
+	testwait.Until(t, "the writes to take effect", func() bool { return s.end(otherTopic) == writes })
 }
 
 func TestNodeStoreLoseNextClaim(t *testing.T) {
--- a/internal/cluster/death.go
+++ b/internal/cluster/death.go
@@ -15,7 +15,7 @@
 // reporter fails too.
 const reportersPerDeath = 2
 
-// deathNotice tells other zones that a process is dead before their next pull. That pull corrects lost or wrong
+// deathNotice notifies other zones that a process is dead before their next pull. That pull corrects lost or wrong
 // notices.
 type deathNotice struct {
 	Zone string
@@ -42,7 +42,7 @@
 		}
 	}
 	for range min(count, len(ids)) {
-		// The ranking is rebuilt in each round, since Rendezvous.Remove corrupts the library's node indexes.
+		// The ranking is rebuilt for each node, since Rendezvous.Remove corrupts the library's node indexes.
 		preferred := rendezvous.New(ids, xxhash.Sum64String).Lookup(key)
 		if preferred == c.self.ID {
 			return true
--- a/internal/common/msgpackhttp/msgpackhttp.go
+++ b/internal/common/msgpackhttp/msgpackhttp.go
@@ -23,8 +23,8 @@
 
 // CallExpectContinue is like Call with "Expect: 100-continue": the body is sent only when the peer requests it, at
 // the cost of a round trip. A peer that resumes after a suspension thus receives no request whose sender has
-// already given up. The ExpectContinueTimeout of the client's transport must exceed the timeout of ctx, since the
-// transport sends the body without a request once it expires.
+// already given up. The ExpectContinueTimeout of the client's transport must exceed the timeout of ctx: once it
+// expires, the transport sends the body without waiting for the peer any longer.
 func CallExpectContinue(ctx context.Context, client *http.Client, url string, request, response any, maxBytes int64) error {
 	return call(ctx, client, url, http.Header{"Expect": {"100-continue"}}, request, response, maxBytes)
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -188,8 +188,8 @@
 	after := awaitSamples(t, other, fetch, 2)
 
 	type outcome struct {
-		answer Response
-		err    error
+		response Response
+		err      error
 	}
 	outcomes := make(chan outcome, 3)
 	for _, call := range []Call{
@@ -198,8 +198,8 @@
 		{Submit: &SubmitCall{Step: "t", Request: stepRequest(1, 1)}},
 	} {
 		go func() {
-			answer, err := stale.handleCall(t.Context(), call)
-			outcomes <- outcome{answer, err}
+			response, err := stale.handleCall(t.Context(), call)
+			outcomes <- outcome{response, err}
 		}()
 	}
 	owner.log.setPaused(false)
@@ -209,9 +209,9 @@
 	}
 	<-stale.ended
 	ack := api.AckRequest{Token: after.Token, Samples: ids(after.Samples), TrainerVersion: 1}
-	answer, err := other.Acknowledge(t.Context(), trainerName, ack)
+	response, err := other.Acknowledge(t.Context(), trainerName, ack)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, answer.Accepted, ack.Samples)
+	assert.DeepEqual(t, response.Accepted, ack.Samples)
 	_, err = other.StepStatus(t.Context(), trainerName, "t")
 	assertKind(t, err, errkind.NotFound)
 }
--- a/internal/coordinator/forward.go
+++ b/internal/coordinator/forward.go
@@ -59,14 +59,14 @@
 }
 
 func (c *Coordinator) statusCall(ctx context.Context, call Call) (api.StepStatus, error) {
-	answer, err := c.call(ctx, call)
+	response, err := c.call(ctx, call)
 	if err != nil {
 		return api.StepStatus{}, err
 	}
-	if answer.Status == nil {
+	if response.Status == nil {
 		return api.StepStatus{}, errkind.New(errkind.Internal, "owner answered without a step status")
 	}
-	return *answer.Status, nil
+	return *response.Status, nil
 }
 
 // AbandonStep stops running, scoring and delivering a step's samples. For a
@@ -80,28 +80,28 @@
 func (c *Coordinator) Fetch(
 	ctx context.Context, trainer string, request api.FetchRequest,
 ) (api.FetchResponse, error) {
-	answer, err := c.call(ctx, Call{Trainer: trainer, Fetch: &request})
+	response, err := c.call(ctx, Call{Trainer: trainer, Fetch: &request})
 	if err != nil {
 		return api.FetchResponse{}, err
 	}
-	if answer.Fetch == nil {
+	if response.Fetch == nil {
 		return api.FetchResponse{}, errkind.New(errkind.Internal, "owner answered without samples")
 	}
-	return *answer.Fetch, nil
+	return *response.Fetch, nil
 }
 
 // Acknowledge records which delivered samples the trainer has durably received.
 func (c *Coordinator) Acknowledge(
 	ctx context.Context, trainer string, request api.AckRequest,
 ) (api.AckResponse, error) {
-	answer, err := c.call(ctx, Call{Trainer: trainer, Acknowledge: &request})
+	response, err := c.call(ctx, Call{Trainer: trainer, Acknowledge: &request})
 	if err != nil {
 		return api.AckResponse{}, err
 	}
-	if answer.Acknowledge == nil {
+	if response.Acknowledge == nil {
 		return api.AckResponse{}, errkind.New(errkind.Internal, "owner answered without an acknowledgement")
 	}
-	return *answer.Acknowledge, nil
+	return *response.Acknowledge, nil
 }
 
 // call sends the call to the owner and retries while no owner responds. Retrying
@@ -114,9 +114,9 @@
 	maybeExecuted := false
 	for attempt := 0; ; attempt++ {
 		startedAt := time.Now()
-		answer, err := c.callOnce(ctx, call, attempt)
+		response, err := c.callOnce(ctx, call, attempt)
 		if err == nil || !ownerMissing(err) {
-			return answer, err
+			return response, err
 		}
 		maybeExecuted = maybeExecuted || mayHaveExecuted(err)
 		if failingSince.IsZero() || time.Since(startedAt) > ownerTimeout {
@@ -138,9 +138,9 @@
 	if !found || target.ID == c.options.NodeID {
 		return Response{}, errkind.New(errkind.NotReady, "no node owns the ledger of trainer %q yet", call.Trainer)
 	}
-	var answer Response
-	err := c.options.Caller.Call(ctx, target.Address, peer.MethodTrainer, &call, &answer)
-	return answer, err
+	var response Response
+	err := c.options.Caller.Call(ctx, target.Address, peer.MethodTrainer, &call, &response)
+	return response, err
 }
 
 func (c *Coordinator) presumedOwner(trainer string, attempt int) (cluster.Member, bool) {
@@ -166,11 +166,11 @@
 	if t == nil {
 		return nil, errkind.New(errkind.NotOwner, "node %s does not own the ledger of %q", c.options.NodeID, call.Trainer)
 	}
-	answer, err := t.handleCall(ctx, call)
+	response, err := t.handleCall(ctx, call)
 	if err != nil {
 		return nil, errkind.From(err)
 	}
-	return &answer, nil
+	return &response, nil
 }
 
 func (c *Coordinator) handleStepStatus(context.Context, peer.Request) (any, error) {
--- a/internal/dispatcher/buffer.go
+++ b/internal/dispatcher/buffer.go
@@ -27,7 +27,7 @@
 	finished *message.Progress
 	err      *errkind.Error
 	// changed is closed when there is more to read, space when there is room to write; both are nil
-	// while nobody waits.
+	// while no goroutine waits.
 	changed chan struct{}
 	space   chan struct{}
 }
--- a/internal/dispatcher/directive_test.go
+++ b/internal/dispatcher/directive_test.go
@@ -47,10 +47,10 @@
 
 func drawEngine(t *rapid.T) rolloutEngine {
 	return rolloutEngine{
-		atTarget:      rapid.Bool().Draw(t, "reached"),
+		atTarget:      rapid.Bool().Draw(t, "at target"),
 		inService:     rapid.Bool().Draw(t, "in service"),
 		loading:       rapid.Bool().Draw(t, "loading"),
-		readyForOrder: rapid.Bool().Draw(t, "orderable"),
+		readyForOrder: rapid.Bool().Draw(t, "ready for order"),
 		version:       rapid.Uint64Range(0, 3).Draw(t, "version"),
 	}
 }
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// verdictAnswered is the log field "verdict" of an attempt that completed its request.
+	// verdictAnswered is the value of the log field "verdict" of an attempt that completed its request.
 	verdictAnswered = "answered"
-	// heldBackNone is the log field "held_back" of an attempt that was sent.
+	// heldBackNone is the value of the log field "held_back" of an attempt that was sent.
 	heldBackNone = "none"
 )
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -50,7 +50,7 @@
 	maxRefreshDelay = 10 * time.Second
 )
 
-// StaleAge is an age that a followed topic's data do not reach while reads succeed. If they have reached it, for
+// StaleAge exceeds the age that a followed topic's data can reach while reads succeed. Once the data are that old, for
 // example after a suspension of the machine, the next read does not wait for changes.
 const StaleAge = maxPollWait + maxReadGap + 300*time.Millisecond
 
--- a/internal/follow/schedule.go
+++ b/internal/follow/schedule.go
@@ -9,7 +9,7 @@
 // prevent it.
 type fullReadSchedule struct {
 	due time.Time
-	// postponed is true if the next full read is not to be postponed any more.
+	// postponed is true if the next full read was postponed before, or must not be postponed at all.
 	postponed bool
 	// recovering is true from a failed read until the next successful one.
 	recovering bool
--- a/internal/keyed/shard.go
+++ b/internal/keyed/shard.go
@@ -26,7 +26,7 @@
 	// executions holds the execution of each key from its first caller until its result or release is in the log, so
 	// that this node has at most one open intent per key.
 	executions map[string]*execution
-	// idleTimer calls closeIdle after the last execution; nil before the first.
+	// idleTimer calls closeIdle once the last execution ended Options.ShardIdle ago; nil before the first execution.
 	idleTimer *time.Timer
 }
 
@@ -204,7 +204,7 @@
 	s.run(execution, request, outcome.Offset)
 }
 
-// releaseLateIntent releases an intent whose caller was told that the request did not run.
+// releaseLateIntent releases an intent whose caller received an error which states that the request did not run.
 func (s *shard) releaseLateIntent(key string, late logstream.Outcome) {
 	if late.Verdict != logrecord.Accepted {
 		s.removeExecution(key)
--- a/internal/logrelay/addressof_test.go
+++ b/internal/logrelay/addressof_test.go
@@ -17,7 +17,7 @@
 	two := NewDirectory(log, NodeInfo{Node: "n2", Address: "127.0.0.1:2"}, pacing.Limits{}, zerolog.Nop())
 	go func() { _ = one.Run(t.Context()) }()
 	go func() { _ = two.Run(t.Context()) }()
-	testwait.Until(t, "n2 is known", func() bool { return one.AddressOf("n2") == "127.0.0.1:2" })
+	testwait.Until(t, "n2 to be known", func() bool { return one.AddressOf("n2") == "127.0.0.1:2" })
 	assert.Equal(t, one.AddressOf("n1"), "", "itself")
 	assert.Equal(t, one.AddressOf("n3"), "")
 	assert.Equal(t, one.AddressOf(""), "")
--- a/internal/logrelay/directory.go
+++ b/internal/logrelay/directory.go
@@ -24,7 +24,7 @@
 	// directoryTopic holds the announcements: which nodes exist and where they listen.
 	directoryTopic = "corkpulley.nodes"
 	// announcePeriod is the time between two announcements of a node; it grows with the cluster up to
-	// maxAnnouncePeriod. A node is considered gone after missedAnnouncements periods without one.
+	// maxAnnouncePeriod. A node is no longer live after missedAnnouncements periods without one.
 	announcePeriod      = 5 * time.Second
 	maxAnnouncePeriod   = 30 * time.Second
 	missedAnnouncements = 4
--- a/internal/logrelay/homes_test.go
+++ b/internal/logrelay/homes_test.go
@@ -127,7 +127,7 @@
 	for _, directory := range []*Directory{own, other, near} {
 		go func() { _ = directory.Run(t.Context()) }()
 	}
-	testwait.Until(t, "the others are listed", func() bool { return len(own.Peers()) == 2 })
+	testwait.Until(t, "the others to be listed", func() bool { return len(own.Peers()) == 2 })
 	for _, peer := range own.Peers() {
 		wanted := Peer{Address: "127.0.0.1:2", Region: "b", Distance: topology.OtherRegion}
 		if peer.Region == "a" {
--- a/internal/logrelay/restart_test.go
+++ b/internal/logrelay/restart_test.go
@@ -114,7 +114,7 @@
 
 // restartResult is the cost of a restart of all nodes.
 type restartResult struct {
-	// seconds is the time until all nodes had read the configuration; at most restartLimit.
+	// seconds is the time until all nodes had read the configuration; at most maxRestartSeconds.
 	seconds int
 	// bytes is what the log served; fullReads counts the full reads of the configuration.
 	bytes, fullReads int
--- a/internal/platform/enginehttp/http.go
+++ b/internal/platform/enginehttp/http.go
@@ -68,11 +68,11 @@
 	if client == nil {
 		client = &http.Client{Transport: NewTransport()}
 	}
-	engines := &HTTPClient{client: *client}
-	engines.client.CheckRedirect = func(*http.Request, []*http.Request) error {
+	c := &HTTPClient{client: *client}
+	c.client.CheckRedirect = func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse
 	}
-	return engines
+	return c
 }
 
 // NewTransport returns a pooled transport for hundreds of streams to each of many engines. It uses HTTP/1.1
--- a/internal/report/picture/axis.go
+++ b/internal/report/picture/axis.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxTicks bounds the labelled ticks of the time axis.
+	// maxTicks bounds the labeled ticks of the time axis.
 	maxTicks    = 12
 	clockLayout = "15:04:05"
 	hourLayout  = "01-02 15:04"
--- a/internal/report/picture/bars.go
+++ b/internal/report/picture/bars.go
@@ -11,12 +11,12 @@
 
 const (
 	// barShare and thinBarShare are the heights of bars as shares of their row's height.
-	barShare = 0.7
+	barShare     = 0.7
+	thinBarShare = 0.12
 	// minBarSize, minEdgedBarWidth and markRadius are in points. A bar narrower than minEdgedBarWidth has no edge line.
 	minBarSize       = 1.5
 	minEdgedBarWidth = 6
 	markRadius       = 2.6
-	thinBarShare     = 0.12
 )
 
 // bar is a time span on a row, which is a position on the value axis.
--- a/internal/router/budget.go
+++ b/internal/router/budget.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// countRequest counts a countRequest, which earns retryRatio of a retry.
+// countRequest counts a request, which earns retryRatio of a retry.
 func (b *retryBudget) countRequest() {
 	b.requests.Add(1)
 }
--- a/internal/router/faults_test.go
+++ b/internal/router/faults_test.go
@@ -13,7 +13,7 @@
 	"github.com/corkpulley/corkpulley/internal/message"
 )
 
-// faults are the dispatcher behaviors that the random test combines. startsRequest tells whether the
+// faults are the dispatcher behaviors that the random test combines. startsRequest is set if the
 // dispatcher may pass the request to an engine.
 var faults = []struct {
 	startsRequest bool
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -82,7 +82,7 @@
 }
 
 // stream opens an answer stream and relays it; nil means that the answer is complete. Closing the
-// stream tells the dispatcher that the caller no longer reads it.
+// stream notifies the dispatcher that the caller no longer reads it.
 func (a *attempts) stream(ctx context.Context, submit message.Submit, to target) error {
 	stream, err := a.router.options.Caller.OpenStream(ctx, to.address, peer.MethodSubmit, &submit)
 	if err != nil {
@@ -107,7 +107,7 @@
 // relay passes the new tokens of a stream to the caller until the answer is complete.
 func (a *attempts) relay(stream peer.Stream) error {
 	for !a.assembler.Finished() {
-		// Each message is allocated anew because the caller may retain its tokens.
+		// Each message is newly allocated because the caller may retain its tokens.
 		var progress message.Progress
 		if err := stream.Receive(&progress); err != nil {
 			if errors.Is(err, io.EOF) {
--- a/internal/tables/peers.go
+++ b/internal/tables/peers.go
@@ -17,7 +17,7 @@
 const (
 	// fetchTimeout bounds one MethodTable call.
 	fetchTimeout = 2 * time.Second
-	// fetchRetryInterval is the delay after no member with a higher revision could be fetched from.
+	// fetchRetryInterval is the delay after all fetches from members with a higher revision failed.
 	fetchRetryInterval = time.Second
 	// fullTable in place of a revision requests all rows.
 	fullTable int64 = -1
--- a/test/history/linearizable.go
+++ b/test/history/linearizable.go
@@ -158,7 +158,7 @@
 	Answer  string
 }
 
-// keyedState tells whether a key's request ran, and its response if a caller has received it.
+// keyedState records whether a key's request ran, and its response if a caller has received it.
 type keyedState struct {
 	ran    bool
 	known  bool
--- a/test/hosted/incarnation_test.go
+++ b/test/hosted/incarnation_test.go
@@ -172,8 +172,8 @@
 	assert.Assert(t, strings.Contains(node.logs.String(), "engine started again"))
 }
 
-// metric returns the value of a metric at the node; empty for none.
-func (n *testNode) metric(name string) string {
+// metricText returns the value of a metric at the node as text; empty for none.
+func (n *testNode) metricText(name string) string {
 	response, err := http.Get(n.operatorURL + "/metrics")
 	if err != nil {
 		return ""
@@ -193,7 +193,7 @@
 
 // unusableCount returns the number of unusable engine entries that the node has counted with the given fault.
 func (n *testNode) unusableCount(fault string) string {
-	return n.metric(fmt.Sprintf("corkpulley_hosted_engine_entries_unusable_total{fault=%q}", fault))
+	return n.metricText(fmt.Sprintf("corkpulley_hosted_engine_entries_unusable_total{fault=%q}", fault))
 }
 
 // putUnusableEntries writes invalid entries to the engine list, one of them in place of the given engine's.
--- a/test/hosted/live_test.go
+++ b/test/hosted/live_test.go
@@ -49,7 +49,7 @@
 	assert.Equal(t, len(engine.Runs()), 0)
 }
 
-// The first engine asked has each fault in turn.
+// The first engine tried has each fault in turn.
 func TestSafeRequestIsRetriedAfterFaultyResponse(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]standin.EngineFault{
--- a/test/integration/ownership_test.go
+++ b/test/integration/ownership_test.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// A record of a ledger takes effect only under the epoch in force, also when owners are frozen during a takeover, killed
-// or cut off from the log, and when append responses are lost.
+// A record of a ledger takes effect only under the epoch in force, also when owners are frozen during a takeover,
+// killed or cut off from the log, and when append responses are lost.
 func TestLedgerOwnershipIsLinearizable(t *testing.T) {
 	t.Parallel()
 	deployment := deploy(t, func(config *topology.Config) {
