--- a/internal/batchjobs/batches_test.go
+++ b/internal/batchjobs/batches_test.go
@@ -14,7 +14,8 @@
 	"github.com/corkpulley/corkpulley/internal/standin/memlog"
 )
 
-// limitedLog rejects appends above maxAppendBytes, as the platform's log does, and all appends once appendsLeft is zero.
+// limitedLog rejects appends above maxAppendBytes, as the platform's log does, and all appends once appendsLeft is
+// zero.
 type limitedLog struct {
 	*memlog.Log
 	maxAppendBytes int
--- a/internal/batchjobs/write.go
+++ b/internal/batchjobs/write.go
@@ -41,7 +41,7 @@
 	return first, nil
 }
 
-// appendWithRetries retries an append until it is acknowledged or ctx ends. The kind of its error tells whether
+// appendWithRetries retries an append until it is acknowledged or ctx ends. The kind of its error states whether
 // an attempt may have taken effect.
 func (s *Service) appendWithRetries(ctx context.Context, partition eventlog.Partition, records [][]byte) (int64, error) {
 	mayHaveTakenEffect := false
--- a/internal/batchrun/cold.go
+++ b/internal/batchrun/cold.go
@@ -22,14 +22,14 @@
 // nil if the engine is not known to be cold. Such a start is recorded, so that it counts against the engine's rate if
 // the engine turns out to be cold.
 func (r *Runner) admit(engine fleet.Engine) (permitValid func() bool, admitted bool) {
-	slowStart, bounded := r.options.Fleet.SlowStart(engine.Service)
-	if !bounded {
+	slowStart, hasSlowStart := r.options.Fleet.SlowStart(engine.Service)
+	if !hasSlowStart {
 		return nil, true
 	}
 	id := engine.Incarnation()
 	coldness, cold := r.options.Fleet.Cold(id, time.Now())
 	if !cold {
-		r.options.ColdStarts.RecordStart(id, slowStart.RatePerSecond)
+		r.options.ColdStarts.RecordUnpaced(id, slowStart.RatePerSecond)
 		return nil, true
 	}
 	permit, _, outcome := r.options.ColdStarts.Admit(coldpermits.Items, id, coldness)
--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -55,7 +55,7 @@
 	return coldpermits.Permit{Engine: to}, 0, coldpermits.Granted
 }
 
-func (s *fakeColdStarts) RecordStart(incarnation.ID, float64) {
+func (s *fakeColdStarts) RecordUnpaced(incarnation.ID, float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.noted++
--- a/internal/batchrun/dependencies.go
+++ b/internal/batchrun/dependencies.go
@@ -97,7 +97,7 @@
 type Guard interface {
 	// ConnectionLost reports whether the engine crashed while running the item.
 	ConnectionLost(ctx context.Context, loss crashes.LostConnection) bool
-	// Status returns the crash record of an item.
+	// Status returns the quarantine state of an item.
 	Status(fingerprint func() quarantine.Fingerprint) quarantine.Status
 	// Answered records that an engine completed the item.
 	Answered(fingerprint func() quarantine.Fingerprint)
@@ -114,8 +114,8 @@
 	Admit(
 		sender coldpermits.Sender, to incarnation.ID, cold fleet.Coldness,
 	) (coldpermits.Permit, time.Duration, coldpermits.Outcome)
-	// RecordStart counts an item that starts on an engine that is not known to be cold.
-	RecordStart(to incarnation.ID, ratePerSecond float64)
+	// RecordUnpaced counts an item that starts on an engine that is not known to be cold.
+	RecordUnpaced(to incarnation.ID, ratePerSecond float64)
 }
 
 // ScoringResult is the result of a scoring call.
--- a/internal/batchrun/move.go
+++ b/internal/batchrun/move.go
@@ -106,13 +106,13 @@
 // new incarnation does not know them. The crash is not attributed to the items, which may have started after it;
 // reportOutcome handles those whose connection was lost.
 func (r *Runner) stopRunsOnRestartedEngines() {
-	engineStarts := r.options.Fleet.IncarnationsListed()
+	incarnationsListed := r.options.Fleet.IncarnationsListed()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.engineStarts == engineStarts {
+	if r.incarnationsListed == incarnationsListed {
 		return
 	}
-	r.engineStarts = engineStarts
+	r.incarnationsListed = incarnationsListed
 	for _, running := range r.runs {
 		if r.options.Fleet.IsReplaced(running.engine) {
 			running.stop(stopEngineRestarted)
--- a/internal/batchrun/observe.go
+++ b/internal/batchrun/observe.go
@@ -25,7 +25,7 @@
 		return
 	}
 	delete(r.otherJobs, job.ID)
-	loadCtx, cancelLoad := context.WithCancel(r.ctx)
+	loadContext, cancelLoad := context.WithCancel(r.ctx)
 	added := &openJob{
 		record:        job.JobRecord,
 		items:         make([]batchitem.Item, len(job.Items)),
@@ -50,7 +50,7 @@
 		r.pendingRestores++
 	}
 	r.wait.Go(func() {
-		r.load(loadCtx, added)
+		r.load(loadContext, added)
 		r.loadFinished(added)
 	})
 }
--- a/internal/batchrun/progress.go
+++ b/internal/batchrun/progress.go
@@ -32,14 +32,14 @@
 	for {
 		select {
 		case <-ctx.Done():
-			finalCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalSaveTimeout)
+			finalContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalSaveTimeout)
 			defer cancel()
-			r.saveProgress(finalCtx, 0)
+			r.saveProgress(finalContext, 0)
 			return
 		case <-ticker.C:
 		}
-		saveCtx, cancel := context.WithTimeout(ctx, saveTimeout)
-		r.saveProgress(saveCtx, minSaveAge)
+		saveContext, cancel := context.WithTimeout(ctx, saveTimeout)
+		r.saveProgress(saveContext, minSaveAge)
 		cancel()
 	}
 }
--- a/internal/batchrun/recorder.go
+++ b/internal/batchrun/recorder.go
@@ -57,18 +57,18 @@
 // run starts a writer for each partition with pending items. After ctx ends, pending items are still written for
 // up to finalRecordTimeout.
 func (r *recorder) run(ctx context.Context) {
-	writeCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	writeContext, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	for {
 		select {
 		case <-ctx.Done():
 			stop := time.AfterFunc(finalRecordTimeout, cancel)
 			defer stop.Stop()
-			r.startWriters(writeCtx)
+			r.startWriters(writeContext)
 			r.wait.Wait()
 			return
 		case <-r.wake:
-			r.startWriters(writeCtx)
+			r.startWriters(writeContext)
 		}
 	}
 }
@@ -106,8 +106,8 @@
 // record retries until all items are written; it returns false if ctx ended first.
 func (r *recorder) record(ctx context.Context, partition int, finished []batchjobs.ItemResult) bool {
 	for ctx.Err() == nil {
-		attemptCtx, cancel := context.WithTimeout(ctx, recordTimeout)
-		recorded, err := r.jobs.Record(attemptCtx, partition, finished)
+		attemptContext, cancel := context.WithTimeout(ctx, recordTimeout)
+		recorded, err := r.jobs.Record(attemptContext, partition, finished)
 		cancel()
 		if err == nil {
 			return true
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -58,8 +58,8 @@
 	Homes         homes.Set
 	HomesOf       func(job *batch.JobRecord) homes.Set
 	ConfigVersion func() int64
-	// LoadingModel returns the model whose weights an engine is loading, empty for none; LoadingModels returns it for all
-	// engines that are loading.
+	// LoadingModel returns the model whose weights an engine is loading, empty for none; LoadingModels returns it for
+	// all engines that are loading.
 	LoadingModel  func(engine incarnation.ID) string
 	LoadingModels func() map[incarnation.ID]string
 	// Term identifies this leadership term among all terms.
@@ -94,9 +94,9 @@
 	overcommitChecks map[incarnation.ID]overcommitCheck
 	// overcommitLosses counts the overcommitted engines that crashed while running an item.
 	overcommitLosses map[batchplan.Key]int
-	// engineStarts is the fleet's number of engine starts when the runs were last checked for restarts.
-	engineStarts int64
-	lastTickAt   time.Time
+	// incarnationsListed is the value of Fleet.IncarnationsListed when the runs were last checked for restarts.
+	incarnationsListed int64
+	lastTickAt         time.Time
 	// quarantinedUntil holds the quarantined items and the end of their quarantine.
 	quarantinedUntil   map[batchplan.Key]time.Time
 	evacuationLoggedAt time.Time
--- a/internal/callerwrite/callerwrite.go
+++ b/internal/callerwrite/callerwrite.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// chunkBytes is the size of one write. The stall timeout starts anew for each.
+	// chunkBytes is the size of one write. The stall timeout applies to each write.
 	chunkBytes = 32 << 10
-	// MaxBufferedBytes bounds the bytes buffered for one caller: about a minute of an event stream, or most responses in
-	// full.
+	// MaxBufferedBytes bounds the bytes buffered for one caller: about a minute of an event stream, or most responses
+	// in full.
 	MaxBufferedBytes = 1 << 20
 )
 
--- a/internal/coldpermits/granter.go
+++ b/internal/coldpermits/granter.go
@@ -123,14 +123,14 @@
 	if !leads {
 		return 0
 	}
-	return current.pacer.Room(to, cold.RatePerSecond, g.now())
+	return current.pacer.Available(to, cold.RatePerSecond, g.now())
 }
 
 // Prefetch does nothing, since the leader grants its own permits at once.
 func (g *Granter) Prefetch(incarnation.ID) {}
 
-// RecordStart counts a request to an engine that is not known to be cold; see slowstart.Pacer.
-func (g *Granter) RecordStart(to incarnation.ID, ratePerSecond float64) {
+// RecordUnpaced counts a request to an engine that is not known to be cold; see slowstart.Pacer.
+func (g *Granter) RecordUnpaced(to incarnation.ID, ratePerSecond float64) {
 	if current, leads := g.currentTerm(); leads {
 		current.pacer.RecordUnpaced(to, ratePerSecond, g.now())
 	}
@@ -139,6 +139,6 @@
 // DropExpired drops the expired state of the current term.
 func (g *Granter) DropExpired() {
 	if current, leads := g.currentTerm(); leads {
-		current.pacer.Forget(g.now())
+		current.pacer.DropExpired(g.now())
 	}
 }
--- a/internal/coldpermits/message.go
+++ b/internal/coldpermits/message.go
@@ -82,8 +82,8 @@
 // Handler serves permit requests of other nodes. The rates are those of this node's configuration.
 func (g *Granter) Handler(slowStart func(service string) (routes.SlowStart, bool)) http.Handler {
 	return msgpackhttp.Handle(maxRequestBytes, func(_ context.Context, request permitRequest) permitResponse {
-		limits, bounded := slowStart(request.Service)
-		if !bounded {
+		limits, hasSlowStart := slowStart(request.Service)
+		if !hasSlowStart {
 			g.observe(Peers, UnknownService)
 			return permitResponse{Outcome: UnknownService, Wait: notLeadingBackoff}
 		}
--- a/internal/coldpermits/pool.go
+++ b/internal/coldpermits/pool.go
@@ -75,8 +75,8 @@
 	return permits[0], 0, Granted
 }
 
-// RecordStart does nothing, since only the leader counts requests to engines that are not known to be cold.
-func (p *Pool) RecordStart(incarnation.ID, float64) {}
+// RecordUnpaced does nothing, since only the leader counts requests to engines that are not known to be cold.
+func (p *Pool) RecordUnpaced(incarnation.ID, float64) {}
 
 // dropExpired drops the expired permits of an engine. Must be called with mu held.
 func (p *Pool) dropExpired(to incarnation.ID) {
--- a/internal/core/batchplan/slowstart_test.go
+++ b/internal/core/batchplan/slowstart_test.go
@@ -87,7 +87,7 @@
 	}
 	engines := append([]Engine(nil), z.warm...)
 	for _, each := range z.cold {
-		each.MaxStarts = z.pacer.Room(each.ID, coldRate, at)
+		each.MaxStarts = z.pacer.Available(each.ID, coldRate, at)
 		engines = append(engines, each)
 	}
 	assigned := z.plan.Assign(at, engines)
--- a/internal/core/clusterversion/state.go
+++ b/internal/core/clusterversion/state.go
@@ -4,7 +4,8 @@
 
 const (
 	// agreementPeriod is how long the lowest version of all live nodes must stay the same before the cluster is raised
-	// to it. It exceeds the announcement interval, so that each live node announces its version at least once within it.
+	// to it. It exceeds the announcement interval, so that each live node announces its version at least once
+	// meanwhile.
 	agreementPeriod = 45 * time.Second
 	// maxObservationGap is the maximum time between two observations within an agreement period. A process that was
 	// paused for longer may have missed announcements.
--- a/internal/core/errkind/errkind.go
+++ b/internal/core/errkind/errkind.go
@@ -71,7 +71,7 @@
 	kindCount
 )
 
-// Execution tells whether a failed request ran on an engine.
+// Execution states whether a failed request ran on an engine.
 type Execution string
 
 // Execution outcomes.
@@ -88,7 +88,7 @@
 	// Status is the HTTP status code.
 	Status    int
 	Execution Execution
-	// Retryable tells whether the same request may succeed when sent again.
+	// Retryable is true if the same request may succeed when sent again.
 	Retryable bool
 	// RetryAfter is the suggested delay before a retry; zero when there is none.
 	RetryAfter time.Duration
--- a/internal/core/fleet/evacuation.go
+++ b/internal/core/fleet/evacuation.go
@@ -27,7 +27,7 @@
 	HeldGone
 	// HeldUnknown: this process was paused, so its evacuation and engine state is stale and is being read again.
 	HeldUnknown
-	// HeldWithoutPermit: the engine is cold and no permit is available, or the engine has ended.
+	// HeldWithoutPermit: the engine is cold, and the request has no valid permit.
 	HeldWithoutPermit
 )
 
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -73,7 +73,7 @@
 	members map[string]*member
 	// byService holds the IDs of each service's engines, sorted.
 	byService map[string][]string
-	// incarnationsListed counts the incarnations that were listed.
+	// incarnationsListed counts the incarnations listed so far; it never decreases.
 	incarnationsListed int64
 	// zones holds the newest evacuation state of each zone.
 	zones map[string]zoneState
--- a/internal/core/fleet/list.go
+++ b/internal/core/fleet/list.go
@@ -38,19 +38,19 @@
 func (f *Fleet) Put(engine Engine) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.members[engine.ID]
+	m, found := f.members[engine.ID]
 	switch {
 	case !found:
 		f.addIncarnation(&member{engine: engine})
 		return Added
-	case known.engine.StartMillis == engine.StartMillis:
-		f.renew(known, engine)
+	case m.engine.StartMillis == engine.StartMillis:
+		f.renew(m, engine)
 		return Renewed
-	case engine.StartMillis < known.engine.StartMillis:
-		known.deferEntry(engine)
+	case engine.StartMillis < m.engine.StartMillis:
+		m.deferEntry(engine)
 		return Deferred
 	default:
-		f.replace(known, engine)
+		f.replace(m, engine)
 		return Replaced
 	}
 }
@@ -67,12 +67,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var applied []Replacement
-	for _, known := range f.members {
-		if deferred := known.deferred; deferred != nil && asOf.Sub(deferred.ReadAt) >= deferPeriod {
+	for _, m := range f.members {
+		if deferred := m.deferred; deferred != nil && asOf.Sub(deferred.ReadAt) >= deferPeriod {
 			// Marked under the same lock, so that no request sees the replacement as a warm engine.
 			f.cold.add(deferred.Incarnation(), coldMark{reason: FirstSeen, at: now})
-			f.replace(known, *deferred)
-			applied = append(applied, Replacement{Ended: known.engine, Engine: *deferred})
+			f.replace(m, *deferred)
+			applied = append(applied, Replacement{Ended: m.engine, Engine: *deferred})
 		}
 	}
 	return applied
@@ -102,18 +102,18 @@
 }
 
 // renew applies a further entry of a known incarnation. Must be called with mu held.
-func (f *Fleet) renew(known *member, engine Engine) {
-	engine.Versions = mergeVersions(known.engine.Versions, engine.Versions)
-	if known.engine.Address != engine.Address {
-		f.claimAddress(known)
+func (f *Fleet) renew(m *member, engine Engine) {
+	engine.Versions = mergeVersions(m.engine.Versions, engine.Versions)
+	if m.engine.Address != engine.Address {
+		f.claimAddress(m)
 	}
-	moved := known.engine.Service != engine.Service
+	moved := m.engine.Service != engine.Service
 	if moved {
-		f.removeFromService(known.engine)
+		f.removeFromService(m.engine)
 	}
-	known.engine, known.deferred = engine, nil
+	m.engine, m.deferred = engine, nil
 	if moved {
-		f.insert(known)
+		f.insert(m)
 	}
 }
 
@@ -141,8 +141,8 @@
 func (f *Fleet) Remove(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if known, found := f.members[id]; found {
-		f.removeFromService(known.engine)
+	if m, found := f.members[id]; found {
+		f.removeFromService(m.engine)
 		delete(f.members, id)
 	}
 }
@@ -190,17 +190,19 @@
 func (f *Fleet) ListStatus(engine Engine) ListStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.members[engine.ID]
+	m, found := f.members[engine.ID]
 	switch {
 	case !found:
 		return ListStatus{}
-	case known.engine.StartMillis == engine.StartMillis:
-		return ListStatus{Listed: true, Replaced: f.addressReused(engine, known.addressClaim), Draining: known.engine.Draining}
-	case known.predecessor.ID == "":
+	case m.engine.StartMillis == engine.StartMillis:
+		return ListStatus{
+			Listed: true, Replaced: f.addressReused(engine, m.addressClaim), Draining: m.engine.Draining,
+		}
+	case m.predecessor.ID == "":
 		// The earlier entry was removed before this one was added, so whether its engine has ended is unknown.
 		return ListStatus{}
 	default:
-		draining := known.predecessor.Incarnation() == engine.Incarnation() && known.predecessor.Draining
+		draining := m.predecessor.Incarnation() == engine.Incarnation() && m.predecessor.Draining
 		return ListStatus{Replaced: true, Draining: draining}
 	}
 }
@@ -209,8 +211,8 @@
 // given claim. Earlier claims do not count: the entry of an engine that exited stays for seconds. Must be called
 // with mu held.
 func (f *Fleet) addressReused(engine Engine, claim int64) bool {
-	for id, each := range f.members {
-		if id != engine.ID && each.engine.Address == engine.Address && each.addressClaim > claim {
+	for id, m := range f.members {
+		if id != engine.ID && m.engine.Address == engine.Address && m.addressClaim > claim {
 			return true
 		}
 	}
@@ -221,6 +223,6 @@
 func (f *Fleet) IsReplaced(id incarnation.ID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known, found := f.members[id.Engine]
-	return found && known.engine.StartMillis != id.StartMillis
+	m, found := f.members[id.Engine]
+	return found && m.engine.StartMillis != id.StartMillis
 }
--- a/internal/core/fleet/regions_test.go
+++ b/internal/core/fleet/regions_test.go
@@ -9,7 +9,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/homes"
 )
 
-// twoRegions returns a free engine in the south and a full, suspected one in the north.
+// twoRegionFleet returns a free engine in the south and a full, suspected one in the north.
 func twoRegionFleet(now time.Time) *Fleet {
 	f := New()
 	f.Put(Engine{ID: "s", Service: "live", Zone: "s1", Region: "south", Slots: 8})
--- a/internal/core/idempotency/reducer.go
+++ b/internal/core/idempotency/reducer.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// advanceOffset sets the next offset, and sweeps once every sweepEvery offsets.
+// advanceOffset sets the next offset, and sweeps once every sweepInterval offsets.
 func (r *Reducer) advanceOffset(offset int64) {
 	if offset/sweepInterval != (r.next-1)/sweepInterval {
 		r.sweep(offset)
--- a/internal/core/lengths/lengths.go
+++ b/internal/core/lengths/lengths.go
@@ -21,7 +21,7 @@
 	groups map[string]*samples
 	// overall holds the recent lengths of all groups, for the estimates of groups without observations.
 	overall samples
-	// observations is the logical clock of samples.lastObserved.
+	// observations counts the calls of Observe; samples.lastObserved is a value of it.
 	observations uint64
 }
 
--- a/internal/core/policy/csv_test.go
+++ b/internal/core/policy/csv_test.go
@@ -49,7 +49,7 @@
 	var found []string
 	for _, problem := range problems {
 		assert.Assert(t, problem.Expected != "")
-		// The line number is written as a row of i's.
+		// One i for each line, so that the problems sort by line.
 		found = append(found, strings.Repeat("i", problem.Line)+":"+problem.Column+":"+problem.Value)
 	}
 	slices.Sort(found)
--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -53,7 +53,7 @@
 	Offset int64
 }
 
-// Key returns the key of the record.
+// Key returns the key of the record among those of its request.
 func (r Record) Key() RecordKey { return RecordKey{Engine: r.Engine, Trial: r.Trial} }
 
 // RecordKey identifies a record among those of its request. Exactly one of its fields is set.
--- a/internal/core/routes/tenants.go
+++ b/internal/core/routes/tenants.go
@@ -29,9 +29,9 @@
 type Sender struct {
 	// Tenant is the tenant's name; empty if the configuration has no tenants or the route is open.
 	Tenant string
-	// HasTenants is true if the configuration has tenants. The request's credentials are then for this proxy and
-	// must not be forwarded to engines.
-	HasTenants bool
+	// TenantsConfigured is true if the configuration has tenants. The request's credentials are then for this
+	// proxy and must not be forwarded to engines.
+	TenantsConfigured bool
 	// Priority is that of the tenant or, if it has none, of the route. 0 is the highest priority.
 	Priority int
 	// Homes is the set of regions that may serve and store the request: the intersection of the homes of the
@@ -70,7 +70,7 @@
 // one within the last few seconds. An error is of kind Unauthorized, or NotCurrent if a newer table may contain the
 // key.
 func (t *Table) SenderOf(route *Route, credentials Credentials, current bool) (Sender, *errkind.Error) {
-	sender := Sender{HasTenants: t.tenants != nil, Priority: route.Priority, Homes: homes.Of(route.Homes)}
+	sender := Sender{TenantsConfigured: t.tenants != nil, Priority: route.Priority, Homes: homes.Of(route.Homes)}
 	if t.tenants == nil || route.Open {
 		return sender, nil
 	}
--- a/internal/core/routes/tenants_test.go
+++ b/internal/core/routes/tenants_test.go
@@ -24,8 +24,9 @@
 		Tenant{Name: "a", Keys: []string{"ka", "kb"}, Priority: &urgent}, Tenant{Name: "b", Keys: []string{"kc"}})
 	own := table.Match("h", "/own/x")
 	for key, want := range map[string]Sender{
-		"ka": {Tenant: "a", HasTenants: true, Priority: 1}, "kb": {Tenant: "a", HasTenants: true, Priority: 1},
-		"kc": {Tenant: "b", HasTenants: true, Priority: 4},
+		"ka": {Tenant: "a", TenantsConfigured: true, Priority: 1},
+		"kb": {Tenant: "a", TenantsConfigured: true, Priority: 1},
+		"kc": {Tenant: "b", TenantsConfigured: true, Priority: 4},
 	} {
 		sender, failure := table.SenderOf(own, Credentials{Key: key}, true)
 		assert.Assert(t, failure == nil, key)
@@ -55,7 +56,7 @@
 	for _, credentials := range []Credentials{{}, {Key: "kz"}, {Key: "ka"}, {Problem: "x"}} {
 		sender, failure := table.SenderOf(table.Match("h", "/open/x"), credentials, true)
 		assert.Assert(t, failure == nil)
-		assert.Equal(t, sender, Sender{HasTenants: true, Priority: 5})
+		assert.Equal(t, sender, Sender{TenantsConfigured: true, Priority: 5})
 	}
 	for _, credentials := range []Credentials{{}, {Key: "kz"}, {Problem: "x"}} {
 		owners, failure := table.OwnersOf("jobs", credentials, true)
--- a/internal/core/slowstart/pacer.go
+++ b/internal/core/slowstart/pacer.go
@@ -59,8 +59,8 @@
 	return 0
 }
 
-// Room returns how many requests to the engine would be admitted now.
-func (p *Pacer) Room(engine incarnation.ID, ratePerSecond float64, now time.Time) int {
+// Available returns how many requests to the engine would be admitted now.
+func (p *Pacer) Available(engine incarnation.ID, ratePerSecond float64, now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.waitFor(engine, ratePerSecond, now) > 0 {
@@ -82,8 +82,8 @@
 	p.due[engine] = due
 }
 
-// Forget drops the state of engines whose requests no longer count towards the rate.
-func (p *Pacer) Forget(now time.Time) {
+// DropExpired drops the state of engines whose requests no longer count towards the rate.
+func (p *Pacer) DropExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for engine, due := range p.due {
--- a/internal/core/slowstart/pacer_test.go
+++ b/internal/core/slowstart/pacer_test.go
@@ -37,10 +37,10 @@
 		var admitted []time.Time
 		for _, pause := range pauses {
 			now = now.Add(time.Duration(pause) * time.Millisecond)
-			room := pacer.Room(cold, rate, now)
+			available := pacer.Available(cold, rate, now)
 			wait := pacer.Admit(cold, rate, now)
-			if (room > 0) != (wait == 0) {
-				t.Fatalf("room for %d requests, but wait of %s", room, wait)
+			if (available > 0) != (wait == 0) {
+				t.Fatalf("%d requests available, but wait of %s", available, wait)
 			}
 			if wait == 0 {
 				admitted = append(admitted, now)
@@ -73,7 +73,7 @@
 	pacer := New(began)
 	admitted := 0
 	for now := firstAdmission; now.Before(firstAdmission.Add(10 * time.Second)); now = now.Add(50 * time.Millisecond) {
-		for range pacer.Room(cold, 7.9, now) {
+		for range pacer.Available(cold, 7.9, now) {
 			assert.Equal(t, pacer.Admit(cold, 7.9, now), time.Duration(0))
 			admitted++
 		}
@@ -87,7 +87,7 @@
 		assert.Equal(t, pacer.Admit(cold, 1, firstAdmission), time.Duration(0))
 	}
 	assert.Equal(t, pacer.Admit(cold, 1, firstAdmission), time.Second)
-	assert.Equal(t, pacer.Room(incarnation.ID{Engine: "e1", StartMillis: 8}, 1, firstAdmission), Burst, "another incarnation")
+	assert.Equal(t, pacer.Available(incarnation.ID{Engine: "e1", StartMillis: 8}, 1, firstAdmission), Burst, "another incarnation")
 }
 
 // The engine reports that it is cold only after eight items were started at once.
@@ -156,11 +156,11 @@
 	}
 }
 
-func TestForgetDropsEnginesWithoutCountedRequests(t *testing.T) {
+func TestDropExpiredDropsEnginesWithoutCountedRequests(t *testing.T) {
 	pacer := New(began)
 	assert.Equal(t, pacer.Admit(cold, 1, firstAdmission), time.Duration(0))
-	pacer.Forget(firstAdmission.Add(time.Second))
+	pacer.DropExpired(firstAdmission.Add(time.Second))
 	assert.Equal(t, len(pacer.due), 1)
-	pacer.Forget(firstAdmission.Add(time.Second + 1))
+	pacer.DropExpired(firstAdmission.Add(time.Second + 1))
 	assert.Equal(t, len(pacer.due), 0)
 }
--- a/internal/core/weightplan/weightplan_test.go
+++ b/internal/core/weightplan/weightplan_test.go
@@ -210,7 +210,7 @@
 	assert.Equal(t, len(allocator.Allocate(remaining, targets)), 50)
 }
 
-// Guards against a leader change that reassigns engines, although their versions tell which model they followed.
+// Guards against a leader change that reassigns engines, although their versions show which model they followed.
 func TestNewLeaderDerivesTheAllocationFromVersions(t *testing.T) {
 	all := fleetOf(1_000)
 	followed := make(map[incarnation.ID]string)
--- a/internal/crashes/guard.go
+++ b/internal/crashes/guard.go
@@ -18,10 +18,10 @@
 // Guard quarantines requests during which engines crashed. Nodes write the crashes that they observe to the log, which
 // all nodes follow; while the log is unavailable, they send them to each other. It is safe for concurrent use.
 type Guard struct {
-	detector *Detector
-	writer   *writer
-	observe  func(requests int)
-	logger   zerolog.Logger
+	detector       *Detector
+	writer         *writer
+	onRequestCount func(requests int)
+	logger         zerolog.Logger
 
 	// requestCount is the number of requests in the ledger. While it is zero, no fingerprints are computed.
 	requestCount atomic.Int64
@@ -54,9 +54,10 @@
 // NewGuard returns a guard; Run starts it.
 func NewGuard(options GuardOptions) *Guard {
 	return &Guard{
-		detector: options.Detector,
-		writer:   newWriter(options.Log, options.Topic, options.OnUnwritten, options.Logger),
-		observe:  options.OnRequestCount, logger: options.Logger, ledger: quarantine.NewLedger(), changed: make(chan struct{}),
+		detector:       options.Detector,
+		writer:         newWriter(options.Log, options.Topic, options.OnUnwritten, options.Logger),
+		onRequestCount: options.OnRequestCount,
+		logger:         options.Logger, ledger: quarantine.NewLedger(), changed: make(chan struct{}),
 		claiming: make(map[quarantine.Fingerprint]bool), peerRecords: make(map[string]peerRecord),
 		tombstones: make(map[string]tombstone),
 	}
@@ -107,7 +108,7 @@
 // updateCount updates and reports the number of requests in the ledger. Must be called with mu held.
 func (g *Guard) updateCount() {
 	g.requestCount.Store(int64(g.ledger.Len()))
-	g.observe(g.ledger.Len())
+	g.onRequestCount(g.ledger.Len())
 }
 
 // put adds a record and logs a new quarantine. Must be called with mu held.
--- a/internal/crashes/guard_test.go
+++ b/internal/crashes/guard_test.go
@@ -268,8 +268,8 @@
 	return ctx.Err()
 }
 
-// TestWriterShutdownWithUnresponsiveLog guards against a last write that outlasts the 350 ms (hosted.minRoleTime) that a
-// stopping node leaves for it.
+// TestWriterShutdownWithUnresponsiveLog guards against a last write that outlasts the 350 ms (hosted.minTaskTime) that
+// a stopping node leaves for it.
 func TestWriterShutdownWithUnresponsiveLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		writer := newWriter(unresponsiveLog{}, topic, func(context.Context, []eventlog.KeyedRecord) {}, zerolog.Nop())
--- a/internal/crashes/peerrecords.go
+++ b/internal/crashes/peerrecords.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// A record received from a peer is written by this node if it is not in the log after peerWriteDelay plus a random
-	// time below peerWriteJitter, since the peer may have ended. The jitter makes it likely that only one node writes it.
+	// A record received from a peer is written by this node if it is not in the log after peerWriteDelay plus a
+	// random time below peerWriteJitter, since the peer may have ended. The jitter makes it likely that only one node
+	// writes it.
 	peerWriteDelay  = 5 * time.Second
 	peerWriteJitter = 10 * time.Second
 	// maintenanceInterval is the time between checks for due peer records and expired tombstones.
--- a/internal/crashes/record.go
+++ b/internal/crashes/record.go
@@ -13,8 +13,8 @@
 	"github.com/corkpulley/corkpulley/internal/eventlog"
 )
 
-// A record's key in the log is FINGERPRINT/engine/ID or FINGERPRINT/trial/ID. Each crash and each trial has its own key,
-// so that writing its record is idempotent.
+// A record's key in the log is FINGERPRINT/engine/ID or FINGERPRINT/trial/ID. Each crash and each trial has its own
+// key, so that writing its record is idempotent.
 const (
 	keySeparator = "/"
 	keyEngine    = "engine"
--- a/internal/crashes/writer.go
+++ b/internal/crashes/writer.go
@@ -13,7 +13,7 @@
 
 const (
 	writeTimeout = 1500 * time.Millisecond
-	// finalWriteTimeout bounds the write at shutdown. It must be below hosted.minRoleTime, the time that a stopping
+	// finalWriteTimeout bounds the write at shutdown. It must be below hosted.minTaskTime, the time that a stopping
 	// node leaves for it.
 	finalWriteTimeout = 200 * time.Millisecond
 	// maxBatch is the maximum number of records in one write.
@@ -33,22 +33,22 @@
 	log    Log
 	topic  string
 	logger zerolog.Logger
-	// unwritten is called once for each record whose first write failed.
-	unwritten func(ctx context.Context, records []eventlog.KeyedRecord)
-	wake      chan struct{}
+	// onUnwritten is called once for each record whose first write failed.
+	onUnwritten func(ctx context.Context, records []eventlog.KeyedRecord)
+	wake        chan struct{}
 
 	mu sync.Mutex
 	// pending holds the latest record to write for each key.
 	pending map[string]eventlog.KeyedRecord
-	// reported holds the keys for which unwritten was called.
+	// reported holds the keys for which onUnwritten was called.
 	reported map[string]bool
 }
 
 func newWriter(
-	log Log, topic string, unwritten func(context.Context, []eventlog.KeyedRecord), logger zerolog.Logger,
+	log Log, topic string, onUnwritten func(context.Context, []eventlog.KeyedRecord), logger zerolog.Logger,
 ) *writer {
 	return &writer{
-		log: log, topic: topic, unwritten: unwritten, logger: logger, wake: make(chan struct{}, 1),
+		log: log, topic: topic, onUnwritten: onUnwritten, logger: logger, wake: make(chan struct{}, 1),
 		pending: make(map[string]eventlog.KeyedRecord), reported: make(map[string]bool),
 	}
 }
@@ -136,7 +136,7 @@
 	return batch
 }
 
-// reportUnwritten calls unwritten once for each record of a failed batch.
+// reportUnwritten calls onUnwritten once for each record of a failed batch.
 func (w *writer) reportUnwritten(ctx context.Context, batch []eventlog.KeyedRecord) {
 	var unreported []eventlog.KeyedRecord
 	w.mu.Lock()
@@ -148,6 +148,6 @@
 	}
 	w.mu.Unlock()
 	if len(unreported) > 0 {
-		w.unwritten(ctx, unreported)
+		w.onUnwritten(ctx, unreported)
 	}
 }
--- a/internal/duties/counter.go
+++ b/internal/duties/counter.go
@@ -30,7 +30,7 @@
 	maxCountDelay = 2 * time.Second
 	// countTTL is how long unwritten counts are kept; reports of older windows are skipped.
 	countTTL = 5 * time.Minute
-	// finalWriteTimeout bounds the write at shutdown. It must be below hosted.minRoleTime, the time that a stopping
+	// finalWriteTimeout bounds the write at shutdown. It must be below hosted.minTaskTime, the time that a stopping
 	// node leaves for it.
 	finalWriteTimeout = 300 * time.Millisecond
 )
--- a/internal/duties/reporter_test.go
+++ b/internal/duties/reporter_test.go
@@ -103,7 +103,7 @@
 	return 0, ctx.Err()
 }
 
-// TestCounterShutdownWithUnresponsiveLog guards against a last write that outlasts the 350 ms (hosted.minRoleTime) that
+// TestCounterShutdownWithUnresponsiveLog guards against a last write that outlasts the 350 ms (hosted.minTaskTime) that
 // a stopping node leaves for it.
 func TestCounterShutdownWithUnresponsiveLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/hosted/callers.go
+++ b/internal/hosted/callers.go
@@ -124,8 +124,8 @@
 	})
 }
 
-// firstFound calls run for each query until one finds the job. A query that fails with HistoryLost does not hide a later
-// match; without a match, its error is returned in place of NotFound.
+// firstFound calls run for each query until one finds the job. A query that fails with HistoryLost does not hide a
+// later match; without a match, its error is returned in place of NotFound.
 func firstFound[Query, Answer any](
 	queries []Query, run func(query Query) (Answer, error),
 ) (answer Answer, err error) {
--- a/internal/hosted/enginelist.go
+++ b/internal/hosted/enginelist.go
@@ -15,8 +15,8 @@
 // deferredCheckPeriod is the interval between checks for deferred entries that have become due.
 const deferredCheckPeriod = 500 * time.Millisecond
 
-// unusableEntries holds the last fault of each unusable entry by key, so that a repeated entry is logged once. It is not
-// safe for concurrent use.
+// unusableEntries holds the last fault of each unusable entry by key, so that a repeated entry is logged once. It is
+// not safe for concurrent use.
 type unusableEntries map[string]EntryFault
 
 // isNew records the fault of an entry and reports whether it differs from the last one.
--- a/internal/hosted/entryfault.go
+++ b/internal/hosted/entryfault.go
@@ -21,8 +21,8 @@
 	BadAddress
 	// UnknownState: the state is neither serving nor draining.
 	UnknownState
-	// UnknownService: the configuration does not define the service. The engine is kept, since a later configuration may
-	// define it.
+	// UnknownService: the configuration does not define the service. The engine is kept, since a later configuration
+	// may define it.
 	UnknownService
 )
 
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -103,8 +103,8 @@
 	peers     *server
 }
 
-// Run runs a node until ctx ends, and then performs a planned stop. Of the settings received from
-// reloads, only the grace period and the log level take effect; the others need a restart. Logs are written as JSON lines.
+// Run runs a node until ctx ends, and then performs a planned stop. Of the settings received from reloads, only the
+// grace period and the log level take effect; the others need a restart. Logs are written as JSON lines.
 func Run(
 	ctx context.Context, config settings.Settings, platform Platform, reloads <-chan settings.Settings, logs io.Writer,
 ) error {
@@ -248,8 +248,8 @@
 	group.Go(n.peers.serve)
 	for _, task := range []func(context.Context) error{
 		n.controlFollower.Run, n.followEngines, n.crashFollower.Run, n.crashGuard.Run, n.jobs.Run, n.directory.Run,
-		n.usageCounter.Run, n.applyDeferred, n.suspension.Run, n.watchColdEngines, n.logCalls.summary.Run, n.clusterVersion.Run,
-		n.afterFirstRead(n.elector.Run), n.afterFirstRead(n.regionElections.Run),
+		n.usageCounter.Run, n.applyDeferred, n.suspension.Run, n.watchColdEngines, n.logCalls.summary.Run,
+		n.clusterVersion.Run, n.afterFirstRead(n.elector.Run), n.afterFirstRead(n.regionElections.Run),
 	} {
 		group.Go(func() error { return task(groupContext) })
 	}
--- a/internal/hosted/lead.go
+++ b/internal/hosted/lead.go
@@ -28,7 +28,7 @@
 	runner = batchrun.New(batchrun.Options{
 		Jobs: n.jobs, Engines: n.engineCalls, Fleet: n.fleet, Scorer: n, Guard: n.crashGuard, Gate: n.gate,
 		ColdStarts: n.coldGranter, RouteOf: n.batchRoute, HomesOf: n.jobHomes, ConfigVersion: n.configVersion,
-		LoadingModel: orders.Loading, LoadingModels: orders.AllLoading,
+		LoadingModel: orders.LoadingModel, LoadingModels: orders.LoadingModels,
 		Term: strconv.FormatInt(term.Epoch, 10), Logger: n.logger,
 	})
 	n.metrics.leading.Set(1)
--- a/internal/hosted/platform.go
+++ b/internal/hosted/platform.go
@@ -70,8 +70,8 @@
 	// MaxBodyBytes and MaxHeaderBytes bound the size of a request.
 	MaxBodyBytes() int64
 	MaxHeaderBytes() int
-	// ReserveBody reserves memory for a request body while it is received, ReserveResult for a response about a batch job
-	// until its caller has read it. A refusal has a retry delay.
+	// ReserveBody reserves memory for a request body while it is received, ReserveResult for a response about a batch
+	// job until its caller has read it. A refusal has a retry delay.
 	ReserveBody() *BodyReservation
 	ReserveResult(bytes int) (release func(), err error)
 	// CallerLimits returns the limits for callers that read slowly.
@@ -80,7 +80,8 @@
 	RecordRefusal(id string, failure *errkind.Error)
 }
 
-// Platform is the interface to the platform that hosts a node: its log, engines, topics, record formats and HTTP handlers.
+// Platform is the interface to the platform that hosts a node: its log, engines, topics, record formats and HTTP
+// handlers.
 type Platform interface {
 	Log() eventlog.Log
 	Engines() Engines
--- a/internal/hosted/scorer.go
+++ b/internal/hosted/scorer.go
@@ -21,7 +21,7 @@
 // Score implements batchrun.Scorer. A scoring call is relayed like a live request.
 func (n *node) Score(ctx context.Context, tenant string, call batch.ScoringCall) batchrun.ScoringResult {
 	began := time.Now()
-	sender := routes.Sender{Tenant: tenant, HasTenants: tenant != ""}
+	sender := routes.Sender{Tenant: tenant, TenantsConfigured: tenant != ""}
 	reply, failure := n.relay.Call(ctx, &ingress.Request{
 		ID: call.ID, Method: http.MethodPost, Target: call.Path, Path: call.Path, Host: call.Host,
 		Header: http.Header{}, Body: call.Body, Sender: &sender, Budget: scoringTimeout, Received: began,
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -118,7 +118,7 @@
 	return x.sender.Homes
 }
 
-// timeoutFailure is the error when ctx has ended. Nobody reads it if the caller has disconnected.
+// timeoutFailure is the error when ctx has ended. A caller that has disconnected does not receive it.
 func (x *exchange) timeoutFailure() *errkind.Error {
 	if x.callerCtx.Err() != nil && x.executions == 0 {
 		return errkind.New(errkind.Canceled, "the caller left")
--- a/internal/ingress/homes_test.go
+++ b/internal/ingress/homes_test.go
@@ -135,7 +135,7 @@
 func TestInternalCallStaysInTenantHomes(t *testing.T) {
 	d := newHomedDeployment(nil, []string{"west"})
 	d.answers["west"] = Answer{Status: http.StatusOK}
-	sender := routes.Sender{Tenant: "t", HasTenants: true}
+	sender := routes.Sender{Tenant: "t", TenantsConfigured: true}
 	_, failure := d.Call(context.Background(), &Request{
 		ID: "id", Method: http.MethodPost, Target: "/x/1", Path: "/x/1", Host: "h", Received: time.Now(), Sender: &sender,
 	})
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -5,8 +5,8 @@
 //   - An answer is forwarded to a caller only after it was verified to belong to the caller's request.
 //   - A request that is not repeatable is sent to another engine only if the previous engine reported that it did not
 //     run it, or if no byte of it was sent.
-//   - A caller is told that its request was not executed only if each engine tried reported that it did not run it, or
-//     got no byte of it.
+//   - An error states that a request was not executed only if each engine tried reported that it did not run it, or got
+//     no byte of it.
 package ingress
 
 import (
--- a/internal/leadership/arrival_test.go
+++ b/internal/leadership/arrival_test.go
@@ -69,8 +69,8 @@
 	assert.Assert(t, !first.elector.Valid(epoch) || !second.elector.Valid(newest), "both hold the lease")
 }
 
-// TestQuietPeriodCoversOrdersOfEarlierTerm: the node leads again after another leader that sent no orders. Orders of its
-// earlier term may still be in transit.
+// TestQuietPeriodCoversOrdersOfEarlierTerm: the node leads again after another leader that sent no orders. Orders of
+// its earlier term may still be in transit.
 func TestQuietPeriodCoversOrdersOfEarlierTerm(t *testing.T) {
 	log := memlog.New()
 	connection := newFaultyLog(log)
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -201,8 +201,8 @@
 	return Holder{Node: e.state.Node, Address: e.state.Address}
 }
 
-// DeferClaims defers claims from now on, since this node is about to stop. A lease that it holds is kept until Stop, since
-// all other nodes may be stopping too.
+// DeferClaims defers claims from now on, since this node is about to stop. A lease that it holds is kept until Stop,
+// since all other nodes may be stopping too.
 func (e *Elector) DeferClaims() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/leadership/permit.go
+++ b/internal/leadership/permit.go
@@ -29,7 +29,9 @@
 // QuietUntil implements lease.Term.
 func (t Term) QuietUntil(subject string) time.Time {
 	e := t.elector
-	quiet := lease.QuietPeriod{BetweenMachines: e.options.QuietPeriod, MaxTransit: arrivalTime, EnginesFence: e.options.EnginesFence}
+	quiet := lease.QuietPeriod{
+		BetweenMachines: e.options.QuietPeriod, MaxTransit: arrivalTime, EnginesFence: e.options.EnginesFence,
+	}
 	e.mu.Lock()
 	until := e.state.QuietUntil(subject, quiet)
 	e.mu.Unlock()
--- a/internal/leadership/randomfaults_test.go
+++ b/internal/leadership/randomfaults_test.go
@@ -90,8 +90,8 @@
 	m.changed = make(chan struct{})
 }
 
-// Append implements eventlog.Log. The elector must not use it; if it does, the unconditional append takes effect and the
-// invariants fail.
+// Append implements eventlog.Log. The elector must not use it; if it does, the unconditional append takes effect and
+// the invariants fail.
 func (m *faultyMachine) Append(ctx context.Context, name eventlog.Partition, records [][]byte) (int64, error) {
 	return m.AppendAt(ctx, name, unconditional, records)
 }
@@ -372,9 +372,9 @@
 	r.wait.Wait()
 }
 
-// TestRandomFaults checks that leases do not overlap, that each epoch has one holder, that an engine receives no order of
-// an earlier epoch after one of a later epoch, and that orders of two machines are separated by the quiet period. Machines
-// freeze, restart and have drifting clocks; the log rejects, loses, delays and trims records.
+// TestRandomFaults checks that leases do not overlap, that each epoch has one holder, that an engine receives no order
+// of an earlier epoch after one of a later epoch, and that orders of two machines are separated by the quiet period.
+// Machines freeze, restart and have drifting clocks; the log rejects, loses, delays and trims records.
 func TestRandomFaults(t *testing.T) {
 	duration := time.Duration(*faultSeconds) * time.Second
 	for seed := *firstSeed; seed < *firstSeed+uint64(*faultSeeds); seed++ {
--- a/internal/leadership/tail.go
+++ b/internal/leadership/tail.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// logUnknownKind logs a record kind that only a newer version knows, once for each kind. Such a record confirms its epoch
-// and has no other effect. Must be called with mu held.
+// logUnknownKind logs a record kind that only a newer version knows, once for each kind. Such a record confirms its
+// epoch and has no other effect. Must be called with mu held.
 func (e *Elector) logUnknownKind(kind lease.RecordKind) {
 	if !kind.IsKnown() && e.unknownKinds.First(strconv.Itoa(int(kind))) {
 		e.options.Logger.Warn().Uint8("kind", uint8(kind)).Str("topic", e.partition.Topic).Int64("offset", e.state.Next).
--- a/internal/sendgate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -64,19 +64,19 @@
 	return false
 }
 
-// Check returns the final check of a request to an engine. permit reports whether the request's permit for a cold
-// engine is valid. Without a permit function, the request may be sent only while the engine is not cold.
-func (g *Gate) Check(engine incarnation.ID, permit func() bool) *Check {
-	if permit == nil {
-		permit = func() bool { return !g.isCold(engine) }
+// Check returns the final check of a request to an engine. permitValid reports whether the request's permit for a cold
+// engine is valid. If it is nil, the request may be sent only while the engine is not cold.
+func (g *Gate) Check(engine incarnation.ID, permitValid func() bool) *Check {
+	if permitValid == nil {
+		permitValid = func() bool { return !g.isCold(engine) }
 	}
-	return &Check{gate: g, engine: engine, permit: permit}
+	return &Check{gate: g, engine: engine, permitValid: permitValid}
 }
 
-// CheckWeightLoad returns the final check of an order to load weights. It does not count towards an engine's request rate
-// and needs no permit for a cold engine.
+// CheckWeightLoad returns the final check of an order to load weights. It does not count towards an engine's request
+// rate and needs no permit for a cold engine.
 func (g *Gate) CheckWeightLoad(engine incarnation.ID) *Check {
-	return &Check{gate: g, engine: engine, permit: func() bool { return true }}
+	return &Check{gate: g, engine: engine, permitValid: func() bool { return true }}
 }
 
 func (g *Gate) isCold(engine incarnation.ID) bool {
@@ -86,10 +86,10 @@
 
 // Check is the final check of one request. It is safe for concurrent use.
 type Check struct {
-	gate   *Gate
-	engine incarnation.ID
-	permit func() bool
-	held   atomic.Uint32
+	gate        *Gate
+	engine      incarnation.ID
+	permitValid func() bool
+	held        atomic.Uint32
 }
 
 // MaySend reports whether the request may be sent now. It must be called right before the first byte is written.
@@ -114,7 +114,7 @@
 	if held := c.gate.options.Fleet.Hold(c.engine); held != fleet.NotHeld {
 		return held
 	}
-	if !c.permit() {
+	if !c.permitValid() {
 		return fleet.HeldWithoutPermit
 	}
 	return fleet.NotHeld
--- a/internal/sendgate/sendgate_test.go
+++ b/internal/sendgate/sendgate_test.go
@@ -74,16 +74,16 @@
 // Guards against a permit that does not expire or that overrides an evacuation.
 func TestMaySendWithPermitForColdEngine(t *testing.T) {
 	engineFleet, engine := newFleet("za")
-	var open atomic.Bool
-	open.Store(true)
+	var valid atomic.Bool
+	valid.Store(true)
 	gate := New(Options{Fleet: engineFleet})
-	assert.Assert(t, gate.Check(engine.Incarnation(), open.Load).MaySend())
-	open.Store(false)
-	check := gate.Check(engine.Incarnation(), open.Load)
+	assert.Assert(t, gate.Check(engine.Incarnation(), valid.Load).MaySend())
+	valid.Store(false)
+	check := gate.Check(engine.Incarnation(), valid.Load)
 	assert.Assert(t, !check.MaySend())
 	assert.Equal(t, check.Held(), fleet.HeldWithoutPermit)
 	engineFleet.Evacuate("za", time.Now(), 1)
-	check = gate.Check(engine.Incarnation(), open.Load)
+	check = gate.Check(engine.Incarnation(), valid.Load)
 	assert.Assert(t, !check.MaySend())
 	assert.Equal(t, check.Held(), fleet.HeldEvacuated)
 }
--- a/internal/weightorders/scale_test.go
+++ b/internal/weightorders/scale_test.go
@@ -41,7 +41,7 @@
 	}
 	engines.mu.Lock()
 	manager.plan(t.Context(), Target{Service: service, Versions: map[string]int64{model: 2}})
-	loads = len(manager.AllLoading())
+	loads = len(manager.LoadingModels())
 	engines.mu.Unlock()
 	manager.loadGroup.Wait()
 	return queries, loads
--- a/internal/weightorders/weightorders.go
+++ b/internal/weightorders/weightorders.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// AllLoading returns the model that each engine is loading, without idle engines.
-func (m *Manager) AllLoading() map[incarnation.ID]string {
+// LoadingModels returns the model that each engine is loading, without idle engines.
+func (m *Manager) LoadingModels() map[incarnation.ID]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	loading := make(map[incarnation.ID]string, len(m.loading))
@@ -211,8 +211,8 @@
 	return loading
 }
 
-// Loading returns the model that an engine is loading; empty if it loads none.
-func (m *Manager) Loading(engine incarnation.ID) string {
+// LoadingModel returns the model that an engine is loading; empty if it loads none.
+func (m *Manager) LoadingModel(engine incarnation.ID) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if load, found := m.loading[engine]; found {
