--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -199,7 +199,7 @@
 		case "zone evacuated":
 			note = "zone " + line.text("engine_zone") + " was evacuated"
 		case "zone evacuation ended":
-			note = "zone " + line.text("engine_zone") + " was taken back"
+			note = "the evacuation of zone " + line.text("engine_zone") + " ended"
 		case "items wait: no usable engine outside evacuated zones":
 			note = "no engine of " + line.text("service") + " was left outside evacuated zones"
 		case "sending resumed after a suspension":
