--- a/internal/bench/soak/seeds.go
+++ b/internal/bench/soak/seeds.go
@@ -38,7 +38,7 @@
 func (s RegressionSeed) check() error {
 	switch {
 	case s.Number == 0:
-		return errors.New("kept seed without a number")
+		return errors.New("regression seed without a number")
 	case s.Minutes < minMinutes || s.Minutes > maxMinutes:
 		return errors.Errorf("seed %d: minutes is %g, expected %g..%d", s.Number, s.Minutes, minMinutes, maxMinutes)
 	case s.FoundOn == "" || s.Rule == "" || s.Cause == "" || s.Fix == "":
@@ -60,7 +60,7 @@
 	}
 	decoded, err := toml.DecodeFile(path, &file)
 	if err != nil {
-		return nil, errors.Wrap(err, "read kept seeds")
+		return nil, errors.Wrap(err, "read regression seeds")
 	}
 	if unknown := decoded.Undecoded(); len(unknown) > 0 {
 		return nil, errors.Errorf("%s: unknown fields %v", path, unknown)
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -24,7 +24,7 @@
 	Minutes      float64  `arg:"--minutes" default:"1" help:"length of the load (0.1..120)"`
 	Nodes        int      `arg:"--nodes" default:"4" help:"nodes, each a process (1..100)"`
 	Without      []int    `arg:"--without,separate" placeholder:"NUMBER" help:"leave out the fault with this number; repeatable"`
-	Seeds        string   `arg:"--seeds" placeholder:"FILE" help:"run a soak for each kept seed of this file, with its length"`
+	Seeds        string   `arg:"--seeds" placeholder:"FILE" help:"run a soak for each regression seed of this file, with its length"`
 	Slack        float64  `arg:"--slack" default:"1" help:"factor for the time limits of invariants (1..100), for a slow machine"`
 	Print        bool     `arg:"--print" help:"print the schedule and do not run it"`
 	EnginesFence string   `arg:"--engines-fence" default:"drawn" placeholder:"WHETHER" help:"whether engines refuse lower fencing tokens: yes, no, or drawn from the seed"`
