--- a/internal/bench/command/run.go
+++ b/internal/bench/command/run.go
@@ -120,13 +120,13 @@
 
 // checkInvariants returns an error if any run violated an invariant, which invalidates its measurements.
 func checkInvariants(results []experiment.Result) error {
-	stale, broken := 0, 0
+	stale, violations := 0, 0
 	for _, result := range results {
 		stale += result.Stale
-		broken += result.Broken
+		violations += result.Violations
 	}
-	if stale+broken > 0 {
-		return errors.Errorf("%d samples were accepted beyond the staleness bound, %d other invariants were violated", stale, broken)
+	if stale+violations > 0 {
+		return errors.Errorf("%d samples were accepted beyond the staleness bound, %d other invariants were violated", stale, violations)
 	}
 	return nil
 }
--- a/internal/bench/experiment/bound.go
+++ b/internal/bench/experiment/bound.go
@@ -13,9 +13,9 @@
 type boundInput struct {
 	// steps holds the steps of each trainer, in order. Other slices are indexed by trainer as well.
 	steps [][]stepWork
-	// ahead is the number of steps submitted ahead of the one being trained, trainTime the time to train one.
-	ahead     []int
-	trainTime []time.Duration
+	// stepsAhead is the number of steps submitted ahead of the one being trained, trainTime the time to train one.
+	stepsAhead []int
+	trainTime  []time.Duration
 	// tokensPerSecond is the engines' capacity for trainers; decodeStep is the
 	// time per token of a request in a batch of one.
 	tokensPerSecond float64
@@ -25,7 +25,7 @@
 // lowerBound returns a lower bound of each trainer's idle time. A step's samples
 // are complete no earlier than max(total work so far / capacity, submission time +
 // longest sample * decodeStep). A step is submitted when the trainer starts the
-// step that is ahead steps earlier. Scoring, the log and weight updates are assumed to take no time.
+// step that is stepsAhead steps earlier. Scoring, the log and weight updates are assumed to take no time.
 func lowerBound(input boundInput) []time.Duration {
 	idle := make([]time.Duration, len(input.steps))
 	started := make([][]time.Duration, len(input.steps))
@@ -40,7 +40,7 @@
 			}
 			begin := available[trainer]
 			started[trainer] = append(started[trainer], begin)
-			submitted := started[trainer][max(0, step-input.ahead[trainer])]
+			submitted := started[trainer][max(0, step-input.stepsAhead[trainer])]
 			longest := time.Duration(steps[step].longest) * input.decodeStep
 			complete := max(begin, workDone, submitted+longest)
 			idle[trainer] += complete - begin
--- a/internal/bench/experiment/bound_test.go
+++ b/internal/bench/experiment/bound_test.go
@@ -15,7 +15,7 @@
 func TestLowerBoundIsMaximumOfLongestSampleAndTotalWork(t *testing.T) {
 	input := boundInput{
 		steps:           [][]stepWork{{{tokens: 100, longest: 50}}},
-		ahead:           []int{0},
+		stepsAhead:      []int{0},
 		trainTime:       []time.Duration{10 * millis},
 		tokensPerSecond: 1000,
 		decodeStep:      millis,
@@ -28,7 +28,7 @@
 func TestLowerBoundWithStepsSubmittedAhead(t *testing.T) {
 	input := boundInput{
 		steps:           [][]stepWork{{{tokens: 10, longest: 50}, {tokens: 10, longest: 70}}},
-		ahead:           []int{1},
+		stepsAhead:      []int{1},
 		trainTime:       []time.Duration{10 * millis},
 		tokensPerSecond: 1_000_000,
 		decodeStep:      millis,
@@ -36,7 +36,7 @@
 	// The second step is submitted with the first: it is complete after 70 ms,
 	// and the trainer is ready for it after 50 + 10 ms.
 	assert.Equal(t, lowerBound(input)[0], 60*millis)
-	input.ahead[0] = 0
+	input.stepsAhead[0] = 0
 	assert.Equal(t, lowerBound(input)[0], 120*millis)
 }
 
@@ -44,7 +44,7 @@
 	step := []stepWork{{tokens: 100, longest: 1}}
 	idle := lowerBound(boundInput{
 		steps:           [][]stepWork{step, step},
-		ahead:           []int{0, 0},
+		stepsAhead:      []int{0, 0},
 		trainTime:       []time.Duration{millis, millis},
 		tokensPerSecond: 1000,
 		decodeStep:      millis,
@@ -61,7 +61,7 @@
 		}), 1, 6).Draw(t, "steps")
 		input := boundInput{
 			steps:           [][]stepWork{work},
-			ahead:           []int{rapid.IntRange(0, 2).Draw(t, "ahead")},
+			stepsAhead:      []int{rapid.IntRange(0, 2).Draw(t, "ahead")},
 			trainTime:       []time.Duration{time.Duration(rapid.IntRange(0, 500).Draw(t, "train")) * millis},
 			tokensPerSecond: float64(rapid.IntRange(1000, 100_000).Draw(t, "rate")),
 			decodeStep:      millis,
@@ -71,7 +71,7 @@
 		faster.tokensPerSecond *= 2
 		assert.Assert(t, lowerBound(faster)[0] <= idle)
 		ahead := input
-		ahead.ahead = []int{input.ahead[0] + 1}
+		ahead.stepsAhead = []int{input.stepsAhead[0] + 1}
 		assert.Assert(t, lowerBound(ahead)[0] <= idle)
 	})
 }
--- a/internal/bench/experiment/compare.go
+++ b/internal/bench/experiment/compare.go
@@ -60,10 +60,10 @@
 	IdleRatioToBaseline float64 `json:"idle_ratio_to_baseline"`
 	IdleRatioToBound    float64 `json:"idle_ratio_to_bound"`
 	DiscardedTokenShare float64 `json:"discarded_token_share"`
-	// Stale, Broken and LiveFailed are sums over all seeds.
+	// Stale, Violations and LiveFailed are sums over all seeds.
 	Stale        int     `json:"stale"`
 	LiveP99Ratio float64 `json:"live_p99_ratio"`
-	Broken       int     `json:"broken"`
+	Violations   int     `json:"broken"`
 	LiveFailed   int     `json:"live_failed"`
 	// BaselineTotals holds the baseline's medians and sums.
 	BaselineTotals *Totals `json:"baseline_totals,omitempty"`
@@ -81,7 +81,7 @@
 		DiscardedTokenShare: medians.DiscardedTokenShare,
 		Stale:               medians.Stale,
 		LiveP99Ratio:        medians.LiveP99Ratio,
-		Broken:              medians.Broken,
+		Violations:          medians.Violations,
 		LiveFailed:          medians.LiveFailed,
 	}
 	for number := range p.Seeds {
@@ -128,7 +128,7 @@
 	}
 	for _, runTotals := range totals {
 		medians.Stale += runTotals.Stale
-		medians.Broken += runTotals.Broken
+		medians.Violations += runTotals.Violations
 		medians.LiveFailed += runTotals.LiveFailed
 	}
 	return medians
--- a/internal/bench/experiment/measure.go
+++ b/internal/bench/experiment/measure.go
@@ -46,7 +46,7 @@
 		if figures.SharesPool {
 			result.LiveP99Ratio = max(result.LiveP99Ratio, figures.P99Ratio)
 		}
-		result.Broken += withoutTrainers.Invalid + withTrainers.Invalid
+		result.Violations += withoutTrainers.Invalid + withTrainers.Invalid
 		result.LiveFailed += withoutTrainers.Requests - withoutTrainers.OK + withTrainers.Requests - withTrainers.OK
 		result.Live = append(result.Live, figures)
 	}
@@ -84,7 +84,7 @@
 
 func (r *run) addViolations(result *Result, report trainer.Report) {
 	result.Stale += report.Stale
-	result.Broken += report.Duplicates + report.Lost + report.InvalidVersions
+	result.Violations += report.Duplicates + report.Lost + report.InvalidVersions
 	result.IdleSeconds += report.IdleSeconds
 }
 
@@ -104,18 +104,18 @@
 
 func trainerResult(spec workload.Trainer, report trainer.Report, steps []stepWork) TrainerResult {
 	figures := TrainerResult{
-		Service:       spec.Service,
-		Bound:         spec.StalenessBound,
-		Steps:         report.StepsTrained,
-		Samples:       report.SamplesAcknowledged,
-		IdleSeconds:   report.IdleSeconds,
-		IdleShare:     ratio(report.IdleSeconds, report.IdleSeconds+report.TrainSeconds),
-		StepSeconds:   stat.Mean(report.StepSeconds, nil),
-		StalenessMean: report.StalenessMean,
-		StalenessP99:  quantile(p99, report.Staleness),
-		StalenessMax:  report.StalenessMax,
-		Stale:         report.Stale,
-		Rejected:      report.Rejected,
+		Service:        spec.Service,
+		StalenessBound: spec.StalenessBound,
+		Steps:          report.StepsTrained,
+		Samples:        report.SamplesAcknowledged,
+		IdleSeconds:    report.IdleSeconds,
+		IdleShare:      ratio(report.IdleSeconds, report.IdleSeconds+report.TrainSeconds),
+		StepSeconds:    stat.Mean(report.StepSeconds, nil),
+		StalenessMean:  report.StalenessMean,
+		StalenessP99:   quantile(p99, report.Staleness),
+		StalenessMax:   report.StalenessMax,
+		Stale:          report.Stale,
+		Rejected:       report.Rejected,
 	}
 	for _, step := range steps {
 		figures.AcceptedTokens += step.tokens
@@ -138,7 +138,7 @@
 			}
 			trainerIndexes = append(trainerIndexes, index)
 			input.steps = append(input.steps, work[index])
-			input.ahead = append(input.ahead, spec.Ahead)
+			input.stepsAhead = append(input.stepsAhead, spec.StepsAhead)
 			input.trainTime = append(input.trainTime, spec.TrainTime)
 		}
 		for position, idle := range lowerBound(input) {
--- a/internal/bench/experiment/result.go
+++ b/internal/bench/experiment/result.go
@@ -30,17 +30,17 @@
 	// LiveP99Ratio is the p99 time to first token with trainers divided by that
 	// without them: the maximum over live services that share a pool with trainers.
 	LiveP99Ratio float64 `json:"live_p99_ratio"`
-	// Broken counts violated invariants: invalid live responses, duplicate and
+	// Violations counts violated invariants: invalid live responses, duplicate and
 	// lost samples, and tokens without a version. LiveFailed counts live calls
 	// without a complete and valid response.
-	Broken     int `json:"broken"`
+	Violations int `json:"broken"`
 	LiveFailed int `json:"live_failed"`
 }
 
 // TrainerResult holds the measurements of one trainer.
 type TrainerResult struct {
 	Service          string  `json:"service"`
-	Bound            int     `json:"staleness_bound"`
+	StalenessBound   int     `json:"staleness_bound"`
 	Steps            int     `json:"steps"`
 	Samples          int     `json:"samples"`
 	IdleShare        float64 `json:"idle_share"`
--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -59,7 +59,7 @@
 	for _, result := range results {
 		rows = append(rows, fmt.Sprintf("%s|%d|%.1f|%.2f|%.2f|%.2f|%.1f %%|%d|%.2f|%d|%d",
 			result.Policy, result.Seed, result.Seconds, result.IdleSeconds, result.BoundIdleSeconds, result.IdleRatioToBound,
-			percent*result.DiscardedTokenShare, result.Stale, result.LiveP99Ratio, result.LiveFailed, result.Broken))
+			percent*result.DiscardedTokenShare, result.Stale, result.LiveP99Ratio, result.LiveFailed, result.Violations))
 	}
 	table(text, "runs (idle: sum over trainers)",
 		"policy|seed|run s|idle s|bound s|idle/bound|discarded|stale|live p99 ratio|live failed|violations", rows)
@@ -71,7 +71,7 @@
 		for _, trainer := range result.Trainers {
 			rows = append(rows, fmt.Sprintf("%s|%d|%s|%.1f %%|%.2f|%.2f|%.2f|%.0f|%d|%d|%d|%d|%.1f %%",
 				result.Policy, result.Seed, trainer.Service, percent*trainer.IdleShare, trainer.StepSeconds,
-				trainer.BoundStepSeconds, trainer.StalenessMean, trainer.StalenessP99, trainer.StalenessMax, trainer.Bound,
+				trainer.BoundStepSeconds, trainer.StalenessMean, trainer.StalenessP99, trainer.StalenessMax, trainer.StalenessBound,
 				trainer.Samples, trainer.LongestSample, percent*trainer.PrefixHitShare))
 		}
 	}
--- a/internal/bench/workload/cascadia.go
+++ b/internal/bench/workload/cascadia.go
@@ -68,7 +68,7 @@
 		Pool:             pool,
 		Model:            service,
 		StalenessBound:   bound,
-		Ahead:            1,
+		StepsAhead:       1,
 		Steps:            4,
 		Prompts:          16,
 		SamplesPerPrompt: 8,
--- a/internal/bench/workload/deploy.go
+++ b/internal/bench/workload/deploy.go
@@ -112,7 +112,7 @@
 			Servers:          servers,
 			Trainer:          service.Service,
 			Steps:            service.Steps,
-			StepsAhead:       service.Ahead,
+			StepsAhead:       service.StepsAhead,
 			Prompts:          service.Prompts,
 			SamplesPerPrompt: service.SamplesPerPrompt,
 			MaxTokens:        service.MaxTokens,
--- a/internal/bench/workload/workload.go
+++ b/internal/bench/workload/workload.go
@@ -65,8 +65,8 @@
 	Model   string
 	// StalenessBound is the staleness bound in the policy table, in versions.
 	StalenessBound int
-	// Ahead is the number of steps submitted ahead of the one being trained.
-	Ahead            int
+	// StepsAhead is the number of steps submitted ahead of the one being trained.
+	StepsAhead       int
 	Steps            int
 	Prompts          int
 	SamplesPerPrompt int
--- a/test/history/history.go
+++ b/test/history/history.go
@@ -104,9 +104,9 @@
 	Sample  api.Sample
 	// PromptText is the prompt that the trainer submitted for the slot.
 	PromptText string
-	// TrainerVersion is the trainer's version in the acknowledgement, Bound its staleness bound at that time.
+	// TrainerVersion is the trainer's version in the acknowledgement, StalenessBound its staleness bound at that time.
 	TrainerVersion uint64
-	Bound          int
+	StalenessBound int
 	Accepted       time.Time
 }
 
--- a/test/history/history_test.go
+++ b/test/history/history_test.go
@@ -87,7 +87,7 @@
 		panic(err)
 	}
 	return Delivery{
-		Trainer: "t", PromptText: "p", TrainerVersion: 5, Bound: 2,
+		Trainer: "t", PromptText: "p", TrainerVersion: 5, StalenessBound: 2,
 		Sample: api.Sample{ID: "s1", Step: "1", Index: index, Text: text, Tokens: len(tokens), Versions: spans},
 	}
 }
--- a/test/history/trainers.go
+++ b/test/history/trainers.go
@@ -40,11 +40,11 @@
 	for i := range deliveries {
 		delivery := &deliveries[i]
 		for _, span := range delivery.Sample.Versions {
-			if span.Version+uint64(delivery.Bound) >= delivery.TrainerVersion {
+			if span.Version+uint64(delivery.StalenessBound) >= delivery.TrainerVersion {
 				continue
 			}
 			violations = append(violations, violation(RuleStaleness, "sample %s has version %d at trainer version %d, bound %d",
-				delivery.Sample.ID, span.Version, delivery.TrainerVersion, delivery.Bound))
+				delivery.Sample.ID, span.Version, delivery.TrainerVersion, delivery.StalenessBound))
 			break
 		}
 	}
--- a/test/integration/fault_free_test.go
+++ b/test/integration/fault_free_test.go
@@ -79,7 +79,7 @@
 		assert.Check(t, known, "sample %s is for an unknown prompt", accepted.Sample.ID)
 		deliveries = append(deliveries, history.Delivery{
 			Trainer: trainerName, Sample: accepted.Sample, PromptText: text,
-			TrainerVersion: accepted.TrainerVersion, Bound: r.config.StalenessBound, Accepted: accepted.At,
+			TrainerVersion: accepted.TrainerVersion, StalenessBound: r.config.StalenessBound, Accepted: accepted.At,
 		})
 	}
 	return deliveries
--- a/test/integration/trainer_client_test.go
+++ b/test/integration/trainer_client_test.go
@@ -162,7 +162,7 @@
 		assert.Assert(c.t, found, "sample %s was accepted but never fetched", id)
 		c.deliveries = append(c.deliveries, history.Delivery{
 			Trainer: trainerName, Sample: sample, PromptText: c.prompts[sample.Step][sample.Prompt],
-			TrainerVersion: request.TrainerVersion, Bound: c.bound, Accepted: time.Now(),
+			TrainerVersion: request.TrainerVersion, StalenessBound: c.bound, Accepted: time.Now(),
 		})
 	}
 	return response
