--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -20,7 +20,7 @@
 
 // Arguments are the flags of "corkbench demo".
 type Arguments struct {
-	JSON    bool `arg:"--json" help:"end with one JSON object, the summary"`
+	JSON    bool `arg:"--json" help:"print the summary as one JSON object at the end"`
 	Seconds int  `arg:"--seconds" default:"8" help:"how long live requests are sent (1..600)"`
 	Keep    bool `arg:"--keep" help:"leave the deployment running until SIGINT or SIGTERM"`
 }
--- a/internal/bench/live/live_test.go
+++ b/internal/bench/live/live_test.go
@@ -51,13 +51,13 @@
 	assert.Assert(t, good.OK(), "%+v", good)
 	assert.Assert(t, good.TimeToFirstToken > 0)
 	for name, bad := range map[string]api.Completion{
-		"gap":             newCompletion("0:3 2:3 3:4 ", 3, twoVersions),
-		"usage":           newCompletion("0:3 1:3 2:4 ", 4, twoVersions),
-		"version":         newCompletion("0:3 1:4 2:4 ", 3, twoVersions),
-		"unnamed token":   newCompletion("0:3 1:3 2:4 ", 3, twoVersions[:1]),
-		"too many tokens": newCompletion("0:4 1:4 2:4 3:4 ", 4, []api.VersionSpan{{Version: 4, From: 0, To: 4}}),
-		"foreign text":    newCompletion("hello", 1, twoVersions),
-		"no usage":        {ID: "r1", Choices: newCompletion("", 0, nil).Choices},
+		"gap":               newCompletion("0:3 2:3 3:4 ", 3, twoVersions),
+		"usage":             newCompletion("0:3 1:3 2:4 ", 4, twoVersions),
+		"version":           newCompletion("0:3 1:4 2:4 ", 3, twoVersions),
+		"unversioned token": newCompletion("0:3 1:3 2:4 ", 3, twoVersions[:1]),
+		"too many tokens":   newCompletion("0:4 1:4 2:4 3:4 ", 4, []api.VersionSpan{{Version: 4, From: 0, To: 4}}),
+		"foreign text":      newCompletion("hello", 1, twoVersions),
+		"no usage":          {ID: "r1", Choices: newCompletion("", 0, nil).Choices},
 	} {
 		outcome := sendPlain(t, bad)
 		assert.Assert(t, outcome.Invalid() && !outcome.OK(), "%s: %+v", name, outcome)
--- a/internal/bench/pathcost/pathcost.go
+++ b/internal/bench/pathcost/pathcost.go
@@ -26,7 +26,7 @@
 
 // Arguments are the flags of "corkbench path-cost".
 type Arguments struct {
-	Rounds        int           `arg:"--rounds" default:"5" help:"measurements of each side, in turn (1..100)"`
+	Rounds        int           `arg:"--rounds" default:"5" help:"measurements of each route, in turn (1..100)"`
 	Streams       int           `arg:"--streams" default:"32" help:"streams at once (1..256)"`
 	Tokens        int           `arg:"--tokens" default:"256" help:"chunks of a long answer, one token each (16..4096)"`
 	TokenInterval time.Duration `arg:"--token-interval" default:"4ms" help:"time between two chunks of a stream"`
--- a/internal/bench/pathcost/samples.go
+++ b/internal/bench/pathcost/samples.go
@@ -33,8 +33,8 @@
 
 func (c Cost) scaled(factor float64) Cost { return Cost{}.plus(c, factor) }
 
-func (s RouteCost) plus(other RouteCost) RouteCost {
-	return RouteCost{PerChunk: s.PerChunk.plus(other.PerChunk, 1), PerRequest: s.PerRequest.plus(other.PerRequest, 1)}
+func (r RouteCost) plus(other RouteCost) RouteCost {
+	return RouteCost{PerChunk: r.PerChunk.plus(other.PerChunk, 1), PerRequest: r.PerRequest.plus(other.PerRequest, 1)}
 }
 
 // samples holds the results of each round.
--- a/internal/bench/topology/latency_test.go
+++ b/internal/bench/topology/latency_test.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/bench/faultproxy"
 )
 
-func TestLinkLatencyAppliesWithoutFaults(t *testing.T) {
+func TestLinkLatencyAppliesWithoutFaultProxies(t *testing.T) {
 	const oneWay = 20 * time.Millisecond
 	deployment := &Deployment{
 		config:  Config{CallerLatency: oneWay, PeerLatency: oneWay},
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -243,7 +243,7 @@
 // and a trainer restart: no sample may be lost or acknowledged twice.
 func TestTrainerCompletesStepsDespiteFaults(t *testing.T) {
 	d := newDeployment(t)
-	d.log.SetControl(standinlog.Control{LostResponseShare: 0.3, LostResponseDelayMS: 20, RefuseShare: 0.1})
+	d.log.SetControl(standinlog.Control{LostResponseShare: 0.3, EffectDelayMS: 20, RefuseShare: 0.1})
 	a, b, c := d.start("a"), d.start("b"), d.start("c")
 	config := trainer.Config{
 		Servers: []string{a.server.URL, b.server.URL, c.server.URL},
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// verdictAnswered is the log field "verdict" of an attempt that completed its request.
+	// verdictAnswered is the value of the log field "verdict" of an attempt that completed its request.
 	verdictAnswered = "answered"
-	// heldBackNone is the log field "held_back" of an attempt that was sent.
+	// heldBackNone is the value of the log field "held_back" of an attempt that was sent.
 	heldBackNone = "none"
 )
 
@@ -104,7 +104,8 @@
 	case accepted == nil:
 		return "Submitted, but no leader accepted it." + trace.contextNotes()
 	case ended == nil:
-		return fmt.Sprintf("Accepted by %s %d times; its end was not requested.%s", accepted.Node, trace.count("job accepted by its runner"), trace.contextNotes())
+		return fmt.Sprintf("Accepted by %s %d times; its end was not requested.%s",
+			accepted.Node, trace.count("job accepted by its runner"), trace.contextNotes())
 	default:
 		return fmt.Sprintf("Ended by its submitter after %.0f ms with %.0f items unfinished, accepted %d times.%s",
 			ended.number("after_ms"), ended.number("unfinished"), trace.count("job accepted by its runner"), trace.contextNotes())
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -26,7 +26,7 @@
 type Line struct {
 	Time int64 // milliseconds since the Unix epoch
 	Node string
-	// Message is the present form of a message that an older build logged.
+	// Message is the message as this build would log it, also if an older build logged the line.
 	Message string
 	// Fields holds all other fields.
 	Fields map[string]any
--- a/internal/keyed/idle_test.go
+++ b/internal/keyed/idle_test.go
@@ -69,7 +69,7 @@
 	ctx := testContext(t)
 	fixture := newFixture(t)
 	fixture.shardIdle = time.Microsecond
-	fixture.log.SetControl(standin.Control{LostResponseShare: 0.3, LostResponseDelayMS: 3})
+	fixture.log.SetControl(standin.Control{LostResponseShare: 0.3, EffectDelayMS: 3})
 	nodes := []*Executor{fixture.startNode(t, "a", "b"), fixture.startNode(t, "b", "a")}
 	keys := []string{"key-0", "key-1", "key-2"}
 	var callers sync.WaitGroup
--- a/internal/keyed/keyed_test.go
+++ b/internal/keyed/keyed_test.go
@@ -72,7 +72,7 @@
 func TestConcurrentCallersShareOneRun(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
-	fixture.log.SetControl(standin.Control{LostResponseShare: 0.3, LostResponseDelayMS: 3})
+	fixture.log.SetControl(standin.Control{LostResponseShare: 0.3, EffectDelayMS: 3})
 	nodes := []*Executor{fixture.startNode(t, "a", "b"), fixture.startNode(t, "b", "a")}
 	var callers sync.WaitGroup
 	for i := range 24 {
@@ -101,7 +101,7 @@
 func TestOneRunWithDivergingViews(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
-	fixture.log.SetControl(standin.Control{LostResponseShare: 0.3, LostResponseDelayMS: 3})
+	fixture.log.SetControl(standin.Control{LostResponseShare: 0.3, EffectDelayMS: 3})
 	nodes := []*Executor{fixture.startNode(t, "a"), fixture.startNode(t, "b"), fixture.startNode(t, "c")}
 	for _, key := range []string{"k0", "k1", "k2", "k3", "k4", "k5"} {
 		var callers sync.WaitGroup
@@ -135,7 +135,7 @@
 
 	// Reads succeed, but appends take effect only after the node has given up.
 	late := 2 * logTimeout
-	fixture.log.SetControl(standin.Control{LostResponseShare: 1, LostResponseDelayMS: late.Milliseconds()})
+	fixture.log.SetControl(standin.Control{LostResponseShare: 1, EffectDelayMS: late.Milliseconds()})
 	_, err = execute(ctx, node, newRequest("k", "k"))
 	assert.Assert(t, errkind.Is(err, errkind.LogUnavailable), "%v", err)
 	assert.Equal(t, fixture.router.count("k"), 0)
--- a/internal/keyed/shard.go
+++ b/internal/keyed/shard.go
@@ -26,7 +26,8 @@
 	// executions holds the execution of each key from its first caller until its result or release is in the log, so
 	// that this node has at most one open intent per key.
 	executions map[string]*execution
-	// idleTimer calls closeIdle after the last execution; nil before the first.
+	// idleTimer calls closeIdle once the shard has been idle for Options.ShardIdle; nil before the first execution
+	// ends.
 	idleTimer *time.Timer
 }
 
@@ -204,7 +205,7 @@
 	s.run(execution, request, outcome.Offset)
 }
 
-// releaseLateIntent releases an intent whose caller was told that the request did not run.
+// releaseLateIntent releases an intent whose caller already received the error that the request did not run.
 func (s *shard) releaseLateIntent(key string, late logstream.Outcome) {
 	if late.Verdict != logrecord.Accepted {
 		s.removeExecution(key)
--- a/internal/logmessage/logmessage.go
+++ b/internal/logmessage/logmessage.go
@@ -1,5 +1,6 @@
-// Package logmessage maps the log messages of older builds to the present ones, so that tools that read logs need to know
-// only the latter. Nodes of two builds run side by side during an upgrade, and logs outlive the build that wrote them.
+// Package logmessage maps the log messages of older builds to the present ones, so that tools that read logs need to
+// know only the latter. Nodes of two builds run side by side during an upgrade, and logs outlive the build that wrote
+// them.
 package logmessage
 
 // renamed maps the messages of older builds to the present ones. docs/UPGRADING.md lists them for operators.
--- a/internal/logstream/logstream_test.go
+++ b/internal/logstream/logstream_test.go
@@ -140,7 +140,7 @@
 func TestConcurrentProposalsGetOneVerdictEachDuringOutage(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
-	fixture.log.SetControl(standin.Control{LostResponseShare: 0.4, LostResponseDelayMS: 30, RefuseShare: 0.2})
+	fixture.log.SetControl(standin.Control{LostResponseShare: 0.4, EffectDelayMS: 30, RefuseShare: 0.2})
 	streams := []*TailedStream{}
 	for _, writer := range []string{"a", "b"} {
 		manager := fixture.manager(t, writer)
@@ -162,7 +162,7 @@
 			offsets[outcome.Offset] = true
 		})
 	}
-	fixture.outage(t, ctx, standin.Control{LostResponseShare: 0.4, LostResponseDelayMS: 30, RefuseShare: 0.2})
+	fixture.outage(t, ctx, standin.Control{LostResponseShare: 0.4, EffectDelayMS: 30, RefuseShare: 0.2})
 	workers.Wait()
 	fixture.log.SetControl(standin.Control{})
 
@@ -182,7 +182,7 @@
 func TestConcurrentClaimsGiveEachEpochOneOwner(t *testing.T) {
 	ctx := testContext(t)
 	fixture := newFixture(t)
-	fixture.log.SetControl(standin.Control{LostResponseShare: 0.3, LostResponseDelayMS: 5})
+	fixture.log.SetControl(standin.Control{LostResponseShare: 0.3, EffectDelayMS: 5})
 	var mu sync.Mutex
 	owners := map[int64]string{}
 	var workers sync.WaitGroup
--- a/internal/report/timeline/bounds_test.go
+++ b/internal/report/timeline/bounds_test.go
@@ -83,9 +83,9 @@
 		line(1000, "n1", "", messageRequestEnded),
 		line(2500, "n1", `"kind":"log_unavailable",`, messageRequestRefused),
 		line(2600, "n2", "", messageNodeStarted),
-		line(2700, "n1", `"topic":"t","reachable":false,`, messageTopicContact),
+		line(2700, "n1", `"topic":"t","reachable":false,`, messageTopicReachability),
 		line(2800, "n1", `"direct":false,`, messagePathChanged),
-		line(5000, "n1", `"topic":"t","reachable":true,`, messageTopicContact))
+		line(5000, "n1", `"topic":"t","reachable":true,`, messageTopicReachability))
 	assert.DeepEqual(t, built.Gaps, []Gap{{
 		From: time.UnixMilli(1000), To: time.UnixMilli(5000), Refused: 1, NodesStarted: 1, ContactLost: 1, PathChanges: 1,
 	}})
--- a/internal/report/timeline/contact.go
+++ b/internal/report/timeline/contact.go
@@ -43,11 +43,11 @@
 }
 
 func (b *Builder) addPartitionContact(line header, _ []byte) error {
-	b.addContact(line, line.Message == messagePartitionRegained)
+	b.addContact(line, line.Message == messagePartitionReachable)
 	return nil
 }
 
-func (b *Builder) addLeaseLost(line header, _ []byte) error {
+func (b *Builder) addLeaseReadFailed(line header, _ []byte) error {
 	b.addContact(line, false)
 	return nil
 }
--- a/internal/report/timeline/leadership.go
+++ b/internal/report/timeline/leadership.go
@@ -12,10 +12,9 @@
 // Everywhere is the scope of the leader of jobs that are not bound to home regions.
 const Everywhere = "everywhere"
 
-// TermEnd tells how the end of a term was determined.
+// TermEnd is the way in which the end of a term was determined.
 type TermEnd string
 
-// Ways in which the end of a term is determined.
 const (
 	// EndLogged: the node logged that it lost or released the leadership.
 	EndLogged TermEnd = "logged"
--- a/internal/report/timeline/lines.go
+++ b/internal/report/timeline/lines.go
@@ -32,8 +32,8 @@
 	Message string `json:"message"`
 }
 
-// parseHeader returns the header of a line, with the present form of its message, and its JSON object. Text before the
-// object is ignored.
+// parseHeader returns the header of a line and its JSON object. Text before the object is ignored. The message of an
+// older build is replaced by the present one.
 func parseHeader(line []byte) (header, []byte, error) {
 	start := bytes.IndexByte(line, '{')
 	if start < 0 {
--- a/internal/report/timeline/notinlogs.go
+++ b/internal/report/timeline/notinlogs.go
@@ -8,7 +8,7 @@
 	"when an item's completed run at its engine ended: \"item finished\" is logged after scoring, so occupied slots can't be counted",
 	"weights that an engine loads without an order",
 	"when a killed or frozen process stopped",
-	"each failed call of the log: nodes log sums by topic every 10 s while calls fail (log calls failed, usage by topic), which this page does not draw",
+	"each failed call of the log: nodes log sums by topic every 10 s while calls fail (\"log calls failed, usage by topic\"), which this page does not draw",
 	"lines that a node dropped because their reader was slow; only its metrics count them",
 }
 
@@ -22,7 +22,7 @@
 	{messageRequestEnded, "answers to live requests"},
 	{messageEngineTried, "engine tries"},
 	{messageTopicRead, "full reads of topics"},
-	{messageTopicContact, "losses and returns of contact with topics"},
+	{messageTopicReachability, "losses and returns of contact with topics"},
 	{messageConfiguration, "configurations put in force"},
 	{messageNodeStarted, "starts of nodes: all ran before these lines begin, or the lines of the starts are missing"},
 }
--- a/internal/report/timeline/oldermessages_test.go
+++ b/internal/report/timeline/oldermessages_test.go
@@ -13,16 +13,16 @@
 
 // olderMessages holds the messages that this package reads, with those that older builds logged in their place.
 var olderMessages = map[string]string{
-	messageLinesSuppressed:   "log lines left out",
-	messageTopicRead:         "topic read whole",
-	messageTopicContact:      "topic contact changed",
-	messagePathChanged:       "way to the log changed",
-	messagePartitionLost:     "index partition out of reach",
-	messagePartitionRegained: "index partition in reach",
-	messageLeaseLost:         "lease contact lost",
-	messageJobSubmitted:      "job handed in",
-	messageJobEndRequested:   "job end asked",
-	messageJobAccepted:       "job taken up",
+	messageLinesSuppressed:      "log lines left out",
+	messageTopicRead:            "topic read whole",
+	messageTopicReachability:    "topic contact changed",
+	messagePathChanged:          "way to the log changed",
+	messagePartitionUnreachable: "index partition out of reach",
+	messagePartitionReachable:   "index partition in reach",
+	messageLeaseReadFailed:      "lease contact lost",
+	messageJobSubmitted:         "job handed in",
+	messageJobEndRequested:      "job end asked",
+	messageJobAccepted:          "job taken up",
 }
 
 // Guards against events that are missing for nodes which still run an older build.
--- a/internal/report/timeline/requests.go
+++ b/internal/report/timeline/requests.go
@@ -15,9 +15,9 @@
 	GiveUp     = "give_up"
 	TryNotSent = "not sent"
 
-	// heldBackNone is the log field "held_back" of an attempt that was sent.
+	// heldBackNone is the value of the log field "held_back" of an attempt that was sent.
 	heldBackNone = "none"
-	// unsetKind is the log field "kind" of a request that succeeded.
+	// unsetKind is the value of the log field "kind" of a request that succeeded.
 	unsetKind = ""
 )
 
--- a/internal/standin/logservice/server.go
+++ b/internal/standin/logservice/server.go
@@ -35,10 +35,11 @@
 	LatencyMS int64 `json:"latency_ms"`
 	// Down makes every call fail with 503 and without an effect. The response does not say that nothing was appended.
 	Down bool `json:"down"`
-	// LostResponseShare is the share (0..1) of appends that take effect and whose connection is closed without a response.
+	// LostResponseShare is the share (0..1) of appends that take effect and whose connection is closed without a
+	// response.
 	LostResponseShare float64 `json:"lose_answers"`
-	// LostResponseDelayMS delays the effect of appends whose response is lost, in milliseconds.
-	LostResponseDelayMS int64 `json:"late_ms"`
+	// EffectDelayMS delays the effect of appends whose response is lost, in milliseconds.
+	EffectDelayMS int64 `json:"late_ms"`
 	// RefuseShare is the share (0..1) of appends that are refused explicitly.
 	RefuseShare float64 `json:"refuse"`
 }
@@ -128,7 +129,7 @@
 		return
 	}
 	if s.drawFault(control.LostResponseShare) {
-		s.appendAfter(name, body.Records, time.Duration(control.LostResponseDelayMS)*time.Millisecond)
+		s.appendAfter(name, body.Records, time.Duration(control.EffectDelayMS)*time.Millisecond)
 		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	offset := s.append(name, body.Records)
--- a/internal/standin/memlog/memlog.go
+++ b/internal/standin/memlog/memlog.go
@@ -40,7 +40,7 @@
 	fault      func(Call) Fault
 	// pendingEffects are the appends delayed by DelayedEffect.
 	pendingEffects []func()
-	// changed is closed and replaced when readers must look again.
+	// changed is closed and replaced when waiting readers must read again.
 	changed chan struct{}
 }
 
--- a/internal/standin/platform/engine.go
+++ b/internal/standin/platform/engine.go
@@ -178,7 +178,7 @@
 	return e.versions[model]
 }
 
-// OrderHolders returns the lease holder that sent each accepted order, in order of arrival.
+// OrderHolders returns the holder of each accepted order, in order of arrival.
 func (e *Engine) OrderHolders() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -240,8 +240,8 @@
 	return e.options.CrashesOn != nil && e.options.CrashesOn(run)
 }
 
-// beginRun records a run and returns the fault injected into it, or returns false if the request is refused.
-// The caller must call endRun after each run.
+// beginRun records a run and returns the fault injected into it. It returns false if the engine refuses the request;
+// otherwise the caller must call endRun.
 func (e *Engine) beginRun(r *http.Request, body string) (Run, EngineFault, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/platform/service.go
+++ b/internal/standin/platform/service.go
@@ -69,7 +69,9 @@
 // validate returns an error that lists every invalid option.
 func (c Config) validate() error {
 	var invalid []string
-	for name, share := range map[string]float64{"refuse": c.RefuseShare, "lose-answers": c.LostResponseShare, "late": c.DelayedAppendShare} {
+	for name, share := range map[string]float64{
+		"refuse": c.RefuseShare, "lose-answers": c.LostResponseShare, "late": c.DelayedAppendShare,
+	} {
 		if share < 0 || share > 1 {
 			invalid = append(invalid, fmt.Sprintf("--%s is %g, expected 0 to 1", name, share))
 		}
--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -14,7 +14,8 @@
 	pollInterval = 5 * time.Millisecond
 )
 
-// Until polls the condition until it holds. On a timeout it fails the test with a message that names what it waited for.
+// Until polls the condition until it holds. On a timeout it fails the test with a message that names what it waited
+// for.
 func Until(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	UntilExtended(t, what, 0, condition)
--- a/test/integration/at_most_once_test.go
+++ b/test/integration/at_most_once_test.go
@@ -80,7 +80,7 @@
 	load := &runningLoad{recorder: callers.recorder}
 
 	load.waitOK(t, 20)
-	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{LostResponseShare: 0.3, LostResponseDelayMS: 50}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{LostResponseShare: 0.3, EffectDelayMS: 50}))
 	load.waitOK(t, 20)
 	// Each node in turn, so that the fault affects every role: gateway, owner of a key's shard, dispatcher of a cell.
 	for _, node := range deployment.Nodes() {
--- a/test/integration/config_convergence_test.go
+++ b/test/integration/config_convergence_test.go
@@ -28,7 +28,7 @@
 	first, second, third := deployment.Node("n1"), deployment.Node("n2"), deployment.Node("n3")
 
 	editors.editConcurrently(4, first, second, third)
-	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{LostResponseShare: 0.4, LostResponseDelayMS: 40}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{LostResponseShare: 0.4, EffectDelayMS: 40}))
 	editors.editConcurrently(4, first, second)
 	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{}))
 
--- a/test/integration/exactly_once_test.go
+++ b/test/integration/exactly_once_test.go
@@ -47,7 +47,7 @@
 	deployment := deploy(t)
 	client := newTrainerClient(t, deployment)
 
-	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{LostResponseShare: 0.3, LostResponseDelayMS: 30}))
+	assert.NilError(t, deployment.ControlLog(waitContext(t), logservice.Control{LostResponseShare: 0.3, EffectDelayMS: 30}))
 	client.submitAndBegin("lost-answers")
 	client.collectAll()
 
--- a/test/integration/fault_kinds_test.go
+++ b/test/integration/fault_kinds_test.go
@@ -101,10 +101,10 @@
 }
 
 func loseAppendAnswers(inj *faultInjector) func() {
-	inj.logFaults.LostResponseShare, inj.logFaults.LostResponseDelayMS = 0.5, 50
+	inj.logFaults.LostResponseShare, inj.logFaults.EffectDelayMS = 0.5, 50
 	inj.controlLog()
 	return func() {
-		inj.logFaults.LostResponseShare, inj.logFaults.LostResponseDelayMS = 0, 0
+		inj.logFaults.LostResponseShare, inj.logFaults.EffectDelayMS = 0, 0
 		inj.controlLog()
 	}
 }
--- a/test/integration/ownership_test.go
+++ b/test/integration/ownership_test.go
@@ -211,7 +211,7 @@
 		epoch = submitting.waitAccepted(t, 10, epoch)
 		submitting.resumeFencedOwner(t, ctx, frozen, round)
 		submitting.waitAccepted(t, 20, 0)
-		assert.NilError(t, deployment.ControlLog(waitContext(t), standin.Control{LostResponseShare: 0.3, LostResponseDelayMS: 50}))
+		assert.NilError(t, deployment.ControlLog(waitContext(t), standin.Control{LostResponseShare: 0.3, EffectDelayMS: 50}))
 	}
 	killed := client.owner("n1-0-0")
 	killed.Kill()
