--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -104,7 +104,8 @@
 	case accepted == nil:
 		return "Submitted, but no leader accepted it." + trace.contextNotes()
 	case ended == nil:
-		return fmt.Sprintf("Accepted by %s %d times; its end was not requested.%s", accepted.Node, trace.count("job accepted by its runner"), trace.contextNotes())
+		return fmt.Sprintf("Accepted by %s %d times; its end was not requested.%s",
+			accepted.Node, trace.count("job accepted by its runner"), trace.contextNotes())
 	default:
 		return fmt.Sprintf("Ended by its submitter after %.0f ms with %.0f items unfinished, accepted %d times.%s",
 			ended.number("after_ms"), ended.number("unfinished"), trace.count("job accepted by its runner"), trace.contextNotes())
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -26,7 +26,7 @@
 type Line struct {
 	Time int64 // milliseconds since the Unix epoch
 	Node string
-	// Message is the present form of a message that an older build logged.
+	// Message is the message as this build would log it, also if an older build logged the line.
 	Message string
 	// Fields holds all other fields.
 	Fields map[string]any
@@ -199,7 +199,7 @@
 		case "zone evacuated":
 			note = "zone " + line.text("engine_zone") + " was evacuated"
 		case "zone evacuation ended":
-			note = "zone " + line.text("engine_zone") + " was taken back"
+			note = "the evacuation of zone " + line.text("engine_zone") + " ended"
 		case "items wait: no usable engine outside evacuated zones":
 			note = "no engine of " + line.text("service") + " was left outside evacuated zones"
 		case "sending resumed after a suspension":
