--- a/internal/cluster/death.go
+++ b/internal/cluster/deathnotice.go
@@ -15,8 +15,8 @@
 // reporter fails too.
 const reportersPerDeath = 2
 
-// deathNotice notifies other zones that a process is dead before their next pull. That pull corrects lost or wrong
-// notices.
+// deathNotice makes other zones remove a dead process without waiting for their next pull. That pull corrects lost
+// or wrong notices.
 type deathNotice struct {
 	Zone string
 	Key  recordKey
--- a/internal/coordinator/placement.go
+++ b/internal/coordinator/placement.go
@@ -18,7 +18,8 @@
 const writerSeparator = "~"
 
 // preferredOwner returns the node that should own the trainer's ledger, by
-// rendezvous hashing over the candidates of the row's first zone that has any.
+// rendezvous hashing over the candidates of the row's first zone that has any, or
+// over those of all zones if none of the row's zones has any.
 func preferredOwner(view cluster.View, row policy.Row) (cluster.Member, bool) {
 	candidates := zoneCandidates(view, row.Zones)
 	if len(candidates) == 0 {
--- a/internal/dispatcher/tick_test.go
+++ b/internal/dispatcher/tick_test.go
@@ -30,7 +30,7 @@
 	for _, id := range []string{"r1", "r2"} {
 		_, err := idle.findOrOpen(testCell).submit(submission(id), row, 0)
 		assert.NilError(t, err)
-		// Only the first request of a cell can meet a long tick interval.
+		// Only the first request of a cell can arrive during a long tick interval.
 		assert.Equal(t, len(idle.wake), 1)
 	}
 	idle.stop()
--- a/internal/goldenrecord/goldenrecord_test.go
+++ b/internal/goldenrecord/goldenrecord_test.go
@@ -21,7 +21,7 @@
 	Last  bool    `msgpack:"l"`
 }
 
-// Guards against zero or nested fields that the comparison omits.
+// Guards against fields that Fill leaves zero and nested fields that fieldsOf omits.
 func TestFieldsOfCoversNestedFields(t *testing.T) {
 	var filled record
 	Fill(&filled)
--- a/internal/logstream/stream.go
+++ b/internal/logstream/stream.go
@@ -34,8 +34,8 @@
 
 	mu          sync.Mutex
 	references  int
-	applied     int64 // offset after the last applied record
-	lastContact time.Time
+	applied     int64                   // offset after the last applied record
+	lastContact time.Time               // latest time as of which all records of the stream were applied
 	waiters     map[int64]chan struct{} // channels returned by Changed, by offset
 
 	// queue holds proposals without a sequence number, pending those with one that have not been read back.
@@ -49,7 +49,7 @@
 	// this reader learned of it.
 	lastSnapshotBytes  int
 	bytesSinceSnapshot int
-	// acceptedSinceSnapshot is set when a proposal of this TailedStream was accepted since then.
+	// acceptedSinceSnapshot is set when a proposal of this TailedStream was accepted since this reader learned of it.
 	acceptedSinceSnapshot bool
 	queuedSnapshot        [][]byte // encoded records that appendLoop has not taken
 }
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// takePending swaps the buffers and returns the pending output. last is set when all output is written and
-// the connection is to be closed.
+// takePending swaps the buffers and returns the pending output. last is set when the connection has failed, or
+// when all output is written and the connection is to be closed.
 func (c *connection) takePending() (batch []byte, last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/enginehttp/http.go
+++ b/internal/platform/enginehttp/http.go
@@ -27,7 +27,7 @@
 	maxLineBytes = 4 << 20
 	// maxResponseBytes bounds a response that is not a stream; a KV export is the largest.
 	maxResponseBytes = 64 << 20
-	// maxRefusalBytes bounds the body of a response whose status is not 200.
+	// maxRefusalBytes bounds the body of a response whose status is not 200, and how much closeBody drains.
 	maxRefusalBytes = 64 << 10
 	// maxIdleConnections bounds the idle connections of one transport.
 	maxIdleConnections = 4096
@@ -268,7 +268,7 @@
 	return json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(target)
 }
 
-// closeBody drains up to 64 KiB, so that the connection can be reused.
+// closeBody drains up to maxRefusalBytes, so that the connection can be reused.
 func closeBody(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, maxRefusalBytes)
 	_ = body.Close()
--- a/internal/platform/logservice/logservice.go
+++ b/internal/platform/logservice/logservice.go
@@ -23,7 +23,7 @@
 	Data   []byte `json:"data"`
 }
 
-// Batch is the result of a read.
+// Batch is the result of a read, the response to GET /v1/read?stream=NAME&from=N&limit=N&wait_ms=N.
 type Batch struct {
 	Entries []Entry `json:"entries"`
 	// End is the offset after the last record of the stream at the time of the read.
@@ -52,5 +52,3 @@
 	Refused bool   `json:"refused,omitempty"`
 	Message string `json:"message,omitempty"`
 }
-
-// Reads are GET /v1/read?stream=NAME&from=N&limit=N&wait_ms=N; the response is a Batch.
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -65,7 +65,7 @@
 			if hasData || event.HasID {
 				return event, nil
 			}
-			continue
+			continue // lines without data or an ID become part of the next event
 		}
 		if err := event.parseLine(line, &hasData); err != nil {
 			return Event{}, err
@@ -103,7 +103,7 @@
 	case "id":
 		number, err := strconv.ParseInt(string(value), 10, 64)
 		if err != nil {
-			return errors.Wrapf(err, "event ID %q", value)
+			return errors.Wrapf(err, "parse event ID %q", value)
 		}
 		e.ID, e.HasID = number, true
 	default:
--- a/internal/tables/readiness.go
+++ b/internal/tables/readiness.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// MaxLogContactAge is the age of the most recent log contact in the cluster from
-	// which a node that does not reach a majority of the known nodes rejects new
-	// work.
+	// MaxLogContactAge bounds the age of the most recent log contact in the cluster.
+	// Beyond it, a node accepts new work only while it reaches a majority of the known
+	// nodes.
 	MaxLogContactAge = 8 * time.Second
 	// peerFallbackDelay is how long a starting node tries the log alone before it
 	// also loads the table from peers.
@@ -25,8 +25,9 @@
 )
 
 // CheckCurrent returns nil when this node may accept new work. Otherwise it returns
-// an *errkind.Error: NotReady until it has loaded the latest revision once,
-// NotCurrent while it reaches neither the log nor a majority of the known nodes.
+// an *errkind.Error: NotReady until it has loaded the latest revision once, NotCurrent
+// while it reaches no majority of the known nodes and knows of no log contact, of its
+// own or of another reachable node, that is more recent than MaxLogContactAge.
 func (t *Tables) CheckCurrent() error {
 	if !t.caughtUp.Load() {
 		return errkind.New(errkind.NotReady, "this node has not yet loaded the latest table revision")
--- a/internal/weights/cluster_test.go
+++ b/internal/weights/cluster_test.go
@@ -140,7 +140,7 @@
 	return nil, errors.New("not used")
 }
 
-// Call simulates the dispatcher: engines load instantly, up to the allotment.
+// Call simulates the dispatcher: engines load instantly, up to Concurrent per call.
 func (c *testCluster) Call(_ context.Context, _ string, _ peer.Method, request, response any) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/test/history/linearizable_test.go
+++ b/test/history/linearizable_test.go
@@ -17,8 +17,8 @@
 	return operation(call, end, TableOperation{base}, TableResult{outcome, revision})
 }
 
-// Guards against a checker that misses two winners of one revision, a wrong refusal or a reverted revision, or that
-// rejects a proposal whose outcome was unknown and that took effect late.
+// Guards against a checker that misses two proposals accepted on one base revision, a wrong refusal or a reverted
+// revision, or that rejects a proposal whose outcome was unknown and that took effect late.
 func TestTableModel(t *testing.T) {
 	race := []porcupine.Operation{proposal(1, 9, 0, Accepted, 4), proposal(1, 9, 0, Refused, 0)}
 	assert.Assert(t, Linearizable(TableModel(0), race))
@@ -39,7 +39,8 @@
 	assert.Assert(t, !Linearizable(TableModel(0), lateEffect[1:]))
 }
 
-// Guards against a checker that misses a record accepted after a takeover, two winners of one epoch or a lower epoch.
+// Guards against a checker that misses a record of the previous owner accepted after a takeover, two claims accepted
+// after one epoch, or an epoch that decreases.
 func TestOwnershipModel(t *testing.T) {
 	claim := func(call, end, previous, epoch int64, outcome Outcome) porcupine.Operation {
 		return operation(call, end, OwnershipOperation{Claim: true, Previous: previous, Epoch: epoch}, outcome)
@@ -53,8 +54,8 @@
 	assert.Assert(t, !Linearizable(OwnershipModel(), late))
 	unknownClaim := []porcupine.Operation{claim(1, 2, 0, 1, Accepted), claim(3, UnknownReturn, 1, 5, Unknown), write(4, 5, 5, Accepted)}
 	assert.Assert(t, Linearizable(OwnershipModel(), unknownClaim))
-	bothWon := []porcupine.Operation{claim(1, 9, 0, 5, Accepted), claim(1, 9, 0, 6, Accepted)}
-	assert.Assert(t, !Linearizable(OwnershipModel(), bothWon))
+	bothClaimed := []porcupine.Operation{claim(1, 9, 0, 5, Accepted), claim(1, 9, 0, 6, Accepted)}
+	assert.Assert(t, !Linearizable(OwnershipModel(), bothClaimed))
 	backwards := []porcupine.Operation{claim(1, 2, 0, 5, Accepted), claim(3, 4, 5, 1, Accepted)}
 	assert.Assert(t, !Linearizable(OwnershipModel(), backwards))
 }
--- a/test/hosted/lease_overlap_test.go
+++ b/test/hosted/lease_overlap_test.go
@@ -12,7 +12,7 @@
 	"github.com/corkpulley/corkpulley/internal/testwait"
 )
 
-// Guards against two nodes that order engines at once when engines check no fencing tokens.
+// Guards against two nodes that send orders to engines at once when the engines check no fencing tokens.
 // The log refuses the leader's renewals until another node claims the lease, then accepts them while the
 // leader's reads hang: an acknowledged append alone does not prove that the leader's epoch is still in force.
 func TestSingleLeaderOrdersDuringPartialLogFailure(t *testing.T) {
