--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -23,7 +23,7 @@
 	remaining int
 	admitted  int
 	denied    int
-	noted     int
+	unpaced   int
 }
 
 func (s *fakeColdStarts) Prefetch(to incarnation.ID) {
@@ -58,7 +58,7 @@
 func (s *fakeColdStarts) RecordUnpaced(incarnation.ID, float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noted++
+	s.unpaced++
 }
 
 func (s *fakeColdStarts) admit(count int) {
@@ -67,10 +67,10 @@
 	s.remaining += count
 }
 
-func (s *fakeColdStarts) counts() (admitted, denied, noted int) {
+func (s *fakeColdStarts) counts() (admitted, denied, unpaced int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.admitted, s.denied, s.noted
+	return s.admitted, s.denied, s.unpaced
 }
 
 // newColdEnv returns an environment with one engine, whose service has a slow start.
@@ -109,9 +109,9 @@
 	assert.Equal(t, len(env.jobs.results()), 2)
 	env.coldStarts.admit(4)
 	env.awaitResults(6)
-	admitted, _, noted := env.coldStarts.counts()
+	admitted, _, unpaced := env.coldStarts.counts()
 	assert.Equal(t, admitted, 6)
-	assert.Equal(t, noted, 0)
+	assert.Equal(t, unpaced, 0)
 }
 
 // A warm engine that refuses an item may have become cold, so its starts are limited until it runs one.
@@ -129,8 +129,8 @@
 	env.coldStarts.admit(2)
 	env.startRunner()
 	testwait.Until(t, "three are refused and the next is denied", func() bool {
-		admitted, denied, noted := env.coldStarts.counts()
-		return admitted == 2 && noted == 1 && denied > 0
+		admitted, denied, unpaced := env.coldStarts.counts()
+		return admitted == 2 && unpaced == 1 && denied > 0
 	})
 	env.coldStarts.admit(1)
 	env.awaitResults(1)
@@ -145,8 +145,8 @@
 	env.submit("j", 1, addSingleEventItems(env, 1)...)
 	env.startRunner()
 	testwait.Until(t, "the item is retried", func() bool {
-		_, denied, noted := env.coldStarts.counts()
-		return denied > 0 || noted > 1
+		_, denied, unpaced := env.coldStarts.counts()
+		return denied > 0 || unpaced > 1
 	})
 	_, denied, _ := env.coldStarts.counts()
 	assert.Equal(t, denied, 0)
@@ -161,8 +161,8 @@
 	env.submit("j", 1, addSingleEventItems(env, 1)...)
 	env.startRunner()
 	testwait.Until(t, "the next try is denied", func() bool {
-		_, denied, noted := env.coldStarts.counts()
-		return noted == 1 && denied > 0
+		_, denied, unpaced := env.coldStarts.counts()
+		return unpaced == 1 && denied > 0
 	})
 }
 
--- a/internal/coldpermits/coldpermits_test.go
+++ b/internal/coldpermits/coldpermits_test.go
@@ -225,7 +225,7 @@
 	go func() {
 		permit, decision := ask(client, coldEngine("e"))
 		if decision.Outcome == Granted && permit.Valid() {
-			decision.Outcome = 99
+			decision.Outcome = 99 // no outcome has this number: it marks a valid permit
 		}
 		done <- decision
 	}()
--- a/internal/common/cooldown/cooldown.go
+++ b/internal/common/cooldown/cooldown.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// pruneThreshold is the number of stored pauses from which on Start removes the expired ones.
+// pruneThreshold is the number of stored pauses at which Start removes the expired ones.
 const pruneThreshold = 64
 
 // Set holds the end of the pause of each peer. It is safe for concurrent use.
--- a/internal/common/retry/retry.go
+++ b/internal/common/retry/retry.go
@@ -30,7 +30,7 @@
 	return delays
 }
 
-// Sleep waits for the duration. It returns false if ctx ended before.
+// Sleep waits for the duration. It returns false if ctx ends first.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/core/answer/answer.go
+++ b/internal/core/answer/answer.go
@@ -122,8 +122,8 @@
 }
 
 func (a *Assembler) recordEnd(progress *message.Progress) {
-	// Only the first attempt's engine reports the cached prompt tokens; later ones
-	// count tokens of the answer as part of the prompt.
+	// The first count is kept: the prompts of later attempts include tokens of the
+	// answer.
 	if a.cachedTokens == 0 {
 		a.cachedTokens = progress.CachedTokens
 	}
--- a/internal/core/batchplan/plan_test.go
+++ b/internal/core/batchplan/plan_test.go
@@ -307,7 +307,7 @@
 }
 
 // Guards against crashes that cannot be attributed because another item had just started at the engine.
-func TestSuspectItemStartsAtTheEngineWithTheOldestLatestStart(t *testing.T) {
+func TestSuspectItemStartsAtLeastRecentlyUsedEngine(t *testing.T) {
 	plan := New()
 	engines := []Engine{engine("a", 8, 3), engine("b", 8, 3)}
 	plan.Add(item("j", 0, 1))
--- a/internal/core/fleet/cold.go
+++ b/internal/core/fleet/cold.go
@@ -7,7 +7,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/routes"
 )
 
-// ColdReason is why an engine is treated as cold: one that is slow or overloads easily, as after a start.
+// ColdReason is why an engine is treated as cold. Cold engines are slow and overload easily, as after a start.
 type ColdReason uint8
 
 // Reasons for treating an engine as cold.
--- a/internal/core/lease/history.go
+++ b/internal/core/lease/history.go
@@ -33,8 +33,8 @@
 	at time.Time
 	// proven is history.proven at the record.
 	proven time.Duration
-	// unproven is true if the record proves no time: the time that a later record proves may have begun
-	// before this one.
+	// unproven is true if the record does not prove that its epoch was current. Part of the time that later
+	// records prove may then have passed before this record.
 	unproven bool
 }
 
@@ -155,7 +155,7 @@
 func (h *history) quietUntil(epoch int64, own machine, engine string, quiet QuietPeriod) time.Time {
 	var until time.Time
 	if !h.completeSince.at.IsZero() {
-		until = h.endOfPeriod(h.completeSince, quiet.BetweenMachines+quiet.MaxTransit)
+		until = h.endOfPeriod(h.completeSince, quiet.BetweenMachines+quiet.MaxArrivalDelay)
 	}
 	for _, last := range h.orders[engine] {
 		period, needed := quiet.periodAfter(last, epoch, own)
@@ -177,8 +177,8 @@
 	case q.EnginesFence && (last.released || last.machine.isSame(own)):
 		return 0, false
 	case last.machine.isSame(own):
-		return q.MaxTransit, true
+		return q.MaxArrivalDelay, true
 	default:
-		return q.BetweenMachines + q.MaxTransit, true
+		return q.BetweenMachines + q.MaxArrivalDelay, true
 	}
 }
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -208,8 +208,8 @@
 }
 
 // heldByTerminatedProcess reports whether the holder has certainly terminated: it ran on this machine and
-// had bound the address that this process has bound now. The node name alone proves nothing, since a
-// replaced machine or a process that was not waited for may still run.
+// had bound the address that this process has bound now. The node name alone proves nothing: the
+// machine that this one replaced, or an earlier process on this machine, may still run.
 func (s *State) heldByTerminatedProcess(node, holder, address string) bool {
 	return s.Holder != holder && s.machine().isSame(machine{node: node, address: address})
 }
@@ -221,18 +221,18 @@
 type QuietPeriod struct {
 	// BetweenMachines is the minimum time between orders of two machines.
 	BetweenMachines time.Duration
-	// MaxTransit is the maximum time from an Order record until the order arrives at the engine.
-	MaxTransit time.Duration
+	// MaxArrivalDelay is the maximum time from an Order record until the order arrives at the engine.
+	MaxArrivalDelay time.Duration
 	// EnginesFence is true if engines reject fencing tokens lower than the highest one seen.
 	EnginesFence bool
 }
 
 // QuietUntil returns the end of the quiet period, before which the holder must not send orders to the
-// engine; the zero time if no quiet period is needed. The period is BetweenMachines plus MaxTransit after a
-// possible order of another machine or a gap, and MaxTransit after a possible order of the same machine in
-// an earlier epoch. If engines reject the fencing tokens of earlier epochs, no period is needed after orders
-// of the same machine, nor after those of a holder that released the lease: it does so only when its process
-// ends.
+// engine; the zero time if no quiet period is needed. The period is BetweenMachines plus MaxArrivalDelay
+// after a possible order of another machine or a gap, and MaxArrivalDelay after a possible order of the same
+// machine in an earlier epoch. If engines reject the fencing tokens of earlier epochs, no period is needed
+// after orders of the same machine, nor after those of a holder that released the lease: it does so only when
+// its process ends.
 func (s *State) QuietUntil(engine string, quiet QuietPeriod) time.Time {
 	return s.history.quietUntil(s.Epoch, s.machine(), engine, quiet)
 }
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -308,13 +308,13 @@
 // Guards against orders that arrive out of sequence: an order of the previous process may still be in transit,
 // and only engines that check fencing tokens reject it.
 func TestQuietUntilCoversTransitAfterRestart(t *testing.T) {
-	const maxTransit = 100 * time.Millisecond
+	const maxArrivalDelay = 100 * time.Millisecond
 	var state State
 	state.Apply(claim("a", "a1", 0), start)
 	state.Apply(orderOf("a", 1, 0, "e1"), start)
 	state.Apply(claim("a", "a2", 1), start)
-	period := QuietPeriod{BetweenMachines: quiet, MaxTransit: maxTransit}
-	assert.Equal(t, state.QuietUntil("e1", period), start.Add(maxTransit))
+	period := QuietPeriod{BetweenMachines: quiet, MaxArrivalDelay: maxArrivalDelay}
+	assert.Equal(t, state.QuietUntil("e1", period), start.Add(maxArrivalDelay))
 	period.EnginesFence = true
 	assert.Assert(t, state.QuietUntil("e1", period).IsZero())
 }
@@ -345,7 +345,7 @@
 // Guards against a skipped quiet period: the replaced machine has the same name and may still run at another
 // address.
 func TestQuietUntilAfterMachineReplacement(t *testing.T) {
-	period := QuietPeriod{BetweenMachines: quiet, MaxTransit: quiet / 3}
+	period := QuietPeriod{BetweenMachines: quiet, MaxArrivalDelay: quiet / 3}
 	var s State
 	at := start
 	s.Apply(s.NewClaim("a", "a1", "10.0.0.1:7000"), at)
--- a/internal/core/msgpackguard/msgpackguard.go
+++ b/internal/core/msgpackguard/msgpackguard.go
@@ -96,13 +96,13 @@
 	case msgpcode.Uint64, msgpcode.Int64, msgpcode.Double:
 		return 0, s.skip(8)
 	case msgpcode.FixExt1, msgpcode.FixExt2, msgpcode.FixExt4, msgpcode.FixExt8, msgpcode.FixExt16:
-		return 0, s.skip(extensionType + 1<<(code-msgpcode.FixExt1))
+		return 0, s.skip(extensionTypeBytes + 1<<(code-msgpcode.FixExt1))
 	}
 	return s.readLengthPrefixed(code)
 }
 
-// extensionType is the size in bytes of an extension's type, which precedes its content.
-const extensionType = 1
+// extensionTypeBytes is the size in bytes of an extension's type, which precedes its content.
+const extensionTypeBytes = 1
 
 // readLengthPrefixed reads the rest of a value whose type code is followed by its length.
 func (s *scanner) readLengthPrefixed(code byte) (elements int, err error) {
@@ -114,11 +114,11 @@
 	case msgpcode.Str32, msgpcode.Bin32:
 		return 0, s.skipLengthPrefixed(4, 0)
 	case msgpcode.Ext8:
-		return 0, s.skipLengthPrefixed(1, extensionType)
+		return 0, s.skipLengthPrefixed(1, extensionTypeBytes)
 	case msgpcode.Ext16:
-		return 0, s.skipLengthPrefixed(2, extensionType)
+		return 0, s.skipLengthPrefixed(2, extensionTypeBytes)
 	case msgpcode.Ext32:
-		return 0, s.skipLengthPrefixed(4, extensionType)
+		return 0, s.skipLengthPrefixed(4, extensionTypeBytes)
 	case msgpcode.Array16:
 		return s.containerElements(2, 1)
 	case msgpcode.Array32:
--- a/internal/core/policy/csv_cell.go
+++ b/internal/core/policy/csv_cell.go
@@ -83,8 +83,9 @@
 	return int(value)
 }
 
-// optionalNumber parses a non-negative number, or "-" as none. It rejects none
-// written as a number, so that every value has one textual form.
+// optionalNumber parses a non-negative number, or "-", for which it returns the value
+// none. It rejects that value written as a number, so that every value has one
+// textual form.
 func (p *cellParser) optionalNumber(column string, none int) int {
 	if p.cells[column] == cellNone {
 		return none
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -159,7 +159,7 @@
 	})
 }
 
-// Guards against sending a crashing request again before its quarantine ends, or for two claims.
+// Guards against sending a crashing request again before its quarantine ends, or more than once after it.
 func TestGrantedTrialsAreSeparatedByHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := ledgerOf(crash("a", 0, 0), crash("b", 0, 1))
--- a/internal/core/replicaset/replicaset_test.go
+++ b/internal/core/replicaset/replicaset_test.go
@@ -11,7 +11,7 @@
 	"github.com/corkpulley/corkpulley/internal/core/homes"
 )
 
-// cluster returns nodes in two zones; every eighth node has four times the processors of the others.
+// cluster returns nodes in two zones; every eighth node of a zone has four times the processors of the others.
 func cluster(nodes int) []Member {
 	members := make([]Member, nodes)
 	for i := range members {
--- a/internal/core/routing/distance.go
+++ b/internal/core/routing/distance.go
@@ -1,6 +1,6 @@
 package routing
 
-// Distance is the network proximity of a zone to this node.
+// Distance is the network distance between this node and a zone.
 type Distance uint8
 
 // Distances, nearest first.
--- a/internal/core/scaling/scaling.go
+++ b/internal/core/scaling/scaling.go
@@ -40,7 +40,8 @@
 	peakPeriod = 2 * time.Minute
 	// settleTime is how long the number of engines must not have grown before it is used: a
 	// process that has just started learns of engines one after the other, and a request for
-	// the known ones would remove the others. It must exceed the period of engine entries.
+	// the known ones would remove the others. It must exceed the interval at which engines
+	// write their list entries.
 	settleTime = 2500 * time.Millisecond
 	// unseenPeriod is how long after the first observation a zone may have engines that were not seen yet.
 	unseenPeriod = 10 * time.Second
--- a/internal/core/slowstart/pacer_test.go
+++ b/internal/core/slowstart/pacer_test.go
@@ -91,7 +91,7 @@
 }
 
 // The engine reports that it is cold only after eight items were started at once.
-func TestNotedRequestsCountTowardsRate(t *testing.T) {
+func TestUnpacedRequestsCountTowardsRate(t *testing.T) {
 	const rate, items = 7.9, 8
 	pacer := New(began)
 	var times []time.Time
@@ -107,7 +107,7 @@
 	assert.Assert(t, maxPerSecond(times) <= items+Burst, "%d", maxPerSecond(times))
 }
 
-func TestNotedRequestsDelayAdmissionByAtMostOneSecond(t *testing.T) {
+func TestUnpacedRequestsDelayAdmissionByAtMostOneSecond(t *testing.T) {
 	pacer := New(began)
 	for range 100 {
 		pacer.RecordUnpaced(cold, 4, firstAdmission)
--- a/internal/duties/counter.go
+++ b/internal/duties/counter.go
@@ -28,7 +28,7 @@
 	// It grows with the number of nodes, up to maxCountDelay, since they share the partition's write rate.
 	countDelay    = 200 * time.Millisecond
 	maxCountDelay = 2 * time.Second
-	// countTTL is how long unwritten counts are kept; reports of older windows are skipped.
+	// countTTL is how long the counts of a window are kept. It exceeds maxReportAge, so older ones are of no use.
 	countTTL = 5 * time.Minute
 	// finalWriteTimeout bounds the write at shutdown. It must be below hosted.minTaskTime, the time that a stopping
 	// node leaves for it.
--- a/internal/hosted/zonesapi.go
+++ b/internal/hosted/zonesapi.go
@@ -61,8 +61,8 @@
 
 func (n *node) endEvacuation(w http.ResponseWriter, r *http.Request) { n.handleEvacuation(w, r, false) }
 
-// handleEvacuation writes an operator's request for a zone to the log. It takes effect on each node when that node
-// has read it.
+// handleEvacuation writes the start or the end of a zone's evacuation to the log. It takes effect on each node when
+// that node has read it.
 func (n *node) handleEvacuation(w http.ResponseWriter, r *http.Request, inForce bool) {
 	evacuation := Evacuation{Zone: mux.Vars(r)["zone"], InForce: inForce}
 	err := n.writeEvacuation(r.Context(), evacuation)
--- a/internal/ingress/try.go
+++ b/internal/ingress/try.go
@@ -80,7 +80,8 @@
 	return crashed && guard.Status(x.fingerprintOf).Crashes >= quarantine.RequestLimit
 }
 
-// reportStart calls Options.OnStart once for a request that an engine may have started.
+// reportStart calls Options.OnStart once for a caller's request that an engine may have started. Requests that this
+// process makes itself are not reported.
 func (x *exchange) reportStart(answer *Answer, err error, sent time.Time) {
 	var failure *SendError
 	refused := errors.As(err, &failure) && !failure.MayHaveRun ||
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -51,8 +51,8 @@
 	// sendWindow is how long after its record was composed an order may be sent. It must cover the append, dialing
 	// and scheduling delays.
 	sendWindow = 500 * time.Millisecond
-	// arrivalTime is how long after its record was composed an order may still arrive.
-	arrivalTime = sendWindow + lease.MaxTransitTime
+	// maxArrivalDelay is how long after its record was composed an order may still arrive.
+	maxArrivalDelay = sendWindow + lease.MaxTransitTime
 	// claimJitter spreads the claims of nodes that find the lease free at the same time.
 	claimJitter = 60 * time.Millisecond
 	// observerReadInterval is the pause between two reads of a node that is not eligible. Such a node needs to know
--- a/internal/leadership/permit.go
+++ b/internal/leadership/permit.go
@@ -30,7 +30,7 @@
 func (t Term) QuietUntil(subject string) time.Time {
 	e := t.elector
 	quiet := lease.QuietPeriod{
-		BetweenMachines: e.options.QuietPeriod, MaxTransit: arrivalTime, EnginesFence: e.options.EnginesFence,
+		BetweenMachines: e.options.QuietPeriod, MaxArrivalDelay: maxArrivalDelay, EnginesFence: e.options.EnginesFence,
 	}
 	e.mu.Lock()
 	until := e.state.QuietUntil(subject, quiet)
--- a/internal/leadership/randomfaults_test.go
+++ b/internal/leadership/randomfaults_test.go
@@ -393,7 +393,7 @@
 				t.Parallel()
 				r := &faultRun{t: t, ttl: test.ttl, quiet: test.quiet}
 				r.run(seed, duration, test.clockDrift, test.trims)
-				tolerance := time.Duration(2*test.clockDrift*float64(test.quiet+arrivalTime)) + time.Millisecond
+				tolerance := time.Duration(2*test.clockDrift*float64(test.quiet+maxArrivalDelay)) + time.Millisecond
 				shortest := r.check(tolerance)
 				t.Logf("%d orders, %d terms with a lease, shortest time between orders of two machines %s", len(r.arrivals), len(r.valid), shortest)
 			})
