--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -242,7 +242,7 @@
 		err = json.NewEncoder(output).Encode(summary)
 	} else {
 		_, err = fmt.Fprintf(output, "live: %d of %d responses complete, p99 time to first token %.1f ms\n"+
-			"trainer: %d of %d samples acknowledged; duplicates %d, lost %d, stale %d, missing versions %d\n",
+			"trainer: %d of %d samples acknowledged; duplicates %d, lost %d, stale %d, with invalid versions %d\n",
 			summary.LiveOK, summary.LiveRequests, summary.FirstToken.P99, summary.SamplesAcknowledged, summary.SamplesWanted,
 			summary.Duplicates, summary.Lost, summary.Stale, summary.InvalidVersions)
 	}
--- a/internal/bench/experiment/result.go
+++ b/internal/bench/experiment/result.go
@@ -31,8 +31,8 @@
 	// without them: the maximum over live services that share a pool with trainers.
 	LiveP99Ratio float64 `json:"live_p99_ratio"`
 	// Violations counts violated invariants: invalid live responses, duplicate and
-	// lost samples, and tokens without a version. LiveFailed counts live calls
-	// without a complete and valid response.
+	// lost samples, and samples with invalid version spans. LiveFailed counts live
+	// calls without a complete and valid response.
 	Violations int `json:"broken"`
 	LiveFailed int `json:"live_failed"`
 }
--- a/internal/bench/faultproxy/faultproxy_test.go
+++ b/internal/bench/faultproxy/faultproxy_test.go
@@ -9,10 +9,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// waitTimeout bounds waits for expected events; stallObservation is how long a stalled link is observed.
+// waitTimeout bounds waits for expected events. shortWait is the timeout of calls that are expected to time out, and how
+// long a test keeps an address in use.
 const (
-	waitTimeout      = 20 * time.Second
-	stallObservation = 100 * time.Millisecond
+	waitTimeout = 20 * time.Second
+	shortWait   = 100 * time.Millisecond
 )
 
 // echoLink returns a link to an echo server.
@@ -74,7 +75,7 @@
 	link := echoLink(t)
 	assert.NilError(t, link.Stall())
 	connection := dial(t, link)
-	assert.Assert(t, roundTrip(connection, stallObservation) != nil)
+	assert.Assert(t, roundTrip(connection, shortWait) != nil)
 	assert.NilError(t, link.Restore())
 	assert.NilError(t, roundTrip(dial(t, link), waitTimeout))
 }
@@ -107,7 +108,7 @@
 	link.Cut()
 	holder, err := net.Listen("tcp", link.Address())
 	assert.NilError(t, err)
-	time.AfterFunc(stallObservation, func() { _ = holder.Close() })
+	time.AfterFunc(shortWait, func() { _ = holder.Close() })
 	assert.NilError(t, link.Restore())
 	assert.NilError(t, roundTrip(dial(t, link), waitTimeout))
 }
@@ -116,7 +117,7 @@
 func TestAddLinkRetriesWhenAddressInUse(t *testing.T) {
 	holder, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	time.AfterFunc(stallObservation, func() { _ = holder.Close() })
+	time.AfterFunc(shortWait, func() { _ = holder.Close() })
 	network := NewNetwork()
 	t.Cleanup(network.Close)
 	_, err = network.AddLink("late", holder.Addr().String(), "127.0.0.1:1")
@@ -154,7 +155,7 @@
 	t.Helper()
 	block := make([]byte, 1<<20)
 	for {
-		assert.NilError(t, connection.SetWriteDeadline(time.Now().Add(stallObservation)))
+		assert.NilError(t, connection.SetWriteDeadline(time.Now().Add(shortWait)))
 		if _, err := connection.Write(block); err != nil {
 			return
 		}
--- a/internal/bench/pathcost/hop.go
+++ b/internal/bench/pathcost/hop.go
@@ -77,13 +77,13 @@
 	if err := transport.Start(); err != nil {
 		return nil, err
 	}
-	cellRouter := router.New(router.Options{
+	requestRouter := router.New(router.Options{
 		NodeID: gatewayID, Zone: zone, Caller: transport, View: static, Announcer: static,
 		Tables: static, Logger: logger, Registerer: registry,
 	})
 	callers := mux.NewRouter()
 	gateway.New(gateway.Options{
-		NodeID: gatewayID, Router: cellRouter, Tables: static, Logger: logger, Registerer: registry,
+		NodeID: gatewayID, Router: requestRouter, Tables: static, Logger: logger, Registerer: registry,
 	}).Register(callers)
 	served, err := serveHTTP(callers)
 	if err != nil {
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	static := &staticCluster{self: dispatcherID, dispatcher: transport.Address(), engine: engineAddress}
-	cellDispatcher := dispatcher.New(dispatcher.Options{
+	localDispatcher := dispatcher.New(dispatcher.Options{
 		NodeID: dispatcherID, PeerAddress: transport.Address(), Zone: zone, Registry: transport,
 		View: static, Announcer: static, EngineList: static, EngineClient: enginehttp.NewHTTP(nil),
 		Tables: static, Logger: logger, Registerer: registry,
@@ -116,9 +116,9 @@
 		return nil, err
 	}
 	runContext, stop := context.WithCancel(ctx)
-	go func() { _ = cellDispatcher.Run(runContext) }()
+	go func() { _ = localDispatcher.Run(runContext) }()
 	engineServing := func() bool {
-		engines := cellDispatcher.EngineStatuses()
+		engines := localDispatcher.EngineStatuses()
 		return len(engines) == 1 && engines[0].State == string(engine.StateServing)
 	}
 	served := &hop{address: transport.Address(), close: func() {
--- a/internal/bench/soak/build_test.go
+++ b/internal/bench/soak/build_test.go
@@ -11,9 +11,10 @@
 // Guards against nodes of an older build that fail to start because of a setting that they do not know.
 func TestNewBuildOmitsUnknownSettings(t *testing.T) {
 	directory := t.TempDir()
-	daemon := func(name, refuses string) string {
+	// daemon writes a script that fails if its settings file contains the rejected text.
+	daemon := func(name, rejected string) string {
 		path := filepath.Join(directory, name)
-		script := "#!/bin/sh\n! grep -q '" + refuses + "' \"$2\"\n"
+		script := "#!/bin/sh\n! grep -q '" + rejected + "' \"$2\"\n"
 		assert.NilError(t, os.WriteFile(path, []byte(script), 0o755))
 		return path
 	}
--- a/internal/bench/soak/check_live.go
+++ b/internal/bench/soak/check_live.go
@@ -31,8 +31,8 @@
 			continue
 		}
 		for i, data := range call.Answer.Events {
-			if item, _ := splitEvent(data); call.Answer.Numbers[i] != int64(i+1) || item != standin.EventData(call.ID, i+1) {
-				found = append(found, fmt.Sprintf("stream %s has event %d %q at position %d", call.ID, call.Answer.Numbers[i], data, i+1))
+			if item, _ := splitEvent(data); call.Answer.EventIDs[i] != int64(i+1) || item != standin.EventData(call.ID, i+1) {
+				found = append(found, fmt.Sprintf("stream %s has event %d %q at position %d", call.ID, call.Answer.EventIDs[i], data, i+1))
 				break
 			}
 		}
--- a/internal/bench/soak/check_test.go
+++ b/internal/bench/soak/check_test.go
@@ -35,7 +35,7 @@
 	answer := standin.LiveResponse{Status: statusOK, ID: id, Stamped: true}
 	for number := 1; number <= eventsOf(id); number++ {
 		answer.Events = append(answer.Events, eventData(id, number, 3))
-		answer.Numbers = append(answer.Numbers, int64(number))
+		answer.EventIDs = append(answer.EventIDs, int64(number))
 	}
 	return answer
 }
@@ -170,11 +170,11 @@
 	{"success without an engine", "MIXED", func(h *History) { h.Calls[callSafe].Answer.Stamped = false }},
 	{"stream lacks an event", "ORDER", func(h *History) {
 		answer := &h.Calls[callStream].Answer
-		answer.Events, answer.Numbers = answer.Events[1:], answer.Numbers[1:]
+		answer.Events, answer.EventIDs = answer.Events[1:], answer.EventIDs[1:]
 	}},
 	{"stream ends early but is complete", "ORDER", func(h *History) {
 		answer := &h.Calls[callStream].Answer
-		answer.Events, answer.Numbers = answer.Events[:2], answer.Numbers[:2]
+		answer.Events, answer.EventIDs = answer.Events[:2], answer.EventIDs[:2]
 	}},
 	{"stream repeats an event", "ORDER", func(h *History) { h.Calls[callStream].Answer.Events[1] = h.Calls[callStream].Answer.Events[0] }},
 	{"run without a request", "UNASKED", func(h *History) { addRun(h, 0, runOf("none", "/lookup/none", "", 2)) }},
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -129,7 +129,7 @@
 	return action(ctx)
 }
 
-// withServers wraps an action that calls a server.
+// withServers wraps an action that calls servers: it creates the client for the servers of the command line first.
 func (s *session) withServers(next action) action {
 	return func(ctx context.Context) error {
 		servers, err := parseServers(s.arguments.Server)
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -108,15 +108,15 @@
 	// Lines are the lines about the ID, Context the state changes around them, both in order of time.
 	Lines   []Line
 	Context []Line
-	// Cause describes how it ended and why.
+	// Cause describes the outcome and the reason for it.
 	Cause string
 }
 
 // ErrUnknown is returned when no line contains the ID.
 var ErrUnknown = errors.New("no log line contains this ID")
 
-// Find returns the trace of an ID: that of a request, an item or a batch job, the number of a usage window, or a
-// service whose engines were ordered. It returns ErrUnknown if no line contains the ID.
+// Find returns the trace of an ID: that of a request, an item or a batch job, the number of a usage window, or the name
+// of a service for which engines were requested from the platform. It returns ErrUnknown if no line contains the ID.
 func (l *Log) Find(id string) (Trace, error) {
 	trace := Trace{ID: id}
 	jobs, engines, nodes := map[string]bool{}, map[string]bool{}, map[string]bool{}
--- a/internal/explain/oldermessages_test.go
+++ b/internal/explain/oldermessages_test.go
@@ -28,7 +28,7 @@
 	"usage counts arrived after their report was decided":  "counts of use came too late",
 }
 
-// contextLogs hold state changes during the requests and jobs of logs.
+// contextLogs holds state changes that happen during the requests and jobs in the constant logs.
 const contextLogs = `
 {"level":"info","node":"n1","zone":"z","model":"m","version":2,"time":5301,"message":"weight version published"}
 {"level":"info","node":"n1","zone":"z","engine":"e9","time":5302,"message":"engine removed"}
--- a/internal/explain/platform.go
+++ b/internal/explain/platform.go
@@ -15,7 +15,7 @@
 )
 
 // matches reports whether the line concerns the ID of a request, an item, a batch job with or without its tenant,
-// a usage window, or a service whose engines were ordered.
+// a usage window, or the name of a service for which engines were requested from the platform.
 func (l *Line) matches(id string) bool {
 	switch l.Message {
 	case usageReported, usageDelayed, usageCountsLate:
--- a/internal/report/timeline/bounds_test.go
+++ b/internal/report/timeline/bounds_test.go
@@ -19,16 +19,16 @@
 			rates.add(at, Answered)
 		}
 		first, last := slices.Min(times), slices.Max(times)
-		bins := int((last/rates.width)-(first/rates.width)) + 1
-		if bins > maxBuckets {
-			t.Fatalf("%d buckets", bins)
+		buckets := int((last/rates.width)-(first/rates.width)) + 1
+		if buckets > maxBuckets {
+			t.Fatalf("%d buckets, more than maxBuckets", buckets)
 		}
 		sum := 0.0
-		for _, rate := range rates.PerSecond(Answered, time.UnixMilli(first), rates.Width(), bins) {
+		for _, rate := range rates.PerSecond(Answered, time.UnixMilli(first), rates.Width(), buckets) {
 			sum += rate * rates.Width().Seconds()
 		}
 		if int(sum+0.5) != len(times) || rates.Total() != len(times) {
-			t.Fatalf("%v and %d events of %d", sum, rates.Total(), len(times))
+			t.Fatalf("rates add up to %v events, Total returned %d, expected %d", sum, rates.Total(), len(times))
 		}
 	})
 }
--- a/internal/report/totals.go
+++ b/internal/report/totals.go
@@ -34,6 +34,7 @@
 
 // JobTotals counts batch jobs by the events logged about them, and refused calls about them.
 type JobTotals struct {
+	// Named counts all jobs of the timeline, including those whose submission is not in the logs.
 	Named          int `json:"named"`
 	Submitted      int `json:"submitted"`
 	Ended          int `json:"ended"`
--- a/internal/standin/logservice/server.go
+++ b/internal/standin/logservice/server.go
@@ -33,7 +33,7 @@
 type Control struct {
 	// LatencyMS delays each append and read, in milliseconds.
 	LatencyMS int64 `json:"latency_ms"`
-	// Down makes every call fail with 503 and without an effect. The response does not say that nothing was appended.
+	// Down makes every call fail with 503 and without an effect, but callers cannot tell that nothing was appended.
 	Down bool `json:"down"`
 	// LostResponseShare is the share (0..1) of appends that take effect and whose connection is closed without a
 	// response.
--- a/internal/standin/memlog/memlog.go
+++ b/internal/standin/memlog/memlog.go
@@ -123,7 +123,8 @@
 	return p
 }
 
-// append appends records and returns the offset of the first. Must be called with mu held.
+// append appends records and returns the offset of the first. A keyed record consists of the length of its key in one
+// byte, the key and the value. Must be called with mu held.
 func (l *Log) append(name eventlog.Partition, records [][]byte) int64 {
 	p := l.partition(name)
 	first := p.end()
@@ -171,9 +172,9 @@
 	return err
 }
 
-// write appends the records if holds reports true for the end offset, subject to the injected fault.
+// write appends the records if the condition holds for the end offset, subject to the injected fault.
 func (l *Log) write(
-	ctx context.Context, name eventlog.Partition, holds func(end int64) bool, records [][]byte,
+	ctx context.Context, name eventlog.Partition, condition func(end int64) bool, records [][]byte,
 ) (int64, error) {
 	if ctx.Err() != nil {
 		return 0, eventlog.ErrNotPerformed
@@ -188,18 +189,18 @@
 		return 0, eventlog.ErrOutcomeUnknown
 	case DelayedEffect:
 		l.pendingEffects = append(l.pendingEffects, func() {
-			if holds(l.partition(name).end()) {
+			if condition(l.partition(name).end()) {
 				l.append(name, records)
 			}
 		})
 		return 0, eventlog.ErrOutcomeUnknown
 	case LostResponse:
-		if holds(l.partition(name).end()) {
+		if condition(l.partition(name).end()) {
 			l.append(name, records)
 		}
 		return 0, eventlog.ErrOutcomeUnknown
 	}
-	if end := l.partition(name).end(); !holds(end) {
+	if end := l.partition(name).end(); !condition(end) {
 		return 0, &eventlog.ConflictError{End: end}
 	}
 	return l.append(name, records), nil
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -45,13 +45,13 @@
 // LiveResponse is the response to a live request.
 type LiveResponse struct {
 	Status int
-	// ID is the request ID in the response. Stamped reports whether the response carries an engine's signature.
+	// ID is the request ID in the response. Stamped reports whether the response carries an engine's stamp.
 	ID      string
 	Stamped bool
 	Body    string
-	// Events and Numbers are the data and the IDs of a stream's events, in order.
-	Events  []string
-	Numbers []int64
+	// Events and EventIDs are the data and the IDs of a stream's events, in order.
+	Events   []string
+	EventIDs []int64
 }
 
 // GuaranteesNotExecuted reports whether the status guarantees that the request is never executed.
@@ -114,7 +114,7 @@
 			return err
 		}
 		r.Events = append(r.Events, string(event.Data))
-		r.Numbers = append(r.Numbers, event.ID)
+		r.EventIDs = append(r.EventIDs, event.ID)
 	}
 }
 
@@ -220,7 +220,7 @@
 	State    string  `json:"state"`
 	Text     string  `json:"text"`
 	Versions []int64 `json:"versions"`
-	// Score is the signature on the response to the scoring call.
+	// Score is the stamp on the response to the scoring call.
 	Score string `json:"score"`
 }
 
@@ -234,7 +234,7 @@
 	Results []ItemResult `json:"results"`
 }
 
-// Results reads a job's results from a position on, waiting up to wait for the first one.
+// Results reads a job's results, beginning at a position, and waits up to wait for the first one.
 // The status is zero, with an error, if no complete response was received.
 func (c *Client) Results(ctx context.Context, address, jobID string, from int, wait time.Duration) (JobResults, int, error) {
 	headers := map[string]string{}
--- a/internal/standin/platform/engine_arrivals.go
+++ b/internal/standin/platform/engine_arrivals.go
@@ -39,8 +39,8 @@
 	return times
 }
 
-// SetCold makes the engine cold for at least a duration from now on. The caller must list the
-// engine again to publish the change.
+// SetCold makes the engine report for at least a duration from now on that it is cold, which limits
+// its request rate. The caller must list the engine again to publish the change.
 func (e *Engine) SetCold(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/platform/engine_responses.go
+++ b/internal/standin/platform/engine_responses.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Stamp returns the signature that an engine adds to its response to a request.
+// Stamp returns the server stamp that an engine adds to its response to a request.
 func Stamp(id string) string { return "stamp-" + id }
 
 // PlainBody returns the body of a plain response.
--- a/internal/standin/trainer/config.go
+++ b/internal/standin/trainer/config.go
@@ -1,5 +1,5 @@
 // Package trainer simulates a reinforcement learning trainer: it submits steps, fetches and acknowledges samples,
-// sleeps for the training time, and publishes a weight version after each step. Its report rests on its own counts,
+// sleeps for the training time, and publishes a weight version after each step. Its report is based on its own counts,
 // not on those of the system under test.
 package trainer
 
--- a/internal/standin/trainer/store.go
+++ b/internal/standin/trainer/store.go
@@ -38,7 +38,7 @@
 			return nil
 		}
 		if !retry.Sleep(ctx, storeRetryDelay) {
-			return errors.Wrapf(ctx.Err(), "weight store: last error: %v", err)
+			return errors.Wrapf(ctx.Err(), "call weight store (last error: %v)", err)
 		}
 	}
 }
